--- /dev/null
+++ b/tests/compatibility/stored_files_test.cpp
@@ -0,0 +1,150 @@
+// Files written by version 0.3.0 (f43fab7) stay readable: each stored format is read from a file of that
+// version under tests/data/stored, and all its values are compared.
+#include <gtest/gtest.h>
+#include <unistd.h>
+
+#include <filesystem>
+#include <fstream>
+#include <sstream>
+
+#include "catalog/files.h"
+#include "conns/known_record.h"
+#include "knowledge/keeper.h"
+#include "results/database.h"
+#include "store/disk.h"
+#include "store/sealed_file.h"
+#include "tier/lists_record.h"
+
+using namespace damsonspoke;
+
+namespace {
+
+// A copy of the stored files, so that reading may write beside them (locks, journals).
+class StoredFiles : public ::testing::Test {
+ protected:
+  void SetUp() override {
+    folder_ = std::filesystem::temp_directory_path() / ("stored_files_" + std::to_string(::getpid()));
+    std::filesystem::remove_all(folder_);
+    std::filesystem::copy(std::string(TEST_DATA_FOLDER) + "/stored", folder_,
+                          std::filesystem::copy_options::recursive);
+  }
+  void TearDown() override { std::filesystem::remove_all(folder_); }
+  std::string path(const std::string& name) const { return (folder_ / name).string(); }
+
+  store::Sealed read_sealed(const std::string& folder, const std::string& name, std::uint32_t form,
+                            std::size_t most_bytes) {
+    const std::unique_ptr<store::Disk> disk = store::open_folder(path(folder));
+    return store::SealedFile(*disk, name, form, most_bytes).read().newest;
+  }
+
+  std::filesystem::path folder_;
+};
+
+TEST_F(StoredFiles, ResultsDatabaseIsReadWhole) {
+  using namespace results;
+  Database database(path("results/results.db"), {false, 0, true, nullptr});
+  EXPECT_FALSE(database.made_new());
+  EXPECT_EQ(database.seed(), 11420642726564356063u);
+  EXPECT_TRUE(database.verify().empty());
+
+  std::vector<Row> rows;
+  database.each([&](const Row& row) { rows.push_back(row); });
+  ASSERT_EQ(rows.size(), 2u);
+  EXPECT_EQ(rows[0].key, (Key{1, 2}));
+  EXPECT_EQ(rows[0].op, 3u);
+  EXPECT_EQ(rows[0].type, "rate-push");
+  EXPECT_EQ(rows[0].fingerprint, 4u);
+  EXPECT_EQ(rows[0].until_ms, 4102444800000);
+  EXPECT_TRUE(rows[0].ended);
+  EXPECT_EQ(rows[1].key, (Key{5, 0xffffffffffffffff}));
+  EXPECT_EQ(rows[1].op, 6u);
+  EXPECT_EQ(rows[1].type, "avail-read");
+  EXPECT_EQ(rows[1].fingerprint, 0xfedcba9876543210u);
+  EXPECT_EQ(rows[1].until_ms, 4102444800001);
+  EXPECT_FALSE(rows[1].ended);
+  const std::optional<Row> fetched = database.fetch({1, 2});
+  ASSERT_TRUE(fetched.has_value());
+  EXPECT_EQ(fetched->result, "a result");
+}
+
+TEST_F(StoredFiles, LearnedStatisticsAreReadWhole) {
+  const std::unique_ptr<store::Disk> disk = store::open_folder(path("knowledge"));
+  const knowledge::Reading reading = knowledge::Folder(*disk).read();
+  EXPECT_EQ(reading.problem, "");
+  EXPECT_EQ(reading.starts, 0);
+  EXPECT_FALSE(reading.older);
+  ASSERT_TRUE(reading.record.has_value());
+  const knowledge::Record& record = *reading.record;
+  EXPECT_EQ(record.written, 1764700000.25);
+  EXPECT_EQ(record.lived, 3600.5);
+  EXPECT_EQ(record.site, "relay-1");
+  EXPECT_EQ(record.cores, 4);
+  EXPECT_EQ(record.below, 1);
+  EXPECT_EQ(record.caller_idle, 30);
+  EXPECT_TRUE(record.troubled);
+  EXPECT_EQ(record.returns, 0.75);
+  ASSERT_EQ(record.types.size(), 2u);
+  EXPECT_EQ(record.types[0].name, "avail-read");
+  EXPECT_EQ(record.types[0].target, 0.2);
+  EXPECT_EQ(record.types[0].timeout, 0.9);
+  EXPECT_TRUE(record.types[0].calls);
+  EXPECT_EQ(record.types[0].run.bins, (std::vector<double>{0, 1, 2.5, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0}));
+  EXPECT_EQ(record.types[0].run.sum, 0.04);
+  EXPECT_EQ(record.types[0].away.bins, (std::vector<double>{0, 0, 0, 3, 0, 0, 0, 0, 0, 0, 0, 0, 0}));
+  EXPECT_EQ(record.types[0].away.sum, 0.1);
+  EXPECT_EQ(record.types[1].name, "rate-push");
+  EXPECT_FALSE(record.types[1].calls);
+  EXPECT_EQ(record.calls.bins, (std::vector<double>{4, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 1}));
+  EXPECT_EQ(record.calls.sum, 22.5);
+}
+
+TEST_F(StoredFiles, KnownClientsAreReadWhole) {
+  const store::Sealed sealed = read_sealed("clients", "clients", conns::kKnownForm, conns::kMostKnownBytes);
+  ASSERT_EQ(sealed.problem, store::SealProblem::kNone);
+  const std::optional<std::vector<conns::KnownClient>> clients = conns::decode_known(sealed.content);
+  ASSERT_TRUE(clients.has_value());
+  ASSERT_EQ(clients->size(), 2u);
+  EXPECT_EQ(conns::text_of((*clients)[0].client), "127.0.0.9");
+  EXPECT_EQ((*clients)[0].earned, 40);
+  EXPECT_EQ((*clients)[0].last, 1764700000);
+  EXPECT_TRUE((*clients)[0].known);
+  EXPECT_EQ((*clients)[1].client, *conns::parse_prefix("2001:db8:1:2::/64"));
+  EXPECT_EQ((*clients)[1].earned, 7);
+  EXPECT_EQ((*clients)[1].last, 1764600000);
+  EXPECT_FALSE((*clients)[1].known);
+}
+
+TEST_F(StoredFiles, PlannerListsAreReadWhole) {
+  const store::Sealed sealed = read_sealed("planners", "planners", tier::kListsForm, tier::kMostListsBytes);
+  ASSERT_EQ(sealed.problem, store::SealProblem::kNone);
+  const std::optional<tier::ListsRecord> lists = tier::decode_lists(sealed.content);
+  ASSERT_TRUE(lists.has_value());
+  EXPECT_EQ(lists->in_force, (std::vector<std::string>{"127.0.0.1:7001", "127.0.0.1:7002"}));
+  ASSERT_EQ(lists->former.size(), 1u);
+  EXPECT_EQ(lists->former[0].until, 1764700000.5);
+  EXPECT_EQ(lists->former[0].planners, (std::vector<std::string>{"127.0.0.1:7000", "127.0.0.1:7001"}));
+}
+
+TEST_F(StoredFiles, CatalogSnapshotAndChangesAreReadWhole) {
+  const catalog::Loaded loaded = catalog::load_folder(path("catalog"), {64, 64, true});
+  EXPECT_TRUE(loaded.refusals.empty());
+  EXPECT_EQ(loaded.catalog->version(), (catalog::Version{3, 12}));
+  EXPECT_EQ(loaded.catalog->history(), 0x809ad23af1326f82u);
+  EXPECT_EQ(
+      catalog::lines_of(*loaded.catalog),
+      R"({"calls":true,"give-up":900.0,"route":"pay","semantics":"fragile","target":300.0,"worth":4.0,"worth-without":0.5}
+{"give-up":250.0,"late-worth":0.25,"route":"avail-read","semantics":"retryable","target":100.0,"worth":1.0}
+{"give-up":250.0,"route":"hold","semantics":"dedup","target":100.0,"window":2000.0,"worth":1.5}
+{"give-up":400.0,"route":"rate-push","semantics":"retryable","target":200.0,"worth":2.0}
+{"quota-per-s":12.5,"tenant":"north"}
+)");
+  EXPECT_EQ(loaded.changes_bytes, 217u);
+  const int position = loaded.catalog->find_route("rate-push");
+  ASSERT_GE(position, 0);
+  const OpType& route = loaded.catalog->op_type(position);
+  EXPECT_EQ(route.target_latency, 0.2);
+  EXPECT_EQ(route.op_timeout, 0.4);
+  EXPECT_EQ(route.importance, 2);
+}
+
+}  // namespace
--- /dev/null
+++ b/tests/compatibility/wire_messages_test.cpp
@@ -0,0 +1,401 @@
+// Every message on the wire stays as version 0.3.0 wrote it: what is encoded equals the recorded bytes, and
+// the recorded bytes of either side decode to the values they were written from.
+#include <gtest/gtest.h>
+
+#include <functional>
+
+#include "control/lines.h"
+#include "recorded_messages.h"
+#include "wire/ajp.h"
+#include "wire/below_lines.h"
+#include "wire/members.h"
+#include "wire/roster_report.h"
+#include "wire/rpc.h"
+#include "wire/runtime_lines.h"
+#include "wire/tier.h"
+
+using namespace damsonspoke;
+using damsonspoke::testing::escaped;
+using damsonspoke::testing::recorded_messages;
+
+namespace {
+
+using Messages = std::map<std::string, std::string>;
+
+void expect_recorded(const std::string& file, const Messages& encoded) {
+  const Messages recorded = recorded_messages(file);
+  for (const auto& [name, bytes] : encoded) {
+    ASSERT_TRUE(recorded.contains(name)) << name;
+    EXPECT_EQ(escaped(bytes), escaped(recorded.at(name))) << name;
+  }
+  EXPECT_EQ(encoded.size(), recorded.size());
+}
+
+// ---- JSON-RPC with callers.
+TEST(JsonRpcMessages, AnswersAreEncodedAsRecorded) {
+  using namespace wire;
+  expect_recorded("json_rpc_answers.txt",
+                  {{"result", encode_result(7, "ten bytes.")},
+                   {"result_empty", encode_result(8, "")},
+                   {"failed", encode_error(9, RpcError::kFailed, "failed")},
+                   {"outcome_unknown", encode_error(10, RpcError::kOutcomeUnknown, "outcome unknown")},
+                   {"key_conflict", encode_error(11, RpcError::kKeyConflict, "key conflict")},
+                   {"parse_error", encode_error(0, RpcError::kParse, "parse \"error\"")},
+                   {"invalid_request", encode_error(12, RpcError::kRequest, "invalid request")},
+                   {"unknown_method", encode_error(13, RpcError::kMethod, "unknown method")},
+                   {"invalid_params", encode_error(14, RpcError::kParams, "invalid params")},
+                   {"nack", encode_nack(15, 0, false)},
+                   {"nack_later", encode_nack(16, 249.2, false)},
+                   {"nack_no_retry", encode_nack(17, 0, true)},
+                   {"nack_later_no_retry", encode_nack(18, 1500, true)},
+                   {"check_passes", encode_check(19, true)},
+                   {"check_fails", encode_check(20, false)},
+                   {"no_more", encode_no_more()}});
+}
+
+TEST(JsonRpcMessages, RecordedRequestsDecodeToTheirValues) {
+  using namespace wire;
+  const Messages recorded = recorded_messages("json_rpc_requests.txt");
+  const auto decoded = [&](const std::string& name, std::string_view key_field = {}) {
+    const std::string& bytes = recorded.at(name);
+    const Frame frame = next_frame(bytes);
+    EXPECT_EQ(frame.state, Framing::kFrame) << name;
+    EXPECT_EQ(frame.length, bytes.size()) << name;
+    RpcRequest request;
+    EXPECT_EQ(decode_request(frame.body, request, key_field), RpcProblem::kNone) << name;
+    return request;
+  };
+
+  const RpcRequest all = decoded("all_params", "unique");
+  EXPECT_EQ(all.id, 42u);
+  EXPECT_EQ(all.method, "rate-push");
+  EXPECT_EQ(all.txn, 0x1234abcd5678ef90u);
+  EXPECT_EQ(all.door_ms, 1700000000123.5);
+  EXPECT_EQ(all.limit_ms, 900);
+  EXPECT_EQ(all.work_ms, 12.5);
+  EXPECT_EQ(all.held_kb, 24);
+  EXPECT_EQ(all.item, 0xabcu);
+  EXPECT_EQ(all.mark, "key-1");
+  EXPECT_EQ(all.customer, "north");
+  EXPECT_EQ(all.body, "hello");
+  EXPECT_EQ(all.caller, 3u);
+  EXPECT_FALSE(all.notification);
+  EXPECT_TRUE(all.has_id && all.has_txn && all.has_item && all.has_mark);
+  EXPECT_FALSE(all.probe);
+  EXPECT_TRUE(all.again);
+
+  const RpcRequest least = decoded("least_params");
+  EXPECT_EQ(least.id, 43u);
+  EXPECT_EQ(least.method, "avail-read");
+  EXPECT_FALSE(least.has_item || least.has_mark || least.again || least.probe);
+  EXPECT_EQ(least.limit_ms, 0);
+
+  const RpcRequest work = decoded("work_param");
+  EXPECT_EQ(work.work_ms, 8);
+
+  EXPECT_TRUE(decoded("probe").probe);
+  EXPECT_TRUE(decoded("notification").notification);
+  EXPECT_EQ(recorded.size(), 5u);
+}
+
+// ---- Lines to and from the runtime.
+TEST(RuntimeMessages, CommandsAreEncodedAsRecorded) {
+  using namespace wire;
+  expect_recorded("runtime_commands.txt", {{"sync", encode_sync(17)},
+                                           {"start", encode_start(0xabc, "rate-push", "body\r\n.")},
+                                           {"stop", encode_stop(0xabc)},
+                                           {"resume", encode_resume(0xabd)},
+                                           {"give", encode_give(0xabe, "reply")},
+                                           {"omit", encode_omit(0xabf, 9)},
+                                           {"gauges", encode_ask_gauges(4)},
+                                           {"self_test", encode_self_test(5)}});
+}
+
+TEST(RuntimeMessages, RecordedNoticesDecodeToTheirValues) {
+  using namespace wire;
+  const Messages recorded = recorded_messages("runtime_notices.txt");
+  const auto decoded = [&](const std::string& name) {
+    const NoticeRead read = next_notice(recorded.at(name));
+    EXPECT_EQ(read.state, LineState::kLine) << name;
+    EXPECT_EQ(read.length, recorded.at(name).size()) << name;
+    return read.notice;
+  };
+  EXPECT_EQ(decoded("ready_cold").kind, NoticeKind::kReady);
+  EXPECT_TRUE(decoded("ready_cold").cold);
+  EXPECT_EQ(decoded("ready_cold").ms, 250);
+  EXPECT_FALSE(decoded("ready_warm").cold);
+
+  const Notice complete = decoded("end_complete");
+  EXPECT_EQ(complete.kind, NoticeKind::kRunEnd);
+  EXPECT_EQ(complete.number, 3u);
+  EXPECT_EQ(complete.id, 0xabcu);
+  EXPECT_EQ(complete.end, RunEnd::kComplete);
+  EXPECT_EQ(complete.ms, 12.5);
+  EXPECT_EQ(complete.body, "done\r\n!");
+  EXPECT_EQ(decoded("end_error").end, RunEnd::kError);
+  EXPECT_EQ(decoded("end_cancelled").end, RunEnd::kCancelled);
+  EXPECT_EQ(decoded("end_unknown").end, RunEnd::kUnknown);
+
+  const Notice wants = decoded("wants");
+  EXPECT_EQ(wants.kind, NoticeKind::kCallWanted);
+  EXPECT_EQ(wants.number, 7u);
+  EXPECT_EQ(wants.body, "question");
+  EXPECT_EQ(decoded("load").gauges, (std::vector<double>{0.5, 3, 0.25, 17}));
+  EXPECT_EQ(decoded("load").tag, 4u);
+  EXPECT_TRUE(decoded("verdict_good").good);
+  EXPECT_FALSE(decoded("verdict_bad").good);
+  EXPECT_EQ(decoded("nack").kind, NoticeKind::kNack);
+  EXPECT_EQ(decoded("nack").command, "start");
+  EXPECT_EQ(decoded("info").kind, NoticeKind::kRemark);
+  EXPECT_EQ(recorded.size(), 12u);
+}
+
+// ---- Lines to and from the layer below.
+TEST(DependencyMessages, CommandsAreEncodedAsRecorded) {
+  using namespace wire;
+  expect_recorded("dependency_commands.txt",
+                  {{"call", encode_call(0xabc, 350, "question")}, {"cancel", encode_cancel(0xabc)}});
+}
+
+TEST(DependencyMessages, RecordedRepliesDecodeToTheirValues) {
+  using namespace wire;
+  const Messages recorded = recorded_messages("dependency_replies.txt");
+  const std::map<std::string, CallEnd> ends = {
+      {"ok", CallEnd::kOk},           {"overload", CallEnd::kRefused},
+      {"internal", CallEnd::kFailed}, {"deadline", CallEnd::kTimedOut},
+      {"stale", CallEnd::kMoot},      {"other", CallEnd::kUnknown}};
+  for (const auto& [name, end] : ends) {
+    const ReplyRead read = next_reply(recorded.at(name));
+    EXPECT_EQ(read.state, LineState::kLine) << name;
+    EXPECT_EQ(read.length, recorded.at(name).size()) << name;
+    EXPECT_EQ(read.end, end) << name;
+    EXPECT_EQ(read.id, 0xabcu) << name;
+    EXPECT_EQ(read.body, name == "ok" ? "reply" : "") << name;
+  }
+  EXPECT_EQ(recorded.size(), ends.size());
+}
+
+// ---- Reports to the registry.
+TEST(RegistryMessages, ReportsAreEncodedAsRecorded) {
+  expect_recorded("registry_reports.txt", {{"takes_work", wire::encode_report("relay-1", true)},
+                                           {"takes_no_work", wire::encode_report("relay-1", false)}});
+}
+
+// ---- Forwarders and planners.
+std::map<std::string, wire::tier::Message> tier_messages() {
+  using namespace wire::tier;
+  Hello planner;
+  planner.planner = true;
+  planner.epoch = 0x1122334455667788;
+  planner.name = "planner-1";
+  planner.cores = 4;
+  planner.window = 64;
+  Hello forwarder;
+  forwarder.epoch = 5;
+  forwarder.name = "forwarder-1";
+  forwarder.types = {"avail-read", "rate-push"};
+  Submit submit;
+  submit.attempt = 9;
+  submit.op = 10;
+  submit.type = 1;
+  submit.caller = 3;
+  submit.key = 0xfeed;
+  submit.held = 384;
+  submit.age_us = 1500;
+  submit.left_us = 250000;
+  submit.mark = "key-1";
+  submit.body = "body";
+  Submit question = submit;
+  question.known_only = true;
+  std::map<std::string, Message> messages = {{"hello_planner", planner},
+                                             {"hello_forwarder", forwarder},
+                                             {"submit", submit},
+                                             {"submit_known_only", question},
+                                             {"cancel", Cancel{11}},
+                                             {"fence", Fence{12}},
+                                             {"window", Window{32, 750, true}},
+                                             {"window_bad", Window{1, 0, false}},
+                                             {"no_more", NoMore{3000000}},
+                                             {"ping", Ping{77}},
+                                             {"pong", Pong{78}}};
+  for (std::uint8_t result = 0; result <= 8; ++result) {
+    messages["answer_" + std::to_string(result)] =
+        Answer{20u + result, static_cast<Result>(result), 5000u * result, result % 2 == 1, "reply"};
+  }
+  return messages;
+}
+
+TEST(TierMessages, AreEncodedAsRecordedAndDecodeAgain) {
+  Messages encoded;
+  for (const auto& [name, message] : tier_messages()) encoded[name] = wire::tier::encode(message);
+  expect_recorded("tier.txt", encoded);
+  for (const auto& [name, bytes] : recorded_messages("tier.txt")) {
+    const wire::tier::Taken taken = wire::tier::next_message(bytes);
+    EXPECT_EQ(taken.state, wire::tier::Framing::kFrame) << name;
+    EXPECT_EQ(taken.length, bytes.size()) << name;
+    EXPECT_EQ(taken.message.index(), tier_messages().at(name).index()) << name;
+    EXPECT_EQ(escaped(wire::tier::encode(taken.message)), escaped(bytes)) << name;
+  }
+}
+
+// ---- AJP.
+std::map<std::string, wire::ajp::FromGateway> gateway_messages() {
+  using namespace wire::ajp;
+  ForwardRequest request;
+  request.method = "POST";
+  request.protocol = "HTTP/1.1";
+  request.uri = "/rates/push";
+  request.remote_address = "127.0.0.1";
+  request.remote_host = "gateway";
+  request.server_name = "localhost";
+  request.server_port = 8009;
+  request.secure = true;
+  request.headers = {{"host", "localhost"}, {"content-length", "5"}, {"x-request-id", "7"}};
+  request.attributes = {{Attribute::kQueryString, "", "a=1", 0},
+                        {Attribute::kRequest, "deadline", "900", 0},
+                        {Attribute::kSslKeySize, "", "", 256},
+                        {Attribute::kSecret, "", "word", 0}};
+  return {{"forward_request", request},
+          {"shutdown", Shutdown{}},
+          {"ping", wire::ajp::Ping{}},
+          {"cping", CPing{}}};
+}
+
+std::map<std::string, wire::ajp::FromServer> server_messages() {
+  using namespace wire::ajp;
+  return {{"send_headers", SendHeaders{200, "OK", {{"content-type", "text/plain"}, {"x-other", "1"}}}},
+          {"send_headers_unavailable", SendHeaders{503, "Service Unavailable", {{"retry-after", "1"}}}},
+          {"send_body_chunk", SendBodyChunk{"hello"}},
+          {"end_response", EndResponse{true}},
+          {"end_response_close", EndResponse{false}},
+          {"get_body_chunk", GetBodyChunk{8186}},
+          {"cpong", CPong{}}};
+}
+
+TEST(AjpMessages, OfGatewaysAreEncodedAsRecordedAndDecodeAgain) {
+  using namespace wire::ajp;
+  Messages encoded;
+  for (const auto& [name, message] : gateway_messages()) encoded[name] = encode(message);
+  expect_recorded("ajp_gateway.txt", encoded);
+  for (const auto& [name, bytes] : recorded_messages("ajp_gateway.txt")) {
+    const Packet packet = next_packet(bytes, From::kGateway, kUsualPacket);
+    ASSERT_EQ(packet.state, Framing::kPacket) << name;
+    const std::optional<FromGateway> message = decode_from_gateway(packet.payload);
+    ASSERT_TRUE(message.has_value()) << name;
+    EXPECT_TRUE(*message == gateway_messages().at(name)) << name;
+  }
+}
+
+TEST(AjpMessages, OfServersAreEncodedAsRecordedAndDecodeAgain) {
+  using namespace wire::ajp;
+  Messages encoded;
+  for (const auto& [name, message] : server_messages()) encoded[name] = encode(message);
+  expect_recorded("ajp_server.txt", encoded);
+  for (const auto& [name, bytes] : recorded_messages("ajp_server.txt")) {
+    const Packet packet = next_packet(bytes, From::kServer, kUsualPacket);
+    ASSERT_EQ(packet.state, Framing::kPacket) << name;
+    const std::optional<FromServer> message = decode_from_server(packet.payload);
+    ASSERT_TRUE(message.has_value()) << name;
+    EXPECT_TRUE(*message == server_messages().at(name)) << name;
+  }
+}
+
+TEST(AjpMessages, BodiesAreEncodedAsRecordedAndDecodeAgain) {
+  using namespace wire::ajp;
+  expect_recorded("ajp_body.txt", {{"piece", encode_body("hello")}, {"end", encode_body_end()}});
+  const Messages recorded = recorded_messages("ajp_body.txt");
+  EXPECT_EQ(decode_body(next_packet(recorded.at("piece"), From::kGateway, kUsualPacket).payload), "hello");
+  EXPECT_EQ(decode_body(next_packet(recorded.at("end"), From::kGateway, kUsualPacket).payload), "");
+}
+
+// ---- Members.
+members::Record whole_record() {
+  members::Record record;
+  record.name = "relay-1";
+  record.epoch = 0x123456789abcd;
+  record.contest = 0x123456789abce;
+  record.incarnation = 4;
+  record.condition = members::Condition::kSuspected;
+  record.address = "127.0.0.1:7000";
+  record.pause_ms = 120;
+  record.told = {3, "relay", "north", "0.3.0", 8, 0xdef, 12, 640, 7, members::Below::kSlow, "127.0.0.1:7100"};
+  record.told_age_ms = 900;
+  record.by = {"relay-2", "relay-3"};
+  record.heard = 99;
+  record.broken = {{"relay-4", true, 1500}, {"relay-5", false, 20}};
+  return record;
+}
+
+std::map<std::string, members::Message> member_messages() {
+  members::Record least;
+  least.name = "relay-9";
+  least.epoch = 1;
+  least.address = "127.0.0.1:7009";
+  members::Message ping;
+  ping.kind = members::Kind::kPing;
+  ping.from = "relay-1";
+  ping.epoch = 6;
+  ping.number = 7;
+  ping.serial = 8;
+  ping.target = "relay-2";
+  ping.sum = 0xabcdef;
+  members::Message ack = ping;
+  ack.kind = members::Kind::kAck;
+  ack.on_behalf = "relay-3";
+  ack.heard_direct = true;
+  members::Message indirect = ping;
+  indirect.kind = members::Kind::kAsk;
+  indirect.direct = 5;
+  members::Message silent = indirect;
+  silent.kind = members::Kind::kSilent;
+  members::Message gossip;
+  gossip.kind = members::Kind::kGossip;
+  gossip.from = "relay-1";
+  gossip.epoch = 6;
+  gossip.number = 9;
+  gossip.records = {least, whole_record()};
+  return {{"ping", ping}, {"ack", ack}, {"ask", indirect}, {"silent", silent}, {"gossip", gossip}};
+}
+
+TEST(MemberMessages, DatagramsAreEncodedAsRecordedAndDecodeAgain) {
+  namespace wm = wire::members;
+  Messages encoded;
+  for (const auto& [name, message] : member_messages()) encoded[name] = wm::encode("fleet", message);
+  expect_recorded("members_datagrams.txt", encoded);
+  for (const auto& [name, bytes] : recorded_messages("members_datagrams.txt")) {
+    const wm::Read read = wm::decode("fleet", bytes);
+    ASSERT_EQ(read.problem, wm::Problem::kNone) << name;
+    EXPECT_EQ(read.message.kind, member_messages().at(name).kind) << name;
+    EXPECT_EQ(read.message.records, member_messages().at(name).records) << name;
+    EXPECT_EQ(escaped(wm::encode("fleet", read.message)), escaped(bytes)) << name;
+  }
+}
+
+TEST(MemberMessages, ExchangesAreEncodedAsRecordedAndDecodeAgain) {
+  namespace wm = wire::members;
+  const std::vector<members::Record> records = {whole_record(), whole_record()};
+  expect_recorded("members_exchange.txt", {{"exchange", wm::encode_exchange("fleet", records)}});
+  const std::string bytes = recorded_messages("members_exchange.txt").at("exchange");
+  const wm::ReadExchange read = wm::decode_exchange("fleet", bytes);
+  EXPECT_EQ(read.problem, wm::Problem::kNone);
+  EXPECT_TRUE(read.whole);
+  EXPECT_EQ(read.used, bytes.size());
+  EXPECT_EQ(read.records, records);
+}
+
+// ---- The control socket.
+TEST(ControlMessages, AreEncodedAsRecordedAndDecodeAgain) {
+  using namespace control;
+  const std::vector<std::string> words = {"members", "show", "all"};
+  expect_recorded("control.txt", {{"request", encode_request(words)},
+                                  {"answer", encode_answer("two\nlines\n")},
+                                  {"error", control::encode_error("no such question")}});
+  const Messages recorded = recorded_messages("control.txt");
+  EXPECT_EQ(read_request(recorded.at("request")).words, words);
+  EXPECT_TRUE(read_answer(recorded.at("answer")).good);
+  EXPECT_EQ(read_answer(recorded.at("answer")).text, "two\nlines\n");
+  EXPECT_FALSE(read_answer(recorded.at("error")).good);
+  EXPECT_EQ(read_answer(recorded.at("error")).text, "no such question");
+}
+
+}  // namespace
