--- a/bench/ajp.cpp
+++ b/bench/ajp.cpp
@@ -1,5 +1,5 @@
 // Two fronts: close-outs by JSON-RPC beside AJP at its share and at six times of it, both together at 1.2 of
-// the capacity without the flood; what an op costs by either protocol; and the codec under spoilt input.
+// the capacity without the flood; what a request costs by either protocol; and the codec under spoilt input.
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -19,7 +19,7 @@
 const char* const kBinary = DAMSONSPOKE_BINARY;
 constexpr int kCores = 2;
 constexpr double kWork = 0.02, kTarget = 0.2, kTimeout = 1;  // s
-constexpr double kCapacity = kCores / kWork;                 // ops a second
+constexpr double kCapacity = kCores / kWork;                 // requests a second
 constexpr double kCloses = 0.2;                              // of what either front asks
 
 SiteSpec site() {
@@ -37,13 +37,13 @@
   double all_closes_asked = 0, all_closes_served = 0;  // by either front
   double asked = 0, served = 0;
   int lost = 0, late = 0, doubled = 0, broken = 0;
-  std::uint64_t ops = 0;
+  std::uint64_t requests = 0;
   double cpu = 0;  // s
   double closeouts() const { return closes_asked > 0 ? closes_served / closes_asked : 0; }
   double all_closeouts() const { return all_closes_asked > 0 ? all_closes_served / all_closes_asked : 0; }
 };
 
-// `rpc`, `ajp`: ops a second by either front; a share of them close-outs, of AJP's `ajp_closes` where that is
+// `rpc`, `ajp`: requests a second by either front; a share of them close-outs, of AJP's `ajp_closes` where that is
 // told.
 Played play(double rpc, double ajp, double work, double seconds, std::uint64_t seed,
             double ajp_closes = kCloses) {
@@ -77,16 +77,16 @@
   const double began = server.process->processor_time();
   loop.run_for(seconds);
   out.cpu = server.process->processor_time() - began;
-  out.ops = server.process->counters()["ops.read"];
+  out.requests = server.process->counters()["ops.read"];
   callers.want_more(false);
   gateway.want_more(false);
   loop.run_until([&] { return callers.open() == 0 && callers.still_wanted() == 0 && gateway.open() == 0; },
                  4);
   out.broken += !server.leave();
-  for (const auto& [op, t] : journal.tries) {
+  for (const auto& [request, t] : journal.tries) {
     if (t.refused) continue;
     const bool in_time =
-        !t.answers.empty() && t.answers[0].kind == AnswerKind::kAcked && t.answers[0].at - t.sent <= kTarget;
+        !t.answers.empty() && t.answers[0].kind == AnswerKind::kSucceeded && t.answers[0].at - t.sent <= kTarget;
     ++out.asked, out.served += in_time;
     if (t.type != "close") continue;
     ++out.all_closes_asked, out.all_closes_served += in_time;
@@ -107,7 +107,7 @@
   to.closes_asked += from.closes_asked, to.closes_served += from.closes_served;
   to.all_closes_asked += from.all_closes_asked, to.all_closes_served += from.all_closes_served;
   to.asked += from.asked, to.served += from.served, to.lost += from.lost, to.late += from.late;
-  to.doubled += from.doubled, to.broken += from.broken, to.ops += from.ops, to.cpu += from.cpu;
+  to.doubled += from.doubled, to.broken += from.broken, to.requests += from.requests, to.cpu += from.cpu;
 }
 
 // The kept corpus and inputs that are made of it by a few seeded changes; the target aborts on a finding.
@@ -158,9 +158,9 @@
     add(only_ajp, play(0, 400, 0.001, seconds, seed));
   }
   const auto row = [](const char* name, const Played& p) {
-    fmt::print("{:<22}{:>8}{:>10.3f}{:>12.3f}{:>12.3f}{:>8.1f}\n", name, p.ops,
+    fmt::print("{:<22}{:>8}{:>10.3f}{:>12.3f}{:>12.3f}{:>8.1f}\n", name, p.requests,
                p.served / std::max(1.0, p.asked), p.closeouts(), p.all_closeouts(),
-               p.cpu / static_cast<double>(std::max<std::uint64_t>(1, p.ops)) * 1e6);
+               p.cpu / static_cast<double>(std::max<std::uint64_t>(1, p.requests)) * 1e6);
   };
   fmt::print("{:<22}{:>8}{:>10}{:>12}{:>12}{:>8}\n", "play", "ops", "in time", "close-outs", "both fronts",
              "us/op");
@@ -169,7 +169,7 @@
   row("JSON-RPC alone, 400/s", only_rpc), row("AJP alone, 400/s", only_ajp);
   const std::size_t execs = spoil(flags["execs"].as<std::size_t>(), 7);
   const auto cpu = [](const Played& p) {
-    return p.cpu / static_cast<double>(std::max<std::uint64_t>(1, p.ops)) * 1e6;
+    return p.cpu / static_cast<double>(std::max<std::uint64_t>(1, p.requests)) * 1e6;
   };
   const auto sum = [&](int Played::*of) {
     return alone.*of + mixed.*of + reads.*of + only_rpc.*of + only_ajp.*of;
--- a/bench/conns.cpp
+++ b/bench/conns.cpp
@@ -34,7 +34,7 @@
 struct Played {
   int came = 0, in_time = 0, broken = 0, lost = 0;
   double longest = 0;               // s
-  std::uint64_t dialled_again = 0;  // connections that the client's ops needed anew
+  std::uint64_t dialled_again = 0;  // connections that the client's requests needed anew
   double worth_asked = 0, worth_served = 0;
   double cpu = 0, seconds = 0, dialled = 0, rss_mb = 0;
   double in() const { return came > 0 ? static_cast<double>(in_time) / came : 0; }
@@ -91,11 +91,11 @@
   out.came = client.came(), out.in_time = client.in_time(), out.longest = client.longest();
   fleet.settle(4);
   out.broken += !fleet.leave();
-  for (const auto& [op, t] : fleet.journal.tries) {
+  for (const auto& [request, t] : fleet.journal.tries) {
     if (t.sent < began || t.sent > began + seconds || t.refused) continue;
     const double worth = t.type == "close" ? 3 : 1;
     const bool served =
-        !t.answers.empty() && t.answers[0].kind == AnswerKind::kAcked && t.answers[0].at - t.sent <= 0.5;
+        !t.answers.empty() && t.answers[0].kind == AnswerKind::kSucceeded && t.answers[0].at - t.sent <= 0.5;
     out.worth_asked += worth, out.worth_served += served ? worth : 0;
   }
   const Verdict verdict = check_rules(fleet.journal, fleet.limits());
--- a/bench/knowledge.cpp
+++ b/bench/knowledge.cpp
@@ -21,10 +21,10 @@
 namespace {
 
 const char* const kBinary = DAMSONSPOKE_BINARY;
-// As at a site of the operators': work, target and op timeout of its op types, and how cold a life begins.
+// As at a site of the operators': work, target and request timeout of its routes, and how cold a life begins.
 struct TypePlan {
   const char* name;
-  double work, target, timeout, share, importance;
+  double work, target, timeout, share, priority_weight;
 };
 constexpr TypePlan kTypes[] = {
     {"read", 0.22, 1.3, 3.3, 0.43, 1}, {"push", 0.36, 2.2, 5.4, 0.40, 1}, {"close", 0.36, 2.2, 5.4, 0.17, 3}};
@@ -50,15 +50,15 @@
 SiteSpec site_of(const std::string& operators) {
   SiteSpec site;
   for (const TypePlan& t : kTypes)
-    site.types.push_back({t.name, "retryable", t.target, t.timeout, 0, t.importance});
+    site.types.push_back({t.name, "retryable", t.target, t.timeout, 0, t.priority_weight});
   site.cores = kCores;
-  site.cold_from = kColdFrom;
-  site.cold_time = kColdTime;
+  site.slow_start_speed = kColdFrom;
+  site.slow_start_seconds = kColdTime;
   site.operators = operators;
   return site;
 }
 
-// A share of what the cores do when they are warm; rejected ops come back twice.
+// A share of what the cores do when they are warm; rejected requests come back twice.
 Callers::Options load_of(double share, int relays, std::uint64_t seed) {
   double work = 0;
   for (const TypePlan& t : kTypes) work += t.work * t.share;
@@ -79,8 +79,8 @@
   Runtime::Options o;
   o.cores = kCores;
   for (const TypePlan& t : kTypes) o.work_by_type[t.name] = t.work * slower;
-  o.cold_from = cold ? kColdFrom : 1;
-  o.cold_time = cold ? kColdTime : 0;
+  o.slow_start_speed = cold ? kColdFrom : 1;
+  o.slow_start_seconds = cold ? kColdTime : 0;
   return o;
 }
 
@@ -112,18 +112,18 @@
 // What became of the things that were first asked for in a span of time.
 struct Fate {
   double asked = 0, served = 0;                          // importance
-  int things = 0, late = 0, failed = 0, nacked_all = 0;  // of things: served late, or not at all
+  int things = 0, late = 0, failed = 0, rejected_all = 0;  // of things: served late, or not at all
   double worth() const { return asked > 0 ? served / asked : 0; }
 };
 
 Fate fate_of(const Journal& journal, double from, double until) {
   struct Thing {
-    double importance = 0;
+    double priority_weight = 0;
     bool served = false, late = false, failed = false;
   };
   std::map<std::string, Thing> things;
   std::map<double, const Try*> by_time;
-  for (const auto& [op, t] : journal.tries) by_time[t.sent] = &t;
+  for (const auto& [request, t] : journal.tries) by_time[t.sent] = &t;
   std::map<std::string, bool> before;
   for (const auto& [sent, t] : by_time) {
     if (sent < from) before[t->key] = true;
@@ -132,26 +132,26 @@
     const auto type = std::find_if(std::begin(kTypes), std::end(kTypes),
                                    [&](const TypePlan& p) { return t->type == p.name; });
     Thing& thing = things[t->key];
-    thing.importance = type->importance;
+    thing.priority_weight = type->priority_weight;
     for (const Answer& a : t->answers) {
-      const bool acked = a.kind == AnswerKind::kAcked;
-      thing.served |= acked && a.at - t->sent <= type->target;
-      thing.late |= acked && a.at - t->sent > type->target;
+      const bool succeeded = a.kind == AnswerKind::kSucceeded;
+      thing.served |= succeeded && a.at - t->sent <= type->target;
+      thing.late |= succeeded && a.at - t->sent > type->target;
       thing.failed |= a.kind == AnswerKind::kFailed;
     }
   }
   Fate fate;
   for (const auto& [key, thing] : things) {
     ++fate.things;
-    fate.asked += thing.importance;
+    fate.asked += thing.priority_weight;
     if (thing.served)
-      fate.served += thing.importance;
+      fate.served += thing.priority_weight;
     else if (thing.late)
       ++fate.late;
     else if (thing.failed)
       ++fate.failed;
     else
-      ++fate.nacked_all;
+      ++fate.rejected_all;
   }
   return fate;
 }
@@ -289,14 +289,14 @@
     fmt::print("{}\n{:<18}{:>9}{:>9}{:>9}{:>9}{:>9}{:>12}\n", title, "", "worth5", "worth", "late", "failed",
                "nacked", "of things");
     for (std::size_t i = 0; i < plans; ++i) {
-      int things = 0, late = 0, failed = 0, nacked = 0;
+      int things = 0, late = 0, failed = 0, rejected = 0;
       for (const Played& p : plays[i]) {
         things += p.first.things, late += p.first.late, failed += p.first.failed;
-        nacked += p.first.nacked_all;
+        rejected += p.first.rejected_all;
       }
       const auto share = [&](int n) { return things > 0 ? static_cast<double>(n) / things : 0; };
       fmt::print("{:<18}{:>9.3f}{:>9.3f}{:>9.3f}{:>9.3f}{:>9.3f}{:>12}\n", kPlans[i].name, worth(i, true),
-                 worth(i, false), share(late), share(failed), share(nacked), things);
+                 worth(i, false), share(late), share(failed), share(rejected), things);
     }
     const auto gain5 = difference(0, 1, true), gain = difference(0, 1, false);
     fmt::print("  with against without: first 5 s {:+.4f} +- {:.4f}, whole {:+.4f} +- {:.4f}, {} pairs\n",
--- a/bench/members.cpp
+++ b/bench/members.cpp
@@ -108,7 +108,7 @@
   s.forwarders = 2, s.planners = 3;
   s.work = 0.01;
   s.planners_told = s.members = told;
-  s.ops = {{"read", "retryable", 160, 1, 0.5, 1}, {"close", "retryable", 50, 3, 0.5, 1}};
+  s.requests = {{"read", "retryable", 160, 1, 0.5, 1}, {"close", "retryable", 50, 3, 0.5, 1}};
   const auto fault = [&](double at, const char* what, const char* who, double lasts) {
     FaultSpec f;
     f.at = at, f.what = what, f.who = {who}, f.lasts = lasts;
@@ -164,7 +164,7 @@
     RehearsalScript s;
     s.name = "detect", s.seed = seed + static_cast<std::uint64_t>(round);
     s.lasts = 26, s.relays = 12, s.work = 0.005, s.members = true;
-    s.ops = {{"read", "retryable", 100, 1, 0.5, 1}};
+    s.requests = {{"read", "retryable", 100, 1, 0.5, 1}};
     for (int i = 0; i < 3; ++i) {
       FaultSpec f;
       f.at = 2 + 8 * i, f.what = "kill", f.who = {fmt::format("r{}", 3 * i + 2 + round)};
--- a/bench/results.cpp
+++ b/bench/results.cpp
@@ -1,4 +1,4 @@
-// What remembering results costs and saves: runs a thing with and without, the time it adds to an op, kills,
+// What remembering results costs and saves: runs a thing with and without, the time it adds to a request, kills,
 // a cut of durable writes, and memory. All on loopback, real processes; both sides of each comparison in one
 // run.
 #include <fmt/format.h>
@@ -21,9 +21,9 @@
   return values[static_cast<std::size_t>(share * static_cast<double>(values.size() - 1))];
 }
 
-SiteSpec site_of(const std::string& effect, const std::string& operators) {
+SiteSpec site_of(const std::string& idempotency, const std::string& operators) {
   SiteSpec site;
-  site.types = {{"push", effect, 1, 2, 30, 1}, {"pull", effect, 1, 2, 30, 1}};
+  site.types = {{"push", idempotency, 1, 2, 30, 1}, {"pull", idempotency, 1, 2, 30, 1}};
   site.cores = 4;
   site.operators = operators;
   return site;
@@ -56,11 +56,11 @@
   return fmt::format("results\n    enabled on\n    memory 8M\n    digest pull\n{}", more);
 }
 
-std::vector<double> ack_times(const Journal& journal) {
+std::vector<double> success_times(const Journal& journal) {
   std::vector<double> times;
-  for (const auto& [op, t] : journal.tries) {
+  for (const auto& [request, t] : journal.tries) {
     for (const Answer& a : t.answers) {
-      if (a.kind == AnswerKind::kAcked) times.push_back(a.at - t.sent);
+      if (a.kind == AnswerKind::kSucceeded) times.push_back(a.at - t.sent);
     }
   }
   return times;
@@ -120,7 +120,7 @@
   }
   with.settle(2), without.settle(2);
   with.leave(), without.leave();
-  cost.with = ack_times(with.journal), cost.without = ack_times(without.journal);
+  cost.with = success_times(with.journal), cost.without = success_times(without.journal);
   return cost;
 }
 
@@ -140,7 +140,7 @@
   fleet.leave();
   add(sums, check_rules(fleet.journal, fleet.limits()));
   int unknown = 0;
-  for (const auto& [op, t] : fleet.journal.tries) {
+  for (const auto& [request, t] : fleet.journal.tries) {
     for (const Answer& a : t.answers) unknown += a.kind == AnswerKind::kUnknownOutcome;
   }
   fmt::print("{:<34}{:>8} kills, {:>6} tries, {:>6} runs, {} told that the outcome is unknown\n",
--- a/bench/scale_backend.cpp
+++ b/bench/scale_backend.cpp
@@ -65,7 +65,7 @@
 struct Play {
   std::vector<double> added;     // s of each acked request beyond its time at the runtime
   std::vector<double> in_force;  // s from a change's writing until it is in force
-  std::size_t wanted = 0, acked = 0, versionless = 0;
+  std::size_t wanted = 0, succeeded = 0, versionless = 0;
   double processor_share = 0;  // of a core
   double hold_ms = 0, resident_mb = 0;
   std::uint64_t applied = 0, refused = 0, broken = 0, overdue = 0;
@@ -148,14 +148,14 @@
   out.last_written = files.sequence();
   fleet.leave();
   std::map<std::uint64_t, double> ran;  // s at the runtime, by request
-  for (const RunSeen& run : fleet.journal.runs) ran[run.op] = run.ended - run.began;
-  for (const auto& [op, asked] : fleet.journal.tries) {
+  for (const RunSeen& run : fleet.journal.runs) ran[run.request] = run.ended - run.began;
+  for (const auto& [request, asked] : fleet.journal.tries) {
     if (asked.sent < begin) continue;
     ++out.wanted;
     for (const Answer& answer : asked.answers) {
-      if (answer.kind != AnswerKind::kAcked) continue;
-      ++out.acked;
-      out.added.push_back(answer.at - asked.sent - ran[op]);
+      if (answer.kind != AnswerKind::kSucceeded) continue;
+      ++out.succeeded;
+      out.added.push_back(answer.at - asked.sent - ran[request]);
     }
   }
   out.broken = check_rules(fleet.journal, fleet.limits()).broken.size();
@@ -167,7 +167,7 @@
       "  {:<34} {} of {} served, added p50 {:.2f} p99 {:.2f} ms; {:.1f}% of a core, {:.0f} MB, longest hold "
       "{:.2f} ms; "
       "{} taken, {} refused, {} in force of {}{}{}\n",
-      what, p.acked, p.wanted, 1000 * quantile(p.added, 0.5), 1000 * quantile(p.added, 0.99),
+      what, p.succeeded, p.wanted, 1000 * quantile(p.added, 0.5), 1000 * quantile(p.added, 0.99),
       100 * p.processor_share, p.resident_mb, p.hold_ms, p.applied, p.refused, p.sequence, p.last_written,
       p.in_force.empty() ? "" : fmt::format(" after p99 {:.3f} s", quantile(p.in_force, 0.99)),
       p.broken > 0 ? "; RULES BROKEN" : "");
--- a/bench/tier.cpp
+++ b/bench/tier.cpp
@@ -20,7 +20,7 @@
 
 struct TypePlan {
   const char* name;
-  double work, target, timeout, share, importance;
+  double work, target, timeout, share, priority_weight;
 };
 constexpr TypePlan kTypes[] = {
     {"read", 0.010, 0.25, 0.6, 0.45, 1}, {"push", 0.016, 0.4, 1, 0.38, 1}, {"close", 0.016, 0.4, 1, 0.17, 3}};
@@ -28,7 +28,7 @@
 SiteSpec site() {
   SiteSpec s;
   for (const TypePlan& t : kTypes)
-    s.types.push_back({t.name, "retryable", t.target, t.timeout, 0, t.importance});
+    s.types.push_back({t.name, "retryable", t.target, t.timeout, 0, t.priority_weight});
   s.cores = kCores;
   return s;
 }
@@ -71,14 +71,14 @@
 void judge(Played& out, const Journal& journal, const RuleLimits& limits, const std::vector<double>& kills) {
   std::map<std::string, std::pair<double, bool>> things;  // importance, served
   std::map<std::string, bool> held;
-  for (const auto& [op, t] : journal.tries) {
+  for (const auto& [request, t] : journal.tries) {
     const TypePlan& type = *std::find_if(std::begin(kTypes), std::end(kTypes),
                                          [&](const TypePlan& p) { return t.type == p.name; });
-    auto& [importance, served] = things[t.key];
-    importance = type.importance;
+    auto& [priority_weight, served] = things[t.key];
+    priority_weight = type.priority_weight;
     for (const Answer& a : t.answers) {
-      if (a.kind == AnswerKind::kAcked) out.waits.push_back(a.at - t.sent);
-      served |= a.kind == AnswerKind::kAcked && a.at - t.sent <= type.target;
+      if (a.kind == AnswerKind::kSucceeded) out.waits.push_back(a.at - t.sent);
+      served |= a.kind == AnswerKind::kSucceeded && a.at - t.sent <= type.target;
       for (const double at : kills)
         held[t.key] |= a.kind == AnswerKind::kFailed && t.sent <= at && a.at >= at;
     }
@@ -158,7 +158,7 @@
   return out;
 }
 
-// One forwarder alone with a thousand ops a second: what an op costs where wakes are shared.
+// One forwarder alone with a thousand requests a second: what a request costs where wakes are shared.
 double busy_cpu_us(double seconds, std::uint64_t seed) {
   Runtime::Options quick;
   quick.cores = kCores, quick.work = 0.001;
@@ -184,8 +184,8 @@
   quick.cores = kCores, quick.work = 0.002;
   std::pair<std::vector<double>, std::vector<double>> waits;
   const auto collect = [](const Journal& journal, std::vector<double>& into) {
-    for (const auto& [op, t] : journal.tries) {
-      if (t.answers.size() == 1 && t.answers[0].kind == AnswerKind::kAcked)
+    for (const auto& [request, t] : journal.tries) {
+      if (t.answers.size() == 1 && t.answers[0].kind == AnswerKind::kSucceeded)
         into.push_back(t.answers[0].at - t.sent);
     }
   };
--- a/bench/tier_shapes.cpp
+++ b/bench/tier_shapes.cpp
@@ -1,6 +1,6 @@
-// Probe for the design of two levels: what passing the whole op on costs, against asking for a grant with a
+// Probe for the design of two levels: what passing the whole request on costs, against asking for a grant with a
 // descriptor and sending the body only once it is granted. Two threads over loopback, the project's frames;
-// the processor time of both ends an op, and the time to an answer, by body size and by the share that is
+// the processor time of both ends a request, and the time to an answer, by body size and by the share that is
 // refused.
 #include <fmt/format.h>
 #include <netinet/in.h>
@@ -73,27 +73,27 @@
 };
 
 struct Cost {
-  double us = 0;   // of both ends, an op
+  double us = 0;   // of both ends, a request
   double p50 = 0;  // us to an answer
 };
 
-// One op at a time, as forwarders send them; a grant is a Window frame, the body follows in a Submit.
-Cost play(bool grants, std::size_t body, double refused, int ops) {
+// One request at a time, as forwarders send them; a grant is a Window frame, the body follows in a Submit.
+Cost play(bool grants, std::size_t body, double refused, int requests) {
   const auto [a, b] = connected();
   double planner_cpu = 0;
   std::thread planner([&, fd = b] {
     End end(fd);
     pcg32 random(3);
     const double begin = cpu();
-    for (int i = 0; i < ops; ++i) {
+    for (int i = 0; i < requests; ++i) {
       wt::Message message = end.get();
       wt::Answer answer;
       answer.attempt = std::get<wt::Submit>(message).attempt;
       if (random() / 4294967296.0 < refused) {
-        answer.result = wt::Result::kNacked;
+        answer.result = wt::Result::kRejected;
       } else {
         if (grants) end.put(wt::Window{1, 0, true}), message = end.get();
-        answer.result = wt::Result::kAcked;
+        answer.result = wt::Result::kSucceeded;
         answer.body.assign(256, 'r');
       }
       end.put(answer);
@@ -103,10 +103,10 @@
   End end(a);
   std::vector<double> waits;
   const double begin = cpu();
-  for (int i = 0; i < ops; ++i) {
+  for (int i = 0; i < requests; ++i) {
     wt::Submit submit;
     submit.attempt = static_cast<std::uint64_t>(i) + 1;
-    submit.op = submit.attempt;
+    submit.request = submit.attempt;
     const double sent = now();
     if (!grants) submit.body.assign(body, 'b');
     end.put(submit);
@@ -122,8 +122,8 @@
   const double forwarder_cpu = cpu() - begin;
   planner.join();
   ::close(a), ::close(b);
-  std::nth_element(waits.begin(), waits.begin() + ops / 2, waits.end());
-  return {(forwarder_cpu + planner_cpu) / ops * 1e6, waits[static_cast<std::size_t>(ops) / 2] * 1e6};
+  std::nth_element(waits.begin(), waits.begin() + requests / 2, waits.end());
+  return {(forwarder_cpu + planner_cpu) / requests * 1e6, waits[static_cast<std::size_t>(requests) / 2] * 1e6};
 }
 
 }  // namespace
@@ -131,7 +131,7 @@
 int main(int argc, char** argv) {
   cxxopts::Options options("tier_shapes", "whole ops against grants");
   options.add_options()("ops", "of each play", cxxopts::value<int>()->default_value("20000"));
-  const int ops = options.parse(argc, argv)["ops"].as<int>();
+  const int requests = options.parse(argc, argv)["ops"].as<int>();
   fmt::print("{:>8}{:>9}{:>12}{:>12}{:>12}{:>12}\n", "body", "refused", "whole us", "grant us", "whole p50",
              "grant p50");
   std::string figures;
@@ -139,7 +139,7 @@
     for (const double refused : {0.0, 0.2, 0.5, 0.9}) {
       Cost whole, grant;
       for (int round = 0; round < 2; ++round)  // the second counts: the first warms up
-        whole = play(false, body, refused, ops), grant = play(true, body, refused, ops);
+        whole = play(false, body, refused, requests), grant = play(true, body, refused, requests);
       fmt::print("{:>8}{:>9.1f}{:>12.2f}{:>12.2f}{:>12.1f}{:>12.1f}\n", body, refused, whole.us, grant.us,
                  whole.p50, grant.p50);
       figures += fmt::format(" whole_{}_{:.1f}_us={:.2f} grant_{}_{:.1f}_us={:.2f}", body, refused, whole.us,
--- a/fuzz/catalog.cpp
+++ b/fuzz/catalog.cpp
@@ -23,16 +23,16 @@
   } catch (const CodecError&) {
     return;
   }
-  double quotas = 0, importance = 0;
+  double quotas = 0, priority_weight = 0;
   catalog.tenant_names().visit(0, catalog.tenant_names().cells(), [&](std::string_view name, int position) {
     if (catalog.find_tenant(name) != position) std::abort();
-    quotas += catalog.customer(position).quota_per_s;
+    quotas += catalog.tenant(position).quota_per_second;
   });
   catalog.route_names().visit(0, catalog.route_names().cells(), [&](std::string_view name, int position) {
-    if (catalog.find_route(name) != position || catalog.op_type(position).op_timeout <= 0) std::abort();
-    importance = std::max(importance, catalog.op_type(position).importance);
+    if (catalog.find_route(name) != position || catalog.route(position).timeout <= 0) std::abort();
+    priority_weight = std::max(priority_weight, catalog.route(position).priority_weight);
   });
-  if (std::abs(quotas - catalog.quotas_per_s()) > 1e-3 || importance != catalog.most_important())
+  if (std::abs(quotas - catalog.total_quota_per_second()) > 1e-3 || priority_weight != catalog.highest_priority_weight())
     std::abort();
 }
 
--- a/fuzz/knowledge.cpp
+++ b/fuzz/knowledge.cpp
@@ -12,14 +12,14 @@
   const std::optional<knowledge::Record> record = knowledge::decode(bytes);
   if (!record) return 0;
   StartSettings site;
-  OpType type;
-  type.target_latency = 1, type.op_timeout = 2;
-  site.settings.op_types = {type};
-  site.settings.cores = record->cores;
-  site.type_names = {"push"};
+  Route type;
+  type.latency_objective = 1, type.timeout = 2;
+  site.admission.routes = {type};
+  site.admission.cores = record->cores;
+  site.route_names = {"push"};
   const knowledge::Belief belief =
       knowledge::believe(*record, site, record->written + 1, 0, {43200, 259200, 4});
-  for (const auto& times : belief.prior.types) {
+  for (const auto& times : belief.prior.routes) {
     if (!times.run.bins.empty() && !knowledge::sensible(times.run)) std::abort();
   }
   return 0;
--- a/fuzz/rpc.cpp
+++ b/fuzz/rpc.cpp
@@ -16,7 +16,7 @@
   RpcRequest request;
   const std::string_view text = frame.state == Framing::kFrame ? frame.body : input;
   if (decode_request(text, request, "key") == RpcProblem::kNone) {
-    if (request.body.size() > 2048 || request.held_kb < 0 || request.method.empty()) std::abort();
+    if (request.body.size() > 2048 || request.size_kb < 0 || request.method.empty()) std::abort();
   }
   return 0;
 }
--- a/src/app/backend.cpp
+++ b/src/app/backend.cpp
@@ -9,9 +9,9 @@
 #include "app/leaving.h"
 #include "app/limits.h"
 #include "app/marks.h"
-#include "peers/callers.h"
-#include "peers/forwarders.h"
-#include "peers/fronts.h"
+#include "peers/json_rpc/server.h"
+#include "peers/tier/forwarder_server.h"
+#include "peers/combined_server.h"
 
 namespace damsonspoke {
 namespace {
@@ -20,18 +20,18 @@
 constexpr double kBelowShare = 0.1;  // replies and calls that are not whole yet
 constexpr double kKeptShare = 0.03;  // a planner's answers that a forwarder may ask for again
 constexpr double kRuntimeShare =
-    0.05;  // commands that the runtime does not read; the rest: the program, open ops
+    0.05;  // commands that the runtime does not read; the rest: the program, open requests
 constexpr long kClientsTold = 20, kMostClientsTold = 1000;  // to who asks by hand
-constexpr double kOpenPerCore = 8;  // ops that it holds at most, for what it tells members
+constexpr double kOpenPerCore = 8;  // requests that it holds at most, for what it tells members
 
 std::size_t below_links(const Limits& limits) {
-  const std::size_t fit = part(limits, kBelowShare) / (peers::Below::kMostInput + peers::Below::kMostOutput);
+  const std::size_t fit = part(limits, kBelowShare) / (peers::DependencyClient::kMostInput + peers::DependencyClient::kMostOutput);
   return std::clamp<std::size_t>(fit, 1, static_cast<std::size_t>(descriptors(limits) / kBelowSockets));
 }
 
 // Their buffers are other ones than those of the platform's protocol; the share of memory is the same.
 std::size_t ajp_links(const Limits& limits, const AjpOptions& ajp) {
-  const std::size_t each = peers::AjpBelow::most_input(ajp) + peers::AjpBelow::kMostOutput;
+  const std::size_t each = peers::AjpDependencyClient::most_input(ajp) + peers::AjpDependencyClient::kMostOutput;
   return std::clamp<std::size_t>(part(limits, kBelowShare) / each, 1, below_links(limits));
 }
 
@@ -42,55 +42,55 @@
 }  // namespace
 
 // Where operators have one, all fronts of callers share it.
-void Backend::make_door(int connections, const std::vector<double>& floors) {
+void Backend::make_connection_admission(int connections, const std::vector<double>& floors) {
   if (!options_.gate.enabled) return;
-  std::vector<double> importance;
-  for (const OpType& type : config_.site.settings.op_types) importance.push_back(type.importance);
-  door_ = std::make_unique<peers::Door>(reactor_, options_.gate, static_cast<std::size_t>(connections),
-                                        floors, std::move(importance), counters_, log_);
+  std::vector<double> priority_weight;
+  for (const Route& type : config_.site.admission.routes) priority_weight.push_back(type.priority_weight);
+  connection_admission_ = std::make_unique<peers::ConnectionAdmission>(reactor_, options_.gate, static_cast<std::size_t>(connections),
+                                        floors, std::move(priority_weight), counters_, log_);
 }
 
-// Where ops come in: callers at a relay, by one protocol or two, forwarders at a planner.
+// Where requests come in: callers at a relay, by one protocol or two, forwarders at a planner.
 std::unique_ptr<peers::Front> Backend::make_front(Role role) {
   const StartSettings& site = config_.site;
   const std::size_t output = part(config_.limits, kOutputShare);
-  peers::CallerEvents& events = take_in_;
+  peers::CallerEvents& events = intake_;
   if (role == Role::kPlanner) {
-    const tier::Warming warming{site.settings.cores, site.settings.cold_from, site.settings.cold_time};
-    peers::Forwarders::Self self{config_.name,       draw_epoch(),    warming,
-                                 config_.stop_after, site.type_names, {}};
-    for (const OpType& type : site.settings.op_types) self.importance.push_back(type.importance);
-    const int fit = links_that_fit(config_.limits, peers::Forwarders::kMostInput);
-    return std::make_unique<peers::Forwarders>(
+    const tier::Warming warming{site.admission.cores, site.admission.slow_start_speed, site.admission.slow_start_time};
+    peers::ForwarderServer::Self self{config_.name,       draw_epoch(),    warming,
+                                 config_.stop_after, site.route_names, {}};
+    for (const Route& type : site.admission.routes) self.priority_weight.push_back(type.priority_weight);
+    const int fit = links_that_fit(config_.limits, peers::ForwarderServer::kMostInput);
+    return std::make_unique<peers::ForwarderServer>(
         reactor_, config_.listen, std::move(self),
-        peers::Forwarders::Limits{fit, output, part(config_.limits, kKeptShare)}, events, counters_, log_);
+        peers::ForwarderServer::Limits{fit, output, part(config_.limits, kKeptShare)}, events, counters_, log_);
   }
-  const peers::Callers::Marks keys = marks(options_.results);
+  const peers::JsonRpcServer::Marks keys = marks(options_.results);
   const AjpOptions& ajp = options_.ajp;
   if (ajp.listen.empty()) {
-    const int fit = links_that_fit(config_.limits, peers::Callers::kMostInput);
-    make_door(fit, {1});
-    conns::Share* share = door_ ? &door_->share() : nullptr;
-    return std::make_unique<peers::Callers>(reactor_, config_.listen, catalog_.catalog(), keys,
-                                            peers::Callers::Limits{fit, output, share, 0, door_.get()},
+    const int fit = links_that_fit(config_.limits, peers::JsonRpcServer::kMostInput);
+    make_connection_admission(fit, {1});
+    conns::Share* share = connection_admission_ ? &connection_admission_->share() : nullptr;
+    return std::make_unique<peers::JsonRpcServer>(reactor_, config_.listen, catalog_.catalog(), keys,
+                                            peers::JsonRpcServer::Limits{fit, output, share, 0, connection_admission_.get()},
                                             events, counters_, log_);
   }
-  const std::size_t input = std::max(peers::Callers::kMostInput, peers::AjpCallers::most_input(ajp));
+  const std::size_t input = std::max(peers::JsonRpcServer::kMostInput, peers::AjpServer::most_input(ajp));
   const int fit = links_that_fit(config_.limits, input);
   const std::vector<double> floors{std::max(ajp.share, 0.5), ajp.share};
-  make_door(fit, floors);
-  if (!door_) share_ = std::make_unique<conns::Share>(static_cast<std::size_t>(fit), floors);
-  conns::Share& share = door_ ? door_->share() : *share_;
-  auto callers = std::make_unique<peers::Callers>(
+  make_connection_admission(fit, floors);
+  if (!connection_admission_) share_ = std::make_unique<conns::Share>(static_cast<std::size_t>(fit), floors);
+  conns::Share& share = connection_admission_ ? connection_admission_->share() : *share_;
+  auto callers = std::make_unique<peers::JsonRpcServer>(
       reactor_, config_.listen, catalog_.catalog(), keys,
-      peers::Callers::Limits{fit, output / 2, &share, 0, door_.get()}, events, counters_, log_);
-  peers::AjpCallers::Self self{
-      site.type_names, needs_key(config_, options_.results), keys.longest, {}, draw_epoch()};
-  for (const OpType& type : site.settings.op_types) self.op_timeouts.push_back(type.op_timeout);
-  auto second = std::make_unique<peers::AjpCallers>(reactor_, std::move(self), ajp, output / 2, share, 1,
-                                                    events, counters_, log_, door_.get());
+      peers::JsonRpcServer::Limits{fit, output / 2, &share, 0, connection_admission_.get()}, events, counters_, log_);
+  peers::AjpServer::Self self{
+      site.route_names, needs_key(config_, options_.results), keys.longest, {}, draw_epoch()};
+  for (const Route& type : site.admission.routes) self.timeouts.push_back(type.timeout);
+  auto second = std::make_unique<peers::AjpServer>(reactor_, std::move(self), ajp, output / 2, share, 1,
+                                                    events, counters_, log_, connection_admission_.get());
   ajp_ = second.get();
-  return std::make_unique<peers::Fronts>(std::move(callers), std::move(second));
+  return std::make_unique<peers::CombinedServer>(std::move(callers), std::move(second));
 }
 
 Backend::Backend(Role role, const Choice& choice, Reread reread, Logger& log)
@@ -99,36 +99,36 @@
       reread_(std::move(reread)),
       log_(log),
       catalog_(reactor_, choice, counters_, log),
-      book_(ports_, counters_),
-      send_(ports_, config_.site, counters_),
-      recall_(reactor_, book_, send_, admit_, config_.site, catalog_.catalog(), options_.results, counters_,
+      in_flight_(ports_, counters_),
+      sender_(ports_, config_.site, counters_),
+      replay_(reactor_, in_flight_, sender_, admission_, config_.site, catalog_.catalog(), options_.results, counters_,
               log_),
-      learn_(reactor_, admit_, config_.site, config_.name, options_.knowledge, counters_, log_),
-      route_(book_, send_, recall_, counters_, log_),
-      admit_(reactor_, config_.site, catalog_.catalog(), config_.seed, route_, learn_, ports_, counters_),
-      take_in_(reactor_, {book_, admit_, send_, recall_}, ports_, config_.site, catalog_.catalog(),
+      statistics_(reactor_, admission_, config_.site, config_.name, options_.knowledge, counters_, log_),
+      executor_(in_flight_, sender_, replay_, counters_, log_),
+      admission_(reactor_, config_.site, catalog_.catalog(), config_.seed, executor_, statistics_, ports_, counters_),
+      intake_(reactor_, {in_flight_, admission_, sender_, replay_}, ports_, config_.site, catalog_.catalog(),
                counters_),
-      relay_(book_, send_, recall_, admit_, take_in_, config_.site.settings.halt, counters_),
+      completion_handler_(in_flight_, sender_, replay_, admission_, intake_, config_.site.admission.preemption, counters_),
       membership_(
           reactor_, choice, role == Role::kPlanner ? "planner" : "relay",
           [this] {
-            return Membership::Now{static_cast<double>(book_.unanswered()),
-                                   kOpenPerCore * static_cast<double>(config_.site.settings.cores)};
+            return Membership::Now{static_cast<double>(in_flight_.unanswered()),
+                                   kOpenPerCore * static_cast<double>(config_.site.admission.cores)};
           },
           counters_, log_),
       front_(make_front(role)),
-      runtime_(reactor_, config_.runtime, part(config_.limits, kRuntimeShare), config_.site.gauges, relay_,
+      runtime_(reactor_, config_.runtime, part(config_.limits, kRuntimeShare), config_.site.gauges, completion_handler_,
                counters_, log_),
-      below_(reactor_, options_.ajp.below.empty() ? config_.below : std::string(),
-             below_links(config_.limits), relay_, counters_, log_),
-      roster_(reactor_, config_.roster, config_.name, counters_) {
-  ports_ = {front_.get(), &runtime_, &below_, &roster_};
-  if (!options_.ajp.below.empty()) {
-    ajp_below_ = std::make_unique<peers::AjpBelow>(
-        reactor_, options_.ajp, ajp_links(config_.limits, options_.ajp), relay_, counters_, log_);
-    ports_.below = ajp_below_.get();
+      dependency_(reactor_, options_.ajp.dependency.empty() ? config_.dependency : std::string(),
+             below_links(config_.limits), completion_handler_, counters_, log_),
+      registry_(reactor_, config_.registry, config_.name, counters_) {
+  ports_ = {front_.get(), &runtime_, &dependency_, &registry_};
+  if (!options_.ajp.dependency.empty()) {
+    ajp_below_ = std::make_unique<peers::AjpDependencyClient>(
+        reactor_, options_.ajp, ajp_links(config_.limits, options_.ajp), completion_handler_, counters_, log_);
+    ports_.dependency = ajp_below_.get();
   }
-  book_.log_answers(log_);
+  in_flight_.log_answers(log_);
   listen_for_questions();
   std::signal(SIGPIPE, SIG_IGN);
   std::signal(SIGXFSZ, SIG_IGN);  // a file that may not grow any more: the write says so, nobody dies of it
@@ -144,9 +144,9 @@
   membership_.answer_questions(*control_);
   catalog_.answer_questions(*control_);
   control_->add("conns", [this](const std::vector<std::string>& words) {
-    if (!door_) throw std::runtime_error("the gate is off: nothing is counted by client");
+    if (!connection_admission_) throw std::runtime_error("the gate is off: nothing is counted by client");
     const long most = words.size() > 1 ? std::atol(words[1].c_str()) : kClientsTold;
-    return door_->report(static_cast<std::size_t>(std::clamp(most, 0L, kMostClientsTold)));
+    return connection_admission_->report(static_cast<std::size_t>(std::clamp(most, 0L, kMostClientsTold)));
   });
 }
 
@@ -154,8 +154,8 @@
   const std::string host = config_.listen.substr(0, config_.listen.rfind(':'));
   log_.info("backend", "{} listens on {}:{}", config_.name, host, front_->port());
   if (ajp_ != nullptr) log_.info("backend", "takes AJP callers on port {}", ajp_->port());
-  learn_.get_ready();
-  if (door_) door_->begin();
+  statistics_.get_ready();
+  if (connection_admission_) connection_admission_->begin();
   membership_.begin(front_->port());
   reactor_.run();
   report();
@@ -163,7 +163,7 @@
 }
 
 void Backend::report() {
-  recall_.report();
+  replay_.report();
   membership_.report();
   catalog_.report();
   log_.block(counters_.report());
@@ -180,37 +180,37 @@
     return log_.error("backend", "new configuration not taken, the old one stays: {}", error.what());
   }
   const Config& next = choice.config;
-  log_.info("backend", "new configuration: runtime {}, below {}, roster {}", next.runtime, next.below,
-            next.roster);
+  log_.info("backend", "new configuration: runtime {}, below {}, roster {}", next.runtime, next.dependency,
+            next.registry);
   if (next.listen != config_.listen || next.name != config_.name)
     log_.warn("backend", "a new name or listening address is taken at the next start only");
-  if (next.site.type_names != config_.site.type_names ||
-      next.site.customer_names != config_.site.customer_names)
+  if (next.site.route_names != config_.site.route_names ||
+      next.site.tenant_names != config_.site.tenant_names)
     log_.warn("backend", "new settings are taken at the next start only");
   runtime_.move_to(config_.runtime = next.runtime);
-  config_.below = next.below;
+  config_.dependency = next.dependency;
   if (ajp_below_ == nullptr) {
-    below_.move_to(config_.below);
-  } else if (!choice.options.ajp.below.empty()) {
+    dependency_.move_to(config_.dependency);
+  } else if (!choice.options.ajp.dependency.empty()) {
     ajp_below_->move_to(choice.options.ajp);
   }
-  roster_.move_to(config_.roster = next.roster);
-  recall_.reconfigure(choice.options.results);
+  registry_.move_to(config_.registry = next.registry);
+  replay_.reconfigure(choice.options.results);
   if (ajp_ != nullptr) ajp_->reconfigure(choice.options.ajp);
-  if (door_) door_->reconfigure(choice.options.gate);
+  if (connection_admission_) connection_admission_->reconfigure(choice.options.gate);
   membership_.reloaded(choice);
 }
 
 void Backend::leave() {
   if (leaving_since_ >= 0) return;
   leaving_since_ = net::monotonic_now();
-  log_.info("backend", "notice to leave, {} ops open, {} connections", book_.unanswered(),
+  log_.info("backend", "notice to leave, {} ops open, {} connections", in_flight_.unanswered(),
             front_->connections());
-  learn_.leaving();
-  if (door_) door_->leaving();
+  statistics_.leaving();
+  if (connection_admission_) connection_admission_->leaving();
   membership_.leave();
-  send_.leaving();
-  admit_.on_leave(config_.stop_after);
+  sender_.leaving();
+  admission_.on_leave(config_.stop_after);
   look_at_leaving();
 }
 
@@ -219,14 +219,14 @@
 void Backend::look_at_leaving() {
   const double now = net::monotonic_now() - leaving_since_;
   if (!listening_ && now >= config_.stop_after - kPartMargin) front_->end_all();
-  const bool quiet = book_.unanswered() == 0 && front_->connections() == 0;
-  const bool grace_over = now > config_.site.settings.drain_grace;
-  if (listening_ && (now >= config_.stop_after - kListenMargin || (quiet && grace_over) || !admit_.begun())) {
+  const bool quiet = in_flight_.unanswered() == 0 && front_->connections() == 0;
+  const bool grace_over = now > config_.site.admission.drain_grace;
+  if (listening_ && (now >= config_.stop_after - kListenMargin || (quiet && grace_over) || !admission_.begun())) {
     listening_ = false;
     front_->stop_listening();
   } else if (!listening_ &&
              ((quiet && reactor_.farewells().empty()) || now >= config_.stop_after - kEndMargin)) {
-    log_.info("backend", "left after {:.2f} s, {} ops unanswered", now, book_.unanswered());
+    log_.info("backend", "left after {:.2f} s, {} ops unanswered", now, in_flight_.unanswered());
     return reactor_.stop();
   }
   reactor_.after(kLeaveLook, [this] { look_at_leaving(); });
--- a/src/app/backend.h
+++ b/src/app/backend.h
@@ -10,22 +10,22 @@
 #include "conns/share.h"
 #include "control/server.h"
 #include "net/reactor.h"
-#include "peers/ajp_below.h"
-#include "peers/ajp_callers.h"
-#include "peers/below.h"
-#include "peers/door.h"
+#include "peers/ajp/dependency_client.h"
+#include "peers/ajp/server.h"
+#include "peers/dependency/client.h"
+#include "peers/connection_admission.h"
 #include "peers/ports.h"
-#include "peers/roster.h"
-#include "peers/runtime.h"
+#include "peers/registry/reporter.h"
+#include "peers/runtime/client.h"
 #include "settings/config.h"
-#include "stages/admit.h"
-#include "stages/book.h"
-#include "stages/learn.h"
-#include "stages/recall.h"
-#include "stages/relay.h"
-#include "stages/route.h"
-#include "stages/send.h"
-#include "stages/take_in.h"
+#include "stages/admission_driver.h"
+#include "stages/in_flight_requests.h"
+#include "stages/statistics_persistence.h"
+#include "stages/result_replay.h"
+#include "stages/completion_handler.h"
+#include "stages/decision_executor.h"
+#include "stages/command_sender.h"
+#include "stages/request_intake.h"
 #include "watch/counters.h"
 #include "watch/logger.h"
 
@@ -48,7 +48,7 @@
   void reload();
   void look_at_leaving();
   std::unique_ptr<peers::Front> make_front(Role role);
-  void make_door(int connections, const std::vector<double>& floors);
+  void make_connection_admission(int connections, const std::vector<double>& floors);
   void listen_for_questions();
   void report();
 
@@ -60,24 +60,24 @@
   net::Reactor reactor_;
   CatalogWatch catalog_;
   peers::Ports ports_;
-  stages::Book book_;
-  stages::Send send_;
-  stages::Recall recall_;
-  stages::Learn learn_;
-  stages::Route route_;
-  stages::Admit admit_;
-  stages::TakeIn take_in_;
-  stages::Relay relay_;
+  stages::InFlightRequests in_flight_;
+  stages::CommandSender sender_;
+  stages::ResultReplay replay_;
+  stages::StatisticsPersistence statistics_;
+  stages::DecisionExecutor executor_;
+  stages::AdmissionDriver admission_;
+  stages::RequestIntake intake_;
+  stages::CompletionHandler completion_handler_;
   std::unique_ptr<conns::Share> share_;       // with two fronts
   std::unique_ptr<control::Server> control_;  // where operators have one
   Membership membership_;                     // nothing where operators have none
-  std::unique_ptr<peers::Door> door_;         // where operators have one; before the fronts
-  peers::AjpCallers* ajp_ = nullptr;          // one of them, where there is one; before who sets it
+  std::unique_ptr<peers::ConnectionAdmission> connection_admission_;         // where operators have one; before the fronts
+  peers::AjpServer* ajp_ = nullptr;          // one of them, where there is one; before who sets it
   std::unique_ptr<peers::Front> front_;
-  peers::Runtime runtime_;
-  peers::Below below_;
-  std::unique_ptr<peers::AjpBelow> ajp_below_;  // in its place, where operators say so
-  peers::Roster roster_;
+  peers::RuntimeClient runtime_;
+  peers::DependencyClient dependency_;
+  std::unique_ptr<peers::AjpDependencyClient> ajp_below_;  // in its place, where operators say so
+  peers::RegistryReporter registry_;
   double leaving_since_ = -1;
   bool listening_ = true;
 };
--- a/src/app/catalog_command.cpp
+++ b/src/app/catalog_command.cpp
@@ -33,7 +33,7 @@
     if (message.trouble) fmt::print("{}\n", message.text);
   const cat::Version version = loaded.catalog->version();
   fmt::print("version {}.{}, {} routes, {} tenants, {} bytes of changes\n", version.epoch, version.sequence,
-             loaded.catalog->op_types(), loaded.catalog->customers(), loaded.changes_bytes);
+             loaded.catalog->route_count(), loaded.catalog->tenant_count(), loaded.changes_bytes);
   return loaded.refusals.empty() ? kDone : kFailed;
 }
 
--- a/src/app/catalog_watch.cpp
+++ b/src/app/catalog_watch.cpp
@@ -53,7 +53,7 @@
   }
   tell();
   log_.info("catalog", "version {}.{}, {} routes, {} tenants, read in {:.3f} s", catalog_->version().epoch,
-            catalog_->version().sequence, catalog_->op_types(), catalog_->customers(),
+            catalog_->version().sequence, catalog_->route_count(), catalog_->tenant_count(),
             net::monotonic_now() - begin);
 }
 
@@ -88,8 +88,8 @@
   const catalog::FollowerCounts& counts = follower_->counts();
   counters_.set(Count::kCatalogEpoch, catalog_->version().epoch);
   counters_.set(Count::kCatalogSequence, catalog_->version().sequence);
-  counters_.set(Count::kCatalogRoutes, catalog_->op_types());
-  counters_.set(Count::kCatalogTenants, catalog_->customers());
+  counters_.set(Count::kCatalogRoutes, catalog_->route_count());
+  counters_.set(Count::kCatalogTenants, catalog_->tenant_count());
   counters_.set(Count::kCatalogBytes, catalog_->bytes());
   counters_.set(Count::kCatalogApplied, counts.applied);
   counters_.set(Count::kCatalogRefused, counts.refused);
@@ -111,7 +111,7 @@
       "version {}.{}, in force for {:.1f} s\n{} routes, {} tenants, {} bytes\n"
       "{} changes and {} snapshots taken, {} refused; {} bytes of changes read\n",
       version.epoch, version.sequence, net::monotonic_now() - follower_->in_force_since(),
-      catalog_->op_types(), catalog_->customers(), catalog_->bytes(), counts.applied, counts.snapshots,
+      catalog_->route_count(), catalog_->tenant_count(), catalog_->bytes(), counts.applied, counts.snapshots,
       counts.refused, follower_->changes_offset());
   if (follower_->state() != catalog::Follower::State::kIdle) out += "reading now\n";
   for (const catalog::Refusal& refusal : follower_->refusals())
--- a/src/app/forwarder.cpp
+++ b/src/app/forwarder.cpp
@@ -11,8 +11,8 @@
 namespace damsonspoke {
 namespace {
 
-constexpr double kLinkShare = 0.15;  // of the memory limit: ops that planners do not read
-constexpr double kBodyShare = 0.2;   // ops that are open
+constexpr double kLinkShare = 0.15;  // of the memory limit: requests that planners do not read
+constexpr double kBodyShare = 0.2;   // requests that are open
 constexpr int kMostPlanners = 64;    // as the operators' file allows
 
 // Links to planners that members tell come from where members hear this one.
@@ -39,12 +39,12 @@
       forward_(reactor_, ports_, config_.site, options_.forward, options_.results,
                part(config_.limits, kBodyShare), draw_epoch(), counters_, log_),
       callers_(reactor_, config_.listen, *catalog_, marks(options_.results),
-               {connections_that_fit(config_.limits, kMostPlanners, peers::Callers::kMostInput),
+               {connections_that_fit(config_.limits, kMostPlanners, peers::JsonRpcServer::kMostInput),
                 part(config_.limits, kOutputShare)},
                forward_, counters_, log_),
-      planners_(reactor_, {config_.name, draw_epoch(), config_.site.type_names, links_from(options_)},
+      planners_(reactor_, {config_.name, draw_epoch(), config_.site.route_names, links_from(options_)},
                 part(config_.limits, kLinkShare), forward_, counters_, log_),
-      roster_(reactor_, config_.roster, config_.name, counters_),
+      registry_(reactor_, config_.registry, config_.name, counters_),
       membership_(
           reactor_, choice, "forwarder",
           [this] {
@@ -54,7 +54,7 @@
           counters_, log_),
       roll_call_({}),
       planners_in_force_(options_.forward.planners) {
-  ports_ = {&callers_, &planners_, &roster_};
+  ports_ = {&callers_, &planners_, &registry_};
   std::signal(SIGPIPE, SIG_IGN);
   std::signal(SIGXFSZ, SIG_IGN);  // a file that may not grow any more: the write says so, nobody dies of it
   reactor_.on_signal(SIGTERM, [this] { leave(); });
@@ -105,7 +105,7 @@
   const Config& next = choice.config;
   if (next.listen != config_.listen || next.name != config_.name)
     log_.warn("forwarder", "a new name or listening address is taken at the next start only");
-  roster_.move_to(config_.roster = next.roster);
+  registry_.move_to(config_.registry = next.registry);
   options_.forward.planners = choice.options.forward.planners;
   options_.forward.from_members = choice.options.forward.from_members;
   planners_in_force_ = options_.forward.planners;
@@ -133,7 +133,7 @@
   const double now = net::monotonic_now() - leaving_since_;
   if (!listening_ && now >= config_.stop_after - kPartMargin) callers_.end_all();
   const bool quiet = forward_.open() == 0 && callers_.connections() == 0;
-  const bool grace_over = now > config_.site.settings.drain_grace;
+  const bool grace_over = now > config_.site.admission.drain_grace;
   if (listening_ && (now >= config_.stop_after - kListenMargin || (quiet && grace_over))) {
     listening_ = false;
     callers_.stop_listening();
--- a/src/app/forwarder.h
+++ b/src/app/forwarder.h
@@ -10,11 +10,11 @@
 #include "catalog/catalog.h"
 #include "control/server.h"
 #include "net/reactor.h"
-#include "peers/callers.h"
-#include "peers/planners.h"
-#include "peers/roster.h"
+#include "peers/json_rpc/server.h"
+#include "peers/tier/planner_client.h"
+#include "peers/registry/reporter.h"
 #include "settings/config.h"
-#include "stages/forward.h"
+#include "stages/request_forwarder.h"
 #include "watch/counters.h"
 #include "watch/logger.h"
 
@@ -42,11 +42,11 @@
   Counters counters_;
   net::Reactor reactor_;
   const std::unique_ptr<catalog::Catalog> catalog_;
-  stages::Forward::Ports ports_;
-  stages::Forward forward_;
-  peers::Callers callers_;
-  peers::Planners planners_;
-  peers::Roster roster_;
+  stages::RequestForwarder::Ports ports_;
+  stages::RequestForwarder forward_;
+  peers::JsonRpcServer callers_;
+  peers::PlannerClient planners_;
+  peers::RegistryReporter registry_;
   std::unique_ptr<control::Server> control_;  // where operators have one
   Membership membership_;                     // nothing where operators have none
   tier::RollCall roll_call_;
--- a/src/app/knowledge_command.cpp
+++ b/src/app/knowledge_command.cpp
@@ -24,7 +24,7 @@
   return folder;
 }
 
-std::string shown(const LearnedTimes& times) {
+std::string shown(const LearnedDurations& times) {
   double count = 0;
   for (const double n : times.bins) count += n;
   return count > 0 ? fmt::format("{:.4f} s of {:.1f} values", times.sum / count, count) : "nothing";
--- a/src/app/membership.cpp
+++ b/src/app/membership.cpp
@@ -29,7 +29,7 @@
   if (choice.config.name.size() > members::kMostName)
     throw std::runtime_error(fmt::format("members: a name has {} bytes at most", members::kMostName));
   listen_host_ = choice.config.listen.substr(0, choice.config.listen.rfind(':'));
-  members_ = std::make_unique<peers::Members>(reactor, options_, choice.config.name, draw_life(),
+  members_ = std::make_unique<peers::MembershipTransport>(reactor, options_, choice.config.name, draw_life(),
                                               std::random_device{}(), counters, log);
   members_->on_change = [this] {
     if (on_change) on_change();
--- a/src/app/membership.h
+++ b/src/app/membership.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "control/server.h"
-#include "peers/members.h"
+#include "peers/members/transport.h"
 #include "settings/config.h"
 #include "tier/roll_call.h"
 
@@ -19,7 +19,7 @@
  public:
   // What changes of this instance from moment to moment.
   struct Now {
-    double open = 0, most = 1;  // ops, and how many it would hold at most
+    double open = 0, most = 1;  // requests, and how many it would hold at most
   };
   // Throws std::exception with one plain line where an address can't be used.
   Membership(net::Reactor& reactor, const Choice& choice, std::string role, std::function<Now()> now,
@@ -42,7 +42,7 @@
   const std::string role_;
   const std::function<Now()> now_;
   MembersOptions options_;
-  std::unique_ptr<peers::Members> members_;
+  std::unique_ptr<peers::MembershipTransport> members_;
   members::Told told_;
   std::string listen_host_;
   net::Reactor::TimerId timer_;
--- a/src/app/results_command.cpp
+++ b/src/app/results_command.cpp
@@ -63,7 +63,7 @@
   database.each([&](const Row& row) {
     if (shown >= most) return static_cast<void>(++more);
     ++shown;
-    fmt::print("{:<33}{:016x} {:<16}{:<8}{:>7}  {}\n", to_hex(row.key), row.op, row.type,
+    fmt::print("{:<33}{:016x} {:<16}{:<8}{:>7}  {}\n", to_hex(row.key), row.request, row.type,
                row.ended ? "result" : "intent", row.result_size, left(row.until_ms));
   });
   if (more > 0) fmt::print("and {} more; --limit shows more\n", more);
--- a/src/app/serve_command.cpp
+++ b/src/app/serve_command.cpp
@@ -55,7 +55,7 @@
         fmt::format("results: key-field '{}' is the protocol's own", options.results.key_field));
   }
   const Config& config = chosen.config;
-  for (const std::string* address : {&config.listen, &config.runtime, &config.roster, &config.below}) {
+  for (const std::string* address : {&config.listen, &config.runtime, &config.registry, &config.dependency}) {
     if (!address->empty()) net::parse_address(*address);
   }
   return chosen;
@@ -78,16 +78,16 @@
   return {chosen.config, options_of(chosen)};
 }
 
-// Between the two levels ops do not name their customer yet.
-void refuse_customers(const Choice& choice) {
-  if (!choice.config.site.settings.customers.empty())
+// Between the two levels requests do not name their tenant yet.
+void refuse_tenants(const Choice& choice) {
+  if (!choice.config.site.admission.tenants.empty())
     throw SettingsError("settings: 'customers' is not empty; forwarders and planners do not tell them apart");
 }
 
 // A forwarder is nothing without planners.
 Choice forwarder_choice_of(const cxxopts::ParseResult& flags) {
   Choice choice = choice_of(flags);
-  refuse_customers(choice);
+  refuse_tenants(choice);
   const std::vector<std::string>& planners = choice.options.forward.planners;
   const bool told = choice.options.forward.from_members && choice.options.members.enabled();
   if (planners.empty() && !told)
@@ -100,7 +100,7 @@
   Logger log = make_logger(flags);
   const auto reread = [&flags, role] {
     Choice choice = choice_of(flags);
-    if (role == Role::kPlanner) refuse_customers(choice);
+    if (role == Role::kPlanner) refuse_tenants(choice);
     return choice;
   };
   const Choice choice = reread();
@@ -123,7 +123,7 @@
 int check_command(const cxxopts::ParseResult& flags) {
   const Chosen chosen = usable_choice(flags);
   fmt::print("{}: listens on {}, {} op types, {} cores\n", chosen.config.name, chosen.config.listen,
-             chosen.config.site.type_names.size(), chosen.config.site.settings.cores);
+             chosen.config.site.route_names.size(), chosen.config.site.admission.cores);
   return kDone;
 }
 
--- a/src/benchlink/main.cpp
+++ b/src/benchlink/main.cpp
@@ -1,4 +1,4 @@
-// The adapter: decodes the bench's batches into calls of Deciders and encodes what their Hosts are told to
+// The adapter: decodes the bench's batches into calls of AdmissionControllers and encodes what their Hosts are told to
 // do. One process carries many instances; they share nothing but the stream.
 #include <cmath>
 #include <cstdio>
@@ -48,23 +48,23 @@
 };
 
 // Encodes one instance's actions in the order in which they are taken.
-class WireHost : public Host {
+class WireDecisionSink : public DecisionSink {
  public:
-  WireHost(Writer& out, std::uint32_t who) : out_(out), who_(who) {}
+  WireDecisionSink(Writer& out, std::uint32_t who) : out_(out), who_(who) {}
 
-  void start(OpId id) override { about(kProcess, id); }
-  void interrupt(OpId id) override { about(kInterrupt, id); }
-  void reject(OpId id, double come_back_in, bool no_retry) override {
+  void start(RequestId id) override { about(kProcess, id); }
+  void interrupt(RequestId id) override { about(kInterrupt, id); }
+  void reject(RequestId id, double retry_after, bool no_retry) override {
     about(kPushBack, id);
-    out_.put(come_back_in * kMsPerSecond);
+    out_.put(retry_after * kMsPerSecond);
     out_.put(static_cast<std::uint8_t>(no_retry));
   }
-  void fail(OpId id) override { about(kSurrender, id); }
-  void call(OpId id, double patience) override { about(kDial, id, patience); }
-  void skip_call(OpId id) override { about(kDegrade, id); }
-  void remember(OpId id, double ttl) override { about(kRemember, id, ttl); }
-  void forget(OpId id) override { about(kEvict, id); }
-  void join(OpId id) override { about(kJoin, id); }
+  void fail(RequestId id) override { about(kSurrender, id); }
+  void call(RequestId id, double patience) override { about(kDial, id, patience); }
+  void skip_call(RequestId id) override { about(kDegrade, id); }
+  void remember(RequestId id, double ttl) override { about(kRemember, id, ttl); }
+  void forget(RequestId id) override { about(kEvict, id); }
+  void join(RequestId id) override { about(kJoin, id); }
   void set_health(bool good, bool from_store) override {
     out_.begin_record(kSetHealth, who_);
     out_.put(static_cast<std::uint8_t>(good));
@@ -87,11 +87,11 @@
   void bug(const std::string& line) { text(kBug, line); }
 
  private:
-  void about(ActionCode code, OpId id) {
+  void about(ActionCode code, RequestId id) {
     out_.begin_record(code, who_);
     out_.put(id);
   }
-  void about(ActionCode code, OpId id, double time) {
+  void about(ActionCode code, RequestId id, double time) {
     about(code, id);
     out_.put(time * kMsPerSecond);
   }
@@ -106,21 +106,21 @@
 
 struct Instance {
   Instance(Writer& out, std::uint32_t who, const StartSettings& start, std::uint64_t seed, double now)
-      : host(out, who),
+      : sink(out, who),
         gauges(start.gauges),
-        op_types(start.settings.op_types.size()),
-        customers(start.settings.customers.size()) {
+        routes(start.admission.routes.size()),
+        tenants(start.admission.tenants.size()) {
     try {
-      decider = std::make_unique<Decider>(start.settings, seed, host, now);
+      controller = std::make_unique<AdmissionController>(start.admission, seed, sink, now);
     } catch (const std::exception& error) {
-      host.bug(error.what());
+      sink.bug(error.what());
     }
   }
-  WireHost host;
+  WireDecisionSink sink;
   std::vector<Gauge> gauges;
-  std::size_t op_types;
-  std::size_t customers;
-  std::unique_ptr<Decider> decider;
+  std::size_t routes;
+  std::size_t tenants;
+  std::unique_ptr<AdmissionController> controller;
 };
 
 using Instances = std::map<std::uint32_t, std::unique_ptr<Instance>>;
@@ -134,35 +134,35 @@
     case 4: return Outcome::kUnreachable;
     case 5: return Outcome::kReset;
     case 6: return Outcome::kCancelled;
-    case 7: return Outcome::kMoot;
+    case 7: return Outcome::kObsolete;
     default: throw MalformedInput("unknown outcome " + std::to_string(code));
   }
 }
 
-Op read_op(Reader& in, const Instance& instance) {
-  Op op;
-  op.id = in.take<std::uint64_t>();
-  op.type = in.take<std::uint16_t>();
-  op.customer = in.take<std::uint16_t>();
-  op.key = in.take<std::uint64_t>();
-  op.remaining_wait = in.take_number<double>("expires-in") * kSecondsPerMs;
+Request read_request(Reader& in, const Instance& instance) {
+  Request request;
+  request.id = in.take<std::uint64_t>();
+  request.route = in.take<std::uint16_t>();
+  request.tenant = in.take<std::uint16_t>();
+  request.subject = in.take<std::uint64_t>();
+  request.remaining_timeout = in.take_number<double>("expires-in") * kSecondsPerMs;
   const double predicted = in.take_number<double>("predicted") * kSecondsPerMs;
-  op.held_kb = in.take_number<float>("mem-kb");
+  request.size_kb = in.take_number<float>("mem-kb");
   in.take_number<float>("place");
   const auto options = in.take<std::uint8_t>();
-  op.again = (options & 2) != 0;
-  op.write = (options & 4) != 0;
-  if ((options & 1) != 0 && std::isfinite(predicted) && predicted > 0) op.work_hint = predicted;
-  op.caller = in.take<std::uint32_t>();
-  op.age = in.take_number<double>("age") * kSecondsPerMs;
-  op.original = in.take<std::uint64_t>();
-  if (static_cast<std::size_t>(op.type) >= instance.op_types)
+  request.is_retry = (options & 2) != 0;
+  request.is_write = (options & 4) != 0;
+  if ((options & 1) != 0 && std::isfinite(predicted) && predicted > 0) request.work_hint = predicted;
+  request.caller = in.take<std::uint32_t>();
+  request.age = in.take_number<double>("age") * kSecondsPerMs;
+  request.duplicate_of = in.take<std::uint64_t>();
+  if (static_cast<std::size_t>(request.route) >= instance.routes)
     throw MalformedInput("a class that the settings lack");
-  if (op.customer != 0 && static_cast<std::size_t>(op.customer) >= instance.customers) {
+  if (request.tenant != 0 && static_cast<std::size_t>(request.tenant) >= instance.tenants) {
     throw MalformedInput("a customer that the settings lack");
   }
-  if (op.held_kb < 0 || op.age < 0 || op.remaining_wait < 0) throw MalformedInput("a negative size or time");
-  return op;
+  if (request.size_kb < 0 || request.age < 0 || request.remaining_timeout < 0) throw MalformedInput("a negative size or time");
+  return request;
 }
 
 Gauges read_gauges(Reader& in, const Instance& instance) {
@@ -181,14 +181,14 @@
   return gauges;
 }
 
-// Each record is read in full before the decision, so that an exception in a Decider cannot shift the stream.
+// Each record is read in full before the decision, so that an exception in a AdmissionController cannot shift the stream.
 template <typename Decision>
 void decide(Instance& instance, Decision decision) {
-  if (!instance.decider) return;
+  if (!instance.controller) return;
   try {
-    decision(*instance.decider);
+    decision(*instance.controller);
   } catch (const std::exception& error) {
-    instance.host.bug(error.what());
+    instance.sink.bug(error.what());
   }
 }
 
@@ -210,31 +210,31 @@
   if (found == instances.end()) throw MalformedInput("an event for an instance that was not created");
   Instance& instance = *found->second;
   if (code == kSubmit) {
-    const Op op = read_op(in, instance);
-    decide(instance, [&](Decider& decider) { decider.on_op(now, op); });
+    const Request request = read_request(in, instance);
+    decide(instance, [&](AdmissionController& controller) { controller.on_request(now, request); });
     return;
   }
   if (code == kTerminateSoon) {
     const double left = in.take_number<double>("expires-in") * kSecondsPerMs;
-    decide(instance, [&](Decider& decider) { decider.on_leave(now, left); });
+    decide(instance, [&](AdmissionController& controller) { controller.on_leave(now, left); });
     return;
   }
   const auto id = in.take<std::uint64_t>();
   if (code == kWake) {
     const Gauges gauges = read_gauges(in, instance);
-    decide(instance, [&](Decider& decider) { decider.on_wake(now, id, gauges); });
+    decide(instance, [&](AdmissionController& controller) { controller.on_wake(now, id, gauges); });
   } else if (code == kGone) {
-    decide(instance, [&](Decider& decider) { decider.on_gone(now, id); });
+    decide(instance, [&](AdmissionController& controller) { controller.on_gone(now, id); });
   } else if (code == kBlocked) {
-    decide(instance, [&](Decider& decider) { decider.on_call_needed(now, id); });
+    decide(instance, [&](AdmissionController& controller) { controller.on_call_needed(now, id); });
   } else {
     const Outcome outcome = outcome_of(in.take<std::uint8_t>());
     const double spent = in.take_number<double>("spent") * kSecondsPerMs;
-    decide(instance, [&](Decider& decider) {
+    decide(instance, [&](AdmissionController& controller) {
       if (code == kRunOver) {
-        decider.on_run_end(now, id, outcome, spent);
+        controller.on_run_end(now, id, outcome, spent);
       } else {
-        decider.on_call_end(now, id, outcome, spent);
+        controller.on_call_end(now, id, outcome, spent);
       }
     });
   }
--- a/src/catalog/catalog.cpp
+++ b/src/catalog/catalog.cpp
@@ -22,12 +22,12 @@
   return {};
 }
 
-std::string unusable(const OpType& type, const CatalogLimits& limits) {
-  if (!(type.op_timeout > 0 && type.op_timeout <= kLongestTimeout)) return "its timeout is out of range";
-  if (!(type.target_latency >= 0 && type.target_latency <= kLongestTimeout))
+std::string unusable(const Route& type, const CatalogLimits& limits) {
+  if (!(type.timeout > 0 && type.timeout <= kLongestTimeout)) return "its timeout is out of range";
+  if (!(type.latency_objective >= 0 && type.latency_objective <= kLongestTimeout))
     return "its target is out of range";
-  if (!(type.importance >= 0) || !std::isfinite(type.importance)) return "its importance is out of range";
-  if (type.effect == Effect::kKeyed && !limits.keyed_routes)
+  if (!(type.priority_weight >= 0) || !std::isfinite(type.priority_weight)) return "its importance is out of range";
+  if (type.idempotency == Idempotency::kWithKey && !limits.keyed_routes)
     return "it is keyed, and keys are not remembered here";
   return {};
 }
@@ -50,13 +50,13 @@
 
 std::unique_ptr<Catalog> Catalog::of_settings(const StartSettings& site, CatalogLimits limits,
                                               std::uint64_t key) {
-  limits.routes = std::max(limits.routes, site.type_names.size());
-  limits.tenants = std::max(limits.tenants, site.customer_names.size());
+  limits.routes = std::max(limits.routes, site.route_names.size());
+  limits.tenants = std::max(limits.tenants, site.tenant_names.size());
   auto catalog = std::make_unique<Catalog>(limits, key);
-  for (std::size_t i = 0; i < site.type_names.size(); ++i)
-    catalog->put(PutRoute{site.type_names[i], site.settings.op_types[i]}, nullptr);
-  for (std::size_t i = 0; i < site.customer_names.size(); ++i)
-    catalog->put(PutTenant{site.customer_names[i], site.settings.customers[i]}, nullptr);
+  for (std::size_t i = 0; i < site.route_names.size(); ++i)
+    catalog->put(PutRoute{site.route_names[i], site.admission.routes[i]}, nullptr);
+  for (std::size_t i = 0; i < site.tenant_names.size(); ++i)
+    catalog->put(PutTenant{site.tenant_names[i], site.admission.tenants[i]}, nullptr);
   return catalog;
 }
 
@@ -71,7 +71,7 @@
                  },
                  [&](const PutTenant& tenant) {
                    std::string why = unusable_name(tenant.name);
-                   const double quota = tenant.customer.quota_per_s;
+                   const double quota = tenant.tenant.quota_per_second;
                    if (why.empty() && !(quota >= 0 && quota <= kMostQuota)) why = "its quota is out of range";
                    if (why.empty() && tenants_.full() && tenants_.find(tenant.name) < 0)
                      why = fmt::format("there are {} tenants already", tenants_.size());
@@ -99,35 +99,35 @@
   return {};
 }
 
-void Catalog::count(double importance, int by) {
-  std::size_t& routes = importance_[importance];
+void Catalog::count(double priority_weight, int by) {
+  std::size_t& routes = importance_[priority_weight];
   routes += static_cast<std::size_t>(by);
-  if (routes == 0) importance_.erase(importance);
+  if (routes == 0) importance_.erase(priority_weight);
 }
 
 void Catalog::put(const PutRoute& route, const Catalog* predecessor) {
   const int before = routes_.find(route.name);
-  if (before >= 0) count(routes_.at(before).importance, -1);
+  if (before >= 0) count(routes_.at(before).priority_weight, -1);
   routes_.put(route.name, route.type, predecessor != nullptr ? &predecessor->routes_ : nullptr);
-  count(route.type.importance, 1);
+  count(route.type.priority_weight, 1);
 }
 
 void Catalog::put(const PutTenant& tenant, const Catalog* predecessor) {
   const int before = tenants_.find(tenant.name);
-  if (before >= 0) quotas_per_s_ -= tenants_.at(before).quota_per_s;
-  tenants_.put(tenant.name, tenant.customer, predecessor != nullptr ? &predecessor->tenants_ : nullptr);
-  quotas_per_s_ += tenant.customer.quota_per_s;
+  if (before >= 0) total_quota_per_second_ -= tenants_.at(before).quota_per_second;
+  tenants_.put(tenant.name, tenant.tenant, predecessor != nullptr ? &predecessor->tenants_ : nullptr);
+  total_quota_per_second_ += tenant.tenant.quota_per_second;
 }
 
 void Catalog::remove(const RemoveRoute& route) {
-  count(routes_.at(routes_.find(route.name)).importance, -1);
+  count(routes_.at(routes_.find(route.name)).priority_weight, -1);
   routes_.remove(route.name);
 }
 
 void Catalog::remove(const RemoveTenant& tenant) {
-  quotas_per_s_ -= tenants_.at(tenants_.find(tenant.name)).quota_per_s;
+  total_quota_per_second_ -= tenants_.at(tenants_.find(tenant.name)).quota_per_second;
   tenants_.remove(tenant.name);
-  if (tenants_.size() == 0) quotas_per_s_ = 0;  // no drift of sums
+  if (tenants_.size() == 0) total_quota_per_second_ = 0;  // no drift of sums
 }
 
 std::unique_ptr<Catalog> Catalog::successor() const {
@@ -159,7 +159,7 @@
 void Catalog::take_over(Catalog& successor) {
   std::swap(routes_, successor.routes_);
   std::swap(tenants_, successor.tenants_);
-  std::swap(quotas_per_s_, successor.quotas_per_s_);
+  std::swap(total_quota_per_second_, successor.total_quota_per_second_);
   std::swap(importance_, successor.importance_);
   version_ = successor.version_;
   history_ = successor.history_;
--- a/src/catalog/catalog.h
+++ b/src/catalog/catalog.h
@@ -1,4 +1,4 @@
-// The routes (op types) and tenants (customers) that are in force: look-ups by name and by position, and the
+// The routes (routes) and tenants (tenants) that are in force: look-ups by name and by position, and the
 // sums over all of them, which follow each change. Pure policy: no I/O, no clock.
 #pragma once
 
@@ -22,7 +22,7 @@
   bool keyed_routes = true;  // whether keys can be remembered here
 };
 
-class Catalog final : public Directory {
+class Catalog final : public RouteDirectory {
  public:
   // `key`: of the names' hash, drawn by chance.
   Catalog(const CatalogLimits& limits, std::uint64_t key, HashFunction hash = keyed_hash);
@@ -35,13 +35,13 @@
   int find_route(std::string_view name) const { return routes_.find(name); }  // position; -1: unknown
   int find_tenant(std::string_view name) const { return tenants_.find(name); }
   std::string_view route_name(int position) const { return routes_.name_of(position); }
-  const OpType& op_type(int position) const override { return routes_.at(position); }
-  Customer customer(int position) const override { return tenants_.at(position); }
-  std::size_t op_types() const override { return routes_.size(); }
-  std::size_t customers() const override { return tenants_.size(); }
-  std::size_t customer_positions() const override { return tenants_.most_positions(); }
-  double quotas_per_s() const override { return quotas_per_s_; }
-  double most_important() const override { return importance_.empty() ? 0 : importance_.rbegin()->first; }
+  const Route& route(int position) const override { return routes_.at(position); }
+  Tenant tenant(int position) const override { return tenants_.at(position); }
+  std::size_t route_count() const override { return routes_.size(); }
+  std::size_t tenant_count() const override { return tenants_.size(); }
+  std::size_t tenant_positions() const override { return tenants_.most_positions(); }
+  double total_quota_per_second() const override { return total_quota_per_second_; }
+  double highest_priority_weight() const override { return importance_.empty() ? 0 : importance_.rbegin()->first; }
 
   Version version() const { return version_; }
   HistoryDigest history() const { return history_; }
@@ -74,14 +74,14 @@
   void put(const PutTenant& tenant, const Catalog* predecessor);
   void remove(const RemoveRoute& route);
   void remove(const RemoveTenant& tenant);
-  void count(double importance, int by);
+  void count(double priority_weight, int by);
 
   CatalogLimits limits_;
   std::uint64_t key_;
   HashFunction hash_;
-  Table<OpType> routes_;
-  Table<Customer> tenants_;
-  double quotas_per_s_ = 0;
+  Table<Route> routes_;
+  Table<Tenant> tenants_;
+  double total_quota_per_second_ = 0;
   std::map<double, std::size_t> importance_;  // how many routes have it
   Version version_;
   HistoryDigest history_ = 0;
--- a/src/catalog/change.h
+++ b/src/catalog/change.h
@@ -10,11 +10,11 @@
 
 struct PutRoute {
   std::string name;
-  OpType type;
+  Route type;
 };
 struct PutTenant {
   std::string name;
-  Customer customer;
+  Tenant tenant;
 };
 struct RemoveRoute {
   std::string name;
--- a/src/catalog/codec.cpp
+++ b/src/catalog/codec.cpp
@@ -50,16 +50,16 @@
   return digest;
 }
 
-OpType route_in(const Json& object) {
-  OpType type = read_op_type(object);
+Route route_in(const Json& object) {
+  Route type = read_route(object);
   if (const auto calls = object.find("calls"); calls != object.end()) {
     if (!calls->is_boolean()) throw CodecError("bad value of 'calls'");
-    type.calls = calls->get<bool>();
+    type.calls_dependency = calls->get<bool>();
   }
   if (const auto without = object.find("worth-without"); without != object.end()) {
     if (!without->is_number()) throw CodecError("bad value of 'worth-without'");
-    type.worth_without = without->get<double>();
-    if (!(type.worth_without >= 0 && type.worth_without <= 1))
+    type.value_without_call = without->get<double>();
+    if (!(type.value_without_call >= 0 && type.value_without_call <= 1))
       throw CodecError("bad value of 'worth-without'");
   }
   return type;
@@ -75,31 +75,31 @@
   }
 }
 
-const char* text_of(Effect effect) {
-  switch (effect) {
-    case Effect::kRetryable: return "retryable";
-    case Effect::kKeyed: return "dedup";
-    case Effect::kNonRetryable: return "fragile";
+const char* text_of(Idempotency idempotency) {
+  switch (idempotency) {
+    case Idempotency::kIdempotent: return "retryable";
+    case Idempotency::kWithKey: return "dedup";
+    case Idempotency::kNonIdempotent: return "fragile";
   }
   return "";
 }
 
 struct Encoder {
   std::string operator()(const PutRoute& route) const {
-    const OpType& type = route.type;
+    const Route& type = route.type;
     Json object = {{"route", route.name},
-                   {"target", type.target_latency * kMsPerSecond},
-                   {"give-up", type.op_timeout * kMsPerSecond},
-                   {"worth", type.importance},
-                   {"semantics", text_of(type.effect)}};
-    if (type.window > 0) object["window"] = type.window * kMsPerSecond;
-    if (type.late_worth > 0) object["late-worth"] = type.late_worth;
-    if (type.calls) object["calls"] = true;
-    if (type.worth_without > 0) object["worth-without"] = type.worth_without;
+                   {"target", type.latency_objective * kMsPerSecond},
+                   {"give-up", type.timeout * kMsPerSecond},
+                   {"worth", type.priority_weight},
+                   {"semantics", text_of(type.idempotency)}};
+    if (type.idempotency_window > 0) object["window"] = type.idempotency_window * kMsPerSecond;
+    if (type.late_value > 0) object["late-worth"] = type.late_value;
+    if (type.calls_dependency) object["calls"] = true;
+    if (type.value_without_call > 0) object["worth-without"] = type.value_without_call;
     return object.dump() + "\n";
   }
   std::string operator()(const PutTenant& tenant) const {
-    return Json{{"tenant", tenant.name}, {"quota-per-s", tenant.customer.quota_per_s}}.dump() + "\n";
+    return Json{{"tenant", tenant.name}, {"quota-per-s", tenant.tenant.quota_per_second}}.dump() + "\n";
   }
   std::string operator()(const RemoveRoute& route) const {
     return Json{{"remove-route", route.name}}.dump() + "\n";
@@ -115,11 +115,11 @@
   if (line.size() > kLongestLine) throw CodecError(fmt::format("it has more than {} bytes", kLongestLine));
   const Json object = object_in(line);
   if (std::string name = name_in(object, "tenant"); !name.empty()) {
-    const Customer customer = settings_of("tenant", name, [&] { return read_customer(object); });
-    return PutTenant{std::move(name), customer};
+    const Tenant tenant = settings_of("tenant", name, [&] { return read_tenant(object); });
+    return PutTenant{std::move(name), tenant};
   }
   if (std::string name = name_in(object, "route"); !name.empty()) {
-    const OpType type = settings_of("route", name, [&] { return route_in(object); });
+    const Route type = settings_of("route", name, [&] { return route_in(object); });
     return PutRoute{std::move(name), type};
   }
   if (std::string name = name_in(object, "remove-tenant"); !name.empty())
--- a/src/catalog/files.cpp
+++ b/src/catalog/files.cpp
@@ -97,11 +97,11 @@
   std::vector<std::string> lines;
   const NameIndex& routes = catalog.route_names();
   routes.visit(0, routes.cells(), [&](std::string_view name, int position) {
-    lines.push_back(encode_change(PutRoute{std::string(name), catalog.op_type(position)}));
+    lines.push_back(encode_change(PutRoute{std::string(name), catalog.route(position)}));
   });
   const NameIndex& tenants = catalog.tenant_names();
   tenants.visit(0, tenants.cells(), [&](std::string_view name, int position) {
-    lines.push_back(encode_change(PutTenant{std::string(name), catalog.customer(position)}));
+    lines.push_back(encode_change(PutTenant{std::string(name), catalog.tenant(position)}));
   });
   std::sort(lines.begin(), lines.end());
   std::string out;
--- a/src/catalog/follower.cpp
+++ b/src/catalog/follower.cpp
@@ -199,10 +199,10 @@
     if (snapshot_offset_ < snapshot_end_)
       return ask(Stage::kSnapshotEntries, snapshot_name_, snapshot_offset_, kPieceBytes);
     if (used_ != text_.size() || !check_->sound()) return refuse_snapshot("torn or damaged");
-    if (successor_->op_types() != snapshot_.routes || successor_->customers() != snapshot_.tenants)
+    if (successor_->route_count() != snapshot_.routes || successor_->tenant_count() != snapshot_.tenants)
       return refuse_snapshot(fmt::format("its header tells {} routes and {} tenants, it has {} and {}",
-                                         snapshot_.routes, snapshot_.tenants, successor_->op_types(),
-                                         successor_->customers()));
+                                         snapshot_.routes, snapshot_.tenants, successor_->route_count(),
+                                         successor_->tenant_count()));
     if (snapshot_.routes == 0) return refuse_snapshot("it has no route");
     stage_ = Stage::kPrepare;
     return;
@@ -223,7 +223,7 @@
   histories_.clear();
   ++counts_.snapshots;
   say(false, fmt::format("version {} in force by a snapshot: {} routes, {} tenants",
-                         text_of(snapshot_.version), catalog_.op_types(), catalog_.customers()));
+                         text_of(snapshot_.version), catalog_.route_count(), catalog_.tenant_count()));
   check_.reset();
   text_.clear();
   release();
--- a/src/catalog/table.h
+++ b/src/catalog/table.h
@@ -37,16 +37,16 @@
   int put(std::string_view name, Value value, const Table* predecessor = nullptr) {
     int position = names_.find(name);
     if (position >= 0) {
-      value.life = at(position).life;
+      value.generation = at(position).generation;
       slots_.writable(static_cast<std::size_t>(position)).value = value;
       return position;
     }
     if (const int before = predecessor != nullptr ? predecessor->find(name) : -1; before >= 0) {
       position = before;
-      value.life = predecessor->at(before).life;
+      value.generation = predecessor->at(before).generation;
     } else {
       position = new_position(predecessor);
-      value.life = ++last_life_;
+      value.generation = ++last_generation_;
     }
     positions_ = std::max(positions_, static_cast<std::size_t>(position) + 1);
     slots_.writable(static_cast<std::size_t>(position)) = {value, names_.add(name, position)};
@@ -57,18 +57,18 @@
     const int position = names_.find(name);
     if (position < 0) return;
     names_.remove(name);
-    slots_.writable(static_cast<std::size_t>(position)).value.life = 0;
+    slots_.writable(static_cast<std::size_t>(position)).value.generation = 0;
     free_.push_back(position);
   }
 
   // Of a successor, before its first entry: the lives that its predecessor has given are not given again.
-  void begin_after(const Table& predecessor) { last_life_ = predecessor.last_life_; }
+  void begin_after(const Table& predecessor) { last_generation_ = predecessor.last_generation_; }
   // Of a successor that is complete: looks at `count` more positions for those that nobody has. False when
   // all are known.
   bool note_free(std::size_t count) {
     const std::size_t end = std::min(positions_, free_noted_ + count);
     for (; free_noted_ < end; ++free_noted_) {
-      if (slots_[free_noted_].value.life == 0) free_.push_back(static_cast<int>(free_noted_));
+      if (slots_[free_noted_].value.generation == 0) free_.push_back(static_cast<int>(free_noted_));
     }
     return free_noted_ < positions_;
   }
@@ -98,7 +98,7 @@
   std::vector<int> free_;      // of them
   std::size_t taken_ = 0;      // of the free positions of a predecessor
   std::size_t free_noted_ = 0;
-  std::uint32_t last_life_ = 0;
+  std::uint32_t last_generation_ = 0;
 };
 
 }  // namespace damsonspoke::catalog
--- a/src/conns/gate.cpp
+++ b/src/conns/gate.cpp
@@ -129,14 +129,14 @@
   change(id, [&](Conn& conn) { conn.busy = busy; });
 }
 
-void Gate::acked(ConnId id, double importance, double now, double unix_now) {
+void Gate::succeeded(ConnId id, double priority_weight, double now, double unix_now) {
   const auto found = conns_.find(id);
   if (found == conns_.end()) return;
-  known_.acked(found->second.client, unix_now);
+  known_.succeeded(found->second.client, unix_now);
   const bool known = known_.is_known(found->second.client, unix_now);
   change(id, [&](Conn& conn) {
     conn.useful = now;
-    conn.keep = std::min(terms_.keep_most, conn.keep + terms_.keep_worth * importance);
+    conn.keep = std::min(terms_.keep_most, conn.keep + terms_.keep_worth * priority_weight);
     if (known && conn.standing == Standing::kStranger) conn.standing = Standing::kKnown;
   });
 }
@@ -146,16 +146,16 @@
   if (found == conns_.end()) return;
   const Prefix client = found->second.client;
   waste_.add(client, points_of(how), now);
-  // One silent connection is no misbehaviour of a client that has had ops acked: links break.
+  // One silent connection is no misbehaviour of a client that has had requests acked: links break.
   if (points_of(how) > 1) known_.misbehaved(client);
 }
 
 // ---- Newcomers.
-Arrival Gate::refuse(Turned why, const Prefix& client, double come_back_in, double now) {
+Arrival Gate::refuse(Turned why, const Prefix& client, double retry_after, double now) {
   ++counts_[static_cast<std::size_t>(why)];
   refused_.push_back({now, client, why});
   if (refused_.size() > kRefusedKept) refused_.pop_front();
-  return {false, why, come_back_in, std::nullopt};
+  return {false, why, retry_after, std::nullopt};
 }
 
 // A place that `other` gives up is one that `front` may take: its own, or one above what is kept for that
--- a/src/conns/gate.h
+++ b/src/conns/gate.h
@@ -75,7 +75,7 @@
 struct Arrival {
   bool in = false;
   Turned why = Turned::kNot;
-  double come_back_in = 0;      // s, where not in
+  double retry_after = 0;      // s, where not in
   std::optional<ConnId> sheds;  // the connection that has to go for it; told with ended() when it has
 };
 
@@ -91,8 +91,8 @@
   void ended(ConnId id);
 
   void asked(ConnId id, double now);  // a whole message was read
-  void busy(ConnId id, bool busy);    // ops of it are open, or output waits: it can't be shed
-  void acked(ConnId id, double importance, double now, double unix_now);
+  void busy(ConnId id, bool busy);    // requests of it are open, or output waits: it can't be shed
+  void succeeded(ConnId id, double priority_weight, double now, double unix_now);
   void wasted(ConnId id, Waste how, double now);
 
   // Terms from now on; what is open beyond them stays until it ends or is shed.
@@ -143,7 +143,7 @@
 
   int group_of(const Address& from) const;
   std::size_t of_total(double share) const;
-  Arrival refuse(Turned why, const Prefix& client, double come_back_in, double now);
+  Arrival refuse(Turned why, const Prefix& client, double retry_after, double now);
   std::optional<ConnId> to_shed(Standing newcomer, std::size_t front, double now) const;
   std::optional<ConnId> own_to_shed(const Prefix& client, std::size_t front, double now) const;
   bool frees_for(std::size_t front, std::size_t other) const;
--- a/src/conns/known.cpp
+++ b/src/conns/known.cpp
@@ -6,10 +6,10 @@
 namespace damsonspoke::conns {
 namespace {
 
-constexpr double kMost = 2;  // x the ops needed: standing does not grow without bound
+constexpr double kMost = 2;  // x the requests needed: standing does not grow without bound
 constexpr double kMisbehaved =
-    0.25;                      // of the ops needed: four slips in a row lose a fresh standing, six a full one
-constexpr double kLost = 0.5;  // of the ops needed; under it the standing is lost
+    0.25;                      // of the requests needed: four slips in a row lose a fresh standing, six a full one
+constexpr double kLost = 0.5;  // of the requests needed; under it the standing is lost
 constexpr double kClockSlack = 60;  // s that a record may come from the future: clocks are corrected
 constexpr std::size_t kLookedAt =
     32;  // of the oldest, for one without standing, before a known one has to go
@@ -26,7 +26,7 @@
   return found == at_.end() ? 0 : found->second->earned;
 }
 
-void Known::acked(const Prefix& client, double now) {
+void Known::succeeded(const Prefix& client, double now) {
   auto found = at_.find(client);
   if (found == at_.end()) {
     if (order_.size() >= terms_.entries) make_room();
--- a/src/conns/known.h
+++ b/src/conns/known.h
@@ -1,5 +1,5 @@
-// Who is known: clients that had ops acked here in the last days, on connections that behaved. The standing
-// is earned by acked ops and lost by misbehaviour, ages, and outlives the process as far as its record does.
+// Who is known: clients that had requests acked here in the last days, on connections that behaved. The standing
+// is earned by requests that succeeded and lost by misbehaviour, ages, and outlives the process as far as its record does.
 // Pure policy: times are Unix seconds that are handed in.
 #pragma once
 
@@ -13,15 +13,15 @@
 namespace damsonspoke::conns {
 
 struct KnownTerms {
-  double lasts = 7 * 86400;    // s from the last acked op
-  double needed = 20;          // acked ops until a client is known
+  double lasts = 7 * 86400;    // s from the last acked request
+  double needed = 20;          // requests that succeeded until a client is known
   std::size_t entries = 4096;  // clients that are remembered at all
 };
 
 struct KnownClient {
   Prefix client;
-  double earned = 0;  // acked ops, at most twice as many as are needed; misbehaviour takes a quarter of those
-  double last = 0;    // Unix s of the last acked op
+  double earned = 0;  // requests that succeeded, at most twice as many as are needed; misbehaviour takes a quarter of those
+  double last = 0;    // Unix s of the last acked request
   bool known = false;
 };
 
@@ -30,7 +30,7 @@
   explicit Known(KnownTerms terms) : terms_(terms) {}
 
   bool is_known(const Prefix& client, double now) const;
-  void acked(const Prefix& client, double now);
+  void succeeded(const Prefix& client, double now);
   void misbehaved(const Prefix& client);
   std::size_t size() const { return order_.size(); }
   double earned(const Prefix& client) const;
--- a/src/conns/share.h
+++ b/src/conns/share.h
@@ -4,7 +4,7 @@
 // goes to whoever asks. So one front never fills the table of another, and an idle front costs only its
 // floor. Reading: while more than one front has something to read, each gets its share of messages in a
 // period of a few milliseconds; a front alone is never held back. So a flood on one protocol does not make
-// what comes on the other late before anybody could weigh it: what an op is worth is then decided by the
+// what comes on the other late before anybody could weigh it: what a request is worth is then decided by the
 // module, whatever its protocol. After max-min fairness with guarantees (Bertsekas and Gallager, 6.5.2).
 #pragma once
 
--- a/src/decide.h
+++ b/src/decide.h
@@ -1,4 +1,4 @@
-// The interface of the decisions: what a backend can be told (Decider), what it can do (Host), and the plain
+// The interface of the decisions: what a backend can be told (AdmissionController), what it can do (Host), and the plain
 // data between them. No decision, default that tunes, or table lives here. Times are seconds, sizes
 // kilobytes.
 #pragma once
@@ -10,88 +10,88 @@
 
 namespace damsonspoke {
 
-using OpId = std::uint64_t;
+using RequestId = std::uint64_t;
 
-enum class Effect { kRetryable, kKeyed, kNonRetryable };
-enum class Halt { kOff, kDrop, kPause };
-enum class Say { kOff, kLevel, kCredit, kWeight };
-enum class Below { kOff, kShared, kTier };
+enum class Idempotency { kIdempotent, kWithKey, kNonIdempotent };
+enum class Preemption { kOff, kDrop, kPause };
+enum class LoadFeedback { kOff, kLevel, kCredit, kWeight };
+enum class DependencyKind { kOff, kShared, kTier };
 // How a run or a call ended. Refused, unreachable and moot prove that it never ran.
-enum class Outcome { kOk, kError, kRefused, kTimeout, kUnreachable, kReset, kCancelled, kMoot };
-
-struct OpType {
-  std::uint32_t life = 0;  // told anew when another op type takes this one's position
-  double target_latency = 0;
-  double op_timeout = 0;
-  double window = 0;  // keyed: how long a repeat may come
-  double importance = 1;
-  double late_worth = 0;     // share of the importance that a late answer earns
-  double worth_without = 0;  // share earned when the call below was left out
-  bool calls = false;
-  Effect effect = Effect::kRetryable;
+enum class Outcome { kOk, kError, kRefused, kTimeout, kUnreachable, kReset, kCancelled, kObsolete };
+
+struct Route {
+  std::uint32_t generation = 0;  // told anew when another route takes this one's position
+  double latency_objective = 0;
+  double timeout = 0;
+  double idempotency_window = 0;  // keyed: how long a repeat may come
+  double priority_weight = 1;
+  double late_value = 0;     // share of the importance that a late answer earns
+  double value_without_call = 0;  // share earned when the call below was left out
+  bool calls_dependency = false;
+  Idempotency idempotency = Idempotency::kIdempotent;
 };
 
-struct Customer {
-  double quota_per_s = 0;  // over the whole fleet
-  std::uint32_t life = 0;  // told anew when another customer takes this one's position
+struct Tenant {
+  double quota_per_second = 0;  // over the whole fleet
+  std::uint32_t generation = 0;  // told anew when another tenant takes this one's position
 };
 
-// What is looked up of op types and customers by their positions. It may change between two calls of a
-// Decider, never within one. Every call takes constant time, however many there are.
-class Directory {
+// What is looked up of routes and tenants by their positions. It may change between two calls of a
+// AdmissionController, never within one. Every call takes constant time, however many there are.
+class RouteDirectory {
  public:
-  virtual ~Directory() = default;
-  virtual const OpType& op_type(int position) const = 0;
-  virtual Customer customer(int position) const = 0;
-  virtual std::size_t op_types() const = 0;
-  virtual std::size_t customers() const = 0;  // 0: nobody has a quota
+  virtual ~RouteDirectory() = default;
+  virtual const Route& route(int position) const = 0;
+  virtual Tenant tenant(int position) const = 0;
+  virtual std::size_t route_count() const = 0;
+  virtual std::size_t tenant_count() const = 0;  // 0: nobody has a quota
   // Positions are below this, now and later.
-  virtual std::size_t customer_positions() const = 0;
-  virtual double quotas_per_s() const = 0;    // of all customers together
-  virtual double most_important() const = 0;  // importance of the op type that has most
+  virtual std::size_t tenant_positions() const = 0;
+  virtual double total_quota_per_second() const = 0;    // of all tenants together
+  virtual double highest_priority_weight() const = 0;  // importance of the route that has most
 };
 
-struct Settings {
-  std::vector<OpType> op_types;
-  std::vector<Customer> customers;
+struct AdmissionOptions {
+  std::vector<Route> routes;
+  std::vector<Tenant> tenants;
   int servers = 1;
   int callers = 1;
   int cores = 1;
   double memory_kb = 0;
-  double run_factor = 1;
-  double key_kb = 0;
-  double fresh = 0;
-  Halt halt = Halt::kOff;
-  Say say = Say::kOff;
+  double running_size_factor = 1;
+  double idempotency_key_kb = 0;
+  double shared_answer_ttl = 0;
+  Preemption preemption = Preemption::kOff;
+  LoadFeedback load_feedback = LoadFeedback::kOff;
   bool deep_checks = false;
-  double caller_idle = 0;
-  Below below = Below::kOff;
-  double dep_share = 0;
-  double calls_over = 0;
-  double linger = 0;
-  bool cold = false;
-  double cold_from = 1;
-  double cold_time = 0;
-  double crowd_multiple = 1;
+  double caller_idle_timeout = 0;
+  DependencyKind dependency = DependencyKind::kOff;
+  double dependency_share = 0;
+  double dependency_share_window = 0;
+  double abandoned_call_time = 0;
+  bool slow_start = false;
+  double slow_start_speed = 1;
+  double slow_start_time = 0;
+  double max_concurrency_factor = 1;
   double drain_grace = 0;
-  bool retry_after = false;
+  bool sends_retry_after = false;
   double max_retry_after = 0;
-  double resolution = 0;
+  double timer_resolution = 0;
 };
 
-struct Op {
-  OpId id = 0;
-  int type = 0;
-  int customer = 0;
-  std::uint64_t key = 0;
-  double remaining_wait = 0;  // 0: not told
+struct Request {
+  RequestId id = 0;
+  int route = 0;
+  int tenant = 0;
+  std::uint64_t subject = 0;
+  double remaining_timeout = 0;  // 0: not told
   double age = 0;
-  double held_kb = 0;
+  double size_kb = 0;
   double work_hint = 0;  // s of work on a standard core, as the caller estimates it; 0: not told
-  bool again = false;    // a further try, where such are marked
-  bool write = false;
+  bool is_retry = false;    // a further try, where such are marked
+  bool is_write = false;
   std::uint32_t caller = 0;
-  OpId original = 0;  // the kept op that this one repeats, or 0
+  RequestId duplicate_of = 0;  // the kept request that this one repeats, or 0
 };
 
 // Gauges that the site does not have are negative.
@@ -104,35 +104,35 @@
 
 // How long something takes, as a Histogram of the module holds it: values by bin, each bin twice as wide as
 // the one before, and the sum of the values, in seconds.
-struct LearnedTimes {
+struct LearnedDurations {
   std::vector<double> bins;
   double sum = 0;
 };
 
 // What one life has learned that may mean something to the next. Counts say how much it weighs.
-struct Knowledge {
+struct LearnedStatistics {
   struct Times {
-    LearnedTimes run, away;
+    LearnedDurations run, away;
   };
-  std::vector<Times> types;  // by position, as the op types
-  LearnedTimes calls;
-  double returns = -1;  // share of ops whose connection was worth keeping; < 0: not known
-  bool troubled =
+  std::vector<Times> routes;  // by position, as the routes
+  LearnedDurations calls;
+  double returning_share = -1;  // share of requests whose connection was worth keeping; < 0: not known
+  bool under_pressure =
       false;  // learned while runs failed, were too slow or stale, or the layer below was under pressure
 };
 
-class Host {
+class DecisionSink {
  public:
-  virtual ~Host() = default;
-  virtual void start(OpId id) = 0;
-  virtual void interrupt(OpId id) = 0;
-  virtual void reject(OpId id, double come_back_in, bool no_retry) = 0;
-  virtual void fail(OpId id) = 0;
-  virtual void call(OpId id, double patience) = 0;
-  virtual void skip_call(OpId id) = 0;
-  virtual void remember(OpId id, double ttl) = 0;
-  virtual void forget(OpId id) = 0;
-  virtual void join(OpId id) = 0;
+  virtual ~DecisionSink() = default;
+  virtual void start(RequestId id) = 0;
+  virtual void interrupt(RequestId id) = 0;
+  virtual void reject(RequestId id, double retry_after, bool no_retry) = 0;
+  virtual void fail(RequestId id) = 0;
+  virtual void call(RequestId id, double patience) = 0;
+  virtual void skip_call(RequestId id) = 0;
+  virtual void remember(RequestId id, double ttl) = 0;
+  virtual void forget(RequestId id) = 0;
+  virtual void join(RequestId id) = 0;
   virtual void set_health(bool good, bool from_store) = 0;
   virtual void announce(double value) = 0;
   virtual void close_idle(double after) = 0;
@@ -140,24 +140,24 @@
   virtual void log(const std::string& line) = 0;
 };
 
-class Decider {
+class AdmissionController {
  public:
-  // A prior is believed as far as its counts go, until the first runs speak against it. Op types and
-  // customers are those of the settings, or of a directory, which then has to outlive this.
-  Decider(const Settings& settings, std::uint64_t seed, Host& host, double now, const Knowledge& prior = {},
-          const Directory* directory = nullptr);
-  ~Decider();
-  Decider(const Decider&) = delete;
-  Decider& operator=(const Decider&) = delete;
-
-  void on_op(double now, const Op& op);
-  void on_run_end(double now, OpId id, Outcome outcome, double spent);
-  void on_call_needed(double now, OpId id);
-  void on_call_end(double now, OpId id, Outcome outcome, double spent);
-  void on_gone(double now, OpId id);
+  // A prior is believed as far as its counts go, until the first runs speak against it. Routes and
+  // tenants are those of the settings, or of a directory, which then has to outlive this.
+  AdmissionController(const AdmissionOptions& settings, std::uint64_t seed, DecisionSink& host, double now, const LearnedStatistics& prior = {},
+          const RouteDirectory* directory = nullptr);
+  ~AdmissionController();
+  AdmissionController(const AdmissionController&) = delete;
+  AdmissionController& operator=(const AdmissionController&) = delete;
+
+  void on_request(double now, const Request& request);
+  void on_run_end(double now, RequestId id, Outcome outcome, double spent);
+  void on_call_needed(double now, RequestId id);
+  void on_call_end(double now, RequestId id, Outcome outcome, double spent);
+  void on_gone(double now, RequestId id);
   void on_leave(double now, double time_left);
   void on_wake(double now, std::uint64_t token, const Gauges& gauges);
-  Knowledge learned() const;
+  LearnedStatistics learned() const;
   double pool_in_use() const;  // kilobytes charged, for tests and reports
 
  private:
--- a/src/fixed_directory.h
+++ b/src/fixed_directory.h
@@ -1,4 +1,4 @@
-// A directory that never changes: the op types and customers of one backend's settings.
+// A directory that never changes: the routes and tenants of one backend's settings.
 #pragma once
 
 #include <algorithm>
@@ -8,26 +8,26 @@
 
 namespace damsonspoke {
 
-class FixedDirectory final : public Directory {
+class FixedRouteDirectory final : public RouteDirectory {
  public:
-  explicit FixedDirectory(const Settings& settings)
-      : op_types_(settings.op_types), customers_(settings.customers) {
-    for (const OpType& type : op_types_) most_important_ = std::max(most_important_, type.importance);
-    for (const Customer& customer : customers_) quotas_per_s_ += customer.quota_per_s;
+  explicit FixedRouteDirectory(const AdmissionOptions& settings)
+      : routes_(settings.routes), tenants_(settings.tenants) {
+    for (const Route& type : routes_) most_important_ = std::max(most_important_, type.priority_weight);
+    for (const Tenant& tenant : tenants_) total_quota_per_second_ += tenant.quota_per_second;
   }
 
-  const OpType& op_type(int position) const override { return op_types_[static_cast<std::size_t>(position)]; }
-  Customer customer(int position) const override { return customers_[static_cast<std::size_t>(position)]; }
-  std::size_t op_types() const override { return op_types_.size(); }
-  std::size_t customers() const override { return customers_.size(); }
-  std::size_t customer_positions() const override { return customers_.size(); }
-  double quotas_per_s() const override { return quotas_per_s_; }
-  double most_important() const override { return most_important_; }
+  const Route& route(int position) const override { return routes_[static_cast<std::size_t>(position)]; }
+  Tenant tenant(int position) const override { return tenants_[static_cast<std::size_t>(position)]; }
+  std::size_t route_count() const override { return routes_.size(); }
+  std::size_t tenant_count() const override { return tenants_.size(); }
+  std::size_t tenant_positions() const override { return tenants_.size(); }
+  double total_quota_per_second() const override { return total_quota_per_second_; }
+  double highest_priority_weight() const override { return most_important_; }
 
  private:
-  const std::vector<OpType> op_types_;
-  const std::vector<Customer> customers_;
-  double quotas_per_s_ = 0, most_important_ = 0;
+  const std::vector<Route> routes_;
+  const std::vector<Tenant> tenants_;
+  double total_quota_per_second_ = 0, most_important_ = 0;
 };
 
 }  // namespace damsonspoke
--- a/src/knowledge/age.cpp
+++ b/src/knowledge/age.cpp
@@ -19,17 +19,17 @@
 
 bool same(double a, double b) { return std::abs(a - b) <= kSameTime * std::max(std::abs(a), std::abs(b)); }
 
-double count_of(const LearnedTimes& times) {
+double count_of(const LearnedDurations& times) {
   double count = 0;
   for (const double n : times.bins) count += n;
   return count;
 }
 
 // As many values as are believed, never more than there were.
-LearnedTimes weakened(const LearnedTimes& times, double values) {
+LearnedDurations weakened(const LearnedDurations& times, double values) {
   const double count = count_of(times);
   const double scale = std::min(1.0, values / count);
-  LearnedTimes out = times;
+  LearnedDurations out = times;
   for (double& n : out.bins) n *= scale;
   out.sum *= scale;
   return out;
@@ -37,7 +37,7 @@
 
 }  // namespace
 
-bool sensible(const LearnedTimes& times) {
+bool sensible(const LearnedDurations& times) {
   if (times.bins.size() != kBins || !std::isfinite(times.sum) || times.sum < 0) return false;
   double count = 0, least = 0, most = 0;
   for (std::size_t i = 0; i < kBins; ++i) {
@@ -67,18 +67,18 @@
   if (age > terms.most_age) return none(fmt::format("it is {:.0f} s old", age));
   if (record.troubled) return none("it was learned in a bad spell");
   if (starts >= kMostStarts) return none(fmt::format("{} lives began with it and did not last", starts));
-  if (record.cores != site.settings.cores)
+  if (record.cores != site.admission.cores)
     return none(fmt::format("it was learned on {} cores", record.cores));
   out.share = std::exp2(-std::max(0.0, age) / terms.half_life);
   if (out.share < kLeastShare) return none(fmt::format("it is {:.0f} s old", age));
   const double values = out.share * terms.weight;
-  const Settings& s = site.settings;
-  const bool same_below = record.below == static_cast<int>(s.below);
+  const AdmissionOptions& s = site.admission;
+  const bool same_below = record.dependency == static_cast<int>(s.dependency);
   if (!same_below) out.reasons.push_back("calls: the layer below is another kind");
 
-  out.prior.types.resize(s.op_types.size());
-  for (std::size_t i = 0; i < s.op_types.size(); ++i) {
-    const std::string& name = site.type_names[i];
+  out.prior.routes.resize(s.routes.size());
+  for (std::size_t i = 0; i < s.routes.size(); ++i) {
+    const std::string& name = site.route_names[i];
     const auto found = std::find_if(record.types.begin(), record.types.end(),
                                     [&](const TypeRecord& t) { return t.name == name; });
     const auto skip = [&](const char* why) { out.reasons.push_back(fmt::format("{}: {}", name, why)); };
@@ -86,10 +86,10 @@
       skip("is new");
       continue;
     }
-    const OpType& type = s.op_types[i];
+    const Route& type = s.routes[i];
     // Other targets or calls: the type may well do something else now.
-    if (!same(found->target, type.target_latency) || !same(found->timeout, type.op_timeout) ||
-        found->calls != type.calls) {
+    if (!same(found->target, type.latency_objective) || !same(found->timeout, type.timeout) ||
+        found->calls != type.calls_dependency) {
       skip("its settings have changed");
       continue;
     }
@@ -101,12 +101,12 @@
       skip("too little was learned");
       continue;
     }
-    if (type.calls && !same_below) continue;
-    out.prior.types[i].run = weakened(found->run, values);
-    if (count_of(found->away) > 0) out.prior.types[i].away = weakened(found->away, values);
+    if (type.calls_dependency && !same_below) continue;
+    out.prior.routes[i].run = weakened(found->run, values);
+    if (count_of(found->away) > 0) out.prior.routes[i].away = weakened(found->away, values);
     out.any = true;
   }
-  if (same_below && s.below != Below::kOff) {
+  if (same_below && s.dependency != DependencyKind::kOff) {
     if (!sensible(record.calls)) {
       out.reasons.push_back("calls: values make no sense");
     } else if (count_of(record.calls) >= kLeastValues) {
@@ -115,8 +115,8 @@
   }
   const bool sane_returns = std::isfinite(record.returns) && record.returns >= 0 && record.returns <= 1;
   // Callers' habits change within the hour: believed half-way between what was and what one begins with.
-  if (sane_returns && same(record.caller_idle, s.caller_idle))
-    out.prior.returns = 1 + (record.returns - 1) * out.share;
+  if (sane_returns && same(record.caller_idle_timeout, s.caller_idle_timeout))
+    out.prior.returning_share = 1 + (record.returns - 1) * out.share;
   return out;
 }
 
--- a/src/knowledge/age.h
+++ b/src/knowledge/age.h
@@ -17,7 +17,7 @@
 };
 
 struct Belief {
-  Knowledge prior;  // empty parts where nothing is believed
+  LearnedStatistics prior;  // empty parts where nothing is believed
   bool any = false;
   double share = 0;                  // of a fresh record's weight, 0 to 1
   std::vector<std::string> reasons;  // why the whole, or a part, is not believed; plain words
@@ -29,6 +29,6 @@
 
 // Whether values could come out of the module's histogram: right bins, finite, none negative, and a sum that
 // its counts allow.
-bool sensible(const LearnedTimes& times);
+bool sensible(const LearnedDurations& times);
 
 }  // namespace damsonspoke::knowledge
--- a/src/knowledge/record.cpp
+++ b/src/knowledge/record.cpp
@@ -7,7 +7,7 @@
 
 using Json = nlohmann::json;
 
-Json json_of(const LearnedTimes& times) { return {{"bins", times.bins}, {"sum", times.sum}}; }
+Json json_of(const LearnedDurations& times) { return {{"bins", times.bins}, {"sum", times.sum}}; }
 
 // What is of another kind than expected reads as nothing: the policy then finds it senseless.
 double number(const Json& from, const char* key, double otherwise) {
@@ -22,8 +22,8 @@
   const auto at = from.find(key);
   return at != from.end() && at->is_boolean() ? at->get<bool>() : otherwise;
 }
-LearnedTimes times(const Json& from, const char* key) {
-  LearnedTimes out;
+LearnedDurations times(const Json& from, const char* key) {
+  LearnedDurations out;
   const auto at = from.find(key);
   if (at == from.end() || !at->is_object()) return out;
   out.sum = number(*at, "sum", -1);
@@ -39,22 +39,22 @@
 
 }  // namespace
 
-Record record_of(const Knowledge& learned, const StartSettings& site, const std::string& name, double written,
+Record record_of(const LearnedStatistics& learned, const StartSettings& site, const std::string& name, double written,
                  double lived) {
   Record out;
   out.written = written;
   out.lived = lived;
   out.site = name;
-  out.cores = site.settings.cores;
-  out.below = static_cast<int>(site.settings.below);
-  out.caller_idle = site.settings.caller_idle;
-  out.troubled = learned.troubled;
+  out.cores = site.admission.cores;
+  out.dependency = static_cast<int>(site.admission.dependency);
+  out.caller_idle_timeout = site.admission.caller_idle_timeout;
+  out.troubled = learned.under_pressure;
   out.calls = learned.calls;
-  out.returns = learned.returns;
-  for (std::size_t i = 0; i < learned.types.size() && i < kMostTypes; ++i) {
-    const OpType& type = site.settings.op_types[i];
-    out.types.push_back({site.type_names[i], type.target_latency, type.op_timeout, type.calls,
-                         learned.types[i].run, learned.types[i].away});
+  out.returns = learned.returning_share;
+  for (std::size_t i = 0; i < learned.routes.size() && i < kMostTypes; ++i) {
+    const Route& type = site.admission.routes[i];
+    out.types.push_back({site.route_names[i], type.latency_objective, type.timeout, type.calls_dependency,
+                         learned.routes[i].run, learned.routes[i].away});
   }
   return out;
 }
@@ -70,7 +70,7 @@
                      {"away", json_of(t.away)}});
   }
   const Json top = {{"written", r.written},   {"lived", r.lived},          {"site", r.site},
-                    {"cores", r.cores},       {"below", r.below},          {"caller_idle", r.caller_idle},
+                    {"cores", r.cores},       {"below", r.dependency},          {"caller_idle", r.caller_idle_timeout},
                     {"troubled", r.troubled}, {"types", std::move(types)}, {"calls", json_of(r.calls)},
                     {"returns", r.returns}};
   const std::vector<std::uint8_t> bytes = Json::to_cbor(top);
@@ -91,8 +91,8 @@
   r.lived = number(top, "lived", 0);
   r.site = text(top, "site");
   r.cores = whole(top, "cores");
-  r.below = whole(top, "below");
-  r.caller_idle = number(top, "caller_idle", -1);
+  r.dependency = whole(top, "below");
+  r.caller_idle_timeout = number(top, "caller_idle", -1);
   r.troubled = flag(top, "troubled", true);
   r.calls = times(top, "calls");
   r.returns = number(top, "returns", -1);
--- a/src/knowledge/record.h
+++ b/src/knowledge/record.h
@@ -22,7 +22,7 @@
   std::string name;
   double target = 0, timeout = 0;  // s
   bool calls = false;
-  LearnedTimes run, away;
+  LearnedDurations run, away;
 };
 
 struct Record {
@@ -30,15 +30,15 @@
   double lived = 0;    // s, of the life that wrote it
   std::string site;    // the backend's name
   int cores = 0;
-  int below = 0;           // as the settings name it
-  double caller_idle = 0;  // s
+  int dependency = 0;           // as the settings name it
+  double caller_idle_timeout = 0;  // s
   bool troubled = false;
   std::vector<TypeRecord> types;
-  LearnedTimes calls;
+  LearnedDurations calls;
   double returns = -1;
 };
 
-Record record_of(const Knowledge& learned, const StartSettings& site, const std::string& name, double written,
+Record record_of(const LearnedStatistics& learned, const StartSettings& site, const std::string& name, double written,
                  double lived);
 std::string encode(const Record& record);
 // Nothing where it is no such record; what values mean is the policy's business.
--- a/src/members/record.h
+++ b/src/members/record.h
@@ -19,7 +19,7 @@
 enum class Condition : std::uint8_t { kThere = 0, kSuspected = 1, kDead = 2, kLeft = 3 };
 
 // State of the layer below, as a member sees it.
-enum class Below : std::uint8_t { kUnknown = 0, kWell = 1, kSlow = 2, kGone = 3 };
+enum class DependencyState : std::uint8_t { kUnknown = 0, kWell = 1, kSlow = 2, kGone = 3 };
 
 // What a member tells of itself beside its being there: small, and worth nothing once it is old.
 struct Told {
@@ -28,11 +28,11 @@
   std::string zone;
   std::string build;
   std::uint64_t generation = 0, digest = 0;  // of the configuration
-  std::uint16_t room = 0;                    // ops that it would take now
+  std::uint16_t room = 0;                    // requests that it would take now
   std::uint16_t load = 0;                    // thousandths of its cores in use
   std::uint16_t sheds = 0;  // tenths of importance under which it refuses; 0: it refuses nothing
-  Below below = Below::kUnknown;
-  std::string serves;  // address that its ops go to; empty: none
+  DependencyState dependency = DependencyState::kUnknown;
+  std::string serves;  // address that its requests go to; empty: none
   bool operator==(const Told&) const = default;
 };
 
--- a/src/peers/ajp_below.cpp
+++ b/src/peers/ajp/dependency_client.cpp
@@ -1,4 +1,4 @@
-#include "peers/ajp_below.h"
+#include "peers/ajp/dependency_client.h"
 
 #include <algorithm>
 #include <cmath>
@@ -20,27 +20,27 @@
 
 }  // namespace
 
-AjpBelow::AjpBelow(net::Reactor& reactor, const AjpOptions& options, std::size_t most_links,
-                   BelowEvents& events, Counters& counters, Logger& log)
+AjpDependencyClient::AjpDependencyClient(net::Reactor& reactor, const AjpOptions& options, std::size_t most_links,
+                   DependencyEvents& events, Counters& counters, Logger& log)
     : reactor_(reactor),
       options_(options),
       most_links_(most_links),
       events_(events),
       counters_(counters),
       log_(log) {
-  net::parse_address(options_.below);  // a wrong one is told at the start
+  net::parse_address(options_.dependency);  // a wrong one is told at the start
   look_for_idle();
 }
 
-AjpBelow::~AjpBelow() {
+AjpDependencyClient::~AjpDependencyClient() {
   reactor_.cancel(idle_timer_);
   for (auto& [tag, link] : links_) reactor_.cancel(link.rest);
   for (auto& [id, call] : calls_) reactor_.cancel(call.patience);
 }
 
-void AjpBelow::move_to(const AjpOptions& options) {
-  const bool elsewhere = options.below != options_.below;
-  options_.below = options.below;
+void AjpDependencyClient::move_to(const AjpOptions& options) {
+  const bool elsewhere = options.dependency != options_.dependency;
+  options_.dependency = options.dependency;
   options_.below_uri = options.below_uri;
   options_.below_secret = options.below_secret;
   options_.below_refuses = options.below_refuses;
@@ -52,8 +52,8 @@
 }
 
 // ---- Calls.
-void AjpBelow::call(OpId id, double patience, std::string_view body) {
-  cancel(id);  // one call an op at a time
+void AjpDependencyClient::call(RequestId id, double patience, std::string_view body) {
+  cancel(id);  // one call a request at a time
   counters_.add(Count::kCallsMade);
   Call& call = calls_[id];
   call.since = net::monotonic_now();
@@ -70,7 +70,7 @@
 
 // Calls that wait get links: one that has just been used, else a new one, else one that has been idle, once
 // it has answered a ping.
-void AjpBelow::pump() {
+void AjpDependencyClient::pump() {
   while (!waiting_.empty()) {
     std::uint64_t fresh = 0, old = 0;
     std::size_t usable = 0;
@@ -86,17 +86,17 @@
       if (usable >= most_links_) return;
       tag = next_tag_++;
       Link& link = links_[tag];
-      link.connection = net::Connection::connecting(reactor_, *this, net::parse_address(options_.below),
+      link.connection = net::Connection::connecting(reactor_, *this, net::parse_address(options_.dependency),
                                                     {most_input(options_), kMostOutput});
       link.connection->tag = tag;
     }
-    const OpId id = waiting_.front();
+    const RequestId id = waiting_.front();
     waiting_.pop_front();
     give(tag, id);
   }
 }
 
-void AjpBelow::give(std::uint64_t tag, OpId id) {
+void AjpDependencyClient::give(std::uint64_t tag, RequestId id) {
   Link& link = links_.at(tag);
   link.call = id;
   calls_.at(id).link = tag;
@@ -109,7 +109,7 @@
   must_be_whole(tag, kPong);
 }
 
-void AjpBelow::send_call(Link& link) {
+void AjpDependencyClient::send_call(Link& link) {
   Call& call = calls_.at(link.call);
   const double left = call.until - net::monotonic_now();
   if (left < kLeastLeft) return;  // its patience ends it, unsent
@@ -135,7 +135,7 @@
   link.connection->send(bytes);
 }
 
-void AjpBelow::cancel(OpId id) {
+void AjpDependencyClient::cancel(RequestId id) {
   const auto found = calls_.find(id);
   if (found == calls_.end()) return;
   counters_.add(Count::kCallsCancelled);
@@ -149,14 +149,14 @@
 }
 
 // A call that was given up takes its connection with it: its answer may yet come.
-void AjpBelow::end_link(Link& link) {
+void AjpDependencyClient::end_link(Link& link) {
   link.call = 0;
   link.spent = true;
   reactor_.cancel(link.rest);
   link.connection->close();
 }
 
-void AjpBelow::end(OpId id, Outcome outcome, std::string_view reply) {
+void AjpDependencyClient::end(RequestId id, Outcome outcome, std::string_view reply) {
   const auto found = calls_.find(id);
   if (found == calls_.end()) return;
   const double spent = net::monotonic_now() - found->second.since;
@@ -179,7 +179,7 @@
 }
 
 // ---- What servers send.
-void AjpBelow::must_be_whole(std::uint64_t tag, double seconds) {
+void AjpDependencyClient::must_be_whole(std::uint64_t tag, double seconds) {
   Link& link = links_.at(tag);
   reactor_.cancel(link.rest);
   link.rest = reactor_.after(seconds, [this, tag] {
@@ -193,14 +193,14 @@
 }
 
 // Nothing on that connection is to be believed any more.
-void AjpBelow::spoilt(Link& link, const char* what) {
+void AjpDependencyClient::spoilt(Link& link, const char* what) {
   counters_.add(Count::kBelowBad);
   log_.warn("below", "{}, connection closed", what);
   link.spent = true;
   link.connection->close(net::End::kBroken);
 }
 
-void AjpBelow::on_connected(net::Connection& connection) {
+void AjpDependencyClient::on_connected(net::Connection& connection) {
   counters_.add(Count::kBelowLinks);
   counters_.most(Count::kBelowMost, links_.size());
   Link& link = links_.at(connection.tag);
@@ -209,7 +209,7 @@
   if (link.call != 0) send_call(link);
 }
 
-std::size_t AjpBelow::on_input(net::Connection& connection, std::string_view bytes) {
+std::size_t AjpDependencyClient::on_input(net::Connection& connection, std::string_view bytes) {
   const auto at = links_.find(connection.tag);
   if (at == links_.end()) return bytes.size();
   std::size_t used = 0;
@@ -228,7 +228,7 @@
 }
 
 // False: what has no place there.
-bool AjpBelow::take(std::uint64_t tag, const wa::FromServer& message) {
+bool AjpDependencyClient::take(std::uint64_t tag, const wa::FromServer& message) {
   Link& link = links_.at(tag);
   if (std::holds_alternative<wa::CPong>(message)) {
     if (link.state != State::kPinging) return false;
@@ -260,10 +260,10 @@
   return true;
 }
 
-void AjpBelow::answered(std::uint64_t tag, bool reuse) {
+void AjpDependencyClient::answered(std::uint64_t tag, bool reuse) {
   Link& link = links_.at(tag);
   reactor_.cancel(link.rest);
-  const OpId id = std::exchange(link.call, 0);
+  const RequestId id = std::exchange(link.call, 0);
   const int status = link.status;
   const std::string reply = std::move(link.reply);
   link.reply = {};
@@ -281,14 +281,14 @@
       status == 200 ? std::string_view(reply) : std::string_view());
 }
 
-void AjpBelow::on_end_of_input(net::Connection& connection) { connection.close(net::End::kBroken); }
+void AjpDependencyClient::on_end_of_input(net::Connection& connection) { connection.close(net::End::kBroken); }
 
 // What was sent may have run. What was not goes to another connection while there is time, unless this one
 // could not be made: the next would fare no better.
-void AjpBelow::on_end(net::Connection& connection, net::End why) {
+void AjpDependencyClient::on_end(net::Connection& connection, net::End why) {
   const auto found = links_.find(connection.tag);
   if (found == links_.end()) return;
-  const OpId id = found->second.call;
+  const RequestId id = found->second.call;
   reactor_.cancel(found->second.rest);
   links_.erase(found);
   const auto call = calls_.find(id);
@@ -304,7 +304,7 @@
   pump();
 }
 
-void AjpBelow::look_for_idle() {
+void AjpDependencyClient::look_for_idle() {
   const double now = net::monotonic_now();
   for (auto& [tag, link] : links_) {
     if (link.state == State::kIdle && link.call == 0 && now - link.idle_since > kMostIdle)
--- a/src/peers/ajp_below.h
+++ b/src/peers/ajp/dependency_client.h
@@ -25,19 +25,19 @@
 
 namespace damsonspoke::peers {
 
-class AjpBelow : public BelowPort, private net::ConnectionOwner {
+class AjpDependencyClient : public DependencyPort, private net::ConnectionOwner {
  public:
   static constexpr std::size_t kMostReply = 64 * 1024;  // bytes of an answer's body; more spoils it
   static constexpr std::size_t kMostOutput = 32 * 1024;
   static std::size_t most_input(const AjpOptions& options) { return options.packet + kMostReply; }
 
   // Throws std::runtime_error where the address can't be used.
-  AjpBelow(net::Reactor& reactor, const AjpOptions& options, std::size_t most_links, BelowEvents& events,
+  AjpDependencyClient(net::Reactor& reactor, const AjpOptions& options, std::size_t most_links, DependencyEvents& events,
            Counters& counters, Logger& log);
-  ~AjpBelow() override;
+  ~AjpDependencyClient() override;
 
-  void call(OpId id, double patience, std::string_view body) override;
-  void cancel(OpId id) override;
+  void call(RequestId id, double patience, std::string_view body) override;
+  void cancel(RequestId id) override;
   // Another server, path or secret from now on; calls in hand stay where they are.
   void move_to(const AjpOptions& options);
 
@@ -46,7 +46,7 @@
   struct Link {
     std::shared_ptr<net::Connection> connection;
     State state = State::kConnecting;
-    OpId call = 0;  // 0: none
+    RequestId call = 0;  // 0: none
     double idle_since = 0;
     bool headed = false;  // its answer's head has come
     bool spent = false;   // takes no new call
@@ -68,11 +68,11 @@
   void on_end(net::Connection& connection, net::End why) override;
 
   void pump();
-  void give(std::uint64_t tag, OpId id);
+  void give(std::uint64_t tag, RequestId id);
   void send_call(Link& link);
   bool take(std::uint64_t tag, const wire::ajp::FromServer& message);
   void answered(std::uint64_t tag, bool reuse);
-  void end(OpId id, Outcome outcome, std::string_view reply);
+  void end(RequestId id, Outcome outcome, std::string_view reply);
   void end_link(Link& link);
   void spoilt(Link& link, const char* what);
   void must_be_whole(std::uint64_t tag, double seconds);
@@ -81,13 +81,13 @@
   net::Reactor& reactor_;
   AjpOptions options_;
   const std::size_t most_links_;
-  BelowEvents& events_;
+  DependencyEvents& events_;
   Counters& counters_;
   Logger& log_;
   std::map<std::uint64_t, Link> links_;  // by the connection's tag
   std::uint64_t next_tag_ = 1;
-  std::unordered_map<OpId, Call> calls_;
-  std::deque<OpId> waiting_;  // for a link, the oldest first
+  std::unordered_map<RequestId, Call> calls_;
+  std::deque<RequestId> waiting_;  // for a link, the oldest first
   net::Reactor::TimerId idle_timer_;
 };
 
--- a/src/peers/ajp_callers.cpp
+++ b/src/peers/ajp/server.cpp
@@ -1,4 +1,4 @@
-#include "peers/ajp_callers.h"
+#include "peers/ajp/server.h"
 
 #include <xxhash.h>
 
@@ -87,9 +87,9 @@
 
 }  // namespace
 
-AjpCallers::AjpCallers(net::Reactor& reactor, Self self, const AjpOptions& options, std::size_t output_bytes,
+AjpServer::AjpServer(net::Reactor& reactor, Self self, const AjpOptions& options, std::size_t output_bytes,
                        conns::Share& share, std::size_t front, CallerEvents& events, Counters& counters,
-                       Logger& log, Door* door)
+                       Logger& log, ConnectionAdmission* door)
     : reactor_(reactor),
       self_(std::move(self)),
       options_(options),
@@ -118,9 +118,9 @@
   look_over();
 }
 
-AjpCallers::~AjpCallers() { reactor_.cancel(look_timer_); }
+AjpServer::~AjpServer() { reactor_.cancel(look_timer_); }
 
-void AjpCallers::reconfigure(const AjpOptions& options) {
+void AjpServer::reconfigure(const AjpOptions& options) {
   if (options.listen != options_.listen || options.packet != options_.packet ||
       options.body != options_.body || options.share != options_.share)
     log_.warn("ajp", "listen, packet, body and share are taken at the next start only");
@@ -131,7 +131,7 @@
 }
 
 // ---- Connections.
-bool AjpCallers::take_in(std::uint64_t tag, const net::Accepted& accepted) {
+bool AjpServer::take_in(std::uint64_t tag, const net::Accepted& accepted) {
   if (door_ != nullptr) return door_->lets_in(front_, tag, accepted);
   if (share_.room(front_) || make_room()) return share_.opened(front_), true;
   counters_.add(Count::kCallersTurnedAway);
@@ -139,7 +139,7 @@
   return false;
 }
 
-void AjpCallers::on_accept(const net::Accepted& accepted) {
+void AjpServer::on_accept(const net::Accepted& accepted) {
   const std::uint64_t tag = next_tag_++;
   if (!take_in(tag, accepted)) return;
   net::OutputPool* pool = door_ != nullptr ? door_->pool(tag) : &output_;
@@ -153,24 +153,24 @@
 }
 
 // ---- What the door hears of a connection.
-void AjpCallers::wasted(Caller& caller, conns::Waste how) {
+void AjpServer::wasted(Caller& caller, conns::Waste how) {
   if (door_ != nullptr) door_->wasted(caller.connection->tag, how);
 }
-void AjpCallers::note_busy(Caller& caller) {
+void AjpServer::note_busy(Caller& caller) {
   if (door_ == nullptr || !caller.connection->open()) return;
   const bool busy = caller.state == State::kOpen || caller.state == State::kClosing;
   door_->busy(caller.connection->tag, busy || caller.connection->waiting() > 0);
 }
 
 // Nothing is open, begun, unwritten or unread on it.
-bool AjpCallers::nothing_owed(const Caller& caller) const {
+bool AjpServer::nothing_owed(const Caller& caller) const {
   return caller.state == State::kIdle && caller.began < 0 && caller.connection->waiting() == 0 &&
          caller.connection->nothing_to_read();
 }
 
 // As at the other front: its place is another's, but what it has said is read first, and answered before the
 // end.
-void AjpCallers::let_go(Caller& caller) {
+void AjpServer::let_go(Caller& caller) {
   const auto connection = caller.connection;
   connection->read_now();
   if (!connection->open()) return;
@@ -179,7 +179,7 @@
 }
 
 // As at the other front: silent ones first, the oldest of them, then the longest idle one.
-bool AjpCallers::make_room() {
+bool AjpServer::make_room() {
   const double now = net::monotonic_now();
   Caller* idle = nullptr;
   for (const std::uint64_t tag : by_traffic_) {
@@ -198,7 +198,7 @@
   return true;
 }
 
-std::size_t AjpCallers::on_input(net::Connection& connection, std::string_view bytes) {
+std::size_t AjpServer::on_input(net::Connection& connection, std::string_view bytes) {
   const auto found = open_.find(connection.tag);
   if (found == open_.end()) return bytes.size();
   Caller& caller = found->second;
@@ -243,7 +243,7 @@
 }
 
 // One packet. False: what no gateway sends; nothing after it counts.
-bool AjpCallers::take(Caller& caller, std::string_view payload) {
+bool AjpServer::take(Caller& caller, std::string_view payload) {
   if (caller.state == State::kBody) return take_piece(caller, payload), true;
   const std::optional<wa::FromGateway> message = wa::decode_from_gateway(payload);
   if (!message) {
@@ -272,10 +272,10 @@
   return true;
 }
 
-void AjpCallers::take_request(Caller& caller, const wa::ForwardRequest& request) {
+void AjpServer::take_request(Caller& caller, const wa::ForwardRequest& request) {
   counters_.add(Count::kAjpRequests);
-  caller.op = {};
-  caller.op.door = net::unix_now();
+  caller.request = {};
+  caller.request.received_at = net::unix_now();
   caller.check = false;
   caller.chunked = false;
   caller.announced = 0;
@@ -314,7 +314,7 @@
 }
 
 // How much body there will be. False: refused.
-bool AjpCallers::body_of(Caller& caller, const wa::ForwardRequest& request) {
+bool AjpServer::body_of(Caller& caller, const wa::ForwardRequest& request) {
   const std::string* length = nullptr;
   for (const wa::Header& header : request.headers) {
     if (header.name != "content-length") continue;
@@ -338,45 +338,45 @@
   return true;
 }
 
-// What the op is, by the table. False: something that it needs is missing or can't be read.
-bool AjpCallers::fill(Caller& caller, const AjpRoute& route, const std::vector<std::string_view>& stars,
+// What the request is, by the table. False: something that it needs is missing or can't be read.
+bool AjpServer::fill(Caller& caller, const AjpRoute& route, const std::vector<std::string_view>& stars,
                       const wa::ForwardRequest& request) {
-  if (route.op_type == "health") return caller.check = true;
-  const auto type = std::find(self_.op_types.begin(), self_.op_types.end(), route.op_type);
-  if (type == self_.op_types.end())
+  if (route.route == "health") return caller.check = true;
+  const auto type = std::find(self_.routes.begin(), self_.routes.end(), route.route);
+  if (type == self_.routes.end())
     return false;  // the configuration was checked: this is another site's table
-  IncomingOp& op = caller.op;
-  op.type = static_cast<int>(type - self_.op_types.begin());
-  op.held_kb = route.held_kb;
-  if (const auto key = value_of(route.key, stars, request)) op.mark = *key;
-  const auto at = static_cast<std::size_t>(op.type);
-  if (op.mark.size() > std::max<std::size_t>(1, self_.longest_key)) return false;
-  if (at < self_.needs_key.size() && self_.needs_key[at] && op.mark.empty()) return false;
+  IncomingRequest& incoming = caller.request;
+  incoming.route = static_cast<int>(type - self_.routes.begin());
+  incoming.size_kb = route.size_kb;
+  if (const auto key = value_of(route.key, stars, request)) incoming.idempotency_key = *key;
+  const auto at = static_cast<std::size_t>(incoming.route);
+  if (incoming.idempotency_key.size() > std::max<std::size_t>(1, self_.longest_key)) return false;
+  if (at < self_.needs_key.size() && self_.needs_key[at] && incoming.idempotency_key.empty()) return false;
   if (const auto who = value_of(route.caller, stars, request)) {
-    if (!whole_number(*who, op.caller))
-      op.caller = static_cast<std::uint32_t>(XXH3_64bits(who->data(), who->size()));
+    if (!whole_number(*who, incoming.caller))
+      incoming.caller = static_cast<std::uint32_t>(XXH3_64bits(who->data(), who->size()));
   }
   if (const auto subject = value_of(route.subject, stars, request))
-    op.key = XXH3_64bits(subject->data(), subject->size()) | 1;
+    incoming.subject = XXH3_64bits(subject->data(), subject->size()) | 1;
   if (const auto wait = value_of(route.wait, stars, request)) {
     std::uint64_t ms = 0;
     if (!whole_number(*wait, ms) || ms == 0) return false;
-    op.limit = std::min(kMostWait, static_cast<double>(ms) / kMsPerSecond);
+    incoming.client_timeout = std::min(kMostWait, static_cast<double>(ms) / kMsPerSecond);
   }
   return true;
 }
 
-void AjpCallers::ask_for_body(Caller& caller) {
+void AjpServer::ask_for_body(Caller& caller) {
   const std::size_t room = options_.packet - wa::kBodyHead;
   const std::size_t left =
-      caller.chunked ? options_.body + 1 - caller.op.body.size() : caller.announced - caller.op.body.size();
+      caller.chunked ? options_.body + 1 - caller.request.body.size() : caller.announced - caller.request.body.size();
   put(caller, wa::GetBodyChunk{static_cast<std::uint16_t>(std::min(room, left))});
 }
 
-void AjpCallers::take_piece(Caller& caller, std::string_view payload) {
+void AjpServer::take_piece(Caller& caller, std::string_view payload) {
   const std::optional<std::string_view> piece = wa::decode_body(payload);
   const std::size_t most = caller.chunked ? options_.body : caller.announced;
-  if (!piece || caller.op.body.size() + piece->size() > most) {
+  if (!piece || caller.request.body.size() + piece->size() > most) {
     const bool large = piece && caller.chunked;
     counters_.add(large ? Count::kAjpTooLarge : Count::kBadRequests);
     return refuse(caller, large ? 413 : 400, true);
@@ -386,46 +386,46 @@
     counters_.add(Count::kBadRequests);  // it ends before what was announced
     return refuse(caller, 400, true);
   }
-  caller.op.body += *piece;
-  if (!caller.chunked && caller.op.body.size() == caller.announced) return submit(caller);
+  caller.request.body += *piece;
+  if (!caller.chunked && caller.request.body.size() == caller.announced) return submit(caller);
   ask_for_body(caller);
 }
 
 // Read, whole: from here on it is owed its one answer.
-void AjpCallers::submit(Caller& caller) {
+void AjpServer::submit(Caller& caller) {
   caller.state = State::kOpen;
   caller.began = -1;
-  const Ticket ticket{caller.connection->tag, ++caller.number};
+  const ReplyAddress ticket{caller.connection->tag, ++caller.number};
   if (caller.check) {
     counters_.add(Count::kChecksRead);
     return events_.on_check(ticket, false);
   }
-  IncomingOp op = std::move(caller.op);
-  caller.type = op.type;
-  do op.id = random_();
-  while (op.id == 0 || events_.in_use(op.id));
-  op.ticket = ticket;
-  caller.op = {};
-  caller.op.id = op.id;
+  IncomingRequest request = std::move(caller.request);
+  caller.type = request.route;
+  do request.id = random_();
+  while (request.id == 0 || events_.in_use(request.id));
+  request.reply_to = ticket;
+  caller.request = {};
+  caller.request.id = request.id;
   // It came when it was whole: a head from before the notice to leave does not bring a body from after the
   // grace with it. What its caller waits counts from the head.
   const double now = net::unix_now(),
-               limit = op.limit > 0 ? op.limit : self_.op_timeouts[static_cast<std::size_t>(op.type)];
-  op.limit = std::max(kLeastWait, op.door + limit - now);
-  op.door = now;
-  caller.due = now + op.limit;
-  events_.on_op_read(std::move(op));
+               limit = request.client_timeout > 0 ? request.client_timeout : self_.timeouts[static_cast<std::size_t>(request.route)];
+  request.client_timeout = std::max(kLeastWait, request.received_at + limit - now);
+  request.received_at = now;
+  caller.due = now + request.client_timeout;
+  events_.on_request_read(std::move(request));
 }
 
 // ---- Answers.
-void AjpCallers::put(Caller& caller, const wa::FromServer& message) {
+void AjpServer::put(Caller& caller, const wa::FromServer& message) {
   if (!caller.connection->open()) return;
   const std::string bytes = wa::encode(message);
   caller.connection->send(bytes);
   if (caller.connection->open()) counters_.add(Count::kBytesOut, bytes.size());
 }
 
-void AjpCallers::respond(Caller& caller, std::uint16_t status, std::vector<wa::Header> headers,
+void AjpServer::respond(Caller& caller, std::uint16_t status, std::vector<wa::Header> headers,
                          std::string_view body, bool reuse) {
   headers.push_back({"content-length", std::to_string(body.size())});
   put(caller, wa::SendHeaders{status, reason_of(status), std::move(headers)});
@@ -442,65 +442,65 @@
 
 // Answered without a slot. Where a body may still come, or may not be trusted to be none, nothing after it is
 // read.
-void AjpCallers::refuse(Caller& caller, std::uint16_t status, bool with_body) {
+void AjpServer::refuse(Caller& caller, std::uint16_t status, bool with_body) {
   counters_.add(Count::kAjpRefused);
-  caller.op = {};
+  caller.request = {};
   respond(caller, status, {}, {}, !with_body && !no_more_);
 }
 
-void AjpCallers::close_after_output(Caller& caller) {
+void AjpServer::close_after_output(Caller& caller) {
   caller.state = State::kClosing;
   caller.connection->stop_reading();
   if (caller.connection->waiting() == 0) caller.connection->end();
 }
 
-AjpCallers::Caller* AjpCallers::waiting_for(Ticket ticket) {
+AjpServer::Caller* AjpServer::waiting_for(ReplyAddress ticket) {
   const auto found = open_.find(ticket.connection);
   if (found == open_.end()) return nullptr;
   Caller& caller = found->second;
   return caller.state == State::kOpen && caller.number == ticket.number ? &caller : nullptr;
 }
 
-void AjpCallers::answered(Caller& caller, std::uint16_t status, std::vector<wa::Header> headers,
+void AjpServer::answered(Caller& caller, std::uint16_t status, std::vector<wa::Header> headers,
                           std::string_view body) {
-  caller.op = {};
+  caller.request = {};
   respond(caller, status, std::move(headers), body, !no_more_ && !caller.input_over);
   note_busy(caller);
   if (caller.state == State::kIdle && caller.connection->open()) caller.connection->pause_reading(false);
 }
 
-void AjpCallers::answer_acked(Ticket ticket, std::string_view result) {
+void AjpServer::answer_succeeded(ReplyAddress ticket, std::string_view result) {
   Caller* caller = waiting_for(ticket);
-  if (caller != nullptr && door_ != nullptr) door_->acked(ticket.connection, caller->type);
+  if (caller != nullptr && door_ != nullptr) door_->succeeded(ticket.connection, caller->type);
   if (caller != nullptr) answered(*caller, 200, {{"content-type", "application/octet-stream"}}, result);
 }
-void AjpCallers::answer_nacked(Ticket ticket, double come_back_in, bool no_retry) {
+void AjpServer::answer_rejected(ReplyAddress ticket, double retry_after, bool no_retry) {
   Caller* caller = waiting_for(ticket);
   if (caller == nullptr) return;
   std::vector<wa::Header> headers;
   // Whole seconds, rounded up: who comes back sooner than told is told again.
-  if (!no_retry && come_back_in > 0)
-    headers.push_back({"retry-after", std::to_string(static_cast<long>(std::ceil(come_back_in)))});
+  if (!no_retry && retry_after > 0)
+    headers.push_back({"retry-after", std::to_string(static_cast<long>(std::ceil(retry_after)))});
   answered(*caller, 503, std::move(headers), {});
 }
-void AjpCallers::answer_failed(Ticket ticket, Failure why) {
+void AjpServer::answer_failed(ReplyAddress ticket, FailureReason why) {
   Caller* caller = waiting_for(ticket);
   if (caller == nullptr) return;
   const bool at_due = net::unix_now() >= caller->due - kAtDue;
   switch (why) {
-    case Failure::kOutcomeUnknown: return answered(*caller, 500, {{"outcome", "unknown"}}, {});
-    case Failure::kKeyConflict: return answered(*caller, 422, {}, {});
-    case Failure::kNotKnown:
-    case Failure::kPlain: return answered(*caller, at_due ? 504 : 502, {}, {});
+    case FailureReason::kOutcomeUnknown: return answered(*caller, 500, {{"outcome", "unknown"}}, {});
+    case FailureReason::kKeyConflict: return answered(*caller, 422, {}, {});
+    case FailureReason::kNotKnown:
+    case FailureReason::kPlain: return answered(*caller, at_due ? 504 : 502, {}, {});
   }
 }
-void AjpCallers::answer_check(Ticket ticket, bool good) {
+void AjpServer::answer_check(ReplyAddress ticket, bool good) {
   if (good) counters_.add(Count::kChecksGood);
   if (Caller* caller = waiting_for(ticket)) answered(*caller, good ? 200 : 503, {}, {});
 }
 
 // ---- The ends of connections.
-void AjpCallers::on_output_sent(net::Connection& connection) {
+void AjpServer::on_output_sent(net::Connection& connection) {
   const auto found = open_.find(connection.tag);
   if (found == open_.end()) return;
   found->second.output_pace.end();
@@ -509,14 +509,14 @@
 }
 
 // A gateway that has closed its side gets the answer that it is owed; what was not whole never was a request.
-void AjpCallers::on_end_of_input(net::Connection& connection) {
+void AjpServer::on_end_of_input(net::Connection& connection) {
   const auto found = open_.find(connection.tag);
   if (found == open_.end()) return;
   found->second.input_over = true;
   if (found->second.state != State::kOpen) close_after_output(found->second);
 }
 
-void AjpCallers::on_end(net::Connection& connection, net::End why) {
+void AjpServer::on_end(net::Connection& connection, net::End why) {
   const auto found = open_.find(connection.tag);
   if (found == open_.end()) return;
   const Caller caller = std::move(found->second);
@@ -531,16 +531,16 @@
   counters_.add(why == net::End::kInOrder    ? Count::kCallersClosed
                 : why == net::End::kOverflow ? Count::kSlowPeers
                                              : Count::kCallersReset);
-  if (caller.state == State::kOpen && !caller.check) events_.on_caller_gone(caller.op.id);
+  if (caller.state == State::kOpen && !caller.check) events_.on_caller_gone(caller.request.id);
 }
 
-void AjpCallers::traffic(Caller& caller) {
+void AjpServer::traffic(Caller& caller) {
   caller.last_traffic = net::monotonic_now();
   by_traffic_.splice(by_traffic_.end(), by_traffic_, caller.place);
 }
 
 // With a door, answers have to be taken by the second.
-bool AjpCallers::too_slow(Caller& caller, double now) {
+bool AjpServer::too_slow(Caller& caller, double now) {
   if (door_ == nullptr) return false;
   const net::Connection& connection = *caller.connection;
   if (connection.waiting() > 0 && !caller.output_pace.running())
@@ -551,7 +551,7 @@
 // Each has to ask, to finish what it began within its time whatever it sends meanwhile, and to take its
 // answer. Guards against callers that say nothing, drip a request byte by byte, leave a piece of a body
 // unsent, or never read.
-void AjpCallers::look_over() {
+void AjpServer::look_over() {
   const double now = net::monotonic_now();
   for (auto& [tag, caller] : open_) {
     net::Connection& connection = *caller.connection;
@@ -586,7 +586,7 @@
 
 // AJP has no word for it: idle connections are closed, the others after their answer. Where something waits
 // to be read it is read first.
-void AjpCallers::ask_no_more() {
+void AjpServer::ask_no_more() {
   no_more_ = true;
   for (auto& [tag, caller] : open_) {
     if (caller.connection->open() && nothing_owed(caller)) caller.connection->end();
--- a/src/peers/ajp_callers.h
+++ b/src/peers/ajp/server.h
@@ -1,6 +1,6 @@
 // Callers that speak AJP 1.3: a second front. A gateway's connection carries one request at a time;
-// operators' table says which op it is. What maps to nothing is answered at once and costs no slot; what does
-// is an op as any other, with the same due time, decisions and one answer.
+// operators' table says which request it is. What maps to nothing is answered at once and costs no slot; what does
+// is a request as any other, with the same due time, decisions and one answer.
 //
 // What each state allows: idle (a request or a ping), body (pieces of the one that is due), open (nothing is
 // read until its answer is out), closing (answers leave, nothing is read any more). A connection on which a
@@ -16,7 +16,7 @@
 
 #include "conns/share.h"
 #include "net/connection.h"
-#include "peers/door.h"
+#include "peers/connection_admission.h"
 #include "peers/ports.h"
 #include "settings/operator_file.h"
 #include "watch/counters.h"
@@ -28,33 +28,33 @@
 // The connections of this front have tickets with this bit.
 constexpr std::uint64_t kAjpTickets = std::uint64_t{1} << 63;
 
-class AjpCallers : public Front, private net::ConnectionOwner {
+class AjpServer : public Front, private net::ConnectionOwner {
  public:
   struct Self {
-    std::vector<std::string> op_types;  // by number
-    std::vector<bool> needs_key;        // by op type
+    std::vector<std::string> routes;  // by number
+    std::vector<bool> needs_key;        // by route
     std::size_t longest_key = 0;        // bytes
-    std::vector<double> op_timeouts;    // s, by op type
-    std::uint64_t seed = 0;             // of the numbers that its ops get
+    std::vector<double> timeouts;    // s, by route
+    std::uint64_t seed = 0;             // of the numbers that its requests get
   };
   // Bytes that a connection may take until its request is whole.
   static std::size_t most_input(const AjpOptions& options) { return 2 * options.packet + options.body; }
 
   // Throws std::runtime_error where the address can't be used. `share`, `front`: its part of the connections;
   // `door`: where operators have one.
-  AjpCallers(net::Reactor& reactor, Self self, const AjpOptions& options, std::size_t output_bytes,
+  AjpServer(net::Reactor& reactor, Self self, const AjpOptions& options, std::size_t output_bytes,
              conns::Share& share, std::size_t front, CallerEvents& events, Counters& counters, Logger& log,
-             Door* door = nullptr);
-  ~AjpCallers() override;
+             ConnectionAdmission* door = nullptr);
+  ~AjpServer() override;
 
   // Another table, secret or list of attributes for requests that come from now on; those that have begun
   // stay what they were when their head came. What needs another listener is taken at the next start.
   void reconfigure(const AjpOptions& options);
 
-  void answer_acked(Ticket ticket, std::string_view result) override;
-  void answer_nacked(Ticket ticket, double come_back_in, bool no_retry) override;
-  void answer_failed(Ticket ticket, Failure why) override;
-  void answer_check(Ticket ticket, bool good) override;
+  void answer_succeeded(ReplyAddress ticket, std::string_view result) override;
+  void answer_rejected(ReplyAddress ticket, double retry_after, bool no_retry) override;
+  void answer_failed(ReplyAddress ticket, FailureReason why) override;
+  void answer_check(ReplyAddress ticket, bool good) override;
   void close_idle(double) override {}  // gateways keep theirs; see AjpOptions::idle
   void ask_no_more() override;
 
@@ -69,7 +69,7 @@
     std::shared_ptr<net::Connection> connection;
     std::list<std::uint64_t>::iterator place;  // in by_traffic_
     State state = State::kIdle;
-    IncomingOp op;                                            // being read, or read
+    IncomingRequest request;                                            // being read, or read
     bool check = false;                                       // it asks for our health
     bool head_only = false;                                   // its answer has no body
     bool chunked = false;                                     // its body ends with a piece of no bytes
@@ -79,7 +79,7 @@
     double last_traffic = 0, began = -1, waiting_since = -1;  // s; < 0: no request has begun, no output waits
     bool has_asked = false;
     bool evicted = false;  // its place was given away already
-    int type = -1;         // of its op
+    int type = -1;         // of its request
     conns::BytePace input_pace, output_pace;
     bool input_over = false;
   };
@@ -108,7 +108,7 @@
   void refuse(Caller& caller, std::uint16_t status, bool with_body);
   void respond(Caller& caller, std::uint16_t status, std::vector<wire::ajp::Header> headers,
                std::string_view body, bool reuse);
-  Caller* waiting_for(Ticket ticket);
+  Caller* waiting_for(ReplyAddress ticket);
   void answered(Caller& caller, std::uint16_t status, std::vector<wire::ajp::Header> headers,
                 std::string_view body);
   void put(Caller& caller, const wire::ajp::FromServer& message);
@@ -121,7 +121,7 @@
   AjpOptions options_;
   conns::Share& share_;
   const std::size_t front_;
-  Door* const door_;
+  ConnectionAdmission* const door_;
   CallerEvents& events_;
   Counters& counters_;
   Logger& log_;
--- a/src/peers/fronts.h
+++ b/src/peers/combined_server.h
@@ -3,24 +3,24 @@
 
 #include <memory>
 
-#include "peers/ajp_callers.h"
+#include "peers/ajp/server.h"
 #include "peers/ports.h"
 
 namespace damsonspoke::peers {
 
-class Fronts : public Front {
+class CombinedServer : public Front {
  public:
-  Fronts(std::unique_ptr<Front> first, std::unique_ptr<AjpCallers> ajp)
+  CombinedServer(std::unique_ptr<Front> first, std::unique_ptr<AjpServer> ajp)
       : first_(std::move(first)), ajp_(std::move(ajp)) {}
 
-  void answer_acked(Ticket ticket, std::string_view result) override {
-    of(ticket).answer_acked(ticket, result);
+  void answer_succeeded(ReplyAddress ticket, std::string_view result) override {
+    of(ticket).answer_succeeded(ticket, result);
   }
-  void answer_nacked(Ticket ticket, double come_back_in, bool no_retry) override {
-    of(ticket).answer_nacked(ticket, come_back_in, no_retry);
+  void answer_rejected(ReplyAddress ticket, double retry_after, bool no_retry) override {
+    of(ticket).answer_rejected(ticket, retry_after, no_retry);
   }
-  void answer_failed(Ticket ticket, Failure why) override { of(ticket).answer_failed(ticket, why); }
-  void answer_check(Ticket ticket, bool good) override { of(ticket).answer_check(ticket, good); }
+  void answer_failed(ReplyAddress ticket, FailureReason why) override { of(ticket).answer_failed(ticket, why); }
+  void answer_check(ReplyAddress ticket, bool good) override { of(ticket).answer_check(ticket, good); }
   void close_idle(double after) override {
     first_->close_idle(after);
     ajp_->close_idle(after);
@@ -47,15 +47,15 @@
   }
   std::size_t connections() const override { return first_->connections() + ajp_->connections(); }
   std::uint16_t port() const override { return first_->port(); }
-  AjpCallers& ajp() { return *ajp_; }
+  AjpServer& ajp() { return *ajp_; }
 
  private:
-  Front& of(Ticket ticket) {
+  Front& of(ReplyAddress ticket) {
     if ((ticket.connection & kAjpTickets) != 0) return *ajp_;
     return *first_;
   }
   const std::unique_ptr<Front> first_;
-  const std::unique_ptr<AjpCallers> ajp_;
+  const std::unique_ptr<AjpServer> ajp_;
 };
 
 }  // namespace damsonspoke::peers
--- a/src/peers/door.cpp
+++ b/src/peers/connection_admission.cpp
@@ -1,4 +1,4 @@
-#include "peers/door.h"
+#include "peers/connection_admission.h"
 
 #include <arpa/inet.h>
 #include <fmt/format.h>
@@ -52,12 +52,12 @@
 
 }  // namespace
 
-Door::Door(net::Reactor& reactor, const GateOptions& options, std::size_t connections,
-           const std::vector<double>& floors, std::vector<double> importance, Counters& counters, Logger& log)
+ConnectionAdmission::ConnectionAdmission(net::Reactor& reactor, const GateOptions& options, std::size_t connections,
+           const std::vector<double>& floors, std::vector<double> priority_weight, Counters& counters, Logger& log)
     : reactor_(reactor),
       options_(options),
       most_connections_(connections),
-      importance_(std::move(importance)),
+      importance_(std::move(priority_weight)),
       counters_(counters),
       log_(log),
       share_(allowed(options, connections), floors),
@@ -68,17 +68,17 @@
   look_over();
 }
 
-Door::~Door() {
+ConnectionAdmission::~ConnectionAdmission() {
   reactor_.cancel(keep_timer_);
   reactor_.cancel(look_timer_);
 }
 
-void Door::serve(std::size_t front, net::OutputPool& output, Shed shed, Words words) {
+void ConnectionAdmission::serve(std::size_t front, net::OutputPool& output, Shed shed, Words words) {
   fronts_[front] = {&output, std::move(shed), std::move(words)};
 }
 
 // ---- Who is known.
-void Door::begin() {
+void ConnectionAdmission::begin() {
   if (options_.known_folder.empty()) return;
   kept_ = std::make_unique<store::KeptFile>(
       [folder = options_.known_folder] { return store::open_folder(folder); }, "clients", conns::kKnownForm,
@@ -94,7 +94,7 @@
   log_.event(Level::kInfo, "door", "known clients", {{"taken", taken}, {"recorded", clients->size()}});
 }
 
-void Door::keep_known() {
+void ConnectionAdmission::keep_known() {
   if (kept_ == nullptr) return;
   kept_->write(conns::encode(known_.all()));
   if (const std::optional<std::string> trouble = kept_->take_trouble())
@@ -104,11 +104,11 @@
   keep_timer_ = reactor_.after(options_.known_interval, [this] { keep_known(); });
 }
 
-void Door::leaving() {
+void ConnectionAdmission::leaving() {
   if (kept_ != nullptr) kept_->write(conns::encode(known_.all()));
 }
 
-void Door::reconfigure(const GateOptions& options) {
+void ConnectionAdmission::reconfigure(const GateOptions& options) {
   if (options.known_folder != options_.known_folder || options.enabled != options_.enabled)
     log_.warn("door", "enabled and known-folder are taken at the next start only");
   const std::string folder = options_.known_folder;
@@ -121,14 +121,14 @@
 }
 
 // ---- Newcomers.
-bool Door::lets_in(std::size_t front, std::uint64_t tag, const net::Accepted& accepted) {
+bool ConnectionAdmission::lets_in(std::size_t front, std::uint64_t tag, const net::Accepted& accepted) {
   const conns::Address from = address_of(accepted.from);
   const double now = net::monotonic_now();
   const conns::Arrival arrival = gate_.arrive(tag, front, from, now, net::unix_now(), accepted.scarce);
   if (accepted.scarce) scarce();
   if (!arrival.in) {
     counters_.add(Count::kCallersTurnedAway);
-    turn_away(fronts_[front], accepted, arrival.come_back_in);
+    turn_away(fronts_[front], accepted, arrival.retry_after);
     return false;
   }
   if (arrival.sheds) shed(*arrival.sheds);
@@ -141,12 +141,12 @@
   return true;
 }
 
-net::OutputPool* Door::pool(std::uint64_t tag) {
+net::OutputPool* ConnectionAdmission::pool(std::uint64_t tag) {
   const auto found = pool_of_.find(tag);
   return found == pool_of_.end() ? nullptr : &pools_.at(found->second).pool;
 }
 
-void Door::shed(std::uint64_t tag) {
+void ConnectionAdmission::shed(std::uint64_t tag) {
   counters_.add(Count::kCallersEvicted);
   for (const Front& front : fronts_) {
     if (front.shed) front.shed(tag);
@@ -155,11 +155,11 @@
 }
 
 // A few are told when to come back; the others are reset, which costs neither side anything.
-void Door::turn_away(const Front& front, const net::Accepted& accepted, double come_back_in) {
+void ConnectionAdmission::turn_away(const Front& front, const net::Accepted& accepted, double retry_after) {
   const double now = net::monotonic_now();
   if (front.words && words_.room({}, now)) {
     words_.take({}, now);
-    const std::string text = front.words(come_back_in);
+    const std::string text = front.words(retry_after);
     static_cast<void>(::send(accepted.fd, text.data(), text.size(), MSG_NOSIGNAL | MSG_DONTWAIT));
     // Guards against words that a reset takes with it, but never holds the last descriptor for it.
     if (!accepted.scarce) return net::Farewell::begin(reactor_, accepted.fd);
@@ -173,7 +173,7 @@
 
 // The system has no descriptor left, whatever the limits say: the table is as large as it is, less a few that
 // a reload, a store or a drain may need. Guards against a reserve for known clients that is only on paper.
-void Door::scarce() {
+void ConnectionAdmission::scarce() {
   counters_.add(Count::kGateScarce);
   const double now = net::monotonic_now();
   if (scarce_at_ < 0 || now - scarce_at_ > kScarceFor)
@@ -184,14 +184,14 @@
   reactor_.post([this] { shed_beyond(); });
 }
 
-void Door::shed_beyond() {
+void ConnectionAdmission::shed_beyond() {
   std::vector<conns::ConnId> beyond = gate_.beyond(net::monotonic_now());
   beyond.resize(std::min(beyond.size(), kShedAtOnce));
   for (const conns::ConnId id : beyond) shed(id);
 }
 
 // A limit that was lowered under what is open: who has outstayed its time goes, a few a look.
-void Door::look_over() {
+void ConnectionAdmission::look_over() {
   const std::size_t most = allowed(options_, most_connections_), total = share_.total();
   if (total < most && net::monotonic_now() - scarce_at_ > kScarceFor)
     share_.resize(std::min(most, static_cast<std::size_t>(static_cast<double>(total) * kGrows) + 1));
@@ -200,18 +200,18 @@
 }
 
 // ---- What connections do.
-void Door::acked(std::uint64_t tag, int type) {
+void ConnectionAdmission::succeeded(std::uint64_t tag, int type) {
   const auto at = static_cast<std::size_t>(type);
-  const double importance = at < importance_.size() ? importance_[at] : 0;
-  gate_.acked(tag, importance, net::monotonic_now(), net::unix_now());
+  const double priority_weight = at < importance_.size() ? importance_[at] : 0;
+  gate_.succeeded(tag, priority_weight, net::monotonic_now(), net::unix_now());
 }
 
-void Door::wasted(std::uint64_t tag, conns::Waste how) {
+void ConnectionAdmission::wasted(std::uint64_t tag, conns::Waste how) {
   counters_.add(Count::kGateWasted);
   gate_.wasted(tag, how, net::monotonic_now());
 }
 
-void Door::ended(std::uint64_t tag) {
+void ConnectionAdmission::ended(std::uint64_t tag) {
   gate_.ended(tag);
   const auto found = pool_of_.find(tag);
   if (found == pool_of_.end()) return;
@@ -221,7 +221,7 @@
 }
 
 // ---- For operators.
-std::string Door::report(std::size_t most) const {
+std::string ConnectionAdmission::report(std::size_t most) const {
   const double now = net::monotonic_now();
   std::string out = fmt::format(
       "connections open={} most={} strangers={} strangers_most={} known={} shed={} rate_error={:.2f}\n",
--- a/src/peers/door.h
+++ b/src/peers/connection_admission.h
@@ -20,16 +20,16 @@
 
 namespace damsonspoke::peers {
 
-class Door {
+class ConnectionAdmission {
  public:
   // What a front does for the door: closes one of its connections now, which nothing is open on.
   using Shed = std::function<void(std::uint64_t tag)>;
   // The last words to who is turned away, by the time after which to come back, s.
-  using Words = std::function<std::string(double come_back_in)>;
+  using Words = std::function<std::string(double retry_after)>;
 
-  Door(net::Reactor& reactor, const GateOptions& options, std::size_t connections,
-       const std::vector<double>& floors, std::vector<double> importance, Counters& counters, Logger& log);
-  ~Door();
+  ConnectionAdmission(net::Reactor& reactor, const GateOptions& options, std::size_t connections,
+       const std::vector<double>& floors, std::vector<double> priority_weight, Counters& counters, Logger& log);
+  ~ConnectionAdmission();
   // `output`: of all of the front's connections.
   void serve(std::size_t front, net::OutputPool& output, Shed shed, Words words);
   void begin();  // reads who is known
@@ -42,7 +42,7 @@
 
   void asked(std::uint64_t tag) { gate_.asked(tag, net::monotonic_now()); }
   void busy(std::uint64_t tag, bool busy) { gate_.busy(tag, busy); }
-  void acked(std::uint64_t tag, int type);
+  void succeeded(std::uint64_t tag, int type);
   void wasted(std::uint64_t tag, conns::Waste how);
   void ended(std::uint64_t tag);
 
@@ -66,7 +66,7 @@
   using PoolKey = std::pair<std::size_t, conns::Prefix>;
 
   void shed(std::uint64_t tag);
-  void turn_away(const Front& front, const net::Accepted& accepted, double come_back_in);
+  void turn_away(const Front& front, const net::Accepted& accepted, double retry_after);
   void keep_known();
   void look_over();
   void scarce();
--- a/src/peers/below.cpp
+++ b/src/peers/dependency/client.cpp
@@ -1,4 +1,4 @@
-#include "peers/below.h"
+#include "peers/dependency/client.h"
 
 #include <algorithm>
 #include <cmath>
@@ -20,7 +20,7 @@
     case wire::CallEnd::kRefused: return Outcome::kRefused;
     case wire::CallEnd::kFailed: return Outcome::kError;
     case wire::CallEnd::kTimedOut: return Outcome::kTimeout;
-    case wire::CallEnd::kMoot: return Outcome::kMoot;
+    case wire::CallEnd::kObsolete: return Outcome::kObsolete;
     case wire::CallEnd::kUnknown: break;
   }
   return Outcome::kError;
@@ -31,7 +31,7 @@
     case Outcome::kOk: return Count::kCallsOk;
     case Outcome::kRefused: return Count::kCallsRefused;
     case Outcome::kTimeout: return Count::kCallsTimedOut;
-    case Outcome::kMoot: return Count::kCallsMoot;
+    case Outcome::kObsolete: return Count::kCallsMoot;
     case Outcome::kUnreachable: return Count::kCallsUnreachable;
     case Outcome::kReset: return Count::kCallsBroken;
     default: return Count::kCallsFailed;
@@ -40,7 +40,7 @@
 
 }  // namespace
 
-Below::Below(net::Reactor& reactor, const std::string& address, std::size_t most_links, BelowEvents& events,
+DependencyClient::DependencyClient(net::Reactor& reactor, const std::string& address, std::size_t most_links, DependencyEvents& events,
              Counters& counters, Logger& log)
     : reactor_(reactor),
       address_(address),
@@ -53,13 +53,13 @@
   look_for_idle();
 }
 
-Below::~Below() {
+DependencyClient::~DependencyClient() {
   reactor_.cancel(idle_timer_);
   for (auto& [tag, link] : links_) reactor_.cancel(link.rest);
   for (auto& [id, call] : calls_) reactor_.cancel(call.patience);
 }
 
-void Below::move_to(const std::string& address) {
+void DependencyClient::move_to(const std::string& address) {
   if (address == address_) return;
   address_ = address;
   for (auto& [tag, link] : links_) {
@@ -71,7 +71,7 @@
 // A call gets a connection of its own, so that a spoilt reply, or a reset, takes no other call with it. One
 // that has just carried a call is used again; one that stood idle is not: the other side may have closed or
 // forgotten it, and a call that meets that proves nothing.
-std::uint64_t Below::link_for_call(OpId id) {
+std::uint64_t DependencyClient::link_for_call(RequestId id) {
   const double now = net::monotonic_now();
   std::size_t usable = 0;
   auto fewest = links_.end();
@@ -80,7 +80,7 @@
     Link& link = it->second;
     if (link.spent || !link.connection->open()) continue;
     if (link.calls.empty()) {
-      // Not for the same op again: a second copy of its last reply would pass for the new one.
+      // Not for the same request again: a second copy of its last reply would pass for the new one.
       if (link.last == id) continue;
       if (now - link.idle_since <= kReuse && link.connection->nothing_to_read()) return it->first;
       link.spent = true;
@@ -99,8 +99,8 @@
   return tag;
 }
 
-void Below::call(OpId id, double patience, std::string_view body) {
-  cancel(id);  // one call an op at a time
+void DependencyClient::call(RequestId id, double patience, std::string_view body) {
+  cancel(id);  // one call a request at a time
   counters_.add(Count::kCallsMade);
   const std::uint64_t tag = link_for_call(id);
   Link& link = links_.at(tag);
@@ -118,7 +118,7 @@
 
 // The call leaves its connection. An answered one leaves it fit for the next call; one that was given up does
 // not: its reply may yet come, or its connection hang, so the connection goes with it where it has no other.
-void Below::take_off(OpId id, std::uint64_t tag, bool answered) {
+void DependencyClient::take_off(RequestId id, std::uint64_t tag, bool answered) {
   const auto found = links_.find(tag);
   if (found == links_.end()) return;
   Link& link = found->second;
@@ -129,7 +129,7 @@
   if (link.spent && link.calls.empty()) link.connection->close();
 }
 
-void Below::cancel(OpId id) {
+void DependencyClient::cancel(RequestId id) {
   const auto found = calls_.find(id);
   if (found == calls_.end()) return;
   counters_.add(Count::kCallsCancelled);
@@ -139,7 +139,7 @@
   take_off(id, tag, false);
 }
 
-void Below::patience_over(OpId id) {
+void DependencyClient::patience_over(RequestId id) {
   const auto found = calls_.find(id);
   if (found == calls_.end()) return;
   // On a connection that was never made and goes with it, the call has not left: it proves not run.
@@ -147,7 +147,7 @@
   end(id, left ? Outcome::kTimeout : Outcome::kUnreachable, {});
 }
 
-void Below::end(OpId id, Outcome outcome, std::string_view reply) {
+void DependencyClient::end(RequestId id, Outcome outcome, std::string_view reply) {
   const auto found = calls_.find(id);
   if (found == calls_.end()) return;
   const double spent = net::monotonic_now() - found->second.since;
@@ -161,21 +161,21 @@
   events_.on_call_ended(id, outcome, spent, reply);
 }
 
-void Below::on_connected(net::Connection& connection) {
+void DependencyClient::on_connected(net::Connection& connection) {
   counters_.add(Count::kBelowLinks);
   counters_.most(Count::kBelowMost, links_.size());
-  for (const OpId id : links_.at(connection.tag).calls) calls_.at(id).sent = true;
+  for (const RequestId id : links_.at(connection.tag).calls) calls_.at(id).sent = true;
 }
 
 // What can't be read leaves nothing on that connection to be believed: it closes, and its calls prove
 // nothing.
-void Below::spoilt(Link& link, const char* what) {
+void DependencyClient::spoilt(Link& link, const char* what) {
   counters_.add(Count::kBelowBad);
   log_.warn("below", "{}, connection closed", what);
   link.connection->close(net::End::kBroken);
 }
 
-std::size_t Below::on_input(net::Connection& connection, std::string_view bytes) {
+std::size_t DependencyClient::on_input(net::Connection& connection, std::string_view bytes) {
   const auto at = links_.find(connection.tag);
   if (at == links_.end()) return bytes.size();
   Link& link = at->second;
@@ -210,13 +210,13 @@
   return used;
 }
 
-void Below::on_end_of_input(net::Connection& connection) { connection.close(net::End::kBroken); }
+void DependencyClient::on_end_of_input(net::Connection& connection) { connection.close(net::End::kBroken); }
 
 // A connection that was never made proves that no call ran; one that broke proves nothing.
-void Below::on_end(net::Connection& connection, net::End why) {
+void DependencyClient::on_end(net::Connection& connection, net::End why) {
   const auto found = links_.find(connection.tag);
   if (found == links_.end()) return;
-  const std::vector<OpId> calls = found->second.calls;
+  const std::vector<RequestId> calls = found->second.calls;
   reactor_.cancel(found->second.rest);
   links_.erase(found);
   if (calls.empty()) return;
@@ -224,7 +224,7 @@
     counters_.add(Count::kBelowBroken);
     log_.warn("below", "connection lost with {} calls in hand", calls.size());
   }
-  for (const OpId id : calls) {
+  for (const RequestId id : calls) {
     const auto call = calls_.find(id);
     if (call == calls_.end() || call->second.link != connection.tag) continue;  // ended by another's end
     const bool never_left = why == net::End::kRefused && !call->second.sent;
@@ -232,7 +232,7 @@
   }
 }
 
-void Below::look_for_idle() {
+void DependencyClient::look_for_idle() {
   const double now = net::monotonic_now();
   for (auto& [tag, link] : links_) {
     if (link.calls.empty() && now - link.idle_since > kReuse) link.connection->close();
--- a/src/peers/below.h
+++ b/src/peers/dependency/client.h
@@ -15,26 +15,26 @@
 
 namespace damsonspoke::peers {
 
-class Below : public BelowPort, private net::ConnectionOwner {
+class DependencyClient : public DependencyPort, private net::ConnectionOwner {
  public:
   // Bytes a connection: a reply with its payload is under 70 KiB, a call under 5.
   static constexpr std::size_t kMostInput = 96 * 1024, kMostOutput = 32 * 1024;
 
   // An address that is empty: nothing is ever called.
-  Below(net::Reactor& reactor, const std::string& address, std::size_t most_links, BelowEvents& events,
+  DependencyClient(net::Reactor& reactor, const std::string& address, std::size_t most_links, DependencyEvents& events,
         Counters& counters, Logger& log);
-  ~Below() override;
+  ~DependencyClient() override;
 
-  void call(OpId id, double patience, std::string_view body) override;
-  void cancel(OpId id) override;
+  void call(RequestId id, double patience, std::string_view body) override;
+  void cancel(RequestId id) override;
   // The layer is reached elsewhere from now on; calls in hand stay where they are.
   void move_to(const std::string& address);
 
  private:
   struct Link {
     std::shared_ptr<net::Connection> connection;
-    std::vector<OpId> calls;  // in hand on it: one, unless there is no descriptor left for another
-    OpId last = 0;            // whose call it carried last
+    std::vector<RequestId> calls;  // in hand on it: one, unless there is no descriptor left for another
+    RequestId last = 0;            // whose call it carried last
     double idle_since = 0;
     bool spent = false;          // takes no new call, and closes after its last one
     net::Reactor::TimerId rest;  // until which a reply that has begun must be whole
@@ -51,22 +51,22 @@
   void on_end_of_input(net::Connection& connection) override;
   void on_end(net::Connection& connection, net::End why) override;
 
-  std::uint64_t link_for_call(OpId id);
-  void take_off(OpId id, std::uint64_t tag, bool answered);
-  void end(OpId id, Outcome outcome, std::string_view reply);
-  void patience_over(OpId id);
+  std::uint64_t link_for_call(RequestId id);
+  void take_off(RequestId id, std::uint64_t tag, bool answered);
+  void end(RequestId id, Outcome outcome, std::string_view reply);
+  void patience_over(RequestId id);
   void spoilt(Link& link, const char* what);
   void look_for_idle();
 
   net::Reactor& reactor_;
   std::string address_;
   std::size_t most_links_;
-  BelowEvents& events_;
+  DependencyEvents& events_;
   Counters& counters_;
   Logger& log_;
   std::map<std::uint64_t, Link> links_;  // by the connection's tag: the newest last
   std::uint64_t next_tag_ = 1;
-  std::unordered_map<OpId, Call> calls_;
+  std::unordered_map<RequestId, Call> calls_;
   net::Reactor::TimerId idle_timer_;
 };
 
--- a/src/peers/callers.cpp
+++ b/src/peers/json_rpc/server.cpp
@@ -1,4 +1,4 @@
-#include "peers/callers.h"
+#include "peers/json_rpc/server.h"
 
 #include <algorithm>
 
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-Callers::Callers(net::Reactor& reactor, const std::string& listen, const catalog::Catalog& catalog,
+JsonRpcServer::JsonRpcServer(net::Reactor& reactor, const std::string& listen, const catalog::Catalog& catalog,
                  Marks marks, Limits limits, CallerEvents& events, Counters& counters, Logger& log)
     : reactor_(reactor),
       catalog_(catalog),
@@ -38,9 +38,9 @@
       log_(log),
       output_{limits.output_bytes, 0},
       listener_(reactor, net::parse_address(listen), [this](const net::Accepted& one) { on_accept(one); }) {
-  if (limits_.door != nullptr) {
+  if (limits_.connection_admission != nullptr) {
     listener_.keep_reserve();
-    limits_.door->serve(
+    limits_.connection_admission->serve(
         limits_.front, output_,
         [this](std::uint64_t tag) {
           const auto found = open_.find(tag);
@@ -48,19 +48,19 @@
           if (!found->second.has_asked) wasted(found->second, conns::Waste::kSilent);
           let_go(found->second);
         },
-        [](double come_back_in) { return wire::encode_nack(0, come_back_in / kSecondsPerMs, false); });
+        [](double retry_after) { return wire::encode_rejection(0, retry_after / kSecondsPerMs, false); });
   }
   look_over();
 }
 
-Callers::~Callers() {
+JsonRpcServer::~JsonRpcServer() {
   reactor_.cancel(idle_timer_);
   reactor_.cancel(look_timer_);
 }
 
 // A newcomer that finds neither room nor anybody idle is closed, with nothing run, not left to wait.
-bool Callers::take_in(std::uint64_t tag, const net::Accepted& accepted) {
-  if (limits_.door != nullptr) return limits_.door->lets_in(limits_.front, tag, accepted);
+bool JsonRpcServer::take_in(std::uint64_t tag, const net::Accepted& accepted) {
+  if (limits_.connection_admission != nullptr) return limits_.connection_admission->lets_in(limits_.front, tag, accepted);
   if (room() || make_room()) {
     if (limits_.share != nullptr) limits_.share->opened(limits_.front);
     return true;
@@ -70,10 +70,10 @@
   return false;
 }
 
-void Callers::on_accept(const net::Accepted& accepted) {
+void JsonRpcServer::on_accept(const net::Accepted& accepted) {
   const std::uint64_t tag = next_tag_++;
   if (!take_in(tag, accepted)) return;
-  net::OutputPool* pool = limits_.door != nullptr ? limits_.door->pool(tag) : &output_;
+  net::OutputPool* pool = limits_.connection_admission != nullptr ? limits_.connection_admission->pool(tag) : &output_;
   Caller& caller = open_[tag];
   caller.connection =
       net::Connection::accepted(reactor_, *this, accepted.fd, {kMostInput, kOutputBytes, pool});
@@ -86,21 +86,21 @@
 }
 
 // ---- What the door hears of a connection.
-void Callers::wasted(Caller& caller, conns::Waste how) {
-  if (limits_.door != nullptr) limits_.door->wasted(caller.connection->tag, how);
+void JsonRpcServer::wasted(Caller& caller, conns::Waste how) {
+  if (limits_.connection_admission != nullptr) limits_.connection_admission->wasted(caller.connection->tag, how);
 }
-void Callers::note_busy(Caller& caller) {
-  if (limits_.door == nullptr || !caller.connection->open()) return;
-  limits_.door->busy(caller.connection->tag, !caller.requests.empty() || caller.connection->waiting() > 0);
+void JsonRpcServer::note_busy(Caller& caller) {
+  if (limits_.connection_admission == nullptr || !caller.connection->open()) return;
+  limits_.connection_admission->busy(caller.connection->tag, !caller.requests.empty() || caller.connection->waiting() > 0);
 }
 
-bool Callers::room() const {
+bool JsonRpcServer::room() const {
   if (limits_.share != nullptr) return limits_.share->room(limits_.front);
   return static_cast<int>(open_.size()) < limits_.connections;
 }
 
 // Its time for reading is used up while another front has something to read.
-bool Callers::hold_reading(Caller& caller) {
+bool JsonRpcServer::hold_reading(Caller& caller) {
   if (limits_.share == nullptr || limits_.share->may_read(limits_.front, net::monotonic_now())) return false;
   counters_.add(Count::kReadsHeld);
   caller.connection->pause_reading_until(limits_.share->resume_at());
@@ -109,7 +109,7 @@
 
 // Nothing is open on it, nothing waits to be written, and nothing that it has said is unread: neither in the
 // socket nor, as a part of a request, in our buffer.
-bool Callers::nothing_owed(const Caller& caller) const {
+bool JsonRpcServer::nothing_owed(const Caller& caller) const {
   return caller.requests.empty() && caller.connection->waiting() == 0 && caller.half_since < 0 &&
          caller.connection->nothing_to_read();
 }
@@ -118,7 +118,7 @@
 // without any, the oldest that holds a request half said for a while. Guards against connections by hundreds
 // that say nothing, or are kept for good, while callers with work wait outside. A request that crosses the
 // end is sent again by its caller.
-bool Callers::make_room() {
+bool JsonRpcServer::make_room() {
   const double now = net::monotonic_now();
   Caller *idle = nullptr, *half = nullptr;
   for (const std::uint64_t tag : by_traffic_) {  // the longest without traffic first
@@ -139,7 +139,7 @@
   return true;
 }
 
-std::size_t Callers::on_input(net::Connection& connection, std::string_view bytes) {
+std::size_t JsonRpcServer::on_input(net::Connection& connection, std::string_view bytes) {
   std::size_t used = 0;
   const std::uint64_t tag = connection.tag;
   const auto found = open_.find(tag);
@@ -181,8 +181,8 @@
   return used;
 }
 
-// Its place is another's. What it has said is read first: an op among that is answered before the end.
-void Callers::let_go(Caller& caller) {
+// Its place is another's. What it has said is read first: a request among that is answered before the end.
+void JsonRpcServer::let_go(Caller& caller) {
   const auto connection = caller.connection;
   connection->read_now();
   if (!connection->open()) return;
@@ -194,7 +194,7 @@
 // Nothing more is read from it; what was read before is still answered, then it is ended. Bytes that lie
 // unread behind its last words are thrown away first: a close over them would be a reset, and take the words
 // and the answers before them with it.
-void Callers::refuse(Caller& caller, const std::string& last_words) {
+void JsonRpcServer::refuse(Caller& caller, const std::string& last_words) {
   put(caller, last_words);
   caller.connection->stop_reading();
   caller.input_over = true;
@@ -202,7 +202,7 @@
 }
 
 // One message. What can be told to be a request gets its one answer.
-void Callers::take(Caller& caller, std::uint64_t tag, std::string_view text) {
+void JsonRpcServer::take(Caller& caller, std::uint64_t tag, std::string_view text) {
   wire::RpcRequest request;
   const wire::RpcProblem problem = wire::decode_request(text, request, marks_.field);
   // Under a number in use an answer would be the second one to its first request.
@@ -224,7 +224,7 @@
   }
   if (caller.requests.size() >= kMostOpen) {
     counters_.add(Count::kTooMany);
-    return put(caller, wire::encode_nack(request.id, 0, false));
+    return put(caller, wire::encode_rejection(request.id, 0, false));
   }
   if (request.method == "health") {
     if (problem == wire::RpcProblem::kBadParams) {
@@ -234,75 +234,75 @@
     counters_.add(Count::kChecksRead);
     --caller.faults;
     caller.has_asked = true;
-    if (limits_.door != nullptr) limits_.door->asked(tag);
+    if (limits_.connection_admission != nullptr) limits_.connection_admission->asked(tag);
     caller.requests[request.id] = {};
     return events_.on_check({tag, request.id}, request.probe);
   }
   if (problem == wire::RpcProblem::kBadParams || !request.has_txn || request.txn == 0 ||
-      request.held_kb <= 0) {
+      request.size_kb <= 0) {
     counters_.add(Count::kBadParams);
     return put(caller, wire::encode_error(request.id, wire::RpcError::kParams, "bad parameters"));
   }
-  take_op(caller, tag, request);
+  take_request(caller, tag, request);
 }
 
-void Callers::take_op(Caller& caller, std::uint64_t tag, wire::RpcRequest& request) {
+void JsonRpcServer::take_request(Caller& caller, std::uint64_t tag, wire::RpcRequest& request) {
   const int type = catalog_.find_route(request.method);
   if (type < 0) {
     counters_.add(Count::kBadTypes);
     return put(caller, wire::encode_error(request.id, wire::RpcError::kMethod, "unknown op type"));
   }
-  const bool sound = request.has_mark && !request.mark.empty() && request.mark.size() <= marks_.longest;
+  const bool sound = request.has_idempotency_key && !request.idempotency_key.empty() && request.idempotency_key.size() <= marks_.longest;
   if (needs_mark(request, type) && !sound) {
     counters_.add(Count::kBadParams);
     return put(caller, wire::encode_error(request.id, wire::RpcError::kParams,
-                                          request.has_mark ? "bad key" : "no key"));
+                                          request.has_idempotency_key ? "bad key" : "no key"));
   }
-  // Guards against an op whose share nobody could count: it would use another customer's.
-  const int customer = catalog_.find_tenant(request.customer);
-  if (catalog_.customers() > 0 && customer < 0) {
+  // Guards against a request whose share nobody could count: it would use another tenant's.
+  const int tenant = catalog_.find_tenant(request.tenant);
+  if (catalog_.tenant_count() > 0 && tenant < 0) {
     counters_.add(Count::kBadParams);
     return put(caller, wire::encode_error(request.id, wire::RpcError::kParams,
-                                          request.customer.empty() ? "no customer" : "unknown customer"));
+                                          request.tenant.empty() ? "no customer" : "unknown customer"));
   }
   if (events_.in_use(request.txn)) {
     counters_.add(Count::kBadIds);
     return put(caller, wire::encode_error(request.id, wire::RpcError::kRequest, "txn in use"));
   }
-  IncomingOp op;
-  op.id = request.txn;
-  op.type = type;
-  op.customer = std::max(customer, 0);
-  op.caller = request.caller;
-  op.again = request.again;
-  op.key = request.has_item ? request.item : 0;
-  op.held_kb = request.held_kb;
-  op.door = request.door_ms * kSecondsPerMs;
-  op.limit = request.limit_ms * kSecondsPerMs;
-  op.work = request.work_ms * kSecondsPerMs;
-  op.mark = std::move(request.mark);
-  op.body = std::move(request.body);
-  op.ticket = {tag, request.id};
+  IncomingRequest incoming;
+  incoming.id = request.txn;
+  incoming.route = type;
+  incoming.tenant = std::max(tenant, 0);
+  incoming.caller = request.caller;
+  incoming.is_retry = request.is_retry;
+  incoming.subject = request.has_subject ? request.subject : 0;
+  incoming.size_kb = request.size_kb;
+  incoming.received_at = request.received_at_ms * kSecondsPerMs;
+  incoming.client_timeout = request.client_timeout_ms * kSecondsPerMs;
+  incoming.work_hint = request.work_ms * kSecondsPerMs;
+  incoming.idempotency_key = std::move(request.idempotency_key);
+  incoming.body = std::move(request.body);
+  incoming.reply_to = {tag, request.id};
   --caller.faults;
   caller.has_asked = true;
-  if (limits_.door != nullptr) limits_.door->asked(tag);
-  caller.requests[request.id] = {op.id, op.type};
-  events_.on_op_read(std::move(op));
+  if (limits_.connection_admission != nullptr) limits_.connection_admission->asked(tag);
+  caller.requests[request.id] = {incoming.id, incoming.route};
+  events_.on_request_read(std::move(incoming));
 }
 
 // Whether its repeats are told by the member that operators name.
-bool Callers::needs_mark(const wire::RpcRequest& request, int type) const {
-  return !marks_.field.empty() && catalog_.op_type(type).effect == Effect::kKeyed &&
+bool JsonRpcServer::needs_mark(const wire::RpcRequest& request, int type) const {
+  return !marks_.field.empty() && catalog_.route(type).idempotency == Idempotency::kWithKey &&
          !marks_.by_digest.contains(request.method);
 }
 
-void Callers::put(Caller& caller, const std::string& text) {
+void JsonRpcServer::put(Caller& caller, const std::string& text) {
   if (!caller.connection->open()) return;
   caller.connection->send(text);
   if (caller.connection->open()) counters_.add(Count::kBytesOut, text.size());
 }
 
-void Callers::answer(Ticket ticket, const std::string& text, bool acked) {
+void JsonRpcServer::answer(ReplyAddress ticket, const std::string& text, bool succeeded) {
   const auto found = open_.find(ticket.connection);
   if (found == open_.end()) return;
   Caller& caller = found->second;
@@ -310,42 +310,42 @@
   if (request.empty()) return;
   traffic(caller);
   put(caller, text);
-  if (acked && limits_.door != nullptr) limits_.door->acked(ticket.connection, request.mapped().type);
+  if (succeeded && limits_.connection_admission != nullptr) limits_.connection_admission->succeeded(ticket.connection, request.mapped().type);
   note_busy(caller);
   after_answer(caller);
 }
 
 // A caller that has closed its side gets its last answer and then our end.
-void Callers::after_answer(Caller& caller) {
+void JsonRpcServer::after_answer(Caller& caller) {
   if (caller.requests.empty() && caller.input_over && caller.connection->waiting() == 0)
     caller.connection->end();
 }
 
-void Callers::answer_acked(Ticket ticket, std::string_view result) {
+void JsonRpcServer::answer_succeeded(ReplyAddress ticket, std::string_view result) {
   answer(ticket, wire::encode_result(ticket.number, result), true);
 }
-void Callers::answer_nacked(Ticket ticket, double come_back_in, bool no_retry) {
-  answer(ticket, wire::encode_nack(ticket.number, come_back_in / kSecondsPerMs, no_retry));
+void JsonRpcServer::answer_rejected(ReplyAddress ticket, double retry_after, bool no_retry) {
+  answer(ticket, wire::encode_rejection(ticket.number, retry_after / kSecondsPerMs, no_retry));
 }
-void Callers::answer_failed(Ticket ticket, Failure why) {
+void JsonRpcServer::answer_failed(ReplyAddress ticket, FailureReason why) {
   switch (why) {
-    case Failure::kPlain:
-    case Failure::kNotKnown:  // callers do not ask so
+    case FailureReason::kPlain:
+    case FailureReason::kNotKnown:  // callers do not ask so
       return answer(ticket, wire::encode_error(ticket.number, wire::RpcError::kFailed, "failed"));
-    case Failure::kOutcomeUnknown:
+    case FailureReason::kOutcomeUnknown:
       return answer(ticket, wire::encode_error(ticket.number, wire::RpcError::kOutcomeUnknown,
                                                "a try of this op has run; its outcome is unknown"));
-    case Failure::kKeyConflict:
+    case FailureReason::kKeyConflict:
       return answer(ticket, wire::encode_error(ticket.number, wire::RpcError::kKeyConflict,
                                                "this key belongs to an op with another body"));
   }
 }
-void Callers::answer_check(Ticket ticket, bool good) {
+void JsonRpcServer::answer_check(ReplyAddress ticket, bool good) {
   if (good) counters_.add(Count::kChecksGood);
   answer(ticket, wire::encode_check(ticket.number, good));
 }
 
-void Callers::on_output_sent(net::Connection& connection) {
+void JsonRpcServer::on_output_sent(net::Connection& connection) {
   const auto found = open_.find(connection.tag);
   if (found == open_.end()) return;
   connection.pause_reading(false);
@@ -354,40 +354,40 @@
   after_answer(found->second);
 }
 
-void Callers::on_end_of_input(net::Connection& connection) {
+void JsonRpcServer::on_end_of_input(net::Connection& connection) {
   const auto found = open_.find(connection.tag);
   if (found == open_.end()) return;
   found->second.input_over = true;
   after_answer(found->second);
 }
 
-void Callers::on_end(net::Connection& connection, net::End why) {
+void JsonRpcServer::on_end(net::Connection& connection, net::End why) {
   const auto found = open_.find(connection.tag);
   if (found == open_.end()) return;
   const Caller caller = std::move(found->second);
   by_traffic_.erase(caller.place);
   open_.erase(found);
-  if (limits_.door != nullptr) {
+  if (limits_.connection_admission != nullptr) {
     if (!caller.has_asked && why == net::End::kBroken)
-      limits_.door->wasted(connection.tag, conns::Waste::kReset);
-    limits_.door->ended(connection.tag);
+      limits_.connection_admission->wasted(connection.tag, conns::Waste::kReset);
+    limits_.connection_admission->ended(connection.tag);
   } else if (limits_.share != nullptr && !caller.evicted) {
     limits_.share->closed(limits_.front);
   }
   counters_.add(why == net::End::kInOrder    ? Count::kCallersClosed
                 : why == net::End::kOverflow ? Count::kSlowPeers
                                              : Count::kCallersReset);
-  std::vector<OpId> gone;
+  std::vector<RequestId> gone;
   for (const auto& [number, request] : caller.requests) {
     if (request.id != 0) gone.push_back(request.id);
   }
   std::sort(gone.begin(), gone.end());
-  for (const OpId id : gone) events_.on_caller_gone(id);
+  for (const RequestId id : gone) events_.on_caller_gone(id);
 }
 
 // Every connection costs a descriptor and memory: each has to ask, to finish what it began and to take its
 // answers, or it goes. Guards against callers that say nothing, stall in a request or never read.
-void Callers::look_over() {
+void JsonRpcServer::look_over() {
   const double now = net::monotonic_now();
   for (auto& [tag, caller] : open_) {
     net::Connection& connection = *caller.connection;
@@ -418,17 +418,17 @@
 
 // With a door, bytes are owed by the second, both ways. Guards against who drips a request in, or takes his
 // answers a byte at a time, and is never silent.
-void Callers::look_at(Caller& caller, double now) {
-  if (limits_.door == nullptr) return;
+void JsonRpcServer::look_at(Caller& caller, double now) {
+  if (limits_.connection_admission == nullptr) return;
   net::Connection& connection = *caller.connection;
   if (connection.waiting() > 0 && !caller.output_pace.running())
     caller.output_pace.begin(now, connection.bytes_out());
-  if (caller.output_pace.too_slow(now, connection.bytes_out(), limits_.door->output_terms())) {
+  if (caller.output_pace.too_slow(now, connection.bytes_out(), limits_.connection_admission->output_terms())) {
     wasted(caller, conns::Waste::kSlow);
     return connection.close(net::End::kOverflow);
   }
   if (caller.half_since < 0 ||
-      !caller.input_pace.too_slow(now, connection.bytes_in(), limits_.door->input_terms()))
+      !caller.input_pace.too_slow(now, connection.bytes_in(), limits_.connection_admission->input_terms()))
     return;
   counters_.add(Count::kHalfClosed);
   wasted(caller, conns::Waste::kHalf);
@@ -438,24 +438,24 @@
 }
 
 // ---- Idle connections and the end.
-void Callers::traffic(Caller& caller) {
+void JsonRpcServer::traffic(Caller& caller) {
   caller.last_traffic = net::monotonic_now();
   by_traffic_.splice(by_traffic_.end(), by_traffic_, caller.place);
 }
 
-void Callers::ask_no_more(Caller& caller) {
+void JsonRpcServer::ask_no_more(Caller& caller) {
   if (caller.asked_no_more >= 0) return;
   caller.asked_no_more = net::monotonic_now();
   counters_.add(Count::kCallersAsked);
   put(caller, wire::encode_no_more());
 }
 
-void Callers::ask_no_more() {
+void JsonRpcServer::ask_no_more() {
   no_more_ = true;
   for (auto& [tag, caller] : open_) ask_no_more(caller);
 }
 
-void Callers::close_idle(double after) {
+void JsonRpcServer::close_idle(double after) {
   idle_after_ = after;
   reactor_.cancel(idle_timer_);
   if (after > 0) look_for_idle();
@@ -463,7 +463,7 @@
 
 // The list is in the order of traffic, so that only those that are idle are looked at. A caller that is asked
 // for no more closes by itself: nothing that crosses is lost. One that does not is closed after a while.
-void Callers::look_for_idle() {
+void JsonRpcServer::look_for_idle() {
   const double now = net::monotonic_now();
   double next = idle_after_;
   for (auto it = by_traffic_.begin(); it != by_traffic_.end();) {
@@ -483,10 +483,10 @@
   idle_timer_ = reactor_.after(std::clamp(next, kIdleLook, kIdleLookMost), [this] { look_for_idle(); });
 }
 
-void Callers::stop_listening() { listener_.close(); }
+void JsonRpcServer::stop_listening() { listener_.close(); }
 
 // Each is read once more; what that brings is answered, and ended by a later call.
-void Callers::end_all() {
+void JsonRpcServer::end_all() {
   std::vector<std::shared_ptr<net::Connection>> all;
   for (const auto& [tag, caller] : open_) all.push_back(caller.connection);
   for (const auto& connection : all) {
--- a/src/peers/callers.h
+++ b/src/peers/json_rpc/server.h
@@ -1,4 +1,4 @@
-// The callers: edge nodes that send ops, and their health checks.
+// The callers: edge nodes that send requests, and their health checks.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 #include "catalog/catalog.h"
 #include "conns/share.h"
 #include "net/connection.h"
-#include "peers/door.h"
+#include "peers/connection_admission.h"
 #include "peers/ports.h"
 #include "watch/counters.h"
 #include "watch/logger.h"
@@ -20,7 +20,7 @@
 
 namespace damsonspoke::peers {
 
-class Callers : public Front, private net::ConnectionOwner {
+class JsonRpcServer : public Front, private net::ConnectionOwner {
  public:
   // Bytes a connection: a piece that is read at once, and the frame of under 9 KiB that began before it.
   static constexpr std::size_t kMostInput = 28 * 1024;
@@ -29,24 +29,24 @@
     std::size_t output_bytes = 0;   // of all connections together
     conns::Share* share = nullptr;  // with another front; none: this one has them all
     std::size_t front = 0;          // its number there
-    Door* door = nullptr;           // where operators have one; with it a share
+    ConnectionAdmission* connection_admission = nullptr;           // where operators have one; with it a share
   };
-  // The member of a request's params that tells a repeat, for op types that need it.
+  // The member of a request's params that tells a repeat, for routes that need it.
   struct Marks {
     std::string field;        // empty: none is read
     std::size_t longest = 0;  // bytes
-    // Op types whose repeats are told by a digest instead; other keyed ones need the member.
+    // Routes whose repeats are told by a digest instead; other keyed ones need the member.
     std::unordered_set<std::string> by_digest;
   };
-  // `catalog`: what ops and customers are called; their positions are what the stages know them by.
-  Callers(net::Reactor& reactor, const std::string& listen, const catalog::Catalog& catalog, Marks marks,
+  // `catalog`: what requests and tenants are called; their positions are what the stages know them by.
+  JsonRpcServer(net::Reactor& reactor, const std::string& listen, const catalog::Catalog& catalog, Marks marks,
           Limits limits, CallerEvents& events, Counters& counters, Logger& log);
-  ~Callers() override;
+  ~JsonRpcServer() override;
 
-  void answer_acked(Ticket ticket, std::string_view result) override;
-  void answer_nacked(Ticket ticket, double come_back_in, bool no_retry) override;
-  void answer_failed(Ticket ticket, Failure why) override;
-  void answer_check(Ticket ticket, bool good) override;
+  void answer_succeeded(ReplyAddress ticket, std::string_view result) override;
+  void answer_rejected(ReplyAddress ticket, double retry_after, bool no_retry) override;
+  void answer_failed(ReplyAddress ticket, FailureReason why) override;
+  void answer_check(ReplyAddress ticket, bool good) override;
   void close_idle(double after) override;
   void ask_no_more() override;
 
@@ -59,8 +59,8 @@
   struct Caller {
     std::shared_ptr<net::Connection> connection;
     struct Request {
-      OpId id = 0;    // 0: a check
-      int type = -1;  // of the op
+      RequestId id = 0;    // 0: a check
+      int type = -1;  // of the request
     };
     std::unordered_map<std::uint64_t, Request> requests;  // by number
     std::list<std::uint64_t>::iterator place;             // in by_traffic_
@@ -86,9 +86,9 @@
   void note_busy(Caller& caller);
   void look_at(Caller& caller, double now);
   void take(Caller& caller, std::uint64_t tag, std::string_view text);
-  void take_op(Caller& caller, std::uint64_t tag, wire::RpcRequest& request);
+  void take_request(Caller& caller, std::uint64_t tag, wire::RpcRequest& request);
   bool needs_mark(const wire::RpcRequest& request, int type) const;
-  void answer(Ticket ticket, const std::string& text, bool acked = false);
+  void answer(ReplyAddress ticket, const std::string& text, bool succeeded = false);
   void put(Caller& caller, const std::string& text);
   void traffic(Caller& caller);
   void ask_no_more(Caller& caller);
