--- a/src/peers/members.cpp
+++ b/src/peers/members/transport.cpp
@@ -1,4 +1,4 @@
-#include "peers/members.h"
+#include "peers/members/transport.h"
 
 #include <Poco/Exception.h>
 #include <Poco/Observer.h>
@@ -33,7 +33,7 @@
 
 }  // namespace
 
-Members::Members(net::Reactor& reactor, const MembersOptions& options, const std::string& name,
+MembershipTransport::MembershipTransport(net::Reactor& reactor, const MembersOptions& options, const std::string& name,
                  std::uint64_t epoch, std::uint64_t seed, Counters& counters, Logger& log)
     : reactor_(reactor),
       options_(options),
@@ -52,17 +52,17 @@
   socket_.setBlocking(false);
   listener_ = std::make_unique<net::Listener>(reactor_, at, [this](const net::Accepted& a) { on_accept(a); });
   reactor_.addEventHandler(
-      socket_, Poco::Observer<Members, Poco::Net::ReadableNotification>(*this, &Members::on_readable));
+      socket_, Poco::Observer<MembershipTransport, Poco::Net::ReadableNotification>(*this, &MembershipTransport::on_readable));
 }
 
-Members::~Members() {
+MembershipTransport::~MembershipTransport() {
   reactor_.cancel(timer_);
   for (auto& [tag, stream] : streams_) reactor_.cancel(stream.patience);
   reactor_.removeEventHandler(
-      socket_, Poco::Observer<Members, Poco::Net::ReadableNotification>(*this, &Members::on_readable));
+      socket_, Poco::Observer<MembershipTransport, Poco::Net::ReadableNotification>(*this, &MembershipTransport::on_readable));
 }
 
-void Members::begin() {
+void MembershipTransport::begin() {
   begun_ = true;
   listener_->pause(false);
   view_.begin(net::monotonic_now());
@@ -71,26 +71,26 @@
   timer_ = reactor_.at(view_.wake(), [this] { tick(); });
 }
 
-void Members::tick() {
+void MembershipTransport::tick() {
   view_.on_wake(net::monotonic_now());
   reactor_.cancel(timer_);
   timer_ = reactor_.at(view_.wake(), [this] { tick(); });
 }
 
-void Members::leave() {
+void MembershipTransport::leave() {
   if (begun_) view_.leave(net::monotonic_now());
 }
 
 // ---- Datagrams.
 
-bool Members::is_peer(const Poco::Net::SocketAddress& address) const {
+bool MembershipTransport::is_peer(const Poco::Net::SocketAddress& address) const {
   const auto client = plain(address);
   return client && std::any_of(options_.peers.begin(), options_.peers.end(),
                                [&](const conns::Prefix& prefix) { return prefix.holds(*client); });
 }
 
 // Addresses come from what members tell of one another. Guards against being made to write to anybody else.
-const Poco::Net::SocketAddress* Members::resolved(const std::string& address) {
+const Poco::Net::SocketAddress* MembershipTransport::resolved(const std::string& address) {
   const auto found = addresses_.find(address);
   if (found != addresses_.end()) return &found->second;
   try {
@@ -104,7 +104,7 @@
   }
 }
 
-bool Members::may_reach(const std::string& address) const {
+bool MembershipTransport::may_reach(const std::string& address) const {
   try {
     return is_peer(net::parse_address(address));
   } catch (const std::exception&) {
@@ -112,7 +112,7 @@
   }
 }
 
-void Members::send(const std::string& address, const members::Message& message) {
+void MembershipTransport::send(const std::string& address, const members::Message& message) {
   const Poco::Net::SocketAddress* to = resolved(address);
   if (to == nullptr) return;
   const std::string bytes = wm::encode(options_.cluster, message);
@@ -124,7 +124,7 @@
   counters_.add(Count::kMembersBytes, bytes.size());
 }
 
-void Members::on_readable(Poco::Net::ReadableNotification* notification) {
+void MembershipTransport::on_readable(Poco::Net::ReadableNotification* notification) {
   notification->release();
   if (!begun_) return;
   const double now = net::monotonic_now();
@@ -161,7 +161,7 @@
 
 // ---- Full exchanges: who connects sends first, the other answers and closes.
 
-Members::Stream& Members::add(std::shared_ptr<net::Connection> connection, bool ours) {
+MembershipTransport::Stream& MembershipTransport::add(std::shared_ptr<net::Connection> connection, bool ours) {
   const std::uint64_t tag = next_tag_++;
   connection->tag = tag;
   Stream& stream = streams_[tag];
@@ -174,7 +174,7 @@
   return stream;
 }
 
-void Members::exchange(const std::string& address) {
+void MembershipTransport::exchange(const std::string& address) {
   const Poco::Net::SocketAddress* to = resolved(address);
   if (to == nullptr || streams_.size() >= kMostStreams) return;
   const Poco::Net::SocketAddress from(net::parse_address(options_.bind).host(), 0);
@@ -183,7 +183,7 @@
   add(net::Connection::connecting(reactor_, *this, *to, limits, from), true);
 }
 
-void Members::on_accept(const net::Accepted& accepted) {
+void MembershipTransport::on_accept(const net::Accepted& accepted) {
   const Poco::Net::SocketAddress source(
       reinterpret_cast<const sockaddr*>(&accepted.from),
       accepted.from.ss_family == AF_INET ? sizeof(sockaddr_in) : sizeof(sockaddr_in6));
@@ -196,13 +196,13 @@
   if (!peer || !room) stream.connection->close(net::End::kBroken);
 }
 
-void Members::on_connected(net::Connection& connection) {
+void MembershipTransport::on_connected(net::Connection& connection) {
   const std::string bytes = wm::encode_exchange(options_.cluster, view_.full(net::monotonic_now()));
   counters_.add(Count::kMembersBytes, bytes.size());
   connection.send(bytes);
 }
 
-std::size_t Members::on_input(net::Connection& connection, std::string_view bytes) {
+std::size_t MembershipTransport::on_input(net::Connection& connection, std::string_view bytes) {
   const auto found = streams_.find(connection.tag);
   if (found == streams_.end() || found->second.answered) return bytes.size();
   const wm::ReadExchange read = wm::decode_exchange(options_.cluster, bytes);
@@ -228,16 +228,16 @@
   return bytes.size();
 }
 
-void Members::on_output_sent(net::Connection& connection) {
+void MembershipTransport::on_output_sent(net::Connection& connection) {
   const auto found = streams_.find(connection.tag);
   if (found != streams_.end() && !found->second.ours && found->second.answered) connection.close();
 }
-void Members::on_end_of_input(net::Connection& connection) {
+void MembershipTransport::on_end_of_input(net::Connection& connection) {
   const auto found = streams_.find(connection.tag);
   // Half an exchange is none; what is still to be sent to who has asked goes on.
   if (found == streams_.end() || !found->second.answered) connection.close(net::End::kBroken);
 }
-void Members::on_end(net::Connection& connection, net::End /*why*/) {
+void MembershipTransport::on_end(net::Connection& connection, net::End /*why*/) {
   const auto found = streams_.find(connection.tag);
   if (found == streams_.end()) return;
   reactor_.cancel(found->second.patience);
@@ -248,7 +248,7 @@
 
 // ---- What it tells.
 
-void Members::changed(const std::string& name, State state, const std::string& why) {
+void MembershipTransport::changed(const std::string& name, State state, const std::string& why) {
   log_.event(Level::kInfo, "members", "a member's state",
              {{"member", name}, {"state", members::text_of(state)}, {"why", why}});
   if (change_told_ || !on_change) return;
@@ -259,9 +259,9 @@
   });
 }
 
-void Members::noticed(const std::string& what) { log_.warn("members", "{}", what); }
+void MembershipTransport::noticed(const std::string& what) { log_.warn("members", "{}", what); }
 
-void Members::report() {
+void MembershipTransport::report() {
   const members::View::Counts& c = view_.counts();
   counters_.set(Count::kMembersDeaths, c.deaths);
   counters_.set(Count::kMembersPauses, c.pauses);
@@ -269,14 +269,14 @@
   counters_.set(Count::kMembersThere, view_.there() + 1);
 }
 
-std::vector<Seen> Members::seen() const { return view_.members(net::monotonic_now()); }
+std::vector<Seen> MembershipTransport::seen() const { return view_.members(net::monotonic_now()); }
 
-std::string Members::told(bool json) const {
+std::string MembershipTransport::told(bool json) const {
   const double now = net::monotonic_now();
   const std::vector<Seen> all = view_.members(now);
   const auto broken = view_.broken_links(now);
   const members::Record self = view_.self_record(now);
-  const auto below = [](members::Below b) {
+  const auto dependency = [](members::DependencyState b) {
     static const char* const names[] = {"unknown", "well", "slow", "gone"};
     return names[static_cast<int>(b)];
   };
@@ -303,7 +303,7 @@
                        {"build", s.told->build},        {"generation", s.told->generation},
                        {"digest", s.told->digest},      {"room", s.told->room},
                        {"load", s.told->load},          {"sheds", s.told->sheds},
-                       {"below", below(s.told->below)}, {"serves", s.told->serves}};
+                       {"below", dependency(s.told->dependency)}, {"serves", s.told->serves}};
         one["told_age_s"] = s.told_age;
       }
       page["members"].push_back(std::move(one));
--- a/src/peers/members.h
+++ b/src/peers/members/transport.h
@@ -19,12 +19,12 @@
 
 namespace damsonspoke::peers {
 
-class Members : private members::Port, private net::ConnectionOwner {
+class MembershipTransport : private members::Port, private net::ConnectionOwner {
  public:
   // Throws std::runtime_error with one plain line where an address can't be used.
-  Members(net::Reactor& reactor, const MembersOptions& options, const std::string& name, std::uint64_t epoch,
+  MembershipTransport(net::Reactor& reactor, const MembersOptions& options, const std::string& name, std::uint64_t epoch,
           std::uint64_t seed, Counters& counters, Logger& log);
-  ~Members() override;
+  ~MembershipTransport() override;
   void begin();
   void tell(members::Told told) { view_.tell(std::move(told)); }
   void leave();
--- a/src/peers/roster.cpp
+++ b/src/peers/registry/reporter.cpp
@@ -1,4 +1,4 @@
-#include "peers/roster.h"
+#include "peers/registry/reporter.h"
 
 #include "net/address.h"
 #include "wire/roster_report.h"
@@ -11,27 +11,27 @@
 
 }  // namespace
 
-Roster::Roster(net::Reactor& reactor, const std::string& address, std::string name, Counters& counters)
+RegistryReporter::RegistryReporter(net::Reactor& reactor, const std::string& address, std::string name, Counters& counters)
     : reactor_(reactor),
       name_(std::move(name)),
       counters_(counters),
       datagrams_(net::parse_address(address)) {}
 
-Roster::~Roster() { reactor_.cancel(timer_); }
+RegistryReporter::~RegistryReporter() { reactor_.cancel(timer_); }
 
-void Roster::report(bool takes_work) {
+void RegistryReporter::report(bool takes_work) {
   takes_work_ = takes_work;
   reports_ = true;
   reactor_.cancel(timer_);
   send();
 }
 
-void Roster::move_to(const std::string& address) {
+void RegistryReporter::move_to(const std::string& address) {
   datagrams_.move_to(net::parse_address(address));
   if (reports_) report(takes_work_);
 }
 
-void Roster::send() {
+void RegistryReporter::send() {
   if (datagrams_.send(wire::encode_report(name_, takes_work_))) counters_.add(Count::kRosterReports);
   timer_ = reactor_.after(kEvery, [this] { send(); });
 }
--- a/src/peers/roster.h
+++ b/src/peers/registry/reporter.h
@@ -10,10 +10,10 @@
 
 namespace damsonspoke::peers {
 
-class Roster : public RosterPort {
+class RegistryReporter : public RegistryPort {
  public:
-  Roster(net::Reactor& reactor, const std::string& address, std::string name, Counters& counters);
-  ~Roster() override;
+  RegistryReporter(net::Reactor& reactor, const std::string& address, std::string name, Counters& counters);
+  ~RegistryReporter() override;
   void report(bool takes_work) override;
   void move_to(const std::string& address);
 
--- a/src/peers/runtime.cpp
+++ b/src/peers/runtime/client.cpp
@@ -1,4 +1,4 @@
-#include "peers/runtime.h"
+#include "peers/runtime/client.h"
 
 #include <algorithm>
 
@@ -22,14 +22,14 @@
     case wire::RunEnd::kComplete: return Outcome::kOk;
     case wire::RunEnd::kError: return Outcome::kError;
     case wire::RunEnd::kCancelled: return Outcome::kCancelled;
-    case wire::RunEnd::kUnknown: return Outcome::kMoot;
+    case wire::RunEnd::kUnknown: return Outcome::kObsolete;
   }
   return Outcome::kError;
 }
 
 }  // namespace
 
-Runtime::Runtime(net::Reactor& reactor, const std::string& address, std::size_t output_bytes,
+RuntimeClient::RuntimeClient(net::Reactor& reactor, const std::string& address, std::size_t output_bytes,
                  std::vector<Gauge> gauges, RuntimeEvents& events, Counters& counters, Logger& log)
     : reactor_(reactor),
       address_(address),
@@ -43,12 +43,12 @@
   look_for_silence();
 }
 
-Runtime::~Runtime() {
+RuntimeClient::~RuntimeClient() {
   reactor_.cancel(connect_timer_);
   reactor_.cancel(silence_timer_);
 }
 
-void Runtime::connect() {
+void RuntimeClient::connect() {
   reactor_.cancel(connect_timer_);
   coming_ = net::Connection::connecting(reactor_, *this, net::parse_address(address_),
                                         {kInputBytes, output_bytes_});
@@ -59,14 +59,14 @@
 
 // The old link serves until the new one is made. Guards against addresses that change under load, again
 // before the last change is through, or while there is no link at all.
-void Runtime::move_to(const std::string& address) {
+void RuntimeClient::move_to(const std::string& address) {
   if (address == address_) return;
   address_ = address;
   if (coming_) coming_->close();
   connect();
 }
 
-void Runtime::on_connected(net::Connection& connection) {
+void RuntimeClient::on_connected(net::Connection& connection) {
   counters_.add(Count::kRuntimeLinks);
   if (link_) {
     link_->close();
@@ -80,9 +80,9 @@
   connection.send(wire::encode_sync(last_notice_));
 }
 
-void Runtime::on_end_of_input(net::Connection& connection) { connection.close(net::End::kBroken); }
+void RuntimeClient::on_end_of_input(net::Connection& connection) { connection.close(net::End::kBroken); }
 
-void Runtime::on_end(net::Connection& connection, net::End /*why*/) {
+void RuntimeClient::on_end(net::Connection& connection, net::End /*why*/) {
   if (&connection == coming_.get()) {  // refused
     coming_.reset();
     reactor_.cancel(connect_timer_);
@@ -98,7 +98,7 @@
   }
 }
 
-std::size_t Runtime::on_input(net::Connection& connection, std::string_view bytes) {
+std::size_t RuntimeClient::on_input(net::Connection& connection, std::string_view bytes) {
   std::size_t used = 0;
   heard_at_ = net::monotonic_now();
   while (connection.open()) {
@@ -117,7 +117,7 @@
 }
 
 // Notices come in the order of their numbers; one that was read before is passed over.
-bool Runtime::is_new(std::uint64_t number) {
+bool RuntimeClient::is_new(std::uint64_t number) {
   if (number <= last_notice_) {
     counters_.add(Count::kRuntimeRepeats);
     return false;
@@ -136,7 +136,7 @@
   return true;
 }
 
-void Runtime::take_ready(const wire::Notice& notice) {
+void RuntimeClient::take_ready(const wire::Notice& notice) {
   greeted_ = true;
   const double now = net::monotonic_now();
   if (!ready_) {
@@ -149,13 +149,13 @@
 }
 
 // The process behind the address is another one: it knows none of the runs and counts its notices from 1.
-// Guards against notices that would be passed over as repeats for ever, ops that wait for ends that never
+// Guards against notices that would be passed over as repeats for ever, requests that wait for ends that never
 // come, and starts that would run a second time what the last one had run.
-void Runtime::begins_anew() {
+void RuntimeClient::begins_anew() {
   counters_.add(Count::kRuntimeAnew);
   log_.warn("runtime", "it has begun anew, its runs are gone");
   last_notice_ = gap_at_ = 0;
-  std::unordered_set<OpId> unsent;
+  std::unordered_set<RequestId> unsent;
   std::erase_if(unproven_, [&](const auto& each) {
     const Unproven& work = each.second.work;
     const bool never_left = work.number != 0 && work.begins && work.sends == 0;
@@ -166,7 +166,7 @@
   events_.on_runtime_anew(unsent);
 }
 
-void Runtime::take(const wire::Notice& notice) {
+void RuntimeClient::take(const wire::Notice& notice) {
   switch (notice.kind) {
     case wire::NoticeKind::kReady:
       take_ready(notice);
@@ -183,7 +183,7 @@
     }
     case wire::NoticeKind::kGauges: return take_gauges(notice);
     case wire::NoticeKind::kVerdict: return events_.on_verdict(notice.tag, notice.good);
-    case wire::NoticeKind::kNack: return take_nack(notice);
+    case wire::NoticeKind::kRejection: return take_rejection(notice);
     case wire::NoticeKind::kRemark:
       counters_.add(Count::kRuntimeInfos);
       if (notice.number == last_notice_ + 1) last_notice_ = notice.number;  // any other means nothing
@@ -195,8 +195,8 @@
   }
 }
 
-void Runtime::take_nack(const wire::Notice& notice) {
-  counters_.add(Count::kRuntimeNacks);
+void RuntimeClient::take_rejection(const wire::Notice& notice) {
+  counters_.add(Count::kRuntimeRejections);
   log_.warn("runtime", "did not carry out '{}' of {}", notice.command, wire::format_id(notice.id));
   if (notice.command != "start" && notice.command != "cont") return;
   // A resumption that was sent twice may have been carried out the first time.
@@ -206,7 +206,7 @@
   events_.on_not_started(notice.id);
 }
 
-void Runtime::take_gauges(const wire::Notice& notice) {
+void RuntimeClient::take_gauges(const wire::Notice& notice) {
   if (asked_at_ < 0 || notice.tag != tag_) return;
   const double now = net::monotonic_now();
   counters_.most(Count::kGaugesMostUs, static_cast<std::uint64_t>((now - asked_at_) * 1e6));
@@ -229,7 +229,7 @@
 
 // All that was missed has been read. What is still unproven is sent again, in its order: a start of what runs
 // already does nothing, and a run that went on after a reply would have told so.
-void Runtime::caught_up() {
+void RuntimeClient::caught_up() {
   synced_ = true;
   std::vector<Unproven*> again;
   for (auto& [id, of] : unproven_) {
@@ -247,16 +247,16 @@
   }
 }
 
-Gauges Runtime::gauges(double now) const { return now - gauges_at_ <= kGaugesFresh ? gauges_ : Gauges{}; }
+Gauges RuntimeClient::gauges(double now) const { return now - gauges_at_ <= kGaugesFresh ? gauges_ : Gauges{}; }
 
-void Runtime::ask_gauges() {
+void RuntimeClient::ask_gauges() {
   if (!greeted_ || asked_at_ >= 0 || !link_ || !link_->connected()) return;
   asked_at_ = net::monotonic_now();
   tag_commands_ = commands_;
   link_->send(wire::encode_ask_gauges(++tag_));
 }
 
-void Runtime::look_for_silence() {
+void RuntimeClient::look_for_silence() {
   // Before the runtime has come up for the first time it owes nothing, however long that takes.
   const bool owes = link_ && ready_ && (!greeted_ || asked_at_ >= 0);
   if (owes && net::monotonic_now() - std::max(asked_at_, heard_at_) > kSilence) {
@@ -266,12 +266,12 @@
   silence_timer_ = reactor_.after(kSilenceLook, [this] { look_for_silence(); });
 }
 
-void Runtime::send(std::string_view text) {
+void RuntimeClient::send(std::string_view text) {
   if (link_ && link_->connected()) link_->send(text);
 }
 
 // Until what was missed has been read, commands wait among the unproven.
-void Runtime::command(Unproven& slot, std::string text, bool begins) {
+void RuntimeClient::command(Unproven& slot, std::string text, bool begins) {
   slot.number = ++commands_;
   slot.text = std::move(text);
   slot.sends = 0;
@@ -279,24 +279,24 @@
   if (synced_) send(slot);
 }
 
-void Runtime::send(Unproven& one) {
+void RuntimeClient::send(Unproven& one) {
   ++one.sends;
   one.sent_at = net::monotonic_now();
   send(one.text);
 }
 
-void Runtime::start(OpId id, std::string_view type, std::string_view body) {
+void RuntimeClient::start(RequestId id, std::string_view type, std::string_view body) {
   command(unproven_[id].work, wire::encode_start(id, type, body), true);
 }
-void Runtime::stop(OpId id) { command(unproven_[id].stop, wire::encode_stop(id)); }
-void Runtime::resume(OpId id) { command(unproven_[id].work, wire::encode_resume(id)); }
-void Runtime::give(OpId id, std::string_view reply) {
+void RuntimeClient::stop(RequestId id) { command(unproven_[id].stop, wire::encode_stop(id)); }
+void RuntimeClient::resume(RequestId id) { command(unproven_[id].work, wire::encode_resume(id)); }
+void RuntimeClient::give(RequestId id, std::string_view reply) {
   command(unproven_[id].work, wire::encode_give(id, reply));
 }
-void Runtime::omit(OpId id, std::uint64_t notice) {
+void RuntimeClient::omit(RequestId id, std::uint64_t notice) {
   command(unproven_[id].work, wire::encode_omit(id, notice));
 }
-void Runtime::self_test(std::uint64_t tag) {
+void RuntimeClient::self_test(std::uint64_t tag) {
   counters_.add(Count::kSelfTests);
   if (synced_) send(wire::encode_self_test(tag));
 }
--- a/src/peers/runtime.h
+++ b/src/peers/runtime/client.h
@@ -18,28 +18,28 @@
 
 namespace damsonspoke::peers {
 
-class Runtime : public RuntimePort, private net::ConnectionOwner {
+class RuntimeClient : public RuntimePort, private net::ConnectionOwner {
  public:
   // Commands may wait in so many bytes of output; over that the link is opened anew.
-  Runtime(net::Reactor& reactor, const std::string& address, std::size_t output_bytes,
+  RuntimeClient(net::Reactor& reactor, const std::string& address, std::size_t output_bytes,
           std::vector<Gauge> gauges, RuntimeEvents& events, Counters& counters, Logger& log);
-  ~Runtime() override;
+  ~RuntimeClient() override;
 
   // The runtime is reached elsewhere from now on: runs and the numbers of notices go on.
   void move_to(const std::string& address);
 
-  void start(OpId id, std::string_view type, std::string_view body) override;
-  void stop(OpId id) override;
-  void resume(OpId id) override;
-  void give(OpId id, std::string_view reply) override;
-  void omit(OpId id, std::uint64_t notice) override;
-  void forget(OpId id) override { unproven_.erase(id); }
+  void start(RequestId id, std::string_view type, std::string_view body) override;
+  void stop(RequestId id) override;
+  void resume(RequestId id) override;
+  void give(RequestId id, std::string_view reply) override;
+  void omit(RequestId id, std::uint64_t notice) override;
+  void forget(RequestId id) override { unproven_.erase(id); }
   void self_test(std::uint64_t tag) override;
   void ask_gauges() override;
   Gauges gauges(double now) const override;
 
  private:
-  // A command that may not have arrived: kept until a later answer, or a notice about its op, shows that it
+  // A command that may not have arrived: kept until a later answer, or a notice about its request, shows that it
   // has.
   struct Unproven {
     std::uint64_t number = 0;  // 0: none
@@ -64,7 +64,7 @@
   void take_ready(const wire::Notice& notice);
   void begins_anew();
   void take_gauges(const wire::Notice& notice);
-  void take_nack(const wire::Notice& notice);
+  void take_rejection(const wire::Notice& notice);
   void caught_up();
   void command(Unproven& slot, std::string text, bool begins = false);
   void send(std::string_view text);
@@ -89,7 +89,7 @@
   double broke_at_ = -1e9;      // when the last link ended
   std::uint64_t commands_ = 0;  // sent so far, by number
   std::uint64_t proven_ = 0;    // all up to this one have arrived
-  std::unordered_map<OpId, UnprovenOf> unproven_;
+  std::unordered_map<RequestId, UnprovenOf> unproven_;
   std::uint64_t tag_ = 0;           // of the gauges asked for
   std::uint64_t tag_commands_ = 0;  // commands sent before that
   double asked_at_ = -1;            // < 0: not waiting for gauges
--- a/src/peers/forwarders.cpp
+++ b/src/peers/tier/forwarder_server.cpp
@@ -1,4 +1,4 @@
-#include "peers/forwarders.h"
+#include "peers/tier/forwarder_server.h"
 
 #include <unistd.h>
 
@@ -23,7 +23,7 @@
   return static_cast<std::uint32_t>(std::clamp(seconds * 1e6, 0.0, 4e9));
 }
 
-tier::HoldingsTerms terms_of(const Forwarders::Limits& limits) {
+tier::HoldingsTerms terms_of(const ForwarderServer::Limits& limits) {
   tier::HoldingsTerms terms;
   terms.kept_bytes = limits.kept_bytes;
   return terms;
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-Forwarders::Forwarders(net::Reactor& reactor, const std::string& listen, Self self, Limits limits,
+ForwarderServer::ForwarderServer(net::Reactor& reactor, const std::string& listen, Self self, Limits limits,
                        CallerEvents& events, Counters& counters, Logger& log)
     : reactor_(reactor),
       self_(std::move(self)),
@@ -46,9 +46,9 @@
   look();
 }
 
-Forwarders::~Forwarders() { reactor_.cancel(look_timer_); }
+ForwarderServer::~ForwarderServer() { reactor_.cancel(look_timer_); }
 
-void Forwarders::on_accept(const net::Accepted& accepted) {
+void ForwarderServer::on_accept(const net::Accepted& accepted) {
   const int fd = accepted.fd;
   if (static_cast<int>(links_.size()) >= limits_.links) {
     counters_.add(Count::kCallersTurnedAway);
@@ -64,7 +64,7 @@
   counters_.most(Count::kCallersMost, links_.size());
 }
 
-std::size_t Forwarders::on_input(net::Connection& connection, std::string_view bytes) {
+std::size_t ForwarderServer::on_input(net::Connection& connection, std::string_view bytes) {
   std::size_t used = 0;
   while (connection.open()) {
     const auto found = links_.find(connection.tag);
@@ -90,13 +90,13 @@
 }
 
 // False: the peer does not keep to the protocol.
-bool Forwarders::take(std::uint64_t tag, wt::Message& message) {
+bool ForwarderServer::take(std::uint64_t tag, wt::Message& message) {
   if (const auto* hello = std::get_if<wt::Hello>(&message)) return take_hello(tag, *hello);
   Link& link = links_.at(tag);
   if (link.forwarder == 0) return false;
   if (auto* submit = std::get_if<wt::Submit>(&message)) return take_submit(link, *submit);
   if (const auto* cancel = std::get_if<wt::Cancel>(&message)) {
-    if (const std::optional<OpId> op = holdings_.cancel(link.forwarder, cancel->attempt)) gone({*op});
+    if (const std::optional<RequestId> request = holdings_.cancel(link.forwarder, cancel->attempt)) gone({*request});
     return true;
   }
   if (const auto* fence = std::get_if<wt::Fence>(&message)) return take_fence(link, *fence), true;
@@ -104,7 +104,7 @@
   return false;
 }
 
-bool Forwarders::take_hello(std::uint64_t tag, const wt::Hello& hello) {
+bool ForwarderServer::take_hello(std::uint64_t tag, const wt::Hello& hello) {
   Link& link = links_.at(tag);
   if (link.forwarder != 0 || hello.planner || hello.version != wt::kVersion || hello.name.empty()) {
     log_.warn("forwarders", "a hello that is not served: version {}, from '{}'", hello.version, hello.name);
@@ -143,71 +143,71 @@
   return true;
 }
 
-bool Forwarders::take_submit(Link& link, wt::Submit& submit) {
-  const auto taking = holdings_.submit(link.forwarder, submit.attempt, submit.op,
-                                       submit.type < link.types.size() ? link.types[submit.type] : -1);
+bool ForwarderServer::take_submit(Link& link, wt::Submit& submit) {
+  const auto taking = holdings_.submit(link.forwarder, submit.attempt, submit.request,
+                                       submit.route < link.types.size() ? link.types[submit.route] : -1);
   // Numbers rise on a link: one that does not is either fenced off or no number of this protocol's.
   if (taking == tier::Holdings::Taking::kFenced) return counters_.add(Count::kTierFenced), true;
-  const Ticket ticket{link.forwarder, submit.attempt};
+  const ReplyAddress ticket{link.forwarder, submit.attempt};
   wt::Answer refusal;
   refusal.attempt = submit.attempt;
-  refusal.result = wt::Result::kNacked;
+  refusal.result = wt::Result::kRejected;
   if (taking == tier::Holdings::Taking::kTooMany) return put(link, refusal), true;
-  const int type = submit.type < link.types.size() ? link.types[submit.type] : -1;
+  const int type = submit.route < link.types.size() ? link.types[submit.route] : -1;
   if (type < 0) {
     counters_.add(Count::kBadTypes);
     refusal.no_retry = true;
     return answer(ticket, refusal), true;
   }
-  if (events_.in_use(submit.op)) {  // a former attempt at it still runs here
+  if (events_.in_use(submit.request)) {  // a former attempt at it still runs here
     counters_.add(Count::kBadIds);
     return answer(ticket, refusal), true;
   }
-  IncomingOp op;
-  op.id = submit.op;
-  op.type = type;
-  op.caller = submit.caller;
-  op.key = submit.key;
-  op.held_kb = std::max(1.0, static_cast<double>(submit.held)) / kSixteenth;
-  op.door = net::unix_now() - submit.age_us * kMicro;
-  if (submit.left_us != wt::kNoLimit)
-    op.limit = (static_cast<double>(submit.age_us) + submit.left_us) * kMicro;
-  op.mark = std::move(submit.mark);
-  op.body = std::move(submit.body);
-  op.known_only = submit.known_only;
-  op.ticket = ticket;
-  events_.on_op_read(std::move(op));
+  IncomingRequest request;
+  request.id = submit.request;
+  request.route = type;
+  request.caller = submit.caller;
+  request.subject = submit.subject;
+  request.size_kb = std::max(1.0, static_cast<double>(submit.size_sixteenth_kb)) / kSixteenth;
+  request.received_at = net::unix_now() - submit.age_us * kMicro;
+  if (submit.remaining_us != wt::kNoLimit)
+    request.client_timeout = (static_cast<double>(submit.age_us) + submit.remaining_us) * kMicro;
+  request.idempotency_key = std::move(submit.idempotency_key);
+  request.body = std::move(submit.body);
+  request.known_only = submit.known_only;
+  request.reply_to = ticket;
+  events_.on_request_read(std::move(request));
   return true;
 }
 
-void Forwarders::take_fence(Link& link, const wt::Fence& fence) {
+void ForwarderServer::take_fence(Link& link, const wt::Fence& fence) {
   const auto proof =
-      holdings_.fence(link.forwarder, fence.attempt, [this](OpId op) { return events_.has_started(op); });
+      holdings_.fence(link.forwarder, fence.attempt, [this](RequestId request) { return events_.has_started(request); });
   counters_.add(Count::kTierFences);
-  // Its op goes first: the proof is only true once nothing can start it any more.
+  // Its request goes first: the proof is only true once nothing can start it any more.
   if (proof.drop) events_.on_caller_gone(*proof.drop);
   put(link, proof.answer);
 }
 
-void Forwarders::gone(const std::vector<OpId>& ops) {
-  for (const OpId op : ops) events_.on_caller_gone(op);
+void ForwarderServer::gone(const std::vector<RequestId>& requests) {
+  for (const RequestId request : requests) events_.on_caller_gone(request);
 }
 
-void Forwarders::put(Link& link, const wt::Message& message) {
+void ForwarderServer::put(Link& link, const wt::Message& message) {
   if (!link.connection->open()) return;
   const std::string bytes = wt::encode(message);
   link.connection->send(bytes);
   counters_.add(Count::kBytesOut, bytes.size());
 }
 
-void Forwarders::answer(Ticket ticket, wt::Answer answer) {
+void ForwarderServer::answer(ReplyAddress ticket, wt::Answer answer) {
   answer.attempt = ticket.number;
   const tier::HeldAttempt* held = holdings_.find(ticket.connection, ticket.number);
   if (held == nullptr) return;
-  if (held->type >= 0) {
+  if (held->route >= 0) {
     const double now = net::monotonic_now();
-    answer.result == wt::Result::kNacked
-        ? worth_.nacked(self_.importance[static_cast<std::size_t>(held->type)], now)
+    answer.result == wt::Result::kRejected
+        ? worth_.rejected(self_.priority_weight[static_cast<std::size_t>(held->route)], now)
         : worth_.taken(now);
   }
   const std::uint64_t link = holdings_.answered(ticket.connection, answer);
@@ -215,38 +215,38 @@
   if (found != links_.end()) put(found->second, answer);
 }
 
-void Forwarders::answer_acked(Ticket ticket, std::string_view result) {
+void ForwarderServer::answer_succeeded(ReplyAddress ticket, std::string_view result) {
   wt::Answer out;
-  out.result = wt::Result::kAcked;
+  out.result = wt::Result::kSucceeded;
   out.body = result;
   answer(ticket, std::move(out));
 }
-void Forwarders::answer_nacked(Ticket ticket, double come_back_in, bool no_retry) {
+void ForwarderServer::answer_rejected(ReplyAddress ticket, double retry_after, bool no_retry) {
   wt::Answer out;
-  out.result = wt::Result::kNacked;
-  out.come_back_us = micros(come_back_in);
+  out.result = wt::Result::kRejected;
+  out.retry_after_us = micros(retry_after);
   out.no_retry = no_retry;
   answer(ticket, std::move(out));
 }
-void Forwarders::answer_failed(Ticket ticket, Failure why) {
+void ForwarderServer::answer_failed(ReplyAddress ticket, FailureReason why) {
   wt::Answer out;
-  out.result = why == Failure::kNotKnown         ? wt::Result::kNotKnown
-               : why == Failure::kOutcomeUnknown ? wt::Result::kUnknown
-               : why == Failure::kKeyConflict    ? wt::Result::kConflict
+  out.result = why == FailureReason::kNotKnown         ? wt::Result::kNotKnown
+               : why == FailureReason::kOutcomeUnknown ? wt::Result::kUnknown
+               : why == FailureReason::kKeyConflict    ? wt::Result::kConflict
                                                  : wt::Result::kFailed;
   answer(ticket, std::move(out));
 }
 
-void Forwarders::began(bool cold, double ago) {
+void ForwarderServer::began(bool cold, double ago) {
   windows_.began(cold, net::monotonic_now() - ago);
   tell_windows(false);
 }
 
-void Forwarders::hand_out(double now) {
+void ForwarderServer::hand_out(double now) {
   windows_.look(now, [this](tier::Parts::Link forwarder) { return holdings_.open(forwarder); });
 }
 
-wt::Window Forwarders::window_now(const Link& link) {
+wt::Window ForwarderServer::window_now(const Link& link) {
   const double now = net::monotonic_now();
   wt::Window window;
   window.window = windows_.window(link.forwarder, holdings_.linked(), now);
@@ -255,7 +255,7 @@
   return window;
 }
 
-void Forwarders::tell_windows(bool all) {
+void ForwarderServer::tell_windows(bool all) {
   hand_out(net::monotonic_now());
   for (auto& [tag, link] : links_) {
     if (link.forwarder == 0) continue;
@@ -268,22 +268,22 @@
   }
 }
 
-void Forwarders::health(bool good) {
+void ForwarderServer::health(bool good) {
   if (good == good_) return;
   good_ = good;
   tell_windows(true);
 }
 
-void Forwarders::ask_no_more() {
+void ForwarderServer::ask_no_more() {
   no_more_ = true;
   for (auto& [tag, link] : links_) {
     if (link.forwarder != 0) put(link, wt::NoMore{micros(self_.stop_after)});
   }
 }
 
-void Forwarders::stop_listening() { listener_.close(); }
+void ForwarderServer::stop_listening() { listener_.close(); }
 
-void Forwarders::end_all() {
+void ForwarderServer::end_all() {
   std::vector<std::shared_ptr<net::Connection>> all;
   for (const auto& [tag, link] : links_) all.push_back(link.connection);
   for (const auto& connection : all) connection->read_now();
@@ -293,7 +293,7 @@
 
 // A link must say hello, and then something whole every so often. Guards against links that stall in the
 // middle of a frame, and forwarders that are gone without an end.
-void Forwarders::look() {
+void ForwarderServer::look() {
   const double now = net::monotonic_now();
   for (auto& [tag, link] : links_) {
     const double patience = link.forwarder == 0 ? kHello : kSilence;
@@ -307,9 +307,9 @@
   look_timer_ = reactor_.after(kLook, [this] { look(); });
 }
 
-void Forwarders::on_end_of_input(net::Connection& connection) { connection.close(); }
+void ForwarderServer::on_end_of_input(net::Connection& connection) { connection.close(); }
 
-void Forwarders::on_end(net::Connection& connection, net::End why) {
+void ForwarderServer::on_end(net::Connection& connection, net::End why) {
   const auto found = links_.find(connection.tag);
   if (found == links_.end()) return;
   if (found->second.forwarder != 0) {
--- a/src/peers/forwarders.h
+++ b/src/peers/tier/forwarder_server.h
@@ -1,5 +1,5 @@
-// The forwarders: a front on which ops come from the tier in front instead of callers. Many ops share a link;
-// an op's ticket names its forwarder and attempt, so that its answer finds the forwarder on whatever link it
+// The forwarders: a front on which requests come from the tier in front instead of callers. Many requests share a link;
+// a request's ticket names its forwarder and attempt, so that its answer finds the forwarder on whatever link it
 // has by then.
 #pragma once
 
@@ -20,7 +20,7 @@
 
 namespace damsonspoke::peers {
 
-class Forwarders : public Front, private net::ConnectionOwner {
+class ForwarderServer : public Front, private net::ConnectionOwner {
  public:
   static constexpr std::size_t kMostInput = wire::tier::kMostFrame + wire::tier::kHead;  // bytes a link
   struct Limits {
@@ -34,16 +34,16 @@
     tier::Warming warming;
     double stop_after = 0;  // s
     std::vector<std::string> types;
-    std::vector<double> importance;  // by op type
+    std::vector<double> priority_weight;  // by route
   };
-  Forwarders(net::Reactor& reactor, const std::string& listen, Self self, Limits limits, CallerEvents& events,
+  ForwarderServer(net::Reactor& reactor, const std::string& listen, Self self, Limits limits, CallerEvents& events,
              Counters& counters, Logger& log);
-  ~Forwarders() override;
+  ~ForwarderServer() override;
 
-  void answer_acked(Ticket ticket, std::string_view result) override;
-  void answer_nacked(Ticket ticket, double come_back_in, bool no_retry) override;
-  void answer_failed(Ticket ticket, Failure why) override;
-  void answer_check(Ticket, bool) override {}  // forwarders ask for none
+  void answer_succeeded(ReplyAddress ticket, std::string_view result) override;
+  void answer_rejected(ReplyAddress ticket, double retry_after, bool no_retry) override;
+  void answer_failed(ReplyAddress ticket, FailureReason why) override;
+  void answer_check(ReplyAddress, bool) override {}  // forwarders ask for none
   void close_idle(double) override {}          // links stay
   void ask_no_more() override;
   void began(bool cold, double ago) override;
@@ -73,13 +73,13 @@
   bool take_hello(std::uint64_t tag, const wire::tier::Hello& hello);
   bool take_submit(Link& link, wire::tier::Submit& submit);
   void take_fence(Link& link, const wire::tier::Fence& fence);
-  void answer(Ticket ticket, wire::tier::Answer answer);
+  void answer(ReplyAddress ticket, wire::tier::Answer answer);
   void put(Link& link, const wire::tier::Message& message);
   void hand_out(double now);
   wire::tier::Window window_now(const Link& link);
   void tell_windows(bool all);
   void look();
-  void gone(const std::vector<OpId>& ops);
+  void gone(const std::vector<RequestId>& requests);
 
   net::Reactor& reactor_;
   const Self self_;
--- a/src/peers/planners.cpp
+++ b/src/peers/tier/planner_client.cpp
@@ -1,4 +1,4 @@
-#include "peers/planners.h"
+#include "peers/tier/planner_client.h"
 
 #include <algorithm>
 #include <limits>
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-Planners::Planners(net::Reactor& reactor, Self self, std::size_t output_bytes, PlannerEvents& events,
+PlannerClient::PlannerClient(net::Reactor& reactor, Self self, std::size_t output_bytes, PlannerEvents& events,
                    Counters& counters, Logger& log)
     : reactor_(reactor),
       self_(std::move(self)),
@@ -31,20 +31,20 @@
   look();
 }
 
-Planners::~Planners() {
+PlannerClient::~PlannerClient() {
   reactor_.cancel(look_timer_);
   for (const auto& link : links_) reactor_.cancel(link->again);
   links_.clear();  // before the pool that they are charged to
 }
 
-void Planners::add(const std::string& address) {
+void PlannerClient::add(const std::string& address) {
   net::parse_address(address);  // a wrong one is told at the start
   links_.push_back(std::make_unique<Link>());
   links_.back()->address = address;
   connect(static_cast<int>(links_.size()) - 1);
 }
 
-void Planners::connect(int planner) {
+void PlannerClient::connect(int planner) {
   Link& link = at(planner);
   if (!link.wanted) return;
   link.given = 0;
@@ -58,7 +58,7 @@
   link.connection->tag = static_cast<std::uint64_t>(planner);
 }
 
-void Planners::on_connected(net::Connection& connection) {
+void PlannerClient::on_connected(net::Connection& connection) {
   Link& link = at(static_cast<int>(connection.tag));
   counters_.add(Count::kTierLinks);
   link.heard_at = net::monotonic_now();
@@ -69,7 +69,7 @@
   put(link, hello);
 }
 
-bool Planners::put(Link& link, const wt::Message& message) {
+bool PlannerClient::put(Link& link, const wt::Message& message) {
   if (!link.connection || !link.connection->open()) return false;
   const std::string bytes = wt::encode(message);
   link.connection->send(bytes);
@@ -79,7 +79,7 @@
 }
 
 // What has left may have arrived; what has not, as a whole frame, has not.
-void Planners::submit(int planner, const wt::Submit& submit) {
+void PlannerClient::submit(int planner, const wt::Submit& submit) {
   Link& link = at(planner);
   const bool given = put(link, submit);
   link.unproven.emplace_back(given ? link.given : std::numeric_limits<std::uint64_t>::max(), submit.attempt);
@@ -87,15 +87,15 @@
   const std::uint64_t left = link.given - link.connection->waiting();
   while (!link.unproven.empty() && link.unproven.front().first <= left) link.unproven.pop_front();
 }
-void Planners::cancel(int planner, std::uint64_t attempt) { put(at(planner), wt::Cancel{attempt}); }
-void Planners::fence(int planner, std::uint64_t attempt) { put(at(planner), wt::Fence{attempt}); }
+void PlannerClient::cancel(int planner, std::uint64_t attempt) { put(at(planner), wt::Cancel{attempt}); }
+void PlannerClient::fence(int planner, std::uint64_t attempt) { put(at(planner), wt::Fence{attempt}); }
 
-void Planners::remove(int planner) {
+void PlannerClient::remove(int planner) {
   at(planner).wanted = false;
   at(planner).leaving = true;
 }
 
-void Planners::restore(int planner) {
+void PlannerClient::restore(int planner) {
   Link& link = at(planner);
   if (link.wanted) return;
   link.wanted = true;
@@ -105,17 +105,17 @@
   if (!link.connection) connect(planner);
 }
 
-void Planners::done_with(int planner) {
+void PlannerClient::done_with(int planner) {
   Link& link = at(planner);
   if (link.leaving && link.connection && link.connection->open()) link.connection->close();
 }
 
-std::size_t Planners::linked() const {
+std::size_t PlannerClient::linked() const {
   return static_cast<std::size_t>(
       std::count_if(links_.begin(), links_.end(), [](const auto& link) { return link->greeted; }));
 }
 
-std::size_t Planners::on_input(net::Connection& connection, std::string_view bytes) {
+std::size_t PlannerClient::on_input(net::Connection& connection, std::string_view bytes) {
   const int planner = static_cast<int>(connection.tag);
   std::size_t used = 0;
   while (connection.open()) {
@@ -133,7 +133,7 @@
   return used;
 }
 
-bool Planners::take(int planner, const wt::Message& message) {
+bool PlannerClient::take(int planner, const wt::Message& message) {
   Link& link = at(planner);
   if (const auto* hello = std::get_if<wt::Hello>(&message)) {
     if (link.greeted || !hello->planner || hello->version != wt::kVersion) return false;
@@ -158,9 +158,9 @@
   return std::holds_alternative<wt::Pong>(message);
 }
 
-void Planners::on_end_of_input(net::Connection& connection) { connection.close(net::End::kBroken); }
+void PlannerClient::on_end_of_input(net::Connection& connection) { connection.close(net::End::kBroken); }
 
-void Planners::on_end(net::Connection& connection, net::End /*why*/) {
+void PlannerClient::on_end(net::Connection& connection, net::End /*why*/) {
   const int planner = static_cast<int>(connection.tag);
   Link& link = at(planner);
   if (link.connection.get() != &connection) return;
@@ -185,7 +185,7 @@
 
 // Guards against a planner that hangs, a machine that is gone without an end, and a link that stalls in the
 // middle of a frame.
-void Planners::look() {
+void PlannerClient::look() {
   const double now = net::monotonic_now();
   for (const auto& link : links_) {
     if (!link->connection || !link->connection->open()) continue;
--- a/src/peers/planners.h
+++ b/src/peers/tier/planner_client.h
@@ -1,5 +1,5 @@
 // The planners behind a forwarder: one link each, opened again when it ends, with pings both ways. It knows
-// what of the ops that it was given ever left, and tells it when a link ends.
+// what of the requests that it was given ever left, and tells it when a link ends.
 #pragma once
 
 #include <deque>
@@ -24,7 +24,7 @@
   virtual void on_answer(int planner, std::uint64_t epoch, const wire::tier::Answer& answer) = 0;
 };
 
-class Planners : private net::ConnectionOwner {
+class PlannerClient : private net::ConnectionOwner {
  public:
   struct Self {
     std::string name;
@@ -33,9 +33,9 @@
     std::string from = {};  // the address, without a port, that links come from; empty: the system's choice
   };
   // `output_bytes`: of all links together.
-  Planners(net::Reactor& reactor, Self self, std::size_t output_bytes, PlannerEvents& events,
+  PlannerClient(net::Reactor& reactor, Self self, std::size_t output_bytes, PlannerEvents& events,
            Counters& counters, Logger& log);
-  ~Planners() override;
+  ~PlannerClient() override;
 
   void add(const std::string& address);  // at the next position
   void remove(int planner);              // its link ends once nothing is open there; see done_with()
--- a/src/quota.h
+++ b/src/quota.h
@@ -1,5 +1,5 @@
-// Whether a customer is within its quota at this backend: a token bucket each, and its part of what is read
-// here. Pure policy. Memory and work a request are bounded, however many customers there are.
+// Whether a tenant is within its quota at this backend: a token bucket each, and its part of what is read
+// here. Pure policy. Memory and work a request are bounded, however many tenants there are.
 #pragma once
 
 #include <cstdint>
@@ -11,28 +11,28 @@
 
 class Quotas {
  public:
-  Quotas(const Directory& directory, int servers);
+  Quotas(const RouteDirectory& directory, int servers);
 
-  bool on() const { return directory_.customers() > 0; }
-  // Counts a request of this customer as read, at `now` (s).
-  bool within(int customer, double now);
+  bool on() const { return directory_.tenant_count() > 0; }
+  // Counts a request of this tenant as read, at `now` (s).
+  bool within(int tenant, double now);
   // One that was admitted within its quota.
-  void spend(int customer);
+  void spend(int tenant);
 
  private:
-  // What is kept of a customer seen lately. One that has not been seen for long has a full bucket and no part
+  // What is kept of a tenant seen lately. One that has not been seen for long has a full bucket and no part
   // of the recent requests, so nothing is lost with its entry.
   struct Entry {
-    std::int32_t customer = -1;
-    std::uint32_t life = 0;
+    std::int32_t tenant = -1;
+    std::uint32_t generation = 0;
     double tokens = 0;
     double filled = 0;        // s
     double mix = 0;           // its part of the requests read, as of
     std::uint64_t reads = 0;  // so many read
   };
-  Entry& entry(int customer, std::uint32_t life);
+  Entry& entry(int tenant, std::uint32_t generation);
 
-  const Directory& directory_;
+  const RouteDirectory& directory_;
   const double servers_;
   std::vector<Entry> entries_;  // sets of kWays entries
   std::uint64_t reads_ = 0;     // requests read so far
--- a/src/results/database.cpp
+++ b/src/results/database.cpp
@@ -47,7 +47,7 @@
 std::int64_t sum_of(const Row& row) {
   XXH3_state_t state;
   XXH3_64bits_reset(&state);
-  const std::uint64_t fields[] = {row.key.high, row.key.low, row.op, row.fingerprint,
+  const std::uint64_t fields[] = {row.key.high, row.key.low, row.request, row.fingerprint,
                                   static_cast<std::uint64_t>(row.until_ms)};
   XXH3_64bits_update(&state, fields, sizeof fields);
   XXH3_64bits_update(&state, row.type.data(), row.type.size());
@@ -219,7 +219,7 @@
       *this,
       "insert or replace into entries(key, op, type, fingerprint, until_ms, sum, result, result_sum)"
       " values(?,?,?,?,?,?,null,null)");
-  put.bind(row.key).bind(static_cast<std::int64_t>(row.op)).bind(std::string_view(row.type));
+  put.bind(row.key).bind(static_cast<std::int64_t>(row.request)).bind(std::string_view(row.type));
   put.bind(static_cast<std::int64_t>(row.fingerprint)).bind(row.until_ms).bind(sum_of(row));
   put.step();
 }
@@ -242,7 +242,7 @@
   if (!get.bind(key).step()) return std::nullopt;
   Row row;
   row.key = key;
-  row.op = static_cast<OpId>(get.number(0));
+  row.request = static_cast<RequestId>(get.number(0));
   row.type = get.bytes(1);
   row.fingerprint = static_cast<Fingerprint>(get.number(2));
   row.until_ms = get.number(3);
@@ -265,7 +265,7 @@
     const std::string key = get.bytes(0);
     Row row;
     if (key.size() == kKeyBytes) row.key = read_key(key.data());
-    row.op = static_cast<OpId>(get.number(1));
+    row.request = static_cast<RequestId>(get.number(1));
     row.type = get.bytes(2);
     row.fingerprint = static_cast<Fingerprint>(get.number(3));
     row.until_ms = get.number(4);
--- a/src/results/database.h
+++ b/src/results/database.h
@@ -34,7 +34,7 @@
 
 struct Row {
   Key key;
-  OpId op = 0;
+  RequestId request = 0;
   std::string type;
   Fingerprint fingerprint = 0;
   std::int64_t until_ms = 0;  // Unix; when its window ends
--- a/src/results/health.cpp
+++ b/src/results/health.cpp
@@ -62,7 +62,7 @@
 bool StoreHealth::should_open(double now) const {
   return state_ == StoreState::kOpening || (state_ == StoreState::kAway && now >= again_at_);
 }
-double StoreHealth::come_back_in(double now) const {
+double StoreHealth::retry_after(double now) const {
   switch (state_) {
     case StoreState::kSound: return 0;
     case StoreState::kOpening: return kFullPause;
--- a/src/results/health.h
+++ b/src/results/health.h
@@ -5,7 +5,7 @@
 //   unavailable  closed, and opened again after a pause; until then intents are refused
 //   damaged, newer, foreign  never touched again in this life: somebody has to look
 //
-// A keyed op whose intent is refused is nacked, never run; everything else is served as if nothing were
+// A keyed request whose intent is refused is rejected, never run; everything else is served as if nothing were
 // wrong.
 #pragma once
 
@@ -28,8 +28,8 @@
 
   bool takes_intents(double now) const;
   bool should_open(double now) const;  // it is not open, and it is time to try
-  // s until an op that was refused for this may come back to something better.
-  double come_back_in(double now) const;
+  // s until a request that was refused for this may come back to something better.
+  double retry_after(double now) const;
 
  private:
   StoreState state_ = StoreState::kOpening;
--- a/src/results/key.h
+++ b/src/results/key.h
@@ -8,7 +8,7 @@
 
 namespace damsonspoke::results {
 
-// 128 bits of XXH3 over what tells an op from all others. The seed is the store's own, so that nobody outside
+// 128 bits of XXH3 over what tells a request from all others. The seed is the store's own, so that nobody outside
 // can look for two marks that meet.
 struct Key {
   std::uint64_t high = 0;
@@ -20,7 +20,7 @@
   std::size_t operator()(const Key& key) const { return static_cast<std::size_t>(key.low); }
 };
 
-// Of the body, so that a mark that is used for two different ops is seen.
+// Of the body, so that a mark that is used for two different requests is seen.
 using Fingerprint = std::uint64_t;
 
 class KeyMaker {
@@ -28,7 +28,7 @@
   explicit KeyMaker(std::uint64_t seed = 0) : seed_(seed) {}
 
   Key marked(std::string_view type, std::string_view mark) const;
-  // Without a mark: the same caller (0: any) saying the same again is taken to mean the same op.
+  // Without a mark: the same caller (0: any) saying the same again is taken to mean the same request.
   Key digest(std::string_view type, std::uint32_t caller, std::string_view body) const;
   // A read of a subject. The body belongs to the key: another question about it is another read.
   Key read(std::string_view type, std::uint64_t subject, std::string_view body) const;
--- a/src/results/recovery.cpp
+++ b/src/results/recovery.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr double kSecondsPerMs = 0.001;
-constexpr double kUnknownType = 3600;  // s at most, for an op type that the settings no longer have: nobody
+constexpr double kUnknownType = 3600;  // s at most, for an route that the settings no longer have: nobody
                                        // can send it now, and the type may come back with the next settings
 
 }  // namespace
--- a/src/results/recovery.h
+++ b/src/results/recovery.h
@@ -17,16 +17,16 @@
 
 class Recovery {
  public:
-  // `windows`: s in which repeats may come, by op type; of those that are not there, none.
+  // `windows`: s in which repeats may come, by route; of those that are not there, none.
   explicit Recovery(std::unordered_map<std::string, double> windows);
 
   // Windows are written by the Unix clock, which may have been set since. One that was set back must not make
-  // a window longer than its op type's; one that was set forward ends windows early, which can't be told from
+  // a window longer than its route's; one that was set forward ends windows early, which can't be told from
   // time that has passed.
   Recovered read(const Row& row, std::int64_t now_unix_ms) const;
 
  private:
-  std::unordered_map<std::string, double> windows_;  // s, by op type
+  std::unordered_map<std::string, double> windows_;  // s, by route
   double longest_ = 0;
 };
 
--- a/src/results/store.h
+++ b/src/results/store.h
@@ -54,7 +54,7 @@
 
   bool takes_intents(double now) const { return health_.takes_intents(now) && waiting() < options_.queue; }
   bool roomy() const { return waiting() < options_.queue / 2 + 1; }  // for what can wait
-  double come_back_in(double now) const { return health_.come_back_in(now); }
+  double retry_after(double now) const { return health_.retry_after(now); }
   StoreState state() const { return health_.state(); }
   std::size_t waiting() const;    // jobs
   double slowest_commit() const;  // s so far
--- a/src/results/table.cpp
+++ b/src/results/table.cpp
@@ -15,7 +15,7 @@
   return kEntryBytes;
 }
 
-Table::Entry* Table::live(OpId id) {
+Table::Entry* Table::live(RequestId id) {
   const auto found = live_.find(id);
   return found == live_.end() ? nullptr : &entries_.at(found->second);
 }
@@ -24,7 +24,7 @@
   const auto found = entries_.find(key);
   return found == entries_.end() ? nullptr : &found->second;
 }
-const Table::Entry* Table::entry_of(OpId id) const {
+const Table::Entry* Table::entry_of(RequestId id) const {
   const auto found = live_.find(id);
   return found == live_.end() ? nullptr : find(found->second);
 }
@@ -116,7 +116,7 @@
   return {Meeting::kNoRoom, 0, ends_.empty() ? 0 : std::max(0.0, ends_.begin()->first - now)};
 }
 
-bool Table::reserve(double now, OpId id, const Key& key, Fingerprint fingerprint, Kind kind, double until) {
+bool Table::reserve(double now, RequestId id, const Key& key, Fingerprint fingerprint, Kind kind, double until) {
   const auto found = entries_.find(key);
   if (found != entries_.end()) {
     const Entry& old = found->second;
@@ -135,11 +135,11 @@
   return true;
 }
 
-void Table::start(OpId id) {
+void Table::start(RequestId id) {
   if (Entry* entry = live(id)) entry->state = State::kRunning;
 }
 
-Joined Table::join(OpId repeat, const Key& key) {
+Joined Table::join(RequestId repeat, const Key& key) {
   const auto found = entries_.find(key);
   if (found == entries_.end()) return Joined::kNeverRan;
   Entry& entry = found->second;
@@ -153,7 +153,7 @@
   return Joined::kWaits;
 }
 
-void Table::leave(OpId repeat) {
+void Table::leave(RequestId repeat) {
   const auto found = originals_.find(repeat);
   if (found == originals_.end()) return;
   const auto entry = entries_.find(found->second);
@@ -161,16 +161,16 @@
   originals_.erase(found);
 }
 
-std::vector<OpId> Table::no_longer_waiting(Entry& entry) {
-  for (const OpId repeat : entry.waiting) originals_.erase(repeat);
+std::vector<RequestId> Table::no_longer_waiting(Entry& entry) {
+  for (const RequestId repeat : entry.waiting) originals_.erase(repeat);
   return std::exchange(entry.waiting, {});
 }
 
 // ---- What becomes of an entry.
-std::vector<OpId> Table::release(OpId id) {
+std::vector<RequestId> Table::release(RequestId id) {
   Entry* entry = live(id);
   if (entry == nullptr) return {};
-  std::vector<OpId> waited = no_longer_waiting(*entry);
+  std::vector<RequestId> waited = no_longer_waiting(*entry);
   erase(entry->key);
   return waited;
 }
@@ -182,10 +182,10 @@
   ends_.insert({entry.until, entry.key});
 }
 
-std::vector<OpId> Table::end(double now, OpId id, std::string result) {
+std::vector<RequestId> Table::end(double now, RequestId id, std::string result) {
   Entry* entry = live(id);
   if (entry == nullptr) return {};
-  std::vector<OpId> waited = no_longer_waiting(*entry);
+  std::vector<RequestId> waited = no_longer_waiting(*entry);
   const bool shared = entry->kind == Kind::kShared;
   const bool too_long = result.size() > kMostResult;
   if (shared && (too_long || bounds_.fresh <= 0)) {
@@ -208,10 +208,10 @@
   return waited;
 }
 
-std::vector<OpId> Table::lose(double now, OpId id) {
+std::vector<RequestId> Table::lose(double now, RequestId id) {
   Entry* entry = live(id);
   if (entry == nullptr) return {};
-  std::vector<OpId> waited = no_longer_waiting(*entry);
+  std::vector<RequestId> waited = no_longer_waiting(*entry);
   if (entry->kind == Kind::kShared) {  // a read may run again
     erase(entry->key);
     return waited;
@@ -223,7 +223,7 @@
   return waited;
 }
 
-void Table::recover(OpId id, const Key& key, Fingerprint fingerprint, bool ended, double until) {
+void Table::recover(RequestId id, const Key& key, Fingerprint fingerprint, bool ended, double until) {
   if (entries_.contains(key)) return;
   Entry entry;
   entry.key = key;
@@ -267,7 +267,7 @@
     if (entry.result && entry.state != State::kEnded) return false;
     if (droppable_.contains({entry.touched, key})) ++droppable;
     waiting += entry.waiting.size();
-    for (const OpId repeat : entry.waiting) {
+    for (const RequestId repeat : entry.waiting) {
       const auto found = originals_.find(repeat);
       if (found == originals_.end() || found->second != key) return false;
     }
--- a/src/results/table.h
+++ b/src/results/table.h
@@ -1,4 +1,4 @@
-// What is remembered of ops whose repeats must not run again, or need not: the states that an entry goes
+// What is remembered of requests whose repeats must not run again, or need not: the states that an entry goes
 // through, who waits for it, and which entry makes room. Pure policy: the clock is handed in, and what is to
 // be written, sent or answered is returned. Seconds on one clock that never steps back; bytes.
 //
@@ -34,7 +34,7 @@
 struct Bounds {
   std::size_t bytes = 0;    // entries, results in memory, and room for the results of what has not ended
   std::size_t entries = 0;  // at least 1
-  bool stored = false;      // results of keyed ops are in a store too, and need not stay in memory
+  bool stored = false;      // results of keyed requests are in a store too, and need not stay in memory
   double fresh = 0;         // s; how long a read's answer may serve others
 };
 
@@ -42,13 +42,13 @@
   kNew,        // nothing like it is remembered: the module decides
   kRepeat,     // the module decides whether it joins
   kUnknown,    // its original has run with no known result: failed, never run
-  kOtherBody,  // its key belongs to an op that said something else
-  kNoRoom,     // nothing like it is remembered and nothing more can be: nacked, never ran
+  kOtherBody,  // its key belongs to a request that said something else
+  kNoRoom,     // nothing like it is remembered and nothing more can be: rejected, never ran
 };
 struct Met {
   Meeting what = Meeting::kNew;
-  OpId original = 0;        // of kRepeat
-  double come_back_in = 0;  // s, of kNoRoom: when the first entry ends its window; 0: nobody knows
+  RequestId original = 0;        // of kRepeat
+  double retry_after = 0;  // s, of kNoRoom: when the first entry ends its window; 0: nobody knows
 };
 
 enum class Joined {
@@ -68,28 +68,28 @@
 
   explicit Table(Bounds bounds) : bounds_(bounds) {}
 
-  // An op comes whose repeats could be known. Keeps nothing.
+  // A request comes whose repeats could be known. Keeps nothing.
   Met meet(double now, const Key& key, Fingerprint fingerprint, Kind kind);
   // The module keeps it, until its window ends. False where there is no room: it is not remembered.
-  bool reserve(double now, OpId id, const Key& key, Fingerprint fingerprint, Kind kind, double until);
+  bool reserve(double now, RequestId id, const Key& key, Fingerprint fingerprint, Kind kind, double until);
   // It is about to run: from now on it may have.
-  void start(OpId id);
+  void start(RequestId id);
   // A repeat is to be answered as its original is.
-  Joined join(OpId repeat, const Key& key);
+  Joined join(RequestId repeat, const Key& key);
   // A repeat is answered otherwise, or its caller has gone.
-  void leave(OpId repeat);
+  void leave(RequestId repeat);
 
   // What became of an entry: each returns the repeats that waited for it, in the order in which they came.
   // It is proven that nothing ran: the entry goes.
-  std::vector<OpId> release(OpId id);
+  std::vector<RequestId> release(RequestId id);
   // It ended with this result. A keyed one's is durable by now.
-  std::vector<OpId> end(double now, OpId id, std::string result);
+  std::vector<RequestId> end(double now, RequestId id, std::string result);
   // It has run, at least in part, and its result is not known.
-  std::vector<OpId> lose(double now, OpId id);
+  std::vector<RequestId> lose(double now, RequestId id);
 
   // What an earlier life remembered; taken whatever the bounds are, since it must be. Its result is in the
   // store. `until` is on this life's clock.
-  void recover(OpId id, const Key& key, Fingerprint fingerprint, bool ended, double until);
+  void recover(RequestId id, const Key& key, Fingerprint fingerprint, bool ended, double until);
   // An operator's wish. False where it is not there, or has not ended.
   bool drop(const Key& key);
 
@@ -102,16 +102,16 @@
   struct Entry {
     Key key;
     Fingerprint fingerprint = 0;
-    OpId id = 0;
+    RequestId id = 0;
     Kind kind = Kind::kKeyed;
     State state = State::kReserved;
     double until = 0;
     std::optional<std::string> result;  // of kEnded; without it, in the store
     std::uint64_t touched = 0;          // order in which results came to memory
-    std::vector<OpId> waiting;
+    std::vector<RequestId> waiting;
   };
   const Entry* find(const Key& key) const;
-  const Entry* entry_of(OpId id) const;  // that has not ended
+  const Entry* entry_of(RequestId id) const;  // that has not ended
   // Result of an ended entry, where it is in memory.
   const std::string* result(const Key& key) const;
 
@@ -132,13 +132,13 @@
   void erase(const Key& key);
   void let_go_of_result(Entry& entry);
   void settle(double now, Entry& entry);
-  std::vector<OpId> no_longer_waiting(Entry& entry);
-  Entry* live(OpId id);
+  std::vector<RequestId> no_longer_waiting(Entry& entry);
+  Entry* live(RequestId id);
 
   Bounds bounds_;
   Entries entries_;
-  std::unordered_map<OpId, Key> live_;                 // what has not ended, by its op
-  std::unordered_map<OpId, Key> originals_;            // of the repeats that wait
+  std::unordered_map<RequestId, Key> live_;                 // what has not ended, by its request
+  std::unordered_map<RequestId, Key> originals_;            // of the repeats that wait
   std::set<std::pair<double, Key>> ends_;              // of windows, of what has ended
   std::set<std::pair<std::uint64_t, Key>> droppable_;  // what need not be in memory, oldest first
   std::size_t bytes_ = 0;
--- a/src/settings/ajp_routes.cpp
+++ b/src/settings/ajp_routes.cpp
@@ -10,7 +10,7 @@
 namespace p = tao::pegtl;
 
 constexpr std::size_t kMostSegments = 32;
-constexpr double kMostHeldKb = 2000;  // as callers of the other front may ask for
+constexpr double kMaxSizeKb = 2000;  // as callers of the other front may ask for
 
 // ---- Grammar.
 struct token_char : p::sor<p::alnum, p::one<'!', '$', '&', '\'', '+', '-', '.', '^', '_', '`', '|', '~'>> {};
@@ -107,9 +107,9 @@
   const std::string name = word.substr(0, equals), value = word.substr(equals + 1);
   if (name == "held") {
     if (!parses<number_word>(value) || std::atof(value.c_str()) < 1 ||
-        std::atof(value.c_str()) >= kMostHeldKb)
+        std::atof(value.c_str()) >= kMaxSizeKb)
       return "'held' expects kilobytes from 1 to 1999";
-    route.held_kb = std::atof(value.c_str());
+    route.size_kb = std::atof(value.c_str());
     return {};
   }
   AjpSource* source = name == "key"       ? &route.key
@@ -162,7 +162,7 @@
   if (std::any_of(route.segments.begin(), route.segments.end(),
                   [](const std::string& one) { return one == "." || one == ".."; }))
     return AjpRouteError{1, "'" + words[1] + "' has a segment that no path may have"};
-  route.op_type = words[2];
+  route.route = words[2];
   for (std::size_t i = 3; i < words.size(); ++i) {
     const std::string wrong = read_option(words[i], route);
     if (!wrong.empty()) return AjpRouteError{i, wrong};
--- a/src/settings/ajp_routes.h
+++ b/src/settings/ajp_routes.h
@@ -1,5 +1,5 @@
-// Operators' table of what HTTP requests mean: a method and a pattern of paths to an op type, and where the
-// rest of the op is found in the request. Pure: lines of words in, a table; a request's method and target in,
+// Operators' table of what HTTP requests mean: a method and a pattern of paths to an route, and where the
+// rest of the request is found in the request. Pure: lines of words in, a table; a request's method and target in,
 // what it maps to. Grammar: PEGTL.
 //
 //   map POST /hotels/*/close  close  key=header:idempotency-key caller=path:1 wait=header:x-wait-ms held=16
@@ -31,9 +31,9 @@
   std::string method;
   std::vector<std::string> segments;  // "*" for any one
   bool open_end = false;              // `**`
-  std::string op_type;                // "health": no op, but a question about our health
+  std::string route;                // "health": no request, but a question about our health
   AjpSource key, caller, subject, wait;
-  double held_kb = 10;  // that an op of it is charged until it has run
+  double size_kb = 10;  // that a request of it is charged until it has run
 };
 
 // A line's words after `map`. Otherwise what is wrong, and with which word.
--- a/src/settings/config.cpp
+++ b/src/settings/config.cpp
@@ -18,7 +18,7 @@
 constexpr double kSecondsPerMs = 0.001;
 constexpr int kLeastSockets = 64;      // below, peers and the listener alone would leave no room for callers
 constexpr double kLeastMemoryMb = 16;  // the program and its buffers at rest
-// A longer file is refused: 44,000 op types take 4 MB as the platform writes them, and parsed JSON takes some
+// A longer file is refused: 44,000 routes take 4 MB as the platform writes them, and parsed JSON takes some
 // ten times its text. More than that belongs into a catalog (src/catalog).
 constexpr std::size_t kMostBytes = std::size_t{16} << 20;
 constexpr std::size_t kLongestName = 1024;      // bytes; as the catalog keeps them
@@ -62,7 +62,7 @@
   return value;
 }
 
-// Ops name their type and their customer by one word, so each is told apart by it. Time linear in the names.
+// Requests name their type and their tenant by one word, so each is told apart by it. Time linear in the names.
 void names_apart(const std::vector<std::string>& names, const std::string& key) {
   std::unordered_map<std::string_view, std::size_t> positions;
   positions.reserve(names.size());
@@ -88,8 +88,8 @@
   if (config.name.find_first_of(" \t\r\n") != std::string::npos) bad("name", "holds a blank");
   config.listen = address(top, "listen", true);
   config.runtime = address(top, "runtime", true);
-  config.roster = address(top, "roster", true);
-  config.below = address(top, "backend", false);
+  config.registry = address(top, "roster", true);
+  config.dependency = address(top, "backend", false);
   const std::string seed = text(top, "seed", false);
   if (!seed.empty()) {
     const auto [stop, error] = std::from_chars(seed.data(), seed.data() + seed.size(), config.seed, 16);
@@ -107,9 +107,9 @@
   const auto settings = top.find("settings");
   if (settings == top.end()) bad("settings", "is missing");
   config.site = read_settings(*settings);
-  names_apart(config.site.type_names, "request-classes");
-  names_apart(config.site.customer_names, "customers");
-  if (config.site.settings.below != Below::kOff && config.below.empty()) {
+  names_apart(config.site.route_names, "request-classes");
+  names_apart(config.site.tenant_names, "customers");
+  if (config.site.admission.dependency != DependencyKind::kOff && config.dependency.empty()) {
     bad("backend", "is missing, but the settings have a layer below");
   }
   return config;
@@ -132,7 +132,7 @@
 namespace {
 
 // Of the memory limit, for keys and results: what is left when the shares of the peers (see the backend), the
-// program itself and open ops have theirs.
+// program itself and open requests have theirs.
 constexpr double kResultsShare = 0.2;
 constexpr double kBytesPerMb = 1024 * 1024;
 constexpr double kImpliedMemory = 8 * kBytesPerMb;  // bytes at most, as an operators' file has by default
@@ -143,11 +143,11 @@
   const StartSettings& site = config.site;
   if (!results.enabled) return {};
   for (const std::string& type : results.digest) {
-    const auto found = std::find(site.type_names.begin(), site.type_names.end(), type);
-    if (found == site.type_names.end())
+    const auto found = std::find(site.route_names.begin(), site.route_names.end(), type);
+    if (found == site.route_names.end())
       return "results: digest names '" + type + "', which is no op type here";
-    const auto i = static_cast<std::size_t>(found - site.type_names.begin());
-    if (site.settings.op_types[i].effect != Effect::kKeyed)
+    const auto i = static_cast<std::size_t>(found - site.route_names.begin());
+    if (site.admission.routes[i].idempotency != Idempotency::kWithKey)
       return "results: digest names '" + type + "', which is not keyed: its ops are not remembered";
   }
   const double most = config.limits.memory_mb * kResultsShare * kBytesPerMb;
@@ -158,9 +158,9 @@
   return {};
 }
 
-// Where the settings have keyed ops, or answers that reads may share, and no operators' file says how to keep
+// Where the settings have keyed requests, or answers that reads may share, and no operators' file says how to keep
 // them: in memory, for as long as the process lives. Guards against a start that is refused, and against
-// keyed ops that run twice, at a site whose operators know no such file.
+// keyed requests that run twice, at a site whose operators know no such file.
 ResultsOptions kept_in_memory(const Config& config, const std::string& key_field) {
   ResultsOptions results;
   results.enabled = true;
@@ -177,20 +177,20 @@
 
 void serve_settings(const Config& config, const std::string& key_field, OperatorOptions& options) {
   if (options.results.enabled) return;
-  const auto& types = config.site.settings.op_types;
+  const auto& types = config.site.admission.routes;
   const bool keyed = std::any_of(types.begin(), types.end(),
-                                 [](const OpType& type) { return type.effect == Effect::kKeyed; });
-  if (keyed || config.site.settings.fresh > 0) options.results = kept_in_memory(config, key_field);
+                                 [](const Route& type) { return type.idempotency == Idempotency::kWithKey; });
+  if (keyed || config.site.admission.shared_answer_ttl > 0) options.results = kept_in_memory(config, key_field);
 }
 
 namespace {
 
 std::string unserved_ajp(const Config& config, const AjpOptions& ajp) {
-  if (!ajp.below.empty() && ajp.below_uri.front() != '/')
+  if (!ajp.dependency.empty() && ajp.below_uri.front() != '/')
     return "ajp: below-path '" + ajp.below_uri + "' does not begin with /";
   if (ajp.listen.empty()) return {};
   const StartSettings& site = config.site;
-  if (!site.settings.customers.empty())
+  if (!site.admission.tenants.empty())
     return "ajp: it listens, but the settings have 'customers', and requests by AJP do not name theirs";
   if (ajp.routes.empty()) return "ajp: it listens, but no 'map' says what a request means";
   const bool loopback = ajp.listen.rfind("127.", 0) == 0 || ajp.listen.rfind("[::1]", 0) == 0;
@@ -198,9 +198,9 @@
     return "ajp: no secret; on '" + ajp.listen +
            "', which is no loopback address, anybody could be a gateway";
   for (const AjpRoute& route : ajp.routes) {
-    const auto& names = site.type_names;
-    if (route.op_type != "health" && std::find(names.begin(), names.end(), route.op_type) == names.end())
-      return "ajp: map names '" + route.op_type + "', which is no op type here";
+    const auto& names = site.route_names;
+    if (route.route != "health" && std::find(names.begin(), names.end(), route.route) == names.end())
+      return "ajp: map names '" + route.route + "', which is no op type here";
   }
   return {};
 }
@@ -219,12 +219,12 @@
     return "catalog: has a folder, but knowledge is kept by the op types of the settings alone";
   if (options.knowledge.enabled && options.knowledge.folder.empty())
     return "knowledge: enabled, but no folder is named";
-  // The new shape counts worth by work that the ops tell; counted so without hints, it would be blind.
-  if (site.by_work && !site.hints)
+  // The new shape counts worth by work that the requests tell; counted so without hints, it would be blind.
+  if (site.counted_by_work && !site.has_work_hints)
     return "settings: 'counted-by' is 'work', but 'hints' is 'none': no op would tell its work";
-  if (site.settings.say != Say::kOff)
+  if (site.admission.load_feedback != LoadFeedback::kOff)
     return "settings: 'say' is not off; this program announces nothing on sockets yet";
-  if (site.settings.below == Below::kTier)
+  if (site.admission.dependency == DependencyKind::kTier)
     return "settings: 'below' is a tier; this program calls a shared layer only";
   return {};
 }
--- a/src/settings/operator_file.cpp
+++ b/src/settings/operator_file.cpp
@@ -224,7 +224,7 @@
   a.body = read.whole("ajp", "body");
   a.share = read.number("ajp", "share");
   a.idle = read.number("ajp", "idle");
-  a.below = read.text("ajp", "below");
+  a.dependency = read.text("ajp", "below");
   a.below_uri = read.text("ajp", "below-path");
   a.below_secret = read.text("ajp", "below-secret");
   a.below_refuses = read.flag("ajp", "below-refuses");
--- a/src/settings/operator_file.h
+++ b/src/settings/operator_file.h
@@ -52,7 +52,7 @@
   bool by_subject = false;
   double retry_share = 0;       // of first tries
   double link_patience = 0;     // s
-  std::size_t line = 0;         // ops
+  std::size_t line = 0;         // requests
   std::size_t line_memory = 0;  // bytes
 };
 
@@ -66,7 +66,7 @@
   double share = 0;        // of the connections
   double idle = 0;         // s
   std::vector<AjpRoute> routes;
-  std::string below;  // an address; empty: the layer below is reached as the platform says
+  std::string dependency;  // an address; empty: the layer below is reached as the platform says
   std::string below_uri, below_secret;
   bool below_refuses = false;  // its 503 proves that nothing ran
 };
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -78,24 +78,24 @@
 
 }  // namespace
 
-OpType read_op_type(const Json& entry) {
-  OpType type;
-  type.target_latency = needed(entry, "target", 0) * kSecondsPerMs;
-  type.op_timeout = needed(entry, "give-up", 0) * kSecondsPerMs;
-  if (type.op_timeout <= 0) bad("give-up");
-  type.window = seconds(entry, "window");
-  type.importance = number(entry, "worth", 1);
-  type.late_worth = share(entry, "late-worth", 0);
-  type.effect = word<Effect>(
+Route read_route(const Json& entry) {
+  Route type;
+  type.latency_objective = needed(entry, "target", 0) * kSecondsPerMs;
+  type.timeout = needed(entry, "give-up", 0) * kSecondsPerMs;
+  if (type.timeout <= 0) bad("give-up");
+  type.idempotency_window = seconds(entry, "window");
+  type.priority_weight = number(entry, "worth", 1);
+  type.late_value = share(entry, "late-worth", 0);
+  type.idempotency = word<Idempotency>(
       entry, "semantics",
-      {{"retryable", Effect::kRetryable}, {"dedup", Effect::kKeyed}, {"fragile", Effect::kNonRetryable}});
+      {{"retryable", Idempotency::kIdempotent}, {"dedup", Idempotency::kWithKey}, {"fragile", Idempotency::kNonIdempotent}});
   return type;
 }
 
-Customer read_customer(const Json& entry) {
-  Customer customer;
-  customer.quota_per_s = number(entry, "quota-per-s", 0);
-  return customer;
+Tenant read_tenant(const Json& entry) {
+  Tenant tenant;
+  tenant.quota_per_second = number(entry, "quota-per-s", 0);
+  return tenant;
 }
 
 StartSettings read_settings(std::string_view text) {
@@ -111,32 +111,32 @@
   const Json& allowed = find(top, "allowed").is_object() ? find(top, "allowed") : empty;
 
   StartSettings start;
-  Settings& s = start.settings;
+  AdmissionOptions& s = start.admission;
   const Json& calls = array(family, "calls-by-class");
   const Json& without = array(family, "worth-without");
   for (const Json& entry : array(top, "request-classes")) {
-    OpType type = read_op_type(entry);
-    const std::size_t at = s.op_types.size();
+    Route type = read_route(entry);
+    const std::size_t at = s.routes.size();
     if (at < calls.size()) {
       if (!calls[at].is_boolean()) bad("calls-by-class");
-      type.calls = calls[at].get<bool>();
+      type.calls_dependency = calls[at].get<bool>();
     }
     if (at < without.size()) {
       if (!without[at].is_number()) bad("worth-without");
-      type.worth_without = without[at].get<double>();
-      if (!(type.worth_without >= 0 && type.worth_without <= 1)) bad("worth-without");
+      type.value_without_call = without[at].get<double>();
+      if (!(type.value_without_call >= 0 && type.value_without_call <= 1)) bad("worth-without");
     }
     const Json& name = find(entry, "name");
     if (!name.is_null() && !name.is_string()) bad("name");
-    start.type_names.push_back(name.is_null() ? std::string() : name.get<std::string>());
-    s.op_types.push_back(type);
+    start.route_names.push_back(name.is_null() ? std::string() : name.get<std::string>());
+    s.routes.push_back(type);
   }
-  if (s.op_types.empty()) bad("request-classes");
+  if (s.routes.empty()) bad("request-classes");
   for (const Json& entry : array(top, "customers")) {
-    s.customers.push_back(read_customer(entry));
+    s.tenants.push_back(read_tenant(entry));
     const Json& name = find(entry, "name");
     if (!name.is_null() && !name.is_string()) bad("name");
-    start.customer_names.push_back(name.is_null() ? std::string() : name.get<std::string>());
+    start.tenant_names.push_back(name.is_null() ? std::string() : name.get<std::string>());
   }
   s.servers = whole(top, "servers", 0);
   s.callers = whole(family, "callers", 0);
@@ -144,38 +144,38 @@
   s.cores = whole(family, "cores", 1);
   s.memory_kb = needed(family, "memory-kb", 0);
   if (s.memory_kb <= 0) bad("memory-kb");
-  s.run_factor = number(family, "run-factor", 1);
-  s.key_kb = number(family, "key-kb", 0);
-  s.fresh = seconds(family, "fresh");
-  s.halt = word<Halt>(family, "halt", {{"off", Halt::kOff}, {"drop", Halt::kDrop}, {"pause", Halt::kPause}});
-  s.say = word<Say>(
+  s.running_size_factor = number(family, "run-factor", 1);
+  s.idempotency_key_kb = number(family, "key-kb", 0);
+  s.shared_answer_ttl = seconds(family, "fresh");
+  s.preemption = word<Preemption>(family, "halt", {{"off", Preemption::kOff}, {"drop", Preemption::kDrop}, {"pause", Preemption::kPause}});
+  s.load_feedback = word<LoadFeedback>(
       family, "say",
-      {{"off", Say::kOff}, {"level", Say::kLevel}, {"credit", Say::kCredit}, {"weight", Say::kWeight}});
+      {{"off", LoadFeedback::kOff}, {"level", LoadFeedback::kLevel}, {"credit", LoadFeedback::kCredit}, {"weight", LoadFeedback::kWeight}});
   s.deep_checks = flag(family, "deep-checks");
-  start.list_follows = flag(family, "list-follows");
-  start.by_work = word<bool>(top, "counted-by", {{"request", false}, {"work", true}});
-  // A platform that counts by work has its ops tell theirs, and need not say so.
-  start.hints = find(top, "hints").is_null()
-                    ? start.by_work
+  start.registry_follows_health = flag(family, "list-follows");
+  start.counted_by_work = word<bool>(top, "counted-by", {{"request", false}, {"work", true}});
+  // A platform that counts by work has its requests tell theirs, and need not say so.
+  start.has_work_hints = find(top, "hints").is_null()
+                    ? start.counted_by_work
                     : word<bool>(top, "hints", {{"none", false}, {"good", true}, {"rough", true}});
-  s.caller_idle = seconds(family, "caller-idle");
-  s.below = word<Below>(family, "below",
-                        {{"off", Below::kOff}, {"shared", Below::kShared}, {"tier", Below::kTier}});
-  s.dep_share = number(family, "dep-share", 0);
-  s.calls_over = seconds(family, "calls-over");
-  if (s.below == Below::kShared) {  // a part of nothing is a part; an untold one is not
+  s.caller_idle_timeout = seconds(family, "caller-idle");
+  s.dependency = word<DependencyKind>(family, "below",
+                        {{"off", DependencyKind::kOff}, {"shared", DependencyKind::kShared}, {"tier", DependencyKind::kTier}});
+  s.dependency_share = number(family, "dep-share", 0);
+  s.dependency_share_window = seconds(family, "calls-over");
+  if (s.dependency == DependencyKind::kShared) {  // a part of nothing is a part; an untold one is not
     needed(family, "dep-share", 0);
     needed(family, "calls-over", 0);
   }
-  s.linger = seconds(family, "linger");
-  s.cold = flag(family, "cold");
-  s.cold_from = share(rules, "cold-from", 1);
-  s.cold_time = seconds(rules, "cold");
-  s.crowd_multiple = needed(rules, "fall-multiple", 1);
+  s.abandoned_call_time = seconds(family, "linger");
+  s.slow_start = flag(family, "cold");
+  s.slow_start_speed = share(rules, "cold-from", 1);
+  s.slow_start_time = seconds(rules, "cold");
+  s.max_concurrency_factor = needed(rules, "fall-multiple", 1);
   s.drain_grace = seconds(rules, "stop-sending-within");
-  s.retry_after = flag(allowed, "retry-after");
+  s.sends_retry_after = flag(allowed, "retry-after");
   s.max_retry_after = seconds(allowed, "max-retry-after");
-  s.resolution = seconds(top, "resolution");
+  s.timer_resolution = seconds(top, "resolution");
   for (const Json& name : array(family, "gauges")) {
     start.gauges.push_back(name == "cpu_busy"   ? Gauge::kCpuBusy
                            : name == "runnable" ? Gauge::kRunnable
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -19,18 +19,18 @@
 };
 
 struct StartSettings {
-  Settings settings;
-  std::vector<std::string> type_names;      // by position, as the op types
-  std::vector<std::string> customer_names;  // by position, as the customers
-  bool list_follows = false;                // the list of backends follows health
-  bool hints = false;    // "hints": "good" or "rough": ops tell their work (ms); "none"; absent: as by_work
-  bool by_work = false;  // "counted-by": "work": worth is counted by the unit of work, not by the op
+  AdmissionOptions admission;
+  std::vector<std::string> route_names;      // by position, as the routes
+  std::vector<std::string> tenant_names;  // by position, as the tenants
+  bool registry_follows_health = false;                // the list of backends follows health
+  bool has_work_hints = false;    // "hints": "good" or "rough": requests tell their work (ms); "none"; absent: as by_work
+  bool counted_by_work = false;  // "counted-by": "work": worth is counted by the unit of work, not by the request
   std::vector<Gauge> gauges;  // in the order in which a wake conveys them
 };
 
-// One op type as the platform writes it (an entry of "request-classes"), but for its name and its calls.
-OpType read_op_type(const nlohmann::json& entry);
-Customer read_customer(const nlohmann::json& entry);
+// One route as the platform writes it (an entry of "request-classes"), but for its name and its calls.
+Route read_route(const nlohmann::json& entry);
+Tenant read_tenant(const nlohmann::json& entry);
 
 StartSettings read_settings(std::string_view text);
 StartSettings read_settings(const nlohmann::json& top);
--- a/src/stages/send.h
+++ b/src/stages/command_sender.h
@@ -6,23 +6,23 @@
 
 #include "peers/ports.h"
 #include "settings/settings.h"
-#include "stages/book.h"
+#include "stages/in_flight_requests.h"
 #include "watch/counters.h"
 
 namespace damsonspoke::stages {
 
-class Send {
+class CommandSender {
  public:
-  Send(const peers::Ports& peers, const StartSettings& site, Counters& counters)
+  CommandSender(const peers::Ports& peers, const StartSettings& site, Counters& counters)
       : peers_(peers), site_(site), counters_(counters) {}
 
-  void start(OpenOp& op);
-  void resume(OpenOp& op);
-  void stop(OpenOp& op);
-  void call(OpenOp& op, double patience);
-  void give(OpenOp& op, std::string_view reply);
-  void omit(OpenOp& op);
-  void give_up_call(const OpenOp& op) { peers_.below->cancel(op.id); }
+  void start(InFlightRequest& request);
+  void resume(InFlightRequest& request);
+  void stop(InFlightRequest& request);
+  void call(InFlightRequest& request, double patience);
+  void give(InFlightRequest& request, std::string_view reply);
+  void omit(InFlightRequest& request);
+  void give_up_call(const InFlightRequest& request) { peers_.dependency->cancel(request.id); }
   void health(bool good, bool from_store);
   void began(bool cold, double ago) { peers_.callers->began(cold, ago); }
   void leaving();
--- /dev/null
+++ b/src/stages/completion_handler.h
@@ -0,0 +1,43 @@
+// Brings back what runs and calls come to: to the caller, to the run that waits, to the module.
+#pragma once
+
+#include "peers/ports.h"
+#include "stages/admission_driver.h"
+#include "stages/in_flight_requests.h"
+#include "stages/command_sender.h"
+#include "stages/request_intake.h"
+#include "watch/counters.h"
+#include "watch/logger.h"
+
+namespace damsonspoke::stages {
+
+class CompletionHandler : public peers::RuntimeEvents, public peers::DependencyEvents {
+ public:
+  CompletionHandler(InFlightRequests& in_flight, CommandSender& send, ResultReplay& replay, AdmissionDriver& admission, RequestIntake& intake, Preemption halt, Counters& counters)
+      : in_flight_(in_flight),
+        sender_(send),
+        replay_(replay),
+        admission_(admission),
+        intake_(intake),
+        pauses_(halt == Preemption::kPause),
+        counters_(counters) {}
+
+  void on_runtime_ready(bool cold, double ago) override;
+  void on_run_ended(RequestId id, Outcome outcome, double spent, std::string_view result) override;
+  void on_call_wanted(RequestId id, std::uint64_t notice, std::string_view body) override;
+  void on_verdict(std::uint64_t tag, bool good) override { intake_.on_verdict(tag, good); }
+  void on_not_started(RequestId id) override;
+  void on_runtime_anew(const std::unordered_set<RequestId>& unsent) override;
+  void on_call_ended(RequestId id, Outcome outcome, double spent, std::string_view reply) override;
+
+ private:
+  InFlightRequests& in_flight_;
+  CommandSender& sender_;
+  ResultReplay& replay_;
+  AdmissionDriver& admission_;
+  RequestIntake& intake_;
+  const bool pauses_;  // a stopped run keeps what it has done
+  Counters& counters_;
+};
+
+}  // namespace damsonspoke::stages
--- a/src/stages/forward.cpp
+++ b/src/stages/request_forwarder.cpp
@@ -1,4 +1,4 @@
-#include "stages/forward.h"
+#include "stages/request_forwarder.h"
 
 #include <xxhash.h>
 
@@ -11,7 +11,7 @@
 
 namespace wt = wire::tier;
 
-constexpr double kNackRest = 0.25;  // s; a planner that nacks at once is sent four windows a second, no flood
+constexpr double kRejectionRest = 0.25;  // s; a planner that rejections at once is sent four windows a second, no flood
 constexpr double kLook = 0.1;       // s; between looks at health, for the roster
 constexpr double kSixteenth = 16;   // of a kB, as sizes stand on the wire
 constexpr double kMicro = 1e-6;
@@ -19,7 +19,7 @@
 // attempts.
 constexpr std::uint64_t kNumberSteps = 1 << 24;
 constexpr double kReadPatience = 2;    // s at the start, for the folder of the lists
-constexpr std::size_t kOpBytes = 512;  // that an open op takes beside its body
+constexpr std::size_t kRequestBytes = 512;  // that an open request takes beside its body
 
 std::uint32_t micros(double seconds) {
   return static_cast<std::uint32_t>(std::clamp(seconds * 1e6, 0.0, 4e9));
@@ -27,8 +27,8 @@
 
 tier::AnswerKind kind_of(wt::Result result) {
   switch (result) {
-    case wt::Result::kAcked: return tier::AnswerKind::kAcked;
-    case wt::Result::kNacked: return tier::AnswerKind::kNacked;
+    case wt::Result::kSucceeded: return tier::AnswerKind::kSucceeded;
+    case wt::Result::kRejected: return tier::AnswerKind::kRejected;
     case wt::Result::kNeverRan: return tier::AnswerKind::kNeverRan;
     case wt::Result::kRunning: return tier::AnswerKind::kRunning;
     case wt::Result::kForgotten: return tier::AnswerKind::kForgotten;
@@ -40,36 +40,36 @@
   return tier::AnswerKind::kFailed;
 }
 
-// A key is remembered for its window from when it was admitted, which is within its op's own time; and what a
+// A key is remembered for its window from when it was admitted, which is within its request's own time; and what a
 // forwarder sends by an old list may be admitted so much after it has a new one.
 tier::HomesTerms homes_of(const ForwardOptions& options, const StartSettings& site) {
   double window = 0, longest = 0;
-  for (const OpType& type : site.settings.op_types) {
-    if (type.effect != Effect::kKeyed) continue;
-    window = std::max(window, type.window);
-    longest = std::max(longest, type.op_timeout);
+  for (const Route& type : site.admission.routes) {
+    if (type.idempotency != Idempotency::kWithKey) continue;
+    window = std::max(window, type.idempotency_window);
+    longest = std::max(longest, type.timeout);
   }
   return {options.reload_spread + longest, window > 0 ? window + 2 * longest : 0};
 }
 
 tier::DispatchTerms terms_of(const ForwardOptions& options, const StartSettings& site) {
   tier::DispatchTerms terms;
-  terms.picker.nack_rest = kNackRest;
+  terms.picker.rejection_rest = kRejectionRest;
   terms.homes = homes_of(options, site);
   terms.retry_share = options.retry_share;
   terms.link_patience = options.link_patience;
-  terms.line_ops = options.line;
+  terms.queue_requests = options.line;
   terms.line_bytes = options.line_memory;
   terms.by_key = options.by_subject;
   terms.number_steps = kNumberSteps;
-  if (site.settings.retry_after && site.settings.max_retry_after > 0)
-    terms.outlook.most_come_back = site.settings.max_retry_after;
+  if (site.admission.sends_retry_after && site.admission.max_retry_after > 0)
+    terms.outlook.most_come_back = site.admission.max_retry_after;
   return terms;
 }
 
 }  // namespace
 
-Forward::Forward(net::Reactor& reactor, const Ports& ports, const StartSettings& site,
+RequestForwarder::RequestForwarder(net::Reactor& reactor, const Ports& ports, const StartSettings& site,
                  const ForwardOptions& options, const ResultsOptions& results, std::size_t body_bytes,
                  std::uint64_t seed, Counters& counters, Logger& log)
     : reactor_(reactor),
@@ -81,8 +81,8 @@
       random_(seed),
       most_body_bytes_(body_bytes),
       dispatch_(std::make_unique<tier::Dispatch>(
-          terms_of(options, site), site.settings.op_types.size(), options.planners,
-          static_cast<tier::DispatchHost&>(*this),
+          terms_of(options, site), site.admission.routes.size(), options.planners,
+          static_cast<tier::DispatchSink&>(*this),
           [this] { return std::ldexp(static_cast<double>(random_() >> 11), -53); }, net::monotonic_now())),
       homes_(homes_of(options, site)),
       lists_{options.planners, {}} {
@@ -91,138 +91,138 @@
                                             "planners", tier::kListsForm, tier::kMostListsBytes);
 }
 
-Forward::~Forward() {
+RequestForwarder::~RequestForwarder() {
   reactor_.cancel(wake_timer_);
   reactor_.cancel(look_timer_);
 }
 
-void Forward::begin() {
+void RequestForwarder::begin() {
   recall_lists();
   link_planners();
   look();
 }
 
 // ---- Callers.
-void Forward::on_op_read(peers::IncomingOp in) {
-  counters_.add(Count::kOpsRead);
+void RequestForwarder::on_request_read(peers::IncomingRequest in) {
+  counters_.add(Count::kRequestsRead);
   const double now = net::unix_now();
-  const OpType& type = site_.settings.op_types[static_cast<std::size_t>(in.type)];
-  const double age = in.door > 0 ? std::max(0.0, now - in.door) : 0;
-  tier::ForwardOp op;
-  op.id = in.id;
-  op.type = in.type;
-  op.caller = in.caller;
-  op.key = in.key;
-  op.mark = home_mark(in);
-  op.importance = type.importance;
-  op.left = (in.limit > 0 ? in.limit : type.op_timeout) - age;
-  op.bytes = kOpBytes + in.body.size() + in.mark.size();
-  if (in.door <= 0) in.door = now;
-  body_bytes_ += op.bytes;
-  const OpId id = in.id;
+  const Route& type = site_.admission.routes[static_cast<std::size_t>(in.route)];
+  const double age = in.received_at > 0 ? std::max(0.0, now - in.received_at) : 0;
+  tier::ForwardedRequest request;
+  request.id = in.id;
+  request.route = in.route;
+  request.caller = in.caller;
+  request.subject = in.subject;
+  request.idempotency_key_hash = home_mark(in);
+  request.priority_weight = type.priority_weight;
+  request.remaining_time = (in.client_timeout > 0 ? in.client_timeout : type.timeout) - age;
+  request.bytes = kRequestBytes + in.body.size() + in.idempotency_key.size();
+  if (in.received_at <= 0) in.received_at = now;
+  body_bytes_ += request.bytes;
+  const RequestId id = in.id;
   const bool room = body_bytes_ <= most_body_bytes_;
-  open_[id] = {std::move(in), now + op.left};
-  // More ops open than there is memory for: the newcomer goes, whatever it is worth; the line's own bound is
+  open_[id] = {std::move(in), now + request.remaining_time};
+  // More requests open than there is memory for: the newcomer goes, whatever it is worth; the line's own bound is
   // lower and goes by importance.
-  if (!room) return reply(id, tier::Reply::kNacked, 0, false);
-  dispatch_->on_op(op, net::monotonic_now());
+  if (!room) return reply(id, tier::Reply::kRejected, 0, false);
+  dispatch_->on_request(request, net::monotonic_now());
 }
 
-std::uint64_t Forward::home_mark(const peers::IncomingOp& op) const {
-  if (site_.settings.op_types[static_cast<std::size_t>(op.type)].effect != Effect::kKeyed) return 0;
-  const auto seed = static_cast<std::uint64_t>(op.type) + 1;
-  if (!op.mark.empty()) return XXH3_64bits_withSeed(op.mark.data(), op.mark.size(), seed) | 1;
-  const std::uint64_t of_caller = digest_by_caller_ ? op.caller : 0;
-  return XXH3_64bits_withSeed(op.body.data(), op.body.size(), seed + of_caller * 0x9e3779b97f4a7c15ULL) | 1;
+std::uint64_t RequestForwarder::home_mark(const peers::IncomingRequest& request) const {
+  if (site_.admission.routes[static_cast<std::size_t>(request.route)].idempotency != Idempotency::kWithKey) return 0;
+  const auto seed = static_cast<std::uint64_t>(request.route) + 1;
+  if (!request.idempotency_key.empty()) return XXH3_64bits_withSeed(request.idempotency_key.data(), request.idempotency_key.size(), seed) | 1;
+  const std::uint64_t of_caller = digest_by_caller_ ? request.caller : 0;
+  return XXH3_64bits_withSeed(request.body.data(), request.body.size(), seed + of_caller * 0x9e3779b97f4a7c15ULL) | 1;
 }
 
-Forward::Open Forward::take_out(OpId id, Count as) {
+RequestForwarder::Open RequestForwarder::take_out(RequestId id, Count as) {
   const auto found = open_.find(id);
   Open out = std::move(found->second);
   open_.erase(found);
-  body_bytes_ -= kOpBytes + out.op.body.size() + out.op.mark.size();
+  body_bytes_ -= kRequestBytes + out.request.body.size() + out.request.idempotency_key.size();
   counters_.add(as);
-  if (as != Count::kOpsGone && net::unix_now() > out.due) counters_.add(Count::kOpsOverdue);
+  if (as != Count::kRequestsGone && net::unix_now() > out.due) counters_.add(Count::kRequestsOverdue);
   return out;
 }
 
-void Forward::on_caller_gone(OpId id) {
+void RequestForwarder::on_caller_gone(RequestId id) {
   if (!open_.contains(id)) return;
   dispatch_->on_gone(id, net::monotonic_now());
-  take_out(id, Count::kOpsGone);
+  take_out(id, Count::kRequestsGone);
 }
 
-void Forward::on_check(peers::Ticket ticket, bool /*wants_work*/) {
+void RequestForwarder::on_check(peers::ReplyAddress ticket, bool /*wants_work*/) {
   ports_.callers->answer_check(ticket, dispatch_->healthy(net::monotonic_now()));
 }
 
 // ---- Planners.
-void Forward::on_link_up(int planner, std::uint64_t epoch, std::uint32_t window) {
+void RequestForwarder::on_link_up(int planner, std::uint64_t epoch, std::uint32_t window) {
   dispatch_->on_link_up(planner, epoch, window, net::monotonic_now());
   look();
 }
-void Forward::on_link_lost(int planner, const std::vector<std::uint64_t>& unwritten) {
+void RequestForwarder::on_link_lost(int planner, const std::vector<std::uint64_t>& unwritten) {
   dispatch_->on_link_lost(planner, unwritten, net::monotonic_now());
 }
-void Forward::on_window(int planner, const wt::Window& window) {
+void RequestForwarder::on_window(int planner, const wt::Window& window) {
   dispatch_->on_window(planner, window.window, window.slot_worth / 1000.0, window.good, net::monotonic_now());
 }
-void Forward::on_no_more(int planner) {
+void RequestForwarder::on_no_more(int planner) {
   dispatch_->on_no_more(planner, net::monotonic_now());
   if (dispatch_->attempts().open_at(planner) == 0) ports_.planners->done_with(planner);
 }
 
-void Forward::on_answer(int planner, std::uint64_t epoch, const wt::Answer& answer) {
-  const std::optional<OpId> over =
+void RequestForwarder::on_answer(int planner, std::uint64_t epoch, const wt::Answer& answer) {
+  const std::optional<RequestId> over =
       dispatch_->on_answer(planner, epoch, answer.attempt, kind_of(answer.result),
-                           answer.come_back_us * kMicro, answer.no_retry, net::monotonic_now());
+                           answer.retry_after_us * kMicro, answer.no_retry, net::monotonic_now());
   if (over) {
-    const bool acked = answer.result == wt::Result::kAcked;
-    const Open open = take_out(*over, acked ? Count::kOpsAcked : Count::kOpsFailed);
-    if (acked) {
-      ports_.callers->answer_acked(open.op.ticket, answer.body);
+    const bool succeeded = answer.result == wt::Result::kSucceeded;
+    const Open open = take_out(*over, succeeded ? Count::kRequestsSucceeded : Count::kRequestsFailed);
+    if (succeeded) {
+      ports_.callers->answer_succeeded(open.request.reply_to, answer.body);
     } else {
-      ports_.callers->answer_failed(open.op.ticket,
-                                    answer.result == wt::Result::kUnknown    ? peers::Failure::kOutcomeUnknown
-                                    : answer.result == wt::Result::kConflict ? peers::Failure::kKeyConflict
-                                                                             : peers::Failure::kPlain);
+      ports_.callers->answer_failed(open.request.reply_to,
+                                    answer.result == wt::Result::kUnknown    ? peers::FailureReason::kOutcomeUnknown
+                                    : answer.result == wt::Result::kConflict ? peers::FailureReason::kKeyConflict
+                                                                             : peers::FailureReason::kPlain);
     }
   }
   if (dispatch_->attempts().open_at(planner) == 0) ports_.planners->done_with(planner);
 }
 
 // ---- What was decided.
-void Forward::send(int planner, tier::Attempt attempt, OpId id, double left, bool known_only) {
-  const peers::IncomingOp& op = open_.at(id).op;
+void RequestForwarder::send(int planner, tier::Attempt attempt, RequestId id, double left, bool known_only) {
+  const peers::IncomingRequest& request = open_.at(id).request;
   wt::Submit submit;
   submit.attempt = attempt;
-  submit.op = op.id;
-  submit.type = static_cast<std::uint16_t>(op.type);
-  submit.caller = op.caller;
-  submit.key = op.key;
-  submit.held = static_cast<std::uint32_t>(std::clamp(op.held_kb * kSixteenth, 1.0, 4e9));
-  submit.age_us = micros(net::unix_now() - op.door);
-  submit.left_us = micros(left);
+  submit.request = request.id;
+  submit.route = static_cast<std::uint16_t>(request.route);
+  submit.caller = request.caller;
+  submit.subject = request.subject;
+  submit.size_sixteenth_kb = static_cast<std::uint32_t>(std::clamp(request.size_kb * kSixteenth, 1.0, 4e9));
+  submit.age_us = micros(net::unix_now() - request.received_at);
+  submit.remaining_us = micros(left);
   submit.known_only = known_only;
-  submit.mark = op.mark;
-  submit.body = op.body;
+  submit.idempotency_key = request.idempotency_key;
+  submit.body = request.body;
   ports_.planners->submit(planner, submit);
 }
-void Forward::cancel(int planner, tier::Attempt attempt) { ports_.planners->cancel(planner, attempt); }
-void Forward::fence(int planner, tier::Attempt attempt) { ports_.planners->fence(planner, attempt); }
+void RequestForwarder::cancel(int planner, tier::Attempt attempt) { ports_.planners->cancel(planner, attempt); }
+void RequestForwarder::fence(int planner, tier::Attempt attempt) { ports_.planners->fence(planner, attempt); }
 
-void Forward::reply(OpId id, tier::Reply how, double come_back_in, bool no_retry) {
-  const bool nacked = how == tier::Reply::kNacked;
-  const Open open = take_out(id, nacked ? Count::kOpsNacked : Count::kOpsFailed);
-  const bool may_say = site_.settings.retry_after;
-  if (nacked) {
-    ports_.callers->answer_nacked(open.op.ticket, may_say ? come_back_in : 0, no_retry);
+void RequestForwarder::reply(RequestId id, tier::Reply how, double retry_after, bool no_retry) {
+  const bool rejected = how == tier::Reply::kRejected;
+  const Open open = take_out(id, rejected ? Count::kRequestsRejected : Count::kRequestsFailed);
+  const bool may_say = site_.admission.sends_retry_after;
+  if (rejected) {
+    ports_.callers->answer_rejected(open.request.reply_to, may_say ? retry_after : 0, no_retry);
   } else {
-    ports_.callers->answer_failed(open.op.ticket, peers::Failure::kPlain);
+    ports_.callers->answer_failed(open.request.reply_to, peers::FailureReason::kPlain);
   }
 }
 
-void Forward::wake_at(double time) {
+void RequestForwarder::wake_at(double time) {
   if (wake_time_ >= 0 && wake_time_ <= time) return;  // it asks anew when it is woken
   reactor_.cancel(wake_timer_);
   wake_time_ = time;
@@ -233,12 +233,12 @@
 }
 
 // ---- Its own life.
-void Forward::look() {
+void RequestForwarder::look() {
   const bool good = dispatch_->healthy(net::monotonic_now());
   if (good != reported_) {
     reported_ = good;
     log_.info("forward", "health: {}", good ? "good" : "bad");
-    ports_.roster->report(good || !site_.list_follows);
+    ports_.registry->report(good || !site_.registry_follows_health);
   }
   link_planners();
   if (kept_) {
@@ -253,17 +253,17 @@
   look_timer_ = reactor_.after(kLook, [this] { look(); });
 }
 
-void Forward::leave(double time_left) {
+void RequestForwarder::leave(double time_left) {
   left_ = true;
-  dispatch_->on_leave(time_left, site_.settings.drain_grace, net::monotonic_now());
-  ports_.roster->report(false);
+  dispatch_->on_leave(time_left, site_.admission.drain_grace, net::monotonic_now());
+  ports_.registry->report(false);
   reported_ = false;
   ports_.callers->ask_no_more();
 }
 
 // Planners by address: those that stay keep their links and what is open there; those that go keep theirs as
 // long as they may be asked what they remember.
-void Forward::set_planners(const std::vector<std::string>& addresses) {
+void RequestForwarder::set_planners(const std::vector<std::string>& addresses) {
   if (addresses != lists_.in_force) {
     const double now = net::unix_now();
     std::erase_if(lists_.former, [&](const tier::FormerList& one) {
@@ -276,7 +276,7 @@
   link_planners();
 }
 
-void Forward::link_planners() {
+void RequestForwarder::link_planners() {
   const tier::Picker& picker = dispatch_->picker();
   const double now = net::monotonic_now();
   for (std::size_t i = 0; i < picker.size(); ++i) {
@@ -293,7 +293,7 @@
 }
 
 // The lists of former lives. Where they can't be read nobody knows which keys have moved.
-void Forward::recall_lists() {
+void RequestForwarder::recall_lists() {
   if (!kept_) return;
   const double now = net::monotonic_now(), unix_now = net::unix_now();
   const std::optional<store::Sealed> found = kept_->read(kReadPatience);
@@ -323,11 +323,11 @@
   keep_lists();
 }
 
-void Forward::keep_lists() {
+void RequestForwarder::keep_lists() {
   if (kept_) kept_->write(tier::encode(lists_));
 }
 
-void Forward::report() {
+void RequestForwarder::report() {
   const tier::DispatchCounts& c = dispatch_->counts();
   const auto set = [&](Count count, std::uint64_t value) { counters_.set(count, value); };
   set(Count::kTierFirst, c.first_tries);
--- a/src/stages/forward.h
+++ b/src/stages/request_forwarder.h
@@ -1,4 +1,4 @@
-// A forwarder's one stage: ops as callers send them, kept until they have their one answer, and what tier/
+// A forwarder's one stage: requests as callers send them, kept until they have their one answer, and what tier/
 // decides about them carried out.
 #pragma once
 
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "net/reactor.h"
-#include "peers/planners.h"
+#include "peers/tier/planner_client.h"
 #include "peers/ports.h"
 #include "settings/operator_file.h"
 #include "settings/settings.h"
@@ -21,17 +21,17 @@
 
 namespace damsonspoke::stages {
 
-class Forward : public peers::CallerEvents, public peers::PlannerEvents, private tier::DispatchHost {
+class RequestForwarder : public peers::CallerEvents, public peers::PlannerEvents, private tier::DispatchSink {
  public:
   struct Ports {
     peers::Front* callers = nullptr;
-    peers::Planners* planners = nullptr;
-    peers::RosterPort* roster = nullptr;
+    peers::PlannerClient* planners = nullptr;
+    peers::RegistryPort* registry = nullptr;
   };
-  Forward(net::Reactor& reactor, const Ports& ports, const StartSettings& site, const ForwardOptions& options,
+  RequestForwarder(net::Reactor& reactor, const Ports& ports, const StartSettings& site, const ForwardOptions& options,
           const ResultsOptions& results, std::size_t body_bytes, std::uint64_t seed, Counters& counters,
           Logger& log);
-  ~Forward() override;
+  ~RequestForwarder() override;
 
   void begin();  // once all peers are there
   void leave(double time_left);
@@ -40,11 +40,11 @@
   void report();  // brings the counters up to date
 
   // Callers.
-  bool in_use(OpId id) const override { return open_.contains(id); }
-  bool has_started(OpId) const override { return false; }  // nothing runs here
-  void on_op_read(peers::IncomingOp op) override;
-  void on_caller_gone(OpId id) override;
-  void on_check(peers::Ticket ticket, bool wants_work) override;
+  bool in_use(RequestId id) const override { return open_.contains(id); }
+  bool has_started(RequestId) const override { return false; }  // nothing runs here
+  void on_request_read(peers::IncomingRequest request) override;
+  void on_caller_gone(RequestId id) override;
+  void on_check(peers::ReplyAddress ticket, bool wants_work) override;
 
   // Planners.
   void on_link_up(int planner, std::uint64_t epoch, std::uint32_t window) override;
@@ -55,19 +55,19 @@
 
  private:
   struct Open {
-    peers::IncomingOp op;
+    peers::IncomingRequest request;
     double due = 0;  // Unix s
   };
 
   // What was decided.
-  void send(int planner, tier::Attempt attempt, OpId op, double left, bool known_only) override;
+  void send(int planner, tier::Attempt attempt, RequestId request, double left, bool known_only) override;
   void cancel(int planner, tier::Attempt attempt) override;
   void fence(int planner, tier::Attempt attempt) override;
-  void reply(OpId op, tier::Reply how, double come_back_in, bool no_retry) override;
+  void reply(RequestId request, tier::Reply how, double retry_after, bool no_retry) override;
   void wake_at(double time) override;
 
-  Open take_out(OpId id, Count as);
-  std::uint64_t home_mark(const peers::IncomingOp& op) const;
+  Open take_out(RequestId id, Count as);
+  std::uint64_t home_mark(const peers::IncomingRequest& request) const;
   void look();
   void link_planners();
   void recall_lists();
@@ -80,7 +80,7 @@
   Counters& counters_;
   Logger& log_;
   pcg64 random_;
-  std::unordered_map<OpId, Open> open_;
+  std::unordered_map<RequestId, Open> open_;
   std::size_t body_bytes_ = 0;
   const std::size_t most_body_bytes_;
   std::unique_ptr<tier::Dispatch> dispatch_;
--- a/src/stages/take_in.h
+++ b/src/stages/request_intake.h
@@ -1,4 +1,4 @@
-// The first stage: ops and checks as callers send them.
+// The first stage: requests and checks as callers send them.
 #pragma once
 
 #include <unordered_map>
@@ -6,23 +6,23 @@
 #include "catalog/catalog.h"
 #include "net/reactor.h"
 #include "peers/ports.h"
-#include "stages/admit.h"
-#include "stages/book.h"
-#include "stages/recall.h"
-#include "stages/send.h"
+#include "stages/admission_driver.h"
+#include "stages/in_flight_requests.h"
+#include "stages/result_replay.h"
+#include "stages/command_sender.h"
 #include "watch/counters.h"
 
 namespace damsonspoke::stages {
 
-class TakeIn : public peers::CallerEvents {
+class RequestIntake : public peers::CallerEvents {
  public:
   struct Stages {
-    Book& book;
-    Admit& admit;
-    Send& send;
-    Recall& recall;
+    InFlightRequests& in_flight;
+    AdmissionDriver& admission;
+    CommandSender& send;
+    ResultReplay& replay;
   };
-  TakeIn(net::Reactor& reactor, Stages stages, const peers::Ports& peers, const StartSettings& site,
+  RequestIntake(net::Reactor& reactor, Stages stages, const peers::Ports& peers, const StartSettings& site,
          const catalog::Catalog& catalog, Counters& counters)
       : reactor_(reactor),
         stages_(stages),
@@ -30,18 +30,18 @@
         site_(site),
         catalog_(catalog),
         counters_(counters) {}
-  ~TakeIn() override;
+  ~RequestIntake() override;
 
-  bool in_use(OpId id) const override { return stages_.book.holds(id); }
-  bool has_started(OpId id) const override;
-  void on_op_read(peers::IncomingOp op) override;
-  void on_caller_gone(OpId id) override;
-  void on_check(peers::Ticket ticket, bool wants_work) override;
+  bool in_use(RequestId id) const override { return stages_.in_flight.holds(id); }
+  bool has_started(RequestId id) const override;
+  void on_request_read(peers::IncomingRequest request) override;
+  void on_caller_gone(RequestId id) override;
+  void on_check(peers::ReplyAddress ticket, bool wants_work) override;
   void on_verdict(std::uint64_t tag, bool good);
 
  private:
   struct Check {
-    peers::Ticket ticket;
+    peers::ReplyAddress ticket;
     net::Reactor::TimerId patience;
   };
 
--- a/src/stages/recall.cpp
+++ b/src/stages/result_replay.cpp
@@ -1,10 +1,10 @@
-#include "stages/recall.h"
+#include "stages/result_replay.h"
 
 #include <algorithm>
 #include <cmath>
 #include <random>
 
-#include "stages/admit.h"
+#include "stages/admission_driver.h"
 #include "watch/invariants.h"
 
 namespace damsonspoke::stages {
@@ -26,17 +26,17 @@
 }
 
 results::Bounds bounds_of(const ResultsOptions& options, const StartSettings& site) {
-  return {options.memory, options.entries, !options.store.empty(), site.settings.fresh};
+  return {options.memory, options.entries, !options.store.empty(), site.admission.shared_answer_ttl};
 }
 
 std::int64_t unix_ms() { return static_cast<std::int64_t>(net::unix_now() * kMsPerSecond); }
 
-// How long repeats may come, by op type.
+// How long repeats may come, by route.
 std::unordered_map<std::string, double> windows_of(const catalog::Catalog& catalog) {
   std::unordered_map<std::string, double> windows;
   const catalog::NameIndex& names = catalog.route_names();
   names.visit(0, names.cells(), [&](std::string_view name, int position) {
-    const double window = catalog.op_type(position).window;
+    const double window = catalog.route(position).idempotency_window;
     if (window > 0) windows[std::string(name)] = window;
   });
   return windows;
@@ -44,13 +44,13 @@
 
 }  // namespace
 
-Recall::Recall(net::Reactor& reactor, Book& book, Send& send, Admit& admit, const StartSettings& site,
+ResultReplay::ResultReplay(net::Reactor& reactor, InFlightRequests& in_flight, CommandSender& send, AdmissionDriver& admission, const StartSettings& site,
                const catalog::Catalog& catalog, const ResultsOptions& options, Counters& counters,
                Logger& log)
     : reactor_(reactor),
-      book_(book),
-      send_(send),
-      admit_(admit),
+      in_flight_(in_flight),
+      sender_(send),
+      admission_(admission),
       site_(site),
       options_(options),
       counters_(counters),
@@ -69,11 +69,11 @@
     results::StoreEvents& events = *this;
     store_ = std::make_unique<results::Store>(reactor_, how, events);
   }
-  book_.on_closed([this](const OpenOp& op) { on_closed(op); });
+  in_flight_.on_closed([this](const InFlightRequest& request) { on_closed(request); });
   look();
 }
 
-Recall::~Recall() {
+ResultReplay::~ResultReplay() {
   store_.reset();
   reactor_.cancel(look_timer_);
   for (auto& [id, timer] : recording_) reactor_.cancel(timer);
@@ -81,12 +81,12 @@
 }
 
 // ---- The store.
-void Recall::on_seed(std::uint64_t seed, bool made_new) {
+void ResultReplay::on_seed(std::uint64_t seed, bool made_new) {
   keys_ = results::KeyMaker(seed);
   if (made_new) log_.event(Level::kInfo, "results", "new store", {{"path", options_.store}});
 }
 
-void Recall::on_recovered(const std::vector<results::Row>& rows) {
+void ResultReplay::on_recovered(const std::vector<results::Row>& rows) {
   const double now = net::monotonic_now();
   const std::int64_t now_ms = unix_ms();
   std::vector<results::Key> over;
@@ -96,13 +96,13 @@
       over.push_back(row.key);
       continue;
     }
-    table_.recover(row.op, row.key, row.fingerprint, row.ended, now + read.left);
+    table_.recover(row.request, row.key, row.fingerprint, row.ended, now + read.left);
     counters_.add(Count::kResultsRecovered);
   }
   store_->erase(std::move(over));
 }
 
-void Recall::on_store_state(results::StoreState state, const std::string& why) {
+void ResultReplay::on_store_state(results::StoreState state, const std::string& why) {
   const bool sound = state == results::StoreState::kSound;
   if (sound) {
     log_.event(Level::kInfo, "results", "store open",
@@ -117,7 +117,7 @@
   }
 }
 
-void Recall::on_drops_wanted(const std::vector<results::Key>& keys) {
+void ResultReplay::on_drops_wanted(const std::vector<results::Key>& keys) {
   std::vector<results::Key> dropped;
   for (const results::Key& key : keys) {
     if (table_.drop(key)) dropped.push_back(key);
@@ -127,35 +127,35 @@
   store_->erase(std::move(dropped));
 }
 
-// ---- As ops come.
-bool Recall::identify(const Op& op, const peers::IncomingOp& in, const OpenOp& entered,
+// ---- As requests come.
+bool ResultReplay::identify(const Request& request, const peers::IncomingRequest& in, const InFlightRequest& entered,
                       Candidate& out) const {
-  const OpType& settings = entered.settings;
-  const std::string& name = entered.type_name;
-  out.id = op.id;
-  if (settings.effect == Effect::kKeyed) {
+  const Route& settings = entered.route_settings;
+  const std::string& name = entered.route_name;
+  out.id = request.id;
+  if (settings.idempotency == Idempotency::kWithKey) {
     out.kind = Kind::kKeyed;
     out.fingerprint = keys_.fingerprint(in.body);
     out.key = by_digest_.contains(name)
                   ? keys_.digest(name, options_.digest_by_caller ? in.caller : 0, in.body)
-                  : keys_.marked(name, in.mark);
+                  : keys_.marked(name, in.idempotency_key);
     return true;
   }
-  if (settings.effect == Effect::kRetryable && site_.settings.fresh > 0 && op.key != 0 && !op.write) {
+  if (settings.idempotency == Idempotency::kIdempotent && site_.admission.shared_answer_ttl > 0 && request.subject != 0 && !request.is_write) {
     out.kind = Kind::kShared;
-    out.key = keys_.read(name, op.key, in.body);
+    out.key = keys_.read(name, request.subject, in.body);
     return true;
   }
   return false;
 }
 
-bool Recall::meet(Op& op, const peers::IncomingOp& in, OpenOp& entered) {
+bool ResultReplay::meet(Request& request, const peers::IncomingRequest& in, InFlightRequest& entered) {
   candidate_ = {};
   if (!on()) return false;
-  const bool keyed = entered.settings.effect == Effect::kKeyed;
+  const bool keyed = entered.route_settings.idempotency == Idempotency::kWithKey;
   const double now = net::monotonic_now();
   Candidate candidate;
-  if (!identify(op, in, entered, candidate)) return false;
+  if (!identify(request, in, entered, candidate)) return false;
   if (std::vector<results::Key> over = table_.age(now, kAgedOnArrival); store_)
     store_->erase(std::move(over));
   const results::Met met = table_.meet(now, candidate.key, candidate.fingerprint, candidate.kind);
@@ -165,23 +165,23 @@
       // Before the store is open, too: nothing is known then of what earlier lives ran, it may be this one.
       if (keyed && store_ && !store_->takes_intents(now)) {
         counters_.add(Count::kResultsNoStore);
-        nack(entered, store_->come_back_in(now));
+        reject(entered, store_->retry_after(now));
         return true;
       }
       break;
-    case Meeting::kRepeat: op.original = met.original; break;
+    case Meeting::kRepeat: request.duplicate_of = met.original; break;
     case Meeting::kUnknown:
       counters_.add(Count::kResultsUnknown);
-      book_.fail(entered, peers::Failure::kOutcomeUnknown);
+      in_flight_.fail(entered, peers::FailureReason::kOutcomeUnknown);
       return true;
     case Meeting::kOtherBody:
       counters_.add(Count::kResultsConflicts);
-      book_.fail(entered, peers::Failure::kKeyConflict);
+      in_flight_.fail(entered, peers::FailureReason::kKeyConflict);
       return true;
     case Meeting::kNoRoom:
       if (in.known_only) return not_known(entered, true, now), true;
       counters_.add(Count::kResultsNoRoom);
-      nack(entered, met.come_back_in);
+      reject(entered, met.retry_after);
       return true;
   }
   candidate_ = candidate;
@@ -190,20 +190,20 @@
 
 // It was only asked about. Guards against a store that is not open, and so knows nothing yet: that is no
 // answer.
-void Recall::not_known(OpenOp& op, bool certain, double now) {
-  if (!certain) return nack(op, store_->come_back_in(now));
+void ResultReplay::not_known(InFlightRequest& request, bool certain, double now) {
+  if (!certain) return reject(request, store_->retry_after(now));
   counters_.add(Count::kResultsNotKnown);
-  book_.fail(op, peers::Failure::kNotKnown);
+  in_flight_.fail(request, peers::FailureReason::kNotKnown);
 }
 
 // Never ran: with a time to come back where the site's callers heed one.
-void Recall::nack(OpenOp& op, double come_back_in) {
-  const Settings& s = site_.settings;
-  book_.nack(op, s.retry_after ? std::min(come_back_in, s.max_retry_after) : 0, false);
+void ResultReplay::reject(InFlightRequest& request, double retry_after) {
+  const AdmissionOptions& s = site_.admission;
+  in_flight_.reject(request, s.sends_retry_after ? std::min(retry_after, s.max_retry_after) : 0, false);
 }
 
 // ---- Acts of the module.
-void Recall::remember(OpId id, double ttl) {
+void ResultReplay::remember(RequestId id, double ttl) {
   if (!must_hold(candidate_.id == id, counters_)) return;
   const double now = net::monotonic_now();
   const bool kept =
@@ -213,9 +213,9 @@
   must_hold(kept || candidate_.kind == Kind::kShared, counters_);
 }
 
-void Recall::forget(OpId id) { answer_repeats(table_.release(id), How::kNeverRan); }
+void ResultReplay::forget(RequestId id) { answer_repeats(table_.release(id), How::kNeverRan); }
 
-void Recall::join(OpId id) {
+void ResultReplay::join(RequestId id) {
   if (!must_hold(candidate_.id == id, counters_)) return;
   const results::Key key = candidate_.key;
   counters_.add(Count::kResultsJoined);
@@ -223,18 +223,18 @@
     case Joined::kWaits: return;
     case Joined::kHere:
       counters_.add(Count::kResultsFromMemory);
-      return answer_repeat(id, How::kAcked, *table_.result(key));
+      return answer_repeat(id, How::kSucceeded, *table_.result(key));
     case Joined::kStored: return answer_from_store(id, key);
     case Joined::kUnknown: return answer_repeat(id, How::kUnknown);
     case Joined::kNeverRan: return answer_repeat(id, How::kNeverRan);
   }
 }
 
-bool Recall::hold_start(OpenOp& op) {
+bool ResultReplay::hold_start(InFlightRequest& request) {
   if (!on()) return false;
-  const OpId id = op.id;
+  const RequestId id = request.id;
   const results::Table::Entry* entry = table_.entry_of(id);
-  const bool keyed = op.settings.effect == Effect::kKeyed;
+  const bool keyed = request.route_settings.idempotency == Idempotency::kWithKey;
   if (entry == nullptr) {
     // Guards against a keyed run that nobody would remember.
     if (must_hold(!keyed, counters_)) return false;
@@ -248,11 +248,11 @@
   const results::Key key = entry->key;
   results::Row row;
   row.key = key;
-  row.op = id;
-  row.type = op.type_name;
+  row.request = id;
+  row.type = request.route_name;
   row.fingerprint = entry->fingerprint;
   row.until_ms = unix_ms() + static_cast<std::int64_t>((entry->until - net::monotonic_now()) * kMsPerSecond);
-  op.run = Run::kRecording;
+  request.run = Run::kRecording;
   const bool taken =
       store_->intent(std::move(row), [this, id, key](bool durable) { on_intent(id, key, durable); });
   if (!taken) {
@@ -265,37 +265,37 @@
 }
 
 // Its intent is durable, or will not be in time. What comes after that is passed over.
-void Recall::on_intent(OpId id, const results::Key& key, bool durable) {
+void ResultReplay::on_intent(RequestId id, const results::Key& key, bool durable) {
   const auto timer = recording_.find(id);
   if (timer != recording_.end()) {
     reactor_.cancel(timer->second);
     recording_.erase(timer);
   }
-  OpenOp* op = book_.find(id);
+  InFlightRequest* request = in_flight_.find(id);
   const results::Table::Entry* entry = table_.entry_of(id);
-  if (op == nullptr || op->run != Run::kRecording || entry == nullptr || entry->key != key) return;
+  if (request == nullptr || request->run != Run::kRecording || entry == nullptr || entry->key != key) return;
   if (!durable) counters_.add(Count::kResultsNotDurable);
-  if (!durable || op->answered) return not_started(id, key, store_->come_back_in(net::monotonic_now()));
+  if (!durable || request->answered) return not_started(id, key, store_->retry_after(net::monotonic_now()));
   table_.start(id);
-  send_.start(*op);
+  sender_.start(*request);
 }
 
-// Nothing reached the runtime: the op is nacked, and so is who waits for it.
-void Recall::not_started(OpId id, const results::Key& key, double come_back_in) {
-  OpenOp* op = book_.find(id);
-  if (op == nullptr) return;
-  op->run = Run::kNone;
-  nack(*op, come_back_in);
+// Nothing reached the runtime: the request is rejected, and so is who waits for it.
+void ResultReplay::not_started(RequestId id, const results::Key& key, double retry_after) {
+  InFlightRequest* request = in_flight_.find(id);
+  if (request == nullptr) return;
+  request->run = Run::kNone;
+  reject(*request, retry_after);
   answer_repeats(table_.release(id), How::kNeverRan);
   if (store_) store_->erase({key});
-  admit_.on_run_end(id, Outcome::kMoot, 0);
-  if ((op = book_.find(id)) != nullptr) book_.settle(*op);
+  admission_.on_run_end(id, Outcome::kObsolete, 0);
+  if ((request = in_flight_.find(id)) != nullptr) in_flight_.settle(*request);
 }
 
 // ---- Ends of runs.
-bool Recall::on_run_ended(OpenOp& op, Outcome outcome, std::string_view result) {
+bool ResultReplay::on_run_ended(InFlightRequest& request, Outcome outcome, std::string_view result) {
   if (!on()) return false;
-  const OpId id = op.id;
+  const RequestId id = request.id;
   const results::Table::Entry* entry = table_.entry_of(id);
   if (entry == nullptr || entry->state != State::kRunning) return false;
   const double now = net::monotonic_now();
@@ -303,30 +303,30 @@
   switch (outcome) {
     case Outcome::kOk: {
       if (entry->kind == Kind::kShared || !store_) {
-        answer_repeats(table_.end(now, id, std::string(result)), How::kAcked, result);
+        answer_repeats(table_.end(now, id, std::string(result)), How::kSucceeded, result);
         return false;
       }
       Pending& pending = pending_[id];
       pending.key = key;
       pending.result = result;
-      const double left = std::max(0.0, op.due - net::unix_now());
+      const double left = std::max(0.0, request.due - net::unix_now());
       pending.due =
           reactor_.after(left, [this, id] {  // the answer is owed now; the result follows when it can
-            OpenOp* late = book_.find(id);
+            InFlightRequest* late = in_flight_.find(id);
             if (late == nullptr) return;
-            book_.fail(*late);
-            book_.settle(*late);
+            in_flight_.fail(*late);
+            in_flight_.settle(*late);
           });
       store_->result(key, pending.result, [this, id](bool durable) { on_result_written(id, durable); });
       return true;
     }
-    case Outcome::kMoot: {  // nothing was started
+    case Outcome::kObsolete: {  // nothing was started
       answer_repeats(table_.release(id), How::kNeverRan);
       if (store_) store_->erase({key});
       return false;
     }
     case Outcome::kCancelled:
-      if (!op.answered && site_.settings.halt == Halt::kPause) return false;  // it goes on later
+      if (!request.answered && site_.admission.preemption == Preemption::kPause) return false;  // it goes on later
       [[fallthrough]];
     default: answer_repeats(table_.lose(now, id), How::kUnknown); return false;
   }
@@ -334,65 +334,65 @@
 
 // A result that could not be written is still the result: its callers get it, and a repeat after a restart is
 // told that the outcome is unknown.
-void Recall::on_result_written(OpId id, bool durable) {
+void ResultReplay::on_result_written(RequestId id, bool durable) {
   auto found = pending_.extract(id);
   if (found.empty()) return;
   Pending& pending = found.mapped();
   reactor_.cancel(pending.due);
   if (!durable) counters_.add(Count::kResultsNotDurable);
-  const std::vector<OpId> repeats = table_.end(net::monotonic_now(), id, pending.result);
-  if (OpenOp* op = book_.find(id)) {
-    book_.ack(*op, pending.result);
-    book_.settle(*op);
+  const std::vector<RequestId> repeats = table_.end(net::monotonic_now(), id, pending.result);
+  if (InFlightRequest* request = in_flight_.find(id)) {
+    in_flight_.ack(*request, pending.result);
+    in_flight_.settle(*request);
   }
-  answer_repeats(repeats, How::kAcked, pending.result);
+  answer_repeats(repeats, How::kSucceeded, pending.result);
 }
 
-void Recall::on_closed(const OpenOp& op) {
+void ResultReplay::on_closed(const InFlightRequest& request) {
   if (!on()) return;
-  table_.leave(op.id);
-  const results::Table::Entry* entry = table_.entry_of(op.id);
-  if (entry == nullptr || pending_.contains(op.id)) return;
+  table_.leave(request.id);
+  const results::Table::Entry* entry = table_.entry_of(request.id);
+  if (entry == nullptr || pending_.contains(request.id)) return;
   if (entry->state == State::kReserved) {
-    answer_repeats(table_.release(op.id), How::kNeverRan);
+    answer_repeats(table_.release(request.id), How::kNeverRan);
   } else {  // a paused run that is dropped
-    answer_repeats(table_.lose(net::monotonic_now(), op.id), How::kUnknown);
+    answer_repeats(table_.lose(net::monotonic_now(), request.id), How::kUnknown);
   }
 }
 
 // ---- Repeats.
-void Recall::answer_from_store(OpId id, const results::Key& key) {
+void ResultReplay::answer_from_store(RequestId id, const results::Key& key) {
   counters_.add(Count::kResultsFromStore);
   const bool asked = store_ && store_->fetch(key, [this, id](const std::optional<results::Row>& row) {
-    answer_repeat(id, row && row->ended ? How::kAcked : How::kUnknown, row ? row->result : std::string());
+    answer_repeat(id, row && row->ended ? How::kSucceeded : How::kUnknown, row ? row->result : std::string());
   });
   if (!asked) answer_repeat(id, How::kUnknown);
 }
 
-void Recall::answer_repeats(const std::vector<OpId>& repeats, How how, std::string_view result) {
-  for (const OpId id : repeats) answer_repeat(id, how, result);
+void ResultReplay::answer_repeats(const std::vector<RequestId>& repeats, How how, std::string_view result) {
+  for (const RequestId id : repeats) answer_repeat(id, how, result);
 }
 
 // Its answer leaves at once; the module hears of it on the next turn, since this may be inside one of its
 // acts.
-void Recall::answer_repeat(OpId id, How how, std::string_view result) {
-  OpenOp* op = book_.find(id);
-  if (op == nullptr) return;
+void ResultReplay::answer_repeat(RequestId id, How how, std::string_view result) {
+  InFlightRequest* request = in_flight_.find(id);
+  if (request == nullptr) return;
   switch (how) {
-    case How::kAcked: book_.ack(*op, result); break;
-    case How::kUnknown: book_.fail(*op, peers::Failure::kOutcomeUnknown); break;
-    case How::kNeverRan: nack(*op, 0); break;
+    case How::kSucceeded: in_flight_.ack(*request, result); break;
+    case How::kUnknown: in_flight_.fail(*request, peers::FailureReason::kOutcomeUnknown); break;
+    case How::kNeverRan: reject(*request, 0); break;
   }
   reactor_.post([this, id, how] {
-    OpenOp* there = book_.find(id);
+    InFlightRequest* there = in_flight_.find(id);
     if (there == nullptr) return;
-    admit_.on_run_end(id, how == How::kAcked ? Outcome::kOk : Outcome::kMoot, 0);
-    if ((there = book_.find(id)) != nullptr) book_.settle(*there);
+    admission_.on_run_end(id, how == How::kSucceeded ? Outcome::kOk : Outcome::kObsolete, 0);
+    if ((there = in_flight_.find(id)) != nullptr) in_flight_.settle(*there);
   });
 }
 
 // ---- Time passing.
-void Recall::look() {
+void ResultReplay::look() {
   if (!store_ || store_->roomy()) {
     std::vector<results::Key> over = table_.age(net::monotonic_now(), kAgedAtOnce);
     if (store_) store_->erase(std::move(over));
@@ -400,7 +400,7 @@
   look_timer_ = reactor_.after(kLook, [this] { look(); });
 }
 
-void Recall::reconfigure(const ResultsOptions& options) {
+void ResultReplay::reconfigure(const ResultsOptions& options) {
   if (!on() && !options.enabled) return;
   const bool same = options.enabled == options_.enabled && options.store == options_.store &&
                     options.power_safe == options_.power_safe && options.disk == options_.disk &&
@@ -418,7 +418,7 @@
              {{"memory", options_.memory}, {"entries", options_.entries}, {"in_use", table_.bytes()}});
 }
 
-void Recall::report() {
+void ResultReplay::report() {
   if (!on()) return;
   counters_.set(Count::kResultsEntries, table_.entries());
   counters_.set(Count::kResultsBytes, table_.bytes());
--- a/src/stages/learn.cpp
+++ b/src/stages/statistics_persistence.cpp
@@ -1,13 +1,13 @@
-#include "stages/learn.h"
+#include "stages/statistics_persistence.h"
 
-#include "stages/admit.h"
+#include "stages/admission_driver.h"
 
 namespace damsonspoke::stages {
 
-Learn::Learn(net::Reactor& reactor, const Admit& admit, const StartSettings& site, std::string name,
+StatisticsPersistence::StatisticsPersistence(net::Reactor& reactor, const AdmissionDriver& admission, const StartSettings& site, std::string name,
              const KnowledgeOptions& options, Counters& counters, Logger& log)
     : reactor_(reactor),
-      admit_(admit),
+      admission_(admission),
       site_(site),
       name_(std::move(name)),
       options_(options),
@@ -18,14 +18,14 @@
         std::make_unique<knowledge::Keeper>([path = options_.folder] { return store::open_folder(path); });
 }
 
-Learn::~Learn() { reactor_.cancel(timer_); }
+StatisticsPersistence::~StatisticsPersistence() { reactor_.cancel(timer_); }
 
-void Learn::get_ready() {
+void StatisticsPersistence::get_ready() {
   constexpr double kPatience = 0.25;  // s; a folder that hangs costs a start no more than this
   if (on()) keeper_->wait_for_reading(kPatience);
 }
 
-Knowledge Learn::prior() {
+LearnedStatistics StatisticsPersistence::prior() {
   if (!on()) return {};
   began_ = net::monotonic_now();
   timer_ = reactor_.after(options_.interval, [this] { look(); });
@@ -52,7 +52,7 @@
   return std::move(belief.prior);
 }
 
-void Learn::look() {
+void StatisticsPersistence::look() {
   write();
   if (std::optional<std::string> trouble = keeper_->take_trouble()) {
     trouble->empty() ? log_.info("knowledge", "written again")
@@ -63,12 +63,12 @@
 
 // What is learned in a bad spell does not push out what was learned before it. A life that has lasted an
 // interval, or is told to leave, has not died of what it began with.
-void Learn::write() {
-  if (left_ || !admit_.begun()) return;
+void StatisticsPersistence::write() {
+  if (left_ || !admission_.begun()) return;
   const double begin = net::monotonic_now();
-  const Knowledge learned = admit_.learned();
+  const LearnedStatistics learned = admission_.learned();
   keeper_->came_through();
-  if (learned.troubled) {
+  if (learned.under_pressure) {
     counters_.add(Count::kKnowledgeSkipped);
   } else {
     keeper_->write(encode(knowledge::record_of(learned, site_, name_, net::unix_now(), begin - began_)));
@@ -77,7 +77,7 @@
   counters_.most(Count::kKnowledgeMostUs, static_cast<std::uint64_t>((net::monotonic_now() - begin) * 1e6));
 }
 
-void Learn::leaving() {
+void StatisticsPersistence::leaving() {
   if (!on()) return;
   write();
   left_ = true;
--- a/src/stages/learn.h
+++ b/src/stages/statistics_persistence.h
@@ -16,20 +16,20 @@
 
 namespace damsonspoke::stages {
 
-class Admit;
+class AdmissionDriver;
 
-class Learn {
+class StatisticsPersistence {
  public:
-  Learn(net::Reactor& reactor, const Admit& admit, const StartSettings& site, std::string name,
+  StatisticsPersistence(net::Reactor& reactor, const AdmissionDriver& admission, const StartSettings& site, std::string name,
         const KnowledgeOptions& options, Counters& counters, Logger& log);
-  ~Learn();
+  ~StatisticsPersistence();
 
   bool on() const { return options_.enabled; }
   // Before the reactor turns: a short time for the folder to be read.
   void get_ready();
   // As the module's life begins: what it may start with. Never waits: what has not been read by then is not
   // used.
-  Knowledge prior();
+  LearnedStatistics prior();
   void leaving();  // a last record, and nothing after it
 
  private:
@@ -37,7 +37,7 @@
   void write();
 
   net::Reactor& reactor_;
-  const Admit& admit_;
+  const AdmissionDriver& admission_;
   const StartSettings& site_;
   const std::string name_;
   const KnowledgeOptions options_;
--- a/src/tier/dispatch.h
+++ b/src/tier/dispatch.h
@@ -1,8 +1,8 @@
-// A forwarder's decisions: which op goes to which planner, when, how often, and what its caller is told when
+// A forwarder's decisions: which request goes to which planner, when, how often, and what its caller is told when
 // none can take it. Pure policy over fence, picker, line, outlook and retry budget: happenings come in with
 // the time, acts go out through a host. It holds no body and no socket.
 //
-// What it never does: answer an op twice, have two attempts at one in hand, or begin a second one without
+// What it never does: answer a request twice, have two attempts at one in hand, or begin a second one without
 // proof that the first never ran. What it does not decide: who is served when cores run short; planners do.
 #pragma once
 
@@ -30,45 +30,45 @@
   double retry_share = 0.1;  // second tries, of first ones
   double retry_burst = 10;   // of them at once
   double try_share = 0.5;    // of the time left after which a planner that has not answered is fenced
-  double link_patience = 1;  // s that a lost link may take to come back before its ops are given up
+  double link_patience = 1;  // s that a lost link may take to come back before its requests are given up
   double due_margin = 0.02;  // s before the due time at which a forwarder answers itself
   double hop = 0.005;        // s that a planner is told less than there is: its answer has to come back
   double least_left = 0.03;  // s; with less no attempt is begun
-  std::size_t line_ops = 512;
+  std::size_t queue_requests = 512;
   std::size_t line_bytes = 4 << 20;
-  bool by_key = false;  // ops with a subject go by it
+  bool by_key = false;  // requests with a subject go by it
   // Attempts are numbered by steps by chance of at most so much. 1: a planner that is wrong can hit on the
   // number of an attempt that is still on its way to it, and its answer would be believed.
   std::uint64_t number_steps = 1;
 };
 
-struct ForwardOp {
-  OpId id = 0;
-  int type = 0;
+struct ForwardedRequest {
+  RequestId id = 0;
+  int route = 0;
   std::uint32_t caller = 0;
-  std::uint64_t key = 0;   // subject; 0: none
-  std::uint64_t mark = 0;  // hash of a keyed op's key: its home is one planner for good; 0: not keyed
-  double importance = 1;
-  double left = 0;  // s that its caller waits from now on
+  std::uint64_t subject = 0;   // subject; 0: none
+  std::uint64_t idempotency_key_hash = 0;  // hash of a keyed request's key: its home is one planner for good; 0: not keyed
+  double priority_weight = 1;
+  double remaining_time = 0;  // s that its caller waits from now on
   std::size_t bytes = 0;
 };
 
-enum class Reply { kNacked, kFailed };
+enum class Reply { kRejected, kFailed };
 
-class DispatchHost {
+class DispatchSink {
  public:
-  virtual ~DispatchHost() = default;
-  // `known_only`: it is only asked whether it knows the op's key, and runs nothing.
-  virtual void send(int planner, Attempt attempt, OpId op, double left, bool known_only) = 0;
+  virtual ~DispatchSink() = default;
+  // `known_only`: it is only asked whether it knows the request's key, and runs nothing.
+  virtual void send(int planner, Attempt attempt, RequestId request, double left, bool known_only) = 0;
   virtual void cancel(int planner, Attempt attempt) = 0;
   virtual void fence(int planner, Attempt attempt) = 0;
-  // The op's one answer, where it comes from here and not from a planner; the op is over.
-  virtual void reply(OpId op, Reply how, double come_back_in, bool no_retry) = 0;
+  // The request's one answer, where it comes from here and not from a planner; the request is over.
+  virtual void reply(RequestId request, Reply how, double retry_after, bool no_retry) = 0;
   virtual void wake_at(double time) = 0;  // the last one asked for counts
 };
 
 // How a planner answered, as far as it matters here.
-enum class AnswerKind { kAcked, kNacked, kFailed, kNeverRan, kRunning, kForgotten, kNotKnown };
+enum class AnswerKind { kSucceeded, kRejected, kFailed, kNeverRan, kRunning, kForgotten, kNotKnown };
 
 struct DispatchCounts {
   std::uint64_t first_tries = 0, second_tries = 0, fences = 0, proven = 0, dropped_answers = 0, lost = 0,
@@ -77,21 +77,21 @@
 
 class Dispatch {
  public:
-  Dispatch(DispatchTerms terms, std::size_t op_types, const std::vector<std::string>& planners,
-           DispatchHost& host, std::function<double()> chance, double now);
+  Dispatch(DispatchTerms terms, std::size_t routes, const std::vector<std::string>& planners,
+           DispatchSink& host, std::function<double()> chance, double now);
 
-  void on_op(const ForwardOp& op, double now);
-  void on_gone(OpId op, double now);
+  void on_request(const ForwardedRequest& request, double now);
+  void on_gone(RequestId request, double now);
 
   void on_link_up(int planner, std::uint64_t epoch, std::uint32_t window, double now);
   // `unwritten`: attempts of which no whole frame ever left: proven.
   void on_link_lost(int planner, const std::vector<Attempt>& unwritten, double now);
   void on_window(int planner, std::uint32_t window, double slot_worth, bool good, double now);
   void on_no_more(int planner, double now);
-  // The op that this answers for good, which is over; its acked or failed answer is the mechanism's to pass
+  // The request that this answers for good, which is over; its acked or failed answer is the mechanism's to pass
   // on. None: dropped, or dealt with here.
-  std::optional<OpId> on_answer(int planner, std::uint64_t epoch, Attempt attempt, AnswerKind how,
-                                double come_back_in, bool no_retry, double now);
+  std::optional<RequestId> on_answer(int planner, std::uint64_t epoch, Attempt attempt, AnswerKind how,
+                                double retry_after, bool no_retry, double now);
 
   void on_wake(double now);
   void on_leave(double time_left, double grace, double now);  // the notice to leave
@@ -107,21 +107,21 @@
   double settled_at() const { return homes_of_keys_.settled_at(); }
 
   bool healthy(double now) const { return !leaving() && outlook_.healthy(now); }
-  std::size_t open() const { return ops_.size(); }
+  std::size_t open() const { return requests_.size(); }
   std::size_t waiting() const;
   const Picker& picker() const { return picker_; }
   const Fence& attempts() const { return fence_; }
   const DispatchCounts& counts() const { return counts_; }
 
  private:
-  struct Op {
-    ForwardOp what;
+  struct Request {
+    ForwardedRequest what;
     double due = 0;   // s, when its own answer leaves at the latest
     double sent = 0;  // s, of the attempt in hand
     double fence_at = -1;
     int tries = 0;
-    int home = -1;          // of a keyed op: the one planner that may have it
-    Way way;                // of a keyed op
+    int home = -1;          // of a keyed request: the one planner that may have it
+    Way way;                // of a keyed request
     std::size_t asked = 0;  // of way.ask
     int way_of = 0;         // the list by which it was found
     bool asking() const { return asked < way.ask.size(); }
@@ -134,26 +134,26 @@
 
   bool leaving() const { return leave_at_ >= 0; }
   int position(const std::string& name, double now);
-  void find_way(Op& op, double now);
-  void next_step(Op& op);
+  void find_way(Request& request, double now);
+  void next_step(Request& request);
   int room_at_home(int planner, double now) const;
-  bool home_answers(const Op& op) const;
-  void not_known(OpId id, double now);
-  Line& line_of(const Op& op);
-  void wait_or_refuse(OpId id, double now);
-  bool send(OpId id, int planner, double now);
-  void again_or_refuse(OpId id, int not_this, double come_back_in, bool no_retry, double now);
+  bool home_answers(const Request& request) const;
+  void not_known(RequestId id, double now);
+  Line& line_of(const Request& request);
+  void wait_or_refuse(RequestId id, double now);
+  bool send(RequestId id, int planner, double now);
+  void again_or_refuse(RequestId id, int not_this, double retry_after, bool no_retry, double now);
   void pump(double now);
   bool pump_line(Line& line, std::optional<int> only, double now);
-  void refuse(OpId id, double come_back_in, bool no_retry, double now);
-  void fail(OpId id);
-  void over(OpId id);
+  void refuse(RequestId id, double retry_after, bool no_retry, double now);
+  void fail(RequestId id);
+  void over(RequestId id);
   void fence_late(double now);
   void look_at_planners(double now);
   void wake(double now);
 
   const DispatchTerms terms_;
-  DispatchHost& host_;
+  DispatchSink& host_;
   std::function<double()> chance_;
   Fence fence_;
   Picker picker_;
@@ -161,11 +161,11 @@
   RetryBudget retries_;
   Homes homes_of_keys_;
   int lists_ = 0;  // that there have been
-  std::unordered_map<OpId, Op> ops_;
-  Line line_;                // ops that any planner may take
-  std::vector<Line> homes_;  // keyed ops, by the one planner that may
+  std::unordered_map<RequestId, Request> requests_;
+  Line line_;                // requests that any planner may take
+  std::vector<Line> homes_;  // keyed requests, by the one planner that may
   std::vector<Link> links_;
-  std::set<std::pair<double, OpId>> due_, fences_;
+  std::set<std::pair<double, RequestId>> due_, fences_;
   double leave_at_ = -1, stop_at_ = 0, grace_ = 0;
   DispatchCounts counts_;
 };
--- a/src/tier/fence.cpp
+++ b/src/tier/fence.cpp
@@ -4,17 +4,17 @@
 
 namespace damsonspoke::tier {
 
-Attempt Fence::begin(OpId op, int planner, std::uint64_t epoch, std::uint64_t step) {
+Attempt Fence::begin(RequestId request, int planner, std::uint64_t epoch, std::uint64_t step) {
   const Attempt attempt = last_ += std::max<std::uint64_t>(step, 1);
-  seen_[attempt] = {op, planner, epoch, Standing::kOpen};
-  by_op_[op] = attempt;
+  seen_[attempt] = {request, planner, epoch, Standing::kOpen};
+  by_request_[request] = attempt;
   ++open_at_[planner];
   return attempt;
 }
 
-std::optional<Attempt> Fence::in_hand(OpId op) const {
-  const auto found = by_op_.find(op);
-  return found == by_op_.end() ? std::nullopt : std::optional(found->second);
+std::optional<Attempt> Fence::in_hand(RequestId request) const {
+  const auto found = by_request_.find(request);
+  return found == by_request_.end() ? std::nullopt : std::optional(found->second);
 }
 
 const AttemptSeen* Fence::find(Attempt attempt) const {
@@ -27,30 +27,30 @@
   return found == open_at_.end() ? 0 : found->second;
 }
 
-std::optional<OpId> Fence::end(Attempt attempt) {
+std::optional<RequestId> Fence::end(Attempt attempt) {
   const auto found = seen_.find(attempt);
   if (found == seen_.end()) return std::nullopt;
-  const OpId op = found->second.op;
+  const RequestId request = found->second.request;
   --open_at_[found->second.planner];
   seen_.erase(found);
-  const auto of_op = by_op_.find(op);
-  if (of_op != by_op_.end() && of_op->second == attempt) by_op_.erase(of_op);
-  return op;
+  const auto of_request = by_request_.find(request);
+  if (of_request != by_request_.end() && of_request->second == attempt) by_request_.erase(of_request);
+  return request;
 }
 
 // The life that answers must be the life that was asked: guards against a planner that starts anew and
 // answers under numbers that its former life was given.
-std::optional<OpId> Fence::answered(int planner, std::uint64_t epoch, Attempt attempt) {
+std::optional<RequestId> Fence::answered(int planner, std::uint64_t epoch, Attempt attempt) {
   const AttemptSeen* seen = find(attempt);
   if (seen == nullptr || seen->planner != planner || seen->epoch != epoch) return std::nullopt;
   return end(attempt);
 }
 
-std::optional<OpId> Fence::never_ran(int planner, std::uint64_t epoch, Attempt attempt) {
+std::optional<RequestId> Fence::never_ran(int planner, std::uint64_t epoch, Attempt attempt) {
   return answered(planner, epoch, attempt);
 }
 
-std::optional<OpId> Fence::never_written(Attempt attempt) { return end(attempt); }
+std::optional<RequestId> Fence::never_written(Attempt attempt) { return end(attempt); }
 
 bool Fence::ask(Attempt attempt) {
   const auto found = seen_.find(attempt);
@@ -89,14 +89,14 @@
   return out;
 }
 
-std::vector<OpId> Fence::give_up(int planner) {
-  std::vector<OpId> out;
+std::vector<RequestId> Fence::give_up(int planner) {
+  std::vector<RequestId> out;
   for (const Attempt attempt : of_planner(planner)) out.push_back(*end(attempt));
   return out;
 }
 
-void Fence::let_go(OpId op) {
-  if (const std::optional<Attempt> attempt = in_hand(op)) end(*attempt);
+void Fence::let_go(RequestId request) {
+  if (const std::optional<Attempt> attempt = in_hand(request)) end(*attempt);
 }
 
 }  // namespace damsonspoke::tier
--- a/src/tier/fence.h
+++ b/src/tier/fence.h
@@ -1,9 +1,9 @@
-// Which attempt at an op still counts: the forwarder's side of "one answer, and never a second run without
+// Which attempt at a request still counts: the forwarder's side of "one answer, and never a second run without
 // proof". Pure policy: attempts go in, what to do with them comes out.
 //
-// An op has at most one attempt that is not proven dead. A second one may begin only once the first is proven
+// A request has at most one attempt that is not proven dead. A second one may begin only once the first is proven
 // never to have run: refused by its planner, never written to a link, or fenced off with proof. What was
-// written to a planner whose epoch has ended proves nothing and never will: its op ends as failed.
+// written to a planner whose epoch has ended proves nothing and never will: its request ends as failed.
 // After fencing tokens as in leases and epochs of replicated logs; RIFL (SOSP 2015) for results by attempt.
 #pragma once
 
@@ -28,7 +28,7 @@
 enum class Proof { kNeverRan, kRunning };
 
 struct AttemptSeen {
-  OpId op = 0;
+  RequestId request = 0;
   int planner = 0;
   std::uint64_t epoch = 0;  // of the planner's life that it was sent to
   Standing standing = Standing::kOpen;
@@ -36,17 +36,17 @@
 
 class Fence {
  public:
-  // Numbers go up for as long as this lives; none is used twice. The op must have no attempt in hand. `step`,
+  // Numbers go up for as long as this lives; none is used twice. The request must have no attempt in hand. `step`,
   // at least 1: how far above the last; by chance, so that a planner can't name an attempt that it was never
   // given.
-  Attempt begin(OpId op, int planner, std::uint64_t epoch, std::uint64_t step = 1);
-  // The attempt in hand of an op, or none.
-  std::optional<Attempt> in_hand(OpId op) const;
+  Attempt begin(RequestId request, int planner, std::uint64_t epoch, std::uint64_t step = 1);
+  // The attempt in hand of a request, or none.
+  std::optional<Attempt> in_hand(RequestId request) const;
   const AttemptSeen* find(Attempt attempt) const;
 
-  // An answer came from that life of that planner. The op whose answer it is; none where the attempt was let
+  // An answer came from that life of that planner. The request whose answer it is; none where the attempt was let
   // go of, belongs to another planner or life, or never was: the answer is dropped.
-  std::optional<OpId> answered(int planner, std::uint64_t epoch, Attempt attempt);
+  std::optional<RequestId> answered(int planner, std::uint64_t epoch, Attempt attempt);
   // Its planner shall prove that it never ran; false where that is asked already, or nobody can be asked.
   bool ask(Attempt attempt);
   // A link to a planner ended: its attempts are adrift. Those never written are told by the mechanism with
@@ -56,27 +56,27 @@
   // life can never be proven and are let go of. Both in order of their numbers.
   struct Returned {
     std::vector<Attempt> to_fence;
-    std::vector<OpId> lost;
+    std::vector<RequestId> lost;
   };
   Returned link_up(int planner, std::uint64_t epoch);
-  // Nobody waits for the op any more, or it was answered without proof: what comes of its attempt is dropped.
-  void let_go(OpId op);
-  // Proven never to have run; the op may have another attempt. None where the attempt is not in hand.
-  std::optional<OpId> never_ran(int planner, std::uint64_t epoch, Attempt attempt);
-  std::optional<OpId> never_written(Attempt attempt);
+  // Nobody waits for the request any more, or it was answered without proof: what comes of its attempt is dropped.
+  void let_go(RequestId request);
+  // Proven never to have run; the request may have another attempt. None where the attempt is not in hand.
+  std::optional<RequestId> never_ran(int planner, std::uint64_t epoch, Attempt attempt);
+  std::optional<RequestId> never_written(Attempt attempt);
   // A planner whose link is down has not come back in time: its attempts are no longer waited for.
-  std::vector<OpId> give_up(int planner);
+  std::vector<RequestId> give_up(int planner);
 
   std::size_t open() const { return seen_.size(); }
   int open_at(int planner) const;
 
  private:
-  std::optional<OpId> end(Attempt attempt);
+  std::optional<RequestId> end(Attempt attempt);
   std::vector<Attempt> of_planner(int planner) const;
 
   Attempt last_ = 0;
   std::unordered_map<Attempt, AttemptSeen> seen_;
-  std::unordered_map<OpId, Attempt> by_op_;
+  std::unordered_map<RequestId, Attempt> by_request_;
   std::unordered_map<int, int> open_at_;
 };
 
--- a/src/tier/holdings.cpp
+++ b/src/tier/holdings.cpp
@@ -19,9 +19,9 @@
 
 }  // namespace
 
-std::vector<OpId> Holdings::ops_of(const Forwarder& forwarder) {
-  std::vector<OpId> out;
-  for (const auto& [attempt, held] : forwarder.open) out.push_back(held.op);
+std::vector<RequestId> Holdings::requests_of(const Forwarder& forwarder) {
+  std::vector<RequestId> out;
+  for (const auto& [attempt, held] : forwarder.open) out.push_back(held.request);
   return out;
 }
 
@@ -40,7 +40,7 @@
       out.forwarder = it->first;
       return out;
     }
-    out.gone = ops_of(known);
+    out.gone = requests_of(known);
     it = forwarders_.erase(it);
   }
   if (forwarders_.size() >= terms_.most_forwarders) {
@@ -48,7 +48,7 @@
     const auto absent = std::find_if(forwarders_.begin(), forwarders_.end(),
                                      [&](const auto& one) { return one.second.link == 0; });
     if (absent == forwarders_.end()) return out;
-    const std::vector<OpId> more = ops_of(absent->second);
+    const std::vector<RequestId> more = requests_of(absent->second);
     out.gone.insert(out.gone.end(), more.begin(), more.end());
     forwarders_.erase(absent);
   }
@@ -79,49 +79,49 @@
   return next;
 }
 
-std::vector<OpId> Holdings::expired(double now) {
-  std::vector<OpId> out;
+std::vector<RequestId> Holdings::expired(double now) {
+  std::vector<RequestId> out;
   for (auto it = forwarders_.begin(); it != forwarders_.end();) {
     const Forwarder& forwarder = it->second;
     if (forwarder.lost_at < 0 || now < forwarder.lost_at + terms_.grace) {
       ++it;
       continue;
     }
-    const std::vector<OpId> more = ops_of(forwarder);
+    const std::vector<RequestId> more = requests_of(forwarder);
     out.insert(out.end(), more.begin(), more.end());
     it = forwarders_.erase(it);
   }
   return out;
 }
 
-Holdings::Taking Holdings::submit(ForwarderId id, std::uint64_t attempt, OpId op, int type) {
+Holdings::Taking Holdings::submit(ForwarderId id, std::uint64_t attempt, RequestId request, int type) {
   Forwarder& forwarder = forwarders_.at(id);
   if (attempt <= forwarder.seen) return Taking::kFenced;
   forwarder.seen = attempt;
   if (forwarder.open.size() >= terms_.most_open) return Taking::kTooMany;
-  forwarder.open[attempt] = {op, type};
+  forwarder.open[attempt] = {request, type};
   return Taking::kTaken;
 }
 
-std::optional<OpId> Holdings::cancel(ForwarderId id, std::uint64_t attempt) {
+std::optional<RequestId> Holdings::cancel(ForwarderId id, std::uint64_t attempt) {
   Forwarder& forwarder = forwarders_.at(id);
   forwarder.seen = std::max(forwarder.seen, attempt);
   const auto found = forwarder.open.find(attempt);
   if (found == forwarder.open.end()) return std::nullopt;
-  const OpId op = found->second.op;
+  const RequestId request = found->second.request;
   forwarder.open.erase(found);
-  return op;
+  return request;
 }
 
 Holdings::Proof Holdings::prove(ForwarderId id, std::uint64_t attempt,
-                                const std::function<bool(OpId)>& started) {
+                                const std::function<bool(RequestId)>& started) {
   Forwarder& forwarder = forwarders_.at(id);
   const auto open = forwarder.open.find(attempt);
   if (open != forwarder.open.end()) {
-    if (started(open->second.op)) return {plain(attempt, Result::kRunning), std::nullopt};
-    const OpId op = open->second.op;
+    if (started(open->second.request)) return {plain(attempt, Result::kRunning), std::nullopt};
+    const RequestId request = open->second.request;
     forwarder.open.erase(open);
-    return {plain(attempt, Result::kNeverRan), op};
+    return {plain(attempt, Result::kNeverRan), request};
   }
   if (attempt > forwarder.seen) {
     forwarder.seen = attempt;
--- a/src/tier/holdings.h
+++ b/src/tier/holdings.h
@@ -32,40 +32,40 @@
 using ForwarderId = std::uint64_t;
 
 struct HeldAttempt {
-  OpId op = 0;
-  int type = 0;
+  RequestId request = 0;
+  int route = 0;
 };
 
 class Holdings {
  public:
   explicit Holdings(HoldingsTerms terms) : terms_(terms) {}
 
-  // A forwarder says hello on a link. Ops of its former life have lost their caller; a link that it had is to
+  // A forwarder says hello on a link. Requests of its former life have lost their caller; a link that it had is to
   // be closed unread, which makes "never seen" final.
   struct Greeting {
     ForwarderId forwarder = 0;  // 0: there are too many
     std::uint64_t old_link = 0;
-    std::vector<OpId> gone;
+    std::vector<RequestId> gone;
   };
   Greeting hello(const std::string& name, std::uint64_t epoch, std::uint64_t link);
   void link_lost(std::uint64_t link, double now);
-  // Ops of forwarders that have not come back in time.
-  std::vector<OpId> expired(double now);
+  // Requests of forwarders that have not come back in time.
+  std::vector<RequestId> expired(double now);
   double next_expiry() const;  // < 0: none
 
   enum class Taking { kTaken, kFenced, kTooMany };
-  Taking submit(ForwarderId forwarder, std::uint64_t attempt, OpId op, int type);
-  // Nobody waits for it; the op, where it is still open.
-  std::optional<OpId> cancel(ForwarderId forwarder, std::uint64_t attempt);
+  Taking submit(ForwarderId forwarder, std::uint64_t attempt, RequestId request, int type);
+  // Nobody waits for it; the request, where it is still open.
+  std::optional<RequestId> cancel(ForwarderId forwarder, std::uint64_t attempt);
 
-  // What is proven of an attempt. `started`: whether an op of that id has ever been told to run.
+  // What is proven of an attempt. `started`: whether a request of that id has ever been told to run.
   struct Proof {
     wire::tier::Answer answer;  // to be sent
-    std::optional<OpId> drop;   // an op that is held and will not run: its caller is gone
+    std::optional<RequestId> drop;   // a request that is held and will not run: its caller is gone
   };
   template <class Started>
   Proof fence(ForwarderId forwarder, std::uint64_t attempt, const Started& started) {
-    return prove(forwarder, attempt, [&](OpId op) -> bool { return started(op); });
+    return prove(forwarder, attempt, [&](RequestId request) -> bool { return started(request); });
   }
 
   // The attempt's answer. The link it goes to now, 0 where there is none; it is kept in either case.
@@ -87,9 +87,9 @@
     std::deque<wire::tier::Answer> kept;
     std::size_t kept_bytes = 0;
   };
-  Proof prove(ForwarderId forwarder, std::uint64_t attempt, const std::function<bool(OpId)>& started);
+  Proof prove(ForwarderId forwarder, std::uint64_t attempt, const std::function<bool(RequestId)>& started);
   void trim(Forwarder& forwarder) const;
-  static std::vector<OpId> ops_of(const Forwarder& forwarder);
+  static std::vector<RequestId> requests_of(const Forwarder& forwarder);
 
   const HoldingsTerms terms_;
   std::map<ForwarderId, Forwarder> forwarders_;
--- a/src/tier/homes.h
+++ b/src/tier/homes.h
@@ -1,14 +1,14 @@
-// Where a keyed op belongs, and who has to be asked first while the list of planners changes. Pure policy.
+// Where a keyed request belongs, and who has to be asked first while the list of planners changes. Pure policy.
 //
 // A key's results are remembered by one planner, by rendezvous over the names on the list. When the list
 // changes some keys move, and what was remembered of them does not: a repeat that goes to the new home would
-// run again within its window. So the former home of a moved key is asked whether it knows the op before the
+// run again within its window. So the former home of a moved key is asked whether it knows the request before the
 // new one may run it, for as long as it may remember anything; and the new one runs nothing until all
 // forwarders can be expected to have the new list, since one that has the old one still runs new keys at the
 // former home.
 //
 // With `spread` s between the first and the last forwarder's change, and `memory` s that a planner remembers:
-//   t .. t + spread             the former home is asked; what it does not know is nacked
+//   t .. t + spread             the former home is asked; what it does not know is rejected
 //   .. t + spread + memory      it is asked; what it does not know runs at the new home
 //   after that                  the new home alone
 // Rendezvous hashing: Thaler and Ravishankar 1998. The two phases are those of a change of membership with
@@ -26,7 +26,7 @@
   double memory = 0;   // s that a planner remembers a key at most; 0: nothing is remembered, nothing moves
 };
 
-// The way of one keyed op.
+// The way of one keyed request.
 struct Way {
   std::vector<int> ask;  // former homes, to be asked in this order whether they know it
   int home = -1;         // where it runs once none of them does; < 0: nobody is on the list
--- a/src/tier/line.cpp
+++ b/src/tier/line.cpp
@@ -4,52 +4,52 @@
 
 namespace damsonspoke::tier {
 
-std::optional<OpId> Line::enter(OpId op, double importance, std::uint32_t caller, std::size_t bytes) {
-  Rank& rank = ranks_[importance];
-  std::deque<OpId>& mine = rank.by_caller[caller];
+std::optional<RequestId> Line::enter(RequestId request, double priority_weight, std::uint32_t caller, std::size_t bytes) {
+  Rank& rank = ranks_[priority_weight];
+  std::deque<RequestId>& mine = rank.by_caller[caller];
   if (mine.empty()) rank.turns.push_back(caller);
-  mine.push_back(op);
+  mine.push_back(request);
   ++rank.count;
-  waiting_[op] = {importance, caller, bytes};
+  waiting_[request] = {priority_weight, caller, bytes};
   bytes_ += bytes;
-  if (waiting_.size() <= most_ops_ && bytes_ <= most_bytes_) return std::nullopt;
-  const OpId goes = worst();
+  if (waiting_.size() <= max_requests_ && bytes_ <= most_bytes_) return std::nullopt;
+  const RequestId goes = worst();
   take_out(goes, false);
   return goes;
 }
 
 // Of the least important: the newest of the caller that has most of them waiting.
-OpId Line::worst() const {
+RequestId Line::worst() const {
   const Rank& rank = ranks_.rbegin()->second;
-  const std::deque<OpId>* most = nullptr;
+  const std::deque<RequestId>* most = nullptr;
   for (const std::uint32_t caller : rank.turns) {
-    const std::deque<OpId>& ops = rank.by_caller.at(caller);
-    if (most == nullptr || ops.size() >= most->size()) most = &ops;
+    const std::deque<RequestId>& requests = rank.by_caller.at(caller);
+    if (most == nullptr || requests.size() >= most->size()) most = &requests;
   }
-  return most != nullptr ? most->back() : OpId{};  // a rank that is there has turns
+  return most != nullptr ? most->back() : RequestId{};  // a rank that is there has turns
 }
 
-std::optional<OpId> Line::next() const {
+std::optional<RequestId> Line::next() const {
   if (ranks_.empty()) return std::nullopt;
   const Rank& rank = ranks_.begin()->second;
   return rank.by_caller.at(rank.turns.front()).front();
 }
 
-bool Line::leave(OpId op) {
-  if (!waiting_.contains(op)) return false;
-  take_out(op, next() == op);
+bool Line::leave(RequestId request) {
+  if (!waiting_.contains(request)) return false;
+  take_out(request, next() == request);
   return true;
 }
 
 // Whoever had its turn goes behind the other callers of its rank.
-void Line::take_out(OpId op, bool its_turn) {
-  const Waiting w = waiting_.at(op);
-  waiting_.erase(op);
+void Line::take_out(RequestId request, bool its_turn) {
+  const Waiting w = waiting_.at(request);
+  waiting_.erase(request);
   bytes_ -= w.bytes;
-  const auto at = ranks_.find(w.importance);
+  const auto at = ranks_.find(w.priority_weight);
   Rank& rank = at->second;
-  std::deque<OpId>& mine = rank.by_caller.at(w.caller);
-  mine.erase(std::find(mine.begin(), mine.end(), op));
+  std::deque<RequestId>& mine = rank.by_caller.at(w.caller);
+  mine.erase(std::find(mine.begin(), mine.end(), request));
   const auto turn = std::find(rank.turns.begin(), rank.turns.end(), w.caller);
   if (mine.empty()) {
     rank.turns.erase(turn);
@@ -60,10 +60,10 @@
   if (--rank.count == 0) ranks_.erase(at);
 }
 
-std::size_t Line::ahead(double importance) const {
+std::size_t Line::ahead(double priority_weight) const {
   std::size_t count = 0;
   for (const auto& [of, rank] : ranks_) {
-    if (of < importance) break;
+    if (of < priority_weight) break;
     count += rank.count;
   }
   return count;
--- a/src/tier/outlook.cpp
+++ b/src/tier/outlook.cpp
@@ -6,15 +6,15 @@
 namespace damsonspoke::tier {
 namespace {
 
-constexpr double kTookMemory = 12;   // served ops; a dozen tell a slow spell from a slow op
+constexpr double kTookMemory = 12;   // served requests; a dozen tell a slow spell from a slow request
 constexpr double kRateKnown = 4;     // ends seen before a rate is believed
 constexpr double kLeastSeen = 0.01;  // s of busy time; less says nothing of a rate
 constexpr double kSpread = 0.5;      // of the time to come back, either way
 
 }  // namespace
 
-Outlook::Outlook(OutlookTerms terms, std::size_t op_types, double now)
-    : terms_(terms), freed_at_(now), took_(op_types), alone_since_(now) {}
+Outlook::Outlook(OutlookTerms terms, std::size_t routes, double now)
+    : terms_(terms), freed_at_(now), took_(routes), alone_since_(now) {}
 
 void Outlook::busy(bool any_open, double now) {
   rate(now);
@@ -43,7 +43,7 @@
   if (alone_since_ < 0) alone_since_ = now;
 }
 
-// Guards against a line of ops that are all answered too late while planners are slow: the room that comes
+// Guards against a line of requests that are all answered too late while planners are slow: the room that comes
 // free goes to those that can still be in time.
 bool Outlook::in_time(std::size_t type, std::size_t ahead, double left, double now) {
   if (left <= 0) return false;
--- a/src/tier/parts.cpp
+++ b/src/tier/parts.cpp
@@ -81,9 +81,9 @@
   }
 }
 
-double cold_budget(int cores, double cold_from, double cold_time, double age) {
-  const double grown = cold_time > 0 ? std::clamp(age / cold_time, 0.0, 1.0) : 1;
-  const double speed = cold_from + (1 - cold_from) * grown;
+double cold_budget(int cores, double slow_start_speed, double slow_start_seconds, double age) {
+  const double grown = slow_start_seconds > 0 ? std::clamp(age / slow_start_seconds, 0.0, 1.0) : 1;
+  const double speed = slow_start_speed + (1 - slow_start_speed) * grown;
   return kAttemptsPerCore * std::max(1, cores) * speed;
 }
 
--- a/src/tier/parts.h
+++ b/src/tier/parts.h
@@ -50,6 +50,6 @@
 
 // So many attempts may be open at a planner that began this long ago (s), cold: its share of speed then, of
 // all that it takes when it is warm. The settings tell speed and time.
-double cold_budget(int cores, double cold_from, double cold_time, double age);
+double cold_budget(int cores, double slow_start_speed, double slow_start_seconds, double age);
 
 }  // namespace damsonspoke::tier
--- a/src/tier/picker.cpp
+++ b/src/tier/picker.cpp
@@ -12,7 +12,7 @@
 constexpr double kTookMemory = 16;  // ends
 constexpr double kWorthStep =
     0.25;  // of importance; smaller differences of slots are noise, fullness decides
-constexpr double kAllNacked =
+constexpr double kAllRejected =
     0.95;  // share over which a planner that the others do not resemble serves nobody
 constexpr double kLeastSlow = 0.05;  // s; under it nothing is slow, whatever the others do
 
@@ -69,12 +69,12 @@
 void Picker::ended(int planner, Ended how, double took, double now) {
   let_go(planner);
   Planner& p = at(planner);
-  if (p.ends >= kForget) p.ends /= 2, p.bad /= 2, p.nacked /= 2;
+  if (p.ends >= kForget) p.ends /= 2, p.bad /= 2, p.rejected /= 2;
   p.ends += 1;
   p.bad += how == Ended::kBad;
-  p.nacked += how == Ended::kNacked;
+  p.rejected += how == Ended::kRejected;
   while (!p.rests.empty() && p.rests.front() <= now) p.rests.pop_front();
-  if (how == Ended::kNacked && terms_.nack_rest > 0) p.rests.push_back(now + terms_.nack_rest);
+  if (how == Ended::kRejected && terms_.rejection_rest > 0) p.rests.push_back(now + terms_.rejection_rest);
   if (how == Ended::kServed) {
     p.took += (took - p.took) / (p.took == 0 ? 1 : kTookMemory);
     p.ejected_in_a_row = p.ejected_until < now - terms_.eject_most ? 0 : p.ejected_in_a_row;
@@ -83,11 +83,11 @@
 }
 
 // Outliers are told by the others: where all do badly, leaving one out helps nobody. Guards against a planner
-// that accepts and never answers, fails or nacks everything, or is many times slower, and so looks empty.
+// that accepts and never answers, fails or rejections everything, or is many times slower, and so looks empty.
 void Picker::judge(int planner, double now) {
   Planner& p = at(planner);
   if (!p.up || p.ejected_until > now || p.ends < terms_.judged_over) return;
-  std::vector<double> bad, nacked, took;
+  std::vector<double> bad, rejected, took;
   int up = 0;
   for (std::size_t i = 0; i < planners_.size(); ++i) {
     const Planner& other = planners_[i];
@@ -96,12 +96,12 @@
     if (static_cast<int>(i) == planner || other.ends < terms_.judged_over || other.ejected_until > now)
       continue;
     bad.push_back(other.bad / other.ends);
-    nacked.push_back(other.nacked / other.ends);
+    rejected.push_back(other.rejected / other.ends);
     if (other.took > 0) took.push_back(other.took);
   }
   if (bad.empty()) return;  // nobody to compare with
   const bool fails = p.bad / p.ends - median(bad) > terms_.bad_share;
-  const bool refuses = p.nacked / p.ends > kAllNacked && median(nacked) < kAllNacked - terms_.bad_share;
+  const bool refuses = p.rejected / p.ends > kAllRejected && median(rejected) < kAllRejected - terms_.bad_share;
   const bool slow = !took.empty() && p.took > std::max(kLeastSlow, terms_.slow_multiple * median(took));
   if (!fails && !refuses && !slow) return;
   if (ejected_now(now) + 1 > terms_.most_ejected * up) return;
@@ -109,7 +109,7 @@
   p.ejected_until = now + std::min(terms_.eject_most, terms_.eject_for * longer);
   ++p.ejected_in_a_row;
   ++ejections_;
-  p.ends = p.bad = p.nacked = p.took = 0;
+  p.ends = p.bad = p.rejected = p.took = 0;
   p.up_since = p.ejected_until;  // and comes back slowly
 }
 
@@ -126,7 +126,7 @@
   return p.window == 0 ? 0 : std::max(1.0, share * p.window);
 }
 
-// Guards against a planner that is cold, or full, and nacks at once: its room would come free at once too,
+// Guards against a planner that is cold, or full, and rejections at once: its room would come free at once too,
 // and many forwarders together would send it a flood that no window bounds.
 int Picker::resting(const Planner& p, double now) {
   return static_cast<int>(p.rests.end() - std::upper_bound(p.rests.begin(), p.rests.end(), now));
@@ -143,13 +143,13 @@
 }
 bool Picker::takes(int planner, double now) const { return credits(planner, now) > 0; }
 
-bool Picker::takes_ops(int planner) const {
+bool Picker::takes_requests(int planner) const {
   const Planner& p = at(planner);
   return p.up && p.wanted && !p.leaving;
 }
 bool Picker::any_up() const {
   for (std::size_t i = 0; i < planners_.size(); ++i) {
-    if (takes_ops(static_cast<int>(i))) return true;
+    if (takes_requests(static_cast<int>(i))) return true;
   }
   return false;
 }
--- a/src/tier/picker.h
+++ b/src/tier/picker.h
@@ -1,4 +1,4 @@
-// Which planner an op goes to. Pure policy: what planners say and how their attempts end goes in, a planner
+// Which planner a request goes to. Pure policy: what planners say and how their attempts end goes in, a planner
 // comes out, or none.
 //
 // With a key (a site with hot subjects): rendezvous hashing, so that a subject stays at one planner while
@@ -28,11 +28,11 @@
   int judged_over = 16;        // ends by which a planner is judged
   double bad_share = 0.5;      // of them that ended badly, beyond what the others' do
   double slow_multiple = 5;    // x the median of the others' times to an answer
-  double nack_rest = 0;        // s that an attempt which was nacked keeps its room
+  double rejection_rest = 0;        // s that an attempt which was rejected keeps its room
 };
 
 // How an attempt ended, as far as it says something about its planner.
-enum class Ended { kServed, kNacked, kBad };
+enum class Ended { kServed, kRejected, kBad };
 
 class Picker {
  public:
@@ -45,7 +45,7 @@
 
   void up(int planner, std::uint32_t window, double now);
   void down(int planner);
-  void leaving(int planner);  // it sends no more ops its way; what is open there goes on
+  void leaving(int planner);  // it sends no more requests its way; what is open there goes on
   void window(int planner, std::uint32_t window, double slot_worth, bool good);
 
   void sent(int planner);
@@ -54,16 +54,16 @@
   void let_go(int planner);            // one fewer, and nothing is learned of it
   void late(int planner, double now);  // it has not answered in its share of the time; still open there
 
-  // `chance` gives numbers from 0 to under 1. None where no planner has room. `not_this`: where the op was.
+  // `chance` gives numbers from 0 to under 1. None where no planner has room. `not_this`: where the request was.
   std::optional<int> pick(std::uint64_t key, double now, const std::function<double()>& chance,
                           std::optional<int> not_this = std::nullopt);
 
-  bool takes_ops(int planner) const;  // it is up and does not leave; with or without room
+  bool takes_requests(int planner) const;  // it is up and does not leave; with or without room
   bool wanted(int planner) const { return at(planner).wanted; }
   // Whether it can be asked what it remembers, wanted or not; and how many more may be open there at once.
   bool answers(int planner) const { return at(planner).up && !at(planner).leaving; }
   int asking_room(int planner, double now) const;
-  bool any_up() const;         // whether any takes ops, with or without room
+  bool any_up() const;         // whether any takes requests, with or without room
   int room(double now) const;  // attempts that may be begun now, over all planners
   int open(int planner) const { return at(planner).open; }
   int credits(int planner, double now) const;
@@ -82,11 +82,11 @@
     double slot_worth = 0;
     double up_since = 0;
     int open = 0;
-    double ends = 0, bad = 0, nacked = 0;  // fading counts
+    double ends = 0, bad = 0, rejected = 0;  // fading counts
     double took = 0;                       // s, of served ones, a fading mean; 0: none yet
     double ejected_until = 0;
     int ejected_in_a_row = 0;
-    std::deque<double> rests;  // until when room stays taken that nacked attempts had
+    std::deque<double> rests;  // until when room stays taken that rejected attempts had
   };
   const Planner& at(int planner) const { return planners_[static_cast<std::size_t>(planner)]; }
   Planner& at(int planner) { return planners_[static_cast<std::size_t>(planner)]; }
--- a/src/tier/roll_call.h
+++ b/src/tier/roll_call.h
@@ -17,7 +17,7 @@
 class RollCall {
  public:
   struct Terms {
-    double settled = 1;  // s that a new one has to be there before it is given ops
+    double settled = 1;  // s that a new one has to be there before it is given requests
     double keep = 60;    // s that a silent one is kept
     std::size_t most = 64;
   };
--- a/src/tier/slot_worth.h
+++ b/src/tier/slot_worth.h
@@ -10,9 +10,9 @@
 
 class SlotWorth {
  public:
-  void nacked(double importance, double now) {
+  void rejected(double priority_weight, double now) {
     fade(now);
-    worth_ += (importance - worth_) / kMemory;
+    worth_ += (priority_weight - worth_) / kMemory;
   }
   void taken(double now) {
     fade(now);
--- a/src/tier/windows.h
+++ b/src/tier/windows.h
@@ -1,5 +1,5 @@
 // How many attempts each forwarder may have open at this planner: warm, twice its even part, as what comes
-// too much is nacked; cold, a part of what it takes then (tier/parts), since the sum of what many send is
+// too much is rejected; cold, a part of what it takes then (tier/parts), since the sum of what many send is
 // what a cold planner falls under. Pure policy. Seconds on one clock that never steps back.
 #pragma once
 
@@ -14,8 +14,8 @@
 // As the settings tell of a planner.
 struct Warming {
   int cores = 1;
-  double cold_from = 1;  // share of its speed with which a cold life begins
-  double cold_time = 0;  // s until it is warm
+  double slow_start_speed = 1;  // share of its speed with which a cold life begins
+  double slow_start_seconds = 0;  // s until it is warm
 };
 
 class Windows {
--- a/src/wire/below_lines.cpp
+++ b/src/wire/below_lines.cpp
@@ -44,7 +44,7 @@
              : word == "overload" ? CallEnd::kRefused
              : word == "internal" ? CallEnd::kFailed
              : word == "deadline" ? CallEnd::kTimedOut
-             : word == "stale"    ? CallEnd::kMoot
+             : word == "stale"    ? CallEnd::kObsolete
                                   : CallEnd::kUnknown;
   return read;
 }
--- a/src/wire/below_lines.h
+++ b/src/wire/below_lines.h
@@ -9,7 +9,7 @@
 
 namespace damsonspoke::wire {
 
-enum class CallEnd { kOk, kRefused, kFailed, kTimedOut, kMoot, kUnknown };
+enum class CallEnd { kOk, kRefused, kFailed, kTimedOut, kObsolete, kUnknown };
 
 struct ReplyRead {
   LineState state = LineState::kNeedMore;  // broken: the framing is lost
--- a/src/wire/members.cpp
+++ b/src/wire/members.cpp
@@ -55,7 +55,7 @@
   row.add(t.generation, t.generation != 0);
   row.add(t.digest, t.digest != 0);
   row.add(t.sheds, t.sheds != 0);
-  row.add(static_cast<int>(t.below), t.below != m::Below::kUnknown);
+  row.add(static_cast<int>(t.dependency), t.dependency != m::DependencyState::kUnknown);
   return row.done();
 }
 
@@ -154,7 +154,7 @@
   in.number(t.generation, UINT64_MAX);
   in.number(t.digest, UINT64_MAX);
   in.number(t.sheds, 0xffff);
-  in.number(t.below, 3);
+  in.number(t.dependency, 3);
   return in.sound() && t.serial != 0;
 }
 
--- a/src/wire/rpc.cpp
+++ b/src/wire/rpc.cpp
@@ -152,19 +152,19 @@
   const auto param = [&](const std::string& key) {
     double number = 0;
     if (key == "txn") return params.hex(out.txn, out.has_txn);
-    if (key == "item") return params.hex(out.item, out.has_item);
-    if (key == "door") return params.number(out.door_ms, 0, kMostMs);
-    if (key == "limit") return params.number(out.limit_ms, 0, kMostLimitMs);
-    if (key == "ram") return params.number(out.held_kb, 0, kMostKb);
+    if (key == "item") return params.hex(out.subject, out.has_subject);
+    if (key == "door") return params.number(out.received_at_ms, 0, kMostMs);
+    if (key == "limit") return params.number(out.client_timeout_ms, 0, kMostLimitMs);
+    if (key == "ram") return params.number(out.size_kb, 0, kMostKb);
     if (key == "cpu" || key == "work") return params.number(out.work_ms, 0, kMostLimitMs);
     if (key == "probe") return params.boolean(out.probe);
     if (key == "arg") return params.body(out.body);
     if (key == "team") {
       bool told = false;
-      return params.text(out.customer, told);
+      return params.text(out.tenant, told);
     }
-    if (key == "second") return params.mark(out.again);
-    if (!mark_field.empty() && key == mark_field) return params.text(out.mark, out.has_mark);
+    if (key == "second") return params.mark(out.is_retry);
+    if (!mark_field.empty() && key == mark_field) return params.text(out.idempotency_key, out.has_idempotency_key);
     if (key != "lb") return in.skip();
     if (!params.number(number, 0, 4294967295.0)) return false;
     if (number >= 0 && number <= 4294967295.0) out.caller = static_cast<std::uint32_t>(number);
@@ -219,13 +219,13 @@
   return framed(text);
 }
 
-std::string encode_nack(std::uint64_t id, double later_ms, bool no_retry) {
+std::string encode_rejection(std::uint64_t id, double later_ms, bool no_retry) {
   std::string data;
   if (later_ms > 0) data = fmt::format(R"("later":{})", static_cast<std::uint64_t>(std::ceil(later_ms)));
   if (no_retry) data += data.empty() ? R"("giveup":1)" : R"(,"giveup":1)";
   if (!data.empty()) data = fmt::format(R"(,"data":{{{}}})", data);
   return framed(fmt::format(R"({{"jsonrpc":"2.0","id":{},"error":{{"code":{},"message":"nacked"{}}}}})", id,
-                            static_cast<int>(RpcError::kNacked), data));
+                            static_cast<int>(RpcError::kRejected), data));
 }
 
 std::string encode_check(std::uint64_t id, bool pass) {
--- a/src/wire/rpc.h
+++ b/src/wire/rpc.h
@@ -25,33 +25,33 @@
   std::uint64_t id = 0;
   std::string method;
   std::uint64_t txn = 0;
-  double door_ms = 0;   // Unix, when it came to the machine; 0: not told
-  double limit_ms = 0;  // from then on; 0: not told
-  double work_ms = 0;   // the op's work on a standard core, as its caller estimates it; 0: not told
-  double held_kb = 0;
-  std::uint64_t item = 0;
-  std::string mark;      // by which a repeat is known
-  std::string customer;  // its name; empty: not told
+  double received_at_ms = 0;   // Unix, when it came to the machine; 0: not told
+  double client_timeout_ms = 0;  // from then on; 0: not told
+  double work_ms = 0;   // the request's work on a standard core, as its caller estimates it; 0: not told
+  double size_kb = 0;
+  std::uint64_t subject = 0;
+  std::string idempotency_key;      // by which a repeat is known
+  std::string tenant;  // its name; empty: not told
   std::string body;
   std::uint32_t caller = 0;
   bool notification = true;  // no id at all: nothing is to be answered
-  bool has_id = false, has_txn = false, has_item = false, has_mark = false;
+  bool has_id = false, has_txn = false, has_subject = false, has_idempotency_key = false;
   bool probe = false;
-  bool again = false;  // a retry, where callers mark those
+  bool is_retry = false;  // a retry, where callers mark those
 };
 
-// The member of the params that holds an op's mark, unless operators name another.
+// The member of the params that holds a request's mark, unless operators name another.
 inline constexpr std::string_view kMarkParam = "unique";
 
 // On a problem the id is filled in where it can be told, so that the request can be answered.
-// `mark_field` names the member of the params that holds an op's mark, a string; empty: none is looked for.
+// `mark_field` names the member of the params that holds a request's mark, a string; empty: none is looked for.
 RpcProblem decode_request(std::string_view text, RpcRequest& out, std::string_view mark_field = {});
 
 // Whether the protocol has a member of that name among its params already.
 bool is_param(std::string_view name);
 
 enum class RpcError {
-  kNacked = -32001,
+  kRejected = -32001,
   kFailed = -32000,
   kOutcomeUnknown = -32003,
   kKeyConflict = -32004,
@@ -63,7 +63,7 @@
 
 std::string encode_result(std::uint64_t id, std::string_view body);
 std::string encode_error(std::uint64_t id, RpcError code, std::string_view message);
-std::string encode_nack(std::uint64_t id, double later_ms, bool no_retry);
+std::string encode_rejection(std::uint64_t id, double later_ms, bool no_retry);
 std::string encode_check(std::uint64_t id, bool pass);
 std::string encode_no_more();
 
--- a/src/wire/runtime_lines.cpp
+++ b/src/wire/runtime_lines.cpp
@@ -46,7 +46,7 @@
   }
   if (verb == "nack" && count == 3 && parse_id(words[2], out.id)) {
     out.command = words[1];
-    return NoticeKind::kNack;
+    return NoticeKind::kRejection;
   }
   if (verb == "info" && count >= 2 && parse_number(words[1], out.number)) return NoticeKind::kRemark;
   return NoticeKind::kUnknown;
--- a/src/wire/runtime_lines.h
+++ b/src/wire/runtime_lines.h
@@ -10,7 +10,7 @@
 
 namespace damsonspoke::wire {
 
-enum class NoticeKind { kReady, kRunEnd, kCallWanted, kGauges, kVerdict, kNack, kRemark, kUnknown };
+enum class NoticeKind { kReady, kRunEnd, kCallWanted, kGauges, kVerdict, kRejection, kRemark, kUnknown };
 enum class RunEnd { kComplete, kError, kCancelled, kUnknown };
 
 struct Notice {
@@ -23,7 +23,7 @@
   std::uint64_t tag = 0;  // gauges, verdict
   bool good = false;      // verdict
   std::vector<double> gauges;
-  std::string_view command;  // nack
+  std::string_view command;  // rejection
   std::string_view body;     // of the input: valid as long as that is
 };
 
--- a/src/wire/tier.cpp
+++ b/src/wire/tier.cpp
@@ -93,15 +93,15 @@
   std::string operator()(const Submit& m) const {
     Writer w(kSubmit);
     w.number(m.attempt);
-    w.number(m.op);
-    w.number(m.type);
+    w.number(m.request);
+    w.number(m.route);
     w.number(m.caller);
-    w.number(m.key);
-    w.number(m.held);
+    w.number(m.subject);
+    w.number(m.size_sixteenth_kb);
     w.number(m.age_us);
-    w.number(m.left_us);
+    w.number(m.remaining_us);
     w.flag(m.known_only);
-    w.text<std::uint8_t>(m.mark, kMostMark);
+    w.text<std::uint8_t>(m.idempotency_key, kMostMark);
     w.text<std::uint32_t>(m.body, kMostBody);
     return w.done();
   }
@@ -109,7 +109,7 @@
     Writer w(kAnswer);
     w.number(m.attempt);
     w.number(static_cast<std::uint8_t>(m.result));
-    w.number(m.come_back_us);
+    w.number(m.retry_after_us);
     w.flag(m.no_retry);
     w.text<std::uint32_t>(m.body, kMostBody);
     return w.done();
@@ -163,16 +163,16 @@
 Message decode_submit(Reader& r) {
   Submit m;
   r.number(m.attempt);
-  r.number(m.op);
-  r.number(m.type);
+  r.number(m.request);
+  r.number(m.route);
   r.number(m.caller);
-  r.number(m.key);
-  r.number(m.held);
+  r.number(m.subject);
+  r.number(m.size_sixteenth_kb);
   r.number(m.age_us);
-  r.number(m.left_us);
+  r.number(m.remaining_us);
   r.flag(m.known_only);
-  r.demand(m.attempt != 0 && m.op != 0);
-  r.text<std::uint8_t>(m.mark, kMostMark);
+  r.demand(m.attempt != 0 && m.request != 0);
+  r.text<std::uint8_t>(m.idempotency_key, kMostMark);
   r.text<std::uint32_t>(m.body, kMostBody);
   return m;
 }
@@ -184,7 +184,7 @@
   r.number(result);
   r.demand(result <= static_cast<std::uint8_t>(Result::kNotKnown));
   m.result = static_cast<Result>(result);
-  r.number(m.come_back_us);
+  r.number(m.retry_after_us);
   r.flag(m.no_retry);
   r.text<std::uint32_t>(m.body, kMostBody);
   return m;
--- a/src/wire/tier.h
+++ b/src/wire/tier.h
@@ -26,21 +26,21 @@
   std::string name;
   std::uint16_t cores = 0;         // of the planner
   std::uint32_t window = 0;        // of the planner: see Window
-  std::vector<std::string> types;  // of the forwarder: ops name them by position
+  std::vector<std::string> types;  // of the forwarder: requests name them by position
 };
 
 // Forwarder to planner.
 struct Submit {
   std::uint64_t attempt = 0;  // rises by one in each life of a forwarder; never used again
-  std::uint64_t op = 0;
-  std::uint16_t type = 0;
+  std::uint64_t request = 0;
+  std::uint16_t route = 0;
   std::uint32_t caller = 0;
-  std::uint64_t key = 0;             // 0: none
-  std::uint32_t held = 0;            // 1/16 kB
+  std::uint64_t subject = 0;             // 0: none
+  std::uint32_t size_sixteenth_kb = 0;            // 1/16 kB
   std::uint32_t age_us = 0;          // since its caller's door, when it was sent
-  std::uint32_t left_us = kNoLimit;  // that its caller still waits
+  std::uint32_t remaining_us = kNoLimit;  // that its caller still waits
   bool known_only = false;           // runs nothing: whether its key is known is asked
-  std::string mark;
+  std::string idempotency_key;
   std::string body;
 };
 struct Cancel {  // nobody waits for it any more
@@ -52,8 +52,8 @@
 
 // Planner to forwarder.
 enum class Result : std::uint8_t {
-  kAcked = 0,
-  kNacked = 1,     // never ran and never will
+  kSucceeded = 0,
+  kRejected = 1,     // never ran and never will
   kFailed = 2,     // may have run
   kUnknown = 3,    // it repeats one that ran, whose outcome is not known
   kConflict = 4,   // its key belongs to another body
@@ -65,7 +65,7 @@
 struct Answer {
   std::uint64_t attempt = 0;
   Result result = Result::kFailed;
-  std::uint32_t come_back_us = 0;
+  std::uint32_t retry_after_us = 0;
   bool no_retry = false;
   std::string body;
 };
--- a/standins/ajp_gateway.cpp
+++ b/standins/ajp_gateway.cpp
@@ -126,7 +126,7 @@
 void AjpGateway::ask(const Flow& flow) {
   int fd = -1;
   for (const auto& [one, link] : links_) {
-    if (link.op == 0 && !link.closing) fd = one;
+    if (link.request == 0 && !link.closing) fd = one;
   }
   if (fd < 0 && static_cast<int>(links_.size()) < options_.connections) {
     fd = connected_socket(port_);
@@ -142,8 +142,8 @@
   const std::string key = fmt::format("ajp-{}-{}", flow.type, ++things_);
   std::string body = key + ' ';
   if (body.size() < flow.body_bytes) body.resize(flow.body_bytes, 'b');
-  // Numbers of their own: the program gives its ops others.
-  const std::uint64_t op = std::uint64_t{0xa1} << 56 | next_op_++;
+  // Numbers of their own: the program gives its requests others.
+  const std::uint64_t id = std::uint64_t{0xa1} << 56 | next_request_++;
   bare::Request request;
   request.uri = "/ops/" + flow.type;
   request.secret = options_.secret;
@@ -157,7 +157,7 @@
   }
   Link& link = links_.at(fd);
   link = {};
-  link.op = op;
+  link.request = id;
   std::string out = bare::forward(request);
   if (options_.chunked) {
     link.rest = body;
@@ -166,14 +166,14 @@
     link.rest = body.size() > 8186 ? body.substr(8186) : "";
   }
   Try seen;
-  seen.op = op;
+  seen.request = id;
   seen.key = key;
   seen.type = flow.type;
   seen.life = life_;
   seen.unnumbered = true;
   seen.sent = now();
   seen.due = seen.sent + flow.patience;
-  journal_.tries[op] = std::move(seen);
+  journal_.tries[id] = std::move(seen);
   ++owed_;
   loop_.send(fd, out);
 }
@@ -208,12 +208,12 @@
     case 5: break;
     default: return drop(fd), false;
   }
-  if (const auto found = journal_.tries.find(link.op); found != journal_.tries.end()) {
+  if (const auto found = journal_.tries.find(link.request); found != journal_.tries.end()) {
     Answer answer;
     answer.at = now();
     answer.result = link.result;
-    answer.kind = link.status == 200                                ? AnswerKind::kAcked
-                  : link.status == 503                              ? AnswerKind::kNacked
+    answer.kind = link.status == 200                                ? AnswerKind::kSucceeded
+                  : link.status == 503                              ? AnswerKind::kRejected
                   : link.status == 502 || link.status == 504        ? AnswerKind::kFailed
                   : link.status == 500 && link.outcome == "unknown" ? AnswerKind::kUnknownOutcome
                   : link.status == 422                              ? AnswerKind::kConflict
@@ -221,14 +221,14 @@
     found->second.answers.push_back(std::move(answer));
     --owed_;
   }
-  link.op = 0;
+  link.request = 0;
   link.closing = !reply.reuse;
   return true;
 }
 
 void AjpGateway::drop(int fd) {
-  if (const std::uint64_t op = links_.at(fd).op; op != 0) {
-    journal_.tries.at(op).lost = true;
+  if (const std::uint64_t request = links_.at(fd).request; request != 0) {
+    journal_.tries.at(request).lost = true;
     --owed_;
   }
   links_.erase(fd);
--- a/standins/ajp_gateway.h
+++ b/standins/ajp_gateway.h
@@ -44,12 +44,12 @@
 class AjpGateway {
  public:
   struct Options {
-    std::vector<Flow> flows;  // by op type, mapped from POST /ops/TYPE
+    std::vector<Flow> flows;  // by route, mapped from POST /requests/TYPE
     int connections = 16;     // at once
     std::uint64_t seed = 1;
     std::string secret;
     bool chunked = false;  // bodies without a length
-    unsigned hotels = 8;   // whose ops it passes on, as callers' numbers from 2
+    unsigned hotels = 8;   // whose requests it passes on, as callers' numbers from 2
   };
   AjpGateway(Loop& loop, Journal& journal, Options options);
   ~AjpGateway();
@@ -61,7 +61,7 @@
 
  private:
   struct Link {
-    std::uint64_t op = 0;  // 0: idle
+    std::uint64_t request = 0;  // 0: idle
     std::string in, rest;  // of the body, not asked for yet
     int status = 0;
     std::string result, outcome;
@@ -81,7 +81,7 @@
   std::map<int, Link> links_;
   std::uint16_t port_ = 0;
   int life_ = 0;
-  std::uint64_t things_ = 0, next_op_ = 1;
+  std::uint64_t things_ = 0, next_request_ = 1;
   std::size_t owed_ = 0, skipped_ = 0;
   bool more_ = true;
 };
--- a/standins/callers.cpp
+++ b/standins/callers.cpp
@@ -45,7 +45,7 @@
 
 AnswerKind kind_of(int code) {
   switch (code) {
-    case -32001: return AnswerKind::kNacked;
+    case -32001: return AnswerKind::kRejected;
     case -32003: return AnswerKind::kUnknownOutcome;
     case -32004: return AnswerKind::kConflict;
     case -32000: return AnswerKind::kFailed;
@@ -123,9 +123,9 @@
   const std::string key = thing.key, body = thing.body;
   const Flow& flow = options_.flows[thing.flow];
   const int server = thing.tried = choose(thing.tried);
-  const std::uint64_t op = server < 0 ? 0 : send_try(flow, key, body, server, false);
-  if (op != 0) {
-    thing_of_[op] = number;
+  const std::uint64_t request = server < 0 ? 0 : send_try(flow, key, body, server, false);
+  if (request != 0) {
+    thing_of_[request] = number;
     return;
   }
   // Nobody listens: tried again as long as somebody may.
@@ -160,7 +160,7 @@
                                 bool own) {
   const int fd = link(server, own);
   if (fd < 0) return 0;
-  const std::uint64_t op = (random_() & 0xffffffff00000000ULL) | next_op_++, number = next_number_++;
+  const std::uint64_t request = (random_() & 0xffffffff00000000ULL) | next_request_++, number = next_number_++;
   const double door = unix_now();
   std::string more;
   if (flow.marked) more += fmt::format(R"(,"key":"{}")", key);
@@ -173,20 +173,20 @@
   const std::string type = flow.type_of ? flow.type_of(random_()) : flow.type;
   const std::string text = fmt::format(
       R"({{"jsonrpc":"2.0","id":{},"method":"{}","params":{{"txn":"{:016x}","door":{:.0f},"lb":{},"ram":10,"limit":{:.0f}{},"arg":"{}"}}}})",
-      number, type, op, door * 1000, options_.hotels > 1 ? 1 + random_() % options_.hotels : 1,
+      number, type, request, door * 1000, options_.hotels > 1 ? 1 + random_() % options_.hotels : 1,
       flow.patience * 1000, more, base64(body));
   Try seen;
-  seen.op = op;
+  seen.request = request;
   seen.key = key;
   seen.type = type;
   seen.life = servers_.at(static_cast<std::size_t>(server)).life;
   seen.sent = now();
   seen.due = seen.sent + flow.patience;
-  journal_.tries[op] = std::move(seen);
-  links_.at(fd).open[number] = op;
+  journal_.tries[request] = std::move(seen);
+  links_.at(fd).open[number] = request;
   ++owed_;
   loop_.send(fd, fmt::format("Content-Length: {}\r\n\r\n{}", text.size(), text));
-  return op;
+  return request;
 }
 
 void Callers::read(int fd) {
@@ -225,32 +225,32 @@
       journal_.tries.at(before->second).answers.push_back({now(), AnswerKind::kBad, {}});
     return;
   }
-  const std::uint64_t op = found->second;
-  link.answered[number] = op;
+  const std::uint64_t request = found->second;
+  link.answered[number] = request;
   link.open.erase(found);
   --owed_;
-  Try& of = journal_.tries.at(op);
+  Try& of = journal_.tries.at(request);
   Answer answer;
   answer.at = now();
   double come_back = 0;
   if (message.contains("result")) {
-    answer.kind = AnswerKind::kAcked;
+    answer.kind = AnswerKind::kSucceeded;
     answer.result = from_base64(message["result"].value("arg", ""));
   } else {
     const auto& error = message["error"];
     answer.kind = kind_of(error.value("code", 0));
     if (error.contains("data")) come_back = error["data"].value("later", 0.0) / 1000;
   }
-  const bool final = answer.kind == AnswerKind::kAcked || answer.kind == AnswerKind::kUnknownOutcome ||
+  const bool final = answer.kind == AnswerKind::kSucceeded || answer.kind == AnswerKind::kUnknownOutcome ||
                      answer.kind == AnswerKind::kConflict || answer.kind == AnswerKind::kBad;
   of.answers.push_back(std::move(answer));
   if (on_answer) on_answer(of);
-  over(op, final, come_back);
+  over(request, final, come_back);
 }
 
 // A try is over; a further one follows where nothing final came of it.
-void Callers::over(std::uint64_t op, bool final, double come_back) {
-  const auto found = thing_of_.find(op);
+void Callers::over(std::uint64_t request, bool final, double come_back) {
+  const auto found = thing_of_.find(request);
   if (found == thing_of_.end()) return;
   const std::uint64_t number = found->second;
   thing_of_.erase(found);
@@ -273,10 +273,10 @@
   links_.erase(fd);
   loop_.forget(fd);
   ::close(fd);
-  for (const auto& [number, op] : link.open) {
+  for (const auto& [number, request] : link.open) {
     --owed_;
-    journal_.tries.at(op).lost = true;
-    over(op, false, 0);
+    journal_.tries.at(request).lost = true;
+    over(request, false, 0);
   }
 }
 
