--- a/standins/callers.h
+++ b/standins/callers.h
@@ -15,7 +15,7 @@
 
 namespace damsonspoke::standins {
 
-// One op type as callers send it.
+// One route as callers send it.
 struct Flow {
   std::string type;
   double per_s = 10;     // things wanted
@@ -38,7 +38,7 @@
     int connections = 8;  // to each server
     std::uint64_t seed = 1;
     std::string from = "127.0.0.1";  // where they connect from
-    unsigned hotels = 1;             // whose ops they pass on, as callers' numbers from 1
+    unsigned hotels = 1;             // whose requests they pass on, as callers' numbers from 1
   };
   Callers(Loop& loop, Journal& journal, Options options);
   ~Callers();
@@ -53,7 +53,7 @@
   std::uint64_t things() const { return things_; }
   std::uint64_t dialled() const { return dialled_; }  // connections made
 
-  // One try on its own, for tests; returns its op.
+  // One try on its own, for tests; returns its request.
   std::uint64_t ask(const Flow& flow, const std::string& key, const std::string& body,
                     bool on_its_own = false);
   std::function<void(const Try&)> on_answer;
@@ -75,7 +75,7 @@
   struct Link {
     int server = 0;
     std::string in;
-    std::map<std::uint64_t, std::uint64_t> open, answered;  // number to op
+    std::map<std::uint64_t, std::uint64_t> open, answered;  // number to request
     bool no_more = false;
   };
   void next_thing(std::size_t flow);
@@ -86,7 +86,7 @@
   int link(int server, bool own);
   void read(int fd);
   void take(Link& link, const std::string& text);
-  void over(std::uint64_t op, bool good, double come_back);
+  void over(std::uint64_t request, bool good, double come_back);
   void drop(int fd);
   double chance();
 
@@ -97,8 +97,8 @@
   std::vector<Server> servers_;
   std::map<int, Link> links_;
   std::map<std::uint64_t, Thing> all_;               // by number
-  std::map<std::uint64_t, std::uint64_t> thing_of_;  // by op
-  std::uint64_t next_op_ = 1, next_number_ = 1, things_ = 0, dialled_ = 0;
+  std::map<std::uint64_t, std::uint64_t> thing_of_;  // by request
+  std::uint64_t next_request_ = 1, next_number_ = 1, things_ = 0, dialled_ = 0;
   std::size_t owed_ = 0, wanted_ = 0;
   bool more_ = true;
 };
--- a/standins/decision_load.cpp
+++ b/standins/decision_load.cpp
@@ -5,27 +5,27 @@
 #include <pcg_random.hpp>
 #include <queue>
 
-#include "silent_host.h"
+#include "silent_sink.h"
 
 namespace damsonspoke::standins {
 namespace {
 
 struct RunEnd {
   double at = 0;
-  OpId id = 0;
+  RequestId id = 0;
   bool operator>(const RunEnd& other) const { return at > other.at; }
 };
 
 // Runs what it is told to run, for a fixed time, and forgets the rest.
-class InstantHost : public SilentHost {
+class InstantSink : public SilentSink {
  public:
-  explicit InstantHost(double run_time) : run_time_(run_time) {}
+  explicit InstantSink(double run_time) : run_time_(run_time) {}
 
-  void start(OpId id) override {
+  void start(RequestId id) override {
     runs.push({now + run_time_, id});
     ++result.started;
   }
-  void reject(OpId, double, bool) override { ++result.rejected; }
+  void reject(RequestId, double, bool) override { ++result.rejected; }
   void wake_at(double time, std::uint64_t token) override { wake_time = time, wake_token = token; }
   double now = 0;
   double wake_time = -1;
@@ -37,7 +37,7 @@
   const double run_time_;
 };
 
-void catch_up(Decider& decider, InstantHost& host, double until) {
+void catch_up(AdmissionController& controller, InstantSink& host, double until) {
   Gauges gauges;
   gauges.cpu_busy = 0.7;
   for (;;) {
@@ -47,12 +47,12 @@
     if (next > until) return;
     host.now = std::max(host.now, next);
     if (run_end <= wake) {
-      const OpId id = host.runs.top().id;
+      const RequestId id = host.runs.top().id;
       host.runs.pop();
-      decider.on_run_end(host.now, id, Outcome::kOk, 0);
+      controller.on_run_end(host.now, id, Outcome::kOk, 0);
     } else {
       host.wake_time = -1;
-      decider.on_wake(host.now, host.wake_token, gauges);
+      controller.on_wake(host.now, host.wake_token, gauges);
     }
   }
 }
@@ -65,26 +65,26 @@
   return static_cast<double>(t.tv_sec) + static_cast<double>(t.tv_nsec) * 1e-9;
 }
 
-DecisionLoadResult play_decisions(const Settings& settings, const DecisionLoadOptions& options) {
-  InstantHost host(options.run_time);
-  Decider decider(settings, options.seed, host, 0, {}, options.directory);
+DecisionLoadResult play_decisions(const AdmissionOptions& settings, const DecisionLoadOptions& options) {
+  InstantSink host(options.run_time);
+  AdmissionController controller(settings, options.seed, host, 0, {}, options.directory);
   pcg32 random(options.seed);
-  const Directory* told = options.directory;
-  const auto routes = static_cast<std::uint32_t>(told ? told->op_types() : settings.op_types.size());
-  const auto tenants = static_cast<std::uint32_t>(told ? told->customers() : settings.customers.size());
+  const RouteDirectory* told = options.directory;
+  const auto routes = static_cast<std::uint32_t>(told ? told->route_count() : settings.routes.size());
+  const auto tenants = static_cast<std::uint32_t>(told ? told->tenant_count() : settings.tenants.size());
   const double begin = thread_processor_time();
   for (std::uint64_t i = 1; i <= options.requests; ++i) {
     const double at = static_cast<double>(i) / options.per_second;
-    catch_up(decider, host, at);
+    catch_up(controller, host, at);
     host.now = at;
-    Op op;
-    op.id = i;
-    op.type = static_cast<int>(random(routes));
-    op.customer = tenants > 0 ? static_cast<int>(random(tenants)) : 0;
-    op.held_kb = 4;
-    op.caller = random(1000);
+    Request request;
+    request.id = i;
+    request.route = static_cast<int>(random(routes));
+    request.tenant = tenants > 0 ? static_cast<int>(random(tenants)) : 0;
+    request.size_kb = 4;
+    request.caller = random(1000);
     const double before = thread_processor_time();
-    decider.on_op(at, op);
+    controller.on_request(at, request);
     host.result.longest_seconds = std::max(host.result.longest_seconds, thread_processor_time() - before);
   }
   host.result.processor_seconds = thread_processor_time() - begin;
--- a/standins/decision_load.h
+++ b/standins/decision_load.h
@@ -13,7 +13,7 @@
   double per_second = 1304;  // 3 million over 2,300 backends
   double run_time = 0.004;   // s on a core
   std::uint64_t seed = 1;
-  const Directory* directory =
+  const RouteDirectory* directory =
       nullptr;  // of routes and tenants, at the positions from 0 on; none: the settings'
 };
 
@@ -30,6 +30,6 @@
 double thread_processor_time();
 
 // Plays requests of routes and tenants drawn evenly from all positions (the hardest spread).
-DecisionLoadResult play_decisions(const Settings& settings, const DecisionLoadOptions& options);
+DecisionLoadResult play_decisions(const AdmissionOptions& settings, const DecisionLoadOptions& options);
 
 }  // namespace damsonspoke::standins
--- a/standins/demo.cpp
+++ b/standins/demo.cpp
@@ -1,5 +1,5 @@
 // The main job in ten seconds: a relay among its stand-ins, asked for more than its cores can do, half of it
-// asked twice. Prints service by op type, waits, and the verdict of the four rules. usage: demo BINARY
+// asked twice. Prints service by route, waits, and the verdict of the four rules. usage: demo BINARY
 // [SECONDS]
 #include <fmt/format.h>
 
@@ -13,7 +13,7 @@
 namespace {
 
 struct Row {
-  int wanted = 0, served = 0, in_time = 0, nacked = 0, failed = 0;
+  int wanted = 0, served = 0, in_time = 0, rejected = 0, failed = 0;
   std::vector<double> waits;
 };
 
@@ -63,14 +63,14 @@
   const bool left = fleet.leave();
   std::map<std::string, Row> rows;
   std::map<std::string, std::map<std::string, bool>> keys;
-  for (const auto& [op, t] : fleet.journal.tries) {
+  for (const auto& [request, t] : fleet.journal.tries) {
     Row& row = rows[t.type];
     ++row.wanted;
     for (const Answer& a : t.answers) {
-      row.served += a.kind == AnswerKind::kAcked;
-      row.nacked += a.kind == AnswerKind::kNacked;
-      row.failed += a.kind != AnswerKind::kAcked && a.kind != AnswerKind::kNacked;
-      if (a.kind != AnswerKind::kAcked) continue;
+      row.served += a.kind == AnswerKind::kSucceeded;
+      row.rejected += a.kind == AnswerKind::kRejected;
+      row.failed += a.kind != AnswerKind::kSucceeded && a.kind != AnswerKind::kRejected;
+      if (a.kind != AnswerKind::kSucceeded) continue;
       row.waits.push_back(a.at - t.sent);
       row.in_time += a.at - t.sent <= 0.5;
       keys[t.type][t.key] = true;
@@ -82,7 +82,7 @@
              "nacked", "failed", "runs", "p50 ms", "p99 ms");
   for (auto& [type, row] : rows) {
     fmt::print("{:<8}{:>8}{:>8}{:>9}{:>8}{:>8}{:>8}{:>10.1f}{:>10.1f}\n", type, row.wanted, row.served,
-               row.in_time, row.nacked, row.failed, runs[type], quantile(row.waits, 0.5) * 1000,
+               row.in_time, row.rejected, row.failed, runs[type], quantile(row.waits, 0.5) * 1000,
                quantile(row.waits, 0.99) * 1000);
   }
   const auto count = [&](const char* name) {
--- a/standins/fleet.cpp
+++ b/standins/fleet.cpp
@@ -68,13 +68,13 @@
   using nlohmann::json;
   const auto at = [](std::uint16_t port) { return fmt::format("127.0.0.1:{}", port); };
   json types = json::array();
-  for (const OpTypeSpec& t : spec_.types) {
+  for (const RouteSpec& t : spec_.types) {
     types.push_back({{"name", t.name},
-                     {"semantics", t.effect},
+                     {"semantics", t.idempotency},
                      {"target", t.target * 1000},
                      {"give-up", t.timeout * 1000},
                      {"window", t.window * 1000},
-                     {"worth", t.importance}});
+                     {"worth", t.priority_weight}});
   }
   const std::vector<bool> calls(spec_.types.size(), runtime.options.calls > 0);
   const json config = {{"name", spec_.name},
@@ -92,8 +92,8 @@
                          {"rules",
                           {{"fall-multiple", 8},
                            {"stop-sending-within", 300},
-                           {"cold", spec_.cold_time * 1000},
-                           {"cold-from", spec_.cold_from}}},
+                           {"cold", spec_.slow_start_seconds * 1000},
+                           {"cold-from", spec_.slow_start_speed}}},
                          {"allowed", {{"retry-after", true}, {"max-retry-after", 1000}}},
                          {"family-info",
                           {{"cores", spec_.cores},
@@ -181,8 +181,8 @@
 
 RuleLimits Fleet::limits_of(const SiteSpec& spec) {
   RuleLimits limits;
-  for (const OpTypeSpec& type : spec.types) {
-    if (type.effect != "retryable") limits.keyed.push_back(type.name);
+  for (const RouteSpec& type : spec.types) {
+    if (type.idempotency != "retryable") limits.keyed.push_back(type.name);
   }
   limits.survivable = 8 * spec.cores;
   return limits;
--- a/standins/fleet.h
+++ b/standins/fleet.h
@@ -17,18 +17,18 @@
 
 namespace damsonspoke::standins {
 
-struct OpTypeSpec {
+struct RouteSpec {
   std::string name;
-  std::string effect = "retryable";  // dedup: keyed, fragile: non-retryable
+  std::string idempotency = "retryable";  // dedup: keyed, fragile: non-retryable
   double target = 1, timeout = 3;    // s
   double window = 0;                 // s
-  double importance = 1;
+  double priority_weight = 1;
 };
 
 struct SiteSpec {
-  std::vector<OpTypeSpec> types;
+  std::vector<RouteSpec> types;
   double fresh = 0;                     // s
-  double cold_from = 1, cold_time = 0;  // s, as the settings tell
+  double slow_start_speed = 1, slow_start_seconds = 0;  // s, as the settings tell
   int cores = 2;
   double memory_mb = 192;
   double stop_after = 2;          // s
--- a/standins/forwarder.h
+++ b/standins/forwarder.h
@@ -39,9 +39,9 @@
     hello.name = name, hello.epoch = epoch, hello.types = {"read"};
     return hello;
   }
-  ScriptedForwarder& submit(std::uint64_t attempt, std::uint64_t op) {
+  ScriptedForwarder& submit(std::uint64_t attempt, std::uint64_t request) {
     wire::tier::Submit submit;
-    submit.attempt = attempt, submit.op = op, submit.held = 160, submit.left_us = 1900000, submit.body = "k ";
+    submit.attempt = attempt, submit.request = request, submit.size_sixteenth_kb = 160, submit.remaining_us = 1900000, submit.body = "k ";
     return send(submit);
   }
   // How an attempt was answered, within so many seconds; -1: not.
--- a/standins/gate_flood.h
+++ b/standins/gate_flood.h
@@ -43,7 +43,7 @@
     reserve_ = total_ - gate_->strangers_most();
     friends_ = 1 + random_() % 12;
     for (unsigned n = 0; n < friends_; ++n)
-      for (int i = 0; i < 10; ++i) known_->acked(client_of(friend_at(n)), kUnix);
+      for (int i = 0; i < 10; ++i) known_->succeeded(client_of(friend_at(n)), kUnix);
     addresses_ = random_() % 3 == 0 ? 1 : 1 + static_cast<unsigned>(random_() % 20000);
     spread_ = random_() % 2 == 0;
     per_s_ = 20 + chance() * 3000;
@@ -140,7 +140,7 @@
       case 3:  // asks something now and then, and stays
         gate_->asked(id, now_);
         break;
-      default:  // holds ops open: it can't be shed
+      default:  // holds requests open: it can't be shed
         gate_->asked(id, now_);
         gate_->busy(id, true);
         open_[id].busy = true;
@@ -166,7 +166,7 @@
     at(now_ + 0.02 + chance() * 0.3, [this, id, n] {
       --known_open_, --known_open_of_[n];
       if (!open_.contains(id)) return fail("a known client's busy connection went");
-      gate_->acked(id, 1, now_, kUnix + now_);
+      gate_->succeeded(id, 1, now_, kUnix + now_);
       end(id);
     });
   }
--- a/standins/hollow.cpp
+++ b/standins/hollow.cpp
@@ -22,7 +22,7 @@
   net::Reactor reactor;
   Counters counters;
   Logger log{Level::kError};
-  std::map<int, std::unique_ptr<peers::Members>> members;
+  std::map<int, std::unique_ptr<peers::MembershipTransport>> members;
   std::thread thread;
 
   // On the lane's thread; waits for it.
@@ -76,7 +76,7 @@
         member.seeds = seeds;
         member.peers = {*conns::parse_prefix("127.0.0.0/8")};
         member.interval = kInterval, member.suspicion = kSuspicion, member.remember = kRemember;
-        auto one = std::make_unique<peers::Members>(
+        auto one = std::make_unique<peers::MembershipTransport>(
             lane->reactor, member, fmt::format("hollow-{:04}", i), 1000 + static_cast<std::uint64_t>(i),
             options_.seed * 100003 + static_cast<std::uint64_t>(i), lane->counters, lane->log);
         one->begin();
--- a/standins/hollow.h
+++ b/standins/hollow.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "net/reactor.h"
-#include "peers/members.h"
+#include "peers/members/transport.h"
 
 namespace damsonspoke::standins {
 
--- a/standins/journal.h
+++ b/standins/journal.h
@@ -10,7 +10,7 @@
 
 namespace damsonspoke::standins {
 
-enum class AnswerKind { kAcked, kNacked, kFailed, kUnknownOutcome, kConflict, kBad };
+enum class AnswerKind { kSucceeded, kRejected, kFailed, kUnknownOutcome, kConflict, kBad };
 
 struct Answer {
   double at = 0;  // s, monotonic
@@ -18,9 +18,9 @@
   std::string result;
 };
 
-// One try of an op, as its caller saw it.
+// One try of a request, as its caller saw it.
 struct Try {
-  std::uint64_t op = 0;
+  std::uint64_t request = 0;
   std::string key;  // of the thing wanted; tries of one thing share it
   std::string type;
   int life = 0;             // of the program, when it was sent
@@ -28,13 +28,13 @@
   double due = 0;           // s
   bool lost = false;        // its connection ended before an answer
   bool refused = false;     // never sent
-  bool unnumbered = false;  // the program gave its op a number of its own: its runs are known by key alone
+  bool unnumbered = false;  // the program gave its request a number of its own: its runs are known by key alone
   std::vector<Answer> answers;
 };
 
 // One run, as the runtime saw it.
 struct RunSeen {
-  std::uint64_t op = 0;
+  std::uint64_t request = 0;
   std::string key;
   std::string type;
   int life = 0;
@@ -69,12 +69,12 @@
 };
 
 struct RuleLimits {
-  std::vector<std::string> keyed;  // op types that must not run twice a key
+  std::vector<std::string> keyed;  // routes that must not run twice a key
   double slack = 0.1;              // s after the due time that an answer may come
   double grace = 0.3;              // s after the notice in which what comes may still run
   double hearing = 0.25;           // s that the notice may take to be heard on a crowded machine
-  double rounding = 0.001;         // s; callers tell in whole milliseconds when an op came
-  int survivable = 0;              // ops running at once; 0: any
+  double rounding = 0.001;         // s; callers tell in whole milliseconds when a request came
+  int survivable = 0;              // requests running at once; 0: any
 };
 
 struct Verdict {
--- a/standins/planner.cpp
+++ b/standins/planner.cpp
@@ -13,7 +13,7 @@
 namespace wt = wire::tier;
 
 namespace {
-constexpr double kBlind = 0.05;         // s that a stranger reads nothing: a few ops are sent to it meanwhile
+constexpr double kBlind = 0.05;         // s that a stranger reads nothing: a few requests are sent to it meanwhile
 constexpr std::uint64_t kGuesses = 16;  // attempts that it answers then
 }  // namespace
 
@@ -71,7 +71,7 @@
   loop_.after(kBlind, [this, here = here_, fd, serial, last] {
     if (!*here || !links_.contains(fd) || links_.at(fd).serial != serial) return;
     for (std::uint64_t other = last + 1; other <= last + kGuesses; ++other)
-      answer(fd, serial, other, wire::tier::Result::kAcked, "of nobody");
+      answer(fd, serial, other, wire::tier::Result::kSucceeded, "of nobody");
     links_.at(fd).last = 0;
     loop_.watch(fd, [this, fd] { read(fd); });
   });
@@ -92,8 +92,8 @@
     if (options.cold > 0 && links_.size() == 1) hand_out();
   } else if (const auto* ping = std::get_if<wt::Ping>(&message)) {
     put(fd, wt::Pong{ping->token});
-  } else if (const auto* op = std::get_if<wt::Submit>(&message)) {
-    submit(fd, *op);
+  } else if (const auto* request = std::get_if<wt::Submit>(&message)) {
+    submit(fd, *request);
   } else if (const auto* fence = std::get_if<wt::Fence>(&message)) {
     ++fences_;
     // Sound ones have run what they took: it is under way.
@@ -103,7 +103,7 @@
     proof.attempt = fence->attempt;
     proof.result = lies ? wt::Result::kNeverRan : wt::Result::kRunning;
     put(fd, proof);
-    if (lies) answer(fd, links_.at(fd).serial, fence->attempt, wt::Result::kAcked, "a lie");
+    if (lies) answer(fd, links_.at(fd).serial, fence->attempt, wt::Result::kSucceeded, "a lie");
   }
 }
 
@@ -140,9 +140,9 @@
   return fewest;
 }
 
-void Planner::submit(int fd, const wt::Submit& op) {
+void Planner::submit(int fd, const wt::Submit& request) {
   ++taken_;
-  const std::uint64_t serial = links_.at(fd).serial, attempt = op.attempt;
+  const std::uint64_t serial = links_.at(fd).serial, attempt = request.attempt;
   links_.at(fd).last = attempt;
   ++links_.at(fd).sent;
   ++links_.at(fd).open;
@@ -150,18 +150,18 @@
   switch (options.manner) {
     case PlannerManner::kMute:
     case PlannerManner::kLies: return;
-    case PlannerManner::kNacks: return answer(fd, serial, attempt, wt::Result::kNacked, "");
+    case PlannerManner::kRejections: return answer(fd, serial, attempt, wt::Result::kRejected, "");
     case PlannerManner::kStranger:
       for (const std::uint64_t other : {attempt + 1000, std::uint64_t{0}})
-        answer(fd, serial, other, wt::Result::kAcked, "of nobody");
+        answer(fd, serial, other, wt::Result::kSucceeded, "of nobody");
       break;
     default: break;
   }
-  const std::string key = Runtime::key_of(op.body), result = fmt::format("{} made {}", key, ++made_);
+  const std::string key = Runtime::key_of(request.body), result = fmt::format("{} made {}", key, ++made_);
   const int life = static_cast<int>(journal_.lives.size()) - 1;
-  journal_.runs.push_back({op.op, key, links_.at(fd).types.at(op.type), life, now(), 0, result, true});
+  journal_.runs.push_back({request.request, key, links_.at(fd).types.at(request.route), life, now(), 0, result, true});
   loop_.after(options.takes, [this, here = here_, fd, serial, attempt, result] {
-    if (*here) answer(fd, serial, attempt, wt::Result::kAcked, result);
+    if (*here) answer(fd, serial, attempt, wt::Result::kSucceeded, result);
   });
 }
 
--- a/standins/planner.h
+++ b/standins/planner.h
@@ -17,8 +17,8 @@
 
 enum class PlannerManner {
   kSound,
-  kMute,     // takes ops, answers pings, says nothing of ops, not even to a fence
-  kNacks,    // refuses everything
+  kMute,     // takes requests, answers pings, says nothing of requests, not even to a fence
+  kRejections,    // refuses everything
   kHalf,     // sends the first half of its first answer and then nothing, ever
   kLies,     // says that a fenced attempt never ran, and acks it all the same
   kStranger  // answers attempts that it was never given, those on their way to it too, then what it was
@@ -28,7 +28,7 @@
  public:
   struct Options {
     PlannerManner manner = PlannerManner::kSound;
-    double takes = 0.005;  // s an op
+    double takes = 0.005;  // s a request
     std::uint32_t window = 64;
     double cold = 0;  // attempts: its budget, handed out in parts; 0: warm, everybody has the window
   };
@@ -48,7 +48,7 @@
   void accept();
   void read(int fd);
   void take(int fd, const wire::tier::Message& message);
-  void submit(int fd, const wire::tier::Submit& op);
+  void submit(int fd, const wire::tier::Submit& request);
   void guess(int fd, std::uint64_t serial, std::uint64_t last);
   void answer(int fd, std::uint64_t serial, std::uint64_t attempt, wire::tier::Result result,
               const std::string& body);
--- a/standins/rehearsal.cpp
+++ b/standins/rehearsal.cpp
@@ -18,7 +18,7 @@
 namespace {
 
 constexpr double kComeUp = 20;      // s; dozens of processes on a crowded machine
-constexpr double kSettle = 5;       // s beyond the longest wait of an op
+constexpr double kSettle = 5;       // s beyond the longest wait of a request
 constexpr double kResumed = 0.3;    // s after a pause in which what waited is caught up with
 constexpr double kBorne = 1.95;     // s that a member may stand still and is not called dead
 constexpr double kFoundLate = 12;   // s after an end in which it may still be told
@@ -49,12 +49,12 @@
 
 Callers::Options callers_of(const RehearsalScript& script) {
   Callers::Options out;
-  for (const LoadOp& op : script.ops) {
+  for (const LoadRequest& request : script.requests) {
     Flow flow;
-    flow.type = op.name;
-    flow.per_s = op.per_s;
-    flow.patience = op.timeout;
-    flow.marked = op.effect == "dedup";
+    flow.type = request.name;
+    flow.per_s = request.per_s;
+    flow.patience = request.timeout;
+    flow.marked = request.idempotency == "dedup";
     flow.retries = script.retries;
     flow.pause = script.pause;
     out.flows.push_back(flow);
@@ -138,12 +138,12 @@
 
 SiteSpec Rehearsal::site_of(const std::string& role, const std::string& name, std::size_t number) {
   SiteSpec site;
-  for (const LoadOp& op : script.ops)
+  for (const LoadRequest& request : script.requests)
     site.types.push_back(
-        {op.name, op.effect, op.target, op.timeout, op.effect == "dedup" ? 20.0 : 0, op.importance});
+        {request.name, request.idempotency, request.target, request.timeout, request.idempotency == "dedup" ? 20.0 : 0, request.priority_weight});
   site.cores = script.cores;
-  site.cold_from = script.cold_from;
-  site.cold_time = script.cold_time;
+  site.slow_start_speed = script.slow_start_speed;
+  site.slow_start_seconds = script.slow_start_seconds;
   site.command = role;
   site.name = name;
   site.operators = operators_of(role, name, number);
@@ -165,8 +165,8 @@
   Runtime::Options work;
   work.cores = script.cores;
   work.work = script.work;
-  work.cold_from = script.cold_from;
-  work.cold_time = script.cold_time;
+  work.slow_start_speed = script.slow_start_speed;
+  work.slow_start_seconds = script.slow_start_seconds;
   work.calls = script.calls;
   std::size_t number = 0;
   int front = 0;  // as callers count those that they reach
@@ -254,7 +254,7 @@
 }
 
 // Its Unix clock jumps; what its callers tell it in Unix time is wrong from then on until it is set right, so
-// its ops are judged by the other rules only.
+// its requests are judged by the other rules only.
 void Rehearsal::step_clock(const std::string& name, double seconds) {
   Member& one = member(name);
   double shift = 0;
@@ -523,7 +523,7 @@
   for (; !steps_.empty(); steps_.erase(steps_.begin())) steps_.begin()->second();  // faults end with the play
   for (const auto& one : members_) start(one->name);
   double longest = 0;
-  for (const LoadOp& op : script.ops) longest = std::max(longest, op.timeout);
+  for (const LoadRequest& request : script.requests) longest = std::max(longest, request.timeout);
   out.settled = loop.run_until([this] { return callers_.open() == 0 && callers_.still_wanted() == 0; },
                                longest + kSettle);
   if (script.members) {
@@ -550,16 +550,16 @@
 
 void Rehearsal::judge(Played& out, double began) {
   RuleLimits limits;
-  for (const LoadOp& op : script.ops) {
-    if (op.effect != "retryable") limits.keyed.push_back(op.name);
+  for (const LoadRequest& request : script.requests) {
+    if (request.idempotency != "retryable") limits.keyed.push_back(request.name);
   }
-  // The stand-in keeps runs whose op has failed at a call, which the platform's runtime ends: with calls its
+  // The stand-in keeps runs whose request has failed at a call, which the platform's runtime ends: with calls its
   // count says nothing of the crowd.
   if (script.calls <= 0) limits.survivable = 8 * script.cores * std::max(script.relays, script.planners);
   out.verdict = check_rules(journal, limits);
   struct Thing {
     double first = 1e300;
-    const LoadOp* op = nullptr;
+    const LoadRequest* request = nullptr;
     bool served = false;
   };
   std::map<std::string, Thing> things;
@@ -574,25 +574,25 @@
     ++tries;
     Thing& thing = things[t.type + ' ' + t.key];
     thing.first = std::min(thing.first, t.sent);
-    for (const LoadOp& op : script.ops) {
-      if (op.name == t.type) thing.op = &op;
+    for (const LoadRequest& request : script.requests) {
+      if (request.name == t.type) thing.request = &request;
     }
     SecondSeen& second = second_of(t.sent);
     ++second.tries;
     for (const Answer& a : t.answers) {
-      second.nacked += a.kind == AnswerKind::kNacked;
-      second.failed += a.kind != AnswerKind::kNacked && a.kind != AnswerKind::kAcked;
+      second.rejected += a.kind == AnswerKind::kRejected;
+      second.failed += a.kind != AnswerKind::kRejected && a.kind != AnswerKind::kSucceeded;
     }
   }
   for (const auto& [number, t] : journal.tries) {
     if (t.refused || t.sent < began) continue;
     Thing& thing = things[t.type + ' ' + t.key];
     for (const Answer& a : t.answers)
-      thing.served |= a.kind == AnswerKind::kAcked && a.at <= thing.first + thing.op->target;
+      thing.served |= a.kind == AnswerKind::kSucceeded && a.at <= thing.first + thing.request->target;
   }
   double asked = 0, served = 0, asked_last = 0, served_last = 0;
   for (const auto& [key, thing] : things) {
-    const double worth = thing.op->importance, got = thing.served ? worth : 0;
+    const double worth = thing.request->priority_weight, got = thing.served ? worth : 0;
     SecondSeen& second = second_of(thing.first);
     second.asked += worth, second.served += got;
     asked += worth, served += got;
@@ -600,7 +600,7 @@
   }
   out.served = asked > 0 ? served / asked : 0;
   out.served_last = asked_last > 0 ? served_last / asked_last : 0;
-  out.tries_an_op = things.empty() ? 0 : static_cast<double>(tries) / static_cast<double>(things.size());
+  out.attempts_a_request = things.empty() ? 0 : static_cast<double>(tries) / static_cast<double>(things.size());
 }
 
 }  // namespace damsonspoke::standins
--- a/standins/rehearsal.h
+++ b/standins/rehearsal.h
@@ -1,5 +1,5 @@
 // A rehearsal played: the processes of a script beside their stand-ins, with a faulty network between them;
-// every op recorded end to end; the four rules judged over the whole fleet, and whether service comes back.
+// every request recorded end to end; the four rules judged over the whole fleet, and whether service comes back.
 #pragma once
 
 #include <functional>
@@ -18,7 +18,7 @@
 struct SecondSeen {
   double asked = 0,
          served = 0;  // importance of the things first asked for in it, and of those served in time
-  int tries = 0, nacked = 0, failed = 0;
+  int tries = 0, rejected = 0, failed = 0;
 };
 
 struct Played {
@@ -26,7 +26,7 @@
   Verdict verdict;
   double served = 0;       // share of the importance asked for, over all of it
   double served_last = 0;  // of the last seconds
-  double tries_an_op = 0;
+  double attempts_a_request = 0;
   std::vector<SecondSeen> seconds;
   std::map<std::string, std::uint64_t> counters;  // summed over the processes that were up at the end
   // Membership: s from an end to each who called it dead; who was called dead and lived; whether all see the
--- a/standins/rehearsal_script.cpp
+++ b/standins/rehearsal_script.cpp
@@ -79,15 +79,15 @@
   return out;
 }
 
-LoadOp read_op(Words& words) {
-  LoadOp op;
-  op.name = words.next("a name");
-  op.effect = words.next("an effect");
-  op.per_s = words.count("ops a second");
-  op.importance = words.count("an importance");
-  op.target = words.time("a target");
-  op.timeout = words.time("a timeout");
-  return op;
+LoadRequest read_request(Words& words) {
+  LoadRequest request;
+  request.name = words.next("a name");
+  request.idempotency = words.next("an effect");
+  request.per_s = words.count("ops a second");
+  request.priority_weight = words.count("an importance");
+  request.target = words.time("a target");
+  request.timeout = words.time("a timeout");
+  return request;
 }
 
 // True where the section knows the word.
@@ -107,7 +107,7 @@
     if (word == "cores") return count(s.cores), w.end(), true;
     if (word == "work") return s.work = w.time("a time"), w.end(), true;
     if (word == "cold")
-      return s.cold_from = w.share("a share"), s.cold_time = w.time("a time"), w.end(), true;
+      return s.slow_start_speed = w.share("a share"), s.slow_start_seconds = w.time("a time"), w.end(), true;
     if (word == "calls") return s.calls = w.share("a share"), w.end(), true;
     if (word == "below") return s.below_takes = w.time("a time"), count(s.below_most), w.end(), true;
     if (word == "store") return s.store = w.flag("on or off"), w.end(), true;
@@ -119,7 +119,7 @@
     }
     if (word == "operators") return s.operators += w.next("a line") + "\n", w.end(), true;
   } else if (section == "load") {
-    if (word == "op") return s.ops.push_back(read_op(w)), w.end(), true;
+    if (word == "op") return s.requests.push_back(read_request(w)), w.end(), true;
     if (word == "retries") return count(s.retries), w.end(), true;
     if (word == "connections") return count(s.connections), w.end(), true;
     if (word == "pause") return s.pause = w.time("a time"), w.end(), true;
@@ -186,7 +186,7 @@
     throw std::runtime_error("a fleet is of relays, or of forwarders and planners");
   if (script.relays + script.forwarders + script.planners > 16)
     throw std::runtime_error("a fleet has 16 processes at most");
-  if (script.ops.empty()) throw std::runtime_error("load: no op");
+  if (script.requests.empty()) throw std::runtime_error("load: no op");
   return script;
 }
 
@@ -212,7 +212,7 @@
   if (s.relays > 0) out += fmt::format("    relays {}\n", s.relays);
   if (s.forwarders > 0) out += fmt::format("    forwarders {}\n    planners {}\n", s.forwarders, s.planners);
   out += fmt::format("    cores {}\n    work {}\n", s.cores, ms(s.work));
-  if (s.cold_time > 0) out += fmt::format("    cold {} {}\n", percent(s.cold_from), ms(s.cold_time));
+  if (s.slow_start_seconds > 0) out += fmt::format("    cold {} {}\n", percent(s.slow_start_speed), ms(s.slow_start_seconds));
   if (s.calls > 0)
     out += fmt::format("    calls {}\n    below {} {}\n", percent(s.calls), ms(s.below_takes), s.below_most);
   if (s.store) out += "    store on\n";
@@ -224,9 +224,9 @@
     from = end + 1;
   }
   out += "load\n";
-  for (const LoadOp& op : s.ops)
-    out += fmt::format("    op {} {} {:.0f} {:.0f} {} {}\n", op.name, op.effect, op.per_s, op.importance,
-                       ms(op.target), ms(op.timeout));
+  for (const LoadRequest& request : s.requests)
+    out += fmt::format("    op {} {} {:.0f} {:.0f} {} {}\n", request.name, request.idempotency, request.per_s, request.priority_weight,
+                       ms(request.target), ms(request.timeout));
   out += fmt::format("    retries {}\n    connections {}\n    pause {}\nfaults\n", s.retries, s.connections,
                      ms(s.pause));
   for (const FaultSpec& fault : s.faults) out += "    " + text_of(fault) + "\n";
--- a/standins/rehearsal_script.h
+++ b/standins/rehearsal_script.h
@@ -2,7 +2,7 @@
 // operators' file. Plain data; reading and writing it.
 //
 //   rehearsal                          fleet                     load
-//       name     planners_killed           forwarders 2              op       read retryable 90 1 500ms 1s
+//       name     planners_killed           forwarders 2              request       read retryable 90 1 500ms 1s
 //       seed     7                         planners   3              retries  2
 //       lasts    5s                        work       10ms           unmarked
 //       judged   1500ms 85%           faults
@@ -27,9 +27,9 @@
   std::string word;              // of what takes one
 };
 
-struct LoadOp {
-  std::string name, effect = "retryable";
-  double per_s = 50, importance = 1, target = 0.5, timeout = 1;  // s
+struct LoadRequest {
+  std::string name, idempotency = "retryable";
+  double per_s = 50, priority_weight = 1, target = 0.5, timeout = 1;  // s
 };
 
 struct RehearsalScript {
@@ -41,7 +41,7 @@
   int relays = 0, forwarders = 0, planners = 0;
   int cores = 2;
   double work = 0.01;                   // core s of a run
-  double cold_from = 1, cold_time = 0;  // of its speed, s
+  double slow_start_speed = 1, slow_start_seconds = 0;  // of its speed, s
   double calls = 0;                     // share of runs that call below
   double below_takes = 0.01;            // s
   int below_most = 1 << 20;             // calls in hand at it
@@ -49,7 +49,7 @@
   bool planners_told = false;           // forwarders hear of planners by members, not by a list
   std::vector<std::string> zones;       // that processes are dealt into in turn
   std::string operators;                // more of the operators' file, whole lines
-  std::vector<LoadOp> ops;
+  std::vector<LoadRequest> requests;
   int retries = 2, connections = 4;
   double pause = 0.1;  // s, between a caller's tries
   std::vector<FaultSpec> faults;
--- a/standins/rehearse.cpp
+++ b/standins/rehearse.cpp
@@ -80,11 +80,11 @@
       seconds.push_back({{"asked", s.asked},
                          {"served", s.served},
                          {"tries", s.tries},
-                         {"nacked", s.nacked},
+                         {"nacked", s.rejected},
                          {"failed", s.failed}});
     return json{{"served", play.served},
                 {"served_last", play.served_last},
-                {"tries_an_op", play.tries_an_op},
+                {"tries_an_op", play.attempts_a_request},
                 {"deaths_found_s", play.deaths_found},
                 {"deaths_wrong", play.deaths_wrong},
                 {"counters", play.counters},
@@ -108,7 +108,7 @@
       };
       const SecondSeen& s = judged.play.seconds[i];
       data << fmt::format("{} {:.4f} {:.4f} {}\n", static_cast<double>(i) + 0.5, share(judged.play),
-                          share(judged.calm), s.nacked);
+                          share(judged.calm), s.rejected);
     }
     std::ofstream page(stem + ".gp");
     page << fmt::format(
@@ -138,7 +138,7 @@
       "{}: {}; served {:.3f} (calm {:.3f}), in the last {:.1f} s {:.3f} (calm {:.3f}); {:.2f} tries a "
       "thing\n",
       script.name, judged.broken.empty() ? "well" : "BROKEN", judged.play.served, judged.calm.served,
-      script.judged, judged.play.served_last, judged.calm.served_last, judged.play.tries_an_op);
+      script.judged, judged.play.served_last, judged.calm.served_last, judged.play.attempts_a_request);
   for (const std::string& line : judged.broken) fmt::print("    {}\n", line);
 }
 
--- a/standins/rules.cpp
+++ b/standins/rules.cpp
@@ -24,17 +24,17 @@
 // Rule 1: one final answer each, in time, unless its caller or the program itself was cut off.
 void one_answer(const Journal& journal, const RuleLimits& limits, Verdict& verdict) {
   Told none(verdict, verdict.unanswered), late(verdict, verdict.late), twice(verdict, verdict.answered_twice);
-  for (const auto& [op, t] : journal.tries) {
+  for (const auto& [request, t] : journal.tries) {
     if (t.refused) continue;
     const Life& life = journal.lives.at(static_cast<std::size_t>(t.life));
     const bool reachable = life.reachable(t.sent, t.due + limits.slack);
     const bool cut = t.lost && (life.killed || life.leave_at >= 0);
     if (t.answers.empty() && !cut && reachable)
-      none.add(fmt::format("rule 1: {} {:016x} has no answer", t.type, op));
+      none.add(fmt::format("rule 1: {} {:016x} has no answer", t.type, request));
     if (t.answers.size() > 1)
-      twice.add(fmt::format("rule 1: {} {:016x} has {} answers", t.type, op, t.answers.size()));
+      twice.add(fmt::format("rule 1: {} {:016x} has {} answers", t.type, request, t.answers.size()));
     if (!t.answers.empty() && t.answers.front().at > t.due + limits.slack && reachable) {
-      late.add(fmt::format("rule 1: {} {:016x} answered {:.0f} ms after its due time", t.type, op,
+      late.add(fmt::format("rule 1: {} {:016x} answered {:.0f} ms after its due time", t.type, request,
                            (t.answers.front().at - t.due) * 1000));
     }
   }
@@ -53,42 +53,42 @@
                            of[1]->life));
     }
   }
-  // An op belongs to one process: what runs in two lives was given out twice.
+  // A request belongs to one process: what runs in two lives was given out twice.
   std::map<std::uint64_t, int> ran;
   for (const RunSeen& run : journal.runs) {
-    const auto [at, fresh] = ran.emplace(run.op, run.life);
+    const auto [at, fresh] = ran.emplace(run.request, run.life);
     if (fresh || at->second == run.life) continue;
     runs.add(
-        fmt::format("rule 2: {} {:016x} ran in lives {} and {}", run.type, run.op, at->second, run.life));
+        fmt::format("rule 2: {} {:016x} ran in lives {} and {}", run.type, run.request, at->second, run.life));
   }
-  for (const auto& [op, t] : journal.tries) {
+  for (const auto& [request, t] : journal.tries) {
     for (const Answer& answer : t.answers) {
-      if (answer.kind == AnswerKind::kNacked && ran.contains(op)) {
-        wrong.add(fmt::format("rule 2: {} {:016x} was nacked and had run", t.type, op));
+      if (answer.kind == AnswerKind::kRejected && ran.contains(request)) {
+        wrong.add(fmt::format("rule 2: {} {:016x} was nacked and had run", t.type, request));
       }
-      if (answer.kind != AnswerKind::kAcked) continue;
+      if (answer.kind != AnswerKind::kSucceeded) continue;
       const auto found = by_key.find(t.type + " " + t.key);
       const bool known = found != by_key.end() &&
                          std::any_of(found->second.begin(), found->second.end(),
                                      [&](const RunSeen* run) { return run->result == answer.result; });
       if (!known)
-        wrong.add(fmt::format("rule 2: {} {:016x} was acked with what no run of its key made", t.type, op));
+        wrong.add(fmt::format("rule 2: {} {:016x} was acked with what no run of its key made", t.type, request));
     }
   }
 }
 
-// Rules 2 and 3 where an op's number is the program's own: by key, of which there are no more runs than tries
-// that were not nacked, and none at all where each try came after the grace.
+// Rules 2 and 3 where a request's number is the program's own: by key, of which there are no more runs than tries
+// that were not rejected, and none at all where each try came after the grace.
 void unnumbered(const Journal& journal, const RuleLimits& limits, Verdict& verdict) {
   Told wrong(verdict, verdict.wrong_results);
   std::map<std::string, int> may_run, runs;
-  for (const auto& [op, t] : journal.tries) {
+  for (const auto& [request, t] : journal.tries) {
     if (!t.unnumbered) continue;
     const Life& life = journal.lives.at(static_cast<std::size_t>(t.life));
     const double heard = std::clamp(life.heard_at, life.leave_at, life.leave_at + limits.hearing);
     const bool late = life.leave_at >= 0 && t.sent > heard + limits.grace + limits.rounding;
-    const bool nacked = !t.answers.empty() && t.answers.front().kind == AnswerKind::kNacked;
-    may_run[t.type + " " + t.key] += !late && !nacked;
+    const bool rejected = !t.answers.empty() && t.answers.front().kind == AnswerKind::kRejected;
+    may_run[t.type + " " + t.key] += !late && !rejected;
   }
   for (const RunSeen& run : journal.runs) ++runs[run.type + " " + run.key];
   for (const auto& [key, most] : may_run) {
@@ -105,11 +105,11 @@
   Told told(verdict, count);
   for (const RunSeen& run : journal.runs) {
     const Life& life = journal.lives.at(static_cast<std::size_t>(run.life));
-    const auto found = journal.tries.find(run.op);
+    const auto found = journal.tries.find(run.request);
     if (life.leave_at < 0 || found == journal.tries.end()) continue;
     const double heard = std::clamp(life.heard_at, life.leave_at, life.leave_at + limits.hearing);
     if (found->second.sent > heard + limits.grace + limits.rounding)
-      told.add(fmt::format("rule 3: {:016x} came after the grace and ran", run.op));
+      told.add(fmt::format("rule 3: {:016x} came after the grace and ran", run.request));
   }
 }
 
--- a/standins/runtime.cpp
+++ b/standins/runtime.cpp
@@ -37,8 +37,8 @@
 std::string Runtime::key_of(const std::string& body) { return body.substr(0, body.find(' ')); }
 
 double Runtime::speed() const {
-  if (options.cold_time <= 0) return 1;
-  return std::min(1.0, options.cold_from + (1 - options.cold_from) * (now() - began_) / options.cold_time);
+  if (options.slow_start_seconds <= 0) return 1;
+  return std::min(1.0, options.slow_start_speed + (1 - options.slow_start_speed) * (now() - began_) / options.slow_start_seconds);
 }
 
 void Runtime::new_life(int life) {
@@ -97,7 +97,7 @@
   }
   in_.erase(0, used);
   if (words.empty()) return true;
-  const std::uint64_t op = words.size() > 1 ? std::strtoull(words[1].c_str(), nullptr, 16) : 0;
+  const std::uint64_t request = words.size() > 1 ? std::strtoull(words[1].c_str(), nullptr, 16) : 0;
   if (words[0] == "sync" && options.late > 0) {  // the link is taken, and nothing said on it meanwhile
     loop_.after(std::exchange(options.late, 0), [this, link = link_] {
       if (link != link_) return;
@@ -106,7 +106,7 @@
       }
     });
   } else if (words[0] == "sync") {
-    loop_.send(link_, fmt::format("ready {} {:.0f}\r\n", options.cold_time > 0 ? "chilly" : "hot",
+    loop_.send(link_, fmt::format("ready {} {:.0f}\r\n", options.slow_start_seconds > 0 ? "chilly" : "hot",
                                   (now() - began_) * 1000));
     const std::uint64_t last = std::strtoull(words[1].c_str(), nullptr, 10);
     for (const auto& [number, text] : kept_) {
@@ -118,30 +118,30 @@
   } else if (words[0] == "selftest") {
     loop_.send(link_, fmt::format("verdict {} complete\r\n", words[1]));
   } else if (words[0] == "start") {
-    start(op, words[2], payload);
+    start(request, words[2], payload);
   } else if (words[0] == "stop") {
-    if (runs_.contains(op)) end(op, "cancelled", "");
+    if (runs_.contains(request)) end(request, "cancelled", "");
   } else if (words[0] == "give" || words[0] == "omit") {
-    const auto found = runs_.find(op);
+    const auto found = runs_.find(request);
     if (found != runs_.end()) found->second.at_call = false;
   }
   return true;
 }
 
-void Runtime::start(std::uint64_t op, const std::string& type, const std::string& body) {
-  if (runs_.contains(op)) return;  // it runs already
+void Runtime::start(std::uint64_t request, const std::string& type, const std::string& body) {
+  if (runs_.contains(request)) return;  // it runs already
   std::string result = fmt::format("{} made {} ", key_of(body), ++made_);
   if (result.size() < options.result_bytes) result.resize(options.result_bytes, 'r');
-  journal_.runs.push_back({op, key_of(body), type, life_, now(), 0, std::move(result), false});
+  journal_.runs.push_back({request, key_of(body), type, life_, now(), 0, std::move(result), false});
   const auto special = options.work_by_type.find(type);
   const double work = special == options.work_by_type.end() ? options.work : special->second;
-  runs_[op] = {journal_.runs.size() - 1, work, work, false, false};
+  runs_[request] = {journal_.runs.size() - 1, work, work, false, false};
   journal_.most_running = std::max(journal_.most_running, static_cast<int>(runs_.size()));
 }
 
-void Runtime::end(std::uint64_t op, const char* how, const std::string& result) {
-  runs_.erase(op);
-  const std::string text = fmt::format("end {} {:016x} {} {:.0f} {}\r\n{}\r\n", ++notices_, op, how,
+void Runtime::end(std::uint64_t request, const char* how, const std::string& result) {
+  runs_.erase(request);
+  const std::string text = fmt::format("end {} {:016x} {} {:.0f} {}\r\n{}\r\n", ++notices_, request, how,
                                        options.work * 1000, result.size(), result);
   notice(text);
 }
@@ -157,32 +157,32 @@
   const double dt = now() - worked_at_;
   worked_at_ = now();
   int on_cores = 0;
-  for (const auto& [op, run] : runs_) on_cores += run.at_call ? 0 : 1;
+  for (const auto& [request, run] : runs_) on_cores += run.at_call ? 0 : 1;
   const double share = on_cores > options.cores ? static_cast<double>(options.cores) / on_cores : 1;
   busy_ += (std::min(1.0, static_cast<double>(on_cores) / options.cores) - busy_) *
            std::min(1.0, dt / kBusyMemory);
   std::vector<std::uint64_t> over, wanting;
-  for (auto& [op, run] : runs_) {
+  for (auto& [request, run] : runs_) {
     if (run.at_call) continue;
     run.left -= dt * share * speed();
-    const double place = static_cast<double>(op % 1000) / 1000;  // the same op fares the same each time
+    const double place = static_cast<double>(request % 1000) / 1000;  // the same request fares the same each time
     if (!run.called && place < options.calls && run.left < run.work / 2) {
       run.called = run.at_call = true;
-      wanting.push_back(op);
+      wanting.push_back(request);
     } else if (run.left <= 0) {
-      over.push_back(op);
+      over.push_back(request);
     }
   }
-  for (const std::uint64_t op : wanting) {
-    const std::string text = fmt::format("wants {} {:016x} 4\r\ncall\r\n", ++notices_, op);
+  for (const std::uint64_t request : wanting) {
+    const std::string text = fmt::format("wants {} {:016x} 4\r\ncall\r\n", ++notices_, request);
     notice(text);
   }
-  for (const std::uint64_t op : over) {
-    RunSeen& seen = journal_.runs[runs_.at(op).record];
-    const bool fails = static_cast<double>(op / 1000 % 1000) / 1000 < options.fails;
+  for (const std::uint64_t request : over) {
+    RunSeen& seen = journal_.runs[runs_.at(request).record];
+    const bool fails = static_cast<double>(request / 1000 % 1000) / 1000 < options.fails;
     seen.completed = !fails;
     seen.ended = now();
-    fails ? end(op, "error", "") : end(op, "complete", seen.result);
+    fails ? end(request, "error", "") : end(request, "complete", seen.result);
   }
   loop_.after(kStep, [this] { work(); });
 }
--- a/standins/runtime.h
+++ b/standins/runtime.h
@@ -1,5 +1,5 @@
 // A runtime that does work: it runs what it is told to, shares its cores among what runs, and records every
-// run. The effect of an op counts from the start of its run. Its words are those of the runtime's protocol.
+// run. The effect of a request counts from the start of its run. Its words are those of the runtime's protocol.
 #pragma once
 
 #include <cstdint>
@@ -19,8 +19,8 @@
     double work = 0.01;                          // core s of a run
     std::map<std::string, double> work_by_type;  // where a type's differs
     double fails = 0;                            // share of runs that end in error
-    double cold_from = 1;                        // share of full speed with which a life begins
-    double cold_time = 0;                        // s until it is warm
+    double slow_start_speed = 1;                        // share of full speed with which a life begins
+    double slow_start_seconds = 0;                        // s until it is warm
     double calls = 0;                            // share of runs that want a call below
     std::size_t result_bytes = 64;               // of a result
     double late = 0;                             // s after a link is made in which it is not up yet
@@ -47,8 +47,8 @@
   void accept();
   void read();
   bool take_one();
-  void start(std::uint64_t op, const std::string& type, const std::string& body);
-  void end(std::uint64_t op, const char* how, const std::string& result);
+  void start(std::uint64_t request, const std::string& type, const std::string& body);
+  void end(std::uint64_t request, const char* how, const std::string& result);
   void notice(const std::string& text);
   void work();
 
--- a/standins/scripted_site.h
+++ b/standins/scripted_site.h
@@ -65,7 +65,7 @@
 // gauges are answered without being asked for.
 class Site {
  public:
-  // Op types of its own, and an operators' file, in which STORE stands for the path of a store.
+  // Routes of its own, and an operators' file, in which STORE stands for the path of a store.
   struct Remembering {
     std::string types;
     std::string operators;
@@ -278,8 +278,8 @@
   void send(int fd, const std::string& body) {
     put(fd, "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
   }
-  // An op whose txn is its number.
-  void send_op(int fd, int id, const char* type = "push", const char* more = R"("ram":10,"limit":3000)",
+  // A request whose txn is its number.
+  void send_request(int fd, int id, const char* type = "push", const char* more = R"("ram":10,"limit":3000)",
                const char* body = "Ym9keQ==") {
     char text[400];
     const double now =
--- a/standins/silent_host.h
+++ b/standins/silent_sink.h
@@ -7,17 +7,17 @@
 
 namespace damsonspoke::standins {
 
-class SilentHost : public Host {
+class SilentSink : public DecisionSink {
  public:
-  void start(OpId) override {}
-  void interrupt(OpId) override {}
-  void reject(OpId, double, bool) override {}
-  void fail(OpId) override {}
-  void call(OpId, double) override {}
-  void skip_call(OpId) override {}
-  void remember(OpId, double) override {}
-  void forget(OpId) override {}
-  void join(OpId) override {}
+  void start(RequestId) override {}
+  void interrupt(RequestId) override {}
+  void reject(RequestId, double, bool) override {}
+  void fail(RequestId) override {}
+  void call(RequestId, double) override {}
+  void skip_call(RequestId) override {}
+  void remember(RequestId, double) override {}
+  void forget(RequestId) override {}
+  void join(RequestId) override {}
   void set_health(bool, bool) override {}
   void announce(double) override {}
   void close_idle(double) override {}
--- a/standins/synthetic_site.cpp
+++ b/standins/synthetic_site.cpp
@@ -18,13 +18,13 @@
 }
 std::string tenant_name(std::size_t position) { return fmt::format("tenant-{:07}", position); }
 
-OpType synthetic_route(std::size_t position) {
+Route synthetic_route(std::size_t position) {
   const double step = static_cast<double>(position % static_cast<std::size_t>(kSpreadSteps));
-  OpType type;
-  type.target_latency = 0.2 + 0.1 * step;
-  type.op_timeout = 2 * type.target_latency;
-  type.window = 5;
-  type.importance = 1 + step;
+  Route type;
+  type.latency_objective = 0.2 + 0.1 * step;
+  type.timeout = 2 * type.latency_objective;
+  type.idempotency_window = 5;
+  type.priority_weight = 1 + step;
   return type;
 }
 
@@ -34,24 +34,24 @@
 
 StartSettings synthetic_site(SiteSize size, int servers) {
   StartSettings site;
-  Settings& s = site.settings;
+  AdmissionOptions& s = site.admission;
   for (std::size_t i = 0; i < size.routes; ++i) {
-    s.op_types.push_back(synthetic_route(i));
-    site.type_names.push_back(route_name(i));
+    s.routes.push_back(synthetic_route(i));
+    site.route_names.push_back(route_name(i));
   }
   for (std::size_t i = 0; i < size.tenants; ++i) {
-    s.customers.push_back({synthetic_quota(size.tenants)});
-    site.customer_names.push_back(tenant_name(i));
+    s.tenants.push_back({synthetic_quota(size.tenants)});
+    site.tenant_names.push_back(tenant_name(i));
   }
   s.servers = servers;
   s.callers = 130000;
   s.cores = kCores;
   s.memory_kb = kMemoryKb;
-  s.crowd_multiple = 8;
-  s.halt = Halt::kDrop;
-  s.retry_after = true;
+  s.max_concurrency_factor = 8;
+  s.preemption = Preemption::kDrop;
+  s.sends_retry_after = true;
   s.max_retry_after = 1;
-  s.resolution = 0.002;
+  s.timer_resolution = 0.002;
   return site;
 }
 
@@ -62,10 +62,10 @@
       R"("settings":{"request-classes":[)";
   auto end = std::back_inserter(out);
   for (std::size_t i = 0; i < size.routes; ++i) {
-    const OpType type = synthetic_route(i);
+    const Route type = synthetic_route(i);
     fmt::format_to(end, R"({}{{"name":"{}","target":{:.0f},"give-up":{:.0f},"window":5000,"worth":{:.0f}}})",
-                   i == 0 ? "" : ",", route_name(i), type.target_latency * 1000, type.op_timeout * 1000,
-                   type.importance);
+                   i == 0 ? "" : ",", route_name(i), type.latency_objective * 1000, type.timeout * 1000,
+                   type.priority_weight);
   }
   out += R"(],"customers":[)";
   for (std::size_t i = 0; i < size.tenants; ++i) {
--- a/standins/synthetic_site.h
+++ b/standins/synthetic_site.h
@@ -1,4 +1,4 @@
-// A made-up deployment of any size: so many routes (op types) and tenants (customers), for tests and
+// A made-up deployment of any size: so many routes (routes) and tenants (tenants), for tests and
 // benchmarks of how costs grow. Names and values follow from the positions, so that two runs agree.
 #pragma once
 
@@ -18,7 +18,7 @@
 std::string tenant_name(std::size_t position);
 
 // A route's settings: latency targets of 0.2 to 0.5 s, importance of 1 to 4.
-OpType synthetic_route(std::size_t position);
+Route synthetic_route(std::size_t position);
 // A tenant's quota over the whole fleet, requests a second. Each has a part of `total`.
 double synthetic_quota(std::size_t tenants, double total = 3e6);
 
--- a/standins/two_level.h
+++ b/standins/two_level.h
@@ -12,7 +12,7 @@
 
 class TwoLevel {
  public:
-  // `site` is a planner's; forwarders share its op types. `forwarding`: more lines of their section.
+  // `site` is a planner's; forwarders share its routes. `forwarding`: more lines of their section.
   TwoLevel(const std::string& binary, SiteSpec site, Runtime::Options runtime, Callers::Options load,
            int forwarders, int planners, const std::string& forwarding = "",
            const std::vector<std::vector<std::string>>& planners_under = {});
--- a/tests/ajp.cpp
+++ b/tests/ajp.cpp
@@ -212,7 +212,7 @@
     }
     const auto& good = std::get<AjpRoute>(route);
     fmt::print("{}-> {} segments{}, {} kB\n", line, good.segments.size(), good.open_end ? " and more" : "",
-               good.held_kb);
+               good.size_kb);
     return good;
   };
   std::vector<AjpRoute> table;
@@ -248,7 +248,7 @@
                                                        : "not to be read");
     }
     const auto& matched = std::get<AjpMatch>(found);
-    fmt::print("{} {}: {}", method, path, matched.route->op_type);
+    fmt::print("{} {}: {}", method, path, matched.route->route);
     for (const std::string_view star : matched.stars) fmt::print(" *={}", star);
     fmt::print("\n");
   };
--- a/tests/ajp_below.cpp
+++ b/tests/ajp_below.cpp
@@ -1,6 +1,6 @@
 // Calls below by AJP against a scripted server on a bare socket: what each end of a call proves, and what a
 // server may not do. CTest compares with tests/traces/ajp_below.txt. usage: ajp_below
-#include "peers/ajp_below.h"
+#include "peers/ajp/dependency_client.h"
 
 #include <fmt/format.h>
 
@@ -33,16 +33,16 @@
 using bare::head, bare::piece;
 const std::string kEnd = bare::end(), kLastEnd = bare::end(false);
 
-struct Play : peers::BelowEvents {
+struct Play : peers::DependencyEvents {
   explicit Play(std::size_t links = 4) : server(loop), log(Level::kError) {
     AjpOptions options;
     options.packet = 8192;
-    options.below = fmt::format("127.0.0.1:{}", server.port);
+    options.dependency = fmt::format("127.0.0.1:{}", server.port);
     options.below_uri = "/call";
     options.below_refuses = true;
-    below = std::make_unique<peers::AjpBelow>(stepped.reactor, options, links, *this, counters, log);
+    dependency = std::make_unique<peers::AjpDependencyClient>(stepped.reactor, options, links, *this, counters, log);
   }
-  void on_call_ended(OpId id, Outcome outcome, double, std::string_view reply) override {
+  void on_call_ended(RequestId id, Outcome outcome, double, std::string_view reply) override {
     ends[id] =
         fmt::format("{}{}", name_of(outcome), reply.empty() ? "" : fmt::format(", {} bytes", reply.size()));
   }
@@ -51,9 +51,9 @@
     stepped.run_for([&] { loop.run_for(seconds); });
   }
   // One call, to its end or for so long; how it ended and when.
-  std::string call(OpId id, double patience = 0.4, const std::string& body = "body") {
+  std::string call(RequestId id, double patience = 0.4, const std::string& body = "body") {
     const double began = now();
-    below->call(id, patience, body);
+    dependency->call(id, patience, body);
     for (int i = 0; i < 200 && !ends.contains(id); ++i) run_for(0.01);
     if (!ends.contains(id)) return "no end";
     return fmt::format("{}, {}", ends[id], now() - began < patience * 0.9 ? "at once" : "in its time");
@@ -63,8 +63,8 @@
   standins::AjpServer server;
   Counters counters;
   Logger log;
-  std::map<OpId, std::string> ends;
-  std::unique_ptr<peers::AjpBelow> below;
+  std::map<RequestId, std::string> ends;
+  std::unique_ptr<peers::AjpDependencyClient> dependency;
 };
 
 void one(const char* what, const std::string& answer, double patience = 0.4) {
@@ -123,19 +123,19 @@
   }
   Play play(2);
   play.server.answer = "";
-  play.below->call(1, 0.3, "a");
-  play.below->call(2, 0.3, "b");
-  play.below->call(3, 0.2, "c");
-  play.below->call(4, 0.6, "d");
+  play.dependency->call(1, 0.3, "a");
+  play.dependency->call(2, 0.3, "b");
+  play.dependency->call(3, 0.2, "c");
+  play.dependency->call(4, 0.6, "d");
   play.run_for(0.25);
   fmt::print("two connections, four calls; the third waits: {}\n", play.ends[3]);
   play.server.answer = head(200) + piece("done") + kEnd;
   play.run_for(0.2);
   fmt::print("the first: {}; the fourth, when there is room: {}\n", play.ends[1], play.ends[4]);
   play.server.answer = "";
-  play.below->call(5, 0.5, "e");
+  play.dependency->call(5, 0.5, "e");
   play.run_for(0.05);
-  play.below->cancel(5);
+  play.dependency->cancel(5);
   play.server.answer = head(200) + piece("done") + kEnd;
   fmt::print("one that is given up has no end: {}; the next one is served: {}\n",
              play.ends.contains(5) ? "SOME" : "none", play.call(6));
--- a/tests/ajp_program.cpp
+++ b/tests/ajp_program.cpp
@@ -101,7 +101,7 @@
   Callers callers;
   Server server;
   std::uint16_t port = 0;
-  int crowd = 16;  // ops that the runtime survives at once
+  int crowd = 16;  // requests that the runtime survives at once
 };
 
 struct Script : AjpScript {
@@ -224,7 +224,7 @@
   play.end();
 }
 
-// The notice to leave while heads and bodies are half read, ops are open and connections idle.
+// The notice to leave while heads and bodies are half read, requests are open and connections idle.
 void drains() {
   Play play(5, 0, Play::asking(5, 0, 8), 0.1);
   Script body(play), head(play), open(play), idle(play);
@@ -319,40 +319,40 @@
   Script asks(play);
   told("a gateway that asks", asks.send(bare::forward(post("/ops/read"))).answer());
   play.loop.run_for(0.5);
-  int asked = 0, acked = 0;
-  for (const auto& [op, t] : play.journal.tries) {
+  int asked = 0, succeeded = 0;
+  for (const auto& [request, t] : play.journal.tries) {
     if (t.sent < filled || t.answers.empty()) continue;
     ++asked;
-    acked += t.answers[0].kind == AnswerKind::kAcked;
+    succeeded += t.answers[0].kind == AnswerKind::kSucceeded;
   }
-  say("callers of the other front are served as ever", asked > 30 && acked > asked * 95 / 100);
+  say("callers of the other front are served as ever", asked > 30 && succeeded > asked * 95 / 100);
   say("the log is still there", play.count("ajp.accepted") > 90);
   for (const int fd : silent) ::close(fd);
   play.end();
 }
 
-// Three times what the cores can do, most of it by AJP: each op read has one answer in time, and what is
+// Three times what the cores can do, most of it by AJP: each request read has one answer in time, and what is
 // served goes by importance, not by protocol.
 void overload() {
   Play play(30, 12, Play::asking(250, 10, 100), 0.02);
   play.loop.run_for(3);
   const bool settled = play.settle();
-  int asked[2][2] = {}, acked[2][2] = {}, nacked = 0, failed = 0;
-  for (const auto& [op, t] : play.journal.tries) {
+  int asked[2][2] = {}, succeeded[2][2] = {}, rejected = 0, failed = 0;
+  for (const auto& [request, t] : play.journal.tries) {
     const int front = t.unnumbered, close = t.type == "close";
     ++asked[front][close];
     for (const Answer& a : t.answers) {
-      acked[front][close] += a.kind == AnswerKind::kAcked;
-      nacked += a.kind == AnswerKind::kNacked;
+      succeeded[front][close] += a.kind == AnswerKind::kSucceeded;
+      rejected += a.kind == AnswerKind::kRejected;
       failed += a.kind == AnswerKind::kBad;
     }
   }
   say("both fronts were asked a lot", asked[0][1] > 25 && asked[1][0] > 500);
-  say("much was nacked, nothing odd answered", nacked > 300 && failed == 0);
+  say("much was nacked, nothing odd answered", rejected > 300 && failed == 0);
   say("most close-outs are served, by either front",
-      acked[0][1] > 0.8 * asked[0][1] && acked[1][1] > 0.8 * asked[1][1]);
-  say("few reads are, by either front", acked[0][0] < 0.6 * asked[0][0] && acked[1][0] < 0.6 * asked[1][0]);
-  say("the reads that are served come by both", acked[0][0] > 10 && acked[1][0] > 80);
+      succeeded[0][1] > 0.8 * asked[0][1] && succeeded[1][1] > 0.8 * asked[1][1]);
+  say("few reads are, by either front", succeeded[0][0] < 0.6 * asked[0][0] && succeeded[1][0] < 0.6 * asked[1][0]);
+  say("the reads that are served come by both", succeeded[0][0] > 10 && succeeded[1][0] > 80);
   say("all tries end", settled);
   say("leaves in order", play.server.leave());
   play.rules();
@@ -364,10 +364,10 @@
   flows.chunked = true;
   Play play(0, 0, flows, 0.005);
   play.loop.run_for(1.5);
-  int acked = 0;
-  for (const auto& [op, t] : play.journal.tries)
-    acked += !t.answers.empty() && t.answers[0].kind == AnswerKind::kAcked;
-  say("served", acked > 120);
+  int succeeded = 0;
+  for (const auto& [request, t] : play.journal.tries)
+    succeeded += !t.answers.empty() && t.answers[0].kind == AnswerKind::kSucceeded;
+  say("served", succeeded > 120);
   say("leaves in order", play.server.leave());
   play.rules();
 }
@@ -380,7 +380,7 @@
   AjpServer server(loop);
   Play play(40, 20, {}, 0, fmt::format("    below 127.0.0.1:{}\n    below-refuses on\n", server.port), 512,
             &runtime);
-  play.crowd = 0;  // runs that stand at a call, or whose op has failed there, take no cores
+  play.crowd = 0;  // runs that stand at a call, or whose request has failed there, take no cores
   const std::function<void()> serve = [&] {
     loop.run_for(0.001);
     play.loop.after(0.002, serve);
@@ -398,7 +398,7 @@
   play.end();
 }
 
-// A gateway that goes: its op is given up; one that closes its side only still gets its answer.
+// A gateway that goes: its request is given up; one that closes its side only still gets its answer.
 void gone() {
   Play play(0, 0, {}, 0.4);
   {
--- a/tests/catalog.cpp
+++ b/tests/catalog.cpp
@@ -19,7 +19,7 @@
 #include "decision_load.h"
 #include "quota.h"
 #include "scenarios.h"
-#include "silent_host.h"
+#include "silent_sink.h"
 #include "synthetic_site.h"
 
 using namespace damsonspoke;
@@ -29,11 +29,11 @@
 
 std::string binary;
 
-PutRoute route(const std::string& name, double timeout = 0.4, double importance = 1) {
+PutRoute route(const std::string& name, double timeout = 0.4, double priority_weight = 1) {
   PutRoute put{name, {}};
-  put.type.target_latency = timeout / 2;
-  put.type.op_timeout = timeout;
-  put.type.importance = importance;
+  put.type.latency_objective = timeout / 2;
+  put.type.timeout = timeout;
+  put.type.priority_weight = priority_weight;
   return put;
 }
 PutTenant tenant(const std::string& name, double quota) { return {name, {quota, 0}}; }
@@ -103,8 +103,8 @@
     read();
     std::printf("%-44s %d.%d, %d routes, %d tenants, quotas %g, most important %g\n", what,
                 static_cast<int>(catalog.version().epoch), static_cast<int>(catalog.version().sequence),
-                static_cast<int>(catalog.op_types()), static_cast<int>(catalog.customers()),
-                catalog.quotas_per_s(), catalog.most_important());
+                static_cast<int>(catalog.route_count()), static_cast<int>(catalog.tenant_count()),
+                catalog.total_quota_per_second(), catalog.highest_priority_weight());
     for (const FollowerMessage& message : follower.take_messages())
       if (message.trouble) std::printf("    %s\n", message.text.c_str());
   }
@@ -157,24 +157,24 @@
   catalog.apply(tenant("a", 10));
   catalog.apply(tenant("b", 5));
   const int b = catalog.find_tenant("b");
-  const std::uint32_t life = catalog.customer(b).life;
+  const std::uint32_t generation = catalog.tenant(b).generation;
   catalog.apply(tenant("b", 7));
   say("another quota, the same position and life", catalog.find_tenant("b") == b &&
-                                                       catalog.customer(b).life == life &&
-                                                       catalog.customer(b).quota_per_s == 7);
-  say("the sum follows", catalog.quotas_per_s() == 17);
+                                                       catalog.tenant(b).generation == generation &&
+                                                       catalog.tenant(b).quota_per_second == 7);
+  say("the sum follows", catalog.total_quota_per_second() == 17);
   catalog.apply(RemoveTenant{"b"});
-  say("removed", catalog.find_tenant("b") == -1 && catalog.quotas_per_s() == 10 && catalog.customers() == 1);
+  say("removed", catalog.find_tenant("b") == -1 && catalog.total_quota_per_second() == 10 && catalog.tenant_count() == 1);
   catalog.apply(tenant("c", 1));
-  say("its position goes to another life", catalog.find_tenant("c") == b && catalog.customer(b).life != life);
+  say("its position goes to another life", catalog.find_tenant("c") == b && catalog.tenant(b).generation != generation);
   catalog.apply(tenant("b", 5));
-  say("one that comes back has a new life", catalog.customer(catalog.find_tenant("b")).life > life + 1);
+  say("one that comes back has a new life", catalog.tenant(catalog.find_tenant("b")).generation > generation + 1);
   catalog.apply(route("important", 0.4, 9));
-  say("the most important follows", catalog.most_important() == 9);
+  say("the most important follows", catalog.highest_priority_weight() == 9);
   catalog.apply(route("important", 0.4, 2));
-  say("down as well", catalog.most_important() == 2);
+  say("down as well", catalog.highest_priority_weight() == 2);
   catalog.apply(RemoveRoute{"important"});
-  say("and when it goes", catalog.most_important() == 1);
+  say("and when it goes", catalog.highest_priority_weight() == 1);
   for (const Change& bad : std::initializer_list<Change>{
            RemoveRoute{"r"}, RemoveRoute{"none"}, RemoveTenant{"none"}, tenant("", 1), tenant("two words", 1),
            tenant(std::string(2000, 'x'), 1), tenant("d", -1), tenant("d", std::nan("")), route("s", 0),
@@ -187,7 +187,7 @@
   std::printf("of one that is there: '%s'\n", catalog.apply(tenant("t1", 2)).c_str());
   Catalog unkeyed({10, 10, false}, 1);
   PutRoute keyed = route("k");
-  keyed.type.effect = Effect::kKeyed;
+  keyed.type.idempotency = Idempotency::kWithKey;
   std::printf("keyed: %s\n", unkeyed.apply(keyed).c_str());
 }
 
@@ -196,7 +196,7 @@
   Catalog catalog({50, 500, true}, 1);
   catalog.apply(route("r"));
   pcg32 random(3);
-  std::map<std::string, double> quotas, importance{{"r", 1}};
+  std::map<std::string, double> quotas, priority_weight{{"r", 1}};
   for (int i = 0; i < 200000; ++i) {
     const std::string name = "t" + std::to_string(random(500));
     const double quota = random(1000000) / 7.0;
@@ -208,28 +208,28 @@
     const std::string of = "r" + std::to_string(random(40));
     const double worth = random(20);
     if (random(3) == 0) {
-      if (catalog.apply(RemoveRoute{of}).empty()) importance.erase(of);
+      if (catalog.apply(RemoveRoute{of}).empty()) priority_weight.erase(of);
     } else if (catalog.apply(route(of, 0.4, worth)).empty()) {
-      importance[of] = worth;
+      priority_weight[of] = worth;
     }
   }
   double sum = 0, most = 0;
   for (const auto& [name, quota] : quotas) sum += quota;
-  for (const auto& [name, worth] : importance) most = std::max(most, worth);
-  say("the sum of quotas", std::abs(catalog.quotas_per_s() - sum) < 1e-6 * sum);
-  say("the most important", catalog.most_important() == most);
-  say("how many", catalog.customers() == quotas.size() && catalog.op_types() == importance.size());
+  for (const auto& [name, worth] : priority_weight) most = std::max(most, worth);
+  say("the sum of quotas", std::abs(catalog.total_quota_per_second() - sum) < 1e-6 * sum);
+  say("the most important", catalog.highest_priority_weight() == most);
+  say("how many", catalog.tenant_count() == quotas.size() && catalog.route_count() == priority_weight.size());
   for (const auto& [name, quota] : quotas) catalog.apply(RemoveTenant{name});
-  say("nothing is left of the sum when all have gone", catalog.quotas_per_s() == 0);
+  say("nothing is left of the sum when all have gone", catalog.total_quota_per_second() == 0);
 }
 
 void lines() {
   PutRoute full = route("svc/r", 0.4, 2.5);
-  full.type.window = 5;
-  full.type.late_worth = 0.25;
-  full.type.worth_without = 0.5;
-  full.type.calls = true;
-  full.type.effect = Effect::kNonRetryable;
+  full.type.idempotency_window = 5;
+  full.type.late_value = 0.25;
+  full.type.value_without_call = 0.5;
+  full.type.calls_dependency = true;
+  full.type.idempotency = Idempotency::kNonIdempotent;
   for (const Change& change : std::initializer_list<Change>{full, tenant("acme", 12.5), RemoveRoute{"svc/r"},
                                                             RemoveTenant{"acme"}}) {
     std::string line = encode_change(change);
@@ -383,16 +383,16 @@
   f.append(lines_of_changes({route("r"), tenant("a", 10), tenant("b", 5)}));
   f.tell("three changes");
   const int a = f.catalog.find_tenant("a"), b = f.catalog.find_tenant("b");
-  const std::uint32_t life = f.catalog.customer(a).life, life_b = f.catalog.customer(b).life;
+  const std::uint32_t generation = f.catalog.tenant(a).generation, life_b = f.catalog.tenant(b).generation;
   const std::string entries =
       lines_of_changes({route("r", 0.4, 3), route("s"), tenant("a", 1), tenant("c", 2)});
   f.source.files[kSnapshotFile].bytes = snapshot_of({1, 9}, 99, entries, 2, 2);
   f.tell("a snapshot");
   say("who stayed has his position and life",
-      f.catalog.find_tenant("a") == a && f.catalog.customer(a).life == life);
+      f.catalog.find_tenant("a") == a && f.catalog.tenant(a).generation == generation);
   say("who went is unknown", f.catalog.find_tenant("b") == -1);
   const int c = f.catalog.find_tenant("c");
-  say("who came has neither that position nor that life", c != b && f.catalog.customer(c).life > life_b);
+  say("who came has neither that position nor that life", c != b && f.catalog.tenant(c).generation > life_b);
   f.catalog.apply(tenant("d", 1));
   say("a position that came free is used again", f.catalog.find_tenant("d") == b);
   const auto given = [&](const char* what, const std::string& bytes) {
@@ -463,7 +463,7 @@
     std::set<int> positions;
     f.catalog.tenant_names().visit(0, f.catalog.tenant_names().cells(), [&](std::string_view, int position) {
       positions.insert(position);
-      within = within && static_cast<std::size_t>(position) < f.catalog.customer_positions();
+      within = within && static_cast<std::size_t>(position) < f.catalog.tenant_positions();
     });
     alone = alone && positions.size() == static_cast<std::size_t>(kTenants);
     found = found && f.catalog.version().sequence == static_cast<std::uint64_t>(round);
@@ -491,10 +491,10 @@
   bool whole_or_nothing = true;
   while (follower.step(0.002) != Follower::State::kIdle) {
     ++steps;
-    whole_or_nothing = whole_or_nothing && (catalog.customers() == 0 || catalog.customers() == 20000);
+    whole_or_nothing = whole_or_nothing && (catalog.tenant_count() == 0 || catalog.tenant_count() == 20000);
   }
   say("in many steps", steps > 500);
-  say("all or nothing is in force at any time", whole_or_nothing && catalog.customers() == 20000);
+  say("all or nothing is in force at any time", whole_or_nothing && catalog.tenant_count() == 20000);
   HistoryDigest history = 1;
   std::string lines;
   for (int i = 0; i < 1000; ++i) lines += encode_change(tenant("tenant-" + std::to_string(i), 2));
@@ -515,19 +515,19 @@
 }
 
 // A host that only notes how each request was answered.
-struct NotingHost : standins::SilentHost {
-  void reject(OpId id, double, bool) override { answers[id] = "rejected"; }
-  void fail(OpId id) override { answers[id] = "failed"; }
+struct NotingHost : standins::SilentSink {
+  void reject(RequestId id, double, bool) override { answers[id] = "rejected"; }
+  void fail(RequestId id) override { answers[id] = "failed"; }
   void wake_at(double, std::uint64_t token) override { wake = token; }
 
-  std::map<OpId, std::string> answers;
+  std::map<RequestId, std::string> answers;
   std::uint64_t wake = 0;
 };
 
-double values_learned(const Decider& decider, int position) {
-  const Knowledge learned = decider.learned();
+double values_learned(const AdmissionController& controller, int position) {
+  const LearnedStatistics learned = controller.learned();
   double sum = 0;
-  for (const double bin : learned.types[static_cast<std::size_t>(position)].run.bins) sum += bin;
+  for (const double bin : learned.routes[static_cast<std::size_t>(position)].run.bins) sum += bin;
   return sum;
 }
 
@@ -536,35 +536,35 @@
   StartSettings site = standins::synthetic_site({2, 0}, 1);
   Catalog catalog({10, 10, true}, 1);
   PutRoute fragile = route("r", 1);
-  fragile.type.effect = Effect::kNonRetryable;
+  fragile.type.idempotency = Idempotency::kNonIdempotent;
   catalog.apply(route("other", 1));
   catalog.apply(fragile);
   NotingHost host;
-  Decider decider(site.settings, 1, host, 0, {}, &catalog);
+  AdmissionController controller(site.admission, 1, host, 0, {}, &catalog);
   const int position = catalog.find_route("r");
-  Op op;
-  op.type = position;
-  op.held_kb = 1;
-  for (op.id = 1; op.id <= 9; ++op.id) decider.on_op(0.1, op);  // eight run, the ninth is held
+  Request request;
+  request.route = position;
+  request.size_kb = 1;
+  for (request.id = 1; request.id <= 9; ++request.id) controller.on_request(0.1, request);  // eight run, the ninth is held
   catalog.apply(route("r", 1));                                 // may be repeated, from now on
-  decider.on_wake(2, host.wake, {});
+  controller.on_wake(2, host.wake, {});
   std::printf("a held one that was not to be repeated when it was read: %s\n", host.answers[9].c_str());
-  op.id = 10;
-  decider.on_op(2, op);
-  decider.on_wake(4, host.wake, {});
+  request.id = 10;
+  controller.on_request(2, request);
+  controller.on_wake(4, host.wake, {});
   std::printf("one that came after the change: %s\n", host.answers[10].c_str());
   catalog.apply(RemoveRoute{"r"});
   catalog.apply(route("new", 1));
   say("another route has its position", catalog.find_route("new") == position);
-  op.id = 11;
-  decider.on_op(4, op);
-  decider.on_run_end(4.1, 1, Outcome::kOk, 0);
-  decider.on_run_end(4.1, 2, Outcome::kOk, 0);
-  say("runs of the one that went teach nothing of it", values_learned(decider, position) == 0);
-  for (OpId id = 3; id <= 8; ++id) decider.on_run_end(4.2, id, Outcome::kOk, 0);
-  decider.on_run_end(4.3, 11, Outcome::kOk, 0);
-  say("its own do", values_learned(decider, position) == 1);
-  say("nothing is charged in the end", decider.pool_in_use() == 0);
+  request.id = 11;
+  controller.on_request(4, request);
+  controller.on_run_end(4.1, 1, Outcome::kOk, 0);
+  controller.on_run_end(4.1, 2, Outcome::kOk, 0);
+  say("runs of the one that went teach nothing of it", values_learned(controller, position) == 0);
+  for (RequestId id = 3; id <= 8; ++id) controller.on_run_end(4.2, id, Outcome::kOk, 0);
+  controller.on_run_end(4.3, 11, Outcome::kOk, 0);
+  say("its own do", values_learned(controller, position) == 1);
+  say("nothing is charged in the end", controller.pool_in_use() == 0);
 }
 
 // A tenant's bucket: bounded memory, the same decisions as one for each; who is pushed out begins anew.
@@ -607,16 +607,16 @@
 }
 
 // Counts what a decision looks up.
-class CountingDirectory : public Directory {
+class CountingDirectory : public RouteDirectory {
  public:
   explicit CountingDirectory(const Catalog& catalog) : catalog_(catalog) {}
-  const OpType& op_type(int position) const override { return ++looks, catalog_.op_type(position); }
-  Customer customer(int position) const override { return ++looks, catalog_.customer(position); }
-  std::size_t op_types() const override { return catalog_.op_types(); }
-  std::size_t customers() const override { return catalog_.customers(); }
-  std::size_t customer_positions() const override { return catalog_.customer_positions(); }
-  double quotas_per_s() const override { return ++looks, catalog_.quotas_per_s(); }
-  double most_important() const override { return ++looks, catalog_.most_important(); }
+  const Route& route(int position) const override { return ++looks, catalog_.route(position); }
+  Tenant tenant(int position) const override { return ++looks, catalog_.tenant(position); }
+  std::size_t route_count() const override { return catalog_.route_count(); }
+  std::size_t tenant_count() const override { return catalog_.tenant_count(); }
+  std::size_t tenant_positions() const override { return catalog_.tenant_positions(); }
+  double total_quota_per_second() const override { return ++looks, catalog_.total_quota_per_second(); }
+  double highest_priority_weight() const override { return ++looks, catalog_.highest_priority_weight(); }
   mutable std::uint64_t looks = 0;
 
  private:
@@ -632,7 +632,7 @@
     standins::DecisionLoadOptions load;
     load.requests = 3000;
     load.directory = &directory;
-    standins::play_decisions(site.settings, load);
+    standins::play_decisions(site.admission, load);
     const std::uint64_t each = directory.looks / load.requests;
     Following f({5000, 100000, true});
     std::string entries;
--- a/tests/catalog_program.cpp
+++ b/tests/catalog_program.cpp
@@ -21,8 +21,8 @@
 
 PutRoute route(const std::string& name, double timeout) {
   PutRoute put{name, {}};
-  put.type.target_latency = timeout / 2;
-  put.type.op_timeout = timeout;
+  put.type.latency_objective = timeout / 2;
+  put.type.timeout = timeout;
   return put;
 }
 
@@ -76,36 +76,36 @@
   CatalogSite site;
   site.comes_up();
   const int caller = site.connect();
-  site.send_op(caller, 1, "extra");
+  site.send_request(caller, 1, "extra");
   site.caller_hears(caller);
   site.change({route("extra", 3), PutTenant{"acme", {7, 0}}});
-  site.send_op(caller, 2, "extra", R"("ram":10,"limit":3000,"team":"acme")");
+  site.send_request(caller, 2, "extra", R"("ram":10,"limit":3000,"team":"acme")");
   site.runtime_hears(2);
-  site.send_op(caller, 3, "extra");
+  site.send_request(caller, 3, "extra");
   site.caller_hears(caller);
-  site.send_op(caller, 4, "extra", R"("ram":10,"limit":3000,"team":"other")");
+  site.send_request(caller, 4, "extra", R"("ram":10,"limit":3000,"team":"other")");
   site.caller_hears(caller);
   site.change({RemoveTenant{"acme"}, PutTenant{"other", {1, 0}}});
-  site.send_op(caller, 5, "extra", R"("ram":10,"limit":3000,"team":"acme")");
+  site.send_request(caller, 5, "extra", R"("ram":10,"limit":3000,"team":"acme")");
   site.caller_hears(caller);
   site.run_ends(2);  // its tenant has gone meanwhile
   site.caller_hears(caller);
   site.change({PutTenant{"acme", {7, 0}}, RemoveRoute{"extra"}});
-  site.send_op(caller, 6, "push", R"("ram":10,"limit":3000,"team":"acme")");
+  site.send_request(caller, 6, "push", R"("ram":10,"limit":3000,"team":"acme")");
   site.runtime_hears();
-  site.send_op(caller, 7, "extra", R"("ram":10,"limit":3000,"team":"acme")");
+  site.send_request(caller, 7, "extra", R"("ram":10,"limit":3000,"team":"acme")");
   site.caller_hears(caller);
   site.counters({"ops.read", "ops.acked", "bad.types", "bad.params", "catalog.applied", "catalog.refused"});
 }
 
-// Open ops end under what they began with: a timeout that shrinks, a route that goes, a name that comes back
+// Open requests end under what they began with: a timeout that shrinks, a route that goes, a name that comes back
 // as something else.
 void open() {
   CatalogSite site;
   site.comes_up();
   const int caller = site.connect();
   site.change({route("extra", 3)});
-  for (int id = 1; id <= 3; ++id) site.send_op(caller, id, "extra", R"("ram":10)");  // two run, one is held
+  for (int id = 1; id <= 3; ++id) site.send_request(caller, id, "extra", R"("ram":10)");  // two run, one is held
   site.runtime_hears(3);
   site.change({route("extra", 0.3)});
   site.pause(0.6);
@@ -116,7 +116,7 @@
   site.run_ends(2);
   site.caller_hears(caller);
   site.change({route("extra", 0.3)});
-  site.send_op(caller, 4, "extra", R"("ram":10)");
+  site.send_request(caller, 4, "extra", R"("ram":10)");
   site.runtime_hears();
   const bool rejected = site.heard(caller).find("-32001") != std::string::npos;
   std::printf("by its own timeout, before the one that began earlier: %s\n", rejected ? "rejected" : "NO");
@@ -133,10 +133,10 @@
   site.write(lines_of_changes({route("one", 3)}) + "{\"route\":\"two\",\"target\":1}\n" +
              lines_of_changes({route("three", 3), RemoveTenant{"nobody"}}));
   site.follow_with_refusals(2);
-  site.send_op(caller, 1, "three");
+  site.send_request(caller, 1, "three");
   site.runtime_hears(2);
   PutRoute keyed = route("keyed", 3);
-  keyed.type.effect = Effect::kKeyed;
+  keyed.type.idempotency = Idempotency::kWithKey;
   site.write(lines_of_changes({keyed}));
   site.follow_with_refusals(1);
   HistoryDigest history = 1;
@@ -147,13 +147,13 @@
   site.follow_with_refusals(2);  // and the gap once more
   site.run_ends(1);
   site.caller_hears(caller);
-  site.send_op(caller, 2, "four");
+  site.send_request(caller, 2, "four");
   site.caller_hears(caller);
   site.start_again();
   site.comes_up();
   site.counters({"catalog.epoch", "catalog.sequence", "catalog.routes", "catalog.refused"});
   const int again = site.connect();
-  site.send_op(again, 3, "three");
+  site.send_request(again, 3, "three");
   site.runtime_hears(2);
 }
 
@@ -180,7 +180,7 @@
   CatalogSite site;
   site.comes_up();
   const int caller = site.connect();
-  site.send_op(caller, 1, "push");
+  site.send_request(caller, 1, "push");
   site.runtime_hears(2);
   std::string lines;
   for (int i = 0; i < 9000; ++i) lines += encode_change(PutTenant{"tenant-" + std::to_string(i), {1, 0}});
@@ -230,9 +230,9 @@
   say("all whole spans in force after each of 16 kills, nothing refused", all_in_force);
   site.comes_up();
   const int caller = site.connect();
-  site.send_op(caller, 1, "push", R"("ram":10,"limit":3000,"team":"tenant-2900")");
+  site.send_request(caller, 1, "push", R"("ram":10,"limit":3000,"team":"tenant-2900")");
   site.runtime_hears(2);
-  site.send_op(caller, 2, "push", R"("ram":10,"limit":3000,"team":"tenant-3100")");
+  site.send_request(caller, 2, "push", R"("ram":10,"limit":3000,"team":"tenant-3100")");
   site.caller_hears(caller);
 }
 
@@ -248,10 +248,10 @@
     const std::string line = site.expect_log("op: " + txn(id));
     std::printf("log: %s\n", line.substr(std::min(line.size(), line.find("op: "))).c_str());
   };
-  site.send_op(caller, 1, "push");
+  site.send_request(caller, 1, "push");
   site.runtime_hears(2);
   site.change({route("extra", 3)});
-  site.send_op(caller, 2, "extra");
+  site.send_request(caller, 2, "extra");
   site.runtime_hears();
   site.change({route("extra", 2)});
   answered(1);
@@ -277,9 +277,9 @@
   site.comes_up();
   site.counters({"catalog.epoch", "catalog.sequence", "catalog.routes", "catalog.refused"});
   const int caller = site.connect();
-  site.send_op(caller, 1, "extra");
+  site.send_request(caller, 1, "extra");
   site.caller_hears(caller);
-  site.send_op(caller, 2, "pull");
+  site.send_request(caller, 2, "pull");
   site.runtime_hears(2);
 }
 
--- a/tests/cold_calls.cpp
+++ b/tests/cold_calls.cpp
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "decide.h"
-#include "silent_host.h"
+#include "silent_sink.h"
 
 using namespace damsonspoke;
 
@@ -47,39 +47,39 @@
 
 struct InHand {
   double began = 0, ends = 0;
-  OpId op = 0;
+  RequestId request = 0;
   bool given_up = false;
 };
 
-// One life of a backend: ops come, run, want a call, and go on.
-class Life : public standins::SilentHost {
+// One life of a backend: requests come, run, want a call, and go on.
+class Life : public standins::SilentSink {
  public:
   Life(int of, bool cold, double now, std::uint64_t seed) : settings_(settings(of, cold)), now_(now) {
-    decider_ = std::make_unique<Decider>(settings_, seed, *this, now);
+    controller_ = std::make_unique<AdmissionController>(settings_, seed, *this, now);
     last_call_ = now;
   }
-  static Settings settings(int of, bool cold) {
-    Settings s;
-    OpType type;
-    type.target_latency = 2;
-    type.op_timeout = 4;
-    type.calls = true;
-    s.op_types = {type};
+  static AdmissionOptions settings(int of, bool cold) {
+    AdmissionOptions s;
+    Route type;
+    type.latency_objective = 2;
+    type.timeout = 4;
+    type.calls_dependency = true;
+    s.routes = {type};
     s.servers = of;
     s.cores = 8;
     s.memory_kb = 100000;
-    s.run_factor = 2;
-    s.halt = Halt::kDrop;
-    s.crowd_multiple = 8;
+    s.running_size_factor = 2;
+    s.preemption = Preemption::kDrop;
+    s.max_concurrency_factor = 8;
     s.drain_grace = 1;
-    s.resolution = 0.002;
-    s.below = Below::kShared;
-    s.dep_share = kWhole / of;
-    s.calls_over = kWindow;
-    s.linger = kLinger;
-    s.cold = cold;
-    s.cold_from = 0.3;
-    s.cold_time = 8;
+    s.timer_resolution = 0.002;
+    s.dependency = DependencyKind::kShared;
+    s.dependency_share = kWhole / of;
+    s.dependency_share_window = kWindow;
+    s.abandoned_call_time = kLinger;
+    s.slow_start = cold;
+    s.slow_start_speed = 0.3;
+    s.slow_start_time = 8;
     return s;
   }
   void step(double now, Layer layer, Chance& chance, double arrivals) {
@@ -88,18 +88,18 @@
     while (!wakes_.empty() && wakes_.begin()->first <= now) {
       const auto [at, token] = *wakes_.begin();
       wakes_.erase(wakes_.begin());
-      decider_->on_wake(now, token, {});
+      controller_->on_wake(now, token, {});
     }
     for (owed_ += arrivals * kStep * 2 * chance.next(); owed_ >= 1; owed_ -= 1) {
-      Op op;
-      op.id = next_++;
-      op.held_kb = 10;
-      op.caller = static_cast<std::uint32_t>(op.id);
-      decider_->on_op(now, op);
+      Request request;
+      request.id = next_++;
+      request.size_kb = 10;
+      request.caller = static_cast<std::uint32_t>(request.id);
+      controller_->on_request(now, request);
     }
-    for (const OpId id : due(runs_)) decider_->on_call_needed(now, id);
-    for (const OpId id : due(rests_)) decider_->on_run_end(now, id, Outcome::kOk, 0.02);
-    std::vector<std::pair<OpId, Outcome>> over;
+    for (const RequestId id : due(runs_)) controller_->on_call_needed(now, id);
+    for (const RequestId id : due(rests_)) controller_->on_run_end(now, id, Outcome::kOk, 0.02);
+    std::vector<std::pair<RequestId, Outcome>> over;
     for (auto it = calls_.begin(); it != calls_.end();) {
       if (it->second.first > now) {
         ++it;
@@ -110,7 +110,7 @@
     }
     for (const auto& [id, outcome] : over) {
       if (outcome == Outcome::kOk) rests_.emplace(id, now + 0.01);
-      decider_->on_call_end(now, id, outcome, 0);
+      controller_->on_call_end(now, id, outcome, 0);
     }
   }
   // The layer's view: what each call keeps in its hands, from when to when.
@@ -121,15 +121,15 @@
     for (InHand& call : calls) call.ends = std::min(call.ends, now + kLinger);
   }
 
-  void start(OpId id) override { runs_.emplace(id, now_ + 0.02); }
-  void interrupt(OpId id) override {
+  void start(RequestId id) override { runs_.emplace(id, now_ + 0.02); }
+  void interrupt(RequestId id) override {
     if (runs_.erase(id) + rests_.erase(id) > 0) later_.push_back(id);
   }
-  void fail(OpId id) override {
+  void fail(RequestId id) override {
     give_up(id);
     later_.push_back(id);
   }
-  void call(OpId id, double patience) override {
+  void call(RequestId id, double patience) override {
     last_call_ = now_;
     double takes = 0.1;
     Outcome outcome = Outcome::kOk;
@@ -142,44 +142,44 @@
     if (layer_ != Layer::kDown)
       calls.push_back({now_, now_ + takes + (outcome == Outcome::kTimeout ? kLinger : 0), id, false});
   }
-  void skip_call(OpId id) override { rests_.emplace(id, now_ + 0.01); }
+  void skip_call(RequestId id) override { rests_.emplace(id, now_ + 0.01); }
   void wake_at(double time, std::uint64_t token) override { wakes_.emplace(time, token); }
 
   // Runs that were stopped or stood at a call end on the next step.
   void settle(double now) {
-    std::vector<OpId> over;
+    std::vector<RequestId> over;
     over.swap(later_);
-    for (const OpId id : over) {
+    for (const RequestId id : over) {
       runs_.erase(id);
       rests_.erase(id);
-      decider_->on_run_end(now, id, Outcome::kCancelled, 0);
+      controller_->on_run_end(now, id, Outcome::kCancelled, 0);
     }
   }
 
  private:
-  std::vector<OpId> due(std::map<OpId, double>& of) const {
-    std::vector<OpId> ids;
+  std::vector<RequestId> due(std::map<RequestId, double>& of) const {
+    std::vector<RequestId> ids;
     for (const auto& [id, at] : of) {
       if (at <= now_) ids.push_back(id);
     }
-    for (const OpId id : ids) of.erase(id);
+    for (const RequestId id : ids) of.erase(id);
     return ids;
   }
-  void give_up(OpId id) {
+  void give_up(RequestId id) {
     if (calls_.erase(id) == 0) return;
     for (auto it = calls.rbegin(); it != calls.rend(); ++it) {
-      if (it->op == id) return void(it->ends = std::min(it->ends, now_ + kLinger));
+      if (it->request == id) return void(it->ends = std::min(it->ends, now_ + kLinger));
     }
   }
-  const Settings settings_;
+  const AdmissionOptions settings_;
   double now_ = 0, owed_ = 0, last_call_ = 0;
   Layer layer_ = Layer::kWell;
-  OpId next_ = 1;
-  std::unique_ptr<Decider> decider_;
+  RequestId next_ = 1;
+  std::unique_ptr<AdmissionController> controller_;
   std::multimap<double, std::uint64_t> wakes_;
-  std::map<OpId, double> runs_, rests_;
-  std::map<OpId, std::pair<double, Outcome>> calls_;
-  std::vector<OpId> later_;
+  std::map<RequestId, double> runs_, rests_;
+  std::map<RequestId, std::pair<double, Outcome>> calls_;
+  std::vector<RequestId> later_;
 };
 
 struct Seen {
--- a/tests/cold_parts.cpp
+++ b/tests/cold_parts.cpp
@@ -32,8 +32,8 @@
 // on their way, forwarders that die and others that join.
 class History {
  public:
-  History(int forwarders, std::uint64_t seed, bool nacks, double cold_time)
-      : random_(seed), wanted_(forwarders), nacks_(nacks), cold_time_(cold_time) {}
+  History(int forwarders, std::uint64_t seed, bool rejections, double slow_start_seconds)
+      : random_(seed), wanted_(forwarders), rejections_(rejections), cold_time_(slow_start_seconds) {}
 
   void play(double seconds) {
     for (now_ = 0; now_ < seconds; now_ += kStep) {
@@ -66,7 +66,7 @@
   };
   static tier::PickerTerms terms() {
     tier::PickerTerms terms;
-    terms.nack_rest = 0.25;  // as forwarders have it
+    terms.rejection_rest = 0.25;  // as forwarders have it
     return terms;
   }
   double uniform() { return static_cast<double>(random_()) / 4294967296.0; }
@@ -116,7 +116,7 @@
         one->picker.sent(0);
         const double comes = now_ + kWay * uniform();
         attempts_.push_back(
-            {id, comes, comes + (nacks_ ? 0.001 : 0.02 + (uniform() < 0.3 ? 2.0 : 0.3) * uniform())});
+            {id, comes, comes + (rejections_ ? 0.001 : 0.02 + (uniform() < 0.3 ? 2.0 : 0.3) * uniform())});
         one->last_sent = now_;
         ++sent;
         came_.push_back(comes);
@@ -129,21 +129,21 @@
       if (a.ends > now_) return false;
       const auto found = forwarders_.find(a.forwarder);
       if (found != forwarders_.end())
-        found->second->picker.ended(0, nacks_ ? tier::Ended::kNacked : tier::Ended::kServed, 0.1, now_);
+        found->second->picker.ended(0, rejections_ ? tier::Ended::kRejected : tier::Ended::kServed, 0.1, now_);
       return true;
     });
   }
   void judge() {
     // Nacked at once, an attempt still counts for the quarter of a second in which its room rests.
     std::erase_if(came_, [&](double at) { return at < now_ - 0.25; });
-    const double open = nacks_ ? static_cast<double>(came_.size()) : static_cast<double>(attempts_.size());
+    const double open = rejections_ ? static_cast<double>(came_.size()) : static_cast<double>(attempts_.size());
     worst_over = std::max(worst_over, open - budget_);
     worst_chance = std::max(worst_chance, open - budget_ - chance_over(budget_));
   }
 
   pcg32 random_;
   const int wanted_;
-  const bool nacks_;
+  const bool rejections_;
   const double cold_time_;  // s
   double now_ = 0, budget_ = 0, next_look_ = 0;
   std::uint64_t next_ = 1;
@@ -154,13 +154,13 @@
 };
 
 void histories() {
-  for (const double cold_time : {8.0, 60.0}) {
-    for (const bool nacks : {false, true}) {
+  for (const double slow_start_seconds : {8.0, 60.0}) {
+    for (const bool rejections : {false, true}) {
       for (const int forwarders : {1, 5, 20, 30}) {
         double over = -1e9, beyond = -1e9, none = 0;
         std::uint64_t least = ~std::uint64_t{0};
         for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-          History history(forwarders, seed, nacks, cold_time);
+          History history(forwarders, seed, rejections, slow_start_seconds);
           history.play(10);
           over = std::max(over, history.worst_over);
           beyond = std::max(beyond, history.worst_chance);
@@ -170,12 +170,12 @@
         const auto told = [](bool good, double value) {
           return good ? "yes" : fmt::format("NO, {:.1f}", value);
         };
-        // What is nacked may come a little sooner than it went, as ways differ: that is put down to chance.
+        // What is rejected may come a little sooner than it went, as ways differ: that is put down to chance.
         fmt::print(
             "cold for {:.0f} s, {} forwarders, {}: within the budget{}: {}; nobody without for 6 s: {}; "
             "used: {}\n",
-            cold_time, forwarders, nacks ? "all nacked" : "all served", nacks ? " and chance" : "",
-            told((nacks ? beyond : over) <= 0, nacks ? beyond : over), told(none < 6, none),
+            slow_start_seconds, forwarders, rejections ? "all nacked" : "all served", rejections ? " and chance" : "",
+            told((rejections ? beyond : over) <= 0, rejections ? beyond : over), told(none < 6, none),
             told(least > 100, static_cast<double>(least)));
       }
     }
@@ -202,7 +202,7 @@
 // ---- Real forwarders, each with callers of its own that ask for more than there is, before one planner that
 // counts.
 void processes() {
-  for (const PlannerManner manner : {PlannerManner::kSound, PlannerManner::kNacks}) {
+  for (const PlannerManner manner : {PlannerManner::kSound, PlannerManner::kRejections}) {
     constexpr int kForwarders = 20;
     constexpr double kBudget = 12;
     Loop loop;
@@ -236,10 +236,10 @@
     const double a_second = static_cast<double>(planner.taken() - before) / 4;
     say("twenty processes are linked", linked);
     say(fmt::format("{}: open at once within {} and chance",
-                    manner == PlannerManner::kNacks ? "all nacked" : "all served", kBudget),
+                    manner == PlannerManner::kRejections ? "all nacked" : "all served", kBudget),
         static_cast<double>(planner.most_open()) <= kBudget + chance_over(kBudget));
-    // A nacked attempt keeps its room for a quarter of a second: four times the budget a second, and chance.
-    if (manner == PlannerManner::kNacks)
+    // A rejected attempt keeps its room for a quarter of a second: four times the budget a second, and chance.
+    if (manner == PlannerManner::kRejections)
       say("sent within four budgets a second and chance", a_second <= 4 * kBudget + chance_over(4 * kBudget));
     say("every one of them has sent some", planner.fewest_sent() >= 1);
     say("the budget is used", a_second > kBudget);
@@ -259,11 +259,11 @@
   SiteSpec spec;
   spec.types = {{"read", "retryable", 1, 2, 0, 1}};
   spec.command = "plan";
-  spec.cold_from = kFrom;
-  spec.cold_time = kTime;
+  spec.slow_start_speed = kFrom;
+  spec.slow_start_seconds = kTime;
   Runtime::Options work;
-  work.cold_from = kFrom;
-  work.cold_time = kTime;
+  work.slow_start_speed = kFrom;
+  work.slow_start_seconds = kTime;
   Server server(loop, journal, callers, binary, spec, work);
   say("starts", server.start());
   const double began = now();  // its runtime began before: the budget reckoned from here is the smaller one
--- a/tests/compatibility/stored_files_test.cpp
+++ b/tests/compatibility/stored_files_test.cpp
@@ -51,13 +51,13 @@
   database.each([&](const Row& row) { rows.push_back(row); });
   ASSERT_EQ(rows.size(), 2u);
   EXPECT_EQ(rows[0].key, (Key{1, 2}));
-  EXPECT_EQ(rows[0].op, 3u);
+  EXPECT_EQ(rows[0].request, 3u);
   EXPECT_EQ(rows[0].type, "rate-push");
   EXPECT_EQ(rows[0].fingerprint, 4u);
   EXPECT_EQ(rows[0].until_ms, 4102444800000);
   EXPECT_TRUE(rows[0].ended);
   EXPECT_EQ(rows[1].key, (Key{5, 0xffffffffffffffff}));
-  EXPECT_EQ(rows[1].op, 6u);
+  EXPECT_EQ(rows[1].request, 6u);
   EXPECT_EQ(rows[1].type, "avail-read");
   EXPECT_EQ(rows[1].fingerprint, 0xfedcba9876543210u);
   EXPECT_EQ(rows[1].until_ms, 4102444800001);
@@ -79,8 +79,8 @@
   EXPECT_EQ(record.lived, 3600.5);
   EXPECT_EQ(record.site, "relay-1");
   EXPECT_EQ(record.cores, 4);
-  EXPECT_EQ(record.below, 1);
-  EXPECT_EQ(record.caller_idle, 30);
+  EXPECT_EQ(record.dependency, 1);
+  EXPECT_EQ(record.caller_idle_timeout, 30);
   EXPECT_TRUE(record.troubled);
   EXPECT_EQ(record.returns, 0.75);
   ASSERT_EQ(record.types.size(), 2u);
@@ -141,10 +141,10 @@
   EXPECT_EQ(loaded.changes_bytes, 217u);
   const int position = loaded.catalog->find_route("rate-push");
   ASSERT_GE(position, 0);
-  const OpType& route = loaded.catalog->op_type(position);
-  EXPECT_EQ(route.target_latency, 0.2);
-  EXPECT_EQ(route.op_timeout, 0.4);
-  EXPECT_EQ(route.importance, 2);
+  const Route& route = loaded.catalog->route(position);
+  EXPECT_EQ(route.latency_objective, 0.2);
+  EXPECT_EQ(route.timeout, 0.4);
+  EXPECT_EQ(route.priority_weight, 2);
 }
 
 }  // namespace
--- a/tests/compatibility/wire_messages_test.cpp
+++ b/tests/compatibility/wire_messages_test.cpp
@@ -44,10 +44,10 @@
                    {"invalid_request", encode_error(12, RpcError::kRequest, "invalid request")},
                    {"unknown_method", encode_error(13, RpcError::kMethod, "unknown method")},
                    {"invalid_params", encode_error(14, RpcError::kParams, "invalid params")},
-                   {"nack", encode_nack(15, 0, false)},
-                   {"nack_later", encode_nack(16, 249.2, false)},
-                   {"nack_no_retry", encode_nack(17, 0, true)},
-                   {"nack_later_no_retry", encode_nack(18, 1500, true)},
+                   {"nack", encode_rejection(15, 0, false)},
+                   {"nack_later", encode_rejection(16, 249.2, false)},
+                   {"nack_no_retry", encode_rejection(17, 0, true)},
+                   {"nack_later_no_retry", encode_rejection(18, 1500, true)},
                    {"check_passes", encode_check(19, true)},
                    {"check_fails", encode_check(20, false)},
                    {"no_more", encode_no_more()}});
@@ -70,25 +70,25 @@
   EXPECT_EQ(all.id, 42u);
   EXPECT_EQ(all.method, "rate-push");
   EXPECT_EQ(all.txn, 0x1234abcd5678ef90u);
-  EXPECT_EQ(all.door_ms, 1700000000123.5);
-  EXPECT_EQ(all.limit_ms, 900);
+  EXPECT_EQ(all.received_at_ms, 1700000000123.5);
+  EXPECT_EQ(all.client_timeout_ms, 900);
   EXPECT_EQ(all.work_ms, 12.5);
-  EXPECT_EQ(all.held_kb, 24);
-  EXPECT_EQ(all.item, 0xabcu);
-  EXPECT_EQ(all.mark, "key-1");
-  EXPECT_EQ(all.customer, "north");
+  EXPECT_EQ(all.size_kb, 24);
+  EXPECT_EQ(all.subject, 0xabcu);
+  EXPECT_EQ(all.idempotency_key, "key-1");
+  EXPECT_EQ(all.tenant, "north");
   EXPECT_EQ(all.body, "hello");
   EXPECT_EQ(all.caller, 3u);
   EXPECT_FALSE(all.notification);
-  EXPECT_TRUE(all.has_id && all.has_txn && all.has_item && all.has_mark);
+  EXPECT_TRUE(all.has_id && all.has_txn && all.has_subject && all.has_idempotency_key);
   EXPECT_FALSE(all.probe);
-  EXPECT_TRUE(all.again);
+  EXPECT_TRUE(all.is_retry);
 
   const RpcRequest least = decoded("least_params");
   EXPECT_EQ(least.id, 43u);
   EXPECT_EQ(least.method, "avail-read");
-  EXPECT_FALSE(least.has_item || least.has_mark || least.again || least.probe);
-  EXPECT_EQ(least.limit_ms, 0);
+  EXPECT_FALSE(least.has_subject || least.has_idempotency_key || least.is_retry || least.probe);
+  EXPECT_EQ(least.client_timeout_ms, 0);
 
   const RpcRequest work = decoded("work_param");
   EXPECT_EQ(work.work_ms, 8);
@@ -144,7 +144,7 @@
   EXPECT_EQ(decoded("load").tag, 4u);
   EXPECT_TRUE(decoded("verdict_good").good);
   EXPECT_FALSE(decoded("verdict_bad").good);
-  EXPECT_EQ(decoded("nack").kind, NoticeKind::kNack);
+  EXPECT_EQ(decoded("nack").kind, NoticeKind::kRejection);
   EXPECT_EQ(decoded("nack").command, "start");
   EXPECT_EQ(decoded("info").kind, NoticeKind::kRemark);
   EXPECT_EQ(recorded.size(), 12u);
@@ -163,7 +163,7 @@
   const std::map<std::string, CallEnd> ends = {
       {"ok", CallEnd::kOk},           {"overload", CallEnd::kRefused},
       {"internal", CallEnd::kFailed}, {"deadline", CallEnd::kTimedOut},
-      {"stale", CallEnd::kMoot},      {"other", CallEnd::kUnknown}};
+      {"stale", CallEnd::kObsolete},      {"other", CallEnd::kUnknown}};
   for (const auto& [name, end] : ends) {
     const ReplyRead read = next_reply(recorded.at(name));
     EXPECT_EQ(read.state, LineState::kLine) << name;
@@ -196,14 +196,14 @@
   forwarder.types = {"avail-read", "rate-push"};
   Submit submit;
   submit.attempt = 9;
-  submit.op = 10;
-  submit.type = 1;
+  submit.request = 10;
+  submit.route = 1;
   submit.caller = 3;
-  submit.key = 0xfeed;
-  submit.held = 384;
+  submit.subject = 0xfeed;
+  submit.size_sixteenth_kb = 384;
   submit.age_us = 1500;
-  submit.left_us = 250000;
-  submit.mark = "key-1";
+  submit.remaining_us = 250000;
+  submit.idempotency_key = "key-1";
   submit.body = "body";
   Submit question = submit;
   question.known_only = true;
@@ -318,7 +318,7 @@
   record.condition = members::Condition::kSuspected;
   record.address = "127.0.0.1:7000";
   record.pause_ms = 120;
-  record.told = {3, "relay", "north", "0.3.0", 8, 0xdef, 12, 640, 7, members::Below::kSlow, "127.0.0.1:7100"};
+  record.told = {3, "relay", "north", "0.3.0", 8, 0xdef, 12, 640, 7, members::DependencyState::kSlow, "127.0.0.1:7100"};
   record.told_age_ms = 900;
   record.by = {"relay-2", "relay-3"};
   record.heard = 99;
--- a/tests/conns.cpp
+++ b/tests/conns.cpp
@@ -128,29 +128,29 @@
       std::printf(" %u:%s%.0f", n, known.is_known(client(n), now) ? "known " : "", known.earned(client(n)));
     std::printf("\n");
   };
-  for (int i = 0; i < 3; ++i) known.acked(client(1), now);
+  for (int i = 0; i < 3; ++i) known.succeeded(client(1), now);
   tell("three acked");
-  known.acked(client(1), now);
+  known.succeeded(client(1), now);
   tell("four");
-  for (int i = 0; i < 20; ++i) known.acked(client(1), now);
+  for (int i = 0; i < 20; ++i) known.succeeded(client(1), now);
   tell("no more than twice that is earned");
   for (int i = 0; i < 4; ++i) known.misbehaved(client(1));
   tell("misbehaved four times");
   for (int i = 0; i < 3; ++i) known.misbehaved(client(1));
   tell("seven times: lost");
-  for (int i = 0; i < 4; ++i) known.acked(client(1), now), known.acked(client(2), now);
-  known.acked(client(3), now += 1);
+  for (int i = 0; i < 4; ++i) known.succeeded(client(1), now), known.succeeded(client(2), now);
+  known.succeeded(client(3), now += 1);
   tell("two known, one seen");
-  known.acked(client(4), now += 1);
+  known.succeeded(client(4), now += 1);
   tell("a fourth takes the place of who is not known");
-  for (int i = 0; i < 4; ++i) known.acked(client(4), now);
-  known.acked(client(5), now += 1);
+  for (int i = 0; i < 4; ++i) known.succeeded(client(4), now);
+  known.succeeded(client(5), now += 1);
   tell("among known ones the oldest goes");
   now += 99;
   tell("nearly too old");
   now += 2;
   tell("too old");
-  known.acked(client(4), now);
+  known.succeeded(client(4), now);
   tell("who comes after that is a stranger");
 
   std::vector<KnownClient> all = known.all();
@@ -213,7 +213,7 @@
     const Arrival a = gate.arrive(id, front, from, now, kUnix + now, scarce);
     std::printf("  %-12s %s", text_of(client_of(from)).c_str(),
                 a.in ? ("in as " + std::to_string(id)).c_str() : text_of(a.why));
-    if (!a.in) std::printf(", back in %.2f", a.come_back_in);
+    if (!a.in) std::printf(", back in %.2f", a.retry_after);
     if (a.sheds) std::printf(", sheds %d", static_cast<int>(*a.sheds)), gate.ended(*a.sheds);
     std::printf("\n");
     return a.in ? id : 0;
@@ -232,10 +232,10 @@
     std::printf("\n");
   }
   void makes_known(const Address& from) {
-    for (int i = 0; i < 2; ++i) known.acked(client_of(from), kUnix + now);
+    for (int i = 0; i < 2; ++i) known.succeeded(client_of(from), kUnix + now);
   }
-  void is_of_use(ConnId id, double importance) {
-    gate.asked(id, now), gate.acked(id, importance, now, kUnix + now);
+  void is_of_use(ConnId id, double priority_weight) {
+    gate.asked(id, now), gate.succeeded(id, priority_weight, now, kUnix + now);
   }
   Share share;
   Known known;
--- a/tests/conns_program.cpp
+++ b/tests/conns_program.cpp
@@ -51,19 +51,19 @@
     const auto counters = fleet.process->counters();
     return counters.contains(name) ? counters.at(name) : 0;
   }
-  void end(bool all_acked = true) {
+  void end(bool all_succeeded = true) {
     say("all tries end", fleet.settle(5));
     say("no invariant broken", count("invariants.broken") == 0);
     say("it leaves in order", fleet.leave());
     const Verdict v = check_rules(fleet.journal, fleet.limits());
     for (const std::string& line : v.broken) std::printf("%s\n", line.c_str());
     std::printf("rules: %s\n", v.kept() ? "kept" : "BROKEN");
-    int asked = 0, acked = 0;
-    for (const auto& [op, t] : fleet.journal.tries) {
+    int asked = 0, succeeded = 0;
+    for (const auto& [request, t] : fleet.journal.tries) {
       ++asked;
-      for (const Answer& a : t.answers) acked += a.kind == AnswerKind::kAcked;
+      for (const Answer& a : t.answers) succeeded += a.kind == AnswerKind::kSucceeded;
     }
-    if (all_acked) say("nearly all ops are served", asked > 20 && acked > 0.97 * asked);
+    if (all_succeeded) say("nearly all ops are served", asked > 20 && succeeded > 0.97 * asked);
   }
   Fleet fleet;
   std::uint16_t port = 0;
@@ -207,7 +207,7 @@
   std::filesystem::permissions(play.fleet.folder(), std::filesystem::perms(0700));
 }
 
-// Fewer places by SIGHUP than are open: idle ones go, ops go on, and a wrong file changes nothing.
+// Fewer places by SIGHUP than are open: idle ones go, requests go on, and a wrong file changes nothing.
 void lowered() {
   Play play(
       site("    known-after 10\n    client-share 100%\n    network-share 100%\n    known-share 100%\n"));
--- a/tests/endings.cpp
+++ b/tests/endings.cpp
@@ -16,8 +16,8 @@
   return "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 std::string check(int id) { return framed(replaced(kCheck, "ID", std::to_string(id))); }
-// An op that needs no runtime to be nacked.
-std::string op(int id) {
+// A request that needs no runtime to be rejected.
+std::string request(int id) {
   char text[200];
   std::snprintf(text, sizeof text,
                 R"({"jsonrpc":"2.0","id":%d,"method":"push","params":{"txn":"%016x","lb":1,"ram":10}})", id,
@@ -217,14 +217,14 @@
   std::vector<Raw> busy;
   for (int i = 1; i <= kTable; ++i) {
     busy.emplace_back(site.port());
-    busy.back().say(op(i));
+    busy.back().say(request(i));
   }
   site.pause(0.2);
   std::vector<Raw> fresh;
   stopped(site, 0.05, [&] {
     for (int i = 0; i < 8; ++i) {
       fresh.emplace_back(site.port());
-      fresh.back().say(op(100 + i));
+      fresh.back().say(request(100 + i));
     }
   });
   int in_order = 0;
@@ -264,13 +264,13 @@
   std::printf("asked as it would be closed, answered: %s; then it ends: %s\n", answered ? "yes" : "no", end);
 }
 
-// Noise after a request: the op is answered, the last words come, and the noise that nobody reads turns
+// Noise after a request: the request is answered, the last words come, and the noise that nobody reads turns
 // neither into a reset.
 void refused() {
   Site site;
   site.comes_up();
   Raw caller(site.port());
-  site.send_op(caller.fd(), 1);
+  site.send_request(caller.fd(), 1);
   site.runtime_hears(2);
   caller.say("Content-Length: 99999\r\n\r\n");
   site.pause(0.1);
@@ -318,7 +318,7 @@
     site.pause(1);
     std::string all;
     constexpr int kMany = 400;
-    for (int i = 2; i <= kMany; ++i) all += up ? op(i) : check(i);
+    for (int i = 2; i <= kMany; ++i) all += up ? request(i) : check(i);
     stopped(site, 1.2, [&] { caller.say(all); });
     const char* end = caller.end();
     const int answered = caller.answers(kMany);
@@ -335,7 +335,7 @@
   Site site;
   site.comes_up();
   Raw caller(site.port());
-  site.send_op(caller.fd(), 1);
+  site.send_request(caller.fd(), 1);
   site.runtime_hears(2);
   site.signal(SIGTERM);
   site.roster_hears("HERE n1 off");
@@ -351,7 +351,7 @@
   Site broken;
   broken.comes_up();
   Raw other(broken.port());
-  broken.send_op(other.fd(), 1, "push", R"("ram":10,"limit":900)");
+  broken.send_request(other.fd(), 1, "push", R"("ram":10,"limit":900)");
   broken.runtime_hears(2);
   broken.runtime_breaks();
   broken.signal(SIGTERM);
@@ -390,7 +390,7 @@
       one.say(check(1));
       two.say(check(1) + "Content-Length: 99999\r\n\r\n" + std::string(3000, 'x'));
       three.say(check(1) + "Content-Length: 50\r\n\r\nhalf");
-      four.say(op(i));
+      four.say(request(i));
       if (i % 2 == 0) two.resets();
       three.resets();
       five.hang_up();
@@ -427,7 +427,7 @@
   site.caller_hears(caller);
   const auto serve = [&](int id, int notice) {
     const std::string txn = "000000000000000" + std::to_string(id);
-    site.send_op(caller, id);
+    site.send_request(caller, id);
     site.runtime_hears(2);
     site.runtime_says("wants " + std::to_string(notice) + " " + txn + " 4\r\ncall");
     site.below_hears(2);
--- a/tests/knowledge.cpp
+++ b/tests/knowledge.cpp
@@ -19,8 +19,8 @@
 
 namespace {
 
-LearnedTimes times(std::size_t bin, double count) {
-  LearnedTimes out;
+LearnedDurations times(std::size_t bin, double count) {
+  LearnedDurations out;
   out.bins.assign(13, 0);
   out.bins[bin] = count;
   out.sum = count * 0.005 * std::exp2(static_cast<double>(bin)) * 0.75;
@@ -29,29 +29,29 @@
 
 StartSettings site() {
   StartSettings s;
-  OpType push, pull;
-  push.target_latency = 1, push.op_timeout = 2, push.calls = true;
-  pull.target_latency = 0.5, pull.op_timeout = 2;
-  s.settings.op_types = {push, pull};
-  s.settings.cores = 2;
-  s.settings.below = Below::kShared;
-  s.settings.caller_idle = 10;
-  s.type_names = {"push", "pull"};
+  Route push, pull;
+  push.latency_objective = 1, push.timeout = 2, push.calls_dependency = true;
+  pull.latency_objective = 0.5, pull.timeout = 2;
+  s.admission.routes = {push, pull};
+  s.admission.cores = 2;
+  s.admission.dependency = DependencyKind::kShared;
+  s.admission.caller_idle_timeout = 10;
+  s.route_names = {"push", "pull"};
   return s;
 }
 
 Record good(double written = 1000) {
-  Knowledge learned;
-  learned.types = {{times(5, 20), times(3, 20)}, {times(4, 8), times(0, 0)}};
-  learned.types[1].away.sum = 0;
+  LearnedStatistics learned;
+  learned.routes = {{times(5, 20), times(3, 20)}, {times(4, 8), times(0, 0)}};
+  learned.routes[1].away.sum = 0;
   learned.calls = times(3, 20);
-  learned.returns = 0.4;
+  learned.returning_share = 0.4;
   return record_of(learned, site(), "n1", written, 60);
 }
 
 constexpr Terms kTerms{43200, 259200, 4};
 
-double count_of(const LearnedTimes& t) {
+double count_of(const LearnedDurations& t) {
   double n = 0;
   for (const double b : t.bins) n += b;
   return n;
@@ -61,18 +61,18 @@
 void crash() {
   RecordingFolder folder;
   Folder files(folder);
-  std::vector<std::pair<std::size_t, double>> acked;  // steps so far, and what was written last
+  std::vector<std::pair<std::size_t, double>> succeeded;  // steps so far, and what was written last
   for (int i = 1; i <= 40; ++i) {
     if (i % 7 == 0) files.begins(1);
     if (i % 7 == 2) files.came_through();
-    if (files.write(good(i))) acked.emplace_back(folder.steps().size(), i);
+    if (files.write(good(i))) succeeded.emplace_back(folder.steps().size(), i);
   }
   int points = 0, garbage = 0, older = 0, none = 0;
   std::string first;
   const auto look = [&](std::size_t count, std::size_t returned, RecordingFolder::Files state) {
     ++points;
     double last = 0;
-    for (const auto& [steps, written] : acked) {
+    for (const auto& [steps, written] : succeeded) {
       if (steps <= returned) last = written;
     }
     RecordingFolder after(std::move(state));
@@ -108,8 +108,8 @@
                       const StartSettings& with = site(), const Terms& terms = kTerms) {
     const Belief b = believe(record, with, now, starts, terms);
     std::printf("%-28s believed %-3s share %.2f", what, b.any ? "yes" : "no", b.share);
-    for (const auto& t : b.prior.types) std::printf(", run %.2f values", count_of(t.run));
-    if (b.prior.returns >= 0) std::printf(", returns %.2f", b.prior.returns);
+    for (const auto& t : b.prior.routes) std::printf(", run %.2f values", count_of(t.run));
+    if (b.prior.returning_share >= 0) std::printf(", returns %.2f", b.prior.returning_share);
     for (const std::string& why : b.reasons) std::printf("\n  %s", why.c_str());
     std::printf("\n");
   };
@@ -126,16 +126,16 @@
   say("one life lost with it", good(), 1000, 1);
   say("two lives lost with it", good(), 1000, 2);
   StartSettings other = site();
-  other.settings.cores = 8;
+  other.admission.cores = 8;
   say("another machine", good(), 1000, 0, other);
   other = site();
-  other.settings.op_types[0].target_latency = 3;
+  other.admission.routes[0].latency_objective = 3;
   say("one type's target changed", good(), 1000, 0, other);
   other = site();
-  other.type_names[1] = "poll";
+  other.route_names[1] = "poll";
   say("another site's types", good(), 1000, 0, other);
   other = site();
-  other.settings.below = Below::kOff;
+  other.admission.dependency = DependencyKind::kOff;
   say("no layer below any more", good(), 1000, 0, other);
   const double nan = std::numeric_limits<double>::quiet_NaN();
   for (const auto& [what, value] : {std::pair{"a count that is no number", nan},
@@ -174,7 +174,7 @@
       t.away = times(random() % 13, chance() * 20);
     }
     for (int spoil = static_cast<int>(random() % 3); spoil > 0; --spoil) {
-      LearnedTimes& t = random() % 2   ? r.types[random() % 2].run
+      LearnedDurations& t = random() % 2   ? r.types[random() % 2].run
                         : random() % 2 ? r.types[random() % 2].away
                                        : r.calls;
       const double values[] = {-chance(),
@@ -193,8 +193,8 @@
     for (const double age : {0.0, 100.0, 3600.0, 40000.0, 100000.0, 250000.0, 400000.0}) {
       const Belief b = believe(r, site(), 1000 + age, 0, kTerms);
       double weight = 0;
-      for (std::size_t k = 0; k < b.prior.types.size(); ++k) {
-        const auto& t = b.prior.types[k];
+      for (std::size_t k = 0; k < b.prior.routes.size(); ++k) {
+        const auto& t = b.prior.routes[k];
         for (const auto& [prior, seen] :
              {std::pair{&t.run, &r.types[k].run}, std::pair{&t.away, &r.types[k].away}}) {
           if (prior->bins.empty()) continue;
@@ -204,7 +204,7 @@
         }
       }
       if (!b.prior.calls.bins.empty() && !sensible(b.prior.calls)) ++senseless;
-      if (b.prior.returns > 1) ++senseless;
+      if (b.prior.returning_share > 1) ++senseless;
       if (weight > last + 1e-9) ++grows;
       last = weight;
       ++(b.any ? believed : refused);
@@ -297,8 +297,8 @@
     if (!back) continue;
     ++read;
     const Belief b = believe(*back, site(), 1000, 0, kTerms);
-    for (const auto& t : b.prior.types) {
-      for (const LearnedTimes* times : {&t.run, &t.away})
+    for (const auto& t : b.prior.routes) {
+      for (const LearnedDurations* times : {&t.run, &t.away})
         senseless += !times->bins.empty() && !sensible(*times);
     }
   }
--- a/tests/knowledge_program.cpp
+++ b/tests/knowledge_program.cpp
@@ -16,7 +16,7 @@
   for (int i = 0; i < 4; ++i) {
     char id[17];
     std::snprintf(id, sizeof id, "%016x", from + i);
-    site.send_op(caller, from + i, "pull", R"("ram":10,"limit":700)");
+    site.send_request(caller, from + i, "pull", R"("ram":10,"limit":700)");
     site.runtime_hears(2);
     site.pause(0.06);
     site.runtime_says("end " + std::to_string(notice + i) + " " + id + " complete 60 2\r\nok");
--- a/tests/link_ends.cpp
+++ b/tests/link_ends.cpp
@@ -15,8 +15,8 @@
 #include <string>
 #include <vector>
 
-#include "peers/below.h"
-#include "peers/runtime.h"
+#include "peers/dependency/client.h"
+#include "peers/runtime/client.h"
 #include "scenarios.h"
 #include "stepped_reactor.h"
 
@@ -78,7 +78,7 @@
 };
 
 bool proves_not_run(Outcome outcome) {
-  return outcome == Outcome::kRefused || outcome == Outcome::kUnreachable || outcome == Outcome::kMoot;
+  return outcome == Outcome::kRefused || outcome == Outcome::kUnreachable || outcome == Outcome::kObsolete;
 }
 
 std::string name_of(Outcome outcome) {
@@ -89,33 +89,33 @@
     case Outcome::kTimeout: return "its time is over, may have run";
     case Outcome::kReset: return "broken, may have run";
     case Outcome::kError: return "failed, may have run";
-    case Outcome::kMoot: return "moot, never ran";
+    case Outcome::kObsolete: return "moot, never ran";
     case Outcome::kCancelled: return "cancelled";
   }
   return "?";
 }
 
 // ---- Calls below.
-struct Calls : peers::BelowEvents {
+struct Calls : peers::DependencyEvents {
   explicit Calls(std::size_t most = 8, int backlog = 64)
       : bare(backlog),
         log(Level::kError),
-        below(stepped.reactor, bare.address(), most, *this, counters, log) {}
+        dependency(stepped.reactor, bare.address(), most, *this, counters, log) {}
   ~Calls() override { stepped.end(); }
-  void on_call_ended(OpId id, Outcome outcome, double, std::string_view) override {
+  void on_call_ended(RequestId id, Outcome outcome, double, std::string_view) override {
     ends[id].push_back(outcome);
   }
   void run(double seconds) { stepped.run_for(seconds); }
   // Until it has ended, 2 s at most.
-  std::string end_of(OpId id) {
+  std::string end_of(RequestId id) {
     for (int i = 0; i < 100 && ends[id].empty(); ++i) run(0.02);
     run(0.02);
     if (ends[id].empty()) return "no end";
     return name_of(ends[id].front()) + (ends[id].size() > 1 ? ", AND ANOTHER END" : "");
   }
   // Has it written, and the other side read, the whole call.
-  int made(OpId id, double timeout) {
-    below.call(id, timeout, "body");
+  int made(RequestId id, double timeout) {
+    dependency.call(id, timeout, "body");
     for (int i = 0; i < 100; ++i) {
       run(0.01);
       const int fd = bare.newest();
@@ -127,11 +127,11 @@
   Bare bare;
   Counters counters;
   Logger log;
-  std::map<OpId, std::vector<Outcome>> ends;
-  peers::Below below;
+  std::map<RequestId, std::vector<Outcome>> ends;
+  peers::DependencyClient dependency;
 };
 
-std::string reply(OpId id) { return fmt::format("{:016x} ok 5\r\nreply\r\n", id); }
+std::string reply(RequestId id) { return fmt::format("{:016x} ok 5\r\nreply\r\n", id); }
 
 // What meets in one turn of the reactor.
 void one_turn() {
@@ -162,7 +162,7 @@
     Calls c;
     const int fd = c.made(1, 0.2);
     Bare::say(fd, reply(1));
-    c.below.cancel(1);
+    c.dependency.cancel(1);
     ::usleep(250'000);
     c.run(0.1);
     fmt::print("reply, timeout and cancel: {} ends\n", c.ends[1].size());
@@ -180,7 +180,7 @@
 void dials() {
   {
     Calls c;
-    c.below.call(1, 0.2, "body");  // the system makes the connection while nobody here looks
+    c.dependency.call(1, 0.2, "body");  // the system makes the connection while nobody here looks
     ::usleep(250'000);
     fmt::print("connected as its timeout ended: {}\n", c.end_of(1));
     const int fd = c.bare.newest();
@@ -198,20 +198,20 @@
       static_cast<void>(::connect(fd, reinterpret_cast<sockaddr*>(&at), sizeof at));
       in_front.push_back(fd);
     }
-    c.below.call(1, 0.3, "body");
+    c.dependency.call(1, 0.3, "body");
     fmt::print("a connect that hangs: {}\n", c.end_of(1));
     for (const int fd : in_front) ::close(fd);
   }
   {
     Calls c;
     c.bare.refuse();
-    c.below.call(1, 1, "body");
+    c.dependency.call(1, 1, "body");
     fmt::print("refused: {}\n", c.end_of(1));
   }
   {
     Calls c(1);  // one connection for all
-    c.below.call(1, 5, "body");
-    c.below.call(2, 0.2, "other");
+    c.dependency.call(1, 5, "body");
+    c.dependency.call(2, 0.2, "other");
     ::usleep(250'000);  // connected, nothing written; the second's time is over
     c.run(0.05);
     fmt::print("two on a connection that is just made, the second's time over: {}\n", c.end_of(2));
@@ -238,7 +238,7 @@
     const int fd = c.made(1, 5);
     Bare::say(fd, reply(1));
     c.end_of(1);
-    c.below.call(2, 5, "body");  // written at once, on the connection that is there
+    c.dependency.call(2, 5, "body");  // written at once, on the connection that is there
     c.bare.close(fd, true);
     fmt::print("closed as the next call was written: {}\n", c.end_of(2));
   }
@@ -272,15 +272,15 @@
       : log(Level::kError), runtime(stepped.reactor, bare.address(), 64 * 1024, {}, *this, counters, log) {}
   ~Link() override { stepped.end(); }
   void on_runtime_ready(bool, double) override { ++readies; }
-  void on_run_ended(OpId id, Outcome outcome, double, std::string_view result) override {
+  void on_run_ended(RequestId id, Outcome outcome, double, std::string_view result) override {
     ends[id].push_back(name_of(outcome) + (result.empty() ? "" : " " + std::string(result)));
   }
-  void on_call_wanted(OpId id, std::uint64_t, std::string_view body) override {
+  void on_call_wanted(RequestId id, std::uint64_t, std::string_view body) override {
     wanted[id] += std::string(body) + ";";
   }
   void on_verdict(std::uint64_t, bool) override {}
-  void on_not_started(OpId id) override { ends[id].push_back("not started"); }
-  void on_runtime_anew(const std::unordered_set<OpId>& unsent) override { ++anew, spared = unsent.size(); }
+  void on_not_started(RequestId id) override { ends[id].push_back("not started"); }
+  void on_runtime_anew(const std::unordered_set<RequestId>& unsent) override { ++anew, spared = unsent.size(); }
   // Lets it run until this has come to the other side; gauges are answered meanwhile.
   bool hears(const std::string& part, bool gauges = true) {
     for (int i = 0; i < 150; ++i) {
@@ -318,17 +318,17 @@
     for (std::size_t at = 0; (at = in.find(part, at)) != std::string::npos; at += part.size()) ++n;
     return n;
   }
-  std::string ends_of(OpId id) { return fmt::format("{}", fmt::join(ends[id], " and ")); }
+  std::string ends_of(RequestId id) { return fmt::format("{}", fmt::join(ends[id], " and ")); }
   SteppedReactor stepped;
   Bare bare;
   Counters counters;
   Logger log;
-  std::map<OpId, std::vector<std::string>> ends;
-  std::map<OpId, std::string> wanted;
+  std::map<RequestId, std::vector<std::string>> ends;
+  std::map<RequestId, std::string> wanted;
   int readies = 0, anew = 0;
   std::size_t spared = 0;
   std::string in;
-  peers::Runtime runtime;
+  peers::RuntimeClient runtime;
 };
 
 // A notice that the link's end cuts at each byte is heard whole, and once, on the next link.
--- a/tests/members.cpp
+++ b/tests/members.cpp
@@ -722,7 +722,7 @@
   r.name = name, r.epoch = 17, r.incarnation = 3, r.condition = Condition::kSuspected,
   r.address = "10.0.0.1:7400";
   r.pause_ms = 1200, r.contest = 18, r.heard = 250, r.told_age_ms = 40, r.by = {"a", "b"};
-  r.told = {4, "planner", "north", "0.3.0", 7, 99, 12, 640, 20, Below::kSlow, "10.0.0.1:7100"};
+  r.told = {4, "planner", "north", "0.3.0", 7, 99, 12, 640, 20, DependencyState::kSlow, "10.0.0.1:7100"};
   r.broken = {{"c", true, 1000}, {"d", false, 0}};
   return r;
 }
@@ -771,7 +771,7 @@
   };
   Record usual = Alone::of("backend-00417"), dead = usual, suspected = usual;
   usual.epoch = dead.epoch = suspected.epoch = 1796000000000ULL << 12;
-  usual.told = {4, "relay", "north/zone-2", "0.3.0", 0, 0, 12, 640, 0, Below::kUnknown, "10.0.0.1:7100"};
+  usual.told = {4, "relay", "north/zone-2", "0.3.0", 0, 0, 12, 640, 0, DependencyState::kUnknown, "10.0.0.1:7100"};
   dead.condition = Condition::kDead, suspected.condition = Condition::kSuspected;
   suspected.by = {"backend-00123", "backend-01123"};
   say("what a record takes is known within a fifth", approximately(usual) && approximately(dead) &&
--- a/tests/planner_link.cpp
+++ b/tests/planner_link.cpp
@@ -16,7 +16,7 @@
 
 #include "loop.h"
 #include "net/reactor.h"
-#include "peers/planners.h"
+#include "peers/tier/planner_client.h"
 #include "stepped_reactor.h"
 #include "watch/counters.h"
 #include "watch/logger.h"
@@ -57,7 +57,7 @@
   Seen seen;
   std::uint16_t port = 0;
   const int listener = standins::listening_socket(port);
-  peers::Planners planners(reactor, {"f1", 7, {"read"}}, memory, seen, counters, log);
+  peers::PlannerClient planners(reactor, {"f1", 7, {"read"}}, memory, seen, counters, log);
   planners.add(fmt::format("127.0.0.1:{}", port));
   int fd = -1;
   std::string arrived;
@@ -74,7 +74,7 @@
     if (seen.up && !given) {
       given = true;
       wt::Submit submit;
-      submit.op = 1;
+      submit.request = 1;
       submit.body.assign(kBody, 'b');
       for (std::uint64_t n = 1; n <= kSubmits; ++n) submit.attempt = n, planners.submit(0, submit);
     }
@@ -167,7 +167,7 @@
 
 struct Greeting {
   explicit Greeting(std::string words) : log(Level::kError), peer(stepped.reactor, std::move(words)) {
-    planners = std::make_unique<peers::Planners>(stepped.reactor, peers::Planners::Self{"f1", 7, {"read"}},
+    planners = std::make_unique<peers::PlannerClient>(stepped.reactor, peers::PlannerClient::Self{"f1", 7, {"read"}},
                                                  1 << 20, seen, counters, log);
     planners->add(fmt::format("127.0.0.1:{}", peer.port));
   }
@@ -178,7 +178,7 @@
   Logger log;
   Seen seen;
   Peer peer;
-  std::unique_ptr<peers::Planners> planners;
+  std::unique_ptr<peers::PlannerClient> planners;
 };
 
 const char* yes(bool is) { return is ? "yes" : "no"; }
--- a/tests/planner_program.cpp
+++ b/tests/planner_program.cpp
@@ -72,7 +72,7 @@
   refused("a planner", hello);
   refused("no name", Link::hello_of("", 7));
   wt::Submit submit;
-  submit.attempt = submit.op = 1;
+  submit.attempt = submit.request = 1;
   refused("an op before the hello", submit);
   refused("a ping before it", wt::Ping{1});
   refused("what only planners say", wt::Window{});
@@ -92,7 +92,7 @@
   play.end();
 }
 
-// Attempts that must not be taken, and ops that nobody waits for any more.
+// Attempts that must not be taken, and requests that nobody waits for any more.
 void attempts() {
   Play play(0.3);
   Link one(play), other(play);
@@ -117,7 +117,7 @@
   play.end();
 }
 
-// Links that end with ops in hand: the same life takes them over, a new one gives them up, nobody does in
+// Links that end with requests in hand: the same life takes them over, a new one gives them up, nobody does in
 // time.
 void lives() {
   Play play(0.5);
--- a/tests/program.cpp
+++ b/tests/program.cpp
@@ -15,7 +15,7 @@
   const int caller = site.connect();
   site.send(caller, R"({"jsonrpc":"2.0","id":9,"method":"health","params":{"probe":true}})");
   site.caller_hears(caller);
-  site.send_op(caller, 1);
+  site.send_request(caller, 1);
   site.runtime_hears(2);
   site.runtime_says("wants 1 " + kId1 + " 4\r\ncall");
   site.below_hears(2);
@@ -23,13 +23,13 @@
   site.runtime_hears(2);
   site.runtime_says("end 2 " + kId1 + " complete 20 6\r\nresult");
   site.caller_hears(caller);
-  site.send_op(caller, 2, "pull");
+  site.send_request(caller, 2, "pull");
   site.runtime_hears(2);
   site.runtime_says("end 3 " + kId2 + " error 20 0\r\n");
   site.caller_hears(caller);
-  site.send_op(caller, 3, "push", R"("ram":1999,"limit":3000)");
+  site.send_request(caller, 3, "push", R"("ram":1999,"limit":3000)");
   site.caller_hears(caller);
-  site.send_op(caller, 4);
+  site.send_request(caller, 4);
   site.runtime_hears();
   site.hang_up(caller, true);
   site.runtime_hears(2);
@@ -38,25 +38,25 @@
                  "runs.error", "runs.cancelled", "calls.made", "calls.ok", "checks.good"});
 }
 
-// Where the settings say that ops tell their work, a run is judged by it: the op that tells fifty times the
-// work of those that ran is nacked at once, the one that tells a tenth waits. Without "hints" both are
-// nacked.
+// Where the settings say that requests tell their work, a run is judged by it: the request that tells fifty times the
+// work of those that ran is rejected at once, the one that tells a tenth waits. Without "hints" both are
+// rejected.
 void hints() {
   Site site("", "", {}, R"("hints":"good",)");
   site.comes_up();
   const int caller = site.connect();
-  site.send_op(caller, 1, "pull", R"("ram":10,"limit":3000,"work":100)");
+  site.send_request(caller, 1, "pull", R"("ram":10,"limit":3000,"work":100)");
   site.runtime_hears(2);
   site.pause(0.2);
   site.runtime_says("end 1 " + kId1 + " complete 20 6\r\nresult");
   site.caller_hears(caller);
-  site.send_op(caller, 2, "pull", R"("ram":10,"limit":3000,"work":100)");
-  site.send_op(caller, 3, "pull", R"("ram":10,"limit":3000,"work":100)");
+  site.send_request(caller, 2, "pull", R"("ram":10,"limit":3000,"work":100)");
+  site.send_request(caller, 3, "pull", R"("ram":10,"limit":3000,"work":100)");
   site.runtime_hears(4);
-  site.send_op(caller, 4, "pull", R"("ram":10,"limit":3000,"work":5000)");
+  site.send_request(caller, 4, "pull", R"("ram":10,"limit":3000,"work":5000)");
   const std::string answer = site.heard(caller);  // "later" follows real run times: only the verdict is kept
   std::printf("caller hears: %s\n", answer.find("-32001") != std::string::npos ? "nacked" : answer.c_str());
-  site.send_op(caller, 5, "pull", R"("ram":10,"limit":3000,"work":10)");
+  site.send_request(caller, 5, "pull", R"("ram":10,"limit":3000,"work":10)");
   site.pause(0.05);
   site.counters({"ops.read", "ops.acked", "ops.nacked"});
 }
@@ -67,7 +67,7 @@
   const int caller = site.connect();
   site.send(caller, R"({"jsonrpc":"2.0","id":1,"method":"health","params":{}})");
   site.caller_hears(caller);
-  site.send_op(caller, 2);
+  site.send_request(caller, 2);
   site.caller_hears(caller);
   site.runtime_comes_up("chilly 20");
   site.roster_hears("HERE n1 on");
@@ -83,9 +83,9 @@
   site.pause(0.3);
   site.answers_gauges = false;
   const int caller = site.connect();
-  site.send_op(caller, 1);
+  site.send_request(caller, 1);
   site.runtime_hears(2);
-  site.send_op(caller, 2);
+  site.send_request(caller, 2);
   site.runtime_hears(2);
   site.runtime_breaks();
   site.answers_gauges = true;
@@ -112,7 +112,7 @@
   site.runtime_says("info 2 some words");
   site.runtime_says("nack stop 0000000000000077");
   const int caller = site.connect();
-  site.send_op(caller, 1);
+  site.send_request(caller, 1);
   site.runtime_hears(2);
   site.runtime_says("nack start " + kId1);
   site.caller_hears(caller);
@@ -127,7 +127,7 @@
   Site site;
   site.comes_up();
   const int caller = site.connect();
-  site.send_op(caller, 1);
+  site.send_request(caller, 1);
   site.runtime_hears(2);
   site.runtime_says("wants 1 " + kId1 + " 4\r\ncall");
   site.below_hears(2);
@@ -141,7 +141,7 @@
   site.caller_hears(caller);
   site.reload();
   site.runtime_comes_up("hot 1900");
-  site.send_op(caller, 2);
+  site.send_request(caller, 2);
   site.runtime_hears(2);
   site.runtime_says("wants 3 " + kId2 + " 4\r\ncall");
   site.below_hears(2);
@@ -158,9 +158,9 @@
   Site site;
   site.comes_up();
   const int caller = site.connect();
-  site.send_op(caller, 1);
+  site.send_request(caller, 1);
   site.runtime_hears(2);
-  site.send_op(caller, 2);
+  site.send_request(caller, 2);
   site.runtime_hears(2);
   site.runtime_says("info 77 a remark with a number of its own");
   site.runtime_says("end 2 " + kId2 + " complete 20 3\r\ntwo");
@@ -171,7 +171,7 @@
   site.runtime_says("info 9 far ahead\r\nend 5 0000000000000055 complete 20 2\r\nhm");
   site.runtime_comes_up("hot 1900");
   site.runtime_says("end 5 0000000000000055 complete 20 2\r\nhm");
-  site.send_op(caller, 3);
+  site.send_request(caller, 3);
   site.runtime_hears(2);
   site.pause(0.12);  // gauges have been answered since
   site.runtime_breaks();
@@ -187,12 +187,12 @@
   Site site;
   site.comes_up();
   const int caller = site.connect();
-  site.send_op(caller, 1, "pull");
+  site.send_request(caller, 1, "pull");
   site.runtime_hears(2);
   site.runtime_says("wants 1 " + kId1 + " 4\r\ncall");
   site.below_hears(2);
   const int other = site.keep_below();  // the next call comes on a connection of its own
-  site.send_op(caller, 2, "pull");
+  site.send_request(caller, 2, "pull");
   site.runtime_hears(2);
   site.runtime_says("wants 2 " + kId2 + " 4\r\ncall");
   site.below_hears(2);
@@ -219,7 +219,7 @@
     if (i == 2) site.below_closes();  // it stood idle
     if (i == 2) site.descriptors(0);
     if (i == 3) site.descriptors(100);
-    site.send_op(caller, i);
+    site.send_request(caller, i);
     site.runtime_hears(2);
     site.runtime_says("wants " + number + " " + id + " 4\r\ncall");
     if (i != 2) site.below_hears(2);
@@ -236,7 +236,7 @@
   Site site;
   site.comes_up();
   const int caller = site.connect();
-  site.send_op(caller, 1);
+  site.send_request(caller, 1);
   site.runtime_hears(2);
   site.runtime_says("wants 1 " + kId1 + " 4\r\ncall");
   site.below_hears(2);
@@ -247,13 +247,13 @@
   site.counters({"calls.made", "calls.timed_out", "calls.omitted"});
 }
 
-// Turned away and refused prove that a call never ran, a break proves nothing; an op that is safe is tried
+// Turned away and refused prove that a call never ran, a break proves nothing; a request that is safe is tried
 // again, one that must never take effect twice is not.
 void calls(const std::string& types) {
   Site site("", "", {types, ""});
   site.comes_up();
   const int caller = site.connect();
-  site.send_op(caller, 1, "pull");
+  site.send_request(caller, 1, "pull");
   site.runtime_hears(2);
   site.runtime_says("wants 1 " + kId1 + " 4\r\ncall");
   site.below_hears(2);
@@ -270,12 +270,12 @@
       R"([{"name":"push","target":400,"give-up":3000},{"name":"pull","semantics":"fragile","target":400,"give-up":800}])");
 }
 
-// An op that is due is answered though its run goes on; a run that ends later gives no second answer.
+// A request that is due is answered though its run goes on; a run that ends later gives no second answer.
 void due() {
   Site site;
   site.comes_up();
   const int caller = site.connect();
-  site.send_op(caller, 1, "push", R"("ram":10,"limit":300)");
+  site.send_request(caller, 1, "push", R"("ram":10,"limit":300)");
   site.runtime_hears(2);
   site.caller_hears(caller);
   site.runtime_hears();
@@ -285,13 +285,13 @@
   site.counters({"ops.failed", "ops.overdue", "runs.complete"});
 }
 
-// The notice to leave: off the list, callers told, what is open answered, what comes too late nacked, an end
+// The notice to leave: off the list, callers told, what is open answered, what comes too late rejected, an end
 // in time.
 void leaving() {
   Site site;
   site.comes_up();
   const int caller = site.connect();
-  site.send_op(caller, 1);
+  site.send_request(caller, 1);
   site.runtime_hears(2);
   site.signal(SIGTERM);
   site.caller_hears(caller);
@@ -299,7 +299,7 @@
   site.pause(0.5);
   const int late = site.connect();
   site.caller_hears(late);
-  site.send_op(late, 2);
+  site.send_request(late, 2);
   std::printf("late %s\n",
               replaced(site.heard(late), "\"later\"", "\"LATER\"").find("-32001") != std::string::npos
                   ? "nacked"
@@ -316,7 +316,7 @@
   Site site;
   site.comes_up();
   const int caller = site.connect();
-  site.send_op(caller, 1, "push", R"("ram":10,"limit":9000)");
+  site.send_request(caller, 1, "push", R"("ram":10,"limit":9000)");
   site.runtime_hears(2);
   site.pause(0.3);
   site.answers_gauges = false;
@@ -359,24 +359,24 @@
   site.counters({"bad.slow_peers", "callers.reset"});
 }
 
-// Callers that do not come back: idle connections are told to send no more, and an op that crosses that is
+// Callers that do not come back: idle connections are told to send no more, and a request that crosses that is
 // served.
 void idle() {
   Site site(R"(,"caller-idle":3000)");
   site.comes_up();
   const int caller = site.connect();
-  int nacked = 0;
+  int rejected = 0;
   for (int i = 1; i <= 40; ++i) {
     char text[200];
     std::snprintf(text, sizeof text,
                   R"({"jsonrpc":"2.0","id":%d,"method":"push","params":{"txn":"%016x","lb":%d,"ram":1999}})",
                   i, i, i);
     site.send(caller, text);
-    nacked += site.heard(caller).find("-32001") != std::string::npos;
+    rejected += site.heard(caller).find("-32001") != std::string::npos;
   }
-  std::printf("nacked, of as many callers: %d\n", nacked);
+  std::printf("nacked, of as many callers: %d\n", rejected);
   site.caller_hears(caller);
-  site.send_op(caller, 100);
+  site.send_request(caller, 100);
   site.runtime_hears(2);
   site.runtime_says("end 1 0000000000000064 complete 20 6\r\nresult");
   site.caller_hears(caller);
@@ -445,7 +445,7 @@
   Site site;
   site.comes_up();
   const int caller = site.connect();
-  site.send_op(caller, 1);
+  site.send_request(caller, 1);
   site.runtime_hears(2);
   const std::string head = R"({"jsonrpc":"2.0","id":5,"method":)";
   for (const std::string& body :
@@ -461,7 +461,7 @@
     site.caller_hears(caller);
   }
   const int other = site.connect();
-  site.send_op(other, 2);
+  site.send_request(other, 2);
   site.runtime_hears(2);
   put(other, "Content-Length: 99999\r\n\r\n");
   site.caller_hears(other);
--- a/tests/recording_disk.cpp
+++ b/tests/recording_disk.cpp
@@ -29,7 +29,7 @@
 
 void RecordingDisk::begin_with(DiskState state) {
   state_ = std::move(state);
-  ops_.clear();
+  requests_.clear();
   shared_.clear();
 }
 
@@ -68,7 +68,7 @@
 int RecordingDisk::remove(sqlite3_vfs* vfs, const char* name, int) {
   auto* disk = static_cast<RecordingDisk*>(vfs->pAppData);
   disk->state_.erase(name);
-  disk->ops_.push_back({DiskOp::What::kDelete, name, 0, {}});
+  disk->requests_.push_back({DiskOp::What::kDelete, name, 0, {}});
   return SQLITE_OK;
 }
 int RecordingDisk::access(sqlite3_vfs* vfs, const char* name, int, int* out) {
@@ -91,36 +91,36 @@
   return got == wanted ? SQLITE_OK : SQLITE_IOERR_SHORT_READ;
 }
 
-void RecordingDisk::apply(DiskState& state, const DiskOp& op, std::size_t bytes) {
-  switch (op.what) {
+void RecordingDisk::apply(DiskState& state, const DiskOp& request, std::size_t bytes) {
+  switch (request.what) {
     case DiskOp::What::kWrite: {
-      std::string& content = state[op.file];
-      if (content.size() < op.at + bytes) content.resize(op.at + bytes, '\0');
-      content.replace(op.at, bytes, op.bytes, 0, bytes);
+      std::string& content = state[request.file];
+      if (content.size() < request.at + bytes) content.resize(request.at + bytes, '\0');
+      content.replace(request.at, bytes, request.bytes, 0, bytes);
       return;
     }
-    case DiskOp::What::kTruncate: state[op.file].resize(op.at); return;
-    case DiskOp::What::kSync: state[op.file]; return;
-    case DiskOp::What::kDelete: state.erase(op.file); return;
+    case DiskOp::What::kTruncate: state[request.file].resize(request.at); return;
+    case DiskOp::What::kSync: state[request.file]; return;
+    case DiskOp::What::kDelete: state.erase(request.file); return;
   }
 }
 
 int RecordingDisk::write(sqlite3_file* f, const void* bytes, int count, sqlite3_int64 at) {
   RecordingDisk* disk = file(f)->disk;
-  DiskOp op{DiskOp::What::kWrite, file(f)->name, static_cast<std::uint64_t>(at),
+  DiskOp request{DiskOp::What::kWrite, file(f)->name, static_cast<std::uint64_t>(at),
             std::string(static_cast<const char*>(bytes), static_cast<std::size_t>(count))};
-  apply(disk->state_, op, op.bytes.size());
-  disk->ops_.push_back(std::move(op));
+  apply(disk->state_, request, request.bytes.size());
+  disk->requests_.push_back(std::move(request));
   return SQLITE_OK;
 }
 int RecordingDisk::truncate(sqlite3_file* f, sqlite3_int64 size) {
   RecordingDisk* disk = file(f)->disk;
-  disk->ops_.push_back({DiskOp::What::kTruncate, file(f)->name, static_cast<std::uint64_t>(size), {}});
-  apply(disk->state_, disk->ops_.back(), 0);
+  disk->requests_.push_back({DiskOp::What::kTruncate, file(f)->name, static_cast<std::uint64_t>(size), {}});
+  apply(disk->state_, disk->requests_.back(), 0);
   return SQLITE_OK;
 }
 int RecordingDisk::sync(sqlite3_file* f, int) {
-  file(f)->disk->ops_.push_back({DiskOp::What::kSync, file(f)->name, 0, {}});
+  file(f)->disk->requests_.push_back({DiskOp::What::kSync, file(f)->name, 0, {}});
   return SQLITE_OK;
 }
 int RecordingDisk::size(sqlite3_file* f, sqlite3_int64* out) {
@@ -136,31 +136,31 @@
   return SQLITE_OK;
 }
 
-DiskState RecordingDisk::after_kill(const std::vector<DiskOp>& ops, std::size_t count, bool torn) {
+DiskState RecordingDisk::after_kill(const std::vector<DiskOp>& requests, std::size_t count, bool torn) {
   DiskState state;
   for (std::size_t i = 0; i < count; ++i) {
     const bool last = i + 1 == count;
-    apply(state, ops[i], torn && last ? ops[i].bytes.size() / 2 : ops[i].bytes.size());
+    apply(state, requests[i], torn && last ? requests[i].bytes.size() / 2 : requests[i].bytes.size());
   }
   return state;
 }
 
-DiskState RecordingDisk::after_power_cut(const std::vector<DiskOp>& ops, std::size_t count,
+DiskState RecordingDisk::after_power_cut(const std::vector<DiskOp>& requests, std::size_t count,
                                          std::uint64_t seed) {
   std::map<std::string, std::size_t> synced;  // operations before this index are there
   for (std::size_t i = 0; i < count; ++i) {
-    if (ops[i].what == DiskOp::What::kSync) synced[ops[i].file] = i;
+    if (requests[i].what == DiskOp::What::kSync) synced[requests[i].file] = i;
   }
   pcg32 random(seed);
   const unsigned kept = random() % 4;  // of four quarters: none, some, more of them
   DiskState state;
   for (std::size_t i = 0; i < count; ++i) {
-    const DiskOp& op = ops[i];
-    const auto found = synced.find(op.file);
-    const bool safe = (found != synced.end() && i <= found->second) || op.what == DiskOp::What::kDelete;
+    const DiskOp& request = requests[i];
+    const auto found = synced.find(request.file);
+    const bool safe = (found != synced.end() && i <= found->second) || request.what == DiskOp::What::kDelete;
     if (!safe && random() % 4 >= kept) continue;
     const bool torn = !safe && random() % 4 == 0;
-    apply(state, op, torn ? random() % (op.bytes.size() + 1) : op.bytes.size());
+    apply(state, request, torn ? random() % (request.bytes.size() + 1) : request.bytes.size());
   }
   return state;
 }
--- a/tests/recording_disk.h
+++ b/tests/recording_disk.h
@@ -30,12 +30,12 @@
   RecordingDisk& operator=(const RecordingDisk&) = delete;
 
   void begin_with(DiskState state);  // and nothing recorded
-  const std::vector<DiskOp>& ops() const { return ops_; }
+  const std::vector<DiskOp>& requests() const { return requests_; }
 
   // What is there after a crash behind the first `count` operations: the process was killed...
-  static DiskState after_kill(const std::vector<DiskOp>& ops, std::size_t count, bool torn);
+  static DiskState after_kill(const std::vector<DiskOp>& requests, std::size_t count, bool torn);
   // ... or the power was cut: of each file's writes behind its last sync any part is there, or torn.
-  static DiskState after_power_cut(const std::vector<DiskOp>& ops, std::size_t count, std::uint64_t seed);
+  static DiskState after_power_cut(const std::vector<DiskOp>& requests, std::size_t count, std::uint64_t seed);
 
  private:
   struct File;
@@ -51,11 +51,11 @@
   static int sync(sqlite3_file* file, int flags);
   static int size(sqlite3_file* file, sqlite3_int64* out);
   static int map_shared(sqlite3_file* file, int region, int bytes, int extend, void volatile** out);
-  static void apply(DiskState& state, const DiskOp& op, std::size_t bytes);
+  static void apply(DiskState& state, const DiskOp& request, std::size_t bytes);
 
   sqlite3_vfs vfs_{};
   DiskState state_;
-  std::vector<DiskOp> ops_;
+  std::vector<DiskOp> requests_;
   std::map<int, std::vector<char>> shared_;  // regions of the log's index, gone in a crash
 };
 
--- a/tests/restarts.cpp
+++ b/tests/restarts.cpp
@@ -1,5 +1,5 @@
 // A relay that is killed under load and started again on the same address, many times: how soon it takes an
-// op and acks it. usage: restarts BINARY RESTARTS [times]; with `times` each part of each start is printed.
+// request and acks it. usage: restarts BINARY RESTARTS [times]; with `times` each part of each start is printed.
 #include <chrono>
 #include <cstdio>
 #include <cstdlib>
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr double kReadyIn = 10;      // s in which a restarted process takes and acks an op
+constexpr double kReadyIn = 10;      // s in which a restarted process takes and acks a request
 constexpr double kReadyShare = 0.9;  // of all restarts
 
 // What a relay that has served for hours remembers: so many ended keys with their results, in its store.
@@ -24,7 +24,7 @@
   for (int i = 0; i < keys; ++i) {
     results::Row row;
     row.key = {0x1234, static_cast<std::uint64_t>(i)};
-    row.op = 0x10000000u + static_cast<std::uint64_t>(i);
+    row.request = 0x10000000u + static_cast<std::uint64_t>(i);
     row.type = "push";
     row.until_ms = std::chrono::duration_cast<std::chrono::milliseconds>(now).count() + 600'000;
     store.put_intent(row);
@@ -33,12 +33,12 @@
   store.commit();
 }
 
-// Seconds until an op of this life was acked; < 0: none was in time.
-double first_ack(Fleet& fleet, double began) {
+// Seconds until a request of this life was acked; < 0: none was in time.
+double first_success(Fleet& fleet, double began) {
   const int life = fleet.server.life_number();
   double at = -1;
   fleet.callers.on_answer = [&](const Try& one) {
-    if (at < 0 && one.life == life && !one.answers.empty() && one.answers.back().kind == AnswerKind::kAcked)
+    if (at < 0 && one.life == life && !one.answers.empty() && one.answers.back().kind == AnswerKind::kSucceeded)
       at = one.answers.back().at;
   };
   fleet.loop.run_until([&] { return at >= 0; }, kReadyIn + 5);
@@ -83,7 +83,7 @@
     if (i % 3 == 2) fleet.runtime.options.late = 0.7;  // the runtime comes up after it
     const double began = now();
     if (!fleet.start()) return std::printf("it does not start again, restart %d\n", i + 1), 1;
-    const double listens = now() - began, acks = first_ack(fleet, began);
+    const double listens = now() - began, acks = first_success(fleet, began);
     if (acks >= 0 && acks <= kReadyIn) ++ready;
     slowest = std::max(slowest, acks < 0 ? kReadyIn + 5 : acks);
     if (times) std::fprintf(stderr, "restart %2d: listens %.3f s, first ack %.3f s\n", i + 1, listens, acks);
--- a/tests/results_fleet.cpp
+++ b/tests/results_fleet.cpp
@@ -45,7 +45,7 @@
 
 int count(const Journal& journal, AnswerKind kind) {
   int n = 0;
-  for (const auto& [op, t] : journal.tries) {
+  for (const auto& [request, t] : journal.tries) {
     for (const Answer& a : t.answers) n += a.kind == kind;
   }
   return n;
@@ -75,7 +75,7 @@
   const auto tries = static_cast<int>(fleet.journal.tries.size());
   std::printf("runs a thing: %.2f; nearly all tries acked: %s; enough of them: %s\n",
               static_cast<double>(fleet.journal.runs.size()) / static_cast<double>(unique.size()),
-              yes(count(fleet.journal, AnswerKind::kAcked) > tries * 9 / 10), yes(tries > 300));
+              yes(count(fleet.journal, AnswerKind::kSucceeded) > tries * 9 / 10), yes(tries > 300));
   verdict(fleet);
 }
 
@@ -85,9 +85,9 @@
   std::printf("starts: %s\n", yes(fleet.start()));
   fleet.loop.run_for(1.5);
   std::printf("leaves in order: %s\n", yes(fleet.leave()));
-  const int acked = count(fleet.journal, AnswerKind::kAcked),
-            nacked = count(fleet.journal, AnswerKind::kNacked);
-  std::printf("some were acked: %s, some nacked: %s\n", yes(acked > 100), yes(nacked > 100));
+  const int succeeded = count(fleet.journal, AnswerKind::kSucceeded),
+            rejected = count(fleet.journal, AnswerKind::kRejected);
+  std::printf("some were acked: %s, some nacked: %s\n", yes(succeeded > 100), yes(rejected > 100));
   verdict(fleet);
 }
 
--- a/tests/results_kills.cpp
+++ b/tests/results_kills.cpp
@@ -46,18 +46,18 @@
   const Verdict verdict = check_rules(fleet.journal, fleet.limits());
   for (const std::string& line : verdict.broken) std::printf("%s\n", line.c_str());
   std::map<AnswerKind, int> answers;
-  for (const auto& [op, t] : fleet.journal.tries) {
+  for (const auto& [request, t] : fleet.journal.tries) {
     for (const Answer& a : t.answers) ++answers[a.kind];
   }
   std::fprintf(stderr, "lives %zu, tries %zu, runs %zu, acked %d, unknown %d, failed %d, nacked %d\n",
                fleet.journal.lives.size(), fleet.journal.tries.size(), fleet.journal.runs.size(),
-               answers[AnswerKind::kAcked], answers[AnswerKind::kUnknownOutcome],
-               answers[AnswerKind::kFailed], answers[AnswerKind::kNacked]);
+               answers[AnswerKind::kSucceeded], answers[AnswerKind::kUnknownOutcome],
+               answers[AnswerKind::kFailed], answers[AnswerKind::kRejected]);
   std::printf("double runs %d, wrong results %d, without an answer %d, late %d, answered twice %d\n",
               verdict.double_runs, verdict.wrong_results, verdict.unanswered, verdict.late,
               verdict.answered_twice);
   std::printf("repeats were answered, outcomes were unknown: %s\n",
-              answers[AnswerKind::kAcked] > static_cast<int>(fleet.journal.runs.size()) &&
+              answers[AnswerKind::kSucceeded] > static_cast<int>(fleet.journal.runs.size()) &&
                       (kills < 10 || answers[AnswerKind::kUnknownOutcome] > 0)
                   ? "yes"
                   : "no");
--- a/tests/results_program.cpp
+++ b/tests/results_program.cpp
@@ -33,21 +33,21 @@
   Site site("", "", keyed(kInMemory));
   site.comes_up();
   const int caller = site.connect();
-  site.send_op(caller, 1, "push", kA);
+  site.send_request(caller, 1, "push", kA);
   site.runtime_hears(2);
-  site.send_op(caller, 2, "push", kA);
-  site.send_op(caller, 3, "push", kA, kOtherBody);
+  site.send_request(caller, 2, "push", kA);
+  site.send_request(caller, 3, "push", kA, kOtherBody);
   site.caller_hears(caller);
   site.runtime_says("end 1 " + kId1 + " complete 20 6\r\nresult");
   site.caller_hears(caller);
   site.caller_hears(caller);
-  site.send_op(caller, 4, "push", kA);
+  site.send_request(caller, 4, "push", kA);
   site.caller_hears(caller);
-  site.send_op(caller, 5, "push");
+  site.send_request(caller, 5, "push");
   site.caller_hears(caller);
-  site.send_op(caller, 6, "push", R"("ram":10,"limit":3000,"key":"")");
+  site.send_request(caller, 6, "push", R"("ram":10,"limit":3000,"key":"")");
   site.caller_hears(caller);
-  site.send_op(caller, 7, "push", R"("ram":10,"limit":3000,"key":7)");
+  site.send_request(caller, 7, "push", R"("ram":10,"limit":3000,"key":7)");
   site.caller_hears(caller);
   site.counters({"runs.started", "results.kept", "results.joined", "results.from_memory", "results.conflicts",
                  "bad.params"});
@@ -58,10 +58,10 @@
   Site site("", "", keyed(kInMemory));
   site.comes_up();
   const int caller = site.connect();
-  site.send_op(caller, 1, "push", R"("ram":10,"limit":150,"key":"a")");
+  site.send_request(caller, 1, "push", R"("ram":10,"limit":150,"key":"a")");
   site.runtime_hears(2);
-  site.send_op(caller, 2, "push", R"("ram":10,"limit":300,"key":"a")");
-  site.send_op(caller, 3, "push", kA);
+  site.send_request(caller, 2, "push", R"("ram":10,"limit":300,"key":"a")");
+  site.send_request(caller, 3, "push", kA);
   site.caller_hears(caller);
   site.caller_hears(caller);
   site.runtime_says("end 1 " + kId1 + " complete 400 6\r\nresult");
@@ -74,9 +74,9 @@
   Site site("", "", keyed(kInMemory));
   site.comes_up();
   const int first = site.connect(), second = site.connect();
-  site.send_op(first, 1, "push", kA);
+  site.send_request(first, 1, "push", kA);
   site.runtime_hears(2);
-  site.send_op(second, 2, "push", kA);
+  site.send_request(second, 2, "push", kA);
   site.pause(0.05);
   site.hang_up(first, true);
   site.pause(0.05);
@@ -91,40 +91,40 @@
   opened(site);
   site.comes_up();
   const int caller = site.connect();
-  site.send_op(caller, 1, "push", kA);
+  site.send_request(caller, 1, "push", kA);
   site.runtime_hears(2);
-  site.send_op(caller, 2, "push", kA);
+  site.send_request(caller, 2, "push", kA);
   site.pause(0.05);
   site.runtime_says("end 1 " + kId1 + " error 20 0\r\n");
   site.caller_hears(caller);
   site.caller_hears(caller);
-  site.send_op(caller, 3, "push", kA);
+  site.send_request(caller, 3, "push", kA);
   site.caller_hears(caller);
   // What was never started is not remembered: it may run.
-  site.send_op(caller, 4, "push", R"("ram":10,"limit":3000,"key":"b")");
+  site.send_request(caller, 4, "push", R"("ram":10,"limit":3000,"key":"b")");
   site.runtime_hears(2);
   site.runtime_says("nack start 0000000000000004");
   site.caller_hears(caller);
-  site.send_op(caller, 5, "push", R"("ram":10,"limit":3000,"key":"b")");
+  site.send_request(caller, 5, "push", R"("ram":10,"limit":3000,"key":"b")");
   site.runtime_hears(2);
   site.counters({"runs.started", "results.unknown"});
 }
 
-// An op that is given up before it started never ran: neither did the repeat that waits for it.
+// A request that is given up before it started never ran: neither did the repeat that waits for it.
 void given_up() {
   Site site("", "", keyed(kInMemory));
   site.comes_up();
   const int caller = site.connect();
-  site.send_op(caller, 1, "push", kA);
+  site.send_request(caller, 1, "push", kA);
   site.runtime_hears(2);
   site.pause(0.2);
   site.runtime_says("end 1 " + kId1 + " complete 200 6\r\nresult");
   site.caller_hears(caller);
-  site.send_op(caller, 2, "push", R"("ram":10,"limit":3000,"key":"b")");
+  site.send_request(caller, 2, "push", R"("ram":10,"limit":3000,"key":"b")");
   site.runtime_hears(2);
-  site.send_op(caller, 3, "push", R"("ram":10,"limit":3000,"key":"c")");
+  site.send_request(caller, 3, "push", R"("ram":10,"limit":3000,"key":"c")");
   site.runtime_hears(2);
-  for (const int id : {4, 5}) site.send_op(caller, id, "push", R"("ram":10,"limit":3000,"key":"d")");
+  for (const int id : {4, 5}) site.send_request(caller, id, "push", R"("ram":10,"limit":3000,"key":"d")");
   site.pause(0.32);
   site.runtime_says("end 2 " + kId2 + " complete 320 6\r\nresult");
   for (int i = 0; i < 3; ++i) {
@@ -134,20 +134,20 @@
   site.counters({"runs.started", "ops.nacked", "results.entries"});
 }
 
-// Without a key, known by what is said; another caller's number or body is another op.
+// Without a key, known by what is said; another caller's number or body is another request.
 void unmarked() {
   Site site("", "", keyed("results\n    enabled on\n    digest push\n"));
   site.comes_up();
   const int caller = site.connect();
-  site.send_op(caller, 1);
+  site.send_request(caller, 1);
   site.runtime_hears(2);
-  site.send_op(caller, 2);
-  site.send_op(caller, 3, "push", R"("ram":10,"limit":3000,"lb":2)");
+  site.send_request(caller, 2);
+  site.send_request(caller, 3, "push", R"("ram":10,"limit":3000,"lb":2)");
   site.runtime_hears(2);
   site.runtime_says("end 1 " + kId1 + " complete 20 3\r\none");
   site.caller_hears(caller);
   site.caller_hears(caller);
-  site.send_op(caller, 4, "push", kA, kOtherBody);
+  site.send_request(caller, 4, "push", kA, kOtherBody);
   site.runtime_hears(2);
   site.counters({"runs.started", "results.joined"});
 }
@@ -158,17 +158,17 @@
   site.comes_up();
   const int caller = site.connect();
   constexpr const char* kItem = R"("ram":10,"limit":3000,"item":"00000000000000aa")";
-  site.send_op(caller, 1, "push", kItem);
+  site.send_request(caller, 1, "push", kItem);
   site.runtime_hears(2);
-  site.send_op(caller, 2, "push", kItem);
+  site.send_request(caller, 2, "push", kItem);
   site.pause(0.05);
   site.runtime_says("end 1 " + kId1 + " complete 20 3\r\none");
   site.caller_hears(caller);
   site.caller_hears(caller);
-  site.send_op(caller, 3, "push", kItem);
+  site.send_request(caller, 3, "push", kItem);
   site.caller_hears(caller);
   site.pause(0.5);
-  site.send_op(caller, 4, "push", kItem);
+  site.send_request(caller, 4, "push", kItem);
   site.runtime_hears(2);
   site.counters({"runs.started", "results.joined"});
 }
@@ -180,26 +180,26 @@
   opened(site);
   site.comes_up();
   int caller = site.connect();
-  site.send_op(caller, 1, "push", kA);
+  site.send_request(caller, 1, "push", kA);
   site.runtime_hears(2);
   site.runtime_says("end 1 " + kId1 + " complete 20 6\r\nresult");
   site.caller_hears(caller);
-  site.send_op(caller, 2, "push", R"("ram":10,"limit":3000,"key":"b")");
+  site.send_request(caller, 2, "push", R"("ram":10,"limit":3000,"key":"b")");
   site.runtime_hears(2);
   site.kill_and_start();
   opened(site);
   site.comes_up();
   caller = site.connect();
-  site.send_op(caller, 3, "push", kA);
+  site.send_request(caller, 3, "push", kA);
   site.caller_hears(caller);
-  site.send_op(caller, 4, "push", kA, kOtherBody);
+  site.send_request(caller, 4, "push", kA, kOtherBody);
   site.caller_hears(caller);
-  site.send_op(caller, 5, "push", R"("ram":10,"limit":3000,"key":"b")");
+  site.send_request(caller, 5, "push", R"("ram":10,"limit":3000,"key":"b")");
   site.caller_hears(caller);
   site.counters({"runs.started", "results.recovered", "results.from_store", "results.unknown"});
 }
 
-// A store that holds as much as it may: newcomers are nacked with a time to come back, what is remembered is
+// A store that holds as much as it may: newcomers are rejected with a time to come back, what is remembered is
 // still answered, and room comes back as windows end.
 void full() {
   Site site("", "",
@@ -212,7 +212,7 @@
     std::snprintf(more, sizeof more, R"("ram":10,"limit":3000,"key":"k%d")", i);
     std::snprintf(id, sizeof id, "%016x", i);
     std::snprintf(number, sizeof number, "end %d ", i);
-    site.send_op(caller, i, "push", more);
+    site.send_request(caller, i, "push", more);
     if (i > 16) break;
     site.runtime_hears(2);
     site.runtime_says(number + std::string(id) + " complete 1 2\r\nok");
@@ -220,10 +220,10 @@
   }
   const std::string answer = site.heard(caller);
   std::printf("caller hears: %s\n", answer.substr(0, answer.find("\"later\":") + 8).c_str());
-  site.send_op(caller, 18, "push", R"("ram":10,"limit":3000,"key":"k16")");
+  site.send_request(caller, 18, "push", R"("ram":10,"limit":3000,"key":"k16")");
   site.caller_hears(caller);
   site.pause(1.6);
-  site.send_op(caller, 19, "push", R"("ram":10,"limit":3000,"key":"k17")");
+  site.send_request(caller, 19, "push", R"("ram":10,"limit":3000,"key":"k17")");
   site.runtime_hears(2);
   site.counters({"results.no_room", "runs.started", "results.entries"});
 }
@@ -235,7 +235,7 @@
             {R"([{"name":"push","target":400,"give-up":3000,"semantics":"dedup","window":900}])", kInMemory});
   site.comes_up();
   const int caller = site.connect();
-  site.send_op(caller, 1, "push", kA);
+  site.send_request(caller, 1, "push", kA);
   site.runtime_hears(2);
   site.runtime_says("end 1 " + kId1 + " complete 20 6\r\nresult");
   site.caller_hears(caller);
@@ -253,7 +253,7 @@
   std::printf("log: %s\n", line.substr(line.find("only")).c_str());
   line = site.expect_log("new bounds");
   std::printf("log: %s\n", line.substr(line.find("new bounds"), 35).c_str());
-  site.send_op(caller, 2, "push", kA);
+  site.send_request(caller, 2, "push", kA);
   site.caller_hears(caller);
   site.counters({"results.entries", "runs.started"});
 }
@@ -264,12 +264,12 @@
   opened(site);
   site.comes_up();
   const int caller = site.connect();
-  site.send_op(caller, 1, "push", kA);
+  site.send_request(caller, 1, "push", kA);
   site.runtime_hears(2);
-  site.send_op(caller, 2, "push", kA);
-  site.send_op(caller, 3, "push", R"("ram":10,"limit":3000,"key":"b")");
+  site.send_request(caller, 2, "push", kA);
+  site.send_request(caller, 3, "push", R"("ram":10,"limit":3000,"key":"b")");
   site.runtime_hears(2);
-  site.send_op(caller, 4, "push", R"("ram":10,"limit":3000,"key":"b")");
+  site.send_request(caller, 4, "push", R"("ram":10,"limit":3000,"key":"b")");
   site.pause(0.05);
   site.signal(SIGTERM);
   site.caller_hears(caller);  // no more
@@ -294,7 +294,7 @@
   opened(site);
   site.comes_up();
   int caller = site.connect();
-  site.send_op(caller, 1, "push", kA);
+  site.send_request(caller, 1, "push", kA);
   site.runtime_hears(2);
   site.runtime_says("end 1 " + kId1 + " complete 20 6\r\nresult");
   site.caller_hears(caller);
@@ -307,10 +307,10 @@
     std::printf("log: %s\n", line.empty() ? "(nothing)" : line.substr(line.find("; ") + 2).c_str());
     site.comes_up();
     caller = site.connect();
-    site.send_op(caller, 2, "push", kA);
+    site.send_request(caller, 2, "push", kA);
     const std::string answer = site.heard(caller);
     std::printf("caller hears: %s\n", answer.substr(0, answer.find(",\"data\"")).c_str());
-    site.send_op(caller, 3, "pull", R"("ram":10,"limit":700)");
+    site.send_request(caller, 3, "pull", R"("ram":10,"limit":700)");
     site.runtime_hears(2);
     site.runtime_says("end 1 " + kId3 + " complete 20 5\r\nthree");
     site.caller_hears(caller);
@@ -327,12 +327,12 @@
   std::printf("log: %s\n", line.empty() ? "(nothing)" : line.substr(line.find("; ") + 2).c_str());
   site.comes_up();
   const int caller = site.connect();
-  site.send_op(caller, 1, "push", kA);
+  site.send_request(caller, 1, "push", kA);
   const std::string answer = site.heard(caller);
   std::printf("caller hears: %s\n", answer.substr(0, answer.find(",\"data\"")).c_str());
   ::mkdir(folder.c_str(), 0755);
   opened(site);
-  site.send_op(caller, 2, "push", kA);
+  site.send_request(caller, 2, "push", kA);
   site.runtime_hears(2);
   for (const char* name : {"/file", "/file-wal", "/file-shm", "/file.lock"})
     std::remove((folder + name).c_str());
@@ -365,7 +365,7 @@
   opened(site);
   site.comes_up();
   const int caller = site.connect();
-  site.send_op(caller, 1, "push", kA);
+  site.send_request(caller, 1, "push", kA);
   site.runtime_hears(2);
   site.runtime_says("end 1 " + kId1 + " complete 20 6\r\nresult");
   site.caller_hears(caller);
@@ -383,7 +383,7 @@
   if (std::system(line.c_str()) != 0) std::printf("(failed)\n");
   const std::string log = site.expect_log("dropped as");
   std::printf("log: %s\n", log.empty() ? "(nothing)" : log.substr(log.find("dropped as")).c_str());
-  site.send_op(caller, 2, "push", kA);
+  site.send_request(caller, 2, "push", kA);
   site.runtime_hears(2);
   site.runtime_says("end 2 " + kId2 + " complete 20 6\r\nsecond");
   site.caller_hears(caller);
@@ -406,7 +406,7 @@
   sqlite3* db = nullptr;
   sqlite3_open(site.store_path().c_str(), &db);
   sqlite3_exec(db, "begin immediate", nullptr, nullptr, nullptr);
-  site.send_op(caller, 1, "push", kA);
+  site.send_request(caller, 1, "push", kA);
   site.pause(0.1);
   sqlite3_exec(db, "rollback", nullptr, nullptr, nullptr);
   site.runtime_hears(2);
@@ -415,15 +415,15 @@
   site.caller_hears(caller);
   const std::string line = site.expect_log("nacked until");
   std::printf("log: %s\n", line.empty() ? "(nothing)" : line.substr(line.find("; ") + 2).c_str());
-  site.send_op(caller, 2, "push", R"("ram":10,"limit":3000,"key":"b")");
+  site.send_request(caller, 2, "push", R"("ram":10,"limit":3000,"key":"b")");
   const std::string answer = site.heard(caller);
   std::printf("caller hears: %s\n", answer.substr(0, answer.find(",\"data\"")).c_str());
-  site.send_op(caller, 3, "push", kA);  // from memory
+  site.send_request(caller, 3, "push", kA);  // from memory
   site.caller_hears(caller);
   sqlite3_exec(db, "rollback", nullptr, nullptr, nullptr);
   sqlite3_close(db);
   opened(site);
-  site.send_op(caller, 4, "push", R"("ram":10,"limit":3000,"key":"b")");
+  site.send_request(caller, 4, "push", R"("ram":10,"limit":3000,"key":"b")");
   site.runtime_hears(2);
   site.counters({"results.not_durable", "runs.started"});
 }
--- a/tests/results_store.cpp
+++ b/tests/results_store.cpp
@@ -30,7 +30,7 @@
 Row row_of(unsigned n, std::int64_t until_ms = 1'000'000) {
   Row row;
   row.key = {n, n * 31ULL};
-  row.op = n;
+  row.request = n;
   row.type = "push";
   row.fingerprint = n * 7ULL;
   row.until_ms = until_ms;
@@ -48,8 +48,8 @@
   bool spoilt = false;
   std::vector<Key> ended;
   database.each([&](const Row& row) {
-    if (row.op != row_of(static_cast<unsigned>(row.op)).op || row.type != "push" ||
-        row.fingerprint != row.op * 7 || row.until_ms != 1'000'000 || row.key.high != row.op) {
+    if (row.request != row_of(static_cast<unsigned>(row.request)).request || row.type != "push" ||
+        row.fingerprint != row.request * 7 || row.until_ms != 1'000'000 || row.key.high != row.request) {
       spoilt = true;
     }
     content[row.key] = "intent";
@@ -65,7 +65,7 @@
 }
 
 struct Recorded {
-  std::vector<DiskOp> ops;
+  std::vector<DiskOp> requests;
   std::vector<std::pair<std::size_t, Content>>
       committed;  // operations so far, and what is there from then on
 };
@@ -76,7 +76,7 @@
   Content content;
   {
     Database database("crash", {power_safe, 0, false, "recording"});
-    out.committed.emplace_back(disk.ops().size(), content);
+    out.committed.emplace_back(disk.requests().size(), content);
     unsigned next = 0;
     for (unsigned group = 0; group < 40; ++group) {
       database.begin();
@@ -94,10 +94,10 @@
         }
       }
       database.commit();
-      out.committed.emplace_back(disk.ops().size(), content);
+      out.committed.emplace_back(disk.requests().size(), content);
       if (group % 8 == 7) database.tidy();
     }
-    out.ops = disk.ops();
+    out.requests = disk.requests();
   }
   return out;
 }
@@ -111,10 +111,10 @@
 // transaction that was on its way; older: something acknowledged is lost; anything else: garbage.
 void look(RecordingDisk& disk, const Recorded& recorded, std::size_t count, DiskState state, Found& found) {
   ++found.crashes;
-  std::size_t acked = 0;
+  std::size_t succeeded = 0;
   bool made = false;
   for (std::size_t i = 0; i < recorded.committed.size(); ++i) {
-    if (recorded.committed[i].first <= count) acked = i, made = true;
+    if (recorded.committed[i].first <= count) succeeded = i, made = true;
   }
   disk.begin_with(std::move(state));
   const auto told = [&](const std::string& what) {
@@ -128,9 +128,9 @@
       return;
     }
     const bool next =
-        acked + 1 < recorded.committed.size() && content == recorded.committed[acked + 1].second;
-    if (content == recorded.committed[acked].second || next) return;
-    for (std::size_t i = 0; i < acked; ++i) {
+        succeeded + 1 < recorded.committed.size() && content == recorded.committed[succeeded + 1].second;
+    if (content == recorded.committed[succeeded].second || next) return;
+    for (std::size_t i = 0; i < succeeded; ++i) {
       if (content == recorded.committed[i].second)
         return ++found.lost, told("older than what was acknowledged");
     }
@@ -157,16 +157,16 @@
   RecordingDisk disk("recording");
   const Recorded fast = record(disk, false), safe = record(disk, true);
   Found killed, torn, cut, unsynced;
-  for (std::size_t count = 0; count <= fast.ops.size(); ++count) {
-    look(disk, fast, count, RecordingDisk::after_kill(fast.ops, count, false), killed);
+  for (std::size_t count = 0; count <= fast.requests.size(); ++count) {
+    look(disk, fast, count, RecordingDisk::after_kill(fast.requests, count, false), killed);
     // The write in the middle of which it was killed never returned.
-    if (count > 0) look(disk, fast, count - 1, RecordingDisk::after_kill(fast.ops, count, true), torn);
+    if (count > 0) look(disk, fast, count - 1, RecordingDisk::after_kill(fast.requests, count, true), torn);
     for (std::uint64_t seed = 1; seed <= 3; ++seed)
-      look(disk, fast, count, RecordingDisk::after_power_cut(fast.ops, count, seed * 1000 + count), unsynced);
+      look(disk, fast, count, RecordingDisk::after_power_cut(fast.requests, count, seed * 1000 + count), unsynced);
   }
-  for (std::size_t count = 0; count <= safe.ops.size(); ++count) {
+  for (std::size_t count = 0; count <= safe.requests.size(); ++count) {
     for (std::uint64_t seed = 1; seed <= 6; ++seed)
-      look(disk, safe, count, RecordingDisk::after_power_cut(safe.ops, count, seed * 1000 + count), cut);
+      look(disk, safe, count, RecordingDisk::after_power_cut(safe.requests, count, seed * 1000 + count), cut);
   }
   std::printf("enough crashes: %s\n", killed.crashes > 200 && cut.crashes > 1200 ? "yes" : "no");
   told("killed, process-safe", killed, false);
@@ -180,7 +180,7 @@
 void flipped() {
   RecordingDisk disk("recording");
   const Recorded recorded = record(disk, true);
-  DiskState whole = RecordingDisk::after_kill(recorded.ops, recorded.ops.size(), false);
+  DiskState whole = RecordingDisk::after_kill(recorded.requests, recorded.requests.size(), false);
   std::string& file = whole["crash"];
   whole.erase("crash-wal");  // what was not written back from the log is gone
   disk.begin_with(whole);
@@ -407,7 +407,7 @@
   const auto say = [&](const char* what, double now) {
     std::printf("%5.2f %-28s %-8s intents %-3s open %-3s come back in %.2f\n", now, what,
                 std::string(name_of(health.state())).c_str(), health.takes_intents(now) ? "yes" : "no",
-                health.should_open(now) ? "yes" : "no", health.come_back_in(now));
+                health.should_open(now) ? "yes" : "no", health.retry_after(now));
   };
   say("at the start", 0);
   health.failed(0, DatabaseTrouble::kUnavailable), say("unavailable", 0);
@@ -426,9 +426,9 @@
 }
 
 void clocks() {
-  OpType push;
-  push.window = 10;
-  const Recovery recovery({{"push", push.window}});
+  Route push;
+  push.idempotency_window = 10;
+  const Recovery recovery({{"push", push.idempotency_window}});
   const auto say = [&](const char* what, const Row& row, std::int64_t now_ms) {
     const Recovered r = recovery.read(row, now_ms);
     std::printf("%-34s %s, %.1f s left\n", what, r.keep ? "kept" : "over", r.left);
--- a/tests/results_table.cpp
+++ b/tests/results_table.cpp
@@ -25,13 +25,13 @@
 };
 
 struct Thing {
-  OpId id = 0;
+  RequestId id = 0;
   Kind kind = Kind::kKeyed;
   State state = State::kReserved;
   Fingerprint fingerprint = 0;
   double until = 0;
   std::string result;
-  std::vector<OpId> waiting;
+  std::vector<RequestId> waiting;
   bool open() const { return state == State::kReserved || state == State::kRunning; }
 };
 
@@ -161,7 +161,7 @@
     const Kind kind = k < 9 ? Kind::kKeyed : Kind::kShared;
     const Fingerprint print = kind == Kind::kKeyed ? s.b % 2 : 0;
     const Met met = table_.meet(now_, key(k), print, kind);
-    const OpId id = ++last_id_;
+    const RequestId id = ++last_id_;
     const auto found = things_.find(k);
     const bool valid = found != things_.end() && (found->second.open() || found->second.until > now_);
     if (valid && (kind == Kind::kKeyed || found->second.open())) {
@@ -189,7 +189,7 @@
     }
   }
 
-  void join(OpId id, unsigned k) {
+  void join(RequestId id, unsigned k) {
     Thing& t = things_.at(k);
     const Joined joined = table_.join(id, key(k));
     seen.insert("joined " + std::to_string(static_cast<int>(joined)));
@@ -259,7 +259,7 @@
   std::map<unsigned, Thing> things_;
   std::set<unsigned> recovered_;
   double now_ = 0;
-  OpId last_id_ = 0;
+  RequestId last_id_ = 0;
   std::string wrong_;
 };
 
--- a/tests/settings_program.cpp
+++ b/tests/settings_program.cpp
@@ -17,7 +17,7 @@
   return text;
 }
 
-// A keyed op type: its repeats are known by the protocol's own mark, and it runs once.
+// A keyed route: its repeats are known by the protocol's own mark, and it runs once.
 void keyed() {
   Site site("", "",
             {R"([{"name":"push","target":400,"give-up":3000,"semantics":"dedup","window":20000},)"
@@ -25,18 +25,18 @@
              ""});
   site.comes_up();
   const int caller = site.connect();
-  site.send_op(caller, 1, "push", marked("a").c_str());
+  site.send_request(caller, 1, "push", marked("a").c_str());
   site.runtime_hears(2);
-  site.send_op(caller, 2, "push", marked("a").c_str());
+  site.send_request(caller, 2, "push", marked("a").c_str());
   site.pause(0.05);
   site.runtime_says("end 1 " + txn(1) + " complete 20 6\r\nresult");
   site.caller_hears(caller);
   site.caller_hears(caller);
-  site.send_op(caller, 3, "push", marked("a").c_str());
+  site.send_request(caller, 3, "push", marked("a").c_str());
   site.caller_hears(caller);
-  site.send_op(caller, 4, "push");  // a keyed op without its mark
+  site.send_request(caller, 4, "push");  // a keyed request without its mark
   site.caller_hears(caller);
-  site.send_op(caller, 5, "pull");  // one that needs none
+  site.send_request(caller, 5, "pull");  // one that needs none
   site.runtime_hears(2);
   site.counters({"runs.started", "results.kept", "results.joined", "bad.params"});
 }
@@ -48,100 +48,100 @@
             {R"([{"name":"push","target":2000,"give-up":3000,"semantics":"dedup","window":200}])", ""});
   site.comes_up();
   const int caller = site.connect();
-  site.send_op(caller, 1, "push", marked("a").c_str());
+  site.send_request(caller, 1, "push", marked("a").c_str());
   site.runtime_hears(2);
-  site.send_op(caller, 2, "push", marked("a").c_str());
+  site.send_request(caller, 2, "push", marked("a").c_str());
   site.pause(0.5);  // the window is over, the run is not
-  site.send_op(caller, 3, "push", marked("a").c_str());
+  site.send_request(caller, 3, "push", marked("a").c_str());
   site.pause(0.05);
   site.signal(SIGSTOP);  // the run's end and another repeat are read in one turn
   site.pause(0.05);
   site.runtime_says("end 1 " + txn(1) + " complete 500 6\r\nresult");
-  site.send_op(caller, 4, "push", marked("a").c_str());
+  site.send_request(caller, 4, "push", marked("a").c_str());
   site.pause(0.05);
   site.signal(SIGCONT);
-  int acked = 0;
-  for (int i = 0; i < 3; ++i) acked += site.heard(caller).find("cmVzdWx0") != std::string::npos;
-  std::printf("the first and those that waited for it, acked with its result: %d\n", acked);
+  int succeeded = 0;
+  for (int i = 0; i < 3; ++i) succeeded += site.heard(caller).find("cmVzdWx0") != std::string::npos;
+  std::printf("the first and those that waited for it, acked with its result: %d\n", succeeded);
   site.pause(0.5);
-  site.send_op(caller, 5, "push", marked("a").c_str());
+  site.send_request(caller, 5, "push", marked("a").c_str());
   site.pause(0.1);
   site.counters({"ops.read", "results.conflicts", "results.unknown"});
 }
 
-// Customers are known by name; an op without one, or of another fleet's, is told so and nothing else is lost.
-void customers() {
+// Tenants are known by name; a request without one, or of another fleet's, is told so and nothing else is lost.
+void tenants() {
   Site site("", "", {}, R"("customers":[{"name":"alba","quota-per-s":7},{"name":"brera","quota-per-s":0}],)");
   site.comes_up();
   const int caller = site.connect();
-  site.send_op(caller, 1, "push", R"("ram":10,"limit":3000,"team":"brera")");
+  site.send_request(caller, 1, "push", R"("ram":10,"limit":3000,"team":"brera")");
   site.runtime_hears(2);
-  site.send_op(caller, 2, "push", R"("ram":10,"limit":3000,"team":"cuneo","second":1)");
+  site.send_request(caller, 2, "push", R"("ram":10,"limit":3000,"team":"cuneo","second":1)");
   site.caller_hears(caller);
-  site.send_op(caller, 3, "push");
+  site.send_request(caller, 3, "push");
   site.caller_hears(caller);
-  site.send_op(caller, 4, "push", R"("ram":10,"limit":3000,"team":7)");
+  site.send_request(caller, 4, "push", R"("ram":10,"limit":3000,"team":7)");
   site.caller_hears(caller);
-  site.send_op(caller, 5, "push", R"("ram":10,"limit":3000,"team":"alba","second":2)");
+  site.send_request(caller, 5, "push", R"("ram":10,"limit":3000,"team":"alba","second":2)");
   site.caller_hears(caller);
   site.runtime_says("end 1 " + txn(1) + " complete 20 6\r\nresult");
   site.caller_hears(caller);
   site.counters({"ops.read", "ops.acked", "bad.params"});
 }
 
-// A new configuration that is another deployment's, with no keyed op type: its addresses are taken, our op
-// types, customers and keys stay.
+// A new configuration that is another deployment's, with no keyed route: its addresses are taken, our request
+// types, tenants and keys stay.
 void reload() {
   Site site("", "",
             {R"([{"name":"push","target":400,"give-up":3000,"semantics":"dedup","window":20000}])", ""});
   site.comes_up();
   const int caller = site.connect();
-  site.send_op(caller, 1, "push", marked("a").c_str());
+  site.send_request(caller, 1, "push", marked("a").c_str());
   site.runtime_hears(2);
   site.runtime_says("end 1 " + txn(1) + " complete 20 6\r\nresult");
   site.caller_hears(caller);
   site.other_types(R"([{"name":"read","target":400,"give-up":3000}])");
   site.reload();
   site.runtime_comes_up("hot 900");
-  site.send_op(caller, 2, "push", marked("a").c_str());
+  site.send_request(caller, 2, "push", marked("a").c_str());
   site.caller_hears(caller);
-  site.send_op(caller, 3, "push", marked("b").c_str());
+  site.send_request(caller, 3, "push", marked("b").c_str());
   site.runtime_hears(2);
-  site.send_op(caller, 4, "read");
+  site.send_request(caller, 4, "read");
   site.caller_hears(caller);
   site.counters({"runs.started", "results.kept", "results.no_room", "bad.types"});
 }
 
-// Where worth is counted by work, ops tell theirs, and the settings need not say that they do: the op that
-// tells fifty times the work of those that ran is nacked at once, the one that tells a tenth waits.
+// Where worth is counted by work, requests tell theirs, and the settings need not say that they do: the request that
+// tells fifty times the work of those that ran is rejected at once, the one that tells a tenth waits.
 void told_work() {
   Site site("", "", {}, R"("counted-by":"work",)");
   site.comes_up();
   const int caller = site.connect();
-  const auto op = [&](int id, const char* more) { site.send_op(caller, id, "pull", more); };
-  op(1, R"("ram":10,"limit":3000,"cpu":100)");
+  const auto request = [&](int id, const char* more) { site.send_request(caller, id, "pull", more); };
+  request(1, R"("ram":10,"limit":3000,"cpu":100)");
   site.runtime_hears(2);
   site.pause(0.2);
   site.runtime_says("end 1 " + txn(1) + " complete 20 6\r\nresult");
   site.caller_hears(caller);
-  op(2, R"("ram":10,"limit":3000,"cpu":100)");
-  op(3, R"("ram":10,"limit":3000,"cpu":100)");
+  request(2, R"("ram":10,"limit":3000,"cpu":100)");
+  request(3, R"("ram":10,"limit":3000,"cpu":100)");
   site.runtime_hears(4);
-  op(4, R"("ram":10,"limit":3000,"cpu":5000)");
-  const bool nacked = site.heard(caller).find("-32001") != std::string::npos;
-  std::printf("the one of much work: %s\n", nacked ? "nacked" : "waits");
-  op(5, R"("ram":10,"limit":3000,"cpu":10)");
-  op(6, R"("ram":10,"limit":3000,"cpu":"much")");
+  request(4, R"("ram":10,"limit":3000,"cpu":5000)");
+  const bool rejected = site.heard(caller).find("-32001") != std::string::npos;
+  std::printf("the one of much work: %s\n", rejected ? "nacked" : "waits");
+  request(5, R"("ram":10,"limit":3000,"cpu":10)");
+  request(6, R"("ram":10,"limit":3000,"cpu":"much")");
   site.caller_hears(caller);
   site.counters({"ops.read", "ops.acked", "ops.nacked", "bad.params"});
 }
 
-// One op type, twenty, and none that calls below, where there is no layer below at all.
+// One route, twenty, and none that calls below, where there is no layer below at all.
 void shapes() {
   const auto serve = [](Site& site, const std::string& type, int notice, bool calls) {
     site.comes_up();
     const int caller = site.connect();
-    site.send_op(caller, 1, type.c_str());
+    site.send_request(caller, 1, type.c_str());
     site.runtime_hears(2);
     if (calls) {
       site.runtime_says("wants " + std::to_string(notice++) + " " + txn(1) + " 4\r\ncall");
@@ -151,7 +151,7 @@
     }
     site.runtime_says("end " + std::to_string(notice) + " " + txn(1) + " complete 20 6\r\nresult");
     site.caller_hears(caller);
-    site.send_op(caller, 2, "of-another-fleet");
+    site.send_request(caller, 2, "of-another-fleet");
     site.caller_hears(caller);
   };
   std::printf("-- one op type\n");
@@ -176,7 +176,7 @@
   return run_scenario(argc, argv, binary,
                       {{"keyed", keyed},
                        {"window", window},
-                       {"customers", customers},
+                       {"customers", tenants},
                        {"shapes", shapes},
                        {"told_work", told_work},
                        {"reload", reload}});
--- a/tests/tier_dispatch.cpp
+++ b/tests/tier_dispatch.cpp
@@ -16,10 +16,10 @@
 namespace {
 
 // ---- A forwarder's acts, told one by one.
-struct Told : DispatchHost {
-  void send(int planner, Attempt attempt, OpId op, double left, bool known_only) override {
+struct Told : DispatchSink {
+  void send(int planner, Attempt attempt, RequestId request, double left, bool known_only) override {
     std::printf("  %s op %d as %d to p%d, %.2f s left\n", known_only ? "ask about" : "send",
-                static_cast<int>(op), static_cast<int>(attempt), planner, left);
+                static_cast<int>(request), static_cast<int>(attempt), planner, left);
   }
   void cancel(int planner, Attempt attempt) override {
     std::printf("  cancel %d at p%d\n", static_cast<int>(attempt), planner);
@@ -27,10 +27,10 @@
   void fence(int planner, Attempt attempt) override {
     std::printf("  fence %d at p%d\n", static_cast<int>(attempt), planner);
   }
-  void reply(OpId op, Reply how, double come_back_in, bool no_retry) override {
-    std::printf("  op %d: %s", static_cast<int>(op), how == Reply::kNacked ? "nacked" : "failed");
-    if (how == Reply::kNacked)
-      std::printf(", back in %.2f s%s", come_back_in, no_retry ? ", nowhere else" : "");
+  void reply(RequestId request, Reply how, double retry_after, bool no_retry) override {
+    std::printf("  op %d: %s", static_cast<int>(request), how == Reply::kRejected ? "nacked" : "failed");
+    if (how == Reply::kRejected)
+      std::printf(", back in %.2f s%s", retry_after, no_retry ? ", nowhere else" : "");
     std::printf("\n");
   }
   void wake_at(double time) override { next = time; }
@@ -43,14 +43,14 @@
   terms.picker.slow_start = 0;
   terms.retry_burst = 3;
   terms.retry_share = 0;
-  terms.line_ops = 2;
+  terms.queue_requests = 2;
   Dispatch d(
       terms, 1, {"p0", "p1"}, told, [] { return 0.5; }, 0);
   double now = 0;
-  const auto op = [&](OpId id, double left, double importance = 1, std::uint64_t mark = 0) {
-    ForwardOp o;
-    o.id = id, o.left = left, o.importance = importance, o.mark = mark, o.bytes = 10;
-    d.on_op(o, now);
+  const auto request = [&](RequestId id, double left, double priority_weight = 1, std::uint64_t mark = 0) {
+    ForwardedRequest o;
+    o.id = id, o.remaining_time = left, o.priority_weight = priority_weight, o.idempotency_key_hash = mark, o.bytes = 10;
+    d.on_request(o, now);
   };
   const auto answer = [&](int planner, std::uint64_t epoch, Attempt attempt, AnswerKind how,
                           bool no_retry = false) {
@@ -63,69 +63,69 @@
     now = time;
   };
   std::printf("no planner yet\n");
-  op(1, 1);
+  request(1, 1);
   std::printf("one comes up, with room for two\n");
   d.on_link_up(0, 100, 2, now);
-  op(2, 1), op(3, 1), op(4, 1);
+  request(2, 1), request(3, 1), request(4, 1);
   std::printf("a more important one finds the line full, then an equal one\n");
-  op(5, 1), op(6, 1, 3), op(7, 1);
+  request(5, 1), request(6, 1, 3), request(7, 1);
   std::printf("the other comes up: who waits goes there\n");
   d.on_link_up(1, 200, 2, now);
   std::printf("acked, by the wrong life, by the right one\n");
-  answer(0, 99, 1, AnswerKind::kAcked);
-  answer(0, 100, 1, AnswerKind::kAcked);
+  answer(0, 99, 1, AnswerKind::kSucceeded);
+  answer(0, 100, 1, AnswerKind::kSucceeded);
   std::printf("nacked, and the other has no room\n");
-  answer(0, 100, 2, AnswerKind::kNacked);
+  answer(0, 100, 2, AnswerKind::kRejected);
   std::printf("nacked, the other has room\n");
-  answer(1, 200, 3, AnswerKind::kNacked);
+  answer(1, 200, 3, AnswerKind::kRejected);
   std::printf("nacked there as well\n");
-  answer(0, 100, 5, AnswerKind::kNacked);
+  answer(0, 100, 5, AnswerKind::kRejected);
   std::printf("nacked, and nowhere else\n");
-  answer(1, 200, 4, AnswerKind::kNacked, true);
+  answer(1, 200, 4, AnswerKind::kRejected, true);
   std::printf("a planner that does not answer in half of the time is asked for proof\n");
   now = 10;
   d.on_wake(now);
-  op(20, 2);
+  request(20, 2);
   until(11.2);
   answer(0, 100, 7, AnswerKind::kRunning);
   answer(1, 200, 7, AnswerKind::kRunning);
   until(12.5);
   std::printf("proven: tried elsewhere\n");
   now = 20;
-  op(21, 2);
+  request(21, 2);
   until(21.2);
   answer(0, 100, 8, AnswerKind::kNeverRan);
   answer(1, 200, 8, AnswerKind::kNeverRan);
   std::printf("the budget of second tries is used up\n");
   until(30);
-  op(22, 2);
-  answer(0, 100, 10, AnswerKind::kNacked);
-  answer(1, 200, 10, AnswerKind::kNacked);
+  request(22, 2);
+  answer(0, 100, 10, AnswerKind::kRejected);
+  answer(1, 200, 10, AnswerKind::kRejected);
   std::printf(
       "a link is lost: what never left goes elsewhere if it may, the rest waits for proof, then fails\n");
-  op(23, 5), op(24, 5);
+  request(23, 5), request(24, 5);
   d.on_link_lost(0, {11}, now);
   d.on_link_lost(1, {}, now);
-  op(25, 5);
+  request(25, 5);
   until(30.9);
   std::printf("back in the same life, and the other in a new one\n");
   d.on_link_up(1, 200, 2, now);
   d.on_link_up(0, 101, 2, now);
   until(33);
   std::printf("lost, and not back in time\n");
-  op(26, 5);
+  request(26, 5);
   d.on_link_lost(0, {}, now);
   d.on_link_lost(1, {}, now);
   until(36);
   std::printf("keyed ops go to one planner or nowhere\n");
   d.on_link_up(0, 101, 1, now);
-  for (std::uint64_t mark = 1; mark <= 4; ++mark) op(30 + mark, 0.2, 1, mark);
+  for (std::uint64_t mark = 1; mark <= 4; ++mark) request(30 + mark, 0.2, 1, mark);
   std::printf("callers go; the notice to leave; late comers\n");
   d.on_gone(31, now), d.on_gone(32, now), d.on_gone(33, now), d.on_gone(34, now);
-  op(40, 5);
+  request(40, 5);
   d.on_leave(2, 0.3, now);
   now += 0.4;
-  op(41, 5);
+  request(41, 5);
   until(39);
   std::printf("open at the end: %zu\n", d.open());
 }
@@ -137,61 +137,61 @@
   terms.picker.slow_start = 0;
   Dispatch d(
       terms, 1, {"p0", "p1"}, told, [] { return 0.5; }, 0);
-  const auto op = [&](OpId id, std::uint64_t mark, double now) {
-    ForwardOp o;
-    o.id = id, o.left = 5, o.mark = mark, o.bytes = 10;
-    d.on_op(o, now);
+  const auto request = [&](RequestId id, std::uint64_t mark, double now) {
+    ForwardedRequest o;
+    o.id = id, o.remaining_time = 5, o.idempotency_key_hash = mark, o.bytes = 10;
+    d.on_request(o, now);
   };
   d.on_link_up(0, 7, 1, 0);
   d.on_link_up(1, 7, 1, 0);
   std::printf("two go, a keyed one and a plain one wait\n");
-  op(1, 0, 0), op(2, 0, 0), op(3, 1, 0), op(4, 0, 0);
+  request(1, 0, 0), request(2, 0, 0), request(3, 1, 0), request(4, 0, 0);
   std::printf("a planner answers what the other was given\n");
   const bool believed =
-      d.on_answer(d.attempts().find(1)->planner == 0 ? 1 : 0, 7, 1, AnswerKind::kAcked, 0, false, 0)
+      d.on_answer(d.attempts().find(1)->planner == 0 ? 1 : 0, 7, 1, AnswerKind::kSucceeded, 0, false, 0)
           .has_value();
   std::printf("  believed: %s\n", believed ? "yes" : "no");
   std::printf("both leave\n");
   d.on_no_more(0, 0.1);
   d.on_no_more(1, 0.1);
-  op(5, 0, 0.1);
+  request(5, 0, 0.1);
   std::printf("back, and full; a link is lost under a keyed one that waits\n");
   d.on_link_up(0, 8, 1, 0.2);
   d.on_link_up(1, 8, 1, 0.2);
-  op(6, 0, 0.2), op(7, 0, 0.2), op(8, 1, 0.2);
+  request(6, 0, 0.2), request(7, 0, 0.2), request(8, 1, 0.2);
   d.on_link_lost(0, {}, 0.3);
   d.on_link_lost(1, {}, 0.3);
   std::printf("a keyed one whose planner is no longer wanted goes to the other\n");
   d.on_wake(5);
   d.on_link_up(0, 8, 4, 6);
   d.on_link_up(1, 8, 4, 6);
-  op(9, 1, 6);
+  request(9, 1, 6);
   d.set_planners({d.attempts().find(*d.attempts().in_hand(9))->planner == 0 ? "p1" : "p0"}, 6);
-  op(10, 1, 6);
+  request(10, 1, 6);
   std::printf("room comes free twice a second: four ahead leave no time for one of a second\n");
   Dispatch slow(
       terms, 1, {"p0"}, told, [] { return 0.5; }, 0);
   slow.on_link_up(0, 9, 1, 0);
-  for (OpId id = 1; id <= 12; ++id) {
-    ForwardOp o;
-    o.id = 100 + id, o.left = 20, o.bytes = 10;
-    slow.on_op(o, 0);
+  for (RequestId id = 1; id <= 12; ++id) {
+    ForwardedRequest o;
+    o.id = 100 + id, o.remaining_time = 20, o.bytes = 10;
+    slow.on_request(o, 0);
   }
   for (Attempt attempt = 1; attempt <= 8; ++attempt)
-    slow.on_answer(0, 9, attempt, AnswerKind::kAcked, 0, false, 0.5 * static_cast<double>(attempt));
-  ForwardOp late;
-  late.id = 200, late.left = 1, late.bytes = 10;
-  slow.on_op(late, 4.1);
+    slow.on_answer(0, 9, attempt, AnswerKind::kSucceeded, 0, false, 0.5 * static_cast<double>(attempt));
+  ForwardedRequest late;
+  late.id = 200, late.remaining_time = 1, late.bytes = 10;
+  slow.on_request(late, 4.1);
   std::printf("the notice to leave, and one that comes in its grace\n");
   d.on_leave(2, 0.3, 7);
-  op(11, 0, 7.1);
+  request(11, 0, 7.1);
   d.on_wake(8.79);
   std::printf("just before the stop's margin: open %zu\n", d.open());
   d.on_wake(8.81);
   std::printf("and behind it: open %zu\n", d.open());
 }
 
-// Keyed ops while the list changes, told one by one.
+// Keyed requests while the list changes, told one by one.
 void moving() {
   Told told;
   DispatchTerms terms;
@@ -207,10 +207,10 @@
   for (std::uint64_t mark = 1; stays == 0 || moves == 0; ++mark)
     (before.way(mark, 0).home == 0 ? stays : moves) = mark;
   double now = 0;
-  const auto op = [&](OpId id, std::uint64_t mark, double left = 1) {
-    ForwardOp o;
-    o.id = id, o.left = left, o.mark = mark, o.bytes = 10;
-    d.on_op(o, now);
+  const auto request = [&](RequestId id, std::uint64_t mark, double left = 1) {
+    ForwardedRequest o;
+    o.id = id, o.remaining_time = left, o.idempotency_key_hash = mark, o.bytes = 10;
+    d.on_request(o, now);
   };
   const auto answer = [&](int planner, Attempt attempt, AnswerKind how) {
     const auto over = d.on_answer(planner, 7, attempt, how, 0.3, false, now);
@@ -218,30 +218,30 @@
                 over ? ("op " + std::to_string(*over) + " is over").c_str() : "nothing is passed on");
   };
   std::printf("one runs at p1, one waits for it; then p1 is taken off the list\n");
-  op(1, moves), op(2, moves);
+  request(1, moves), request(2, moves);
   d.set_planners({"p0"}, now = 0.1);
   std::printf("whether p1 could be let go of with those open, whenever: %s\n",
               d.done_with(1, 99) ? "yes" : "no");
   std::printf("p1 answers the first, and that it does not know the second: nothing new may run yet\n");
-  answer(1, 1, AnswerKind::kAcked);
+  answer(1, 1, AnswerKind::kSucceeded);
   answer(1, 2, AnswerKind::kNotKnown);
   std::printf("a key that stays, and plain ones, go to p0\n");
-  op(3, stays), op(4, 0);
-  answer(0, 3, AnswerKind::kAcked);
-  answer(0, 4, AnswerKind::kAcked);
+  request(3, stays), request(4, 0);
+  answer(0, 3, AnswerKind::kSucceeded);
+  answer(0, 4, AnswerKind::kSucceeded);
   std::printf("all have the list: asked first, and known\n");
   now = 3;
-  op(5, moves);
-  answer(1, 5, AnswerKind::kAcked);
+  request(5, moves);
+  answer(1, 5, AnswerKind::kSucceeded);
   std::printf("asked first, not known, run at p0\n");
-  op(6, moves);
+  request(6, moves);
   answer(1, 6, AnswerKind::kNotKnown);
-  answer(0, 7, AnswerKind::kAcked);
+  answer(0, 7, AnswerKind::kSucceeded);
   std::printf("a plain nack is no answer to the question\n");
-  op(7, moves);
-  answer(1, 8, AnswerKind::kNacked);
+  request(7, moves);
+  answer(1, 8, AnswerKind::kRejected);
   std::printf("asked by a list that is no longer in force: asked anew\n");
-  op(8, moves);
+  request(8, moves);
   d.set_planners({"p0", "p2"}, now = 3.1);
   answer(1, 9, AnswerKind::kNotKnown);
   answer(0, 10, AnswerKind::kNotKnown);
@@ -251,23 +251,23 @@
   std::printf("who would have to be asked is not there: nobody may run it\n");
   now = 6;
   d.on_link_lost(1, {}, now);
-  op(9, moves);
+  request(9, moves);
   answer(0, 12, AnswerKind::kNotKnown);
   std::printf(
       "nothing can be remembered any more; what is said to a question that was none counts for nothing\n");
   now = 30;
   d.on_link_up(2, 7, 1, now);
-  op(10, moves);
+  request(10, moves);
   answer(2, 13, AnswerKind::kNotKnown);
   std::printf("open at the end: %zu\n", d.open());
 }
 
 // A planner acks the numbers after the last that it has read, while the next four are on their way to it.
-struct Numbers : DispatchHost {
-  void send(int, Attempt attempt, OpId, double, bool) override { sent.push_back(attempt); }
+struct Numbers : DispatchSink {
+  void send(int, Attempt attempt, RequestId, double, bool) override { sent.push_back(attempt); }
   void cancel(int, Attempt) override {}
   void fence(int, Attempt) override {}
-  void reply(OpId, Reply, double, bool) override {}
+  void reply(RequestId, Reply, double, bool) override {}
   void wake_at(double) override {}
   std::vector<Attempt> sent;
 };
@@ -282,14 +282,14 @@
         terms, 1, {"p0"}, numbers, [&] { return std::ldexp(static_cast<double>(random() >> 11), -53); }, 0);
     d.on_link_up(0, 7, 8, 0);
     const auto answer = [&](Attempt attempt) {
-      return d.on_answer(0, 7, attempt, AnswerKind::kAcked, 0, false, 0).has_value();
+      return d.on_answer(0, 7, attempt, AnswerKind::kSucceeded, 0, false, 0).has_value();
     };
     int believed = 0, truly = 0;
     Attempt read = 0;
-    for (OpId id = 1; id <= 4000; ++id) {
-      ForwardOp op;
-      op.id = id, op.left = 1;
-      d.on_op(op, 0);
+    for (RequestId id = 1; id <= 4000; ++id) {
+      ForwardedRequest request;
+      request.id = id, request.remaining_time = 1;
+      d.on_request(request, 0);
       if (id % 4 != 0) continue;
       for (Attempt guess = read + 1; guess <= read + 100; ++guess) believed += answer(guess);
       for (const Attempt attempt : numbers.sent) truly += answer(read = attempt);
