--- a/tests/tier_histories.cpp
+++ b/tests/tier_histories.cpp
@@ -25,11 +25,11 @@
 
 namespace {
 
-enum class Manner { kSound, kMute, kNacks, kSlow };
+enum class Manner { kSound, kMute, kRejections, kSlow };
 
 class History {
  public:
-  History(std::uint64_t seed, int ops, bool tell) : random_(seed), most_ops_(ops), tell_(tell) {
+  History(std::uint64_t seed, int requests, bool tell) : random_(seed), max_requests_(requests), tell_(tell) {
     for (int p = 0; p < kPlanners; ++p) {
       planners_.push_back(std::make_unique<Planner>());
       begin_life(p);
@@ -38,7 +38,7 @@
     for (int f = 0; f < kForwarders; ++f) {
       for (int p = 0; p < kPlanners; ++p) at(chance() * 0.05, [this, f, p] { connect(f, p); });
     }
-    at(0.02, [this] { next_op(); });
+    at(0.02, [this] { next_request(); });
     at(0.5 + chance(), [this] { trouble(); });
     at(0.3 + chance(), [this] { relist(); });
   }
@@ -53,21 +53,21 @@
       check_credits();
     }
     if (broken_.empty()) {
-      for (const auto& [id, op] : ops_) {
-        if (op.answers == 0 && !op.gone) fail("op " + std::to_string(id) + " was never answered");
+      for (const auto& [id, request] : requests_) {
+        if (request.answers == 0 && !request.gone) fail("op " + std::to_string(id) + " was never answered");
       }
     }
     return broken_;
   }
 
   struct Totals {
-    int ops = 0, acked = 0, nacked = 0, failed = 0, second = 0, fenced = 0, proven = 0, dropped = 0, lost = 0,
+    int requests = 0, succeeded = 0, rejected = 0, failed = 0, second = 0, fenced = 0, proven = 0, dropped = 0, lost = 0,
         asked = 0, known = 0;
   };
   Totals totals() const {
     Totals t;
-    for (const auto& [id, op] : ops_)
-      ++t.ops, t.acked += op.acked, t.nacked += op.nacked, t.failed += op.failed;
+    for (const auto& [id, request] : requests_)
+      ++t.requests, t.succeeded += request.succeeded, t.rejected += request.rejected, t.failed += request.failed;
     for (const auto& f : forwarders_) {
       const DispatchCounts& c = f->dispatch.counts();
       t.second += static_cast<int>(c.second_tries), t.fenced += static_cast<int>(c.fences);
@@ -81,7 +81,7 @@
  private:
   static constexpr int kForwarders = 2, kPlanners = 4, kCores = 2;
   static constexpr double kWindow = 1, kSpread = 0.5,
-                          kLongest = 1.3;  // s: of keys, of reloads, that an op waits
+                          kLongest = 1.3;  // s: of keys, of reloads, that a request waits
   struct Event {
     double at = 0;
     std::uint64_t number = 0;
@@ -90,11 +90,11 @@
       return at > other.at || (at == other.at && number > other.number);
     }
   };
-  struct OpSeen {
+  struct RequestSeen {
     double due = 0;
     int answers = 0, runs = 0;
     std::uint64_t mark = 0;
-    bool gone = false, acked = false, nacked = false, failed = false;
+    bool gone = false, succeeded = false, rejected = false, failed = false;
   };
   // One link, two ways; what is under way on it comes in order.
   struct Link {
@@ -108,14 +108,14 @@
     std::vector<std::pair<int, Attempt>> submits;  // by number of the frame
   };
   struct Held {
-    OpId op = 0;
+    RequestId request = 0;
     ForwarderId forwarder = 0;
     Attempt attempt = 0;
     double due = 0;
   };
   // What a planner remembers of a key: in its store from when it runs.
   struct Memory {
-    OpId op = 0;
+    RequestId request = 0;
     double admitted = 0;
     enum { kReserved, kRunning, kEnded, kUnknown } state = kReserved;
     std::vector<Held> waits;  // repeats
@@ -126,12 +126,12 @@
     Manner manner = Manner::kSound;
     std::unique_ptr<Holdings> holdings;
     std::deque<Held> line;
-    std::map<OpId, Held> open;  // held and running
+    std::map<RequestId, Held> open;  // held and running
     std::map<std::uint64_t, Memory> memory;
-    std::map<OpId, bool> started;
+    std::map<RequestId, bool> started;
     int running = 0;
   };
-  struct Forwarder : DispatchHost {
+  struct Forwarder : DispatchSink {
     Forwarder(History& h, int n)
         : history(h),
           number(n),
@@ -143,16 +143,16 @@
       t.homes = {kSpread + kLongest, kWindow + 2 * kLongest};
       return t;
     }
-    void send(int planner, Attempt attempt, OpId op, double left, bool known_only) override {
+    void send(int planner, Attempt attempt, RequestId request, double left, bool known_only) override {
       wt::Submit submit;
       submit.known_only = known_only;
       submit.attempt = attempt;
-      submit.op = op;
-      submit.left_us = static_cast<std::uint32_t>(left * 1e6);
+      submit.request = request;
+      submit.remaining_us = static_cast<std::uint32_t>(left * 1e6);
       const auto& picker = dispatch.picker();
       if (picker.open(planner) > static_cast<int>(window[planner]))
         history.fail("planner " + std::to_string(planner) + " was sent more than its window");
-      history.note("f" + std::to_string(number) + " sends op " + std::to_string(op) + " as " +
+      history.note("f" + std::to_string(number) + " sends op " + std::to_string(request) + " as " +
                    std::to_string(attempt) + " to p" + std::to_string(planner));
       history.out(links[planner], submit, attempt);
     }
@@ -161,8 +161,8 @@
       history.note("f" + std::to_string(number) + " fences " + std::to_string(attempt));
       history.out(links[planner], wt::Fence{attempt});
     }
-    void reply(OpId op, Reply how, double, bool) override {
-      history.answered(op, how == Reply::kNacked ? 'n' : 'f');
+    void reply(RequestId request, Reply how, double, bool) override {
+      history.answered(request, how == Reply::kRejected ? 'n' : 'f');
     }
     void wake_at(double time) override {
       if (time >= wake_time) return;  // it asks anew when it is woken
@@ -202,42 +202,42 @@
   }
 
   // ---- Callers.
-  void next_op() {
-    if (static_cast<int>(ops_.size()) >= most_ops_) return;
-    const OpId id = ops_.size() + 1;
-    ForwardOp op;
-    op.id = id;
-    op.caller = random_() % 5;
-    op.key = random_() % 3 == 0 ? 1 + random_() % 4 : 0;
-    op.mark = random_() % 5 == 0 ? 1 + random_() % 12 : 0;
-    ops_[id].mark = op.mark;
-    op.importance = random_() % 4 == 0 ? 3 : 1;
-    op.left = 0.1 + chance() * 1.2;
-    op.bytes = 100;
-    ops_[id].due = now_ + op.left;
+  void next_request() {
+    if (static_cast<int>(requests_.size()) >= max_requests_) return;
+    const RequestId id = requests_.size() + 1;
+    ForwardedRequest request;
+    request.id = id;
+    request.caller = random_() % 5;
+    request.subject = random_() % 3 == 0 ? 1 + random_() % 4 : 0;
+    request.idempotency_key_hash = random_() % 5 == 0 ? 1 + random_() % 12 : 0;
+    requests_[id].mark = request.idempotency_key_hash;
+    request.priority_weight = random_() % 4 == 0 ? 3 : 1;
+    request.remaining_time = 0.1 + chance() * 1.2;
+    request.bytes = 100;
+    requests_[id].due = now_ + request.remaining_time;
     const int f = static_cast<int>(random_() % kForwarders);
     note("op " + std::to_string(id) + " at f" + std::to_string(f));
     Dispatch& dispatch = forwarders_[static_cast<std::size_t>(f)]->dispatch;
-    dispatch.on_op(op, now_);
+    dispatch.on_request(request, now_);
     if (random_() % 40 == 0) {
       after(chance() * 0.3, [this, id, &dispatch] {
-        if (ops_[id].answers > 0) return;
+        if (requests_[id].answers > 0) return;
         note("caller of " + std::to_string(id) + " goes");
-        ops_[id].gone = true;
+        requests_[id].gone = true;
         dispatch.on_gone(id, now_);
       });
     }
-    after(-std::log(1 - chance()) / 150, [this] { next_op(); });
+    after(-std::log(1 - chance()) / 150, [this] { next_request(); });
   }
-  void answered(OpId id, char how) {
-    OpSeen& op = ops_[id];
+  void answered(RequestId id, char how) {
+    RequestSeen& request = requests_[id];
     note("op " + std::to_string(id) + " is answered " + how);
-    op.acked = how == 'a', op.nacked = how == 'n', op.failed = how == 'f';
-    if (++op.answers > 1) fail("op " + std::to_string(id) + " was answered twice");
-    if (op.gone) fail("op " + std::to_string(id) + " was answered to nobody");
-    if (now_ > op.due + 1e-6) fail("op " + std::to_string(id) + " was answered late");
-    if (how == 'n' && op.runs > 0) fail("op " + std::to_string(id) + " was nacked and had run");
-    if (how == 'a' && op.runs == 0 && !ran_.contains(op.mark))
+    request.succeeded = how == 'a', request.rejected = how == 'n', request.failed = how == 'f';
+    if (++request.answers > 1) fail("op " + std::to_string(id) + " was answered twice");
+    if (request.gone) fail("op " + std::to_string(id) + " was answered to nobody");
+    if (now_ > request.due + 1e-6) fail("op " + std::to_string(id) + " was answered late");
+    if (how == 'n' && request.runs > 0) fail("op " + std::to_string(id) + " was nacked and had run");
+    if (how == 'a' && request.runs == 0 && !ran_.contains(request.mark))
       fail("op " + std::to_string(id) + " was acked and had not run");
   }
 
@@ -306,19 +306,19 @@
     });
   }
   // Where nothing of it has run, its key is free again, and its repeats are told so.
-  void release(Planner& planner, OpId op) {
-    const auto found = planner.memory.find(ops_[op].mark);
-    if (found == planner.memory.end() || found->second.op != op || found->second.state != Memory::kReserved)
+  void release(Planner& planner, RequestId request) {
+    const auto found = planner.memory.find(requests_[request].mark);
+    if (found == planner.memory.end() || found->second.request != request || found->second.state != Memory::kReserved)
       return;
     const std::vector<Held> waits = std::move(found->second.waits);
     planner.memory.erase(found);
-    for (const Held& held : waits) tell(planner, held, wt::Result::kNacked);
+    for (const Held& held : waits) tell(planner, held, wt::Result::kRejected);
   }
-  void gone(Planner& planner, const std::vector<OpId>& ops) {
-    for (const OpId op : ops) {
-      if (!planner.started[op]) release(planner, op);
-      std::erase_if(planner.line, [&](const Held& held) { return held.op == op; });
-      if (!planner.started[op]) planner.open.erase(op);
+  void gone(Planner& planner, const std::vector<RequestId>& requests) {
+    for (const RequestId request : requests) {
+      if (!planner.started[request]) release(planner, request);
+      std::erase_if(planner.line, [&](const Held& held) { return held.request == request; });
+      if (!planner.started[request]) planner.open.erase(request);
     }
   }
 
@@ -350,11 +350,11 @@
     after(0.05 + chance(), [this, p] { begin_life(p); });
   }
   void tell(Planner& planner, const Held& held, wt::Result result) {
-    planner.open.erase(held.op);
+    planner.open.erase(held.request);
     wt::Answer answer;
     answer.attempt = held.attempt;
     answer.result = result;
-    answer.come_back_us = 100000;
+    answer.retry_after_us = 100000;
     const std::uint64_t link = planner.holdings->answered(held.forwarder, answer);
     if (link != 0 && links_[link]) in(links_[link], answer);
   }
@@ -373,36 +373,36 @@
       mine.window = 8;
       in(link, mine);
     } else if (const auto* submit = std::get_if<wt::Submit>(&message)) {
-      if (planner.holdings->submit(link->known_as, submit->attempt, submit->op, 0) !=
+      if (planner.holdings->submit(link->known_as, submit->attempt, submit->request, 0) !=
           Holdings::Taking::kTaken)
         return;
-      const Held held{submit->op, link->known_as, submit->attempt, now_ + submit->left_us * 1e-6};
-      if (planner.manner == Manner::kNacks || planner.open.contains(submit->op))
-        return tell(planner, held, wt::Result::kNacked);
-      if (const std::uint64_t mark = ops_[held.op].mark; mark != 0) {
+      const Held held{submit->request, link->known_as, submit->attempt, now_ + submit->remaining_us * 1e-6};
+      if (planner.manner == Manner::kRejections || planner.open.contains(submit->request))
+        return tell(planner, held, wt::Result::kRejected);
+      if (const std::uint64_t mark = requests_[held.request].mark; mark != 0) {
         const auto known = planner.memory.find(mark);
         const bool over = known != planner.memory.end() && known->second.state > Memory::kRunning &&
                           now_ >= known->second.admitted + kWindow;
         if (known != planner.memory.end() && !over) {
-          if (known->second.state == Memory::kEnded) return tell(planner, held, wt::Result::kAcked);
+          if (known->second.state == Memory::kEnded) return tell(planner, held, wt::Result::kSucceeded);
           if (known->second.state == Memory::kUnknown) return tell(planner, held, wt::Result::kUnknown);
-          planner.open[held.op] = held;
+          planner.open[held.request] = held;
           known->second.waits.push_back(held);
           return;
         }
         if (submit->known_only) return tell(planner, held, wt::Result::kNotKnown);
-        planner.memory[mark] = {held.op, now_, Memory::kReserved, {}};
+        planner.memory[mark] = {held.request, now_, Memory::kReserved, {}};
       } else if (submit->known_only) {
-        fail("op " + std::to_string(held.op) + " has no key and was asked about");
+        fail("op " + std::to_string(held.request) + " has no key and was asked about");
       }
-      planner.open[held.op] = held;
+      planner.open[held.request] = held;
       planner.line.push_back(held);
       run_more(link->planner);
     } else if (const auto* cancel = std::get_if<wt::Cancel>(&message)) {
-      if (const auto op = planner.holdings->cancel(link->known_as, cancel->attempt)) gone(planner, {*op});
+      if (const auto request = planner.holdings->cancel(link->known_as, cancel->attempt)) gone(planner, {*request});
     } else if (const auto* fence = std::get_if<wt::Fence>(&message)) {
       const Holdings::Proof proof = planner.holdings->fence(link->known_as, fence->attempt,
-                                                            [&](OpId op) { return planner.started[op]; });
+                                                            [&](RequestId request) { return planner.started[request]; });
       if (proof.drop) gone(planner, {*proof.drop});
       in(link, proof.answer);
     }
@@ -413,14 +413,14 @@
       const Held held = planner.line.front();
       planner.line.pop_front();
       if (now_ > held.due) {
-        release(planner, held.op);
-        tell(planner, held, wt::Result::kNacked);
+        release(planner, held.request);
+        tell(planner, held, wt::Result::kRejected);
         continue;
       }
-      planner.started[held.op] = true;
+      planner.started[held.request] = true;
       ++planner.running;
-      if (++ops_[held.op].runs > 1) fail("op " + std::to_string(held.op) + " ran twice");
-      if (const std::uint64_t mark = ops_[held.op].mark; mark != 0) {
+      if (++requests_[held.request].runs > 1) fail("op " + std::to_string(held.request) + " ran twice");
+      if (const std::uint64_t mark = requests_[held.request].mark; mark != 0) {
         Memory& memory = planner.memory.at(mark);
         memory.state = Memory::kRunning;
         const auto before = ran_.find(mark);
@@ -428,8 +428,8 @@
           fail("key " + std::to_string(mark) + " ran twice within its window");
         ran_[mark] = memory.admitted;
       }
-      if (ops_[held.op].nacked) fail("op " + std::to_string(held.op) + " ran after it was nacked");
-      note("p" + std::to_string(p) + " runs op " + std::to_string(held.op));
+      if (requests_[held.request].rejected) fail("op " + std::to_string(held.request) + " ran after it was nacked");
+      note("p" + std::to_string(p) + " runs op " + std::to_string(held.request));
       const std::uint64_t epoch = planner.epoch;
       const double takes = -std::log(1 - chance()) * 0.02 * (planner.manner == Manner::kSlow ? 10 : 1);
       after(takes, [this, p, epoch, held] {
@@ -437,12 +437,12 @@
         if (later.epoch != epoch) return;
         --later.running;
         const bool good = random_() % 50 != 0;
-        tell(later, held, good ? wt::Result::kAcked : wt::Result::kFailed);
-        if (const std::uint64_t mark = ops_[held.op].mark; mark != 0) {
+        tell(later, held, good ? wt::Result::kSucceeded : wt::Result::kFailed);
+        if (const std::uint64_t mark = requests_[held.request].mark; mark != 0) {
           Memory& memory = later.memory.at(mark);
           memory.state = good ? Memory::kEnded : Memory::kUnknown;
           for (const Held& wait : std::exchange(memory.waits, {}))
-            tell(later, wait, good ? wt::Result::kAcked : wt::Result::kUnknown);
+            tell(later, wait, good ? wt::Result::kSucceeded : wt::Result::kUnknown);
         }
         run_more(p);
       });
@@ -457,15 +457,15 @@
       forwarder.dispatch.on_link_up(p, hello->epoch, hello->window, now_);
     } else if (const auto* answer = std::get_if<wt::Answer>(&message)) {
       AnswerKind kind = AnswerKind::kFailed;
-      if (answer->result == wt::Result::kAcked) kind = AnswerKind::kAcked;
-      if (answer->result == wt::Result::kNacked) kind = AnswerKind::kNacked;
+      if (answer->result == wt::Result::kSucceeded) kind = AnswerKind::kSucceeded;
+      if (answer->result == wt::Result::kRejected) kind = AnswerKind::kRejected;
       if (answer->result == wt::Result::kNeverRan) kind = AnswerKind::kNeverRan;
       if (answer->result == wt::Result::kRunning) kind = AnswerKind::kRunning;
       if (answer->result == wt::Result::kForgotten) kind = AnswerKind::kForgotten;
       if (answer->result == wt::Result::kNotKnown) kind = AnswerKind::kNotKnown;
-      const std::optional<OpId> over = forwarder.dispatch.on_answer(
-          p, epoch_of_[link->number], answer->attempt, kind, answer->come_back_us * 1e-6, false, now_);
-      if (over) answered(*over, kind == AnswerKind::kAcked ? 'a' : 'f');
+      const std::optional<RequestId> over = forwarder.dispatch.on_answer(
+          p, epoch_of_[link->number], answer->attempt, kind, answer->retry_after_us * 1e-6, false, now_);
+      if (over) answered(*over, kind == AnswerKind::kSucceeded ? 'a' : 'f');
     }
   }
 
@@ -482,7 +482,7 @@
         break;
       }
       case 2: planners_[static_cast<std::size_t>(p)]->manner = Manner::kMute; break;
-      case 3: planners_[static_cast<std::size_t>(p)]->manner = Manner::kNacks; break;
+      case 3: planners_[static_cast<std::size_t>(p)]->manner = Manner::kRejections; break;
       case 4: planners_[static_cast<std::size_t>(p)]->manner = Manner::kSlow; break;
       case 5:
         for (const auto& planner : planners_) planner->manner = Manner::kSound;
@@ -490,7 +490,7 @@
         break;
       default: break_link(forwarders_[random_() % kForwarders]->links[p]);
     }
-    if (static_cast<int>(ops_.size()) < most_ops_) after(chance() * 0.3, [this] { trouble(); });
+    if (static_cast<int>(requests_.size()) < max_requests_) after(chance() * 0.3, [this] { trouble(); });
   }
 
   // Another list of planners, which forwarders get one after the other.
@@ -509,11 +509,11 @@
         f->dispatch.set_planners(names, now_);
       });
     }
-    if (static_cast<int>(ops_.size()) < most_ops_) after(kSpread + chance() * 4, [this] { relist(); });
+    if (static_cast<int>(requests_.size()) < max_requests_) after(kSpread + chance() * 4, [this] { relist(); });
   }
 
   pcg32 random_;
-  const int most_ops_;
+  const int max_requests_;
   const bool tell_;
   double now_ = 0;
   std::priority_queue<Event> events_;
@@ -522,7 +522,7 @@
   std::vector<std::unique_ptr<Forwarder>> forwarders_;
   std::map<std::uint64_t, std::shared_ptr<Link>> links_;  // as planners know them
   std::map<std::uint64_t, std::uint64_t> epoch_of_;       // of the planner, by link
-  std::map<OpId, OpSeen> ops_;
+  std::map<RequestId, RequestSeen> requests_;
   std::map<std::uint64_t, double> ran_;  // when the last run of a key was admitted
   std::string broken_;
 };
@@ -531,18 +531,18 @@
 void histories() {
   History::Totals all;
   int count = 0;
-  for (const int ops : {5, 20, 60, 200, 600}) {
-    for (std::uint64_t seed = 1; seed <= (ops < 200 ? 500u : 40u); ++seed, ++count) {
-      History history(seed * 1000 + static_cast<std::uint64_t>(ops), ops, false);
+  for (const int requests : {5, 20, 60, 200, 600}) {
+    for (std::uint64_t seed = 1; seed <= (requests < 200 ? 500u : 40u); ++seed, ++count) {
+      History history(seed * 1000 + static_cast<std::uint64_t>(requests), requests, false);
       const std::string broken = history.play();
       if (!broken.empty()) {
-        std::printf("%d ops, seed %llu: %s\n", ops, static_cast<unsigned long long>(seed), broken.c_str());
-        History again(seed * 1000 + static_cast<std::uint64_t>(ops), ops, true);
+        std::printf("%d ops, seed %llu: %s\n", requests, static_cast<unsigned long long>(seed), broken.c_str());
+        History again(seed * 1000 + static_cast<std::uint64_t>(requests), requests, true);
         again.play();
         return;
       }
       const History::Totals t = history.totals();
-      all.ops += t.ops, all.acked += t.acked, all.nacked += t.nacked, all.failed += t.failed;
+      all.requests += t.requests, all.succeeded += t.succeeded, all.rejected += t.rejected, all.failed += t.failed;
       all.second += t.second, all.fenced += t.fenced, all.proven += t.proven, all.dropped += t.dropped;
       all.lost += t.lost, all.asked += t.asked, all.known += t.known;
     }
@@ -550,9 +550,9 @@
   std::printf("%d histories: one answer each and in time, no second run, credits right, windows kept\n",
               count);
   const auto share = [&](int n, double least) {
-    return static_cast<double>(n) > least * all.ops ? "enough" : "too few";
+    return static_cast<double>(n) > least * all.requests ? "enough" : "too few";
   };
-  std::printf("acked %s, nacked %s, failed %s\n", share(all.acked, 0.5), share(all.nacked, 0.02),
+  std::printf("acked %s, nacked %s, failed %s\n", share(all.succeeded, 0.5), share(all.rejected, 0.02),
               share(all.failed, 0.005));
   std::printf("second tries %s, fences %s, proofs %s, answers dropped %s, lost with a life %s\n",
               share(all.second, 0.005), share(all.fenced, 0.005), share(all.proven, 0.003),
--- a/tests/tier_parts.cpp
+++ b/tests/tier_parts.cpp
@@ -47,7 +47,7 @@
     std::printf("subjects of a planner that went: about a fifth %s; of others moved: %d\n",
                 of_it > 850 && of_it < 1150 ? "yes" : "no", moved);
   }
-  {  // Half of all ops are of one subject: no planner is far above the mean.
+  {  // Half of all requests are of one subject: no planner is far above the mean.
     Picker four(terms, names(4));
     for (int i = 0; i < 4; ++i) four.up(i, 100, 0);
     std::deque<int> open;
@@ -90,7 +90,7 @@
     for (const int sound : {0, 1, 2}) round(sound, Ended::kServed, 0.02, 1);
     round(3, Ended::kBad, 0.5, 1);
     std::printf("one fails: left out %s\n", four.ejected(3, 1) ? "yes" : "no");
-    for (int i = 0; i < 20; ++i) round(2, Ended::kNacked, 0.001, 1);
+    for (int i = 0; i < 20; ++i) round(2, Ended::kRejected, 0.001, 1);
     std::printf("a second nacks everything: left out %s\n", four.ejected(2, 1) ? "yes" : "no");
     round(1, Ended::kBad, 1, 1);
     round(1, Ended::kBad, 1, 1);
@@ -136,7 +136,7 @@
 // ---- The line and the outlook.
 void line() {
   Line waits(6, 10000);
-  for (OpId id = 1; id <= 4; ++id) waits.enter(id, 1, 1, 10);  // a heavy caller
+  for (RequestId id = 1; id <= 4; ++id) waits.enter(id, 1, 1, 10);  // a heavy caller
   waits.enter(5, 1, 2, 10);
   waits.enter(6, 3, 1, 10);
   std::printf("ahead of one of importance 1: %zu, of 3: %zu\n", waits.ahead(1), waits.ahead(3));
@@ -196,7 +196,7 @@
   const auto f = holds.hello("f1", 7, 1).forwarder;
   bool started = false;
   const auto fence = [&](std::uint64_t attempt) {
-    const auto proof = holds.fence(f, attempt, [&](OpId) { return started; });
+    const auto proof = holds.fence(f, attempt, [&](RequestId) { return started; });
     std::printf("fence %llu: %s%s\n", static_cast<unsigned long long>(attempt), text(proof.answer.result),
                 proof.drop ? ", its op is dropped" : "");
   };
@@ -211,7 +211,7 @@
   holds.link_lost(1, 10);
   wt::Answer answer;
   answer.attempt = 2;
-  answer.result = wt::Result::kAcked;
+  answer.result = wt::Result::kSucceeded;
   answer.body = "done";
   std::printf("answered while away: to link %llu\n",
               static_cast<unsigned long long>(holds.answered(f, answer)));
@@ -255,7 +255,7 @@
 void frames() {
   wt::Answer answer;
   answer.attempt = 1;
-  answer.result = wt::Result::kAcked;
+  answer.result = wt::Result::kSucceeded;
   answer.body.assign(64 * 1024, 'r');
   const wt::Taken taken = wt::next_message(wt::encode(answer));
   const auto* back = std::get_if<wt::Answer>(&taken.message);
--- a/tests/tier_program.cpp
+++ b/tests/tier_program.cpp
@@ -35,20 +35,20 @@
 }
 
 struct Tally {
-  int asked = 0, acked = 0, nacked = 0, failed = 0;
-  double longest_nack = 0;  // s
+  int asked = 0, succeeded = 0, rejected = 0, failed = 0;
+  double longest_rejection = 0;  // s
 };
 Tally tally(const Journal& journal, double from = 0, const char* type = nullptr) {
   Tally out;
-  for (const auto& [op, t] : journal.tries) {
+  for (const auto& [request, t] : journal.tries) {
     if (t.sent < from || (type != nullptr && t.type != type)) continue;
     ++out.asked;
     for (const Answer& a : t.answers) {
-      out.acked += a.kind == AnswerKind::kAcked;
+      out.succeeded += a.kind == AnswerKind::kSucceeded;
       out.failed += a.kind == AnswerKind::kFailed;
-      if (a.kind != AnswerKind::kNacked) continue;
-      ++out.nacked;
-      out.longest_nack = std::max(out.longest_nack, a.at - t.sent);
+      if (a.kind != AnswerKind::kRejected) continue;
+      ++out.rejected;
+      out.longest_rejection = std::max(out.longest_rejection, a.at - t.sent);
     }
   }
   return out;
@@ -106,18 +106,18 @@
   say("few ops stick to it: the better of two is the other", play.planners[0]->taken() < 12);
   const Tally t = tally(play.journal, later);
   play.end();
-  say("of what comes later nine tenths are served", t.acked > 0.9 * (t.asked - 8));
+  say("of what comes later nine tenths are served", t.succeeded > 0.9 * (t.asked - 8));
 }
 
-void nacks() {
-  Scripted play(of(PlannerManner::kNacks), of(PlannerManner::kSound));
+void rejections() {
+  Scripted play(of(PlannerManner::kRejections), of(PlannerManner::kSound));
   play.loop.run_for(2);
   say("further tries were made", play.count("tier.second") > 0);
   say("they keep to their share", play.count("tier.second") <= 12 + play.count("tier.first") / 10);
   say("it is left out", play.count("tier.ejections") > 0);
   play.end();
   const Tally t = tally(play.journal);
-  say("three quarters are served", t.acked > 0.75 * t.asked);
+  say("three quarters are served", t.succeeded > 0.75 * t.asked);
 }
 
 void half() {
@@ -140,7 +140,7 @@
   say("answers to what was never sent are dropped", play.count("tier.dropped") > 0);
   play.end();
   const Tally t = tally(play.journal);
-  say("all are served", t.acked == t.asked);
+  say("all are served", t.succeeded == t.asked);
 }
 
 void slow() {
@@ -151,7 +151,7 @@
   say("it is left out", play.count("tier.ejections") > 0);
   play.end();
   const Tally t = tally(play.journal);
-  say("nearly all are served", t.acked > 0.97 * t.asked);
+  say("nearly all are served", t.succeeded > 0.97 * t.asked);
 }
 
 void all_gone() {
@@ -164,7 +164,7 @@
   play.loop.run_for(1.5);
   say("off the list after a grace", !play.forwarder->roster.listed());
   const Tally t = tally(play.journal, gone);
-  say("meanwhile all are nacked, at once", t.asked > 50 && t.nacked >= t.asked - 2 && t.longest_nack < 0.1);
+  say("meanwhile all are nacked, at once", t.asked > 50 && t.rejected >= t.asked - 2 && t.longest_rejection < 0.1);
   for (int i = 0; i < 2; ++i)
     play.planners[i] =
         std::make_unique<Planner>(play.loop, play.journal, of(PlannerManner::kSound), ports[i]);
@@ -172,7 +172,7 @@
   const double back = now();
   play.loop.run_for(1);
   const Tally later = tally(play.journal, back);
-  say("and served", later.acked > 0.8 * later.asked);
+  say("and served", later.succeeded > 0.8 * later.asked);
   play.end();
 }
 
@@ -221,7 +221,7 @@
   play.fleet.loop.run_for(1);
   play.end();
   const Tally t = tally(play.fleet.journal);
-  say("nine tenths of what is asked are served", t.acked > 0.9 * t.asked);
+  say("nine tenths of what is asked are served", t.succeeded > 0.9 * t.asked);
 }
 
 void all_killed() {
@@ -235,10 +235,10 @@
   play.fleet.loop.run_for(1);
   const Tally t = tally(play.fleet.journal, back);
   play.end();
-  say("served again", t.acked > 0.8 * (t.asked - 20));
+  say("served again", t.succeeded > 0.8 * (t.asked - 20));
 }
 
-// Keyed ops are remembered by one planner each, across its deaths.
+// Keyed requests are remembered by one planner each, across its deaths.
 void keyed() {
   Real play("results\n    enabled on\n    store STORE\n", "dedup", 100, 100);
   for (int i = 0; i < 4; ++i) {
@@ -264,7 +264,7 @@
   play.fleet.loop.run_for(1.5);
   play.end();
   const Tally t = tally(play.fleet.journal);
-  say("four fifths of what is asked are served", t.acked > 0.8 * t.asked);
+  say("four fifths of what is asked are served", t.succeeded > 0.8 * t.asked);
 }
 
 // A planner's process stands still: pings stay unanswered; it goes on and is asked about what it held.
@@ -280,7 +280,7 @@
   planner.process->signal(SIGCONT);
   play.fleet.loop.run_for(1);
   play.end();
-  say("the others serve meanwhile", t.acked > 0.7 * t.asked);
+  say("the others serve meanwhile", t.succeeded > 0.7 * t.asked);
 }
 
 void drains() {
@@ -354,7 +354,7 @@
   if (!fleet.start()) std::printf("the fleet does not start\n");
   fleet.loop.run_for(1.5);
   const Tally t = tally(fleet.journal);
-  say("nearly all are served", t.acked > 0.97 * (t.asked - 20));
+  say("nearly all are served", t.succeeded > 0.97 * (t.asked - 20));
   for (const auto& planner : fleet.planners) {
     auto counters = planner->process->counters();
     say("each planner serves", counters["ops.acked"] > 30);
@@ -421,7 +421,7 @@
   say("all leave in order", fleet.leave());
   verdict(fleet.journal, fleet.limits());
   const Tally t = tally(fleet.journal, 0, "close");
-  say("half of the keyed ops are served all the same", t.acked > t.asked / 2);
+  say("half of the keyed ops are served all the same", t.succeeded > t.asked / 2);
 }
 
 }  // namespace
@@ -429,7 +429,7 @@
 int main(int argc, char** argv) {
   return run_scenario(argc, argv, binary,
                       {{"mute", mute},
-                       {"nacks", nacks},
+                       {"nacks", rejections},
                        {"half", half},
                        {"lies", lies},
                        {"stranger", stranger},
--- a/tests/wire.cpp
+++ b/tests/wire.cpp
@@ -89,9 +89,9 @@
   if (problem == RpcProblem::kNone) {
     std::printf(", %s", r.method.c_str());
     if (r.has_txn) std::printf(", txn %s", format_id(r.txn).c_str());
-    if (r.has_item) std::printf(", item %s", format_id(r.item).c_str());
-    std::printf(", door %.0f, limit %.0f, caller %u, %.1f kB, probe %d, body '%s'", r.door_ms, r.limit_ms,
-                r.caller, r.held_kb, r.probe, shown(r.body).c_str());
+    if (r.has_subject) std::printf(", item %s", format_id(r.subject).c_str());
+    std::printf(", door %.0f, limit %.0f, caller %u, %.1f kB, probe %d, body '%s'", r.received_at_ms, r.client_timeout_ms,
+                r.caller, r.size_kb, r.probe, shown(r.body).c_str());
     if (r.work_ms > 0) std::printf(", work %.1f ms", r.work_ms);
   }
   std::printf("\n");
@@ -139,8 +139,8 @@
 
 void answers() {
   for (const std::string& text :
-       {encode_result(7, "hello"), encode_result(1, std::string("\0\xff", 2)), encode_nack(7, 0, false),
-        encode_nack(7, 250.2, false), encode_nack(7, 0, true), encode_nack(7, 1000, true),
+       {encode_result(7, "hello"), encode_result(1, std::string("\0\xff", 2)), encode_rejection(7, 0, false),
+        encode_rejection(7, 250.2, false), encode_rejection(7, 0, true), encode_rejection(7, 1000, true),
         encode_error(7, RpcError::kFailed, "failed"), encode_error(0, RpcError::kParse, "a \"quote\"\n"),
         encode_check(3, true), encode_check(3, false), encode_no_more()}) {
     std::printf("%s\n", text.substr(text.find("\r\n\r\n") + 4).c_str());
