--- a/bench/ajp.cpp
+++ b/bench/ajp.cpp
@@ -43,8 +43,8 @@
   double all_closeouts() const { return all_closes_asked > 0 ? all_closes_served / all_closes_asked : 0; }
 };
 
-// `rpc`, `ajp`: requests a second by either front; a share of them close-outs, of AJP's `ajp_closes` where that is
-// told.
+// `rpc`, `ajp`: requests a second by either front; a share of them close-outs, of AJP's `ajp_closes` where
+// that is told.
 Played play(double rpc, double ajp, double work, double seconds, std::uint64_t seed,
             double ajp_closes = kCloses) {
   Played out;
@@ -85,8 +85,8 @@
   out.broken += !server.leave();
   for (const auto& [request, t] : journal.tries) {
     if (t.refused) continue;
-    const bool in_time =
-        !t.answers.empty() && t.answers[0].kind == AnswerKind::kSucceeded && t.answers[0].at - t.sent <= kTarget;
+    const bool in_time = !t.answers.empty() && t.answers[0].kind == AnswerKind::kSucceeded &&
+                         t.answers[0].at - t.sent <= kTarget;
     ++out.asked, out.served += in_time;
     if (t.type != "close") continue;
     ++out.all_closes_asked, out.all_closes_served += in_time;
--- a/bench/conns.cpp
+++ b/bench/conns.cpp
@@ -1,5 +1,5 @@
-// Known clients beside floods of five shapes, with the gate and with today's rule, by turns: who gets in
-// within 100 ms, what is served of what the flood leaves alone, and what refusing costs.
+// KnownClients clients beside floods of five shapes, with the gate and with today's rule, by turns: who gets
+// in within 100 ms, what is served of what the flood leaves alone, and what refusing costs.
 #include <fmt/format.h>
 #include <sys/resource.h>
 
--- a/bench/knowledge.cpp
+++ b/bench/knowledge.cpp
@@ -13,7 +13,7 @@
 #include <thread>
 
 #include "fleet.h"
-#include "knowledge/keeper.h"
+#include "statistics/statistics_store.h"
 
 using namespace damsonspoke;
 using namespace damsonspoke::standins;
@@ -87,17 +87,17 @@
 const std::string kOn = "knowledge\n    enabled on\n    folder FOLDER\n    interval 1s\n";
 
 // A warm life at full load teaches; its record is what the rounds begin with.
-std::optional<knowledge::Record> taught(double seconds, std::uint64_t seed) {
+std::optional<statistics::StatisticsRecord> taught(double seconds, std::uint64_t seed) {
   Fleet fleet(kBinary, site_of(kOn), runtime_of(1, false), load_of(1.1, 1, seed));
   if (!fleet.start()) return std::nullopt;
   fleet.loop.run_for(seconds);
   fleet.settle(2);
   fleet.leave();
   const auto disk = store::open_folder(fleet.folder());
-  return knowledge::Folder(*disk).read().record;
+  return statistics::StatisticsFolder(*disk).read().record;
 }
 
-void leave_behind(const std::string& folder, knowledge::Record record, bool bad_spell) {
+void leave_behind(const std::string& folder, statistics::StatisticsRecord record, bool bad_spell) {
   record.written = unix_now();
   record.troubled = bad_spell;
   for (auto& type : record.types) {
@@ -106,12 +106,12 @@
     type.run.bins[11] = 20, type.run.sum = 20 * 8;
   }
   const auto disk = store::open_folder(folder);
-  knowledge::Folder(*disk).write(record);
+  statistics::StatisticsFolder(*disk).write(record);
 }
 
 // What became of the things that were first asked for in a span of time.
 struct Fate {
-  double asked = 0, served = 0;                          // importance
+  double asked = 0, served = 0;                            // importance
   int things = 0, late = 0, failed = 0, rejected_all = 0;  // of things: served late, or not at all
   double worth() const { return asked > 0 ? served / asked : 0; }
 };
@@ -181,7 +181,8 @@
 }
 
 // Warm relays serve; then one after another leaves, is off the list, and comes back cold.
-Played roll(const Plan& plan, const knowledge::Record& record, double seconds, std::uint64_t seed) {
+Played roll(const Plan& plan, const statistics::StatisticsRecord& record, double seconds,
+            std::uint64_t seed) {
   Played out;
   Loop loop;
   Journal journal;
@@ -219,8 +220,8 @@
 }
 
 // One relay that starts in the middle of a load.
-Played meet(const Plan& plan, const knowledge::Record& record, double load, bool cold, double seconds,
-            std::uint64_t seed) {
+Played meet(const Plan& plan, const statistics::StatisticsRecord& record, double load, bool cold,
+            double seconds, std::uint64_t seed) {
   Played out;
   Fleet fleet(kBinary, site_of(plan.remembers ? kOn : std::string()), runtime_of(plan.slower, cold),
               load_of(load / plan.slower, 1, seed));
@@ -249,7 +250,7 @@
     fleet.loop.run_for(0.05 + static_cast<double>(random() % 1000) / 1000 * 0.4);
     fleet.kill();
     const auto disk = store::open_folder(fleet.folder());
-    const knowledge::Reading read = knowledge::Folder(*disk).read();
+    const statistics::Reading read = statistics::StatisticsFolder(*disk).read();
     garbage += !read.record && read.problem != "nothing is there";
   }
   return garbage;
@@ -338,7 +339,7 @@
   const double seconds = flags["seconds"].as<double>();
   const auto seed = flags["seed"].as<std::uint64_t>();
   const int pairs = flags["pairs"].as<int>(), side = flags["side"].as<int>();
-  const std::optional<knowledge::Record> record = taught(12, seed);
+  const std::optional<statistics::StatisticsRecord> record = taught(12, seed);
   if (!record) return fmt::print("nothing was learned\n"), 1;
   std::atomic<int> garbage{0};
   std::thread killer([&] { garbage = garbage_after(flags["kills"].as<int>(), seed); });
--- a/bench/results.cpp
+++ b/bench/results.cpp
@@ -1,6 +1,6 @@
-// What remembering results costs and saves: runs a thing with and without, the time it adds to a request, kills,
-// a cut of durable writes, and memory. All on loopback, real processes; both sides of each comparison in one
-// run.
+// What remembering results costs and saves: runs a thing with and without, the time it adds to a request,
+// kills, a cut of durable writes, and memory. All on loopback, real processes; both sides of each comparison
+// in one run.
 #include <fmt/format.h>
 
 #include <algorithm>
--- a/bench/scale_backend.cpp
+++ b/bench/scale_backend.cpp
@@ -50,7 +50,7 @@
       lines += encode_change(catalog::PutTenant{tenant_name((sequence_ * 97 + i) % size_.tenants),
                                                 {10 + static_cast<double>(i), 0}});
     std::ofstream file(folder_ + "/" + catalog::kChangesFile, std::ios::binary | std::ios::app);
-    file << catalog::seal_span(1, sequence_ + 1, history_, lines);
+    file << catalog::encode_batch(1, sequence_ + 1, history_, lines);
     return sequence_ += count;
   }
   std::uint64_t sequence() const { return sequence_; }
--- a/bench/scale_catalog.cpp
+++ b/bench/scale_catalog.cpp
@@ -30,7 +30,7 @@
     load.requests = kRequests;
     load.seed = options.seed + static_cast<std::uint64_t>(i);
     load.directory = catalog.get();
-    plays.push_back(play_decisions(site.settings, load).us_per_request(kRequests));
+    plays.push_back(play_decisions(site.admission, load).us_per_request(kRequests));
   }
   fmt::print("  {:>6} routes, {:>7} tenants: {:>7.2f} us a request ({:.2f} to {:.2f})\n", size.routes,
              size.tenants, median(plays), quantile(plays, 0), quantile(plays, 1));
--- a/bench/tier_shapes.cpp
+++ b/bench/tier_shapes.cpp
@@ -1,7 +1,7 @@
-// Probe for the design of two levels: what passing the whole request on costs, against asking for a grant with a
-// descriptor and sending the body only once it is granted. Two threads over loopback, the project's frames;
-// the processor time of both ends a request, and the time to an answer, by body size and by the share that is
-// refused.
+// Probe for the design of two levels: what passing the whole request on costs, against asking for a grant
+// with a descriptor and sending the body only once it is granted. Two threads over loopback, the project's
+// frames; the processor time of both ends a request, and the time to an answer, by body size and by the share
+// that is refused.
 #include <fmt/format.h>
 #include <netinet/in.h>
 #include <netinet/tcp.h>
@@ -123,7 +123,8 @@
   planner.join();
   ::close(a), ::close(b);
   std::nth_element(waits.begin(), waits.begin() + requests / 2, waits.end());
-  return {(forwarder_cpu + planner_cpu) / requests * 1e6, waits[static_cast<std::size_t>(requests) / 2] * 1e6};
+  return {(forwarder_cpu + planner_cpu) / requests * 1e6,
+          waits[static_cast<std::size_t>(requests) / 2] * 1e6};
 }
 
 }  // namespace
--- a/fuzz/catalog.cpp
+++ b/fuzz/catalog.cpp
@@ -32,15 +32,16 @@
     if (catalog.find_route(name) != position || catalog.route(position).timeout <= 0) std::abort();
     priority_weight = std::max(priority_weight, catalog.route(position).priority_weight);
   });
-  if (std::abs(quotas - catalog.total_quota_per_second()) > 1e-3 || priority_weight != catalog.highest_priority_weight())
+  if (std::abs(quotas - catalog.total_quota_per_second()) > 1e-3 ||
+      priority_weight != catalog.highest_priority_weight())
     std::abort();
 }
 
 void read_headers(std::string_view line) {
   try {
-    const SpanHeader header = decode_span_header(line);
+    const BatchHeader header = decode_batch_header(line);
     if (header.first == 0 || header.last < header.first) std::abort();
-    if (decode_span_header(without_end(encode_header(header))).after != header.after) std::abort();
+    if (decode_batch_header(without_end(encode_header(header))).after != header.after) std::abort();
   } catch (const CodecError&) {
   }
   try {
--- a/fuzz/knowledge.cpp
+++ b/fuzz/knowledge.cpp
@@ -2,14 +2,14 @@
 // sensible.
 #include <cstdlib>
 
-#include "knowledge/age.h"
-#include "store/sealed_file.h"
+#include "statistics/prior.h"
+#include "store/checksummed_file.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const unsigned char* data, std::size_t size) {
   using namespace damsonspoke;
   const std::string_view bytes(reinterpret_cast<const char*>(data), size);
-  store::unseal(bytes, knowledge::kForm);
-  const std::optional<knowledge::Record> record = knowledge::decode(bytes);
+  store::verify_checksum(bytes, statistics::kForm);
+  const std::optional<statistics::StatisticsRecord> record = statistics::decode(bytes);
   if (!record) return 0;
   StartSettings site;
   Route type;
@@ -17,10 +17,10 @@
   site.admission.routes = {type};
   site.admission.cores = record->cores;
   site.route_names = {"push"};
-  const knowledge::Belief belief =
-      knowledge::believe(*record, site, record->written + 1, 0, {43200, 259200, 4});
+  const statistics::Prior belief =
+      statistics::derive_prior(*record, site, record->written + 1, 0, {43200, 259200, 4});
   for (const auto& times : belief.prior.routes) {
-    if (!times.run.bins.empty() && !knowledge::sensible(times.run)) std::abort();
+    if (!times.run.bins.empty() && !statistics::sensible(times.run)) std::abort();
   }
   return 0;
 }
--- a/fuzz/known_clients.cpp
+++ b/fuzz/known_clients.cpp
@@ -4,7 +4,7 @@
 #include <cstdlib>
 #include <string_view>
 
-#include "conns/known_record.h"
+#include "conns/known_clients_record.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const unsigned char* data, std::size_t size) {
   using namespace damsonspoke::conns;
@@ -14,7 +14,7 @@
   const auto second = decode_known(again);
   if (!second || second->size() != read->size() || encode(*second) != again) std::abort();
   constexpr double kNow = 1.7e9;
-  Known heir({1000, 4, 64});
+  KnownClients heir({1000, 4, 64});
   heir.begin_with(*read, kNow);
   for (const KnownClient& one : heir.all()) {
     if (!std::isfinite(one.earned) || one.earned < 0 || one.earned > 8) std::abort();
--- a/fuzz/members.cpp
+++ b/fuzz/members.cpp
@@ -5,17 +5,17 @@
 #include <string>
 #include <string_view>
 
-#include "members/view.h"
+#include "members/membership_view.h"
 
 namespace {
 
-struct Nowhere : damsonspoke::members::Port {
+struct Nowhere : damsonspoke::members::MembershipSink {
   void send(const std::string&, const damsonspoke::members::Message& message) override {
     if (damsonspoke::wire::members::encode("c", message).size() > damsonspoke::wire::members::kMostDatagram)
       std::abort();
   }
   void exchange(const std::string&) override {}
-  void changed(const std::string&, damsonspoke::members::State, const std::string&) override {}
+  void changed(const std::string&, damsonspoke::members::MemberState, const std::string&) override {}
   void noticed(const std::string&) override {}
 };
 
@@ -37,12 +37,12 @@
     if (!(second.message.records[i] == read.message.records[i])) std::abort();
   }
   Nowhere nowhere;
-  View view({}, {"self", "127.0.0.1:1", 1000}, {}, 1, nowhere);
+  MembershipView view({}, {"self", "127.0.0.1:1", 1000}, {}, 1, nowhere);
   view.begin(0);
   for (double now = 0; now < 3; now += 0.05) {
-    if (now >= view.wake()) view.on_wake(now);
+    if (now >= view.wake()) view.on_timer(now);
     if (now < 0.2) view.on_message("127.0.0.1:2", read.message, now);
   }
-  if (!view.yielded() && view.self_record(3).condition != Condition::kThere) std::abort();
+  if (!view.yielded() && view.self_record(3).condition != Condition::kAlive) std::abort();
   return 0;
 }
--- a/fuzz/planner_lists.cpp
+++ b/fuzz/planner_lists.cpp
@@ -2,14 +2,14 @@
 // was read is written and read again as it was.
 #include <cstdlib>
 
-#include "tier/lists_record.h"
+#include "tier/endpoint_list_history.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const unsigned char* data, std::size_t size) {
   using namespace damsonspoke::tier;
-  const auto read = decode_lists(std::string_view(reinterpret_cast<const char*>(data), size));
+  const auto read = decode_endpoint_list_history(std::string_view(reinterpret_cast<const char*>(data), size));
   if (!read) return 0;
   if (read->in_force.size() > kMostListed || read->former.size() > kMostFormerLists) std::abort();
-  const auto again = decode_lists(encode(*read));
+  const auto again = decode_endpoint_list_history(encode(*read));
   if (!again || again->in_force != read->in_force || again->former.size() != read->former.size())
     std::abort();
   for (std::size_t i = 0; i < read->former.size(); ++i) {
--- a/src/app/backend.cpp
+++ b/src/app/backend.cpp
@@ -9,9 +9,9 @@
 #include "app/leaving.h"
 #include "app/limits.h"
 #include "app/marks.h"
+#include "peers/combined_server.h"
 #include "peers/json_rpc/server.h"
 #include "peers/tier/forwarder_server.h"
-#include "peers/combined_server.h"
 
 namespace damsonspoke {
 namespace {
@@ -25,13 +25,15 @@
 constexpr double kOpenPerCore = 8;  // requests that it holds at most, for what it tells members
 
 std::size_t below_links(const Limits& limits) {
-  const std::size_t fit = part(limits, kBelowShare) / (peers::DependencyClient::kMostInput + peers::DependencyClient::kMostOutput);
+  const std::size_t fit = part(limits, kBelowShare) /
+                          (peers::DependencyClient::kMostInput + peers::DependencyClient::kMostOutput);
   return std::clamp<std::size_t>(fit, 1, static_cast<std::size_t>(descriptors(limits) / kBelowSockets));
 }
 
 // Their buffers are other ones than those of the platform's protocol; the share of memory is the same.
 std::size_t ajp_links(const Limits& limits, const AjpOptions& ajp) {
-  const std::size_t each = peers::AjpDependencyClient::most_input(ajp) + peers::AjpDependencyClient::kMostOutput;
+  const std::size_t each =
+      peers::AjpDependencyClient::most_input(ajp) + peers::AjpDependencyClient::kMostOutput;
   return std::clamp<std::size_t>(part(limits, kBelowShare) / each, 1, below_links(limits));
 }
 
@@ -46,8 +48,9 @@
   if (!options_.gate.enabled) return;
   std::vector<double> priority_weight;
   for (const Route& type : config_.site.admission.routes) priority_weight.push_back(type.priority_weight);
-  connection_admission_ = std::make_unique<peers::ConnectionAdmission>(reactor_, options_.gate, static_cast<std::size_t>(connections),
-                                        floors, std::move(priority_weight), counters_, log_);
+  connection_admission_ = std::make_unique<peers::ConnectionAdmission>(
+      reactor_, options_.gate, static_cast<std::size_t>(connections), floors, std::move(priority_weight),
+      counters_, log_);
 }
 
 // Where requests come in: callers at a relay, by one protocol or two, forwarders at a planner.
@@ -56,39 +59,44 @@
   const std::size_t output = part(config_.limits, kOutputShare);
   peers::CallerEvents& events = intake_;
   if (role == Role::kPlanner) {
-    const tier::Warming warming{site.admission.cores, site.admission.slow_start_speed, site.admission.slow_start_time};
-    peers::ForwarderServer::Self self{config_.name,       draw_epoch(),    warming,
-                                 config_.stop_after, site.route_names, {}};
+    const tier::WarmUpOptions warming{site.admission.cores, site.admission.slow_start_speed,
+                                      site.admission.slow_start_time};
+    peers::ForwarderServer::Self self{config_.name,       draw_epoch(),     warming,
+                                      config_.stop_after, site.route_names, {}};
     for (const Route& type : site.admission.routes) self.priority_weight.push_back(type.priority_weight);
     const int fit = links_that_fit(config_.limits, peers::ForwarderServer::kMostInput);
     return std::make_unique<peers::ForwarderServer>(
         reactor_, config_.listen, std::move(self),
-        peers::ForwarderServer::Limits{fit, output, part(config_.limits, kKeptShare)}, events, counters_, log_);
+        peers::ForwarderServer::Limits{fit, output, part(config_.limits, kKeptShare)}, events, counters_,
+        log_);
   }
   const peers::JsonRpcServer::Marks keys = marks(options_.results);
   const AjpOptions& ajp = options_.ajp;
   if (ajp.listen.empty()) {
     const int fit = links_that_fit(config_.limits, peers::JsonRpcServer::kMostInput);
     make_connection_admission(fit, {1});
-    conns::Share* share = connection_admission_ ? &connection_admission_->share() : nullptr;
-    return std::make_unique<peers::JsonRpcServer>(reactor_, config_.listen, catalog_.catalog(), keys,
-                                            peers::JsonRpcServer::Limits{fit, output, share, 0, connection_admission_.get()},
-                                            events, counters_, log_);
+    conns::ConnectionQuota* share = connection_admission_ ? &connection_admission_->share() : nullptr;
+    return std::make_unique<peers::JsonRpcServer>(
+        reactor_, config_.listen, catalog_.catalog(), keys,
+        peers::JsonRpcServer::Limits{fit, output, share, 0, connection_admission_.get()}, events, counters_,
+        log_);
   }
   const std::size_t input = std::max(peers::JsonRpcServer::kMostInput, peers::AjpServer::most_input(ajp));
   const int fit = links_that_fit(config_.limits, input);
   const std::vector<double> floors{std::max(ajp.share, 0.5), ajp.share};
   make_connection_admission(fit, floors);
-  if (!connection_admission_) share_ = std::make_unique<conns::Share>(static_cast<std::size_t>(fit), floors);
-  conns::Share& share = connection_admission_ ? connection_admission_->share() : *share_;
+  if (!connection_admission_)
+    share_ = std::make_unique<conns::ConnectionQuota>(static_cast<std::size_t>(fit), floors);
+  conns::ConnectionQuota& share = connection_admission_ ? connection_admission_->share() : *share_;
   auto callers = std::make_unique<peers::JsonRpcServer>(
       reactor_, config_.listen, catalog_.catalog(), keys,
-      peers::JsonRpcServer::Limits{fit, output / 2, &share, 0, connection_admission_.get()}, events, counters_, log_);
+      peers::JsonRpcServer::Limits{fit, output / 2, &share, 0, connection_admission_.get()}, events,
+      counters_, log_);
   peers::AjpServer::Self self{
       site.route_names, needs_key(config_, options_.results), keys.longest, {}, draw_epoch()};
   for (const Route& type : site.admission.routes) self.timeouts.push_back(type.timeout);
   auto second = std::make_unique<peers::AjpServer>(reactor_, std::move(self), ajp, output / 2, share, 1,
-                                                    events, counters_, log_, connection_admission_.get());
+                                                   events, counters_, log_, connection_admission_.get());
   ajp_ = second.get();
   return std::make_unique<peers::CombinedServer>(std::move(callers), std::move(second));
 }
@@ -101,14 +109,16 @@
       catalog_(reactor_, choice, counters_, log),
       in_flight_(ports_, counters_),
       sender_(ports_, config_.site, counters_),
-      replay_(reactor_, in_flight_, sender_, admission_, config_.site, catalog_.catalog(), options_.results, counters_,
-              log_),
+      replay_(reactor_, in_flight_, sender_, admission_, config_.site, catalog_.catalog(), options_.results,
+              counters_, log_),
       statistics_(reactor_, admission_, config_.site, config_.name, options_.knowledge, counters_, log_),
       executor_(in_flight_, sender_, replay_, counters_, log_),
-      admission_(reactor_, config_.site, catalog_.catalog(), config_.seed, executor_, statistics_, ports_, counters_),
+      admission_(reactor_, config_.site, catalog_.catalog(), config_.seed, executor_, statistics_, ports_,
+                 counters_),
       intake_(reactor_, {in_flight_, admission_, sender_, replay_}, ports_, config_.site, catalog_.catalog(),
-               counters_),
-      completion_handler_(in_flight_, sender_, replay_, admission_, intake_, config_.site.admission.preemption, counters_),
+              counters_),
+      completion_handler_(in_flight_, sender_, replay_, admission_, intake_,
+                          config_.site.admission.preemption, counters_),
       membership_(
           reactor_, choice, role == Role::kPlanner ? "planner" : "relay",
           [this] {
@@ -117,15 +127,16 @@
           },
           counters_, log_),
       front_(make_front(role)),
-      runtime_(reactor_, config_.runtime, part(config_.limits, kRuntimeShare), config_.site.gauges, completion_handler_,
-               counters_, log_),
+      runtime_(reactor_, config_.runtime, part(config_.limits, kRuntimeShare), config_.site.gauges,
+               completion_handler_, counters_, log_),
       dependency_(reactor_, options_.ajp.dependency.empty() ? config_.dependency : std::string(),
-             below_links(config_.limits), completion_handler_, counters_, log_),
+                  below_links(config_.limits), completion_handler_, counters_, log_),
       registry_(reactor_, config_.registry, config_.name, counters_) {
   ports_ = {front_.get(), &runtime_, &dependency_, &registry_};
   if (!options_.ajp.dependency.empty()) {
-    ajp_below_ = std::make_unique<peers::AjpDependencyClient>(
-        reactor_, options_.ajp, ajp_links(config_.limits, options_.ajp), completion_handler_, counters_, log_);
+    ajp_below_ = std::make_unique<peers::AjpDependencyClient>(reactor_, options_.ajp,
+                                                              ajp_links(config_.limits, options_.ajp),
+                                                              completion_handler_, counters_, log_);
     ports_.dependency = ajp_below_.get();
   }
   in_flight_.log_answers(log_);
@@ -210,7 +221,7 @@
   if (connection_admission_) connection_admission_->leaving();
   membership_.leave();
   sender_.leaving();
-  admission_.on_leave(config_.stop_after);
+  admission_.on_drain(config_.stop_after);
   look_at_leaving();
 }
 
@@ -221,11 +232,12 @@
   if (!listening_ && now >= config_.stop_after - kPartMargin) front_->end_all();
   const bool quiet = in_flight_.unanswered() == 0 && front_->connections() == 0;
   const bool grace_over = now > config_.site.admission.drain_grace;
-  if (listening_ && (now >= config_.stop_after - kListenMargin || (quiet && grace_over) || !admission_.begun())) {
+  if (listening_ &&
+      (now >= config_.stop_after - kListenMargin || (quiet && grace_over) || !admission_.begun())) {
     listening_ = false;
     front_->stop_listening();
   } else if (!listening_ &&
-             ((quiet && reactor_.farewells().empty()) || now >= config_.stop_after - kEndMargin)) {
+             ((quiet && reactor_.lingering_closes().empty()) || now >= config_.stop_after - kEndMargin)) {
     log_.info("backend", "left after {:.2f} s, {} ops unanswered", now, in_flight_.unanswered());
     return reactor_.stop();
   }
--- a/src/app/backend.h
+++ b/src/app/backend.h
@@ -7,27 +7,27 @@
 
 #include "app/catalog_watch.h"
 #include "app/membership.h"
-#include "conns/share.h"
+#include "conns/connection_quota.h"
 #include "control/server.h"
 #include "net/reactor.h"
+#include "observability/counters.h"
+#include "observability/logger.h"
 #include "peers/ajp/dependency_client.h"
 #include "peers/ajp/server.h"
-#include "peers/dependency/client.h"
 #include "peers/connection_admission.h"
+#include "peers/dependency/client.h"
 #include "peers/ports.h"
 #include "peers/registry/reporter.h"
 #include "peers/runtime/client.h"
 #include "settings/config.h"
 #include "stages/admission_driver.h"
-#include "stages/in_flight_requests.h"
-#include "stages/statistics_persistence.h"
-#include "stages/result_replay.h"
+#include "stages/command_sender.h"
 #include "stages/completion_handler.h"
 #include "stages/decision_executor.h"
-#include "stages/command_sender.h"
+#include "stages/in_flight_requests.h"
 #include "stages/request_intake.h"
-#include "watch/counters.h"
-#include "watch/logger.h"
+#include "stages/result_replay.h"
+#include "stages/statistics_persistence.h"
 
 namespace damsonspoke {
 
@@ -68,11 +68,12 @@
   stages::AdmissionDriver admission_;
   stages::RequestIntake intake_;
   stages::CompletionHandler completion_handler_;
-  std::unique_ptr<conns::Share> share_;       // with two fronts
-  std::unique_ptr<control::Server> control_;  // where operators have one
-  Membership membership_;                     // nothing where operators have none
-  std::unique_ptr<peers::ConnectionAdmission> connection_admission_;         // where operators have one; before the fronts
-  peers::AjpServer* ajp_ = nullptr;          // one of them, where there is one; before who sets it
+  std::unique_ptr<conns::ConnectionQuota> share_;  // with two fronts
+  std::unique_ptr<control::Server> control_;       // where operators have one
+  Membership membership_;                          // nothing where operators have none
+  std::unique_ptr<peers::ConnectionAdmission>
+      connection_admission_;         // where operators have one; before the fronts
+  peers::AjpServer* ajp_ = nullptr;  // one of them, where there is one; before who sets it
   std::unique_ptr<peers::Front> front_;
   peers::RuntimeClient runtime_;
   peers::DependencyClient dependency_;
--- a/src/app/catalog_command.cpp
+++ b/src/app/catalog_command.cpp
@@ -30,11 +30,11 @@
 int check(const std::string& folder) {
   const cat::Loaded loaded = cat::load_folder(folder, kToolLimits);
   for (const cat::FollowerMessage& message : loaded.messages)
-    if (message.trouble) fmt::print("{}\n", message.text);
+    if (message.is_error) fmt::print("{}\n", message.text);
   const cat::Version version = loaded.catalog->version();
   fmt::print("version {}.{}, {} routes, {} tenants, {} bytes of changes\n", version.epoch, version.sequence,
              loaded.catalog->route_count(), loaded.catalog->tenant_count(), loaded.changes_bytes);
-  return loaded.refusals.empty() ? kDone : kFailed;
+  return loaded.rejected_changes.empty() ? kDone : kFailed;
 }
 
 // Of the entries of a file, or of what the folder holds now: then the changes so far can go.
--- a/src/app/catalog_watch.cpp
+++ b/src/app/catalog_watch.cpp
@@ -80,7 +80,7 @@
 
 void CatalogWatch::tell() {
   for (const catalog::FollowerMessage& message : follower_->take_messages())
-    message.trouble ? log_.warn("catalog", "{}", message.text) : log_.info("catalog", "{}", message.text);
+    message.is_error ? log_.warn("catalog", "{}", message.text) : log_.info("catalog", "{}", message.text);
 }
 
 void CatalogWatch::report() {
@@ -114,7 +114,7 @@
       catalog_->route_count(), catalog_->tenant_count(), catalog_->bytes(), counts.applied, counts.snapshots,
       counts.refused, follower_->changes_offset());
   if (follower_->state() != catalog::Follower::State::kIdle) out += "reading now\n";
-  for (const catalog::Refusal& refusal : follower_->refusals())
+  for (const catalog::RejectedChange& refusal : follower_->rejected_changes())
     out += fmt::format("refused: {}: {}\n", refusal.what, refusal.why);
   return out;
 }
--- a/src/app/catalog_watch.h
+++ b/src/app/catalog_watch.h
@@ -10,9 +10,9 @@
 #include "catalog/threaded_source.h"
 #include "control/server.h"
 #include "net/reactor.h"
+#include "observability/counters.h"
+#include "observability/logger.h"
 #include "settings/config.h"
-#include "watch/counters.h"
-#include "watch/logger.h"
 
 namespace damsonspoke {
 
--- a/src/app/forwarder.cpp
+++ b/src/app/forwarder.cpp
@@ -138,7 +138,7 @@
     listening_ = false;
     callers_.stop_listening();
   } else if (!listening_ &&
-             ((quiet && reactor_.farewells().empty()) || now >= config_.stop_after - kEndMargin)) {
+             ((quiet && reactor_.lingering_closes().empty()) || now >= config_.stop_after - kEndMargin)) {
     log_.info("forwarder", "left after {:.2f} s, {} ops unanswered", now, forward_.open());
     return reactor_.stop();
   }
--- a/src/app/forwarder.h
+++ b/src/app/forwarder.h
@@ -10,13 +10,13 @@
 #include "catalog/catalog.h"
 #include "control/server.h"
 #include "net/reactor.h"
+#include "observability/counters.h"
+#include "observability/logger.h"
 #include "peers/json_rpc/server.h"
-#include "peers/tier/planner_client.h"
 #include "peers/registry/reporter.h"
+#include "peers/tier/planner_client.h"
 #include "settings/config.h"
 #include "stages/request_forwarder.h"
-#include "watch/counters.h"
-#include "watch/logger.h"
 
 namespace damsonspoke {
 
@@ -49,7 +49,7 @@
   peers::RegistryReporter registry_;
   std::unique_ptr<control::Server> control_;  // where operators have one
   Membership membership_;                     // nothing where operators have none
-  tier::RollCall roll_call_;
+  tier::PlannerDiscovery roll_call_;
   std::vector<std::string> planners_in_force_;
   double leaving_since_ = -1;
   bool listening_ = true;
--- a/src/app/knowledge_command.cpp
+++ b/src/app/knowledge_command.cpp
@@ -6,7 +6,7 @@
 #include <cstdio>
 
 #include "app/commands.h"
-#include "knowledge/keeper.h"
+#include "statistics/statistics_store.h"
 
 namespace damsonspoke {
 namespace {
@@ -30,18 +30,18 @@
   return count > 0 ? fmt::format("{:.4f} s of {:.1f} values", times.sum / count, count) : "nothing";
 }
 
-int show(const knowledge::Reading& read) {
+int show(const statistics::Reading& read) {
   if (!read.record) {
     fmt::print("{}\n", read.problem);
     return kFailed;
   }
-  const knowledge::Record& r = *read.record;
+  const statistics::StatisticsRecord& r = *read.record;
   fmt::print("written   {:.0f} s ago by {}, which had lived {:.0f} s{}\n", now() - r.written, r.site, r.lived,
              read.older ? " (the generation before)" : "");
   fmt::print("cores     {}\nbad spell {}\nlives that began with it and did not last: {}\n", r.cores,
              r.troubled ? "yes" : "no", read.starts);
   fmt::print("{:<20}{:<36}{}\n", "op type", "runs, mean", "at calls, mean");
-  for (const knowledge::TypeRecord& t : r.types)
+  for (const statistics::RouteRecord& t : r.types)
     fmt::print("{:<20}{:<36}{}\n", t.name, shown(t.run), shown(t.away));
   fmt::print("calls     {}\nreturns   {:.2f}\n", shown(r.calls), r.returns);
   return kDone;
@@ -54,15 +54,15 @@
   if (action != "show" && action != "verify" && action != "forget")
     throw WrongUse("knowledge takes show, verify or forget");
   const std::string path = folder_of(flags);
-  const std::unique_ptr<store::Disk> disk = store::open_folder(path);
-  knowledge::Folder folder(*disk);
+  const std::unique_ptr<store::FileSystem> disk = store::open_folder(path);
+  statistics::StatisticsFolder folder(*disk);
   if (action == "forget") {
     if (!disk->lock()) throw SettingsError(disk->why());
     folder.forget();
     fmt::print("{}: forgotten\n", path);
     return kDone;
   }
-  const knowledge::Reading read = folder.read();
+  const statistics::Reading read = folder.read();
   if (action == "show") return show(read);
   fmt::print("{}: {}{}\n", path, read.problem.empty() ? "sound" : read.problem,
              read.older ? ", the generation before is used" : "");
--- a/src/app/membership.cpp
+++ b/src/app/membership.cpp
@@ -30,7 +30,7 @@
     throw std::runtime_error(fmt::format("members: a name has {} bytes at most", members::kMostName));
   listen_host_ = choice.config.listen.substr(0, choice.config.listen.rfind(':'));
   members_ = std::make_unique<peers::MembershipTransport>(reactor, options_, choice.config.name, draw_life(),
-                                              std::random_device{}(), counters, log);
+                                                          std::random_device{}(), counters, log);
   members_->on_change = [this] {
     if (on_change) on_change();
   };
@@ -84,13 +84,14 @@
 std::vector<tier::PlannerSeen> Membership::planners() const {
   std::vector<tier::PlannerSeen> out;
   if (!members_) return out;
-  for (const members::Seen& seen : members_->seen()) {
+  for (const members::MemberStatus& seen : members_->seen()) {
     if (!seen.told || seen.told->role != "planner") continue;
     if (!members_->may_reach(seen.told->serves))
       continue;  // what members tell leads nowhere else than to members
-    const bool there = seen.state == members::State::kThere || seen.state == members::State::kUnsettled ||
-                       seen.state == members::State::kCut;  // links have their own eyes
-    out.push_back({seen.told->serves, there, seen.state == members::State::kLeft});
+    const bool there = seen.state == members::MemberState::kAlive ||
+                       seen.state == members::MemberState::kFlapping ||
+                       seen.state == members::MemberState::kUnreachable;  // links have their own eyes
+    out.push_back({seen.told->serves, there, seen.state == members::MemberState::kLeft});
   }
   return out;
 }
--- a/src/app/membership.h
+++ b/src/app/membership.h
@@ -11,7 +11,7 @@
 #include "control/server.h"
 #include "peers/members/transport.h"
 #include "settings/config.h"
-#include "tier/roll_call.h"
+#include "tier/planner_discovery.h"
 
 namespace damsonspoke {
 
@@ -43,7 +43,7 @@
   const std::function<Now()> now_;
   MembersOptions options_;
   std::unique_ptr<peers::MembershipTransport> members_;
-  members::Told told_;
+  members::LoadReport told_;
   std::string listen_host_;
   net::Reactor::TimerId timer_;
   bool leaving_ = false;
--- a/src/app/serve_command.cpp
+++ b/src/app/serve_command.cpp
@@ -8,7 +8,7 @@
 #include "app/commands.h"
 #include "app/forwarder.h"
 #include "net/address.h"
-#include "watch/logger.h"
+#include "observability/logger.h"
 #include "wire/rpc.h"
 
 namespace damsonspoke {
--- a/src/benchlink/main.cpp
+++ b/src/benchlink/main.cpp
@@ -1,5 +1,5 @@
-// The adapter: decodes the bench's batches into calls of AdmissionControllers and encodes what their Hosts are told to
-// do. One process carries many instances; they share nothing but the stream.
+// The adapter: decodes the bench's batches into calls of AdmissionControllers and encodes what their Hosts
+// are told to do. One process carries many instances; they share nothing but the stream.
 #include <cmath>
 #include <cstdio>
 #include <exception>
@@ -70,15 +70,15 @@
     out_.put(static_cast<std::uint8_t>(good));
     out_.put(static_cast<std::uint8_t>(from_store));
   }
-  void announce(double value) override {
+  void publish_load_feedback(double value) override {
     out_.begin_record(kAnnounce, who_);
     out_.put(static_cast<float>(value));
   }
-  void close_idle(double after) override {
+  void set_idle_timeout(double after) override {
     out_.begin_record(kIdle, who_);
     out_.put(after * kMsPerSecond);
   }
-  void wake_at(double time, std::uint64_t token) override {
+  void schedule_wakeup(double time, std::uint64_t token) override {
     out_.begin_record(kAfter, who_);
     out_.put(time * kMsPerSecond);
     out_.put(token);
@@ -161,7 +161,8 @@
   if (request.tenant != 0 && static_cast<std::size_t>(request.tenant) >= instance.tenants) {
     throw MalformedInput("a customer that the settings lack");
   }
-  if (request.size_kb < 0 || request.age < 0 || request.remaining_timeout < 0) throw MalformedInput("a negative size or time");
+  if (request.size_kb < 0 || request.age < 0 || request.remaining_timeout < 0)
+    throw MalformedInput("a negative size or time");
   return request;
 }
 
@@ -181,7 +182,8 @@
   return gauges;
 }
 
-// Each record is read in full before the decision, so that an exception in a AdmissionController cannot shift the stream.
+// Each record is read in full before the decision, so that an exception in a AdmissionController cannot shift
+// the stream.
 template <typename Decision>
 void decide(Instance& instance, Decision decision) {
   if (!instance.controller) return;
@@ -216,15 +218,15 @@
   }
   if (code == kTerminateSoon) {
     const double left = in.take_number<double>("expires-in") * kSecondsPerMs;
-    decide(instance, [&](AdmissionController& controller) { controller.on_leave(now, left); });
+    decide(instance, [&](AdmissionController& controller) { controller.on_drain(now, left); });
     return;
   }
   const auto id = in.take<std::uint64_t>();
   if (code == kWake) {
     const Gauges gauges = read_gauges(in, instance);
-    decide(instance, [&](AdmissionController& controller) { controller.on_wake(now, id, gauges); });
+    decide(instance, [&](AdmissionController& controller) { controller.on_timer(now, id, gauges); });
   } else if (code == kGone) {
-    decide(instance, [&](AdmissionController& controller) { controller.on_gone(now, id); });
+    decide(instance, [&](AdmissionController& controller) { controller.on_caller_gone(now, id); });
   } else if (code == kBlocked) {
     decide(instance, [&](AdmissionController& controller) { controller.on_call_needed(now, id); });
   } else {
@@ -232,9 +234,9 @@
     const double spent = in.take_number<double>("spent") * kSecondsPerMs;
     decide(instance, [&](AdmissionController& controller) {
       if (code == kRunOver) {
-        controller.on_run_end(now, id, outcome, spent);
+        controller.on_run_finished(now, id, outcome, spent);
       } else {
-        controller.on_call_end(now, id, outcome, spent);
+        controller.on_call_finished(now, id, outcome, spent);
       }
     });
   }
--- a/src/catalog/catalog.cpp
+++ b/src/catalog/catalog.cpp
@@ -26,7 +26,8 @@
   if (!(type.timeout > 0 && type.timeout <= kLongestTimeout)) return "its timeout is out of range";
   if (!(type.latency_objective >= 0 && type.latency_objective <= kLongestTimeout))
     return "its target is out of range";
-  if (!(type.priority_weight >= 0) || !std::isfinite(type.priority_weight)) return "its importance is out of range";
+  if (!(type.priority_weight >= 0) || !std::isfinite(type.priority_weight))
+    return "its importance is out of range";
   if (type.idempotency == Idempotency::kWithKey && !limits.keyed_routes)
     return "it is keyed, and keys are not remembered here";
   return {};
--- a/src/catalog/catalog.h
+++ b/src/catalog/catalog.h
@@ -41,7 +41,9 @@
   std::size_t tenant_count() const override { return tenants_.size(); }
   std::size_t tenant_positions() const override { return tenants_.most_positions(); }
   double total_quota_per_second() const override { return total_quota_per_second_; }
-  double highest_priority_weight() const override { return importance_.empty() ? 0 : importance_.rbegin()->first; }
+  double highest_priority_weight() const override {
+    return importance_.empty() ? 0 : importance_.rbegin()->first;
+  }
 
   Version version() const { return version_; }
   HistoryDigest history() const { return history_; }
--- a/src/catalog/codec.cpp
+++ b/src/catalog/codec.cpp
@@ -8,7 +8,7 @@
 #include <nlohmann/json.hpp>
 
 #include "settings/settings.h"
-#include "store/sealed_file.h"
+#include "store/checksummed_file.h"
 
 namespace damsonspoke::catalog {
 namespace {
@@ -148,10 +148,10 @@
           number_in(object, "tenants")};
 }
 
-SpanHeader decode_span_header(std::string_view line) {
+BatchHeader decode_batch_header(std::string_view line) {
   const Json object = object_in(line);
-  SpanHeader header{number_in(object, "epoch"), number_in(object, "first"), number_in(object, "last"),
-                    digest_in(object, "before"), digest_in(object, "after")};
+  BatchHeader header{number_in(object, "epoch"), number_in(object, "first"), number_in(object, "last"),
+                     digest_in(object, "before"), digest_in(object, "after")};
   if (header.first == 0 || header.last < header.first) throw CodecError("its numbers are out of order");
   return header;
 }
@@ -166,7 +166,7 @@
          "\n";
 }
 
-std::string encode_header(const SpanHeader& header) {
+std::string encode_header(const BatchHeader& header) {
   return Json{{"epoch", header.epoch},
               {"first", header.first},
               {"last", header.last},
@@ -176,9 +176,9 @@
          "\n";
 }
 
-std::string seal_span(std::uint64_t epoch, std::uint64_t first, HistoryDigest& history,
-                      const std::string& lines) {
-  SpanHeader header{epoch, first, first - 1, history, history};
+std::string encode_batch(std::uint64_t epoch, std::uint64_t first, HistoryDigest& history,
+                         const std::string& lines) {
+  BatchHeader header{epoch, first, first - 1, history, history};
   for (std::size_t from = 0; from < lines.size();) {
     const std::size_t end = lines.find('\n', from);
     header.after = extend(header.after, std::string_view(lines).substr(from, end - from));
@@ -186,7 +186,7 @@
     from = end + 1;
   }
   history = header.after;
-  return store::seal(kSpanForm, encode_header(header) + lines);
+  return store::add_checksum(kBatchForm, encode_header(header) + lines);
 }
 
 }  // namespace damsonspoke::catalog
--- a/src/catalog/codec.h
+++ b/src/catalog/codec.h
@@ -41,26 +41,26 @@
   std::uint64_t routes = 0, tenants = 0;
 };
 // The first line of a span of changes; the changes follow, a line each, with the numbers `first` to `last`.
-struct SpanHeader {
+struct BatchHeader {
   std::uint64_t epoch = 0, first = 0, last = 0;
   HistoryDigest before = 0, after = 0;
 };
 SnapshotHeader decode_snapshot_header(std::string_view line);
-SpanHeader decode_span_header(std::string_view line);
+BatchHeader decode_batch_header(std::string_view line);
 std::string encode_header(const SnapshotHeader& header);
-std::string encode_header(const SpanHeader& header);
+std::string encode_header(const BatchHeader& header);
 
 // ---- Files. Content is sealed (store/sealed_file.h); a file of changes is sealed spans, one after another.
-constexpr std::uint32_t kSnapshotForm = 1, kSpanForm = 2;
+constexpr std::uint32_t kSnapshotForm = 1, kBatchForm = 2;
 constexpr const char* kSnapshotFile = "catalog.snapshot";
 constexpr const char* kOlderSnapshotFile =
     "catalog.snapshot.1";  // the one before, as store/sealed_file keeps it
 constexpr const char* kChangesFile = "catalog.changes";
-constexpr std::size_t kMostSnapshot = std::size_t{256} << 20;  // bytes: four times the size in two years
-constexpr std::size_t kMostSpan = std::size_t{256} << 10;      // bytes of one span: some 2,500 changes
+constexpr std::size_t kMaxSnapshotBytes = std::size_t{256} << 20;  // bytes: four times the size in two years
+constexpr std::size_t kMaxBatchBytes = std::size_t{256} << 10;     // bytes of one span: some 2,500 changes
 
 // A sealed span of changes; `lines` as encode_change makes them. The history is moved on.
-std::string seal_span(std::uint64_t epoch, std::uint64_t first, HistoryDigest& history,
-                      const std::string& lines);
+std::string encode_batch(std::uint64_t epoch, std::uint64_t first, HistoryDigest& history,
+                         const std::string& lines);
 
 }  // namespace damsonspoke::catalog
--- a/src/catalog/files.cpp
+++ b/src/catalog/files.cpp
@@ -10,8 +10,8 @@
 #include <cstring>
 #include <fstream>
 
-#include "store/disk.h"
-#include "store/sealed_file.h"
+#include "store/checksummed_file.h"
+#include "store/file_system.h"
 
 namespace damsonspoke::catalog {
 namespace {
@@ -24,7 +24,7 @@
 
 // The lines of `text` in pieces that fit into a span each.
 std::vector<std::string> pieces_of(const std::string& text) {
-  constexpr std::size_t kMost = kMostSpan - kLongestLine;
+  constexpr std::size_t kMost = kMaxBatchBytes - kLongestLine;
   std::vector<std::string> pieces;
   for (std::size_t from = 0; from < text.size();) {
     std::size_t end = std::min(text.size(), from + kMost);
@@ -58,7 +58,7 @@
   Follower follower(*loaded.catalog, source, [] { return 0.0; });
   follower.follow();
   while (follower.step(kNoEnd) != Follower::State::kIdle) continue;
-  loaded.refusals.assign(follower.refusals().begin(), follower.refusals().end());
+  loaded.rejected_changes.assign(follower.rejected_changes().begin(), follower.rejected_changes().end());
   loaded.messages = follower.take_messages();
   loaded.changes_bytes = follower.changes_offset();
   return loaded;
@@ -88,8 +88,8 @@
     if (std::holds_alternative<PutRoute>(change)) ++header.routes;
     if (std::holds_alternative<PutTenant>(change)) ++header.tenants;
   }
-  const std::unique_ptr<store::Disk> disk = store::open_folder(folder);
-  store::SealedFile file(*disk, kSnapshotFile, kSnapshotForm, kMostSnapshot);
+  const std::unique_ptr<store::FileSystem> disk = store::open_folder(folder);
+  store::ChecksummedFile file(*disk, kSnapshotFile, kSnapshotForm, kMaxSnapshotBytes);
   if (!file.write(encode_header(header) + lines)) throw FilesError(disk->why());
 }
 
@@ -112,7 +112,7 @@
 Version append_changes(const std::string& folder, std::uint64_t epoch, const std::string& lines,
                        const CatalogLimits& limits) {
   const Loaded loaded = load_folder(folder, limits);
-  for (const Refusal& refusal : loaded.refusals) {
+  for (const RejectedChange& refusal : loaded.rejected_changes) {
     const bool entry = refusal.version != Version{};  // a change that was refused alone keeps its number
     if (!entry) throw FilesError(fmt::format("{}: {}", refusal.what, refusal.why));
   }
@@ -120,13 +120,13 @@
   if (epoch < version.epoch)
     throw FilesError(fmt::format("epoch {} is lower than {}, in force", epoch, version.epoch));
   HistoryDigest history = loaded.catalog->history();
-  std::string spans;
+  std::string batches;
   for (const std::string& piece : pieces_of(lines)) {
-    spans += seal_span(epoch, version.sequence + 1, history, piece);
+    batches += encode_batch(epoch, version.sequence + 1, history, piece);
     version = {epoch,
                version.sequence + static_cast<std::uint64_t>(std::count(piece.begin(), piece.end(), '\n'))};
   }
-  append_at(folder + "/" + kChangesFile, loaded.changes_bytes, spans);
+  append_at(folder + "/" + kChangesFile, loaded.changes_bytes, batches);
   return version;
 }
 
--- a/src/catalog/files.h
+++ b/src/catalog/files.h
@@ -20,7 +20,7 @@
 // What a backend would have in force that starts with this folder.
 struct Loaded {
   std::unique_ptr<Catalog> catalog;
-  std::vector<Refusal> refusals;
+  std::vector<RejectedChange> rejected_changes;
   std::vector<FollowerMessage> messages;
   std::uint64_t changes_bytes = 0;  // of the file of changes, in whole spans that were taken
 };
--- a/src/catalog/follower.cpp
+++ b/src/catalog/follower.cpp
@@ -58,10 +58,10 @@
 // A little of what is to be done; false where it waits for a piece.
 bool Follower::work() {
   if (waiting_) {
-    std::optional<Piece> piece = source_.take();
+    std::optional<FileChunk> piece = source_.take();
     if (!piece) return false;
     waiting_ = false;
-    on_piece(*piece);
+    on_chunk(*piece);
     return true;
   }
   for (int i = 0; i < kEntriesBetweenLooks && !waiting_; ++i) {
@@ -73,7 +73,7 @@
     } else if (stage_ == Stage::kRelease) {
       release();
       return true;
-    } else if (stage_ == Stage::kSpan) {
+    } else if (stage_ == Stage::kBatch) {
       take_change();
     } else {
       return true;
@@ -88,10 +88,10 @@
   source_.request(file, offset, most);
 }
 
-void Follower::on_piece(const Piece& piece) {
+void Follower::on_chunk(const FileChunk& piece) {
   switch (stage_) {
     case Stage::kSnapshotHead: return on_snapshot_head(piece);
-    case Stage::kSnapshotEntries: return on_snapshot_piece(piece);
+    case Stage::kSnapshotEntries: return on_snapshot_chunk(piece);
     case Stage::kChanges: return on_changes(piece);
     default: return;
   }
@@ -107,20 +107,20 @@
   in_force_since_ = clock_();
 }
 
-void Follower::say(bool trouble, std::string text) {
-  if (messages_.size() < kMostMessages) messages_.push_back({trouble, std::move(text)});
+void Follower::say(bool is_error, std::string text) {
+  if (messages_.size() < kMostMessages) messages_.push_back({is_error, std::move(text)});
 }
 
 void Follower::refuse(Version version, std::string what, std::string why) {
   ++counts_.refused;
   say(true, fmt::format("{} refused, {} stays in force: {}", what, text_of(catalog_.version()), why));
-  refusals_.push_back({version, std::move(what), std::move(why)});
-  if (refusals_.size() > kMostRefusals) refusals_.pop_front();
+  rejected_changes_.push_back({version, std::move(what), std::move(why)});
+  if (rejected_changes_.size() > kMostRefusals) rejected_changes_.pop_front();
 }
 
 // ---- The snapshot.
 
-void Follower::refuse_snapshot(const std::string& why) {
+void Follower::reject_snapshot(const std::string& why) {
   check_.reset();
   refuse({}, snapshot_name_, why);
   release();
@@ -141,38 +141,39 @@
   ask(Stage::kSnapshotHead, snapshot_name_, 0, kHeadBytes);
 }
 
-void Follower::on_snapshot_head(const Piece& piece) {
+void Follower::on_snapshot_head(const FileChunk& piece) {
   if (!piece.there && piece.why.empty()) return release();
-  if (!piece.there) return refuse_snapshot(piece.why);
-  const store::SealHead head = store::read_seal_head(piece.bytes, kSnapshotForm);
-  if (head.problem != store::SealProblem::kNone) return refuse_snapshot(std::string(text_of(head.problem)));
-  if (head.form != kSnapshotForm) return refuse_snapshot("it is no snapshot");
-  if (head.length > kMostSnapshot)
-    return refuse_snapshot(fmt::format("it holds {} bytes, {} at most", head.length, kMostSnapshot));
-  if (piece.size != head.length + store::kSealHeadBytes)
-    return refuse_snapshot(fmt::format("it has {} bytes and should have {}: torn or damaged", piece.size,
-                                       head.length + store::kSealHeadBytes));
-  text_ = piece.bytes.substr(store::kSealHeadBytes);
+  if (!piece.there) return reject_snapshot(piece.why);
+  const store::ChecksumHeader head = store::read_checksum_header(piece.bytes, kSnapshotForm);
+  if (head.problem != store::ChecksumProblem::kNone)
+    return reject_snapshot(std::string(text_of(head.problem)));
+  if (head.form != kSnapshotForm) return reject_snapshot("it is no snapshot");
+  if (head.length > kMaxSnapshotBytes)
+    return reject_snapshot(fmt::format("it holds {} bytes, {} at most", head.length, kMaxSnapshotBytes));
+  if (piece.size != head.length + store::kChecksumHeaderBytes)
+    return reject_snapshot(fmt::format("it has {} bytes and should have {}: torn or damaged", piece.size,
+                                       head.length + store::kChecksumHeaderBytes));
+  text_ = piece.bytes.substr(store::kChecksumHeaderBytes);
   used_ = 0;
   std::string_view line;
-  if (!next_line(text_, used_, line)) return refuse_snapshot("it has no header");
+  if (!next_line(text_, used_, line)) return reject_snapshot("it has no header");
   try {
     snapshot_ = decode_snapshot_header(line);
   } catch (const CodecError& error) {
-    return refuse_snapshot(fmt::format("line 1: {}", error.what()));
+    return reject_snapshot(fmt::format("line 1: {}", error.what()));
   }
   const Version now = catalog_.version();
   if (snapshot_.version.epoch < now.epoch)
-    return refuse_snapshot(fmt::format("its epoch is {}", snapshot_.version.epoch));
+    return reject_snapshot(fmt::format("its epoch is {}", snapshot_.version.epoch));
   if (snapshot_.version == now && snapshot_.history != catalog_.history())
-    return refuse_snapshot(fmt::format("version {} has another history here", text_of(now)));
+    return reject_snapshot(fmt::format("version {} has another history here", text_of(now)));
   if (snapshot_.version <= now) return read_changes();
   if (snapshot_.routes > catalog_.limits().routes || snapshot_.tenants > catalog_.limits().tenants)
-    return refuse_snapshot(fmt::format("it has {} routes and {} tenants, {} and {} at most", snapshot_.routes,
+    return reject_snapshot(fmt::format("it has {} routes and {} tenants, {} and {} at most", snapshot_.routes,
                                        snapshot_.tenants, catalog_.limits().routes,
                                        catalog_.limits().tenants));
   successor_ = catalog_.successor();
-  check_ = std::make_unique<store::SealCheck>(head);
+  check_ = std::make_unique<store::ChecksumVerifier>(head);
   check_->add(text_);
   snapshot_file_ = piece.file;
   snapshot_end_ = piece.size;
@@ -181,16 +182,16 @@
   stage_ = Stage::kSnapshotEntries;
 }
 
-void Follower::on_snapshot_piece(const Piece& piece) {
+void Follower::on_snapshot_chunk(const FileChunk& piece) {
   if (!piece.there || piece.file != snapshot_file_ || piece.size != snapshot_end_ || piece.bytes.empty())
-    return refuse_snapshot("it was replaced while it was read");
+    return reject_snapshot("it was replaced while it was read");
   check_->add(piece.bytes);
   snapshot_offset_ += piece.bytes.size();
   text_.erase(0, used_);
   used_ = 0;
   text_ += piece.bytes;
   if (text_.find('\n') == std::string::npos)
-    refuse_snapshot(fmt::format("line {}: it has more than {} bytes", line_ + 1, text_.size()));
+    reject_snapshot(fmt::format("line {}: it has more than {} bytes", line_ + 1, text_.size()));
 }
 
 void Follower::take_snapshot_entry() {
@@ -198,12 +199,12 @@
   if (!next_line(text_, used_, line)) {
     if (snapshot_offset_ < snapshot_end_)
       return ask(Stage::kSnapshotEntries, snapshot_name_, snapshot_offset_, kPieceBytes);
-    if (used_ != text_.size() || !check_->sound()) return refuse_snapshot("torn or damaged");
+    if (used_ != text_.size() || !check_->sound()) return reject_snapshot("torn or damaged");
     if (successor_->route_count() != snapshot_.routes || successor_->tenant_count() != snapshot_.tenants)
-      return refuse_snapshot(fmt::format("its header tells {} routes and {} tenants, it has {} and {}",
+      return reject_snapshot(fmt::format("its header tells {} routes and {} tenants, it has {} and {}",
                                          snapshot_.routes, snapshot_.tenants, successor_->route_count(),
                                          successor_->tenant_count()));
-    if (snapshot_.routes == 0) return refuse_snapshot("it has no route");
+    if (snapshot_.routes == 0) return reject_snapshot("it has no route");
     stage_ = Stage::kPrepare;
     return;
   }
@@ -211,9 +212,9 @@
   try {
     const Change entry = decode_change(line);
     const std::string why = successor_->add(entry, catalog_);
-    if (!why.empty()) refuse_snapshot(fmt::format("line {}: {}: {}", line_, describe(entry), why));
+    if (!why.empty()) reject_snapshot(fmt::format("line {}: {}: {}", line_, describe(entry), why));
   } catch (const CodecError& error) {
-    refuse_snapshot(fmt::format("line {}: {}", line_, error.what()));
+    reject_snapshot(fmt::format("line {}: {}", line_, error.what()));
   }
 }
 
@@ -233,7 +234,7 @@
 
 void Follower::read_changes() { ask(Stage::kChanges, kChangesFile, offset_, kPieceBytes); }
 
-void Follower::on_changes(const Piece& piece) {
+void Follower::on_changes(const FileChunk& piece) {
   if (!piece.there) {
     if (!piece.why.empty()) refuse({}, kChangesFile, piece.why);
     offset_ = 0;
@@ -247,66 +248,66 @@
     if (!from_start) return read_changes();
   }
   if (piece.bytes.empty()) return end();
-  const store::SealHead head = store::read_seal_head(piece.bytes, kSpanForm);
-  const std::uint64_t whole = store::kSealHeadBytes + head.length;
-  const bool known = head.problem == store::SealProblem::kNone;
-  if (head.problem == store::SealProblem::kTorn || (known && offset_ + whole > piece.size)) {
+  const store::ChecksumHeader head = store::read_checksum_header(piece.bytes, kBatchForm);
+  const std::uint64_t whole = store::kChecksumHeaderBytes + head.length;
+  const bool known = head.problem == store::ChecksumProblem::kNone;
+  if (head.problem == store::ChecksumProblem::kTorn || (known && offset_ + whole > piece.size)) {
     say(true, fmt::format("{}: the last span is not whole, {} bytes at {}", kChangesFile,
                           piece.size - offset_, offset_));
     return end();
   }
-  if (!known) return refuse_bytes(head.problem);
-  if (head.form != kSpanForm) return refuse_span("it is no span of changes");
-  if (head.length > kMostSpan)
-    return refuse_span(fmt::format("it holds {} bytes, {} at most", head.length, kMostSpan));
+  if (!known) return reject_bytes(head.problem);
+  if (head.form != kBatchForm) return reject_batch("it is no span of changes");
+  if (head.length > kMaxBatchBytes)
+    return reject_batch(fmt::format("it holds {} bytes, {} at most", head.length, kMaxBatchBytes));
   if (piece.bytes.size() < whole)
     return ask(Stage::kChanges, kChangesFile, offset_, static_cast<std::size_t>(whole));
-  const store::Sealed span =
-      store::unseal(std::string_view(piece.bytes).substr(0, static_cast<std::size_t>(whole)), kSpanForm);
-  if (span.problem != store::SealProblem::kNone) return refuse_bytes(span.problem);
-  span_bytes_ = whole;
-  begin_span(span.content);
+  const store::ChecksummedContent span = store::verify_checksum(
+      std::string_view(piece.bytes).substr(0, static_cast<std::size_t>(whole)), kBatchForm);
+  if (span.problem != store::ChecksumProblem::kNone) return reject_bytes(span.problem);
+  batch_bytes_ = whole;
+  begin_batch(span.content);
 }
 
 // No span begins here. Another file may have taken the place of the one that was read, under its number: then
 // all of it is read, and what is known passed over. Once: what is damaged there is damaged.
-void Follower::refuse_bytes(store::SealProblem problem) {
-  if (from_start_) return refuse_span(std::string(text_of(problem)));
+void Follower::reject_bytes(store::ChecksumProblem problem) {
+  if (from_start_) return reject_batch(std::string(text_of(problem)));
   from_start_ = true;
   offset_ = 0;
   read_changes();
 }
 
 // Nothing behind it is read before it has gone: the changes there build on it.
-void Follower::refuse_span(const std::string& why) {
+void Follower::reject_batch(const std::string& why) {
   refuse({}, fmt::format("{}: span at byte {}", kChangesFile, offset_), why);
   end();
 }
 
-void Follower::begin_span(const std::string& content) {
+void Follower::begin_batch(const std::string& content) {
   std::size_t used = 0;
   std::string_view line;
   changes_.clear();
-  if (!next_line(content, used, line)) return refuse_span("it has no header");
+  if (!next_line(content, used, line)) return reject_batch("it has no header");
   try {
-    span_ = decode_span_header(line);
+    batch_ = decode_batch_header(line);
   } catch (const CodecError& error) {
-    return refuse_span(error.what());
+    return reject_batch(error.what());
   }
   while (next_line(content, used, line)) changes_.emplace_back(line);
-  if (used != content.size()) return refuse_span("its last line has no end");
-  const std::string why = span_refusal(span_, changes_);
-  if (!why.empty()) return refuse_span(why);
+  if (used != content.size()) return reject_batch("its last line has no end");
+  const std::string why = check_batch(batch_, changes_);
+  if (!why.empty()) return reject_batch(why);
   const std::uint64_t now = catalog_.version().sequence;
-  next_change_ = static_cast<std::size_t>(now >= span_.first ? now - span_.first + 1 : 0);
+  next_change_ = static_cast<std::size_t>(now >= batch_.first ? now - batch_.first + 1 : 0);
   if (next_change_ >= changes_.size()) {  // all of it is in force already
-    offset_ += span_bytes_;
+    offset_ += batch_bytes_;
     return read_changes();
   }
-  stage_ = Stage::kSpan;
+  stage_ = Stage::kBatch;
 }
 
-std::string Follower::span_refusal(const SpanHeader& header, const std::vector<std::string>& lines) {
+std::string Follower::check_batch(const BatchHeader& header, const std::vector<std::string>& lines) {
   const Version now = catalog_.version();
   if (lines.size() != header.last - header.first + 1)
     return fmt::format("it has {} changes for the numbers {} to {}", lines.size(), header.first, header.last);
@@ -314,7 +315,7 @@
     return fmt::format("its epoch is {}", header.epoch);
   if (header.first > now.sequence + 1)
     return fmt::format("a gap: it begins with {}, {} is next", header.first, now.sequence + 1);
-  return history_refusal(header, lines);
+  return check_history(header, lines);
 }
 
 bool Follower::known_otherwise(std::uint64_t sequence, HistoryDigest history) const {
@@ -324,7 +325,7 @@
 }
 
 // Its history must be ours wherever we know ours, and what its header says that it is.
-std::string Follower::history_refusal(const SpanHeader& header, const std::vector<std::string>& lines) const {
+std::string Follower::check_history(const BatchHeader& header, const std::vector<std::string>& lines) const {
   HistoryDigest history = header.before;
   std::uint64_t sequence = header.first - 1;
   bool differs = known_otherwise(sequence, history);
@@ -341,7 +342,7 @@
 
 void Follower::take_change() {
   const std::string& line = changes_[next_change_];
-  const Version version{span_.epoch, span_.first + next_change_};
+  const Version version{batch_.epoch, batch_.first + next_change_};
   try {
     const Change change = decode_change(line);
     const std::string why = catalog_.apply(change);
@@ -355,10 +356,10 @@
   }
   in_force(version, extend(catalog_.history(), line));
   if (++next_change_ < changes_.size()) return;
-  ++counts_.spans;
+  ++counts_.batches;
   histories_[version.sequence] = catalog_.history();
   if (histories_.size() > kMostHistories) histories_.erase(histories_.begin());
-  offset_ += span_bytes_;
+  offset_ += batch_bytes_;
   changes_.clear();
   read_changes();
 }
--- a/src/catalog/follower.h
+++ b/src/catalog/follower.h
@@ -19,11 +19,11 @@
 #include "catalog/catalog.h"
 #include "catalog/codec.h"
 #include "catalog/source.h"
-#include "store/sealed_file.h"
+#include "store/checksummed_file.h"
 
 namespace damsonspoke::catalog {
 
-struct Refusal {
+struct RejectedChange {
   Version version;   // of the change; 0.0: of a whole file
   std::string what;  // entry, file or span
   std::string why;
@@ -31,13 +31,13 @@
 
 // What became known, for the log.
 struct FollowerMessage {
-  bool trouble = false;  // something was refused or is damaged
+  bool is_error = false;  // something was refused or is damaged
   std::string text;
 };
 
 struct FollowerCounts {
   std::uint64_t snapshots = 0;  // taken over
-  std::uint64_t spans = 0;      // taken
+  std::uint64_t batches = 0;    // taken
   std::uint64_t applied = 0;    // changes in force
   std::uint64_t refused = 0;    // entries, spans and snapshots
 };
@@ -57,35 +57,35 @@
   State state() const;
 
   // What was refused lately, the newest last, and what became known of the files since the last call.
-  const std::deque<Refusal>& refusals() const { return refusals_; }
+  const std::deque<RejectedChange>& rejected_changes() const { return rejected_changes_; }
   std::vector<FollowerMessage> take_messages() { return std::exchange(messages_, {}); }
   const FollowerCounts& counts() const { return counts_; }
   double in_force_since() const { return in_force_since_; }  // by the clock; the version that is in force
   std::uint64_t changes_offset() const { return offset_; }   // bytes of the file of changes that are read
 
  private:
-  enum class Stage { kIdle, kSnapshotHead, kSnapshotEntries, kPrepare, kRelease, kChanges, kSpan };
+  enum class Stage { kIdle, kSnapshotHead, kSnapshotEntries, kPrepare, kRelease, kChanges, kBatch };
 
   bool work();
   void ask(Stage stage, const std::string& file, std::uint64_t offset, std::size_t most);
-  void on_piece(const Piece& piece);
-  void on_snapshot_head(const Piece& piece);
-  void on_snapshot_piece(const Piece& piece);
+  void on_chunk(const FileChunk& piece);
+  void on_snapshot_head(const FileChunk& piece);
+  void on_snapshot_chunk(const FileChunk& piece);
   void take_snapshot_entry();
   void end_snapshot();
   void release();
   void look_at(const char* snapshot);
-  void refuse_snapshot(const std::string& why);
+  void reject_snapshot(const std::string& why);
   void read_changes();
-  void on_changes(const Piece& piece);
-  void begin_span(const std::string& content);
-  std::string span_refusal(const SpanHeader& header, const std::vector<std::string>& lines);
-  std::string history_refusal(const SpanHeader& header, const std::vector<std::string>& lines) const;
+  void on_changes(const FileChunk& piece);
+  void begin_batch(const std::string& content);
+  std::string check_batch(const BatchHeader& header, const std::vector<std::string>& lines);
+  std::string check_history(const BatchHeader& header, const std::vector<std::string>& lines) const;
   bool known_otherwise(std::uint64_t sequence, HistoryDigest history) const;
   void take_change();
-  void refuse_span(const std::string& why);
-  void refuse_bytes(store::SealProblem problem);
-  void say(bool trouble, std::string text);
+  void reject_batch(const std::string& why);
+  void reject_bytes(store::ChecksumProblem problem);
+  void say(bool is_error, std::string text);
   void refuse(Version version, std::string what, std::string why);
   void end();
   void in_force(Version version, HistoryDigest history);
@@ -99,7 +99,7 @@
 
   // The snapshot that is read.
   std::unique_ptr<Catalog> successor_;  // or what it has taken over from
-  std::unique_ptr<store::SealCheck> check_;
+  std::unique_ptr<store::ChecksumVerifier> check_;
   std::string snapshot_name_;
   SnapshotHeader snapshot_;
   std::uint64_t snapshot_file_ = 0, snapshot_end_ = 0, snapshot_offset_ = 0, line_ = 0;
@@ -109,14 +109,14 @@
   // The file of changes.
   std::uint64_t changes_file_ = 0, offset_ = 0;
   bool from_start_ = false;  // this reading has begun at the file's start
-  SpanHeader span_;
+  BatchHeader batch_;
   std::vector<std::string> changes_;  // the lines of a span
   std::size_t next_change_ = 0;
-  std::uint64_t span_bytes_ = 0;
+  std::uint64_t batch_bytes_ = 0;
   std::map<std::uint64_t, HistoryDigest> histories_;  // at the ends of the last spans, by sequence number
 
   double in_force_since_ = 0;
-  std::deque<Refusal> refusals_;
+  std::deque<RejectedChange> rejected_changes_;
   std::vector<FollowerMessage> messages_;
   FollowerCounts counts_;
 };
--- a/src/catalog/source.cpp
+++ b/src/catalog/source.cpp
@@ -12,8 +12,8 @@
 namespace damsonspoke::catalog {
 namespace {
 
-Piece read_piece(const std::string& path, std::uint64_t offset, std::size_t most) {
-  Piece piece;
+FileChunk read_piece(const std::string& path, std::uint64_t offset, std::size_t most) {
+  FileChunk piece;
   // Not held up by what is no file: a pipe without a writer would be waited for.
   const int fd = ::open(path.c_str(), O_RDONLY | O_CLOEXEC | O_NONBLOCK);
   if (fd < 0) {
--- a/src/catalog/source.h
+++ b/src/catalog/source.h
@@ -7,7 +7,7 @@
 
 namespace damsonspoke::catalog {
 
-struct Piece {
+struct FileChunk {
   bool there = false;      // there is such a file, and it could be read
   std::string why;         // else why not; empty: there is no such file
   std::uint64_t file = 0;  // changes when another file takes its name
@@ -21,7 +21,7 @@
   // Asks for at most `most` bytes from `offset` on. One request at a time.
   virtual void request(const std::string& name, std::uint64_t offset, std::size_t most) = 0;
   // What was asked for; nothing as long as it has not come.
-  virtual std::optional<Piece> take() = 0;
+  virtual std::optional<FileChunk> take() = 0;
 };
 
 // Reads from a folder at once, on the caller's thread.
@@ -29,11 +29,11 @@
  public:
   explicit FolderSource(std::string folder) : folder_(std::move(folder)) {}
   void request(const std::string& name, std::uint64_t offset, std::size_t most) override;
-  std::optional<Piece> take() override { return std::move(piece_); }
+  std::optional<FileChunk> take() override { return std::move(piece_); }
 
  private:
   const std::string folder_;
-  std::optional<Piece> piece_;
+  std::optional<FileChunk> piece_;
 };
 
 }  // namespace damsonspoke::catalog
--- a/src/catalog/threaded_source.cpp
+++ b/src/catalog/threaded_source.cpp
@@ -5,7 +5,7 @@
 #include <mutex>
 #include <utility>
 
-#include "store/side_thread.h"
+#include "store/worker_thread.h"
 
 namespace damsonspoke::catalog {
 namespace {
@@ -18,11 +18,11 @@
 
 }  // namespace
 
-struct ThreadedSource::Shared : store::SideThreadState {
+struct ThreadedSource::Shared : store::WorkerThreadState {
   std::unique_ptr<Source> source;
   std::function<void()> on_ready;
   std::optional<Request> request;
-  std::optional<Piece> piece;
+  std::optional<FileChunk> piece;
 
   void run() {
     std::unique_lock guard(lock);
@@ -32,7 +32,7 @@
       const Request wanted = *std::exchange(request, std::nullopt);
       guard.unlock();
       source->request(wanted.name, wanted.offset, wanted.most);
-      std::optional<Piece> read = source->take();
+      std::optional<FileChunk> read = source->take();
       guard.lock();
       piece = std::move(read);
       changed.notify_all();
@@ -50,7 +50,7 @@
   thread_ = std::thread([shared = shared_] { shared->run(); });
 }
 
-ThreadedSource::~ThreadedSource() { store::end_side_thread(*shared_, thread_); }
+ThreadedSource::~ThreadedSource() { store::stop_worker_thread(*shared_, thread_); }
 
 void ThreadedSource::request(const std::string& name, std::uint64_t offset, std::size_t most) {
   const std::lock_guard guard(shared_->lock);
@@ -59,7 +59,7 @@
   shared_->changed.notify_all();
 }
 
-std::optional<Piece> ThreadedSource::take() {
+std::optional<FileChunk> ThreadedSource::take() {
   const std::lock_guard guard(shared_->lock);
   return std::exchange(shared_->piece, std::nullopt);
 }
--- a/src/catalog/threaded_source.h
+++ b/src/catalog/threaded_source.h
@@ -21,7 +21,7 @@
   ThreadedSource& operator=(const ThreadedSource&) = delete;
 
   void request(const std::string& name, std::uint64_t offset, std::size_t most) override;
-  std::optional<Piece> take() override;
+  std::optional<FileChunk> take() override;
   // For who has nothing else to do: false where no piece comes within `seconds`.
   bool wait(double seconds);
 
--- a/src/conns/gate.cpp
+++ b/src/conns/connection_limiter.cpp
@@ -1,4 +1,4 @@
-#include "conns/gate.h"
+#include "conns/connection_limiter.h"
 
 #include <algorithm>
 #include <limits>
@@ -12,21 +12,21 @@
 constexpr double kFullAgain = 0.5;             // s to come back in where a place has to become free first
 const Prefix kEverybody{};                     // one key for all strangers
 
-double points_of(Waste how) {
+double points_of(Penalty how) {
   switch (how) {
-    case Waste::kSilent:
-    case Waste::kReset: return 1;
-    case Waste::kHalf: return 2;
-    case Waste::kSlow:
-    case Waste::kFaults:
-    case Waste::kBadFrame: return 4;
+    case Penalty::kSilent:
+    case Penalty::kReset: return 1;
+    case Penalty::kHalf: return 2;
+    case Penalty::kSlow:
+    case Penalty::kFaults:
+    case Penalty::kBadFrame: return 4;
   }
   return 0;
 }
 
 // So many entries that the least of them is empty while strangers come at their rate, and after their burst:
 // then a new key takes nobody's place who matters, and nobody's count is lost.
-std::size_t entries(const GateTerms& terms) {
+std::size_t entries(const ConnectionLimiterOptions& terms) {
   const double drained = kDrains * terms.strangers_rate / terms.address_rate;
   const auto needed = static_cast<std::size_t>(std::max(drained, terms.strangers_burst));
   return std::clamp(needed, terms.clients, std::max(terms.clients, kMostEntries));
@@ -34,14 +34,15 @@
 
 }  // namespace
 
-const char* text_of(Turned why) {
+const char* text_of(RejectCause why) {
   constexpr const char* kTexts[kTurnedKinds] = {
       "none",         "client cap",      "network cap", "group cap",        "client rate",
       "network rate", "strangers' rate", "wasteful",    "strangers' share", "full"};
   return kTexts[static_cast<std::size_t>(why)];
 }
 
-Gate::Gate(GateTerms terms, Share& share, Known& known)
+ConnectionLimiter::ConnectionLimiter(ConnectionLimiterOptions terms, ConnectionQuota& share,
+                                     KnownClients& known)
     : terms_(std::move(terms)),
       share_(share),
       known_(known),
@@ -54,12 +55,12 @@
       waste_(terms_.clients, terms_.waste_half_life) {}
 
 // ---- Readings.
-std::size_t Gate::of_total(double share) const {
+std::size_t ConnectionLimiter::of_total(double share) const {
   return std::max<std::size_t>(1, static_cast<std::size_t>(static_cast<double>(share_.total()) * share));
 }
-std::size_t Gate::strangers_most() const { return of_total(1 - terms_.reserve); }
+std::size_t ConnectionLimiter::strangers_most() const { return of_total(1 - terms_.reserve); }
 
-int Gate::group_of(const Address& from) const {
+int ConnectionLimiter::group_of(const Address& from) const {
   int best = -1, bits = -1;  // the narrowest prefix counts
   for (std::size_t i = 0; i < terms_.groups.size(); ++i) {
     for (const Prefix& prefix : terms_.groups[i].prefixes) {
@@ -69,33 +70,33 @@
   return best;
 }
 
-Standing Gate::standing(const Address& from, double unix_now) const {
+Standing ConnectionLimiter::standing(const Address& from, double unix_now) const {
   for (const Prefix& prefix : terms_.listed) {
     if (prefix.holds(from)) return Standing::kListed;
   }
-  return known_.is_known(client_of(from), unix_now) ? Standing::kKnown : Standing::kStranger;
+  return known_.is_known(client_of(from), unix_now) ? Standing::kKnown : Standing::kUnknownClient;
 }
 
 // ---- What is open.
-Gate::Rank Gate::rank_of(ConnId id, const Conn& conn) const {
-  const int kind = conn.standing != Standing::kStranger ? 2 : conn.asked ? 1 : 0;
+ConnectionLimiter::Rank ConnectionLimiter::rank_of(ConnId id, const Conn& conn) const {
+  const int kind = conn.standing != Standing::kUnknownClient ? 2 : conn.asked ? 1 : 0;
   const double until =
       conn.asked ? conn.useful + terms_.keep_idle + conn.keep : conn.opened + terms_.silent_grace;
   return {kind, until, id};
 }
 
-void Gate::enter(ConnId id, const Conn& conn) {
+void ConnectionLimiter::enter(ConnId id, const Conn& conn) {
   if (!conn.busy) by_rank_.insert(rank_of(id, conn));
-  strangers_ += conn.standing == Standing::kStranger;
+  strangers_ += conn.standing == Standing::kUnknownClient;
 }
 
-void Gate::leave(ConnId id, const Conn& conn) {
+void ConnectionLimiter::leave(ConnId id, const Conn& conn) {
   if (!conn.busy) by_rank_.erase(rank_of(id, conn));
-  strangers_ -= conn.standing == Standing::kStranger;
+  strangers_ -= conn.standing == Standing::kUnknownClient;
 }
 
 template <typename F>
-void Gate::change(ConnId id, F&& how) {
+void ConnectionLimiter::change(ConnId id, F&& how) {
   const auto found = conns_.find(id);
   if (found == conns_.end()) return;
   leave(id, found->second);
@@ -103,7 +104,7 @@
   enter(id, found->second);
 }
 
-void Gate::ended(ConnId id) {
+void ConnectionLimiter::ended(ConnId id) {
   const auto found = conns_.find(id);
   if (found == conns_.end()) return;
   const Conn& conn = found->second;
@@ -120,16 +121,16 @@
   conns_.erase(found);
 }
 
-void Gate::asked(ConnId id, double now) {
+void ConnectionLimiter::asked(ConnId id, double now) {
   change(id, [&](Conn& conn) { conn.asked = true, conn.useful = now; });
 }
-void Gate::busy(ConnId id, bool busy) {
+void ConnectionLimiter::busy(ConnId id, bool busy) {
   const auto found = conns_.find(id);
   if (found == conns_.end() || found->second.busy == busy) return;
   change(id, [&](Conn& conn) { conn.busy = busy; });
 }
 
-void Gate::succeeded(ConnId id, double priority_weight, double now, double unix_now) {
+void ConnectionLimiter::succeeded(ConnId id, double priority_weight, double now, double unix_now) {
   const auto found = conns_.find(id);
   if (found == conns_.end()) return;
   known_.succeeded(found->second.client, unix_now);
@@ -137,11 +138,11 @@
   change(id, [&](Conn& conn) {
     conn.useful = now;
     conn.keep = std::min(terms_.keep_most, conn.keep + terms_.keep_worth * priority_weight);
-    if (known && conn.standing == Standing::kStranger) conn.standing = Standing::kKnown;
+    if (known && conn.standing == Standing::kUnknownClient) conn.standing = Standing::kKnown;
   });
 }
 
-void Gate::wasted(ConnId id, Waste how, double now) {
+void ConnectionLimiter::wasted(ConnId id, Penalty how, double now) {
   const auto found = conns_.find(id);
   if (found == conns_.end()) return;
   const Prefix client = found->second.client;
@@ -151,7 +152,7 @@
 }
 
 // ---- Newcomers.
-Arrival Gate::refuse(Turned why, const Prefix& client, double retry_after, double now) {
+Arrival ConnectionLimiter::refuse(RejectCause why, const Prefix& client, double retry_after, double now) {
   ++counts_[static_cast<std::size_t>(why)];
   refused_.push_back({now, client, why});
   if (refused_.size() > kRefusedKept) refused_.pop_front();
@@ -160,14 +161,14 @@
 
 // A place that `other` gives up is one that `front` may take: its own, or one above what is kept for that
 // front.
-bool Gate::frees_for(std::size_t front, std::size_t other) const {
+bool ConnectionLimiter::frees_for(std::size_t front, std::size_t other) const {
   return front == other || share_.open(other) > share_.floor(other);
 }
 
 // A stranger moves only who has outstayed its time; a known client moves any stranger with nothing open, and
 // where there is none, a known one that has outstayed its time.
-std::optional<ConnId> Gate::to_shed(Standing newcomer, std::size_t front, double now) const {
-  const bool stranger = newcomer == Standing::kStranger;
+std::optional<ConnId> ConnectionLimiter::to_shed(Standing newcomer, std::size_t front, double now) const {
+  const bool stranger = newcomer == Standing::kUnknownClient;
   for (auto it = by_rank_.begin(); it != by_rank_.end();) {
     const auto& [kind, until, id] = *it;
     if (stranger && kind == 2) break;
@@ -182,7 +183,8 @@
 }
 
 // One of the same client that has outstayed its time: who reconnects leaves its dead connections behind.
-std::optional<ConnId> Gate::own_to_shed(const Prefix& client, std::size_t front, double now) const {
+std::optional<ConnId> ConnectionLimiter::own_to_shed(const Prefix& client, std::size_t front,
+                                                     double now) const {
   std::optional<Rank> best;
   for (const ConnId id : of_client_.at(client)) {
     const Conn& conn = conns_.at(id);
@@ -194,52 +196,53 @@
   return std::get<2>(*best);
 }
 
-Arrival Gate::arrive(ConnId id, std::size_t front, const Address& from, double now, double unix_now,
-                     bool scarce) {
+Arrival ConnectionLimiter::arrive(ConnId id, std::size_t front, const Address& from, double now,
+                                  double unix_now, bool scarce) {
   const Prefix client = client_of(from), network = network_of(from);
   const Standing standing = this->standing(from, unix_now);
-  const bool stranger = standing == Standing::kStranger;
+  const bool stranger = standing == Standing::kUnknownClient;
   if (stranger && waste_.points(client, now) >= terms_.wasteful)
-    return refuse(Turned::kWasteful, client, waste_.falls_to(client, terms_.wasteful, now), now);
+    return refuse(RejectCause::kWasteful, client, waste_.falls_to(client, terms_.wasteful, now), now);
 
   // Rates before caps: a flood is told apart for the price of two look-ups.
   RateSketch& mine = stranger ? by_client_ : known_by_client_;
   if (const double wait = mine.room_in(client, now); wait > 0)
-    return refuse(Turned::kAddressRate, client, wait, now);
+    return refuse(RejectCause::kAddressRate, client, wait, now);
   const int group = group_of(from);
   if (stranger) {
     if (const double wait = by_network_.room_in(network, now); group < 0 && wait > 0)
-      return refuse(Turned::kNetworkRate, client, wait, now);
+      return refuse(RejectCause::kNetworkRate, client, wait, now);
     if (const double wait = all_strangers_.room_in(kEverybody, now); wait > 0)
-      return refuse(Turned::kStrangersRate, client, wait, now);
+      return refuse(RejectCause::kStrangersRate, client, wait, now);
   }
 
-  Arrival out{true, Turned::kNot, 0, std::nullopt};
+  Arrival out{true, RejectCause::kNot, 0, std::nullopt};
   const auto own = of_client_.find(client);
   if (group >= 0) {
     const auto at = static_cast<std::size_t>(group);
     if (of_group_[at] >= of_total(terms_.groups[at].share)) {
       if (own != of_client_.end()) out.sheds = own_to_shed(client, front, now);
-      if (!out.sheds) return refuse(Turned::kGroupCap, client, kFullAgain, now);
+      if (!out.sheds) return refuse(RejectCause::kGroupCap, client, kFullAgain, now);
     }
   } else {
     const std::size_t cap = of_total(stranger ? terms_.address_share : terms_.known_share);
     if (own != of_client_.end() && own->second.size() >= cap) {
       out.sheds = own_to_shed(client, front, now);
-      if (!out.sheds) return refuse(Turned::kAddressCap, client, kFullAgain, now);
+      if (!out.sheds) return refuse(RejectCause::kAddressCap, client, kFullAgain, now);
     }
     const auto of = of_network_.find(network);
     const std::size_t most = of_total(std::max(terms_.network_share, stranger ? 0 : terms_.known_share));
     if (!out.sheds && of != of_network_.end() && of->second >= most) {
       if (own != of_client_.end()) out.sheds = own_to_shed(client, front, now);
-      if (!out.sheds) return refuse(Turned::kNetworkCap, client, kFullAgain, now);
+      if (!out.sheds) return refuse(RejectCause::kNetworkCap, client, kFullAgain, now);
     }
   }
   const bool strangers_full = stranger && strangers_ >= strangers_most();
   if (!out.sheds && (strangers_full || scarce || !share_.room(front))) {
     out.sheds = to_shed(standing, front, now);
     if (!out.sheds)
-      return refuse(strangers_full ? Turned::kStrangersShare : Turned::kFull, client, kFullAgain, now);
+      return refuse(strangers_full ? RejectCause::kStrangersShare : RejectCause::kFull, client, kFullAgain,
+                    now);
   }
 
   mine.take(client, now);
@@ -265,7 +268,7 @@
 }
 
 // ---- Other terms.
-void Gate::reconfigure(GateTerms terms, double now) {
+void ConnectionLimiter::reconfigure(ConnectionLimiterOptions terms, double now) {
   terms_ = std::move(terms);
   by_client_.reset(terms_.address_rate, terms_.address_burst, now);
   by_network_.reset(terms_.network_rate, terms_.network_burst, now);
@@ -283,7 +286,7 @@
   }
 }
 
-std::vector<ConnId> Gate::beyond(double now) const {
+std::vector<ConnId> ConnectionLimiter::beyond(double now) const {
   std::vector<ConnId> out;
   const std::size_t total = share_.total();
   for (const Rank& rank : by_rank_) {
@@ -293,7 +296,7 @@
   return out;
 }
 
-std::vector<Gate::ClientView> Gate::clients(double now, double unix_now) const {
+std::vector<ConnectionLimiter::ClientView> ConnectionLimiter::clients(double now, double unix_now) const {
   std::vector<ClientView> out;
   for (const auto& [client, ids] : of_client_) {
     ClientView view{client,
--- a/src/conns/gate.h
+++ b/src/conns/connection_limiter.h
@@ -16,9 +16,9 @@
 #include <unordered_map>
 #include <vector>
 
-#include "conns/known.h"
+#include "conns/connection_quota.h"
+#include "conns/known_clients.h"
 #include "conns/prefix.h"
-#include "conns/share.h"
 #include "conns/space_saving.h"
 
 namespace damsonspoke::conns {
@@ -31,7 +31,7 @@
   std::vector<Prefix> prefixes;
 };
 
-struct GateTerms {
+struct ConnectionLimiterOptions {
   double address_share = 0.25;  // of the connections, for one client (an IPv4 address, an IPv6 /64)
   double known_share = 0.5;     // for one that is known: many may stand behind its address
   double network_share = 0.5;   // for one IPv4 /24 or IPv6 /48
@@ -51,10 +51,10 @@
   std::vector<GateGroup> groups;
 };
 
-enum class Standing { kStranger, kKnown, kListed };
+enum class Standing { kUnknownClient, kKnown, kListed };
 
 // Why a newcomer is not let in.
-enum class Turned {
+enum class RejectCause {
   kNot,
   kAddressCap,
   kNetworkCap,
@@ -67,22 +67,22 @@
   kFull
 };
 constexpr std::size_t kTurnedKinds = 10;
-const char* text_of(Turned why);
+const char* text_of(RejectCause why);
 
 // What a connection was closed for, as far as it counts against its client.
-enum class Waste { kSilent, kHalf, kFaults, kBadFrame, kSlow, kReset };
+enum class Penalty { kSilent, kHalf, kFaults, kBadFrame, kSlow, kReset };
 
 struct Arrival {
   bool in = false;
-  Turned why = Turned::kNot;
-  double retry_after = 0;      // s, where not in
+  RejectCause why = RejectCause::kNot;
+  double retry_after = 0;       // s, where not in
   std::optional<ConnId> sheds;  // the connection that has to go for it; told with ended() when it has
 };
 
-class Gate {
+class ConnectionLimiter {
  public:
   // Both outlive this. `share` says how many connections there are and what fronts keep of them.
-  Gate(GateTerms terms, Share& share, Known& known);
+  ConnectionLimiter(ConnectionLimiterOptions terms, ConnectionQuota& share, KnownClients& known);
 
   // A newcomer. `scarce`: the system has no descriptor left, whatever the table says: it may come in only
   // where another goes. `unix_now`: for the standing of clients.
@@ -93,10 +93,10 @@
   void asked(ConnId id, double now);  // a whole message was read
   void busy(ConnId id, bool busy);    // requests of it are open, or output waits: it can't be shed
   void succeeded(ConnId id, double priority_weight, double now, double unix_now);
-  void wasted(ConnId id, Waste how, double now);
+  void wasted(ConnId id, Penalty how, double now);
 
   // Terms from now on; what is open beyond them stays until it ends or is shed.
-  void reconfigure(GateTerms terms, double now);
+  void reconfigure(ConnectionLimiterOptions terms, double now);
   // Connections that have to go because fewer are allowed than are open: the least worth keeping, none busy.
   std::vector<ConnId> beyond(double now) const;
 
@@ -108,27 +108,27 @@
   struct ClientView {
     Prefix client;
     std::size_t open = 0, busy = 0;
-    Standing standing = Standing::kStranger;
+    Standing standing = Standing::kUnknownClient;
     double points = 0, earned = 0;
   };
   std::vector<ClientView> clients(double now, double unix_now) const;  // those with most open first
   struct Refused {
     double at = 0;  // monotonic s
     Prefix client;
-    Turned why = Turned::kNot;
+    RejectCause why = RejectCause::kNot;
   };
   const std::deque<Refused>& last_refused() const { return refused_; }
-  std::uint64_t refused(Turned why) const { return counts_[static_cast<std::size_t>(why)]; }
+  std::uint64_t refused(RejectCause why) const { return counts_[static_cast<std::size_t>(why)]; }
   std::uint64_t shed() const { return shed_; }
   double rate_error(double now) const { return by_client_.error(now); }
-  const GateTerms& terms() const { return terms_; }
+  const ConnectionLimiterOptions& terms() const { return terms_; }
 
  private:
   struct Conn {
     std::size_t front = 0;
     Prefix client, network;
     int group = -1;
-    Standing standing = Standing::kStranger;
+    Standing standing = Standing::kUnknownClient;
     bool asked = false, busy = false;
     double opened = 0, useful = 0, keep = 0;  // s; keep: beyond its last use
   };
@@ -143,14 +143,14 @@
 
   int group_of(const Address& from) const;
   std::size_t of_total(double share) const;
-  Arrival refuse(Turned why, const Prefix& client, double retry_after, double now);
+  Arrival refuse(RejectCause why, const Prefix& client, double retry_after, double now);
   std::optional<ConnId> to_shed(Standing newcomer, std::size_t front, double now) const;
   std::optional<ConnId> own_to_shed(const Prefix& client, std::size_t front, double now) const;
   bool frees_for(std::size_t front, std::size_t other) const;
 
-  GateTerms terms_;
-  Share& share_;
-  Known& known_;
+  ConnectionLimiterOptions terms_;
+  ConnectionQuota& share_;
+  KnownClients& known_;
   std::unordered_map<ConnId, Conn> conns_;
   std::set<Rank> by_rank_;  // those that are not busy
   std::unordered_map<Prefix, std::set<ConnId>, PrefixHash> of_client_;
--- a/src/conns/share.cpp
+++ b/src/conns/connection_quota.cpp
@@ -1,16 +1,17 @@
-#include "conns/share.h"
+#include "conns/connection_quota.h"
 
 #include <algorithm>
 
 namespace damsonspoke::conns {
 
-Share::Share(std::size_t total, const std::vector<double>& floors, ShareTerms terms)
+ConnectionQuota::ConnectionQuota(std::size_t total, const std::vector<double>& floors,
+                                 ConnectionQuotaOptions terms)
     : terms_(terms), fronts_(floors.size()) {
   for (std::size_t i = 0; i < floors.size(); ++i) fronts_[i].weight = floors[i];
   resize(total);
 }
 
-void Share::resize(std::size_t total) {
+void ConnectionQuota::resize(std::size_t total) {
   total_ = total;
   std::size_t kept = 0;
   for (Front& front : fronts_) {
@@ -23,18 +24,18 @@
 }
 
 // There is a place under its own floor, or one above what is kept for the others.
-bool Share::room(std::size_t front) const {
+bool ConnectionQuota::room(std::size_t front) const {
   std::size_t taken = 0;
   for (std::size_t i = 0; i < fronts_.size(); ++i)
     taken += i == front ? fronts_[i].open : std::max(fronts_[i].open, fronts_[i].floor);
   return taken < total_;
 }
 
-void Share::closed(std::size_t front) {
+void ConnectionQuota::closed(std::size_t front) {
   if (fronts_[front].open > 0) --fronts_[front].open;
 }
 
-void Share::turn(double now) {
+void ConnectionQuota::turn(double now) {
   if (period_began_ >= 0 && now < period_began_ + terms_.period) return;
   const bool next = period_began_ >= 0 && now < period_began_ + 2 * terms_.period;
   for (Front& front : fronts_) {
@@ -44,7 +45,7 @@
   period_began_ = now;
 }
 
-bool Share::may_read(std::size_t front, double now) {
+bool ConnectionQuota::may_read(std::size_t front, double now) {
   turn(now);
   Front& asking = fronts_[front];
   double weights = 0;
--- a/src/conns/share.h
+++ b/src/conns/connection_quota.h
@@ -13,15 +13,15 @@
 
 namespace damsonspoke::conns {
 
-struct ShareTerms {
+struct ConnectionQuotaOptions {
   double period = 0.01;  // s
   int messages = 64;     // that all fronts together may read in a period once more than one of them reads
 };
 
-class Share {
+class ConnectionQuota {
  public:
   // `total`: connections in all; `floors`: each front's share of them, together at most 1.
-  Share(std::size_t total, const std::vector<double>& floors, ShareTerms terms = {});
+  ConnectionQuota(std::size_t total, const std::vector<double>& floors, ConnectionQuotaOptions terms = {});
 
   // ---- Connections.
   bool room(std::size_t front) const;
@@ -47,7 +47,7 @@
   void turn(double now);
 
   std::size_t total_ = 0;
-  const ShareTerms terms_;
+  const ConnectionQuotaOptions terms_;
   std::vector<Front> fronts_;
   double period_began_ = -1;
 };
--- a/src/conns/known.cpp
+++ b/src/conns/known_clients.cpp
@@ -1,4 +1,4 @@
-#include "conns/known.h"
+#include "conns/known_clients.h"
 
 #include <algorithm>
 #include <cmath>
@@ -8,25 +8,25 @@
 
 constexpr double kMost = 2;  // x the requests needed: standing does not grow without bound
 constexpr double kMisbehaved =
-    0.25;                      // of the requests needed: four slips in a row lose a fresh standing, six a full one
-constexpr double kLost = 0.5;  // of the requests needed; under it the standing is lost
+    0.25;  // of the requests needed: four slips in a row lose a fresh standing, six a full one
+constexpr double kLost = 0.5;       // of the requests needed; under it the standing is lost
 constexpr double kClockSlack = 60;  // s that a record may come from the future: clocks are corrected
 constexpr std::size_t kLookedAt =
     32;  // of the oldest, for one without standing, before a known one has to go
 
 }  // namespace
 
-bool Known::is_known(const Prefix& client, double now) const {
+bool KnownClients::is_known(const Prefix& client, double now) const {
   const auto found = at_.find(client);
   return found != at_.end() && found->second->known && now - found->second->last <= terms_.lasts;
 }
 
-double Known::earned(const Prefix& client) const {
+double KnownClients::earned(const Prefix& client) const {
   const auto found = at_.find(client);
   return found == at_.end() ? 0 : found->second->earned;
 }
 
-void Known::succeeded(const Prefix& client, double now) {
+void KnownClients::succeeded(const Prefix& client, double now) {
   auto found = at_.find(client);
   if (found == at_.end()) {
     if (order_.size() >= terms_.entries) make_room();
@@ -42,7 +42,7 @@
   order_.splice(order_.begin(), order_, found->second);
 }
 
-void Known::misbehaved(const Prefix& client) {
+void KnownClients::misbehaved(const Prefix& client) {
   const auto found = at_.find(client);
   if (found == at_.end()) return;
   KnownClient& one = *found->second;
@@ -52,7 +52,7 @@
 
 // Guards against newcomers by thousands that push out who is known: of the oldest one without standing goes
 // first.
-void Known::make_room() {
+void KnownClients::make_room() {
   auto victim = std::prev(order_.end());
   auto it = order_.end();
   for (std::size_t i = 0; i < kLookedAt && it != order_.begin(); ++i) {
@@ -65,7 +65,7 @@
   order_.erase(victim);
 }
 
-std::size_t Known::begin_with(const std::vector<KnownClient>& clients, double now) {
+std::size_t KnownClients::begin_with(const std::vector<KnownClient>& clients, double now) {
   std::size_t taken = 0;
   for (const KnownClient& one : clients) {
     if (order_.size() >= terms_.entries) break;
--- a/src/conns/known.h
+++ b/src/conns/known_clients.h
@@ -1,6 +1,6 @@
-// Who is known: clients that had requests acked here in the last days, on connections that behaved. The standing
-// is earned by requests that succeeded and lost by misbehaviour, ages, and outlives the process as far as its record does.
-// Pure policy: times are Unix seconds that are handed in.
+// Who is known: clients that had requests acked here in the last days, on connections that behaved. The
+// standing is earned by requests that succeeded and lost by misbehaviour, ages, and outlives the process as
+// far as its record does. Pure policy: times are Unix seconds that are handed in.
 #pragma once
 
 #include <cstddef>
@@ -12,7 +12,7 @@
 
 namespace damsonspoke::conns {
 
-struct KnownTerms {
+struct KnownClientsOptions {
   double lasts = 7 * 86400;    // s from the last acked request
   double needed = 20;          // requests that succeeded until a client is known
   std::size_t entries = 4096;  // clients that are remembered at all
@@ -20,21 +20,22 @@
 
 struct KnownClient {
   Prefix client;
-  double earned = 0;  // requests that succeeded, at most twice as many as are needed; misbehaviour takes a quarter of those
+  double earned = 0;  // requests that succeeded, at most twice as many as are needed; misbehaviour takes a
+                      // quarter of those
   double last = 0;    // Unix s of the last acked request
   bool known = false;
 };
 
-class Known {
+class KnownClients {
  public:
-  explicit Known(KnownTerms terms) : terms_(terms) {}
+  explicit KnownClients(KnownClientsOptions terms) : terms_(terms) {}
 
   bool is_known(const Prefix& client, double now) const;
   void succeeded(const Prefix& client, double now);
   void misbehaved(const Prefix& client);
   std::size_t size() const { return order_.size(); }
   double earned(const Prefix& client) const;
-  void reconfigure(KnownTerms terms) { terms_ = terms; }
+  void reconfigure(KnownClientsOptions terms) { terms_ = terms; }
 
   // For a successor: the newest first.
   std::vector<KnownClient> all() const { return {order_.begin(), order_.end()}; }
@@ -46,7 +47,7 @@
   using Order = std::list<KnownClient>;  // the newest ack first
   void make_room();
 
-  KnownTerms terms_;
+  KnownClientsOptions terms_;
   Order order_;
   std::unordered_map<Prefix, Order::iterator, PrefixHash> at_;
 };
--- a/src/conns/known_record.cpp
+++ b/src/conns/known_clients_record.cpp
@@ -1,4 +1,4 @@
-#include "conns/known_record.h"
+#include "conns/known_clients_record.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/conns/known_record.h
+++ b/src/conns/known_clients_record.h
@@ -7,7 +7,7 @@
 #include <string_view>
 #include <vector>
 
-#include "conns/known.h"
+#include "conns/known_clients.h"
 
 namespace damsonspoke::conns {
 
--- a/src/conns/byte_pace.h
+++ b/src/conns/minimum_byte_rate.h
@@ -6,18 +6,18 @@
 
 namespace damsonspoke::conns {
 
-struct ByteTerms {
+struct MinimumByteRateOptions {
   double grace = 0.5;  // s in which nothing is owed
   double rate = 4096;  // bytes a second after that
 };
 
-class BytePace {
+class MinimumByteRate {
  public:
   // `moved`: bytes so far, of whatever count the caller keeps.
   void begin(double now, std::uint64_t moved) { since_ = now, from_ = moved; }
   void end() { since_ = -1; }
   bool running() const { return since_ >= 0; }
-  bool too_slow(double now, std::uint64_t moved, const ByteTerms& terms) const {
+  bool too_slow(double now, std::uint64_t moved, const MinimumByteRateOptions& terms) const {
     if (!running()) return false;
     return static_cast<double>(moved - from_) < (now - since_ - terms.grace) * terms.rate;
   }
--- a/src/control/server.h
+++ b/src/control/server.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "net/connection.h"
-#include "watch/logger.h"
+#include "observability/logger.h"
 
 namespace damsonspoke::control {
 
--- a/src/decide.cpp
+++ b/src/decide.cpp
@@ -1,6 +1,6 @@
-// All decisions of a damsonspoke backend, but for quotas (quota.h). The front calls one method of AdmissionController for
-// each thing that happens; the methods act at once through the DecisionSink. Interface: decide.h; why:
-// docs/design.md.
+// All decisions of a damsonspoke backend, but for quotas (quota.h). The front calls one method of
+// AdmissionController for each thing that happens; the methods act at once through the DecisionSink.
+// Interface: decide.h; why: docs/design.md.
 #include "decide.h"
 
 #include <algorithm>
@@ -23,20 +23,23 @@
 constexpr double kStopMargin = 0.200;  // s; before the stop: all answers are out even after a slow batch
 constexpr double kMemoryShare = 0.92;  // of memory; the rest is for what is not ours to count
 constexpr double kKeyShare = 0.4;      // of memory that kept entries may fill: requests need the larger part
-constexpr double kHeldPerCore = 8;  // requests; the count bound beside the bytes, above what the finish check lets
+constexpr double kHeldPerCore =
+    8;  // requests; the count bound beside the bytes, above what the finish check lets
 constexpr double kCrowdShare = 0.6;  // of the survivable crowd: returns from calls come on top by themselves
-constexpr double kAtCallsPerCore = 2;  // requests; at calls beside the run limit: all may come back at one moment
+constexpr double kAtCallsPerCore =
+    2;  // requests; at calls beside the run limit: all may come back at one moment
 constexpr double kFinishShare = 0.85;  // of the time to the target: predictions are means
 constexpr double kLeastShare = 0.5;    // of that for the least important: with plenty of room they still pass
-constexpr double kLeastWorth = 1e-3;   // importance counted at least in the order: a free request waits, finitely
-constexpr double kLateMatters = 0.5;   // late worth under which the target counts as the end of the wait
-constexpr double kAgainSpent = 0.4;    // of the target, gone before a marked retry comes
-constexpr double kPaceMemory = 1.5;    // s; a slow spell shows within two or three runs
-constexpr double kPacePrior = 0.1;     // core s at normal pace: nothing measured reads as normal
-constexpr double kPaceLeast = 0.02;    // a standstill still gives a finite prediction
-constexpr double kPaceMost = 3;        // a backend that warms up outruns what it learned cold
-constexpr double kHintSpread = 8;      // x the type's mean run: past it a told work is not believed
-constexpr double kOverdue = 2;         // x mean run; a run past this is no longer taken as progress
+constexpr double kLeastWorth =
+    1e-3;  // importance counted at least in the order: a free request waits, finitely
+constexpr double kLateMatters = 0.5;     // late worth under which the target counts as the end of the wait
+constexpr double kAgainSpent = 0.4;      // of the target, gone before a marked retry comes
+constexpr double kPaceMemory = 1.5;      // s; a slow spell shows within two or three runs
+constexpr double kPacePrior = 0.1;       // core s at normal pace: nothing measured reads as normal
+constexpr double kPaceLeast = 0.02;      // a standstill still gives a finite prediction
+constexpr double kPaceMost = 3;          // a backend that warms up outruns what it learned cold
+constexpr double kHintSpread = 8;        // x the type's mean run: past it a told work is not believed
+constexpr double kOverdue = 2;           // x mean run; a run past this is no longer taken as progress
 constexpr double kUnhealthyEnter = 0.9;  // predicted bare run over target: nothing would be in time
 constexpr double kUnhealthyLeave = 0.6;  // and back only when clearly better, so that it does not flap
 constexpr double kErrorsEnter = 0.35;    // share of failed runs; a sound backend fails a few in a thousand
@@ -47,7 +50,7 @@
 constexpr double kSilence = 2;           // s without a request read; a list and its callers follow within 2
 constexpr double kLagEnter = 1;          // age at reading over target: nothing read can still be in time
 constexpr double kLagLeave = 0.3;        // and back when most of the target is left again
-constexpr double kLagMemory = 8;         // requests read; a short stall reads a few old ones and is no illness
+constexpr double kLagMemory = 8;       // requests read; a short stall reads a few old ones and is no illness
 constexpr double kLagFade = 0.97;      // a tick; when nothing comes any more the lag is forgotten in seconds
 constexpr double kHistogramFull = 64;  // values; then halved, so that the past fades
 constexpr double kGrow = 1.25;         // x run limit a tick, while cores idle and work waits
@@ -199,8 +202,8 @@
 }  // namespace
 
 struct AdmissionController::State {
-  State(const AdmissionOptions& settings, std::uint64_t seed, DecisionSink& sink, double now, const LearnedStatistics& prior,
-        const RouteDirectory* directory)
+  State(const AdmissionOptions& settings, std::uint64_t seed, DecisionSink& sink, double now,
+        const LearnedStatistics& prior, const RouteDirectory* directory)
       : set_(settings),
         fixed_(settings),
         directory_(directory != nullptr ? *directory : fixed_),
@@ -227,7 +230,8 @@
     // A shared layer below has a part for each backend, as a mean number of calls in its hands over a window.
     // One budget, in call seconds: what may be used at once and what flows in add up to the part. Guards
     // against slow, hung and refusing layers. It hurts where the patience is long: few calls go at once.
-    call_depth_ = std::max(set_.dependency_share * (1 - kCallShare) * set_.dependency_share_window, kLeastPatience + set_.abandoned_call_time);
+    call_depth_ = std::max(set_.dependency_share * (1 - kCallShare) * set_.dependency_share_window,
+                           kLeastPatience + set_.abandoned_call_time);
     call_budget_ = call_depth_;
     said_idle_ = set_.caller_idle_timeout;
     if (set_.deep_checks) sink_.set_health(true, true);  // deep checks cost work: answer them from store
@@ -249,7 +253,8 @@
     const Route& told = directory_.route(type);
     const auto i = static_cast<std::size_t>(type);
     if (rows_.size() <= i) rows_.resize(i + 1);
-    if (rows_[i] == nullptr || rows_[i]->type.generation != told.generation) rows_[i] = std::make_unique<Row>();
+    if (rows_[i] == nullptr || rows_[i]->type.generation != told.generation)
+      rows_[i] = std::make_unique<Row>();
     rows_[i]->type = told;
     return *rows_[i];
   }
@@ -278,7 +283,8 @@
   // The share of full speed that a cold backend has at least; its true speed is not told.
   double speed_floor() const {
     if (!cold(last_)) return 1;
-    return set_.slow_start_speed + (1 - set_.slow_start_speed) * (last_ - created_) / std::max(set_.slow_start_time, kTick);
+    return set_.slow_start_speed +
+           (1 - set_.slow_start_speed) * (last_ - created_) / std::max(set_.slow_start_time, kTick);
   }
   double survivable() const { return (1 + (set_.max_concurrency_factor - 1) * speed_floor()) * set_.cores; }
 
@@ -337,8 +343,12 @@
   bool work_waits() const { return !queue_.empty() || !call_queue_.empty() || running_ >= limit(); }
   int limit() const { return static_cast<int>(std::min(run_limit_, survivable() * kCrowdShare)); }
 
-  bool fits(const Request& request) const { return request.size_kb * set_.running_size_factor <= set_.memory_kb * kMemoryShare; }
-  double budget() const { return set_.memory_kb * kMemoryShare - key_kb_ - largest_kb_ * set_.running_size_factor; }
+  bool fits(const Request& request) const {
+    return request.size_kb * set_.running_size_factor <= set_.memory_kb * kMemoryShare;
+  }
+  double budget() const {
+    return set_.memory_kb * kMemoryShare - key_kb_ - largest_kb_ * set_.running_size_factor;
+  }
 
   // ---- Time: every method starts here.
   State& at(double now) {
@@ -367,7 +377,7 @@
   void wake(double at) {
     if (wake_at_ >= 0 && at >= wake_at_) return;
     wake_at_ = at;
-    sink_.wake_at(at, ++wake_token_);
+    sink_.schedule_wakeup(at, ++wake_token_);
   }
 
   // ---- The pool.
@@ -474,7 +484,8 @@
     const double arrival = now - request.age;
     // What could never run here must not shrink the budget for the rest.
     if (fits(request)) largest_kb_ = std::max(largest_kb_, request.size_kb);
-    if (type.latency_objective > 0) lag_ += (std::min(request.age / type.latency_objective, 1.5) - lag_) / kLagMemory;
+    if (type.latency_objective > 0)
+      lag_ += (std::min(request.age / type.latency_objective, 1.5) - lag_) / kLagMemory;
     note_caller(request.caller);
     const bool again = request.is_retry || (request.remaining_timeout > 0 && unusual_wait(request));
     repeats_ += ((again ? 1 : 0) - repeats_) / kShortageMemory;
@@ -484,19 +495,23 @@
     s.type = type;
     s.since = now;
     s.due = std::max(
-        now, (request.remaining_timeout > 0 ? now + request.remaining_timeout : arrival + type.timeout) - kDueMargin);
+        now, (request.remaining_timeout > 0 ? now + request.remaining_timeout : arrival + type.timeout) -
+                 kDueMargin);
     if (leaving()) s.due = std::min(s.due, std::max(now, stop_at_ - kStopMargin));
     s.useful_by = s.due;
     // The target counts from the first try; a retry has spent a part, at most what its told wait leaves over.
     double spent = again ? kAgainSpent * type.latency_objective : 0;
-    if (request.remaining_timeout > 0) spent = std::clamp(type.timeout - request.remaining_timeout - request.age, 0.0, spent);
-    if (type.late_value < kLateMatters) s.useful_by = std::min(s.due, arrival + type.latency_objective - spent);
+    if (request.remaining_timeout > 0)
+      spent = std::clamp(type.timeout - request.remaining_timeout - request.age, 0.0, spent);
+    if (type.late_value < kLateMatters)
+      s.useful_by = std::min(s.due, arrival + type.latency_objective - spent);
 
     if (request.duplicate_of != 0 && type.idempotency != Idempotency::kNonIdempotent) {
       // A repeat never runs beside its original: it waits for that one's outcome in held memory.
       s.stage = Stage::kJoining;
       admit(s);
-      if (pool_used_ > budget()) return fail(request.id);  // its original may have run: failed, never rejected
+      if (pool_used_ > budget())
+        return fail(request.id);  // its original may have run: failed, never rejected
       sink_.join(request.id);
       return;
     }
@@ -513,9 +528,11 @@
     }
     if (quotas_.on() && in_quota) quotas_.spend(request.tenant);
     Slot& kept = admit(s);
-    if (type.idempotency == Idempotency::kWithKey) keep_key(request.id, kept, std::max(set_.timer_resolution, type.idempotency_window - request.age));
+    if (type.idempotency == Idempotency::kWithKey)
+      keep_key(request.id, kept, std::max(set_.timer_resolution, type.idempotency_window - request.age));
     // Reads may share an answer where the site allows it: a hot key then costs one run, not many.
-    const bool shares = set_.shared_answer_ttl > 0 && type.idempotency == Idempotency::kIdempotent && !request.is_write && request.subject != 0;
+    const bool shares = set_.shared_answer_ttl > 0 && type.idempotency == Idempotency::kIdempotent &&
+                        !request.is_write && request.subject != 0;
     if (shares && key_room()) keep_key(request.id, kept, set_.shared_answer_ttl + own_time(kept));
     queue_.push_back(request.id);
     start_more();
@@ -553,14 +570,16 @@
         kLeastShare + (1 - kLeastShare) * type_of(s).priority_weight / directory_.highest_priority_weight();
     return kFinishShare * (share < 1 ? share * std::min(room, common_room()) : room);
   }
-  // A newcomer that finds the queue too long takes the places of held requests that are worth less, even together:
-  // the least first, of those the last to come. Guards against a crowd of cheap requests that was there first.
+  // A newcomer that finds the queue too long takes the places of held requests that are worth less, even
+  // together: the least first, of those the last to come. Guards against a crowd of cheap requests that was
+  // there first.
   bool displaces(const Slot& s, double wait) {
     if (pool_used_ >= budget() || !row_of(s).run.learned() || heavy(s.request)) return false;
     std::vector<const Slot*> cheap;
     for (const RequestId id : queue_) {
       const Slot& other = requests_.at(id);
-      if (other.stage == Stage::kHeld && !other.has_run && type_of(other).priority_weight < type_of(s).priority_weight)
+      if (other.stage == Stage::kHeld && !other.has_run &&
+          type_of(other).priority_weight < type_of(s).priority_weight)
         cheap.push_back(&other);
     }
     std::sort(cheap.begin(), cheap.end(), [&](const Slot* a, const Slot* b) {
@@ -598,8 +617,9 @@
   double held() const { return static_cast<double>(queue_.size()); }
   int at_calls() const { return static_cast<int>(call_queue_.size()) + calling_; }
 
-  // ---- Starts. The held request goes first that has the least time left to start by, divided by its importance.
-  // Guards against a queue of cheap requests behind which the few that matter are late by a little.
+  // ---- Starts. The held request goes first that has the least time left to start by, divided by its
+  // importance. Guards against a queue of cheap requests behind which the few that matter are late by a
+  // little.
   void start_more() {
     start_held();
     if (running_ < limit() || held() == 0) full_since_ = last_;
@@ -642,7 +662,7 @@
     s.since = last_;
   }
 
-  void on_run_end(RequestId id, Outcome outcome) {
+  void on_run_finished(RequestId id, Outcome outcome) {
     const auto at = requests_.find(id);
     if (at == requests_.end()) return;
     Slot& s = at->second;
@@ -722,7 +742,8 @@
   // and while it is slow it gets no more. Guards against crowding a slow layer until hardly any call comes
   // back in time. It may hurt where the usual load was far under what the layer bears.
   double usual_in_hand() const {
-    const double part = set_.dependency == DependencyKind::kShared ? set_.dependency_share * kCallShare : call_ceiling_;
+    const double part =
+        set_.dependency == DependencyKind::kShared ? set_.dependency_share * kCallShare : call_ceiling_;
     return std::max(kLeastInHand,
                     in_hand_over_ > kInHandLeast ? std::min(part, in_hand_ / in_hand_over_) : part);
   }
@@ -736,7 +757,8 @@
   double slow_calls(const Slot& s) {
     double ahead = 0;
     for (const auto& [id, other] : requests_) {
-      if (id == s.request.id || other.answered || other.stage == Stage::kJoining || !type_of(other).calls_dependency)
+      if (id == s.request.id || other.answered || other.stage == Stage::kJoining ||
+          !type_of(other).calls_dependency)
         continue;
       if (type_of(other).priority_weight < type_of(s).priority_weight) continue;
       if (other.stage == Stage::kHeld && s.stage == Stage::kHeld && other.since > s.since) continue;
@@ -842,7 +864,7 @@
     call_budget_ += std::max(0.0, s.reserved - spent - (abandoned ? set_.abandoned_call_time : 0));
     s.reserved = 0;
   }
-  void on_call_end(RequestId id, Outcome outcome) {
+  void on_call_finished(RequestId id, Outcome outcome) {
     const auto at = requests_.find(id);
     if (at == requests_.end() || at->second.stage != Stage::kCalling) return;
     Slot& s = at->second;
@@ -889,13 +911,13 @@
   }
 
   // ---- Callers that go, and the notice to leave.
-  void on_gone(RequestId id) {
+  void on_caller_gone(RequestId id) {
     const auto at = requests_.find(id);
     if (at == requests_.end()) return;
     stop_unwanted(id, at->second);
     start_more();
   }
-  void on_leave(double left) {
+  void on_drain(double left) {
     sink_.log("leaving: " + std::to_string(requests_.size()) + " ops in hand");
     leave_at_ = last_;
     stop_at_ = last_ + left;
@@ -909,7 +931,7 @@
   }
 
   // ---- Time passing.
-  void on_wake(std::uint64_t token, const Gauges& gauges) {
+  void on_timer(std::uint64_t token, const Gauges& gauges) {
     if (token != wake_token_) return;
     wake_at_ = -1;
     while (!due_.empty() && due_.begin()->first <= last_) {
@@ -960,7 +982,7 @@
     const double after = returns_ > kReturns ? set_.caller_idle_timeout : idle_;
     if (std::abs(after - said_idle_) <= kIdleStep * said_idle_) return;
     said_idle_ = after;
-    sink_.close_idle(after);
+    sink_.set_idle_timeout(after);
   }
   // Whether callers come back while their connection is worth keeping; one that another pushed out is new.
   void note_caller(std::uint32_t caller) {
@@ -998,7 +1020,8 @@
   }
   void show_health() {
     // Where the list follows health, bad health ends the probes too. So after a silence it is good again
-    // until some requests come and show it. Guards against staying away for ever; it costs the failing a few requests.
+    // until some requests come and show it. Guards against staying away for ever; it costs the failing a few
+    // requests.
     const bool silent = last_ >= last_read_ + kSilence;
     const bool good = !leaving() && !(unhealthy_ && !silent && last_ >= unhealthy_since_ + kHealthPatience);
     if (good == healthy_) return;
@@ -1021,8 +1044,9 @@
     said_ = less;
     double value = less;
     if (set_.load_feedback == LoadFeedback::kWeight) value = 1 - less;
-    if (set_.load_feedback == LoadFeedback::kCredit) value = (1 - less) * kHeldPerCore * set_.cores / std::max(1, set_.callers);
-    sink_.announce(value);
+    if (set_.load_feedback == LoadFeedback::kCredit)
+      value = (1 - less) * kHeldPerCore * set_.cores / std::max(1, set_.callers);
+    sink_.publish_load_feedback(value);
   }
 
   const AdmissionOptions set_;
@@ -1065,23 +1089,26 @@
   std::uint64_t wake_token_ = 0;
 };
 
-AdmissionController::AdmissionController(const AdmissionOptions& settings, std::uint64_t seed, DecisionSink& sink, double now, const LearnedStatistics& prior,
-                 const RouteDirectory* directory)
+AdmissionController::AdmissionController(const AdmissionOptions& settings, std::uint64_t seed,
+                                         DecisionSink& sink, double now, const LearnedStatistics& prior,
+                                         const RouteDirectory* directory)
     : state_(std::make_unique<State>(settings, seed, sink, now, prior, directory)) {}
 AdmissionController::~AdmissionController() = default;
 
-void AdmissionController::on_request(double now, const Request& request) { state_->at(now).on_request(request); }
-void AdmissionController::on_run_end(double now, RequestId id, Outcome outcome, double) {
-  state_->at(now).on_run_end(id, outcome);
+void AdmissionController::on_request(double now, const Request& request) {
+  state_->at(now).on_request(request);
+}
+void AdmissionController::on_run_finished(double now, RequestId id, Outcome outcome, double) {
+  state_->at(now).on_run_finished(id, outcome);
 }
 void AdmissionController::on_call_needed(double now, RequestId id) { state_->at(now).on_call_needed(id); }
-void AdmissionController::on_call_end(double now, RequestId id, Outcome outcome, double) {
-  state_->at(now).on_call_end(id, outcome);
+void AdmissionController::on_call_finished(double now, RequestId id, Outcome outcome, double) {
+  state_->at(now).on_call_finished(id, outcome);
 }
-void AdmissionController::on_gone(double now, RequestId id) { state_->at(now).on_gone(id); }
-void AdmissionController::on_leave(double now, double time_left) { state_->at(now).on_leave(time_left); }
-void AdmissionController::on_wake(double now, std::uint64_t token, const Gauges& gauges) {
-  state_->at(now).on_wake(token, gauges);
+void AdmissionController::on_caller_gone(double now, RequestId id) { state_->at(now).on_caller_gone(id); }
+void AdmissionController::on_drain(double now, double time_left) { state_->at(now).on_drain(time_left); }
+void AdmissionController::on_timer(double now, std::uint64_t token, const Gauges& gauges) {
+  state_->at(now).on_timer(token, gauges);
 }
 LearnedStatistics AdmissionController::learned() const { return state_->learned(); }
 double AdmissionController::pool_in_use() const { return state_->pool_used_; }
--- a/src/decide.h
+++ b/src/decide.h
@@ -1,6 +1,6 @@
-// The interface of the decisions: what a backend can be told (AdmissionController), what it can do (Host), and the plain
-// data between them. No decision, default that tunes, or table lives here. Times are seconds, sizes
-// kilobytes.
+// The interface of the decisions: what a backend can be told (AdmissionController), what it can do (Host),
+// and the plain data between them. No decision, default that tunes, or table lives here. Times are seconds,
+// sizes kilobytes.
 #pragma once
 
 #include <cstdint>
@@ -25,14 +25,14 @@
   double timeout = 0;
   double idempotency_window = 0;  // keyed: how long a repeat may come
   double priority_weight = 1;
-  double late_value = 0;     // share of the importance that a late answer earns
+  double late_value = 0;          // share of the importance that a late answer earns
   double value_without_call = 0;  // share earned when the call below was left out
   bool calls_dependency = false;
   Idempotency idempotency = Idempotency::kIdempotent;
 };
 
 struct Tenant {
-  double quota_per_second = 0;  // over the whole fleet
+  double quota_per_second = 0;   // over the whole fleet
   std::uint32_t generation = 0;  // told anew when another tenant takes this one's position
 };
 
@@ -47,7 +47,7 @@
   virtual std::size_t tenant_count() const = 0;  // 0: nobody has a quota
   // Positions are below this, now and later.
   virtual std::size_t tenant_positions() const = 0;
-  virtual double total_quota_per_second() const = 0;    // of all tenants together
+  virtual double total_quota_per_second() const = 0;   // of all tenants together
   virtual double highest_priority_weight() const = 0;  // importance of the route that has most
 };
 
@@ -87,8 +87,8 @@
   double remaining_timeout = 0;  // 0: not told
   double age = 0;
   double size_kb = 0;
-  double work_hint = 0;  // s of work on a standard core, as the caller estimates it; 0: not told
-  bool is_retry = false;    // a further try, where such are marked
+  double work_hint = 0;   // s of work on a standard core, as the caller estimates it; 0: not told
+  bool is_retry = false;  // a further try, where such are marked
   bool is_write = false;
   std::uint32_t caller = 0;
   RequestId duplicate_of = 0;  // the kept request that this one repeats, or 0
@@ -134,9 +134,9 @@
   virtual void forget(RequestId id) = 0;
   virtual void join(RequestId id) = 0;
   virtual void set_health(bool good, bool from_store) = 0;
-  virtual void announce(double value) = 0;
-  virtual void close_idle(double after) = 0;
-  virtual void wake_at(double time, std::uint64_t token) = 0;
+  virtual void publish_load_feedback(double value) = 0;
+  virtual void set_idle_timeout(double after) = 0;
+  virtual void schedule_wakeup(double time, std::uint64_t token) = 0;
   virtual void log(const std::string& line) = 0;
 };
 
@@ -144,19 +144,19 @@
  public:
   // A prior is believed as far as its counts go, until the first runs speak against it. Routes and
   // tenants are those of the settings, or of a directory, which then has to outlive this.
-  AdmissionController(const AdmissionOptions& settings, std::uint64_t seed, DecisionSink& host, double now, const LearnedStatistics& prior = {},
-          const RouteDirectory* directory = nullptr);
+  AdmissionController(const AdmissionOptions& settings, std::uint64_t seed, DecisionSink& host, double now,
+                      const LearnedStatistics& prior = {}, const RouteDirectory* directory = nullptr);
   ~AdmissionController();
   AdmissionController(const AdmissionController&) = delete;
   AdmissionController& operator=(const AdmissionController&) = delete;
 
   void on_request(double now, const Request& request);
-  void on_run_end(double now, RequestId id, Outcome outcome, double spent);
+  void on_run_finished(double now, RequestId id, Outcome outcome, double spent);
   void on_call_needed(double now, RequestId id);
-  void on_call_end(double now, RequestId id, Outcome outcome, double spent);
-  void on_gone(double now, RequestId id);
-  void on_leave(double now, double time_left);
-  void on_wake(double now, std::uint64_t token, const Gauges& gauges);
+  void on_call_finished(double now, RequestId id, Outcome outcome, double spent);
+  void on_caller_gone(double now, RequestId id);
+  void on_drain(double now, double time_left);
+  void on_timer(double now, std::uint64_t token, const Gauges& gauges);
   LearnedStatistics learned() const;
   double pool_in_use() const;  // kilobytes charged, for tests and reports
 
--- a/src/fleet/probes.cpp
+++ b/src/fleet/health_check_budget.cpp
@@ -1,4 +1,4 @@
-#include "fleet/probes.h"
+#include "fleet/health_check_budget.h"
 
 #include <xxhash.h>
 
@@ -6,9 +6,10 @@
 
 namespace damsonspoke::fleet {
 
-Probes::Probes(ProbeTerms terms, std::string self) : terms_(terms), self_(std::move(self)), usable_{self_} {}
+HealthCheckBudget::HealthCheckBudget(HealthCheckBudgetOptions terms, std::string self)
+    : terms_(terms), self_(std::move(self)), usable_{self_} {}
 
-void Probes::view(const std::vector<std::string>& usable, double now) {
+void HealthCheckBudget::view(const std::vector<std::string>& usable, double now) {
   if (begun_ < 0) begun_ = now;
   usable_ = usable;
   if (std::find(usable_.begin(), usable_.end(), self_) == usable_.end()) usable_.push_back(self_);
@@ -17,7 +18,7 @@
   std::erase_if(seen_, [&](const auto& one) { return now - one.second > terms_.remember; });
 }
 
-std::vector<std::string> Probes::probers(const std::string& layer) const {
+std::vector<std::string> HealthCheckBudget::probers(const std::string& layer) const {
   const std::uint64_t seed = XXH3_64bits(layer.data(), layer.size());
   std::vector<std::pair<std::uint64_t, std::string>> ranked;
   for (const std::string& name : usable_)
@@ -29,7 +30,7 @@
   return out;
 }
 
-double Probes::rate(const std::string& layer, double now) {
+double HealthCheckBudget::rate(const std::string& layer, double now) {
   Turn& turn = turns_[layer];
   if (!turn.ranked) {
     const std::vector<std::string> all = probers(layer);
@@ -47,7 +48,7 @@
   return terms_.per_s * share / static_cast<double>(turn.probers);
 }
 
-bool Probes::may_probe(const std::string& layer, double now) {
+bool HealthCheckBudget::may_probe(const std::string& layer, double now) {
   const double allowed = rate(layer, now);
   Turn& turn = turns_[layer];
   // Begins at a place of its own among all: many with a small rate each would else all send at one moment.
--- a/src/fleet/probes.h
+++ b/src/fleet/health_check_budget.h
@@ -16,16 +16,16 @@
 
 namespace damsonspoke::fleet {
 
-struct ProbeTerms {
+struct HealthCheckBudgetOptions {
   double per_s = 4;       // probes a second of all together
   int probers = 4;        // that share them
   double settle = 3;      // s that who comes to a turn waits; longer than news takes to reach all
   double remember = 600;  // s that somebody who is no longer usable counts as part of the whole
 };
 
-class Probes {
+class HealthCheckBudget {
  public:
-  Probes(ProbeTerms terms, std::string self);
+  HealthCheckBudget(HealthCheckBudgetOptions terms, std::string self);
 
   // Who is usable besides this one; to be told at each change of the view, and now and then.
   void view(const std::vector<std::string>& usable, double now);
@@ -46,7 +46,7 @@
     double credit = 0;  // probes
     double at = 0;      // when that was counted
   };
-  const ProbeTerms terms_;
+  const HealthCheckBudgetOptions terms_;
   const std::string self_;
   std::vector<std::string> usable_;     // this one among them
   std::map<std::string, double> seen_;  // when each was usable last
--- a/src/fleet/tries.cpp
+++ b/src/fleet/retry_budget.cpp
@@ -1,11 +1,11 @@
-#include "fleet/tries.h"
+#include "fleet/retry_budget.h"
 
 #include <algorithm>
 #include <cmath>
 
 namespace damsonspoke::fleet {
 
-void Tries::pass(double now) {
+void FleetRetryBudget::pass(double now) {
   if (at_ < 0) at_ = now;
   const double dt = now - at_;
   if (dt <= 0) return;
@@ -20,12 +20,12 @@
   at_ = now;
 }
 
-void Tries::first(double now) {
+void FleetRetryBudget::first(double now) {
   pass(now);
   firsts_ += 1 / terms_.memory;
 }
 
-bool Tries::further(double now) {
+bool FleetRetryBudget::further(double now) {
   pass(now);
   wanted_ += 1 / terms_.memory;
   if (credit_ < 1) return false;
@@ -34,20 +34,21 @@
   return true;
 }
 
-double Tries::own(double now) {
+double FleetRetryBudget::own(double now) {
   pass(now);
   return terms_.share * firsts_;
 }
 
-double Tries::lent(double now) const {
+double FleetRetryBudget::lent(double now) const {
   double out = 0;
   for (const Held& one : lent_) out += now < one.until ? one.per_s : 0;
   return out;
 }
 
-double Tries::wants(double now) { return std::max(0.0, wanted_ - own(now)); }
+double FleetRetryBudget::wants(double now) { return std::max(0.0, wanted_ - own(now)); }
 
-std::vector<Tries::Part> Tries::lend(const std::map<std::string, double>& wanted, double now) {
+std::vector<FleetRetryBudget::Part> FleetRetryBudget::lend(const std::map<std::string, double>& wanted,
+                                                           double now) {
   const double budget = own(now);
   double spare = budget - lent(now) - std::max(wanted_, terms_.kept * budget);
   double all = 0;
@@ -63,7 +64,7 @@
   return out;
 }
 
-void Tries::borrowed(double per_s, double age, double now) {
+void FleetRetryBudget::borrowed(double per_s, double age, double now) {
   pass(now);
   if (per_s <= 0 || !std::isfinite(per_s) || age > terms_.under_way) return;
   borrowed_.push_back({per_s, now + terms_.lasts});
--- a/src/fleet/tries.h
+++ b/src/fleet/retry_budget.h
@@ -13,7 +13,7 @@
 
 namespace damsonspoke::fleet {
 
-struct TryTerms {
+struct FleetRetryBudgetOptions {
   double share = 0.1;    // further tries, of first ones
   double memory = 5;     // s over which rates are means
   double lasts = 5;      // s that a part that is lent may be used, from when it comes
@@ -21,9 +21,9 @@
   double kept = 0.25;    // of its own budget that a lender keeps at least, for what comes suddenly
 };
 
-class Tries {
+class FleetRetryBudget {
  public:
-  explicit Tries(TryTerms terms) : terms_(terms) {}
+  explicit FleetRetryBudget(FleetRetryBudgetOptions terms) : terms_(terms) {}
 
   void first(double now);  // a first try was made
   // A further one is wanted; true where it may be made, and is counted then.
@@ -49,7 +49,7 @@
   };
   void pass(double now);
 
-  const TryTerms terms_;
+  const FleetRetryBudgetOptions terms_;
   double at_ = -1;
   double firsts_ = 0, wanted_ = 0, made_ = 0;  // a second
   double credit_ = 0;                          // further tries that may be made now
--- a/src/members/links.cpp
+++ b/src/members/broken_links.cpp
@@ -1,21 +1,21 @@
-#include "members/links.h"
+#include "members/broken_links.h"
 
 namespace damsonspoke::members {
 
-void Links::told(const std::string& by, const std::vector<BrokenLink>& broken, double now) {
+void BrokenLinks::told(const std::string& by, const std::vector<BrokenLink>& broken, double now) {
   if (broken.empty()) return forget(by);
   Account& account = told_[by];
   account.at = now;
   account.links.clear();
   for (const BrokenLink& link : broken) {
     const double since = now - link.age_ms / 1000.0;
-    account.links.push_back(link.inward ? LinkSeen{link.other, by, since, by}
-                                        : LinkSeen{by, link.other, since, by});
+    account.links.push_back(link.inward ? ObservedLink{link.other, by, since, by}
+                                        : ObservedLink{by, link.other, since, by});
   }
 }
 
-std::vector<LinkSeen> Links::broken(double now) const {
-  std::vector<LinkSeen> out;
+std::vector<ObservedLink> BrokenLinks::broken(double now) const {
+  std::vector<ObservedLink> out;
   for (const auto& [by, account] : told_) {
     if (now - account.at > keep_) continue;
     out.insert(out.end(), account.links.begin(), account.links.end());
@@ -23,17 +23,17 @@
   return out;
 }
 
-bool Links::is_broken(const std::string& from, const std::string& to, double now) const {
+bool BrokenLinks::is_broken(const std::string& from, const std::string& to, double now) const {
   for (const auto& [by, account] : told_) {
     if (now - account.at > keep_) continue;
-    for (const LinkSeen& link : account.links) {
+    for (const ObservedLink& link : account.links) {
       if (link.from == from && link.to == to) return true;
     }
   }
   return false;
 }
 
-void LinkState::judged(bool inward_works, bool outward_works, double now) {
+void LinkHealth::judged(bool inward_works, bool outward_works, double now) {
   inward_.judged(inward_works, now);
   outward_.judged(outward_works, now);
 }
--- a/src/members/links.h
+++ b/src/members/broken_links.h
@@ -10,25 +10,25 @@
 
 namespace damsonspoke::members {
 
-struct LinkSeen {
+struct ObservedLink {
   std::string from, to;  // what goes from the one to the other does not come
   double since = 0;      // s, by the clock of who asks
   std::string told_by;
 };
 
-class Links {
+class BrokenLinks {
  public:
-  explicit Links(double keep) : keep_(keep) {}
+  explicit BrokenLinks(double keep) : keep_(keep) {}
   // What a member tells takes the place of what it told before.
   void told(const std::string& by, const std::vector<BrokenLink>& broken, double now);
   void forget(const std::string& by) { told_.erase(by); }
-  std::vector<LinkSeen> broken(double now) const;
+  std::vector<ObservedLink> broken(double now) const;
   bool is_broken(const std::string& from, const std::string& to, double now) const;
 
  private:
   struct Account {
     double at = 0;
-    std::vector<LinkSeen> links;
+    std::vector<ObservedLink> links;
   };
   const double keep_;  // s that an account counts
   std::map<std::string, Account> told_;
@@ -36,7 +36,7 @@
 
 // One member's own findings of its links to another, from probes: three in a row that went wrong in one
 // direction are a broken link; one or two may be lost datagrams.
-class LinkState {
+class LinkHealth {
  public:
   // What a probe showed, where the other is known to be alive.
   void judged(bool inward_works, bool outward_works, double now);
--- a/src/members/gossip.cpp
+++ b/src/members/gossip_queue.cpp
@@ -1,20 +1,20 @@
-#include "members/gossip.h"
+#include "members/gossip_queue.h"
 
 namespace damsonspoke::members {
 
-void Gossip::add(int member, int passes, bool urgent) {
+void GossipQueue::add(int member, int passes, bool urgent) {
   forget(member);
   by_member_[member] = queue_.insert({urgent, passes, next_++, member}).first;
 }
 
-void Gossip::forget(int member) {
+void GossipQueue::forget(int member) {
   const auto found = by_member_.find(member);
   if (found == by_member_.end()) return;
   queue_.erase(found->second);
   by_member_.erase(found);
 }
 
-std::vector<int> Gossip::take(std::size_t most, Which which) {
+std::vector<int> GossipQueue::take(std::size_t most, Which which) {
   std::vector<Piece> taken;
   for (const Piece& piece : queue_) {
     if (taken.size() >= most || (which == Which::kUrgent && !piece.urgent)) break;
--- a/src/members/gossip.h
+++ b/src/members/gossip_queue.h
@@ -13,7 +13,7 @@
 
 namespace damsonspoke::members {
 
-class Gossip {
+class GossipQueue {
  public:
   // Of this member there is news, to be passed on `passes` times; older news of it is of no use any more.
   // `urgent`: that it lives after all; whoever hears too late calls it dead.
--- a/src/members/news_pace.h
+++ b/src/members/gossip_rate_limiter.h
@@ -7,10 +7,10 @@
 
 namespace damsonspoke::members {
 
-class NewsPace {
+class GossipRateLimiter {
  public:
   // `per_s`: bytes a second on the long run; `burst`: bytes that may go at once after a rest.
-  NewsPace(double per_s, double burst) : per_s_(per_s), burst_(burst), left_(burst) {}
+  GossipRateLimiter(double per_s, double burst) : per_s_(per_s), burst_(burst), left_(burst) {}
 
   // Whether a datagram may carry news now; what it carries may go beyond what is left, the next one waits for
   // it. `now`: s, monotonic; never earlier than in the call before.
--- a/src/members/view.cpp
+++ b/src/members/membership_view.cpp
@@ -1,11 +1,11 @@
-#include "members/view.h"
+#include "members/membership_view.h"
 
 #include <xxhash.h>
 
 #include <algorithm>
 #include <cmath>
 
-#include "members/view_internal.h"
+#include "members/membership_view_internal.h"
 
 namespace damsonspoke::members {
 namespace {
@@ -24,37 +24,38 @@
 
 }  // namespace
 
-const char* text_of(State state) {
+const char* text_of(MemberState state) {
   switch (state) {
-    case State::kThere: return "there";
-    case State::kUnsettled: return "unsettled";
-    case State::kCut: return "cut";
-    case State::kSuspected: return "suspected";
-    case State::kDead: return "dead";
-    case State::kLeft: return "left";
+    case MemberState::kAlive: return "there";
+    case MemberState::kFlapping: return "unsettled";
+    case MemberState::kUnreachable: return "cut";
+    case MemberState::kSuspected: return "suspected";
+    case MemberState::kDead: return "dead";
+    case MemberState::kLeft: return "left";
   }
   return "";
 }
 
-View::View(Terms terms, Self self, std::vector<std::string> seeds, std::uint64_t seed, Port& port)
+MembershipView::MembershipView(MembershipOptions terms, Self self, std::vector<std::string> seeds,
+                               std::uint64_t seed, MembershipSink& port)
     : terms_(terms),
       self_(std::move(self)),
       seeds_(std::move(seeds)),
       random_(seed),
       port_(port),
-      news_pace_(terms.news, terms.news_burst),
+      gossip_rate_limiter_(terms.news, terms.news_burst),
       links_(kLinksKept) {}
 
-double View::chance() { return std::ldexp(static_cast<double>(random_()), -32); }
+double MembershipView::chance() { return std::ldexp(static_cast<double>(random_()), -32); }
 
 // ---- The table.
 
-int View::find(const std::string& name) const {
+int MembershipView::find(const std::string& name) const {
   const auto found = by_name_.find(name);
   return found == by_name_.end() ? -1 : found->second;
 }
 
-int View::add(const Record& record, double now) {
+int MembershipView::add(const Record& record, double now) {
   if (by_name_.size() >= kMostMembers) {
     ++counts_.refused;
     return -1;
@@ -84,20 +85,22 @@
   return at;
 }
 
-void View::count_in(int member) {
+void MembershipView::count_in(int member) {
   Member& m = members_[static_cast<std::size_t>(member)];
   const std::uint64_t token = in_play(m) ? token_of(m.record.name, m.record.epoch) : 0;
   sum_ ^= m.token ^ token;
   m.token = token;
 }
 
-std::uint64_t View::sum() const { return sum_ ^ (leaving_ ? 0 : token_of(self_.name, self_.epoch)); }
+std::uint64_t MembershipView::sum() const {
+  return sum_ ^ (leaving_ ? 0 : token_of(self_.name, self_.epoch));
+}
 
 // Who has known another set of members than this one for a while has missed something, or we have: a full
 // exchange with it tells. Guards against news that all its passes missed, until the next exchange by chance.
 // After a great loss all find a difference at once: each one's exchange comes at a moment of its own, and few
 // are still needed by then.
-void View::compare(const std::string& address, std::uint64_t theirs, double now) {
+void MembershipView::compare(const std::string& address, std::uint64_t theirs, double now) {
   if (theirs == 0) return;  // it does not tell
   if (theirs == sum()) {
     differs_since_ = -1;
@@ -114,7 +117,7 @@
   port_.exchange(address);
 }
 
-void View::remove(int member) {
+void MembershipView::remove(int member) {
   Member& m = members_[static_cast<std::size_t>(member)];
   links_.forget(m.record.name);
   by_name_.erase(m.record.name);
@@ -125,11 +128,11 @@
   holes_.push_back(member);
 }
 
-Record View::self_record(double now) const {
+Record MembershipView::self_record(double now) const {
   Record r;
   r.name = self_.name, r.address = self_.address;
   r.epoch = self_.epoch, r.contest = contest_, r.incarnation = incarnation_;
-  r.condition = leaving_ ? Condition::kLeft : Condition::kThere;
+  r.condition = leaving_ ? Condition::kLeft : Condition::kAlive;
   if (now - pause_at_ < kPauseMemory) r.pause_ms = static_cast<std::uint32_t>(pause_ * 1000);
   r.told = told_;
   r.told_age_ms = 0;  // we tell it now
@@ -146,18 +149,18 @@
   return r;
 }
 
-Record View::record_of(int member, double now) const {
+Record MembershipView::record_of(int member, double now) const {
   const Member& m = members_[static_cast<std::size_t>(member)];
   Record r = m.record;
   r.told_age_ms = static_cast<std::uint32_t>(std::max(0.0, now - m.told_at) * 1000);
   r.heard = 0;
   const bool old = now - m.told_at > terms_.old;
-  if (old || r.condition != Condition::kThere) r.told = {};  // worth nothing to anybody any more
+  if (old || r.condition != Condition::kAlive) r.told = {};  // worth nothing to anybody any more
   if (r.condition == Condition::kSuspected && now - m.heard_at < kHeardCounts) r.heard = m.heard;
   return r;
 }
 
-std::vector<Record> View::full(double now) const {
+std::vector<Record> MembershipView::full(double now) const {
   std::vector<Record> out;
   if (!yielded_) out.push_back(self_record(now));
   for (std::size_t i = 0; i < members_.size(); ++i) {
@@ -169,7 +172,7 @@
 // ---- What goes out. Each datagram begins with this one's own record, so that it can be told who speaks, and
 // what the addressee is accused of comes next: it can then refute at once.
 
-void View::send_to(const std::string& address, Message message, double now, int member) {
+void MembershipView::send_to(const std::string& address, Message message, double now, int member) {
   message.from = self_.name;
   message.epoch = self_.epoch;
   message.number = next_number_++;
@@ -181,15 +184,16 @@
   }
   if (member >= 0) {
     const Member& to = members_[static_cast<std::size_t>(member)];
-    if (to.record.condition != Condition::kThere) message.records.push_back(record_of(member, now));
+    if (to.record.condition != Condition::kAlive) message.records.push_back(record_of(member, now));
   }
   // What shows that somebody lives after all is never held back: guards against deaths called wrongly where
   // many stood still at once.
-  const bool open = news_pace_.open(now);
-  for (const int news : gossip_.take(kNewsAtOnce, open ? Gossip::Which::kAll : Gossip::Which::kUrgent)) {
+  const bool open = gossip_rate_limiter_.open(now);
+  for (const int news :
+       gossip_.take(kNewsAtOnce, open ? GossipQueue::Which::kAll : GossipQueue::Which::kUrgent)) {
     if (news == member || members_[static_cast<std::size_t>(news)].record.name.empty()) continue;
     message.records.push_back(record_of(news, now));
-    news_pace_.spend(approximate_bytes(message.records.back()));
+    gossip_rate_limiter_.spend(approximate_bytes(message.records.back()));
   }
   // What is held against somebody goes along with everything, for who knows better to say so: news that it
   // has refuted may have missed us.
@@ -202,26 +206,26 @@
   if (probes && message.records.size() < 2 && !order_.empty()) {
     const int any = order_[static_cast<std::size_t>(chance() * static_cast<double>(order_.size()))];
     const Member& m = members_[static_cast<std::size_t>(any)];
-    if (any != member && !m.record.name.empty() && m.record.condition == Condition::kThere &&
+    if (any != member && !m.record.name.empty() && m.record.condition == Condition::kAlive &&
         now - m.told_at < terms_.old)
       message.records.push_back(record_of(any, now));
   }
   port_.send(address, message);
 }
 
-void View::send(int member, Message message, double now) {
+void MembershipView::send(int member, Message message, double now) {
   const std::string address = members_[static_cast<std::size_t>(member)].record.address;
   send_to(address, std::move(message), now, member);
 }
 
-std::vector<int> View::some(std::size_t most, const std::function<bool(const Member&)>& wanted) {
+std::vector<int> MembershipView::some(std::size_t most, const std::function<bool(const Member&)>& wanted) {
   std::vector<int> out;
   if (order_.empty()) return out;
   // A few draws, then whoever fits from a random place on: cheap in a large fleet, whole in a small one.
   const auto place = static_cast<std::size_t>(chance() * static_cast<double>(order_.size()));
   const auto fits = [&](int at) {
     const Member& m = members_[static_cast<std::size_t>(at)];
-    return !m.record.name.empty() && m.record.condition == Condition::kThere && wanted(m) &&
+    return !m.record.name.empty() && m.record.condition == Condition::kAlive && wanted(m) &&
            std::find(out.begin(), out.end(), at) == out.end();
   };
   for (std::size_t i = 0; i < 3 * most && out.size() < most; ++i) {
@@ -237,7 +241,7 @@
 
 // ---- Time.
 
-void View::begin(double now) {
+void MembershipView::begin(double now) {
   tick_at_ = now;
   exchange_at_ = now + terms_.exchange * (0.5 + chance());
   seeds_at_ = now + kSeedEvery;
@@ -248,7 +252,7 @@
   }
 }
 
-bool View::on_wake(double now) {
+bool MembershipView::on_timer(double now) {
   const double gap = now - tick_at_;
   const bool paused = gap > kPause;
   if (paused) notice_pause(gap, now);
@@ -266,7 +270,7 @@
     gossip(now);
     return paused;
   }
-  const double period = terms_.interval * fitness_.stretch();
+  const double period = terms_.interval * local_health_.stretch();
   if (probe_ && !probe_->answered && !probe_->asked && now >= probe_->sent + period * kDirectShare)
     ask_helpers(now);
   if (now >= recheck_at_ && !cut_.empty()) {  // a cut that has ended is to show soon
@@ -276,11 +280,11 @@
   }
   if (now >= period_at_) {
     if (probe_) judge_probe(now);
-    period_at_ = std::max(now, period_at_ + terms_.interval * fitness_.stretch());
-    if (period_at_ <= now) period_at_ = now + terms_.interval * fitness_.stretch();
+    period_at_ = std::max(now, period_at_ + terms_.interval * local_health_.stretch());
+    if (period_at_ <= now) period_at_ = now + terms_.interval * local_health_.stretch();
     start_probe(now);
   }
-  run_errands(now);
+  run_indirect_probes(now);
   look_at_suspicions(now);
   if (now >= gossip_at_) {
     gossip_at_ = now + kGossipEvery;
@@ -290,14 +294,14 @@
   return paused;
 }
 
-void View::tell(Told told) {
+void MembershipView::tell(LoadReport told) {
   told.serial = told_.serial;
   if (told == told_) return;
   told_ = std::move(told);
   ++told_.serial;
 }
 
-void View::leave(double now) {
+void MembershipView::leave(double now) {
   leaving_ = true;
   ++incarnation_;
   probe_.reset();
@@ -308,23 +312,24 @@
 
 // ---- What it shows.
 
-State View::state_of(const Member& m, double now) const {
+MemberState MembershipView::state_of(const Member& m, double now) const {
   switch (m.record.condition) {
-    case Condition::kDead: return State::kDead;
-    case Condition::kLeft: return State::kLeft;
+    case Condition::kDead: return MemberState::kDead;
+    case Condition::kLeft: return MemberState::kLeft;
     case Condition::kSuspected:
-      return hold_since_ >= 0 || now - m.heard_at < kHeardCounts ? State::kCut : State::kSuspected;
-    case Condition::kThere: break;
+      return hold_since_ >= 0 || now - m.heard_at < kHeardCounts ? MemberState::kUnreachable
+                                                                 : MemberState::kSuspected;
+    case Condition::kAlive: break;
   }
-  if (m.link.broken()) return State::kCut;
-  return now < m.settled_at ? State::kUnsettled : State::kThere;
+  if (m.link.broken()) return MemberState::kUnreachable;
+  return now < m.settled_at ? MemberState::kFlapping : MemberState::kAlive;
 }
 
-std::vector<Seen> View::members(double now) const {
-  std::vector<Seen> out;
+std::vector<MemberStatus> MembershipView::members(double now) const {
+  std::vector<MemberStatus> out;
   for (const Member& m : members_) {
     if (m.record.name.empty()) continue;
-    Seen seen;
+    MemberStatus seen;
     seen.name = m.record.name, seen.address = m.record.address;
     seen.epoch = m.record.epoch, seen.incarnation = m.record.incarnation, seen.contest = m.record.contest;
     seen.state = state_of(m, now);
@@ -335,12 +340,13 @@
     seen.by = m.record.by;
     out.push_back(std::move(seen));
   }
-  std::sort(out.begin(), out.end(), [](const Seen& a, const Seen& b) { return a.name < b.name; });
+  std::sort(out.begin(), out.end(),
+            [](const MemberStatus& a, const MemberStatus& b) { return a.name < b.name; });
   return out;
 }
 
-std::vector<LinkSeen> View::broken_links(double now) const {
-  std::vector<LinkSeen> out = links_.broken(now);
+std::vector<ObservedLink> MembershipView::broken_links(double now) const {
+  std::vector<ObservedLink> out = links_.broken(now);
   for (const Member& m : members_) {
     if (m.record.name.empty() || !in_play(m)) continue;
     if (m.link.inward_broken()) out.push_back({m.record.name, self_.name, m.link.inward_since(), self_.name});
--- a/src/members/view.h
+++ b/src/members/membership_view.h
@@ -18,37 +18,37 @@
 #include <unordered_map>
 #include <vector>
 
-#include "members/gossip.h"
-#include "members/links.h"
-#include "members/news_pace.h"
+#include "members/broken_links.h"
+#include "members/gossip_queue.h"
+#include "members/gossip_rate_limiter.h"
+#include "members/options.h"
 #include "members/record.h"
-#include "members/terms.h"
 
 namespace damsonspoke::members {
 
 // What this one makes of a member.
-enum class State {
-  kThere,
-  kUnsettled,  // there, but it has come and gone too often lately
-  kCut,        // alive, and out of our reach; or silent together with over half: it may be us
+enum class MemberState {
+  kAlive,
+  kFlapping,     // there, but it has come and gone too often lately
+  kUnreachable,  // alive, and out of our reach; or silent together with over half: it may be us
   kSuspected,
   kDead,
   kLeft
 };
-const char* text_of(State state);
+const char* text_of(MemberState state);
 
-struct Seen {
+struct MemberStatus {
   std::string name, address;
   std::uint64_t epoch = 0;
   std::uint32_t incarnation = 0;
-  State state = State::kThere;
-  double since = 0;             // s, by the clock that is handed in
-  std::optional<Told> told;     // none where it is too old to be a value
-  double told_age = 0;          // s
-  double pause = 0;             // s, the longest that it lately stood still
-  std::uint64_t contest = 0;    // a clone's life; 0: none
-  std::vector<std::string> by;  // who found it silent
-  bool usable() const { return state == State::kThere; }
+  MemberState state = MemberState::kAlive;
+  double since = 0;                // s, by the clock that is handed in
+  std::optional<LoadReport> told;  // none where it is too old to be a value
+  double told_age = 0;             // s
+  double pause = 0;                // s, the longest that it lately stood still
+  std::uint64_t contest = 0;       // a clone's life; 0: none
+  std::vector<std::string> by;     // who found it silent
+  bool usable() const { return state == MemberState::kAlive; }
 };
 
 struct Self {
@@ -57,20 +57,21 @@
 };
 
 // Where a view's acts go. Called from inside the view's methods; must not call back.
-class Port {
+class MembershipSink {
  public:
-  virtual ~Port() = default;
+  virtual ~MembershipSink() = default;
   virtual void send(const std::string& address, const Message& message) = 0;
   virtual void exchange(const std::string& address) = 0;  // full, by stream; its end comes as
                                                           // on_exchange or on_exchange_failed
   // For the log and for users: a member's state changed, or something about this one, with its cause.
-  virtual void changed(const std::string& name, State state, const std::string& why) = 0;
+  virtual void changed(const std::string& name, MemberState state, const std::string& why) = 0;
   virtual void noticed(const std::string& what) = 0;
 };
 
-class View {
+class MembershipView {
  public:
-  View(Terms terms, Self self, std::vector<std::string> seeds, std::uint64_t seed, Port& port);
+  MembershipView(MembershipOptions terms, Self self, std::vector<std::string> seeds, std::uint64_t seed,
+                 MembershipSink& port);
 
   void begin(double now);
   // `stale`: it waited unread while this one stood still; only what accuses this one counts.
@@ -83,15 +84,15 @@
   double wake() const { return tick_at_; }
   // Has to be called at wake(); a call that comes far too late is this one's own pause. True then: what waits
   // unread is from before, and is to be handed over as stale.
-  bool on_wake(double now);
-  void tell(Told told);  // of this one; its serial is given here
+  bool on_timer(double now);
+  void tell(LoadReport told);  // of this one; its serial is given here
   void leave(double now);
 
-  std::vector<Seen> members(double now) const;  // all but this one, by name
-  std::vector<LinkSeen> broken_links(double now) const;
+  std::vector<MemberStatus> members(double now) const;  // all but this one, by name
+  std::vector<ObservedLink> broken_links(double now) const;
   Record self_record(double now) const;
   bool yielded() const { return yielded_; }
-  int fitness() const { return fitness_.value(); }
+  int local_health() const { return local_health_.value(); }
   std::size_t there() const { return alive_; }
   const Self& self() const { return self_; }
 
@@ -111,7 +112,7 @@
     double last_heard = -1;     // by ourselves
     bool accused_here = false;  // we have found it silent ourselves
     bool looked = false;        // once more, before its time is over
-    LinkState link;
+    LinkHealth link;
     double seen_ping_at = -1;     // when its last direct ping came, and
     std::uint32_t seen_ping = 0;  // that ping's serial
     std::string helped_by;        // who reached it for us last
@@ -129,7 +130,7 @@
     int helpers = 0;
     std::vector<std::string> silent;  // helpers that do not hear it either
   };
-  struct Errand {  // a probe for somebody else
+  struct IndirectProbe {  // a probe for somebody else
     std::string for_name, for_address, target;
     std::uint32_t serial = 0, direct = 0, asked_with = 0;
     double until = 0, again = 0;
@@ -160,7 +161,7 @@
   Silence silence(int also, double now) const;
   void call_dead(int member, double now, const std::string& why);
   void notice_pause(double gap, double now);
-  void run_errands(double now);
+  void run_indirect_probes(double now);
   void gossip(double now);
   void look_around(double now);  // exchanges, forgetting, seeds
   std::optional<int> next_target();
@@ -169,18 +170,18 @@
   void send_to(const std::string& address, Message message, double now, int member);
   Record record_of(int member, double now) const;
   double deadline_of(const Member& m, double from) const;
-  State state_of(const Member& m, double now) const;
+  MemberState state_of(const Member& m, double now) const;
   double chance();
   std::size_t known() const { return alive_ + 1; }
 
-  const Terms terms_;
+  const MembershipOptions terms_;
   Self self_;
   const std::vector<std::string> seeds_;
   pcg32 random_;
-  Port& port_;
+  MembershipSink& port_;
   std::uint32_t incarnation_ = 0, next_serial_ = 1, next_number_ = 1;
   std::uint64_t contest_ = 0;
-  Told told_;
+  LoadReport told_;
   double pause_ = 0, pause_at_ = 0;
   bool leaving_ = false, yielded_ = false, exchanged_ = false;
   double retry_at_ = 0;
@@ -195,11 +196,11 @@
   std::optional<int> again_;  // probed out of turn: one wrong probe may be a lost datagram
   std::deque<int> looks_;     // as well: last looks
   std::optional<Probe> probe_;
-  std::vector<Errand> errands_;
-  Gossip gossip_;
-  NewsPace news_pace_;
-  Links links_;
-  Fitness fitness_;
+  std::vector<IndirectProbe> indirect_probes_;
+  GossipQueue gossip_;
+  GossipRateLimiter gossip_rate_limiter_;
+  BrokenLinks links_;
+  LocalHealth local_health_;
   double seed_wait_ = 0;  // s; of the last retry while nobody is known; 0: none yet
   double tick_at_ = 0, period_at_ = 0, gossip_at_ = 0, exchange_at_ = 0, seeds_at_ = 0, look_at_ = 0,
          recheck_at_ = 0, differs_since_ = -1, compare_at_ = 0, hold_since_ = -1, newest_suspicion_ = -1e9;
--- a/src/members/view_internal.h
+++ b/src/members/membership_view_internal.h
@@ -11,7 +11,7 @@
 
 inline constexpr double kDirectShare = 0.4;  // of a period, until helpers are asked
 inline constexpr double kPause = 0.3;        // s that a wake may be late; more is a pause of our own
-inline constexpr std::size_t kMostMembers = 4096, kMostErrands = 64;
+inline constexpr std::size_t kMostMembers = 4096, kMaxIndirectProbes = 64;
 inline constexpr double kPauseMemory = 300;  // s that a pause is told
 inline constexpr int kLeaveTo = 8;           // members that are told of a leave at once
 inline constexpr double kSeedEvery = 10;     // s between tries of seeds that are not members
--- a/src/members/view_messages.cpp
+++ b/src/members/membership_view_messages.cpp
@@ -2,8 +2,8 @@
 #include <algorithm>
 #include <cmath>
 
-#include "members/view.h"
-#include "members/view_internal.h"
+#include "members/membership_view.h"
+#include "members/membership_view_internal.h"
 
 namespace damsonspoke::members {
 namespace {
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-void View::note_told(Member& m, const Record& record, double now) {
+void MembershipView::note_told(Member& m, const Record& record, double now) {
   if (record.told.serial == 0 || record.epoch != m.record.epoch) return;
   const double at = now - record.told_age_ms / 1000.0;
   if (record.told.serial < m.record.told.serial ||
@@ -31,7 +31,7 @@
 }
 
 // True where it was news.
-bool View::take(const Record& record, double now) {
+bool MembershipView::take(const Record& record, double now) {
   if (record.name == self_.name) return take_about_self(record, now), false;
   const int at = find(record.name);
   if (at < 0) {
@@ -53,7 +53,7 @@
     const Condition before = m.record.condition;
     const std::uint64_t epoch = m.record.epoch;
     const bool fresh_life = record.rank() > m.record.rank();
-    Told told = m.record.told;
+    LoadReport told = m.record.told;
     std::vector<std::string> by = m.record.by;
     m.record = record;
     if (fresh_life && record.epoch != epoch) {
@@ -66,7 +66,7 @@
       add_witnesses(m.record, by);
     links_.told(record.name, record.broken, now);
     settle(at, before, now, "told");
-    const bool lives_after_all = before != Condition::kThere && m.record.condition == Condition::kThere;
+    const bool lives_after_all = before != Condition::kAlive && m.record.condition == Condition::kAlive;
     gossip_.add(at, passes(known()), lives_after_all);
     return true;
   }
@@ -86,7 +86,7 @@
 }
 
 // A member's condition has changed by what was told or found.
-void View::settle(int member, Condition before, double now, const std::string& why) {
+void MembershipView::settle(int member, Condition before, double now, const std::string& why) {
   Member& m = members_[static_cast<std::size_t>(member)];
   const Condition after = m.record.condition;
   const bool was = before <= Condition::kSuspected, is = in_play(m);
@@ -109,7 +109,7 @@
     m.deadline = -1;
     m.accused_here = false;
     suspected_.erase(member);
-    if (after == Condition::kThere) m.record.by.clear();
+    if (after == Condition::kAlive) m.record.by.clear();
     if (!is) cut_.erase(member), m.link = {};
   }
   count_in(member);
@@ -117,14 +117,14 @@
 }
 
 // Somebody speaks of this one: of this life, of one before it, or of a clone.
-void View::take_about_self(const Record& record, double now) {
+void MembershipView::take_about_self(const Record& record, double now) {
   if (yielded_) return;
   if (record.epoch == self_.epoch) {
     const bool accuses =
-        !leaving_ && record.condition != Condition::kThere && record.incarnation >= incarnation_;
+        !leaving_ && record.condition != Condition::kAlive && record.incarnation >= incarnation_;
     if (!accuses) return;
     incarnation_ = record.incarnation;
-    fitness_.worse();
+    local_health_.worse();
     ++counts_.refuted;
     port_.noticed("refuted what was said of this one");
     return refute(record.by, now);
@@ -155,7 +155,7 @@
 }
 
 // First to who accuses, then to whoever: they have the shortest time.
-void View::refute(const std::vector<std::string>& accusers, double now, std::size_t to) {
+void MembershipView::refute(const std::vector<std::string>& accusers, double now, std::size_t to) {
   // An accusation may name the last incarnation there is. Guards against refuting with one that nobody reads.
   if (++incarnation_ > kMostIncarnation) ++self_.epoch, incarnation_ = 0;
   Message message;
@@ -170,7 +170,7 @@
 // Somebody heard from a suspected member: it lives, whoever can't reach it. Passed on, so that none of those
 // who do not hear it calls it dead. By the number that it gave its datagram, not by times: what travels late
 // would make it look alive for ever. Guards against the end of a member that is heard and hears nobody.
-void View::heard(int member, std::uint32_t number, double now) {
+void MembershipView::heard(int member, std::uint32_t number, double now) {
   Member& m = members_[static_cast<std::size_t>(member)];
   if (m.record.condition != Condition::kSuspected || number <= m.heard) return;
   if (now - m.heard_at > kHeardNews) gossip_.add(member, passes(known()));
@@ -179,22 +179,23 @@
 }
 
 // A death counts as any news: answers to all who still suspect would be a flood of their own in a great loss.
-bool View::may_correct(int member, double now) {
+bool MembershipView::may_correct(int member, double now) {
   if (members_[static_cast<std::size_t>(member)].record.condition != Condition::kDead) return true;
-  if (!news_pace_.open(now)) return false;
-  news_pace_.spend(approximate_bytes(members_[static_cast<std::size_t>(member)].record));
+  if (!gossip_rate_limiter_.open(now)) return false;
+  gossip_rate_limiter_.spend(approximate_bytes(members_[static_cast<std::size_t>(member)].record));
   return true;
 }
 
-void View::on_message(const std::string& from_address, const Message& message, double now, bool stale) {
+void MembershipView::on_message(const std::string& from_address, const Message& message, double now,
+                                bool stale) {
   if (message.from == self_.name) return;   // a clone, or a forged one: lives are sorted out by records
   if (!stale && now - tick_at_ > kPause) {  // nobody has woken us yet: this waited, too
-    on_wake(now);
+    on_timer(now);
     stale = true;
   }
   if (stale) {
     for (const Record& record : message.records) {
-      if (record.name == self_.name && record.condition != Condition::kThere) take_about_self(record, now);
+      if (record.name == self_.name && record.condition != Condition::kAlive) take_about_self(record, now);
     }
     return;
   }
@@ -203,7 +204,7 @@
   Message better;
   for (const Record& record : message.records) {
     take(record, now);
-    const int of = record.condition == Condition::kThere ? -1 : find(record.name);
+    const int of = record.condition == Condition::kAlive ? -1 : find(record.name);
     if (of >= 0 && supersedes(members_[static_cast<std::size_t>(of)].record, record) && may_correct(of, now))
       better.records.push_back(record_of(of, now));
   }
@@ -244,7 +245,7 @@
       return;
     }
     case Kind::kAck: {
-      for (auto it = errands_.begin(); it != errands_.end(); ++it) {
+      for (auto it = indirect_probes_.begin(); it != indirect_probes_.end(); ++it) {
         if (it->serial != message.serial || it->target != message.from) continue;
         answer.kind = Kind::kAck;
         answer.serial = it->asked_with;
@@ -252,7 +253,7 @@
         answer.heard_direct = message.heard_direct;
         answer.records.push_back(record_of(at, now));  // it may have refuted what they think of it
         send_to(it->for_address, answer, now, find(it->for_name));
-        errands_.erase(it);
+        indirect_probes_.erase(it);
         return;
       }
       if (!probe_) return;
@@ -273,8 +274,8 @@
     }
     case Kind::kAsk: {
       const int target = find(message.target);
-      if (target < 0 || target == at || errands_.size() >= kMostErrands) return;
-      Errand errand;
+      if (target < 0 || target == at || indirect_probes_.size() >= kMaxIndirectProbes) return;
+      IndirectProbe errand;
       errand.for_name = message.from, errand.for_address = from_address, errand.target = message.target;
       errand.serial = next_serial_++, errand.direct = message.direct, errand.asked_with = message.serial;
       const double time = terms_.interval * (1 - kDirectShare) * 0.75;
@@ -283,7 +284,7 @@
       ping.kind = Kind::kPing;
       ping.serial = errand.serial, ping.target = errand.target, ping.on_behalf = errand.for_name;
       ping.direct = errand.direct;
-      errands_.push_back(std::move(errand));
+      indirect_probes_.push_back(std::move(errand));
       send(target, ping, now);
       return;
     }
@@ -296,7 +297,7 @@
   }
 }
 
-void View::on_exchange(const std::vector<Record>& records, double now) {
+void MembershipView::on_exchange(const std::vector<Record>& records, double now) {
   ++counts_.exchanges;
   if (yielded_) return;
   // Little news is passed on as any; a great deal of it means that this one is new, or was apart, and that
@@ -313,7 +314,7 @@
 
 // Seeds refuse exchanges beyond their bound when many come up at once. Who knows nobody yet tries again soon,
 // and waits longer each time, up to the time between any two tries.
-void View::on_exchange_failed(double now) {
+void MembershipView::on_exchange_failed(double now) {
   if (alive_ > 0 || yielded_) return;
   seed_wait_ = seed_wait_ == 0 ? kFirstSeedRetry : std::min(kSeedEvery, 2 * seed_wait_);
   seeds_at_ = std::min(seeds_at_, now + seed_wait_ * (0.5 + chance()));
--- a/src/members/view_probes.cpp
+++ b/src/members/membership_view_probes.cpp
@@ -2,8 +2,8 @@
 #include <algorithm>
 #include <cmath>
 
-#include "members/view.h"
-#include "members/view_internal.h"
+#include "members/membership_view.h"
+#include "members/membership_view_internal.h"
 
 namespace damsonspoke::members {
 namespace {
@@ -28,7 +28,7 @@
 
 // ---- Probes.
 
-std::optional<int> View::next_target() {
+std::optional<int> MembershipView::next_target() {
   if (!again_ && !looks_.empty()) {
     again_ = looks_.front();
     looks_.pop_front();
@@ -59,7 +59,7 @@
   return std::nullopt;
 }
 
-void View::start_probe(double now) {
+void MembershipView::start_probe(double now) {
   const std::optional<int> target = next_target();
   if (!target) return;
   ++counts_.probes;
@@ -77,7 +77,7 @@
 
 // Others probe it for us: first who reached it last, then any, more of them while the link is known to be
 // cut.
-void View::ask_helpers(double now) {
+void MembershipView::ask_helpers(double now) {
   Probe& p = *probe_;
   p.asked = true;
   const Member& target = members_[static_cast<std::size_t>(p.member)];
@@ -86,7 +86,7 @@
   std::vector<int> helpers;
   const int last = find(helped_by);
   if (!helped_by.empty() && last >= 0 &&
-      members_[static_cast<std::size_t>(last)].record.condition == Condition::kThere)
+      members_[static_cast<std::size_t>(last)].record.condition == Condition::kAlive)
     helpers.push_back(last);
   for (const int at : some(static_cast<std::size_t>(wanted), [&](const Member& m) {
          return m.record.name != name && m.record.name != helped_by && !m.link.broken();
@@ -102,13 +102,13 @@
   for (const int at : helpers) send(at, ask, now);
 }
 
-void View::judge_probe(double now) {
+void MembershipView::judge_probe(double now) {
   const Probe p = std::move(*probe_);
   probe_.reset();
   Member& m = members_[static_cast<std::size_t>(p.member)];
   if (m.record.name.empty() || !in_play(m)) return;
   if (p.answered) {
-    fitness_.better();
+    local_health_.better();
     const bool was = m.link.broken();
     m.link.judged(true, true, now);
     cut_.erase(p.member);
@@ -117,7 +117,7 @@
   }
   ++counts_.failed;
   if (p.reached) {  // alive, and out of our reach in one way or both, or a datagram was lost
-    fitness_.better();
+    local_health_.better();
     if (m.record.condition == Condition::kSuspected) m.heard_at = now;
     const bool was = m.link.broken();
     m.link.judged(p.detour, p.direct_came, now);
@@ -131,14 +131,14 @@
   }
   const int missing = p.helpers - static_cast<int>(p.silent.size());
   // Helpers that say nothing at all: the fault may be ours.
-  fitness_.worse(p.helpers == 0 ? 0 : missing);
+  local_health_.worse(p.helpers == 0 ? 0 : missing);
   std::vector<std::string> witnesses{self_.name};
   witnesses.insert(witnesses.end(), p.silent.begin(), p.silent.end());
   if (witnesses.size() > kWitnessesNeeded) witnesses.resize(kWitnessesNeeded);
   accuse(p.member, std::move(witnesses), now);
 }
 
-void View::accuse(int member, std::vector<std::string> witnesses, double now) {
+void MembershipView::accuse(int member, std::vector<std::string> witnesses, double now) {
   Member& m = members_[static_cast<std::size_t>(member)];
   if (m.record.condition == Condition::kSuspected) {
     m.accused_here = true;
@@ -148,7 +148,7 @@
   ++counts_.suspicions;
   m.record.condition = Condition::kSuspected;
   m.record.by = std::move(witnesses);
-  settle(member, Condition::kThere, now, "no answer to us, nor to those that we asked");
+  settle(member, Condition::kAlive, now, "no answer to us, nor to those that we asked");
   m.accused_here = true;
   m.deadline = deadline_of(m, now);
   gossip_.add(member, passes(known()));
@@ -156,7 +156,7 @@
 
 // More witnesses of a suspicion, or this one itself: passed on only where that leaves it less time, so that
 // the news of a loss does not grow with the number of those who notice it.
-void View::confirm(int member) {
+void MembershipView::confirm(int member) {
   Member& m = members_[static_cast<std::size_t>(member)];
   const double deadline = deadline_of(m, m.since);
   if (deadline >= m.deadline) return;
@@ -166,10 +166,10 @@
 
 // Who has found it silent itself calls it dead first; the others wait a little for that. A member that is
 // known to stand still now and then gets that time on top.
-double View::deadline_of(const Member& m, double from) const {
+double MembershipView::deadline_of(const Member& m, double from) const {
   double time = suspicion_time(terms_, known(), m.record.by.size());
   // Nobody but this one has found it silent, and this one is ill itself.
-  if (m.accused_here && m.record.by.size() < 2) time *= fitness_.stretch();
+  if (m.accused_here && m.record.by.size() < 2) time *= local_health_.stretch();
   time += std::min(kMostPauseRoom, kPauseRoom * m.record.pause_ms / 1000.0);
   if (!m.accused_here) time += kWitnessWait;
   return from + time;
@@ -177,7 +177,7 @@
 
 // How many are silent at once. In a small fleet, where each is heard every few seconds, those count too that
 // have not been heard since this one fell silent: some of them may not have been probed yet.
-View::Silence View::silence(int also, double now) const {
+MembershipView::Silence MembershipView::silence(int also, double now) const {
   std::size_t silent = 0, others = 0, unheard = 0;
   const double since = members_[static_cast<std::size_t>(also)].since;
   for (std::size_t i = 0; i < members_.size(); ++i) {
@@ -186,7 +186,7 @@
     const bool dead_lately = m.record.condition == Condition::kDead && now - m.since < kSilentWindow;
     if (m.record.condition == Condition::kDead && !dead_lately) continue;
     ++others;
-    if (m.record.condition != Condition::kThere || static_cast<int>(i) == also)
+    if (m.record.condition != Condition::kAlive || static_cast<int>(i) == also)
       ++silent;
     else if (m.last_heard < since)
       ++unheard;
@@ -196,7 +196,7 @@
   return silent * 2 > others ? Silence::kMost : many ? Silence::kMany : Silence::kFew;
 }
 
-void View::look_at_suspicions(double now) {
+void MembershipView::look_at_suspicions(double now) {
   bool holding = false;
   const std::vector<int> all(suspected_.begin(), suspected_.end());
   for (const int at : all) {
@@ -230,7 +230,7 @@
         port_.noticed("over half of the fleet is silent at once: no deaths are told, it may be this one");
       }
       holding = true;
-      if (now - hold_since_ < terms_.hold * fitness_.stretch()) {
+      if (now - hold_since_ < terms_.hold * local_health_.stretch()) {
         m.deadline = now + kHoldLook;
         continue;
       }
@@ -240,7 +240,7 @@
   if (hold_since_ >= 0 && !holding && suspected_.empty()) hold_since_ = -1;
 }
 
-void View::call_dead(int member, double now, const std::string& why) {
+void MembershipView::call_dead(int member, double now, const std::string& why) {
   Member& m = members_[static_cast<std::size_t>(member)];
   ++counts_.deaths;
   m.record.condition = Condition::kDead;
@@ -250,10 +250,10 @@
 
 // ---- This one's own pauses.
 
-void View::notice_pause(double gap, double now) {
+void MembershipView::notice_pause(double gap, double now) {
   ++counts_.pauses;
   probe_.reset();
-  errands_.clear();
+  indirect_probes_.clear();
   // Nobody could refute to us meanwhile.
   for (const int at : suspected_) members_[static_cast<std::size_t>(at)].deadline += gap + kCatchUp;
   period_at_ = now + kCatchUp;
@@ -265,16 +265,16 @@
   if (!leaving_ && !yielded_) refute({}, now, kLeaveTo);
 }
 
-void View::run_errands(double now) {
-  for (std::size_t i = 0; i < errands_.size();) {
-    Errand& e = errands_[i];
+void MembershipView::run_indirect_probes(double now) {
+  for (std::size_t i = 0; i < indirect_probes_.size();) {
+    IndirectProbe& e = indirect_probes_[i];
     if (now >= e.until) {
       Message silent;
       silent.kind = Kind::kSilent;
       silent.serial = e.asked_with;
       silent.target = e.target;
-      const Errand done = e;
-      errands_.erase(errands_.begin() + static_cast<std::ptrdiff_t>(i));
+      const IndirectProbe done = e;
+      indirect_probes_.erase(indirect_probes_.begin() + static_cast<std::ptrdiff_t>(i));
       send_to(done.for_address, silent, now, find(done.for_name));
       continue;
     }
@@ -290,17 +290,17 @@
   }
 }
 
-void View::gossip(double now) {
+void MembershipView::gossip(double now) {
   if (gossip_.empty()) return;
   for (const int at : some(kGossipTo, [](const Member&) { return true; })) {
-    if (gossip_.empty() || (!news_pace_.open(now) && !gossip_.has_urgent())) return;
+    if (gossip_.empty() || (!gossip_rate_limiter_.open(now) && !gossip_.has_urgent())) return;
     send(at, Message(), now);
-    news_pace_.spend(kDatagramBytes + approximate_bytes(self_record(now)));
+    gossip_rate_limiter_.spend(kDatagramBytes + approximate_bytes(self_record(now)));
   }
 }
 
 // Full exchanges now and then; seeds that are no members; the dead, so that a long split heals.
-void View::look_around(double now) {
+void MembershipView::look_around(double now) {
   if (now >= exchange_at_) {
     const double time = exchange_time(terms_, known());
     // The first one comes before it was known how many there are: most leave it out where there are many.
@@ -317,7 +317,7 @@
     for (const std::string& seed : seeds_) {
       const bool known_there =
           seed == self_.address || std::any_of(members_.begin(), members_.end(), [&](const Member& m) {
-            return m.record.address == seed && m.record.condition == Condition::kThere;
+            return m.record.address == seed && m.record.condition == Condition::kAlive;
           });
       if (!known_there) absent.push_back(seed);
     }
--- a/src/members/terms.cpp
+++ b/src/members/options.cpp
@@ -1,4 +1,4 @@
-#include "members/terms.h"
+#include "members/options.h"
 
 #include <algorithm>
 #include <cmath>
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-double suspicion_time(const Terms& terms, std::size_t members, std::size_t witnesses) {
+double suspicion_time(const MembershipOptions& terms, std::size_t members, std::size_t witnesses) {
   const double size = std::max(10.0, static_cast<double>(members));
   const double least = terms.suspicion * (1 + kGrows * std::log10(size / 10));
   const double most = kUnconfirmed * least;
@@ -23,7 +23,7 @@
   return std::max(least, most - (most - least) * std::log(beside + 1) / std::log(kConfirmed + 1));
 }
 
-double exchange_time(const Terms& terms, std::size_t members) {
+double exchange_time(const MembershipOptions& terms, std::size_t members) {
   return std::max(terms.exchange, kExchangeEach * static_cast<double>(members));
 }
 
--- a/src/members/terms.h
+++ b/src/members/options.h
@@ -5,7 +5,7 @@
 
 namespace damsonspoke::members {
 
-struct Terms {
+struct MembershipOptions {
   double interval = 0.3;     // s between two probes
   double suspicion = 2;      // s that a suspected member has at least, at ten members
   int helpers = 3;           // asked to probe who does not answer
@@ -19,10 +19,10 @@
 
 // s in which a suspected member may refute: grows with the size of the fleet, shrinks with each one that has
 // found it silent by itself.
-double suspicion_time(const Terms& terms, std::size_t members, std::size_t witnesses);
+double suspicion_time(const MembershipOptions& terms, std::size_t members, std::size_t witnesses);
 
 // s between two full exchanges: their bytes a second stay the same however many there are.
-double exchange_time(const Terms& terms, std::size_t members);
+double exchange_time(const MembershipOptions& terms, std::size_t members);
 
 // s in which a member that knows another set of members than others asks one of them for a full exchange, at
 // some moment drawn by chance: the bytes a second of a fleet that has lost many stay the same at any size.
@@ -33,7 +33,7 @@
 
 // Whether this one is fit to judge others: from 0, fit, to 8. Grows with what goes wrong here, and times grow
 // with it (Lifeguard's local health multiplier). Guards against an accuser that is ill itself.
-class Fitness {
+class LocalHealth {
  public:
   void worse(int by = 1) { value_ = value_ + by > kMost ? kMost : value_ + by; }
   void better() { value_ = value_ > 0 ? value_ - 1 : 0; }
--- a/src/members/record.cpp
+++ b/src/members/record.cpp
@@ -10,7 +10,7 @@
 constexpr std::size_t kToldBytes = 12;    // numbers and heads of what a member tells
 constexpr std::size_t kLinkBytes = 7;     // of a broken link, beside the name
 
-std::size_t approximate_bytes(const Told& told) {
+std::size_t approximate_bytes(const LoadReport& told) {
   if (told.serial == 0) return 0;
   return kToldBytes + told.role.size() + told.zone.size() + told.build.size() + told.serves.size() +
          4 * kTextBytes;
--- a/src/members/record.h
+++ b/src/members/record.h
@@ -16,13 +16,13 @@
 constexpr std::uint64_t kMostEpoch = std::uint64_t{1} << 61;
 
 // As it is told; what a member makes of it itself is view.h's State.
-enum class Condition : std::uint8_t { kThere = 0, kSuspected = 1, kDead = 2, kLeft = 3 };
+enum class Condition : std::uint8_t { kAlive = 0, kSuspected = 1, kDead = 2, kLeft = 3 };
 
 // State of the layer below, as a member sees it.
 enum class DependencyState : std::uint8_t { kUnknown = 0, kWell = 1, kSlow = 2, kGone = 3 };
 
 // What a member tells of itself beside its being there: small, and worth nothing once it is old.
-struct Told {
+struct LoadReport {
   std::uint32_t serial = 0;  // rises with each change in one life; 0: nothing told
   std::string role;          // relay, planner, forwarder
   std::string zone;
@@ -33,7 +33,7 @@
   std::uint16_t sheds = 0;  // tenths of importance under which it refuses; 0: it refuses nothing
   DependencyState dependency = DependencyState::kUnknown;
   std::string serves;  // address that its requests go to; empty: none
-  bool operator==(const Told&) const = default;
+  bool operator==(const LoadReport&) const = default;
 };
 
 // A link that is broken as one end of it finds: what `other` sends does not come (inward), or what is sent to
@@ -51,10 +51,10 @@
   std::string name;
   std::uint64_t epoch = 0, contest = 0;
   std::uint32_t incarnation = 0;
-  Condition condition = Condition::kThere;
+  Condition condition = Condition::kAlive;
   std::string address;
   std::uint32_t pause_ms = 0;  // the longest that it lately stood still, by its own account
-  Told told;
+  LoadReport told;
   std::uint32_t told_age_ms = 0;  // of `told`, when this was sent
   std::vector<std::string> by;    // of a suspicion: who found it silent
   std::uint32_t heard = 0;        // of a suspicion: the number of the last datagram that somebody got from it
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -15,7 +15,7 @@
 #include <stdexcept>
 #include <system_error>
 
-#include "net/farewell.h"
+#include "net/lingering_close.h"
 
 namespace damsonspoke::net {
 namespace {
@@ -203,7 +203,7 @@
   if (peer_ended_) return close();
   watch(false, false, false);
   state_ = State::kClosed;
-  Farewell::begin(reactor_, socket_);
+  LingeringClose::begin(reactor_, socket_);
   reactor_.post([self = shared_from_this()] { self->owner_.on_end(*self, End::kInOrder); });
 }
 
--- a/src/net/farewell.cpp
+++ b/src/net/lingering_close.cpp
@@ -1,4 +1,4 @@
-#include "net/farewell.h"
+#include "net/lingering_close.h"
 
 #include <Poco/Net/StreamSocketImpl.h>
 #include <Poco/Observer.h>
@@ -12,34 +12,34 @@
 
 constexpr std::size_t kReadAtOnce = 16 * 1024;  // bytes
 
-using OnRead = Poco::Observer<Farewell, Poco::Net::ReadableNotification>;
+using OnRead = Poco::Observer<LingeringClose, Poco::Net::ReadableNotification>;
 
 }  // namespace
 
-void Farewell::begin(Reactor& reactor, int fd) {
+void LingeringClose::begin(Reactor& reactor, int fd) {
   begin(reactor, Poco::Net::StreamSocket(new Poco::Net::StreamSocketImpl(fd)));
 }
 
-void Farewell::begin(Reactor& reactor, const Poco::Net::StreamSocket& socket) {
+void LingeringClose::begin(Reactor& reactor, const Poco::Net::StreamSocket& socket) {
   const int fd = socket.impl()->sockfd();
-  std::shared_ptr<Farewell> made(new Farewell(reactor, socket));
+  std::shared_ptr<LingeringClose> made(new LingeringClose(reactor, socket));
   if (::shutdown(fd, SHUT_WR) != 0 || !made->discard())
     return;  // the peer has ended already: no more is owed
-  auto& all = reactor.farewells();
+  auto& all = reactor.lingering_closes();
   if (all.size() >= kMost) all.pop_front();  // the one that had the most time
   all.push_back(made);
-  reactor.addEventHandler(made->socket_, OnRead(*made, &Farewell::on_readable));
+  reactor.addEventHandler(made->socket_, OnRead(*made, &LingeringClose::on_readable));
   made->watching_ = true;
   made->timer_ = reactor.after(kPatience, [one = made.get()] { one->over(); });
 }
 
-Farewell::~Farewell() {
+LingeringClose::~LingeringClose() {
   reactor_.cancel(timer_);
-  if (watching_) reactor_.removeEventHandler(socket_, OnRead(*this, &Farewell::on_readable));
+  if (watching_) reactor_.removeEventHandler(socket_, OnRead(*this, &LingeringClose::on_readable));
   socket_.close();
 }
 
-bool Farewell::discard() {
+bool LingeringClose::discard() {
   char bytes[kReadAtOnce];
   for (;;) {
     const ssize_t got = ::recv(socket_.impl()->sockfd(), bytes, sizeof bytes, MSG_DONTWAIT);
@@ -51,7 +51,7 @@
   }
 }
 
-void Farewell::on_readable(Poco::Net::ReadableNotification* notification) {
+void LingeringClose::on_readable(Poco::Net::ReadableNotification* notification) {
   notification->release();
   guarded("farewell", [this] {
     if (!discard()) over();
@@ -59,10 +59,10 @@
 }
 
 // On the next turn, since it may be inside its own callback; its timer goes with it.
-void Farewell::over() {
+void LingeringClose::over() {
   reactor_.cancel(timer_);
   reactor_.post([&reactor = reactor_, one = this] {
-    auto& all = reactor.farewells();
+    auto& all = reactor.lingering_closes();
     const auto found =
         std::find_if(all.begin(), all.end(), [&](const auto& each) { return each.get() == one; });
     if (found != all.end()) all.erase(found);
--- a/src/net/farewell.h
+++ b/src/net/lingering_close.h
@@ -14,7 +14,7 @@
 
 namespace damsonspoke::net {
 
-class Farewell {
+class LingeringClose {
  public:
   static constexpr std::size_t kMost = 12;  // at once, of the descriptors that a process keeps for itself
   static constexpr double kPatience = 0.5;  // s for the peer to end; it is asked to by our own end
@@ -23,12 +23,13 @@
   // Takes the socket over: its bytes have all been given to the system, and nobody else watches it.
   static void begin(Reactor& reactor, const Poco::Net::StreamSocket& socket);
   static void begin(Reactor& reactor, int fd);
-  ~Farewell();
-  Farewell(const Farewell&) = delete;
-  Farewell& operator=(const Farewell&) = delete;
+  ~LingeringClose();
+  LingeringClose(const LingeringClose&) = delete;
+  LingeringClose& operator=(const LingeringClose&) = delete;
 
  private:
-  Farewell(Reactor& reactor, const Poco::Net::StreamSocket& socket) : reactor_(reactor), socket_(socket) {}
+  LingeringClose(Reactor& reactor, const Poco::Net::StreamSocket& socket)
+      : reactor_(reactor), socket_(socket) {}
   void on_readable(Poco::Net::ReadableNotification* notification);
   bool discard();  // false: the peer has ended, or may not go on
   void over();
--- a/src/net/reactor.cpp
+++ b/src/net/reactor.cpp
@@ -13,7 +13,7 @@
 #include <cstdio>
 #include <stdexcept>
 
-#include "net/farewell.h"
+#include "net/lingering_close.h"
 
 namespace damsonspoke::net {
 namespace {
@@ -60,7 +60,7 @@
 }
 
 Reactor::~Reactor() {
-  farewells_.clear();
+  lingering_closes_.clear();
   for (const auto& [signal, task] : signals_) ::signal(signal, SIG_DFL);
   removeEventHandler(wake_,
                      Poco::Observer<Reactor, Poco::Net::ReadableNotification>(*this, &Reactor::on_wake_byte));
--- a/src/net/reactor.h
+++ b/src/net/reactor.h
@@ -18,7 +18,7 @@
 
 using Task = std::function<void()>;
 
-class Farewell;
+class LingeringClose;
 
 double monotonic_now();  // s
 double unix_now();       // s
@@ -43,7 +43,7 @@
   void post_from_elsewhere(Task task);
 
   // Sockets that we have ended and whose peers have not yet; the oldest first. See net/farewell.h.
-  std::list<std::shared_ptr<Farewell>>& farewells() { return farewells_; }
+  std::list<std::shared_ptr<LingeringClose>>& lingering_closes() { return lingering_closes_; }
 
   // Signals become tasks of this thread. One reactor a process may watch them.
   void on_signal(int signal, Task task);
@@ -63,7 +63,7 @@
   std::map<int, Task> signals_;
   std::mutex elsewhere_lock_;
   std::vector<Task> elsewhere_;  // under the lock
-  std::list<std::shared_ptr<Farewell>> farewells_;
+  std::list<std::shared_ptr<LingeringClose>> lingering_closes_;
   int wake_fds_[2] = {-1, -1};
   Poco::Net::StreamSocket wake_;
 };
--- a/src/watch/counters.cpp
+++ b/src/observability/counters.cpp
@@ -1,4 +1,4 @@
-#include "watch/counters.h"
+#include "observability/counters.h"
 
 #include <fmt/format.h>
 
@@ -7,7 +7,7 @@
 std::string Counters::report() const {
   static constexpr const char* kNames[] = {
 #define DAMSONSPOKE_COUNTER(name, text, meaning) text,
-#include "watch/counters.def"
+#include "observability/counters.def"
 #undef DAMSONSPOKE_COUNTER
   };
   std::string out = "counters:\n";
--- a/src/watch/counters.h
+++ b/src/observability/counters.h
@@ -10,7 +10,7 @@
 
 enum class Count {
 #define DAMSONSPOKE_COUNTER(name, text, meaning) name,
-#include "watch/counters.def"
+#include "observability/counters.def"
 #undef DAMSONSPOKE_COUNTER
   kEnd
 };
--- a/src/watch/invariants.h
+++ b/src/observability/invariants.h
@@ -3,7 +3,7 @@
 
 #include <cassert>
 
-#include "watch/counters.h"
+#include "observability/counters.h"
 
 namespace damsonspoke {
 
--- a/src/watch/logger.cpp
+++ b/src/observability/logger.cpp
@@ -1,4 +1,4 @@
-#include "watch/logger.h"
+#include "observability/logger.h"
 
 #include <spdlog/details/log_msg.h>
 #include <spdlog/details/os.h>
--- a/src/peers/ajp/dependency_client.cpp
+++ b/src/peers/ajp/dependency_client.cpp
@@ -20,8 +20,9 @@
 
 }  // namespace
 
-AjpDependencyClient::AjpDependencyClient(net::Reactor& reactor, const AjpOptions& options, std::size_t most_links,
-                   DependencyEvents& events, Counters& counters, Logger& log)
+AjpDependencyClient::AjpDependencyClient(net::Reactor& reactor, const AjpOptions& options,
+                                         std::size_t most_links, DependencyEvents& events, Counters& counters,
+                                         Logger& log)
     : reactor_(reactor),
       options_(options),
       most_links_(most_links),
@@ -281,7 +282,9 @@
       status == 200 ? std::string_view(reply) : std::string_view());
 }
 
-void AjpDependencyClient::on_end_of_input(net::Connection& connection) { connection.close(net::End::kBroken); }
+void AjpDependencyClient::on_end_of_input(net::Connection& connection) {
+  connection.close(net::End::kBroken);
+}
 
 // What was sent may have run. What was not goes to another connection while there is time, unless this one
 // could not be made: the next would fare no better.
--- a/src/peers/ajp/dependency_client.h
+++ b/src/peers/ajp/dependency_client.h
@@ -17,10 +17,10 @@
 #include <utility>
 
 #include "net/connection.h"
+#include "observability/counters.h"
+#include "observability/logger.h"
 #include "peers/ports.h"
 #include "settings/operator_file.h"
-#include "watch/counters.h"
-#include "watch/logger.h"
 #include "wire/ajp.h"
 
 namespace damsonspoke::peers {
@@ -32,8 +32,8 @@
   static std::size_t most_input(const AjpOptions& options) { return options.packet + kMostReply; }
 
   // Throws std::runtime_error where the address can't be used.
-  AjpDependencyClient(net::Reactor& reactor, const AjpOptions& options, std::size_t most_links, DependencyEvents& events,
-           Counters& counters, Logger& log);
+  AjpDependencyClient(net::Reactor& reactor, const AjpOptions& options, std::size_t most_links,
+                      DependencyEvents& events, Counters& counters, Logger& log);
   ~AjpDependencyClient() override;
 
   void call(RequestId id, double patience, std::string_view body) override;
--- a/src/peers/ajp/server.cpp
+++ b/src/peers/ajp/server.cpp
@@ -7,7 +7,7 @@
 #include <cmath>
 
 #include "net/address.h"
-#include "net/farewell.h"
+#include "net/lingering_close.h"
 
 namespace damsonspoke::peers {
 namespace {
@@ -88,8 +88,8 @@
 }  // namespace
 
 AjpServer::AjpServer(net::Reactor& reactor, Self self, const AjpOptions& options, std::size_t output_bytes,
-                       conns::Share& share, std::size_t front, CallerEvents& events, Counters& counters,
-                       Logger& log, ConnectionAdmission* door)
+                     conns::ConnectionQuota& share, std::size_t front, CallerEvents& events,
+                     Counters& counters, Logger& log, ConnectionAdmission* door)
     : reactor_(reactor),
       self_(std::move(self)),
       options_(options),
@@ -110,7 +110,7 @@
         [this](std::uint64_t tag) {
           const auto found = open_.find(tag);
           if (found == open_.end()) return;
-          if (!found->second.has_asked) wasted(found->second, conns::Waste::kSilent);
+          if (!found->second.has_asked) wasted(found->second, conns::Penalty::kSilent);
           let_go(found->second);
         },
         nullptr);  // AJP has no word for who has not asked
@@ -135,7 +135,7 @@
   if (door_ != nullptr) return door_->lets_in(front_, tag, accepted);
   if (share_.room(front_) || make_room()) return share_.opened(front_), true;
   counters_.add(Count::kCallersTurnedAway);
-  net::Farewell::begin(reactor_, accepted.fd);
+  net::LingeringClose::begin(reactor_, accepted.fd);
   return false;
 }
 
@@ -153,7 +153,7 @@
 }
 
 // ---- What the door hears of a connection.
-void AjpServer::wasted(Caller& caller, conns::Waste how) {
+void AjpServer::wasted(Caller& caller, conns::Penalty how) {
   if (door_ != nullptr) door_->wasted(caller.connection->tag, how);
 }
 void AjpServer::note_busy(Caller& caller) {
@@ -215,7 +215,7 @@
     if (packet.state == wa::Framing::kNeedMore) break;
     if (packet.state == wa::Framing::kBroken) {
       counters_.add(Count::kBadFrames);
-      wasted(caller, conns::Waste::kBadFrame);
+      wasted(caller, conns::Penalty::kBadFrame);
       log_.debug("ajp", "connection {}: a packet that can't be trusted, closed",
                  connection.tag & ~kAjpTickets);
       close_after_output(caller);  // an answer before it may not have been read yet
@@ -233,7 +233,7 @@
     note_busy(caller);
     if (!sound) {
       counters_.add(Count::kBadFrames);
-      wasted(caller, conns::Waste::kBadFrame);
+      wasted(caller, conns::Penalty::kBadFrame);
       close_after_output(caller);  // an answer before it may not have been read yet
       return bytes.size();
     }
@@ -340,7 +340,7 @@
 
 // What the request is, by the table. False: something that it needs is missing or can't be read.
 bool AjpServer::fill(Caller& caller, const AjpRoute& route, const std::vector<std::string_view>& stars,
-                      const wa::ForwardRequest& request) {
+                     const wa::ForwardRequest& request) {
   if (route.route == "health") return caller.check = true;
   const auto type = std::find(self_.routes.begin(), self_.routes.end(), route.route);
   if (type == self_.routes.end())
@@ -368,8 +368,8 @@
 
 void AjpServer::ask_for_body(Caller& caller) {
   const std::size_t room = options_.packet - wa::kBodyHead;
-  const std::size_t left =
-      caller.chunked ? options_.body + 1 - caller.request.body.size() : caller.announced - caller.request.body.size();
+  const std::size_t left = caller.chunked ? options_.body + 1 - caller.request.body.size()
+                                          : caller.announced - caller.request.body.size();
   put(caller, wa::GetBodyChunk{static_cast<std::uint16_t>(std::min(room, left))});
 }
 
@@ -409,8 +409,9 @@
   caller.request.id = request.id;
   // It came when it was whole: a head from before the notice to leave does not bring a body from after the
   // grace with it. What its caller waits counts from the head.
-  const double now = net::unix_now(),
-               limit = request.client_timeout > 0 ? request.client_timeout : self_.timeouts[static_cast<std::size_t>(request.route)];
+  const double now = net::unix_now(), limit = request.client_timeout > 0
+                                                  ? request.client_timeout
+                                                  : self_.timeouts[static_cast<std::size_t>(request.route)];
   request.client_timeout = std::max(kLeastWait, request.received_at + limit - now);
   request.received_at = now;
   caller.due = now + request.client_timeout;
@@ -426,7 +427,7 @@
 }
 
 void AjpServer::respond(Caller& caller, std::uint16_t status, std::vector<wa::Header> headers,
-                         std::string_view body, bool reuse) {
+                        std::string_view body, bool reuse) {
   headers.push_back({"content-length", std::to_string(body.size())});
   put(caller, wa::SendHeaders{status, reason_of(status), std::move(headers)});
   const std::size_t piece = options_.packet - kChunkHead;
@@ -462,7 +463,7 @@
 }
 
 void AjpServer::answered(Caller& caller, std::uint16_t status, std::vector<wa::Header> headers,
-                          std::string_view body) {
+                         std::string_view body) {
   caller.request = {};
   respond(caller, status, std::move(headers), body, !no_more_ && !caller.input_over);
   note_busy(caller);
@@ -523,7 +524,7 @@
   by_traffic_.erase(caller.place);
   open_.erase(found);
   if (door_ != nullptr) {
-    if (!caller.has_asked && why == net::End::kBroken) door_->wasted(connection.tag, conns::Waste::kReset);
+    if (!caller.has_asked && why == net::End::kBroken) door_->wasted(connection.tag, conns::Penalty::kReset);
     door_->ended(connection.tag);
   } else if (!caller.evicted) {
     share_.closed(front_);
@@ -560,7 +561,7 @@
     if (connection.waiting() > 0 && caller.waiting_since < 0) caller.waiting_since = now;
     const bool untaken = caller.waiting_since >= 0 && now - caller.waiting_since > kTakeOutput;
     if (untaken || too_slow(caller, now)) {
-      wasted(caller, conns::Waste::kSlow);
+      wasted(caller, conns::Penalty::kSlow);
       connection.close(net::End::kOverflow);
       continue;
     }
@@ -569,13 +570,13 @@
                               (door_ != nullptr && caller.input_pace.too_slow(now, connection.bytes_in(),
                                                                               door_->input_terms())))) {
       counters_.add(Count::kHalfClosed);
-      wasted(caller, conns::Waste::kHalf);
+      wasted(caller, conns::Penalty::kHalf);
       refuse(caller, 408, true);
     } else if (!nothing_owed(caller)) {
       continue;  // what lies unread is read first
     } else if (!caller.has_asked && now - caller.last_traffic > kFirstRequest) {
       counters_.add(Count::kSilentClosed);
-      wasted(caller, conns::Waste::kSilent);
+      wasted(caller, conns::Penalty::kSilent);
       connection.end();
     } else if (now - caller.last_traffic > options_.idle) {
       connection.end();
