--- a/src/peers/ajp/server.h
+++ b/src/peers/ajp/server.h
@@ -1,6 +1,6 @@
 // Callers that speak AJP 1.3: a second front. A gateway's connection carries one request at a time;
-// operators' table says which request it is. What maps to nothing is answered at once and costs no slot; what does
-// is a request as any other, with the same due time, decisions and one answer.
+// operators' table says which request it is. What maps to nothing is answered at once and costs no slot; what
+// does is a request as any other, with the same due time, decisions and one answer.
 //
 // What each state allows: idle (a request or a ping), body (pieces of the one that is due), open (nothing is
 // read until its answer is out), closing (answers leave, nothing is read any more). A connection on which a
@@ -14,13 +14,13 @@
 #include <unordered_map>
 #include <vector>
 
-#include "conns/share.h"
+#include "conns/connection_quota.h"
 #include "net/connection.h"
+#include "observability/counters.h"
+#include "observability/logger.h"
 #include "peers/connection_admission.h"
 #include "peers/ports.h"
 #include "settings/operator_file.h"
-#include "watch/counters.h"
-#include "watch/logger.h"
 #include "wire/ajp.h"
 
 namespace damsonspoke::peers {
@@ -32,10 +32,10 @@
  public:
   struct Self {
     std::vector<std::string> routes;  // by number
-    std::vector<bool> needs_key;        // by route
-    std::size_t longest_key = 0;        // bytes
-    std::vector<double> timeouts;    // s, by route
-    std::uint64_t seed = 0;             // of the numbers that its requests get
+    std::vector<bool> needs_key;      // by route
+    std::size_t longest_key = 0;      // bytes
+    std::vector<double> timeouts;     // s, by route
+    std::uint64_t seed = 0;           // of the numbers that its requests get
   };
   // Bytes that a connection may take until its request is whole.
   static std::size_t most_input(const AjpOptions& options) { return 2 * options.packet + options.body; }
@@ -43,8 +43,8 @@
   // Throws std::runtime_error where the address can't be used. `share`, `front`: its part of the connections;
   // `door`: where operators have one.
   AjpServer(net::Reactor& reactor, Self self, const AjpOptions& options, std::size_t output_bytes,
-             conns::Share& share, std::size_t front, CallerEvents& events, Counters& counters, Logger& log,
-             ConnectionAdmission* door = nullptr);
+            conns::ConnectionQuota& share, std::size_t front, CallerEvents& events, Counters& counters,
+            Logger& log, ConnectionAdmission* door = nullptr);
   ~AjpServer() override;
 
   // Another table, secret or list of attributes for requests that come from now on; those that have begun
@@ -55,7 +55,7 @@
   void answer_rejected(ReplyAddress ticket, double retry_after, bool no_retry) override;
   void answer_failed(ReplyAddress ticket, FailureReason why) override;
   void answer_check(ReplyAddress ticket, bool good) override;
-  void close_idle(double) override {}  // gateways keep theirs; see AjpOptions::idle
+  void set_idle_timeout(double) override {}  // gateways keep theirs; see AjpOptions::idle
   void ask_no_more() override;
 
   void end_all() override { ask_no_more(); }
@@ -69,7 +69,7 @@
     std::shared_ptr<net::Connection> connection;
     std::list<std::uint64_t>::iterator place;  // in by_traffic_
     State state = State::kIdle;
-    IncomingRequest request;                                            // being read, or read
+    IncomingRequest request;                                  // being read, or read
     bool check = false;                                       // it asks for our health
     bool head_only = false;                                   // its answer has no body
     bool chunked = false;                                     // its body ends with a piece of no bytes
@@ -80,7 +80,7 @@
     bool has_asked = false;
     bool evicted = false;  // its place was given away already
     int type = -1;         // of its request
-    conns::BytePace input_pace, output_pace;
+    conns::MinimumByteRate input_pace, output_pace;
     bool input_over = false;
   };
 
@@ -91,7 +91,7 @@
 
   void on_accept(const net::Accepted& accepted);
   bool take_in(std::uint64_t tag, const net::Accepted& accepted);
-  void wasted(Caller& caller, conns::Waste how);
+  void wasted(Caller& caller, conns::Penalty how);
   void note_busy(Caller& caller);
   bool too_slow(Caller& caller, double now);
   bool nothing_owed(const Caller& caller) const;
@@ -119,7 +119,7 @@
   net::Reactor& reactor_;
   const Self self_;
   AjpOptions options_;
-  conns::Share& share_;
+  conns::ConnectionQuota& share_;
   const std::size_t front_;
   ConnectionAdmission* const door_;
   CallerEvents& events_;
--- a/src/peers/combined_server.h
+++ b/src/peers/combined_server.h
@@ -19,11 +19,13 @@
   void answer_rejected(ReplyAddress ticket, double retry_after, bool no_retry) override {
     of(ticket).answer_rejected(ticket, retry_after, no_retry);
   }
-  void answer_failed(ReplyAddress ticket, FailureReason why) override { of(ticket).answer_failed(ticket, why); }
+  void answer_failed(ReplyAddress ticket, FailureReason why) override {
+    of(ticket).answer_failed(ticket, why);
+  }
   void answer_check(ReplyAddress ticket, bool good) override { of(ticket).answer_check(ticket, good); }
-  void close_idle(double after) override {
-    first_->close_idle(after);
-    ajp_->close_idle(after);
+  void set_idle_timeout(double after) override {
+    first_->set_idle_timeout(after);
+    ajp_->set_idle_timeout(after);
   }
   void ask_no_more() override {
     first_->ask_no_more();
--- a/src/peers/connection_admission.cpp
+++ b/src/peers/connection_admission.cpp
@@ -7,8 +7,8 @@
 
 #include <algorithm>
 
-#include "conns/known_record.h"
-#include "net/farewell.h"
+#include "conns/known_clients_record.h"
+#include "net/lingering_close.h"
 
 namespace damsonspoke::peers {
 namespace {
@@ -43,7 +43,7 @@
 
 const char* text_of(conns::Standing standing) {
   switch (standing) {
-    case conns::Standing::kStranger: return "stranger";
+    case conns::Standing::kUnknownClient: return "stranger";
     case conns::Standing::kKnown: return "known";
     case conns::Standing::kListed: return "listed";
   }
@@ -52,8 +52,9 @@
 
 }  // namespace
 
-ConnectionAdmission::ConnectionAdmission(net::Reactor& reactor, const GateOptions& options, std::size_t connections,
-           const std::vector<double>& floors, std::vector<double> priority_weight, Counters& counters, Logger& log)
+ConnectionAdmission::ConnectionAdmission(net::Reactor& reactor, const GateOptions& options,
+                                         std::size_t connections, const std::vector<double>& floors,
+                                         std::vector<double> priority_weight, Counters& counters, Logger& log)
     : reactor_(reactor),
       options_(options),
       most_connections_(connections),
@@ -80,13 +81,13 @@
 // ---- Who is known.
 void ConnectionAdmission::begin() {
   if (options_.known_folder.empty()) return;
-  kept_ = std::make_unique<store::KeptFile>(
+  kept_ = std::make_unique<store::PersistedFile>(
       [folder = options_.known_folder] { return store::open_folder(folder); }, "clients", conns::kKnownForm,
       conns::kMostKnownBytes);
   keep_timer_ = reactor_.after(options_.known_interval, [this] { keep_known(); });
-  const std::optional<store::Sealed> read = kept_->read(kReadPatience);
+  const std::optional<store::ChecksummedContent> read = kept_->read(kReadPatience);
   if (!read) return log_.warn("door", "known clients not read in time, all are strangers");
-  if (read->problem != store::SealProblem::kNone)
+  if (read->problem != store::ChecksumProblem::kNone)
     return log_.event(Level::kInfo, "door", "no known clients", {{"why", store::text_of(read->problem)}});
   const auto clients = conns::decode_known(read->content);
   if (!clients) return log_.warn("door", "the record of known clients is none, all are strangers");
@@ -162,7 +163,7 @@
     const std::string text = front.words(retry_after);
     static_cast<void>(::send(accepted.fd, text.data(), text.size(), MSG_NOSIGNAL | MSG_DONTWAIT));
     // Guards against words that a reset takes with it, but never holds the last descriptor for it.
-    if (!accepted.scarce) return net::Farewell::begin(reactor_, accepted.fd);
+    if (!accepted.scarce) return net::LingeringClose::begin(reactor_, accepted.fd);
     ::shutdown(accepted.fd, SHUT_WR);
   } else {
     const linger at_once{1, 0};
@@ -206,7 +207,7 @@
   gate_.succeeded(tag, priority_weight, net::monotonic_now(), net::unix_now());
 }
 
-void ConnectionAdmission::wasted(std::uint64_t tag, conns::Waste how) {
+void ConnectionAdmission::wasted(std::uint64_t tag, conns::Penalty how) {
   counters_.add(Count::kGateWasted);
   gate_.wasted(tag, how, net::monotonic_now());
 }
@@ -230,7 +231,7 @@
   for (std::size_t i = 0; i < fronts_.size(); ++i)
     out += fmt::format("front {} open={} floor={}\n", i, share_.open(i), share_.floor(i));
   for (std::size_t i = 1; i < conns::kTurnedKinds; ++i) {
-    const auto why = static_cast<conns::Turned>(i);
+    const auto why = static_cast<conns::RejectCause>(i);
     if (gate_.refused(why) > 0)
       out += fmt::format("turned_away {}=\"{}\"\n", gate_.refused(why), conns::text_of(why));
   }
--- a/src/peers/connection_admission.h
+++ b/src/peers/connection_admission.h
@@ -10,13 +10,13 @@
 #include <string>
 #include <vector>
 
-#include "conns/byte_pace.h"
-#include "conns/gate.h"
+#include "conns/connection_limiter.h"
+#include "conns/minimum_byte_rate.h"
 #include "net/connection.h"
+#include "observability/counters.h"
+#include "observability/logger.h"
 #include "settings/operator_file.h"
-#include "store/kept_file.h"
-#include "watch/counters.h"
-#include "watch/logger.h"
+#include "store/persisted_file.h"
 
 namespace damsonspoke::peers {
 
@@ -28,7 +28,8 @@
   using Words = std::function<std::string(double retry_after)>;
 
   ConnectionAdmission(net::Reactor& reactor, const GateOptions& options, std::size_t connections,
-       const std::vector<double>& floors, std::vector<double> priority_weight, Counters& counters, Logger& log);
+                      const std::vector<double>& floors, std::vector<double> priority_weight,
+                      Counters& counters, Logger& log);
   ~ConnectionAdmission();
   // `output`: of all of the front's connections.
   void serve(std::size_t front, net::OutputPool& output, Shed shed, Words words);
@@ -43,12 +44,12 @@
   void asked(std::uint64_t tag) { gate_.asked(tag, net::monotonic_now()); }
   void busy(std::uint64_t tag, bool busy) { gate_.busy(tag, busy); }
   void succeeded(std::uint64_t tag, int type);
-  void wasted(std::uint64_t tag, conns::Waste how);
+  void wasted(std::uint64_t tag, conns::Penalty how);
   void ended(std::uint64_t tag);
 
-  const conns::ByteTerms& input_terms() const { return options_.input; }
-  const conns::ByteTerms& output_terms() const { return options_.output; }
-  conns::Share& share() { return share_; }
+  const conns::MinimumByteRateOptions& input_terms() const { return options_.input; }
+  const conns::MinimumByteRateOptions& output_terms() const { return options_.output; }
+  conns::ConnectionQuota& share() { return share_; }
 
   // Who holds what and who was turned away, a line each, at most so many clients.
   std::string report(std::size_t most) const;
@@ -78,13 +79,13 @@
   const std::vector<double> importance_;
   Counters& counters_;
   Logger& log_;
-  conns::Share share_;
-  conns::Known known_;
-  conns::Gate gate_;
+  conns::ConnectionQuota share_;
+  conns::KnownClients known_;
+  conns::ConnectionLimiter gate_;
   std::vector<Front> fronts_;
   std::map<PoolKey, ClientPool> pools_;
   std::map<std::uint64_t, PoolKey> pool_of_;
-  std::unique_ptr<store::KeptFile> kept_;
+  std::unique_ptr<store::PersistedFile> kept_;
   double scarce_at_ = -1;    // s, when the last descriptor was last reached; < 0: never
   conns::RateSketch words_;  // who is turned away and told
   net::Reactor::TimerId keep_timer_, look_timer_;
--- a/src/peers/dependency/client.cpp
+++ b/src/peers/dependency/client.cpp
@@ -4,7 +4,7 @@
 #include <cmath>
 
 #include "net/address.h"
-#include "wire/below_lines.h"
+#include "wire/dependency_lines.h"
 
 namespace damsonspoke::peers {
 namespace {
@@ -40,8 +40,8 @@
 
 }  // namespace
 
-DependencyClient::DependencyClient(net::Reactor& reactor, const std::string& address, std::size_t most_links, DependencyEvents& events,
-             Counters& counters, Logger& log)
+DependencyClient::DependencyClient(net::Reactor& reactor, const std::string& address, std::size_t most_links,
+                                   DependencyEvents& events, Counters& counters, Logger& log)
     : reactor_(reactor),
       address_(address),
       most_links_(most_links),
--- a/src/peers/dependency/client.h
+++ b/src/peers/dependency/client.h
@@ -9,9 +9,9 @@
 #include <vector>
 
 #include "net/connection.h"
+#include "observability/counters.h"
+#include "observability/logger.h"
 #include "peers/ports.h"
-#include "watch/counters.h"
-#include "watch/logger.h"
 
 namespace damsonspoke::peers {
 
@@ -21,8 +21,8 @@
   static constexpr std::size_t kMostInput = 96 * 1024, kMostOutput = 32 * 1024;
 
   // An address that is empty: nothing is ever called.
-  DependencyClient(net::Reactor& reactor, const std::string& address, std::size_t most_links, DependencyEvents& events,
-        Counters& counters, Logger& log);
+  DependencyClient(net::Reactor& reactor, const std::string& address, std::size_t most_links,
+                   DependencyEvents& events, Counters& counters, Logger& log);
   ~DependencyClient() override;
 
   void call(RequestId id, double patience, std::string_view body) override;
--- a/src/peers/json_rpc/server.cpp
+++ b/src/peers/json_rpc/server.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include "net/address.h"
-#include "net/farewell.h"
+#include "net/lingering_close.h"
 
 namespace damsonspoke::peers {
 namespace {
@@ -27,8 +27,9 @@
 
 }  // namespace
 
-JsonRpcServer::JsonRpcServer(net::Reactor& reactor, const std::string& listen, const catalog::Catalog& catalog,
-                 Marks marks, Limits limits, CallerEvents& events, Counters& counters, Logger& log)
+JsonRpcServer::JsonRpcServer(net::Reactor& reactor, const std::string& listen,
+                             const catalog::Catalog& catalog, Marks marks, Limits limits,
+                             CallerEvents& events, Counters& counters, Logger& log)
     : reactor_(reactor),
       catalog_(catalog),
       marks_(std::move(marks)),
@@ -45,7 +46,7 @@
         [this](std::uint64_t tag) {
           const auto found = open_.find(tag);
           if (found == open_.end()) return;
-          if (!found->second.has_asked) wasted(found->second, conns::Waste::kSilent);
+          if (!found->second.has_asked) wasted(found->second, conns::Penalty::kSilent);
           let_go(found->second);
         },
         [](double retry_after) { return wire::encode_rejection(0, retry_after / kSecondsPerMs, false); });
@@ -60,20 +61,22 @@
 
 // A newcomer that finds neither room nor anybody idle is closed, with nothing run, not left to wait.
 bool JsonRpcServer::take_in(std::uint64_t tag, const net::Accepted& accepted) {
-  if (limits_.connection_admission != nullptr) return limits_.connection_admission->lets_in(limits_.front, tag, accepted);
+  if (limits_.connection_admission != nullptr)
+    return limits_.connection_admission->lets_in(limits_.front, tag, accepted);
   if (room() || make_room()) {
     if (limits_.share != nullptr) limits_.share->opened(limits_.front);
     return true;
   }
   counters_.add(Count::kCallersTurnedAway);
-  net::Farewell::begin(reactor_, accepted.fd);
+  net::LingeringClose::begin(reactor_, accepted.fd);
   return false;
 }
 
 void JsonRpcServer::on_accept(const net::Accepted& accepted) {
   const std::uint64_t tag = next_tag_++;
   if (!take_in(tag, accepted)) return;
-  net::OutputPool* pool = limits_.connection_admission != nullptr ? limits_.connection_admission->pool(tag) : &output_;
+  net::OutputPool* pool =
+      limits_.connection_admission != nullptr ? limits_.connection_admission->pool(tag) : &output_;
   Caller& caller = open_[tag];
   caller.connection =
       net::Connection::accepted(reactor_, *this, accepted.fd, {kMostInput, kOutputBytes, pool});
@@ -86,12 +89,14 @@
 }
 
 // ---- What the door hears of a connection.
-void JsonRpcServer::wasted(Caller& caller, conns::Waste how) {
-  if (limits_.connection_admission != nullptr) limits_.connection_admission->wasted(caller.connection->tag, how);
+void JsonRpcServer::wasted(Caller& caller, conns::Penalty how) {
+  if (limits_.connection_admission != nullptr)
+    limits_.connection_admission->wasted(caller.connection->tag, how);
 }
 void JsonRpcServer::note_busy(Caller& caller) {
   if (limits_.connection_admission == nullptr || !caller.connection->open()) return;
-  limits_.connection_admission->busy(caller.connection->tag, !caller.requests.empty() || caller.connection->waiting() > 0);
+  limits_.connection_admission->busy(caller.connection->tag,
+                                     !caller.requests.empty() || caller.connection->waiting() > 0);
 }
 
 bool JsonRpcServer::room() const {
@@ -151,7 +156,7 @@
     if (frame.state == wire::Framing::kBroken) {
       counters_.add(Count::kBadFrames);
       log_.debug("callers", "connection {}: a frame that can't be trusted, closed", tag);
-      wasted(caller, conns::Waste::kBadFrame);
+      wasted(caller, conns::Penalty::kBadFrame);
       refuse(caller, wire::encode_error(0, wire::RpcError::kParse, "broken frame"));
       return bytes.size();
     }
@@ -163,7 +168,7 @@
     take(caller, tag, frame.body);
     note_busy(caller);
     if (caller.faults >= kMostFaults) {
-      wasted(caller, conns::Waste::kFaults);
+      wasted(caller, conns::Penalty::kFaults);
       counters_.add(Count::kFaultsClosed);
       refuse(caller, wire::encode_error(0, wire::RpcError::kRequest, "too many of no use"));
       return bytes.size();
@@ -252,7 +257,8 @@
     counters_.add(Count::kBadTypes);
     return put(caller, wire::encode_error(request.id, wire::RpcError::kMethod, "unknown op type"));
   }
-  const bool sound = request.has_idempotency_key && !request.idempotency_key.empty() && request.idempotency_key.size() <= marks_.longest;
+  const bool sound = request.has_idempotency_key && !request.idempotency_key.empty() &&
+                     request.idempotency_key.size() <= marks_.longest;
   if (needs_mark(request, type) && !sound) {
     counters_.add(Count::kBadParams);
     return put(caller, wire::encode_error(request.id, wire::RpcError::kParams,
@@ -310,7 +316,8 @@
   if (request.empty()) return;
   traffic(caller);
   put(caller, text);
-  if (succeeded && limits_.connection_admission != nullptr) limits_.connection_admission->succeeded(ticket.connection, request.mapped().type);
+  if (succeeded && limits_.connection_admission != nullptr)
+    limits_.connection_admission->succeeded(ticket.connection, request.mapped().type);
   note_busy(caller);
   after_answer(caller);
 }
@@ -369,7 +376,7 @@
   open_.erase(found);
   if (limits_.connection_admission != nullptr) {
     if (!caller.has_asked && why == net::End::kBroken)
-      limits_.connection_admission->wasted(connection.tag, conns::Waste::kReset);
+      limits_.connection_admission->wasted(connection.tag, conns::Penalty::kReset);
     limits_.connection_admission->ended(connection.tag);
   } else if (limits_.share != nullptr && !caller.evicted) {
     limits_.share->closed(limits_.front);
@@ -397,15 +404,15 @@
     if (connection.waiting() == 0) caller.waiting_since = -1;
     if (connection.waiting() > 0 && caller.waiting_since < 0) caller.waiting_since = now;
     if (caller.waiting_since >= 0 && now - caller.waiting_since > kTakeOutput) {
-      wasted(caller, conns::Waste::kSlow);
+      wasted(caller, conns::Penalty::kSlow);
       connection.close(net::End::kOverflow);
     } else if (!caller.has_asked && now - caller.last_traffic > kFirstRequest && nothing_owed(caller)) {
       counters_.add(Count::kSilentClosed);
-      wasted(caller, conns::Waste::kSilent);
+      wasted(caller, conns::Penalty::kSilent);
       connection.end();
     } else if (caller.half_since >= 0 && now - caller.half_since > kWholeRequest) {
       counters_.add(Count::kHalfClosed);
-      wasted(caller, conns::Waste::kHalf);
+      wasted(caller, conns::Penalty::kHalf);
       caller.half_since = -1;
       refuse(caller, wire::encode_error(0, wire::RpcError::kParse, "not whole in time"));
     } else if (caller.requests.empty() && now - caller.last_traffic > kLongestIdle) {
@@ -423,15 +430,16 @@
   net::Connection& connection = *caller.connection;
   if (connection.waiting() > 0 && !caller.output_pace.running())
     caller.output_pace.begin(now, connection.bytes_out());
-  if (caller.output_pace.too_slow(now, connection.bytes_out(), limits_.connection_admission->output_terms())) {
-    wasted(caller, conns::Waste::kSlow);
+  if (caller.output_pace.too_slow(now, connection.bytes_out(),
+                                  limits_.connection_admission->output_terms())) {
+    wasted(caller, conns::Penalty::kSlow);
     return connection.close(net::End::kOverflow);
   }
   if (caller.half_since < 0 ||
       !caller.input_pace.too_slow(now, connection.bytes_in(), limits_.connection_admission->input_terms()))
     return;
   counters_.add(Count::kHalfClosed);
-  wasted(caller, conns::Waste::kHalf);
+  wasted(caller, conns::Penalty::kHalf);
   caller.half_since = -1;
   caller.input_pace.end();
   refuse(caller, wire::encode_error(0, wire::RpcError::kParse, "too slow"));
@@ -455,7 +463,7 @@
   for (auto& [tag, caller] : open_) ask_no_more(caller);
 }
 
-void JsonRpcServer::close_idle(double after) {
+void JsonRpcServer::set_idle_timeout(double after) {
   idle_after_ = after;
   reactor_.cancel(idle_timer_);
   if (after > 0) look_for_idle();
--- a/src/peers/json_rpc/server.h
+++ b/src/peers/json_rpc/server.h
@@ -10,12 +10,12 @@
 #include <vector>
 
 #include "catalog/catalog.h"
-#include "conns/share.h"
+#include "conns/connection_quota.h"
 #include "net/connection.h"
+#include "observability/counters.h"
+#include "observability/logger.h"
 #include "peers/connection_admission.h"
 #include "peers/ports.h"
-#include "watch/counters.h"
-#include "watch/logger.h"
 #include "wire/rpc.h"
 
 namespace damsonspoke::peers {
@@ -26,10 +26,10 @@
   static constexpr std::size_t kMostInput = 28 * 1024;
   struct Limits {
     int connections = 0;
-    std::size_t output_bytes = 0;   // of all connections together
-    conns::Share* share = nullptr;  // with another front; none: this one has them all
-    std::size_t front = 0;          // its number there
-    ConnectionAdmission* connection_admission = nullptr;           // where operators have one; with it a share
+    std::size_t output_bytes = 0;                         // of all connections together
+    conns::ConnectionQuota* share = nullptr;              // with another front; none: this one has them all
+    std::size_t front = 0;                                // its number there
+    ConnectionAdmission* connection_admission = nullptr;  // where operators have one; with it a share
   };
   // The member of a request's params that tells a repeat, for routes that need it.
   struct Marks {
@@ -39,15 +39,15 @@
     std::unordered_set<std::string> by_digest;
   };
   // `catalog`: what requests and tenants are called; their positions are what the stages know them by.
-  JsonRpcServer(net::Reactor& reactor, const std::string& listen, const catalog::Catalog& catalog, Marks marks,
-          Limits limits, CallerEvents& events, Counters& counters, Logger& log);
+  JsonRpcServer(net::Reactor& reactor, const std::string& listen, const catalog::Catalog& catalog,
+                Marks marks, Limits limits, CallerEvents& events, Counters& counters, Logger& log);
   ~JsonRpcServer() override;
 
   void answer_succeeded(ReplyAddress ticket, std::string_view result) override;
   void answer_rejected(ReplyAddress ticket, double retry_after, bool no_retry) override;
   void answer_failed(ReplyAddress ticket, FailureReason why) override;
   void answer_check(ReplyAddress ticket, bool good) override;
-  void close_idle(double after) override;
+  void set_idle_timeout(double after) override;
   void ask_no_more() override;
 
   void stop_listening() override;
@@ -59,8 +59,8 @@
   struct Caller {
     std::shared_ptr<net::Connection> connection;
     struct Request {
-      RequestId id = 0;    // 0: a check
-      int type = -1;  // of the request
+      RequestId id = 0;  // 0: a check
+      int type = -1;     // of the request
     };
     std::unordered_map<std::uint64_t, Request> requests;  // by number
     std::list<std::uint64_t>::iterator place;             // in by_traffic_
@@ -72,7 +72,7 @@
     bool has_asked = false;  // a whole request
     bool input_over = false;
     bool evicted = false;  // its place was given away already
-    conns::BytePace input_pace, output_pace;
+    conns::MinimumByteRate input_pace, output_pace;
   };
 
   std::size_t on_input(net::Connection& connection, std::string_view bytes) override;
@@ -82,7 +82,7 @@
 
   void on_accept(const net::Accepted& accepted);
   bool take_in(std::uint64_t tag, const net::Accepted& accepted);
-  void wasted(Caller& caller, conns::Waste how);
+  void wasted(Caller& caller, conns::Penalty how);
   void note_busy(Caller& caller);
   void look_at(Caller& caller, double now);
   void take(Caller& caller, std::uint64_t tag, std::string_view text);
--- a/src/peers/members/transport.cpp
+++ b/src/peers/members/transport.cpp
@@ -16,8 +16,8 @@
 namespace {
 
 namespace wm = wire::members;
-using members::Seen;
-using members::State;
+using members::MemberState;
+using members::MemberStatus;
 
 constexpr int kReadAtOnce = 256;              // datagrams; then the others get their turn
 constexpr int kStaleAtOnce = 8192;            // after a pause: all that waited, as much as the system keeps
@@ -33,8 +33,9 @@
 
 }  // namespace
 
-MembershipTransport::MembershipTransport(net::Reactor& reactor, const MembersOptions& options, const std::string& name,
-                 std::uint64_t epoch, std::uint64_t seed, Counters& counters, Logger& log)
+MembershipTransport::MembershipTransport(net::Reactor& reactor, const MembersOptions& options,
+                                         const std::string& name, std::uint64_t epoch, std::uint64_t seed,
+                                         Counters& counters, Logger& log)
     : reactor_(reactor),
       options_(options),
       counters_(counters),
@@ -51,15 +52,15 @@
   }
   socket_.setBlocking(false);
   listener_ = std::make_unique<net::Listener>(reactor_, at, [this](const net::Accepted& a) { on_accept(a); });
-  reactor_.addEventHandler(
-      socket_, Poco::Observer<MembershipTransport, Poco::Net::ReadableNotification>(*this, &MembershipTransport::on_readable));
+  reactor_.addEventHandler(socket_, Poco::Observer<MembershipTransport, Poco::Net::ReadableNotification>(
+                                        *this, &MembershipTransport::on_readable));
 }
 
 MembershipTransport::~MembershipTransport() {
   reactor_.cancel(timer_);
   for (auto& [tag, stream] : streams_) reactor_.cancel(stream.patience);
-  reactor_.removeEventHandler(
-      socket_, Poco::Observer<MembershipTransport, Poco::Net::ReadableNotification>(*this, &MembershipTransport::on_readable));
+  reactor_.removeEventHandler(socket_, Poco::Observer<MembershipTransport, Poco::Net::ReadableNotification>(
+                                           *this, &MembershipTransport::on_readable));
 }
 
 void MembershipTransport::begin() {
@@ -72,7 +73,7 @@
 }
 
 void MembershipTransport::tick() {
-  view_.on_wake(net::monotonic_now());
+  view_.on_timer(net::monotonic_now());
   reactor_.cancel(timer_);
   timer_ = reactor_.at(view_.wake(), [this] { tick(); });
 }
@@ -132,7 +133,7 @@
   // from before.
   bool stale = false;
   if (now >= view_.wake()) {
-    stale = view_.on_wake(now);
+    stale = view_.on_timer(now);
     reactor_.cancel(timer_);
     timer_ = reactor_.at(view_.wake(), [this] { tick(); });
   }
@@ -161,7 +162,8 @@
 
 // ---- Full exchanges: who connects sends first, the other answers and closes.
 
-MembershipTransport::Stream& MembershipTransport::add(std::shared_ptr<net::Connection> connection, bool ours) {
+MembershipTransport::Stream& MembershipTransport::add(std::shared_ptr<net::Connection> connection,
+                                                      bool ours) {
   const std::uint64_t tag = next_tag_++;
   connection->tag = tag;
   Stream& stream = streams_[tag];
@@ -248,7 +250,7 @@
 
 // ---- What it tells.
 
-void MembershipTransport::changed(const std::string& name, State state, const std::string& why) {
+void MembershipTransport::changed(const std::string& name, MemberState state, const std::string& why) {
   log_.event(Level::kInfo, "members", "a member's state",
              {{"member", name}, {"state", members::text_of(state)}, {"why", why}});
   if (change_told_ || !on_change) return;
@@ -262,18 +264,18 @@
 void MembershipTransport::noticed(const std::string& what) { log_.warn("members", "{}", what); }
 
 void MembershipTransport::report() {
-  const members::View::Counts& c = view_.counts();
+  const members::MembershipView::Counts& c = view_.counts();
   counters_.set(Count::kMembersDeaths, c.deaths);
   counters_.set(Count::kMembersPauses, c.pauses);
   counters_.set(Count::kMembersRefuted, c.refuted);
   counters_.set(Count::kMembersThere, view_.there() + 1);
 }
 
-std::vector<Seen> MembershipTransport::seen() const { return view_.members(net::monotonic_now()); }
+std::vector<MemberStatus> MembershipTransport::seen() const { return view_.members(net::monotonic_now()); }
 
 std::string MembershipTransport::told(bool json) const {
   const double now = net::monotonic_now();
-  const std::vector<Seen> all = view_.members(now);
+  const std::vector<MemberStatus> all = view_.members(now);
   const auto broken = view_.broken_links(now);
   const members::Record self = view_.self_record(now);
   const auto dependency = [](members::DependencyState b) {
@@ -287,28 +289,33 @@
                              {"epoch", self.epoch},
                              {"incarnation", self.incarnation},
                              {"yielded", view_.yielded()},
-                             {"fitness", view_.fitness()},
+                             {"fitness", view_.local_health()},
                              {"contest", self.contest}}},
                            {"there", view_.there() + 1},
                            {"known", all.size() + 1}};
     for (std::size_t i = 0; i < std::min(all.size(), kMostTold); ++i) {
-      const Seen& s = all[i];
+      const MemberStatus& s = all[i];
       nlohmann::json one = {{"name", s.name},           {"address", s.address},
                             {"epoch", s.epoch},         {"state", members::text_of(s.state)},
                             {"since_s", now - s.since}, {"pause_s", s.pause}};
       if (!s.by.empty()) one["by"] = s.by;
       if (s.contest != 0) one["contest"] = s.contest;
       if (s.told) {
-        one["told"] = {{"role", s.told->role},          {"zone", s.told->zone},
-                       {"build", s.told->build},        {"generation", s.told->generation},
-                       {"digest", s.told->digest},      {"room", s.told->room},
-                       {"load", s.told->load},          {"sheds", s.told->sheds},
-                       {"below", dependency(s.told->dependency)}, {"serves", s.told->serves}};
+        one["told"] = {{"role", s.told->role},
+                       {"zone", s.told->zone},
+                       {"build", s.told->build},
+                       {"generation", s.told->generation},
+                       {"digest", s.told->digest},
+                       {"room", s.told->room},
+                       {"load", s.told->load},
+                       {"sheds", s.told->sheds},
+                       {"below", dependency(s.told->dependency)},
+                       {"serves", s.told->serves}};
         one["told_age_s"] = s.told_age;
       }
       page["members"].push_back(std::move(one));
     }
-    for (const members::LinkSeen& link : broken)
+    for (const members::ObservedLink& link : broken)
       page["broken_links"].push_back(
           {{"from", link.from}, {"to", link.to}, {"since_s", now - link.since}, {"told_by", link.told_by}});
     return page.dump() + "\n";
@@ -316,11 +323,11 @@
   std::string out =
       fmt::format("{} at {}, life {}, {} of {} there{}{}\n\n", self.name, self.address, self.epoch,
                   view_.there() + 1, all.size() + 1, view_.yielded() ? "; YIELDED to an older one" : "",
-                  view_.fitness() > 2 ? "; it may be ill itself" : "");
+                  view_.local_health() > 2 ? "; it may be ill itself" : "");
   out += fmt::format("{:<16}{:<11}{:>8}  {:<10}{:<10}{:>6}{:>6}{:>7}  {}\n", "member", "state", "since",
                      "role", "zone", "load", "room", "age", "why");
   for (std::size_t i = 0; i < std::min(all.size(), kMostTold); ++i) {
-    const Seen& s = all[i];
+    const MemberStatus& s = all[i];
     std::string why;
     if (!s.by.empty()) why = fmt::format("silent to {}", fmt::join(s.by, " "));
     if (s.contest != 0) why += " has a clone";
@@ -333,7 +340,7 @@
   }
   if (all.size() > kMostTold) out += fmt::format("and {} more\n", all.size() - kMostTold);
   if (!broken.empty()) out += "\nbroken links\n";
-  for (const members::LinkSeen& link : broken)
+  for (const members::ObservedLink& link : broken)
     out +=
         fmt::format("    {} -> {} for {:.1f} s, by {}\n", link.from, link.to, now - link.since, link.told_by);
   return out;
--- a/src/peers/members/transport.h
+++ b/src/peers/members/transport.h
@@ -11,25 +11,25 @@
 #include <memory>
 #include <string>
 
-#include "members/view.h"
+#include "members/membership_view.h"
 #include "net/connection.h"
+#include "observability/counters.h"
+#include "observability/logger.h"
 #include "settings/operator_file.h"
-#include "watch/counters.h"
-#include "watch/logger.h"
 
 namespace damsonspoke::peers {
 
-class MembershipTransport : private members::Port, private net::ConnectionOwner {
+class MembershipTransport : private members::MembershipSink, private net::ConnectionOwner {
  public:
   // Throws std::runtime_error with one plain line where an address can't be used.
-  MembershipTransport(net::Reactor& reactor, const MembersOptions& options, const std::string& name, std::uint64_t epoch,
-          std::uint64_t seed, Counters& counters, Logger& log);
+  MembershipTransport(net::Reactor& reactor, const MembersOptions& options, const std::string& name,
+                      std::uint64_t epoch, std::uint64_t seed, Counters& counters, Logger& log);
   ~MembershipTransport() override;
   void begin();
-  void tell(members::Told told) { view_.tell(std::move(told)); }
+  void tell(members::LoadReport told) { view_.tell(std::move(told)); }
   void leave();
   void report();  // the counters
-  std::vector<members::Seen> seen() const;
+  std::vector<members::MemberStatus> seen() const;
   bool may_reach(const std::string& address) const;  // it is one of the networks of members
   // For operators: a table, or JSON.
   std::string told(bool json) const;
@@ -44,7 +44,7 @@
   };
   void send(const std::string& address, const members::Message& message) override;
   void exchange(const std::string& address) override;
-  void changed(const std::string& name, members::State state, const std::string& why) override;
+  void changed(const std::string& name, members::MemberState state, const std::string& why) override;
   void noticed(const std::string& what) override;
 
   void on_connected(net::Connection& connection) override;
@@ -64,7 +64,7 @@
   const MembersOptions options_;
   Counters& counters_;
   Logger& log_;
-  members::View view_;
+  members::MembershipView view_;
   Poco::Net::DatagramSocket socket_;
   std::unique_ptr<net::Listener> listener_;
   std::map<std::uint64_t, Stream> streams_;
--- a/src/peers/ports.h
+++ b/src/peers/ports.h
@@ -23,12 +23,12 @@
   int route = 0;
   int tenant = 0;  // position among the site's; 0 where it has none
   std::uint32_t caller = 0;
-  bool is_retry = false;     // a further try, where callers mark those
+  bool is_retry = false;      // a further try, where callers mark those
   std::uint64_t subject = 0;  // 0: none
   double size_kb = 0;
-  double received_at = 0;   // Unix s, when it came to the machine; 0: not told
-  double client_timeout = 0;  // s from then on that its caller waits; 0: not told
-  double work_hint = 0;   // s of work on a standard core, as its caller estimates it; 0: not told
+  double received_at = 0;       // Unix s, when it came to the machine; 0: not told
+  double client_timeout = 0;    // s from then on that its caller waits; 0: not told
+  double work_hint = 0;         // s of work on a standard core, as its caller estimates it; 0: not told
   std::string idempotency_key;  // by which a repeat is known; empty: none
   std::string body;
   bool known_only = false;  // answered from what is remembered of its key, or not at all: it never runs
@@ -85,7 +85,7 @@
   virtual void answer_rejected(ReplyAddress ticket, double retry_after, bool no_retry) = 0;
   virtual void answer_failed(ReplyAddress ticket, FailureReason why) = 0;
   virtual void answer_check(ReplyAddress ticket, bool good) = 0;
-  virtual void close_idle(double after) = 0;
+  virtual void set_idle_timeout(double after) = 0;
   virtual void ask_no_more() = 0;  // of everyone, and of each who connects from now on
   // The work behind this backend came up so long ago (s); what a front hands out while it is cold follows.
   virtual void began(bool /*cold*/, double /*ago*/) {}
--- a/src/peers/registry/reporter.cpp
+++ b/src/peers/registry/reporter.cpp
@@ -1,7 +1,7 @@
 #include "peers/registry/reporter.h"
 
 #include "net/address.h"
-#include "wire/roster_report.h"
+#include "wire/registry_report.h"
 
 namespace damsonspoke::peers {
 namespace {
@@ -11,7 +11,8 @@
 
 }  // namespace
 
-RegistryReporter::RegistryReporter(net::Reactor& reactor, const std::string& address, std::string name, Counters& counters)
+RegistryReporter::RegistryReporter(net::Reactor& reactor, const std::string& address, std::string name,
+                                   Counters& counters)
     : reactor_(reactor),
       name_(std::move(name)),
       counters_(counters),
--- a/src/peers/registry/reporter.h
+++ b/src/peers/registry/reporter.h
@@ -5,8 +5,8 @@
 
 #include "net/datagram.h"
 #include "net/reactor.h"
+#include "observability/counters.h"
 #include "peers/ports.h"
-#include "watch/counters.h"
 
 namespace damsonspoke::peers {
 
--- a/src/peers/runtime/client.cpp
+++ b/src/peers/runtime/client.cpp
@@ -30,7 +30,8 @@
 }  // namespace
 
 RuntimeClient::RuntimeClient(net::Reactor& reactor, const std::string& address, std::size_t output_bytes,
-                 std::vector<Gauge> gauges, RuntimeEvents& events, Counters& counters, Logger& log)
+                             std::vector<Gauge> gauges, RuntimeEvents& events, Counters& counters,
+                             Logger& log)
     : reactor_(reactor),
       address_(address),
       output_bytes_(output_bytes),
@@ -149,8 +150,8 @@
 }
 
 // The process behind the address is another one: it knows none of the runs and counts its notices from 1.
-// Guards against notices that would be passed over as repeats for ever, requests that wait for ends that never
-// come, and starts that would run a second time what the last one had run.
+// Guards against notices that would be passed over as repeats for ever, requests that wait for ends that
+// never come, and starts that would run a second time what the last one had run.
 void RuntimeClient::begins_anew() {
   counters_.add(Count::kRuntimeAnew);
   log_.warn("runtime", "it has begun anew, its runs are gone");
@@ -247,7 +248,9 @@
   }
 }
 
-Gauges RuntimeClient::gauges(double now) const { return now - gauges_at_ <= kGaugesFresh ? gauges_ : Gauges{}; }
+Gauges RuntimeClient::gauges(double now) const {
+  return now - gauges_at_ <= kGaugesFresh ? gauges_ : Gauges{};
+}
 
 void RuntimeClient::ask_gauges() {
   if (!greeted_ || asked_at_ >= 0 || !link_ || !link_->connected()) return;
--- a/src/peers/runtime/client.h
+++ b/src/peers/runtime/client.h
@@ -10,10 +10,10 @@
 #include <vector>
 
 #include "net/connection.h"
+#include "observability/counters.h"
+#include "observability/logger.h"
 #include "peers/ports.h"
 #include "settings/settings.h"
-#include "watch/counters.h"
-#include "watch/logger.h"
 #include "wire/runtime_lines.h"
 
 namespace damsonspoke::peers {
@@ -22,7 +22,7 @@
  public:
   // Commands may wait in so many bytes of output; over that the link is opened anew.
   RuntimeClient(net::Reactor& reactor, const std::string& address, std::size_t output_bytes,
-          std::vector<Gauge> gauges, RuntimeEvents& events, Counters& counters, Logger& log);
+                std::vector<Gauge> gauges, RuntimeEvents& events, Counters& counters, Logger& log);
   ~RuntimeClient() override;
 
   // The runtime is reached elsewhere from now on: runs and the numbers of notices go on.
@@ -39,8 +39,8 @@
   Gauges gauges(double now) const override;
 
  private:
-  // A command that may not have arrived: kept until a later answer, or a notice about its request, shows that it
-  // has.
+  // A command that may not have arrived: kept until a later answer, or a notice about its request, shows that
+  // it has.
   struct Unproven {
     std::uint64_t number = 0;  // 0: none
     int sends = 0;             // so far, on this link or another
--- a/src/peers/tier/forwarder_server.cpp
+++ b/src/peers/tier/forwarder_server.cpp
@@ -23,8 +23,8 @@
   return static_cast<std::uint32_t>(std::clamp(seconds * 1e6, 0.0, 4e9));
 }
 
-tier::HoldingsTerms terms_of(const ForwarderServer::Limits& limits) {
-  tier::HoldingsTerms terms;
+tier::ForwarderSessionsOptions terms_of(const ForwarderServer::Limits& limits) {
+  tier::ForwarderSessionsOptions terms;
   terms.kept_bytes = limits.kept_bytes;
   return terms;
 }
@@ -32,7 +32,7 @@
 }  // namespace
 
 ForwarderServer::ForwarderServer(net::Reactor& reactor, const std::string& listen, Self self, Limits limits,
-                       CallerEvents& events, Counters& counters, Logger& log)
+                                 CallerEvents& events, Counters& counters, Logger& log)
     : reactor_(reactor),
       self_(std::move(self)),
       limits_(limits),
@@ -96,7 +96,8 @@
   if (link.forwarder == 0) return false;
   if (auto* submit = std::get_if<wt::Submit>(&message)) return take_submit(link, *submit);
   if (const auto* cancel = std::get_if<wt::Cancel>(&message)) {
-    if (const std::optional<RequestId> request = holdings_.cancel(link.forwarder, cancel->attempt)) gone({*request});
+    if (const std::optional<RequestId> request = holdings_.cancel(link.forwarder, cancel->attempt))
+      gone({*request});
     return true;
   }
   if (const auto* fence = std::get_if<wt::Fence>(&message)) return take_fence(link, *fence), true;
@@ -110,7 +111,7 @@
     log_.warn("forwarders", "a hello that is not served: version {}, from '{}'", hello.version, hello.name);
     return false;
   }
-  const tier::Holdings::Greeting greeting = holdings_.hello(hello.name, hello.epoch, tag);
+  const tier::ForwarderSessions::SessionStart greeting = holdings_.hello(hello.name, hello.epoch, tag);
   if (greeting.old_link != 0) {
     const auto old = links_.find(greeting.old_link);
     if (old != links_.end()) old->second.connection->close();
@@ -147,12 +148,13 @@
   const auto taking = holdings_.submit(link.forwarder, submit.attempt, submit.request,
                                        submit.route < link.types.size() ? link.types[submit.route] : -1);
   // Numbers rise on a link: one that does not is either fenced off or no number of this protocol's.
-  if (taking == tier::Holdings::Taking::kFenced) return counters_.add(Count::kTierFenced), true;
+  if (taking == tier::ForwarderSessions::SubmitResult::kFenced)
+    return counters_.add(Count::kTierFenced), true;
   const ReplyAddress ticket{link.forwarder, submit.attempt};
   wt::Answer refusal;
   refusal.attempt = submit.attempt;
   refusal.result = wt::Result::kRejected;
-  if (taking == tier::Holdings::Taking::kTooMany) return put(link, refusal), true;
+  if (taking == tier::ForwarderSessions::SubmitResult::kTooMany) return put(link, refusal), true;
   const int type = submit.route < link.types.size() ? link.types[submit.route] : -1;
   if (type < 0) {
     counters_.add(Count::kBadTypes);
@@ -181,8 +183,8 @@
 }
 
 void ForwarderServer::take_fence(Link& link, const wt::Fence& fence) {
-  const auto proof =
-      holdings_.fence(link.forwarder, fence.attempt, [this](RequestId request) { return events_.has_started(request); });
+  const auto proof = holdings_.fence(link.forwarder, fence.attempt,
+                                     [this](RequestId request) { return events_.has_started(request); });
   counters_.add(Count::kTierFences);
   // Its request goes first: the proof is only true once nothing can start it any more.
   if (proof.drop) events_.on_caller_gone(*proof.drop);
@@ -202,7 +204,7 @@
 
 void ForwarderServer::answer(ReplyAddress ticket, wt::Answer answer) {
   answer.attempt = ticket.number;
-  const tier::HeldAttempt* held = holdings_.find(ticket.connection, ticket.number);
+  const tier::OpenAttempt* held = holdings_.find(ticket.connection, ticket.number);
   if (held == nullptr) return;
   if (held->route >= 0) {
     const double now = net::monotonic_now();
@@ -233,7 +235,7 @@
   out.result = why == FailureReason::kNotKnown         ? wt::Result::kNotKnown
                : why == FailureReason::kOutcomeUnknown ? wt::Result::kUnknown
                : why == FailureReason::kKeyConflict    ? wt::Result::kConflict
-                                                 : wt::Result::kFailed;
+                                                       : wt::Result::kFailed;
   answer(ticket, std::move(out));
 }
 
@@ -243,7 +245,7 @@
 }
 
 void ForwarderServer::hand_out(double now) {
-  windows_.look(now, [this](tier::Parts::Link forwarder) { return holdings_.open(forwarder); });
+  windows_.look(now, [this](tier::SlowStartShares::Link forwarder) { return holdings_.open(forwarder); });
 }
 
 wt::Window ForwarderServer::window_now(const Link& link) {
--- a/src/peers/tier/forwarder_server.h
+++ b/src/peers/tier/forwarder_server.h
@@ -1,6 +1,6 @@
-// The forwarders: a front on which requests come from the tier in front instead of callers. Many requests share a link;
-// a request's ticket names its forwarder and attempt, so that its answer finds the forwarder on whatever link it
-// has by then.
+// The forwarders: a front on which requests come from the tier in front instead of callers. Many requests
+// share a link; a request's ticket names its forwarder and attempt, so that its answer finds the forwarder on
+// whatever link it has by then.
 #pragma once
 
 #include <memory>
@@ -10,12 +10,12 @@
 #include <vector>
 
 #include "net/connection.h"
+#include "observability/counters.h"
+#include "observability/logger.h"
 #include "peers/ports.h"
-#include "tier/holdings.h"
-#include "tier/slot_worth.h"
-#include "tier/windows.h"
-#include "watch/counters.h"
-#include "watch/logger.h"
+#include "tier/concurrency_windows.h"
+#include "tier/forwarder_sessions.h"
+#include "tier/slot_value.h"
 #include "wire/tier.h"
 
 namespace damsonspoke::peers {
@@ -31,20 +31,20 @@
   struct Self {
     std::string name;
     std::uint64_t epoch = 0;
-    tier::Warming warming;
+    tier::WarmUpOptions warming;
     double stop_after = 0;  // s
     std::vector<std::string> types;
     std::vector<double> priority_weight;  // by route
   };
-  ForwarderServer(net::Reactor& reactor, const std::string& listen, Self self, Limits limits, CallerEvents& events,
-             Counters& counters, Logger& log);
+  ForwarderServer(net::Reactor& reactor, const std::string& listen, Self self, Limits limits,
+                  CallerEvents& events, Counters& counters, Logger& log);
   ~ForwarderServer() override;
 
   void answer_succeeded(ReplyAddress ticket, std::string_view result) override;
   void answer_rejected(ReplyAddress ticket, double retry_after, bool no_retry) override;
   void answer_failed(ReplyAddress ticket, FailureReason why) override;
   void answer_check(ReplyAddress, bool) override {}  // forwarders ask for none
-  void close_idle(double) override {}          // links stay
+  void set_idle_timeout(double) override {}          // links stay
   void ask_no_more() override;
   void began(bool cold, double ago) override;
   void health(bool good) override;
@@ -89,9 +89,9 @@
   Logger& log_;
   net::OutputPool output_;  // before the connections that are charged to it
   net::Listener listener_;
-  tier::Holdings holdings_;
-  tier::SlotWorth worth_;
-  tier::Windows windows_;
+  tier::ForwarderSessions holdings_;
+  tier::SlotValue worth_;
+  tier::ConcurrencyWindows windows_;
   std::unordered_map<std::uint64_t, Link> links_;
   std::uint64_t next_tag_ = 1;
   bool good_ = false;  // until it is told otherwise: a runtime that is not up yet runs nothing
--- a/src/peers/tier/planner_client.cpp
+++ b/src/peers/tier/planner_client.cpp
@@ -20,8 +20,8 @@
 
 }  // namespace
 
-PlannerClient::PlannerClient(net::Reactor& reactor, Self self, std::size_t output_bytes, PlannerEvents& events,
-                   Counters& counters, Logger& log)
+PlannerClient::PlannerClient(net::Reactor& reactor, Self self, std::size_t output_bytes,
+                             PlannerEvents& events, Counters& counters, Logger& log)
     : reactor_(reactor),
       self_(std::move(self)),
       output_{output_bytes, 0},
--- a/src/peers/tier/planner_client.h
+++ b/src/peers/tier/planner_client.h
@@ -8,8 +8,8 @@
 #include <vector>
 
 #include "net/connection.h"
-#include "watch/counters.h"
-#include "watch/logger.h"
+#include "observability/counters.h"
+#include "observability/logger.h"
 #include "wire/tier.h"
 
 namespace damsonspoke::peers {
@@ -34,7 +34,7 @@
   };
   // `output_bytes`: of all links together.
   PlannerClient(net::Reactor& reactor, Self self, std::size_t output_bytes, PlannerEvents& events,
-           Counters& counters, Logger& log);
+                Counters& counters, Logger& log);
   ~PlannerClient() override;
 
   void add(const std::string& address);  // at the next position
--- a/src/results/database.cpp
+++ b/src/results/database.cpp
@@ -107,10 +107,10 @@
 
 void Database::raise(int code, const std::string& doing) const {
   const int kind = code & 0xff;
-  DatabaseTrouble trouble = DatabaseTrouble::kUnavailable;
-  if (kind == SQLITE_FULL) trouble = DatabaseTrouble::kFull;
-  if (kind == SQLITE_CORRUPT) trouble = DatabaseTrouble::kDamaged;
-  if (kind == SQLITE_NOTADB) trouble = DatabaseTrouble::kForeign;
+  DatabaseFault trouble = DatabaseFault::kUnavailable;
+  if (kind == SQLITE_FULL) trouble = DatabaseFault::kFull;
+  if (kind == SQLITE_CORRUPT) trouble = DatabaseFault::kDamaged;
+  if (kind == SQLITE_NOTADB) trouble = DatabaseFault::kForeign;
   throw DatabaseError(trouble, fmt::format("store '{}': {}: {}", path_, doing, sqlite3_errstr(code)));
 }
 
@@ -151,14 +151,14 @@
   const std::int64_t id = number("pragma application_id"), form = number("pragma user_version");
   const std::int64_t tables = number("select count(*) from sqlite_schema");
   if (tables > 0 && id != kApplicationId)
-    throw DatabaseError(DatabaseTrouble::kForeign, fmt::format("store '{}': is no store of results", path_));
+    throw DatabaseError(DatabaseFault::kForeign, fmt::format("store '{}': is no store of results", path_));
   if (form > kForm) {
     throw DatabaseError(
-        DatabaseTrouble::kNewer,
+        DatabaseFault::kNewer,
         fmt::format("store '{}': written by a newer program (form {}, known up to {})", path_, form, kForm));
   }
   if (tables == 0 && only_if_there)
-    throw DatabaseError(DatabaseTrouble::kForeign, fmt::format("store '{}': is empty", path_));
+    throw DatabaseError(DatabaseFault::kForeign, fmt::format("store '{}': is empty", path_));
   run("pragma journal_mode=wal");
   run(fmt::format("pragma wal_autocheckpoint={}", kLogPages).c_str());
   run(fmt::format("pragma journal_size_limit={}", kLogPages * kPageBytes).c_str());
@@ -179,7 +179,7 @@
   } else {
     Statement check(*this, "pragma quick_check(1)");
     if (!check.step() || check.bytes(0) != "ok")
-      throw DatabaseError(DatabaseTrouble::kDamaged, fmt::format("store '{}': is damaged", path_));
+      throw DatabaseError(DatabaseFault::kDamaged, fmt::format("store '{}': is damaged", path_));
   }
   seed_ = static_cast<std::uint64_t>(number("select value from meta where name='seed'"));
 }
@@ -250,7 +250,7 @@
   if (row.ended) row.result = get.bytes(5);
   row.result_size = row.result.size();
   if (get.number(4) != sum_of(row) || (row.ended && get.number(6) != sum_of(key, row.result))) {
-    throw DatabaseError(DatabaseTrouble::kDamaged,
+    throw DatabaseError(DatabaseFault::kDamaged,
                         fmt::format("store '{}': the entry {} is not what was written", path_, to_hex(key)));
   }
   return row;
@@ -272,7 +272,7 @@
     row.ended = get.number(7) == 0;
     row.result_size = static_cast<std::size_t>(get.number(6));
     if (key.size() != kKeyBytes || get.number(5) != sum_of(row)) {
-      throw DatabaseError(DatabaseTrouble::kDamaged,
+      throw DatabaseError(DatabaseFault::kDamaged,
                           fmt::format("store '{}': an entry is not what was written", path_));
     }
     take(row);
@@ -353,13 +353,12 @@
   const std::string name = path + ".lock";
   fd_ = ::open(name.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0644);
   if (fd_ < 0) {
-    throw DatabaseError(DatabaseTrouble::kUnavailable,
+    throw DatabaseError(DatabaseFault::kUnavailable,
                         fmt::format("store '{}': cannot make its lock: {}", path, std::strerror(errno)));
   }
   if (::flock(fd_, LOCK_EX | LOCK_NB) != 0) {
     ::close(fd_);
-    throw DatabaseError(DatabaseTrouble::kUnavailable,
-                        fmt::format("store '{}': another program has it", path));
+    throw DatabaseError(DatabaseFault::kUnavailable, fmt::format("store '{}': another program has it", path));
   }
 }
 StoreLock::~StoreLock() { ::close(fd_); }
--- a/src/results/database.h
+++ b/src/results/database.h
@@ -19,7 +19,7 @@
 
 namespace damsonspoke::results {
 
-enum class DatabaseTrouble {
+enum class DatabaseFault {
   kFull,         // the bound or the disk is reached; what is there is sound
   kUnavailable,  // cannot be opened, read or written now
   kDamaged,      // what it holds can't be trusted
@@ -28,8 +28,8 @@
 };
 
 struct DatabaseError : std::runtime_error {
-  DatabaseError(DatabaseTrouble t, const std::string& text) : std::runtime_error(text), trouble(t) {}
-  DatabaseTrouble trouble;
+  DatabaseError(DatabaseFault t, const std::string& text) : std::runtime_error(text), trouble(t) {}
+  DatabaseFault trouble;
 };
 
 struct Row {
--- a/src/results/health.cpp
+++ b/src/results/health.cpp
@@ -36,22 +36,22 @@
   return changed;
 }
 
-bool StoreHealth::failed(double now, DatabaseTrouble trouble) {
+bool StoreHealth::failed(double now, DatabaseFault trouble) {
   const StoreState was = state_;
   if (was == StoreState::kRefused) return false;
   switch (trouble) {
-    case DatabaseTrouble::kFull:
+    case DatabaseFault::kFull:
       state_ = StoreState::kFull;
       again_at_ = now + kFullPause;
       break;
-    case DatabaseTrouble::kUnavailable:
+    case DatabaseFault::kUnavailable:
       state_ = StoreState::kAway;
       pause_ = std::clamp(pause_ * 2, kAwayPause, kAwayMost);
       again_at_ = now + pause_;
       break;
-    case DatabaseTrouble::kDamaged:
-    case DatabaseTrouble::kNewer:
-    case DatabaseTrouble::kForeign: state_ = StoreState::kRefused; break;
+    case DatabaseFault::kDamaged:
+    case DatabaseFault::kNewer:
+    case DatabaseFault::kForeign: state_ = StoreState::kRefused; break;
   }
   return state_ != was;
 }
--- a/src/results/health.h
+++ b/src/results/health.h
@@ -5,8 +5,8 @@
 //   unavailable  closed, and opened again after a pause; until then intents are refused
 //   damaged, newer, foreign  never touched again in this life: somebody has to look
 //
-// A keyed request whose intent is refused is rejected, never run; everything else is served as if nothing were
-// wrong.
+// A keyed request whose intent is refused is rejected, never run; everything else is served as if nothing
+// were wrong.
 #pragma once
 
 #include <string_view>
@@ -24,7 +24,7 @@
   // Each returns whether the state has changed, which is then worth a line.
   bool opened();
   bool wrote();  // an intent became durable
-  bool failed(double now, DatabaseTrouble trouble);
+  bool failed(double now, DatabaseFault trouble);
 
   bool takes_intents(double now) const;
   bool should_open(double now) const;  // it is not open, and it is time to try
--- a/src/results/table.cpp
+++ b/src/results/idempotency_cache.cpp
@@ -1,11 +1,11 @@
-#include "results/table.h"
+#include "results/idempotency_cache.h"
 
 #include <algorithm>
 
 namespace damsonspoke::results {
 
 // What has not ended is charged the longest result that it may come to, so that there is room for it then.
-std::size_t Table::size_of(const Entry& entry) {
+std::size_t IdempotencyCache::size_of(const Entry& entry) {
   switch (entry.state) {
     case State::kReserved:
     case State::kRunning: return kEntryBytes + kMostResult;
@@ -15,32 +15,32 @@
   return kEntryBytes;
 }
 
-Table::Entry* Table::live(RequestId id) {
+IdempotencyCache::Entry* IdempotencyCache::live(RequestId id) {
   const auto found = live_.find(id);
   return found == live_.end() ? nullptr : &entries_.at(found->second);
 }
 
-const Table::Entry* Table::find(const Key& key) const {
+const IdempotencyCache::Entry* IdempotencyCache::find(const Key& key) const {
   const auto found = entries_.find(key);
   return found == entries_.end() ? nullptr : &found->second;
 }
-const Table::Entry* Table::entry_of(RequestId id) const {
+const IdempotencyCache::Entry* IdempotencyCache::entry_of(RequestId id) const {
   const auto found = live_.find(id);
   return found == live_.end() ? nullptr : find(found->second);
 }
-const std::string* Table::result(const Key& key) const {
+const std::string* IdempotencyCache::result(const Key& key) const {
   const Entry* entry = find(key);
   return entry && entry->state == State::kEnded && entry->result ? &*entry->result : nullptr;
 }
 
 // ---- Room.
-void Table::add(Entry entry) {
+void IdempotencyCache::add(Entry entry) {
   bytes_ += size_of(entry);
   const Key key = entry.key;
   entries_.emplace(key, std::move(entry));
 }
 
-void Table::erase(const Key& key) {
+void IdempotencyCache::erase(const Key& key) {
   const auto found = entries_.find(key);
   Entry& entry = found->second;
   bytes_ -= size_of(entry);
@@ -51,7 +51,7 @@
   entries_.erase(found);
 }
 
-void Table::let_go_of_result(Entry& entry) {
+void IdempotencyCache::let_go_of_result(Entry& entry) {
   bytes_ -= size_of(entry);
   entry.result.reset();
   bytes_ += size_of(entry);
@@ -60,7 +60,7 @@
 
 // The oldest of what need not be in memory: a read's answer goes whole, a stored result's bytes go. What must
 // be remembered is never among them.
-bool Table::give_up_one() {
+bool IdempotencyCache::give_up_one() {
   if (droppable_.empty()) return false;
   Entry& entry = entries_.at(droppable_.begin()->second);
   ++evicted_;
@@ -72,7 +72,7 @@
   return true;
 }
 
-bool Table::make_room(std::size_t bytes, std::size_t entries) {
+bool IdempotencyCache::make_room(std::size_t bytes, std::size_t entries) {
   while (bytes_ + bytes > bounds_.bytes || entries_.size() + entries > bounds_.entries) {
     if (!give_up_one()) return false;
   }
@@ -80,7 +80,7 @@
 }
 
 // For one more that is open, in the place of what has that key and is over, if anything has.
-bool Table::make_room_for(const Key& key) {
+bool IdempotencyCache::make_room_for(const Key& key) {
   constexpr std::size_t kOpen = kEntryBytes + kMostResult;
   for (;;) {
     const auto found = entries_.find(key);
@@ -93,7 +93,7 @@
   }
 }
 
-void Table::set_bounds(Bounds bounds) {
+void IdempotencyCache::set_bounds(CacheLimits bounds) {
   const bool stored = bounds_.stored;
   bounds_ = bounds;
   bounds_.stored = stored;  // of the life, not of a moment
@@ -101,22 +101,23 @@
 }
 
 // ---- Meeting and joining.
-Met Table::meet(double now, const Key& key, Fingerprint fingerprint, Kind kind) {
+Lookup IdempotencyCache::meet(double now, const Key& key, Fingerprint fingerprint, Kind kind) {
   const auto found = entries_.find(key);
   if (found != entries_.end()) {
     const Entry& entry = found->second;
     const bool over = entry.until <= now && entry.state != State::kReserved && entry.state != State::kRunning;
     if (!over) {
-      if (entry.fingerprint != fingerprint) return {Meeting::kOtherBody, 0, 0};
-      if (entry.state == State::kUnknown) return {Meeting::kUnknown, 0, 0};
-      return {Meeting::kRepeat, entry.id, 0};
+      if (entry.fingerprint != fingerprint) return {LookupOutcome::kOtherBody, 0, 0};
+      if (entry.state == State::kUnknown) return {LookupOutcome::kUnknown, 0, 0};
+      return {LookupOutcome::kRepeat, entry.id, 0};
     }
   }
-  if (make_room_for(key) || kind == Kind::kShared) return {Meeting::kNew, 0, 0};
-  return {Meeting::kNoRoom, 0, ends_.empty() ? 0 : std::max(0.0, ends_.begin()->first - now)};
+  if (make_room_for(key) || kind == Kind::kShared) return {LookupOutcome::kNew, 0, 0};
+  return {LookupOutcome::kNoRoom, 0, ends_.empty() ? 0 : std::max(0.0, ends_.begin()->first - now)};
 }
 
-bool Table::reserve(double now, RequestId id, const Key& key, Fingerprint fingerprint, Kind kind, double until) {
+bool IdempotencyCache::reserve(double now, RequestId id, const Key& key, Fingerprint fingerprint, Kind kind,
+                               double until) {
   const auto found = entries_.find(key);
   if (found != entries_.end()) {
     const Entry& old = found->second;
@@ -135,25 +136,25 @@
   return true;
 }
 
-void Table::start(RequestId id) {
+void IdempotencyCache::start(RequestId id) {
   if (Entry* entry = live(id)) entry->state = State::kRunning;
 }
 
-Joined Table::join(RequestId repeat, const Key& key) {
+JoinOutcome IdempotencyCache::join(RequestId repeat, const Key& key) {
   const auto found = entries_.find(key);
-  if (found == entries_.end()) return Joined::kNeverRan;
+  if (found == entries_.end()) return JoinOutcome::kNeverRan;
   Entry& entry = found->second;
   switch (entry.state) {
-    case State::kUnknown: return Joined::kUnknown;
-    case State::kEnded: return entry.result ? Joined::kHere : Joined::kStored;
+    case State::kUnknown: return JoinOutcome::kUnknown;
+    case State::kEnded: return entry.result ? JoinOutcome::kHere : JoinOutcome::kStored;
     default: break;
   }
   entry.waiting.push_back(repeat);
   originals_[repeat] = key;
-  return Joined::kWaits;
+  return JoinOutcome::kWaits;
 }
 
-void Table::leave(RequestId repeat) {
+void IdempotencyCache::leave(RequestId repeat) {
   const auto found = originals_.find(repeat);
   if (found == originals_.end()) return;
   const auto entry = entries_.find(found->second);
@@ -161,13 +162,13 @@
   originals_.erase(found);
 }
 
-std::vector<RequestId> Table::no_longer_waiting(Entry& entry) {
+std::vector<RequestId> IdempotencyCache::no_longer_waiting(Entry& entry) {
   for (const RequestId repeat : entry.waiting) originals_.erase(repeat);
   return std::exchange(entry.waiting, {});
 }
 
 // ---- What becomes of an entry.
-std::vector<RequestId> Table::release(RequestId id) {
+std::vector<RequestId> IdempotencyCache::release(RequestId id) {
   Entry* entry = live(id);
   if (entry == nullptr) return {};
   std::vector<RequestId> waited = no_longer_waiting(*entry);
@@ -176,13 +177,13 @@
 }
 
 // From now on its window may end.
-void Table::settle(double now, Entry& entry) {
+void IdempotencyCache::settle(double now, Entry& entry) {
   live_.erase(entry.id);
   entry.until = std::max(entry.until, now);
   ends_.insert({entry.until, entry.key});
 }
 
-std::vector<RequestId> Table::end(double now, RequestId id, std::string result) {
+std::vector<RequestId> IdempotencyCache::end(double now, RequestId id, std::string result) {
   Entry* entry = live(id);
   if (entry == nullptr) return {};
   std::vector<RequestId> waited = no_longer_waiting(*entry);
@@ -208,7 +209,7 @@
   return waited;
 }
 
-std::vector<RequestId> Table::lose(double now, RequestId id) {
+std::vector<RequestId> IdempotencyCache::lose(double now, RequestId id) {
   Entry* entry = live(id);
   if (entry == nullptr) return {};
   std::vector<RequestId> waited = no_longer_waiting(*entry);
@@ -223,7 +224,8 @@
   return waited;
 }
 
-void Table::recover(RequestId id, const Key& key, Fingerprint fingerprint, bool ended, double until) {
+void IdempotencyCache::recover(RequestId id, const Key& key, Fingerprint fingerprint, bool ended,
+                               double until) {
   if (entries_.contains(key)) return;
   Entry entry;
   entry.key = key;
@@ -236,7 +238,7 @@
   make_room(0, 0);  // it stays; what need not be remembered goes for it
 }
 
-bool Table::drop(const Key& key) {
+bool IdempotencyCache::drop(const Key& key) {
   const auto found = entries_.find(key);
   if (found == entries_.end()) return false;
   const State state = found->second.state;
@@ -245,7 +247,7 @@
   return true;
 }
 
-std::vector<Key> Table::age(double now, std::size_t most) {
+std::vector<Key> IdempotencyCache::age(double now, std::size_t most) {
   std::vector<Key> gone;
   for (std::size_t i = 0; i < most && !ends_.empty() && ends_.begin()->first <= now; ++i) {
     const Key key = ends_.begin()->second;
@@ -255,7 +257,7 @@
   return gone;
 }
 
-bool Table::consistent() const {
+bool IdempotencyCache::consistent() const {
   std::size_t bytes = 0, live = 0, ended = 0, waiting = 0, droppable = 0;
   for (const auto& [key, entry] : entries_) {
     bytes += size_of(entry);
--- a/src/results/table.h
+++ b/src/results/idempotency_cache.h
@@ -31,27 +31,27 @@
   kUnknown,   // has run, perhaps in part; what it came to is not known
 };
 
-struct Bounds {
+struct CacheLimits {
   std::size_t bytes = 0;    // entries, results in memory, and room for the results of what has not ended
   std::size_t entries = 0;  // at least 1
   bool stored = false;      // results of keyed requests are in a store too, and need not stay in memory
   double fresh = 0;         // s; how long a read's answer may serve others
 };
 
-enum class Meeting {
+enum class LookupOutcome {
   kNew,        // nothing like it is remembered: the module decides
   kRepeat,     // the module decides whether it joins
   kUnknown,    // its original has run with no known result: failed, never run
   kOtherBody,  // its key belongs to a request that said something else
   kNoRoom,     // nothing like it is remembered and nothing more can be: rejected, never ran
 };
-struct Met {
-  Meeting what = Meeting::kNew;
-  RequestId original = 0;        // of kRepeat
+struct Lookup {
+  LookupOutcome what = LookupOutcome::kNew;
+  RequestId original = 0;  // of kRepeat
   double retry_after = 0;  // s, of kNoRoom: when the first entry ends its window; 0: nobody knows
 };
 
-enum class Joined {
+enum class JoinOutcome {
   kWaits,     // until its original ends; see Ended
   kHere,      // the result is in memory: result()
   kStored,    // the result is in the store
@@ -59,23 +59,23 @@
   kNeverRan,  // its original has gone without a run
 };
 
-class Table {
+class IdempotencyCache {
  public:
   // Bytes of an entry without its result: its nodes in the map and its indices, as measured by the benchmark.
   static constexpr std::size_t kEntryBytes = 400;
   // Bytes of the longest result that is remembered, as the callers' protocol bounds it.
   static constexpr std::size_t kMostResult = 4096;
 
-  explicit Table(Bounds bounds) : bounds_(bounds) {}
+  explicit IdempotencyCache(CacheLimits bounds) : bounds_(bounds) {}
 
   // A request comes whose repeats could be known. Keeps nothing.
-  Met meet(double now, const Key& key, Fingerprint fingerprint, Kind kind);
+  Lookup meet(double now, const Key& key, Fingerprint fingerprint, Kind kind);
   // The module keeps it, until its window ends. False where there is no room: it is not remembered.
   bool reserve(double now, RequestId id, const Key& key, Fingerprint fingerprint, Kind kind, double until);
   // It is about to run: from now on it may have.
   void start(RequestId id);
   // A repeat is to be answered as its original is.
-  Joined join(RequestId repeat, const Key& key);
+  JoinOutcome join(RequestId repeat, const Key& key);
   // A repeat is answered otherwise, or its caller has gone.
   void leave(RequestId repeat);
 
@@ -97,7 +97,7 @@
   // the store to let go of.
   std::vector<Key> age(double now, std::size_t most);
   // Smaller bounds give up at once what need not be remembered; the rest goes as its windows end.
-  void set_bounds(Bounds bounds);
+  void set_bounds(CacheLimits bounds);
 
   struct Entry {
     Key key;
@@ -135,10 +135,10 @@
   std::vector<RequestId> no_longer_waiting(Entry& entry);
   Entry* live(RequestId id);
 
-  Bounds bounds_;
+  CacheLimits bounds_;
   Entries entries_;
-  std::unordered_map<RequestId, Key> live_;                 // what has not ended, by its request
-  std::unordered_map<RequestId, Key> originals_;            // of the repeats that wait
+  std::unordered_map<RequestId, Key> live_;            // what has not ended, by its request
+  std::unordered_map<RequestId, Key> originals_;       // of the repeats that wait
   std::set<std::pair<double, Key>> ends_;              // of windows, of what has ended
   std::set<std::pair<std::uint64_t, Key>> droppable_;  // what need not be in memory, oldest first
   std::size_t bytes_ = 0;
--- a/src/results/key.cpp
+++ b/src/results/key.cpp
@@ -38,16 +38,16 @@
 
 }  // namespace
 
-Key KeyMaker::marked(std::string_view type, std::string_view mark) const {
+Key KeyDeriver::marked(std::string_view type, std::string_view mark) const {
   return Hasher(seed_, 'm').part(type).part(mark).key();
 }
-Key KeyMaker::digest(std::string_view type, std::uint32_t caller, std::string_view body) const {
+Key KeyDeriver::digest(std::string_view type, std::uint32_t caller, std::string_view body) const {
   return Hasher(seed_, 'd').part(type).part(std::uint64_t{caller}).part(body).key();
 }
-Key KeyMaker::read(std::string_view type, std::uint64_t subject, std::string_view body) const {
+Key KeyDeriver::read(std::string_view type, std::uint64_t subject, std::string_view body) const {
   return Hasher(seed_, 'r').part(type).part(subject).part(body).key();
 }
-Fingerprint KeyMaker::fingerprint(std::string_view body) const {
+Fingerprint KeyDeriver::fingerprint(std::string_view body) const {
   return XXH3_64bits_withSeed(body.data(), body.size(), seed_);
 }
 
--- a/src/results/key.h
+++ b/src/results/key.h
@@ -8,8 +8,8 @@
 
 namespace damsonspoke::results {
 
-// 128 bits of XXH3 over what tells a request from all others. The seed is the store's own, so that nobody outside
-// can look for two marks that meet.
+// 128 bits of XXH3 over what tells a request from all others. The seed is the store's own, so that nobody
+// outside can look for two marks that meet.
 struct Key {
   std::uint64_t high = 0;
   std::uint64_t low = 0;
@@ -23,9 +23,9 @@
 // Of the body, so that a mark that is used for two different requests is seen.
 using Fingerprint = std::uint64_t;
 
-class KeyMaker {
+class KeyDeriver {
  public:
-  explicit KeyMaker(std::uint64_t seed = 0) : seed_(seed) {}
+  explicit KeyDeriver(std::uint64_t seed = 0) : seed_(seed) {}
 
   Key marked(std::string_view type, std::string_view mark) const;
   // Without a mark: the same caller (0: any) saying the same again is taken to mean the same request.
--- a/src/results/store.cpp
+++ b/src/results/store.cpp
@@ -132,8 +132,8 @@
     });
   } catch (const DatabaseError& error) {
     // A disk with no room for opening it is away like any other: "full" means that it is open.
-    const bool full = error.trouble == DatabaseTrouble::kFull;
-    trouble(self, full ? DatabaseError(DatabaseTrouble::kUnavailable, error.what()) : error);
+    const bool full = error.trouble == DatabaseFault::kFull;
+    trouble(self, full ? DatabaseError(DatabaseFault::kUnavailable, error.what()) : error);
   }
 }
 
@@ -180,7 +180,7 @@
     std::vector<Key> keys = database->take_drops();
     database->tidy();
     if (keys.empty()) return;
-    tell(self, [keys = std::move(keys)](Store& store) { store.events_.on_drops_wanted(keys); });
+    tell(self, [keys = std::move(keys)](Store& store) { store.events_.on_drop_requests(keys); });
   } catch (const DatabaseError& error) {
     trouble(self, error);
   }
--- a/src/results/store.h
+++ b/src/results/store.h
@@ -22,7 +22,7 @@
   virtual void on_recovered(const std::vector<Row>& rows) = 0;
   virtual void on_store_state(StoreState state, const std::string& why) = 0;
   // Keys that an operator wants forgotten.
-  virtual void on_drops_wanted(const std::vector<Key>& keys) = 0;
+  virtual void on_drop_requests(const std::vector<Key>& keys) = 0;
 };
 
 class Store {
--- a/src/settings/ajp_routes.cpp
+++ b/src/settings/ajp_routes.cpp
@@ -106,8 +106,7 @@
   if (equals == std::string::npos) return "'" + word + "' is no name=value";
   const std::string name = word.substr(0, equals), value = word.substr(equals + 1);
   if (name == "held") {
-    if (!parses<number_word>(value) || std::atof(value.c_str()) < 1 ||
-        std::atof(value.c_str()) >= kMaxSizeKb)
+    if (!parses<number_word>(value) || std::atof(value.c_str()) < 1 || std::atof(value.c_str()) >= kMaxSizeKb)
       return "'held' expects kilobytes from 1 to 1999";
     route.size_kb = std::atof(value.c_str());
     return {};
--- a/src/settings/ajp_routes.h
+++ b/src/settings/ajp_routes.h
@@ -1,6 +1,6 @@
 // Operators' table of what HTTP requests mean: a method and a pattern of paths to an route, and where the
-// rest of the request is found in the request. Pure: lines of words in, a table; a request's method and target in,
-// what it maps to. Grammar: PEGTL.
+// rest of the request is found in the request. Pure: lines of words in, a table; a request's method and
+// target in, what it maps to. Grammar: PEGTL.
 //
 //   map POST /hotels/*/close  close  key=header:idempotency-key caller=path:1 wait=header:x-wait-ms held=16
 //   map GET  /rates/**        rates  subject=query:room caller=header:x-hotel
@@ -31,7 +31,7 @@
   std::string method;
   std::vector<std::string> segments;  // "*" for any one
   bool open_end = false;              // `**`
-  std::string route;                // "health": no request, but a question about our health
+  std::string route;                  // "health": no request, but a question about our health
   AjpSource key, caller, subject, wait;
   double size_kb = 10;  // that a request of it is charged until it has run
 };
--- a/src/settings/config.cpp
+++ b/src/settings/config.cpp
@@ -62,7 +62,8 @@
   return value;
 }
 
-// Requests name their type and their tenant by one word, so each is told apart by it. Time linear in the names.
+// Requests name their type and their tenant by one word, so each is told apart by it. Time linear in the
+// names.
 void names_apart(const std::vector<std::string>& names, const std::string& key) {
   std::unordered_map<std::string_view, std::size_t> positions;
   positions.reserve(names.size());
@@ -158,8 +159,8 @@
   return {};
 }
 
-// Where the settings have keyed requests, or answers that reads may share, and no operators' file says how to keep
-// them: in memory, for as long as the process lives. Guards against a start that is refused, and against
+// Where the settings have keyed requests, or answers that reads may share, and no operators' file says how to
+// keep them: in memory, for as long as the process lives. Guards against a start that is refused, and against
 // keyed requests that run twice, at a site whose operators know no such file.
 ResultsOptions kept_in_memory(const Config& config, const std::string& key_field) {
   ResultsOptions results;
@@ -180,7 +181,8 @@
   const auto& types = config.site.admission.routes;
   const bool keyed = std::any_of(types.begin(), types.end(),
                                  [](const Route& type) { return type.idempotency == Idempotency::kWithKey; });
-  if (keyed || config.site.admission.shared_answer_ttl > 0) options.results = kept_in_memory(config, key_field);
+  if (keyed || config.site.admission.shared_answer_ttl > 0)
+    options.results = kept_in_memory(config, key_field);
 }
 
 namespace {
--- a/src/settings/config.h
+++ b/src/settings/config.h
@@ -17,9 +17,9 @@
 
 struct Config {
   std::string name;
-  std::string listen;   // address:port, as all of these
-  std::string runtime;  // what does the work, on the same machine
-  std::string dependency;    // the layer below; may be absent where nothing calls it
+  std::string listen;      // address:port, as all of these
+  std::string runtime;     // what does the work, on the same machine
+  std::string dependency;  // the layer below; may be absent where nothing calls it
   std::string registry;
   std::uint64_t seed = 0;
   double stop_after = 0;  // s from the notice to leave to the kill
--- a/src/settings/operator_file.h
+++ b/src/settings/operator_file.h
@@ -8,8 +8,8 @@
 #include <string_view>
 #include <vector>
 
-#include "conns/byte_pace.h"
-#include "conns/gate.h"
+#include "conns/connection_limiter.h"
+#include "conns/minimum_byte_rate.h"
 #include "conns/prefix.h"
 #include "settings/ajp_routes.h"
 #include "settings/operator_lines.h"
@@ -75,12 +75,12 @@
 struct GateOptions {
   bool enabled = false;
   std::size_t connections = 0;  // 0: as the limits allow
-  conns::GateTerms terms;
-  conns::KnownTerms known;
+  conns::ConnectionLimiterOptions terms;
+  conns::KnownClientsOptions known;
   std::string known_folder;   // empty: not kept
   double known_interval = 0;  // s
   double client_output = 0;   // of the memory for answers
-  conns::ByteTerms input, output;
+  conns::MinimumByteRateOptions input, output;
 };
 
 struct ControlOptions {
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -86,9 +86,10 @@
   type.idempotency_window = seconds(entry, "window");
   type.priority_weight = number(entry, "worth", 1);
   type.late_value = share(entry, "late-worth", 0);
-  type.idempotency = word<Idempotency>(
-      entry, "semantics",
-      {{"retryable", Idempotency::kIdempotent}, {"dedup", Idempotency::kWithKey}, {"fragile", Idempotency::kNonIdempotent}});
+  type.idempotency = word<Idempotency>(entry, "semantics",
+                                       {{"retryable", Idempotency::kIdempotent},
+                                        {"dedup", Idempotency::kWithKey},
+                                        {"fragile", Idempotency::kNonIdempotent}});
   return type;
 }
 
@@ -147,20 +148,25 @@
   s.running_size_factor = number(family, "run-factor", 1);
   s.idempotency_key_kb = number(family, "key-kb", 0);
   s.shared_answer_ttl = seconds(family, "fresh");
-  s.preemption = word<Preemption>(family, "halt", {{"off", Preemption::kOff}, {"drop", Preemption::kDrop}, {"pause", Preemption::kPause}});
-  s.load_feedback = word<LoadFeedback>(
-      family, "say",
-      {{"off", LoadFeedback::kOff}, {"level", LoadFeedback::kLevel}, {"credit", LoadFeedback::kCredit}, {"weight", LoadFeedback::kWeight}});
+  s.preemption = word<Preemption>(
+      family, "halt",
+      {{"off", Preemption::kOff}, {"drop", Preemption::kDrop}, {"pause", Preemption::kPause}});
+  s.load_feedback = word<LoadFeedback>(family, "say",
+                                       {{"off", LoadFeedback::kOff},
+                                        {"level", LoadFeedback::kLevel},
+                                        {"credit", LoadFeedback::kCredit},
+                                        {"weight", LoadFeedback::kWeight}});
   s.deep_checks = flag(family, "deep-checks");
   start.registry_follows_health = flag(family, "list-follows");
   start.counted_by_work = word<bool>(top, "counted-by", {{"request", false}, {"work", true}});
   // A platform that counts by work has its requests tell theirs, and need not say so.
   start.has_work_hints = find(top, "hints").is_null()
-                    ? start.counted_by_work
-                    : word<bool>(top, "hints", {{"none", false}, {"good", true}, {"rough", true}});
+                             ? start.counted_by_work
+                             : word<bool>(top, "hints", {{"none", false}, {"good", true}, {"rough", true}});
   s.caller_idle_timeout = seconds(family, "caller-idle");
-  s.dependency = word<DependencyKind>(family, "below",
-                        {{"off", DependencyKind::kOff}, {"shared", DependencyKind::kShared}, {"tier", DependencyKind::kTier}});
+  s.dependency = word<DependencyKind>(
+      family, "below",
+      {{"off", DependencyKind::kOff}, {"shared", DependencyKind::kShared}, {"tier", DependencyKind::kTier}});
   s.dependency_share = number(family, "dep-share", 0);
   s.dependency_share_window = seconds(family, "calls-over");
   if (s.dependency == DependencyKind::kShared) {  // a part of nothing is a part; an untold one is not
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -20,11 +20,13 @@
 
 struct StartSettings {
   AdmissionOptions admission;
-  std::vector<std::string> route_names;      // by position, as the routes
+  std::vector<std::string> route_names;   // by position, as the routes
   std::vector<std::string> tenant_names;  // by position, as the tenants
-  bool registry_follows_health = false;                // the list of backends follows health
-  bool has_work_hints = false;    // "hints": "good" or "rough": requests tell their work (ms); "none"; absent: as by_work
-  bool counted_by_work = false;  // "counted-by": "work": worth is counted by the unit of work, not by the request
+  bool registry_follows_health = false;   // the list of backends follows health
+  bool has_work_hints =
+      false;  // "hints": "good" or "rough": requests tell their work (ms); "none"; absent: as by_work
+  bool counted_by_work =
+      false;  // "counted-by": "work": worth is counted by the unit of work, not by the request
   std::vector<Gauge> gauges;  // in the order in which a wake conveys them
 };
 
--- a/src/stages/admission_driver.cpp
+++ b/src/stages/admission_driver.cpp
@@ -1,7 +1,7 @@
 #include "stages/admission_driver.h"
 
-#include "stages/statistics_persistence.h"
 #include "stages/decision_executor.h"
+#include "stages/statistics_persistence.h"
 
 namespace damsonspoke::stages {
 namespace {
@@ -13,8 +13,10 @@
 
 }  // namespace
 
-AdmissionDriver::AdmissionDriver(net::Reactor& reactor, const StartSettings& site, const catalog::Catalog& catalog,
-             std::uint64_t seed, DecisionExecutor& route, StatisticsPersistence& statistics, const peers::Ports& peers, Counters& counters)
+AdmissionDriver::AdmissionDriver(net::Reactor& reactor, const StartSettings& site,
+                                 const catalog::Catalog& catalog, std::uint64_t seed, DecisionExecutor& route,
+                                 StatisticsPersistence& statistics, const peers::Ports& peers,
+                                 Counters& counters)
     : reactor_(reactor),
       settings_(site.admission),
       catalog_(catalog),
@@ -23,16 +25,16 @@
       statistics_(statistics),
       peers_(peers),
       counters_(counters) {
-  executor_.set_wakes([this](double time, std::uint64_t token) { wake_at(time, token); });
+  executor_.set_wakes([this](double time, std::uint64_t token) { schedule_wakeup(time, token); });
 }
 
 void AdmissionDriver::begin(bool cold, double ago) {
   settings_.slow_start = cold;
-  controller_ = std::make_unique<AdmissionController>(settings_, seed_, executor_, net::monotonic_now() - (cold ? ago : 0),
-                                       statistics_.prior(), &catalog_);
+  controller_ = std::make_unique<AdmissionController>(
+      settings_, seed_, executor_, net::monotonic_now() - (cold ? ago : 0), statistics_.prior(), &catalog_);
 }
 
-void AdmissionDriver::wake_at(double time, std::uint64_t token) {
+void AdmissionDriver::schedule_wakeup(double time, std::uint64_t token) {
   reactor_.at(time - kGaugeLead, [this] { peers_.runtime->ask_gauges(); });
   reactor_.at(time, [this, time, token] { wake(time, token); });
 }
@@ -44,20 +46,22 @@
   counters_.most(Count::kWakeMostUs, static_cast<std::uint64_t>((now - time) * 1e6));
   const Gauges gauges = peers_.runtime->gauges(now);
   if (gauges.cpu_busy < 0) counters_.add(Count::kGaugesStale);
-  controller_->on_wake(now, token, gauges);
+  controller_->on_timer(now, token, gauges);
 }
 
-void AdmissionDriver::on_request(const Request& request) { controller_->on_request(net::monotonic_now(), request); }
-void AdmissionDriver::on_run_end(RequestId id, Outcome outcome, double spent) {
-  controller_->on_run_end(net::monotonic_now(), id, outcome, spent);
+void AdmissionDriver::on_request(const Request& request) {
+  controller_->on_request(net::monotonic_now(), request);
+}
+void AdmissionDriver::on_run_finished(RequestId id, Outcome outcome, double spent) {
+  controller_->on_run_finished(net::monotonic_now(), id, outcome, spent);
 }
 void AdmissionDriver::on_call_needed(RequestId id) { controller_->on_call_needed(net::monotonic_now(), id); }
-void AdmissionDriver::on_call_end(RequestId id, Outcome outcome, double spent) {
-  controller_->on_call_end(net::monotonic_now(), id, outcome, spent);
+void AdmissionDriver::on_call_finished(RequestId id, Outcome outcome, double spent) {
+  controller_->on_call_finished(net::monotonic_now(), id, outcome, spent);
 }
-void AdmissionDriver::on_gone(RequestId id) { controller_->on_gone(net::monotonic_now(), id); }
-void AdmissionDriver::on_leave(double time_left) {
-  if (controller_) controller_->on_leave(net::monotonic_now(), time_left);
+void AdmissionDriver::on_caller_gone(RequestId id) { controller_->on_caller_gone(net::monotonic_now(), id); }
+void AdmissionDriver::on_drain(double time_left) {
+  if (controller_) controller_->on_drain(net::monotonic_now(), time_left);
 }
 
 }  // namespace damsonspoke::stages
--- a/src/stages/command_sender.cpp
+++ b/src/stages/command_sender.cpp
@@ -16,14 +16,15 @@
 }
 
 void CommandSender::stop(InFlightRequest& request) {
-  if (request.run == Run::kRecording) return;          // nothing runs yet, and what is answered will not start
+  if (request.run == Run::kRecording) return;  // nothing runs yet, and what is answered will not start
   if (site_.admission.preemption == Preemption::kOff) return;  // the runtime would not carry it out
   counters_.add(Count::kRunsStopped);
   peers_.runtime->stop(request.id);
 }
 
 void CommandSender::call(InFlightRequest& request, double patience) {
-  peers_.dependency->call(request.id, patience > 0 ? patience : request.route_settings.timeout, request.call_body);
+  peers_.dependency->call(request.id, patience > 0 ? patience : request.route_settings.timeout,
+                          request.call_body);
 }
 
 void CommandSender::give(InFlightRequest& request, std::string_view reply) {
--- a/src/stages/command_sender.h
+++ b/src/stages/command_sender.h
@@ -4,10 +4,10 @@
 #include <string>
 #include <vector>
 
+#include "observability/counters.h"
 #include "peers/ports.h"
 #include "settings/settings.h"
 #include "stages/in_flight_requests.h"
-#include "watch/counters.h"
 
 namespace damsonspoke::stages {
 
@@ -26,7 +26,7 @@
   void health(bool good, bool from_store);
   void began(bool cold, double ago) { peers_.callers->began(cold, ago); }
   void leaving();
-  void close_idle(double after) { peers_.callers->close_idle(after); }
+  void set_idle_timeout(double after) { peers_.callers->set_idle_timeout(after); }
 
   bool good() const { return good_ && !leaving_; }
   bool from_store() const { return from_store_; }
--- a/src/stages/completion_handler.cpp
+++ b/src/stages/completion_handler.cpp
@@ -32,9 +32,10 @@
   request->run = goes_on && pauses_ ? Run::kPaused : Run::kNone;
   const bool answer_follows = replay_.on_run_ended(*request, outcome, result);
   if (outcome == Outcome::kOk && !answer_follows) in_flight_.ack(*request, result);
-  // Nothing was started, as the request is over for the runtime: the module lets go of it, its caller is told.
+  // Nothing was started, as the request is over for the runtime: the module lets go of it, its caller is
+  // told.
   if (outcome == Outcome::kError || outcome == Outcome::kObsolete) in_flight_.fail(*request);
-  admission_.on_run_end(id, outcome, spent);
+  admission_.on_run_finished(id, outcome, spent);
   if ((request = in_flight_.find(id)) != nullptr) in_flight_.settle(*request);
 }
 
@@ -60,7 +61,7 @@
   InFlightRequest* request = in_flight_.find(id);
   if (request == nullptr || request->run != Run::kAtCall) return;
   if (outcome == Outcome::kOk) sender_.give(*request, reply);
-  admission_.on_call_end(id, outcome, spent);
+  admission_.on_call_finished(id, outcome, spent);
 }
 
 }  // namespace damsonspoke::stages
--- a/src/stages/completion_handler.h
+++ b/src/stages/completion_handler.h
@@ -1,19 +1,20 @@
 // Brings back what runs and calls come to: to the caller, to the run that waits, to the module.
 #pragma once
 
+#include "observability/counters.h"
+#include "observability/logger.h"
 #include "peers/ports.h"
 #include "stages/admission_driver.h"
-#include "stages/in_flight_requests.h"
 #include "stages/command_sender.h"
+#include "stages/in_flight_requests.h"
 #include "stages/request_intake.h"
-#include "watch/counters.h"
-#include "watch/logger.h"
 
 namespace damsonspoke::stages {
 
 class CompletionHandler : public peers::RuntimeEvents, public peers::DependencyEvents {
  public:
-  CompletionHandler(InFlightRequests& in_flight, CommandSender& send, ResultReplay& replay, AdmissionDriver& admission, RequestIntake& intake, Preemption halt, Counters& counters)
+  CompletionHandler(InFlightRequests& in_flight, CommandSender& send, ResultReplay& replay,
+                    AdmissionDriver& admission, RequestIntake& intake, Preemption halt, Counters& counters)
       : in_flight_(in_flight),
         sender_(send),
         replay_(replay),
--- a/src/stages/decision_executor.cpp
+++ b/src/stages/decision_executor.cpp
@@ -1,6 +1,6 @@
 #include "stages/decision_executor.h"
 
-#include "watch/invariants.h"
+#include "observability/invariants.h"
 
 namespace damsonspoke::stages {
 
@@ -29,8 +29,8 @@
   in_flight_.settle(*request);
 }
 
-// A run that stands at a call ends by itself once its request is answered. Where the answer had been given before
-// the runtime told of the call, it is stopped.
+// A run that stands at a call ends by itself once its request is answered. Where the answer had been given
+// before the runtime told of the call, it is stopped.
 void DecisionExecutor::fail(RequestId id) {
   InFlightRequest* request = known(id);
   if (request == nullptr) return;
@@ -43,7 +43,8 @@
 
 void DecisionExecutor::call(RequestId id, double patience) {
   InFlightRequest* request = known(id);
-  if (request != nullptr && must_hold(request->run == Run::kAtCall, counters_)) sender_.call(*request, patience);
+  if (request != nullptr && must_hold(request->run == Run::kAtCall, counters_))
+    sender_.call(*request, patience);
 }
 
 void DecisionExecutor::skip_call(RequestId id) {
@@ -62,6 +63,6 @@
 void DecisionExecutor::join(RequestId id) {
   if (must_hold(replay_.on(), counters_)) replay_.join(id);
 }
-void DecisionExecutor::announce(double) { must_hold(false, counters_); }
+void DecisionExecutor::publish_load_feedback(double) { must_hold(false, counters_); }
 
 }  // namespace damsonspoke::stages
--- a/src/stages/decision_executor.h
+++ b/src/stages/decision_executor.h
@@ -5,17 +5,18 @@
 #include <string>
 
 #include "decide.h"
+#include "observability/logger.h"
+#include "stages/command_sender.h"
 #include "stages/in_flight_requests.h"
 #include "stages/result_replay.h"
-#include "stages/command_sender.h"
-#include "watch/logger.h"
 
 namespace damsonspoke::stages {
 
 class DecisionExecutor : public DecisionSink {
  public:
   using OnWakeAt = std::function<void(double time, std::uint64_t token)>;
-  DecisionExecutor(InFlightRequests& in_flight, CommandSender& send, ResultReplay& replay, Counters& counters, Logger& log)
+  DecisionExecutor(InFlightRequests& in_flight, CommandSender& send, ResultReplay& replay, Counters& counters,
+                   Logger& log)
       : in_flight_(in_flight), sender_(send), replay_(replay), counters_(counters), log_(log) {}
   void set_wakes(OnWakeAt on_wake_at) { on_wake_at_ = std::move(on_wake_at); }
 
@@ -29,9 +30,9 @@
   void forget(RequestId id) override;
   void join(RequestId id) override;
   void set_health(bool good, bool from_store) override { sender_.health(good, from_store); }
-  void announce(double value) override;
-  void close_idle(double after) override { sender_.close_idle(after); }
-  void wake_at(double time, std::uint64_t token) override { on_wake_at_(time, token); }
+  void publish_load_feedback(double value) override;
+  void set_idle_timeout(double after) override { sender_.set_idle_timeout(after); }
+  void schedule_wakeup(double time, std::uint64_t token) override { on_wake_at_(time, token); }
   void log(const std::string& line) override { log_.info("module", "{}", line); }
 
  private:
--- a/src/stages/in_flight_requests.cpp
+++ b/src/stages/in_flight_requests.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include "net/reactor.h"
-#include "watch/invariants.h"
+#include "observability/invariants.h"
 
 namespace damsonspoke::stages {
 namespace {
@@ -52,7 +52,8 @@
 void InFlightRequests::reject(InFlightRequest& request, double retry_after, bool no_retry) {
   // A rejection says that it never ran: one that has may only fail.
   if (!must_hold(request.run == Run::kNone, counters_)) return fail(request);
-  if (answer(request, Count::kRequestsRejected)) peers_.callers->answer_rejected(request.reply_to, retry_after, no_retry);
+  if (answer(request, Count::kRequestsRejected))
+    peers_.callers->answer_rejected(request.reply_to, retry_after, no_retry);
 }
 void InFlightRequests::fail(InFlightRequest& request, peers::FailureReason why) {
   if (answer(request, Count::kRequestsFailed)) peers_.callers->answer_failed(request.reply_to, why);
@@ -60,7 +61,8 @@
 std::vector<RequestId> InFlightRequests::at_runtime() const {
   std::vector<RequestId> ids;
   for (const auto& [id, request] : open_) {
-    if (request.run == Run::kOnCores || request.run == Run::kPaused || request.run == Run::kAtCall) ids.push_back(id);
+    if (request.run == Run::kOnCores || request.run == Run::kPaused || request.run == Run::kAtCall)
+      ids.push_back(id);
   }
   std::sort(ids.begin(), ids.end());
   return ids;
--- a/src/stages/in_flight_requests.h
+++ b/src/stages/in_flight_requests.h
@@ -8,9 +8,9 @@
 #include <vector>
 
 #include "catalog/version.h"
+#include "observability/counters.h"
+#include "observability/logger.h"
 #include "peers/ports.h"
-#include "watch/counters.h"
-#include "watch/logger.h"
 
 namespace damsonspoke::stages {
 
@@ -19,17 +19,17 @@
 struct InFlightRequest {
   RequestId id = 0;
   int route = 0;
-  std::string route_name;     // its route, as it was when the request was read: it ends under what it began with
-  Route route_settings;           // of that
+  std::string route_name;  // its route, as it was when the request was read: it ends under what it began with
+  Route route_settings;    // of that
   catalog::Version version;  // of the catalog, by which it was decided
   peers::ReplyAddress reply_to;
   std::string body;       // a dropped run starts with it again
   double due = 0;         // Unix s
   bool answered = false;  // or its caller has gone
   Run run = Run::kNone;
-  bool started = false;      // it has been told to run, whatever came of it
+  bool started = false;           // it has been told to run, whatever came of it
   std::uint64_t call_notice = 0;  // the notice by which its run wants a call
-  std::string call_body;     // of that call, until it is over
+  std::string call_body;          // of that call, until it is over
 };
 
 class InFlightRequests {
@@ -52,7 +52,8 @@
   // Told of each request that the book lets go of, before it does.
   void on_closed(std::function<void(const InFlightRequest&)> tell) { on_closed_ = std::move(tell); }
 
-  // Requests of which the runtime has something: a run, running, paused or at a call. In the order of their ids.
+  // Requests of which the runtime has something: a run, running, paused or at a call. In the order of their
+  // ids.
   std::vector<RequestId> at_runtime() const;
 
   std::size_t unanswered() const { return unanswered_; }
--- a/src/stages/request_forwarder.cpp
+++ b/src/stages/request_forwarder.cpp
@@ -11,14 +11,15 @@
 
 namespace wt = wire::tier;
 
-constexpr double kRejectionRest = 0.25;  // s; a planner that rejections at once is sent four windows a second, no flood
-constexpr double kLook = 0.1;       // s; between looks at health, for the roster
-constexpr double kSixteenth = 16;   // of a kB, as sizes stand on the wire
+constexpr double kRejectionRest =
+    0.25;                      // s; a planner that rejections at once is sent four windows a second, no flood
+constexpr double kLook = 0.1;  // s; between looks at health, for the roster
+constexpr double kSixteenth = 16;  // of a kB, as sizes stand on the wire
 constexpr double kMicro = 1e-6;
 // Between attempts' numbers at most: one guess in 8 million hits the next, and 64 bits last for 10^12
 // attempts.
 constexpr std::uint64_t kNumberSteps = 1 << 24;
-constexpr double kReadPatience = 2;    // s at the start, for the folder of the lists
+constexpr double kReadPatience = 2;         // s at the start, for the folder of the lists
 constexpr std::size_t kRequestBytes = 512;  // that an open request takes beside its body
 
 std::uint32_t micros(double seconds) {
@@ -40,9 +41,9 @@
   return tier::AnswerKind::kFailed;
 }
 
-// A key is remembered for its window from when it was admitted, which is within its request's own time; and what a
-// forwarder sends by an old list may be admitted so much after it has a new one.
-tier::HomesTerms homes_of(const ForwardOptions& options, const StartSettings& site) {
+// A key is remembered for its window from when it was admitted, which is within its request's own time; and
+// what a forwarder sends by an old list may be admitted so much after it has a new one.
+tier::KeyOwnershipOptions homes_of(const ForwardOptions& options, const StartSettings& site) {
   double window = 0, longest = 0;
   for (const Route& type : site.admission.routes) {
     if (type.idempotency != Idempotency::kWithKey) continue;
@@ -52,8 +53,8 @@
   return {options.reload_spread + longest, window > 0 ? window + 2 * longest : 0};
 }
 
-tier::DispatchTerms terms_of(const ForwardOptions& options, const StartSettings& site) {
-  tier::DispatchTerms terms;
+tier::DispatchOptions terms_of(const ForwardOptions& options, const StartSettings& site) {
+  tier::DispatchOptions terms;
   terms.picker.rejection_rest = kRejectionRest;
   terms.homes = homes_of(options, site);
   terms.retry_share = options.retry_share;
@@ -70,8 +71,9 @@
 }  // namespace
 
 RequestForwarder::RequestForwarder(net::Reactor& reactor, const Ports& ports, const StartSettings& site,
-                 const ForwardOptions& options, const ResultsOptions& results, std::size_t body_bytes,
-                 std::uint64_t seed, Counters& counters, Logger& log)
+                                   const ForwardOptions& options, const ResultsOptions& results,
+                                   std::size_t body_bytes, std::uint64_t seed, Counters& counters,
+                                   Logger& log)
     : reactor_(reactor),
       ports_(ports),
       site_(site),
@@ -87,8 +89,9 @@
       homes_(homes_of(options, site)),
       lists_{options.planners, {}} {
   if (options.folder.empty()) return;
-  kept_ = std::make_unique<store::KeptFile>([folder = options.folder] { return store::open_folder(folder); },
-                                            "planners", tier::kListsForm, tier::kMostListsBytes);
+  kept_ = std::make_unique<store::PersistedFile>(
+      [folder = options.folder] { return store::open_folder(folder); }, "planners",
+      tier::kEndpointListHistoryForm, tier::kMaxEndpointListHistoryBytes);
 }
 
 RequestForwarder::~RequestForwarder() {
@@ -122,18 +125,22 @@
   const RequestId id = in.id;
   const bool room = body_bytes_ <= most_body_bytes_;
   open_[id] = {std::move(in), now + request.remaining_time};
-  // More requests open than there is memory for: the newcomer goes, whatever it is worth; the line's own bound is
-  // lower and goes by importance.
-  if (!room) return reply(id, tier::Reply::kRejected, 0, false);
+  // More requests open than there is memory for: the newcomer goes, whatever it is worth; the line's own
+  // bound is lower and goes by importance.
+  if (!room) return reply(id, tier::LocalAnswer::kRejected, 0, false);
   dispatch_->on_request(request, net::monotonic_now());
 }
 
 std::uint64_t RequestForwarder::home_mark(const peers::IncomingRequest& request) const {
-  if (site_.admission.routes[static_cast<std::size_t>(request.route)].idempotency != Idempotency::kWithKey) return 0;
+  if (site_.admission.routes[static_cast<std::size_t>(request.route)].idempotency != Idempotency::kWithKey)
+    return 0;
   const auto seed = static_cast<std::uint64_t>(request.route) + 1;
-  if (!request.idempotency_key.empty()) return XXH3_64bits_withSeed(request.idempotency_key.data(), request.idempotency_key.size(), seed) | 1;
+  if (!request.idempotency_key.empty())
+    return XXH3_64bits_withSeed(request.idempotency_key.data(), request.idempotency_key.size(), seed) | 1;
   const std::uint64_t of_caller = digest_by_caller_ ? request.caller : 0;
-  return XXH3_64bits_withSeed(request.body.data(), request.body.size(), seed + of_caller * 0x9e3779b97f4a7c15ULL) | 1;
+  return XXH3_64bits_withSeed(request.body.data(), request.body.size(),
+                              seed + of_caller * 0x9e3779b97f4a7c15ULL) |
+         1;
 }
 
 RequestForwarder::Open RequestForwarder::take_out(RequestId id, Count as) {
@@ -148,7 +155,7 @@
 
 void RequestForwarder::on_caller_gone(RequestId id) {
   if (!open_.contains(id)) return;
-  dispatch_->on_gone(id, net::monotonic_now());
+  dispatch_->on_caller_gone(id, net::monotonic_now());
   take_out(id, Count::kRequestsGone);
 }
 
@@ -182,10 +189,10 @@
     if (succeeded) {
       ports_.callers->answer_succeeded(open.request.reply_to, answer.body);
     } else {
-      ports_.callers->answer_failed(open.request.reply_to,
-                                    answer.result == wt::Result::kUnknown    ? peers::FailureReason::kOutcomeUnknown
-                                    : answer.result == wt::Result::kConflict ? peers::FailureReason::kKeyConflict
-                                                                             : peers::FailureReason::kPlain);
+      ports_.callers->answer_failed(
+          open.request.reply_to, answer.result == wt::Result::kUnknown ? peers::FailureReason::kOutcomeUnknown
+                                 : answer.result == wt::Result::kConflict ? peers::FailureReason::kKeyConflict
+                                                                          : peers::FailureReason::kPlain);
     }
   }
   if (dispatch_->attempts().open_at(planner) == 0) ports_.planners->done_with(planner);
@@ -208,11 +215,13 @@
   submit.body = request.body;
   ports_.planners->submit(planner, submit);
 }
-void RequestForwarder::cancel(int planner, tier::Attempt attempt) { ports_.planners->cancel(planner, attempt); }
+void RequestForwarder::cancel(int planner, tier::Attempt attempt) {
+  ports_.planners->cancel(planner, attempt);
+}
 void RequestForwarder::fence(int planner, tier::Attempt attempt) { ports_.planners->fence(planner, attempt); }
 
-void RequestForwarder::reply(RequestId id, tier::Reply how, double retry_after, bool no_retry) {
-  const bool rejected = how == tier::Reply::kRejected;
+void RequestForwarder::reply(RequestId id, tier::LocalAnswer how, double retry_after, bool no_retry) {
+  const bool rejected = how == tier::LocalAnswer::kRejected;
   const Open open = take_out(id, rejected ? Count::kRequestsRejected : Count::kRequestsFailed);
   const bool may_say = site_.admission.sends_retry_after;
   if (rejected) {
@@ -222,13 +231,13 @@
   }
 }
 
-void RequestForwarder::wake_at(double time) {
+void RequestForwarder::schedule_wakeup(double time) {
   if (wake_time_ >= 0 && wake_time_ <= time) return;  // it asks anew when it is woken
   reactor_.cancel(wake_timer_);
   wake_time_ = time;
   wake_timer_ = reactor_.at(time, [this] {
     wake_time_ = -1;
-    dispatch_->on_wake(net::monotonic_now());
+    dispatch_->on_timer(net::monotonic_now());
   });
 }
 
@@ -255,7 +264,7 @@
 
 void RequestForwarder::leave(double time_left) {
   left_ = true;
-  dispatch_->on_leave(time_left, site_.admission.drain_grace, net::monotonic_now());
+  dispatch_->on_drain(time_left, site_.admission.drain_grace, net::monotonic_now());
   ports_.registry->report(false);
   reported_ = false;
   ports_.callers->ask_no_more();
@@ -266,7 +275,7 @@
 void RequestForwarder::set_planners(const std::vector<std::string>& addresses) {
   if (addresses != lists_.in_force) {
     const double now = net::unix_now();
-    std::erase_if(lists_.former, [&](const tier::FormerList& one) {
+    std::erase_if(lists_.former, [&](const tier::FormerEndpointList& one) {
       return now > one.until + homes_.spread + homes_.memory;
     });
     lists_.former.push_back({now, std::exchange(lists_.in_force, addresses)});
@@ -296,13 +305,14 @@
 void RequestForwarder::recall_lists() {
   if (!kept_) return;
   const double now = net::monotonic_now(), unix_now = net::unix_now();
-  const std::optional<store::Sealed> found = kept_->read(kReadPatience);
-  const bool missing = found && found->problem == store::SealProblem::kMissing;
-  std::optional<tier::ListsRecord> before;
-  if (found && found->problem == store::SealProblem::kNone) before = tier::decode_lists(found->content);
+  const std::optional<store::ChecksummedContent> found = kept_->read(kReadPatience);
+  const bool missing = found && found->problem == store::ChecksumProblem::kMissing;
+  std::optional<tier::EndpointListHistory> before;
+  if (found && found->problem == store::ChecksumProblem::kNone)
+    before = tier::decode_endpoint_list_history(found->content);
   if (!before && !missing) {
     const std::string why = !found ? "not there in time"
-                            : found->problem != store::SealProblem::kNone
+                            : found->problem != store::ChecksumProblem::kNone
                                 ? std::string(text_of(found->problem))
                                 : "whole, but no lists";
     log_.error("forward", "former lists of planners can't be read ({}): keyed ops are nacked for {:.0f} s",
@@ -310,12 +320,12 @@
     dispatch_->unknown_before(now);
   }
   if (before) {
-    for (const tier::FormerList& one : before->former) {
+    for (const tier::FormerEndpointList& one : before->former) {
       if (unix_now <= one.until + homes_.spread + homes_.memory) lists_.former.push_back(one);
     }
     if (before->in_force != lists_.in_force) lists_.former.push_back({unix_now, before->in_force});
     // A time that lies ahead is of a clock that was wrong: it counts as now.
-    for (const tier::FormerList& one : lists_.former)
+    for (const tier::FormerEndpointList& one : lists_.former)
       dispatch_->former_planners(one.planners, now - std::max(0.0, unix_now - one.until), now);
     if (!lists_.former.empty())
       log_.info("forward", "{} former lists of planners are still asked", lists_.former.size());
@@ -328,7 +338,7 @@
 }
 
 void RequestForwarder::report() {
-  const tier::DispatchCounts& c = dispatch_->counts();
+  const tier::DispatchCounters& c = dispatch_->counts();
   const auto set = [&](Count count, std::uint64_t value) { counters_.set(count, value); };
   set(Count::kTierFirst, c.first_tries);
   set(Count::kTierSecond, c.second_tries);
--- a/src/stages/request_forwarder.h
+++ b/src/stages/request_forwarder.h
@@ -1,5 +1,5 @@
-// A forwarder's one stage: requests as callers send them, kept until they have their one answer, and what tier/
-// decides about them carried out.
+// A forwarder's one stage: requests as callers send them, kept until they have their one answer, and what
+// tier/ decides about them carried out.
 #pragma once
 
 #include <memory>
@@ -9,15 +9,15 @@
 #include <vector>
 
 #include "net/reactor.h"
-#include "peers/tier/planner_client.h"
+#include "observability/counters.h"
+#include "observability/logger.h"
 #include "peers/ports.h"
+#include "peers/tier/planner_client.h"
 #include "settings/operator_file.h"
 #include "settings/settings.h"
-#include "store/kept_file.h"
+#include "store/persisted_file.h"
 #include "tier/dispatch.h"
-#include "tier/lists_record.h"
-#include "watch/counters.h"
-#include "watch/logger.h"
+#include "tier/endpoint_list_history.h"
 
 namespace damsonspoke::stages {
 
@@ -28,9 +28,9 @@
     peers::PlannerClient* planners = nullptr;
     peers::RegistryPort* registry = nullptr;
   };
-  RequestForwarder(net::Reactor& reactor, const Ports& ports, const StartSettings& site, const ForwardOptions& options,
-          const ResultsOptions& results, std::size_t body_bytes, std::uint64_t seed, Counters& counters,
-          Logger& log);
+  RequestForwarder(net::Reactor& reactor, const Ports& ports, const StartSettings& site,
+                   const ForwardOptions& options, const ResultsOptions& results, std::size_t body_bytes,
+                   std::uint64_t seed, Counters& counters, Logger& log);
   ~RequestForwarder() override;
 
   void begin();  // once all peers are there
@@ -63,8 +63,8 @@
   void send(int planner, tier::Attempt attempt, RequestId request, double left, bool known_only) override;
   void cancel(int planner, tier::Attempt attempt) override;
   void fence(int planner, tier::Attempt attempt) override;
-  void reply(RequestId request, tier::Reply how, double retry_after, bool no_retry) override;
-  void wake_at(double time) override;
+  void reply(RequestId request, tier::LocalAnswer how, double retry_after, bool no_retry) override;
+  void schedule_wakeup(double time) override;
 
   Open take_out(RequestId id, Count as);
   std::uint64_t home_mark(const peers::IncomingRequest& request) const;
@@ -84,10 +84,10 @@
   std::size_t body_bytes_ = 0;
   const std::size_t most_body_bytes_;
   std::unique_ptr<tier::Dispatch> dispatch_;
-  const tier::HomesTerms homes_;
-  tier::ListsRecord lists_;   // in force, and before
-  std::vector<bool> linked_;  // planners, by position
-  std::unique_ptr<store::KeptFile> kept_;
+  const tier::KeyOwnershipOptions homes_;
+  tier::EndpointListHistory lists_;  // in force, and before
+  std::vector<bool> linked_;         // planners, by position
+  std::unique_ptr<store::PersistedFile> kept_;
   net::Reactor::TimerId wake_timer_, look_timer_;
   double wake_time_ = -1;
   bool reported_ = false, left_ = false;
--- a/src/stages/request_intake.cpp
+++ b/src/stages/request_intake.cpp
@@ -34,9 +34,11 @@
   request.tenant = in.tenant;
   request.is_retry = in.is_retry;
   request.is_write = in.subject == 0;
-  if (site_.has_work_hints) request.work_hint = in.work_hint;  // where the site says so; else a caller's figure means nothing
+  if (site_.has_work_hints)
+    request.work_hint = in.work_hint;  // where the site says so; else a caller's figure means nothing
   request.age = in.received_at > 0 ? std::max(0.0, now - in.received_at) : 0;
-  if (in.client_timeout > 0) request.remaining_timeout = std::max(kOverdueLeft, in.client_timeout - request.age);
+  if (in.client_timeout > 0)
+    request.remaining_timeout = std::max(kOverdueLeft, in.client_timeout - request.age);
   counters_.add(Count::kReadSumUs, static_cast<std::uint64_t>(request.age * 1e6));
   counters_.most(Count::kReadMostUs, static_cast<std::uint64_t>(request.age * 1e6));
   if (request.age > kLateRead) counters_.add(Count::kReadsLate);
@@ -60,7 +62,8 @@
     return stages_.in_flight.settle(entered);
   }
   if (stages_.replay.meet(request, in, entered)) return stages_.in_flight.settle(entered);
-  if (in.known_only && request.duplicate_of == 0) {  // nothing is remembered here, so nobody can say: it never runs
+  if (in.known_only &&
+      request.duplicate_of == 0) {  // nothing is remembered here, so nobody can say: it never runs
     stages_.in_flight.reject(entered, 0, true);
     return stages_.in_flight.settle(entered);
   }
@@ -72,7 +75,7 @@
   if (request == nullptr || request->answered) return;
   stages_.in_flight.caller_gone(*request);
   if (request->run == Run::kAtCall) stages_.send.give_up_call(*request);
-  stages_.admission.on_gone(id);
+  stages_.admission.on_caller_gone(id);
   if ((request = stages_.in_flight.find(id)) != nullptr) stages_.in_flight.settle(*request);
 }
 
--- a/src/stages/request_intake.h
+++ b/src/stages/request_intake.h
@@ -5,12 +5,12 @@
 
 #include "catalog/catalog.h"
 #include "net/reactor.h"
+#include "observability/counters.h"
 #include "peers/ports.h"
 #include "stages/admission_driver.h"
+#include "stages/command_sender.h"
 #include "stages/in_flight_requests.h"
 #include "stages/result_replay.h"
-#include "stages/command_sender.h"
-#include "watch/counters.h"
 
 namespace damsonspoke::stages {
 
@@ -23,7 +23,7 @@
     ResultReplay& replay;
   };
   RequestIntake(net::Reactor& reactor, Stages stages, const peers::Ports& peers, const StartSettings& site,
-         const catalog::Catalog& catalog, Counters& counters)
+                const catalog::Catalog& catalog, Counters& counters)
       : reactor_(reactor),
         stages_(stages),
         peers_(peers),
--- a/src/stages/result_replay.cpp
+++ b/src/stages/result_replay.cpp
@@ -4,15 +4,15 @@
 #include <cmath>
 #include <random>
 
+#include "observability/invariants.h"
 #include "stages/admission_driver.h"
-#include "watch/invariants.h"
 
 namespace damsonspoke::stages {
 namespace {
 
-using results::Joined;
+using results::JoinOutcome;
 using results::Kind;
-using results::Meeting;
+using results::LookupOutcome;
 using results::State;
 
 constexpr double kLook = 0.05;            // s; between looks at what has aged
@@ -25,7 +25,7 @@
   return std::uint64_t{chance()} << 32 | chance();
 }
 
-results::Bounds bounds_of(const ResultsOptions& options, const StartSettings& site) {
+results::CacheLimits bounds_of(const ResultsOptions& options, const StartSettings& site) {
   return {options.memory, options.entries, !options.store.empty(), site.admission.shared_answer_ttl};
 }
 
@@ -44,9 +44,10 @@
 
 }  // namespace
 
-ResultReplay::ResultReplay(net::Reactor& reactor, InFlightRequests& in_flight, CommandSender& send, AdmissionDriver& admission, const StartSettings& site,
-               const catalog::Catalog& catalog, const ResultsOptions& options, Counters& counters,
-               Logger& log)
+ResultReplay::ResultReplay(net::Reactor& reactor, InFlightRequests& in_flight, CommandSender& send,
+                           AdmissionDriver& admission, const StartSettings& site,
+                           const catalog::Catalog& catalog, const ResultsOptions& options, Counters& counters,
+                           Logger& log)
     : reactor_(reactor),
       in_flight_(in_flight),
       sender_(send),
@@ -82,7 +83,7 @@
 
 // ---- The store.
 void ResultReplay::on_seed(std::uint64_t seed, bool made_new) {
-  keys_ = results::KeyMaker(seed);
+  keys_ = results::KeyDeriver(seed);
   if (made_new) log_.event(Level::kInfo, "results", "new store", {{"path", options_.store}});
 }
 
@@ -117,7 +118,7 @@
   }
 }
 
-void ResultReplay::on_drops_wanted(const std::vector<results::Key>& keys) {
+void ResultReplay::on_drop_requests(const std::vector<results::Key>& keys) {
   std::vector<results::Key> dropped;
   for (const results::Key& key : keys) {
     if (table_.drop(key)) dropped.push_back(key);
@@ -128,8 +129,8 @@
 }
 
 // ---- As requests come.
-bool ResultReplay::identify(const Request& request, const peers::IncomingRequest& in, const InFlightRequest& entered,
-                      Candidate& out) const {
+bool ResultReplay::identify(const Request& request, const peers::IncomingRequest& in,
+                            const InFlightRequest& entered, Candidate& out) const {
   const Route& settings = entered.route_settings;
   const std::string& name = entered.route_name;
   out.id = request.id;
@@ -141,7 +142,8 @@
                   : keys_.marked(name, in.idempotency_key);
     return true;
   }
-  if (settings.idempotency == Idempotency::kIdempotent && site_.admission.shared_answer_ttl > 0 && request.subject != 0 && !request.is_write) {
+  if (settings.idempotency == Idempotency::kIdempotent && site_.admission.shared_answer_ttl > 0 &&
+      request.subject != 0 && !request.is_write) {
     out.kind = Kind::kShared;
     out.key = keys_.read(name, request.subject, in.body);
     return true;
@@ -158,9 +160,9 @@
   if (!identify(request, in, entered, candidate)) return false;
   if (std::vector<results::Key> over = table_.age(now, kAgedOnArrival); store_)
     store_->erase(std::move(over));
-  const results::Met met = table_.meet(now, candidate.key, candidate.fingerprint, candidate.kind);
+  const results::Lookup met = table_.meet(now, candidate.key, candidate.fingerprint, candidate.kind);
   switch (met.what) {
-    case Meeting::kNew:
+    case LookupOutcome::kNew:
       if (in.known_only) return not_known(entered, !store_ || store_->takes_intents(now), now), true;
       // Before the store is open, too: nothing is known then of what earlier lives ran, it may be this one.
       if (keyed && store_ && !store_->takes_intents(now)) {
@@ -169,16 +171,16 @@
         return true;
       }
       break;
-    case Meeting::kRepeat: request.duplicate_of = met.original; break;
-    case Meeting::kUnknown:
+    case LookupOutcome::kRepeat: request.duplicate_of = met.original; break;
+    case LookupOutcome::kUnknown:
       counters_.add(Count::kResultsUnknown);
       in_flight_.fail(entered, peers::FailureReason::kOutcomeUnknown);
       return true;
-    case Meeting::kOtherBody:
+    case LookupOutcome::kOtherBody:
       counters_.add(Count::kResultsConflicts);
       in_flight_.fail(entered, peers::FailureReason::kKeyConflict);
       return true;
-    case Meeting::kNoRoom:
+    case LookupOutcome::kNoRoom:
       if (in.known_only) return not_known(entered, true, now), true;
       counters_.add(Count::kResultsNoRoom);
       reject(entered, met.retry_after);
@@ -220,20 +222,20 @@
   const results::Key key = candidate_.key;
   counters_.add(Count::kResultsJoined);
   switch (table_.join(id, key)) {
-    case Joined::kWaits: return;
-    case Joined::kHere:
+    case JoinOutcome::kWaits: return;
+    case JoinOutcome::kHere:
       counters_.add(Count::kResultsFromMemory);
       return answer_repeat(id, How::kSucceeded, *table_.result(key));
-    case Joined::kStored: return answer_from_store(id, key);
-    case Joined::kUnknown: return answer_repeat(id, How::kUnknown);
-    case Joined::kNeverRan: return answer_repeat(id, How::kNeverRan);
+    case JoinOutcome::kStored: return answer_from_store(id, key);
+    case JoinOutcome::kUnknown: return answer_repeat(id, How::kUnknown);
+    case JoinOutcome::kNeverRan: return answer_repeat(id, How::kNeverRan);
   }
 }
 
 bool ResultReplay::hold_start(InFlightRequest& request) {
   if (!on()) return false;
   const RequestId id = request.id;
-  const results::Table::Entry* entry = table_.entry_of(id);
+  const results::IdempotencyCache::Entry* entry = table_.entry_of(id);
   const bool keyed = request.route_settings.idempotency == Idempotency::kWithKey;
   if (entry == nullptr) {
     // Guards against a keyed run that nobody would remember.
@@ -272,7 +274,7 @@
     recording_.erase(timer);
   }
   InFlightRequest* request = in_flight_.find(id);
-  const results::Table::Entry* entry = table_.entry_of(id);
+  const results::IdempotencyCache::Entry* entry = table_.entry_of(id);
   if (request == nullptr || request->run != Run::kRecording || entry == nullptr || entry->key != key) return;
   if (!durable) counters_.add(Count::kResultsNotDurable);
   if (!durable || request->answered) return not_started(id, key, store_->retry_after(net::monotonic_now()));
@@ -288,7 +290,7 @@
   reject(*request, retry_after);
   answer_repeats(table_.release(id), How::kNeverRan);
   if (store_) store_->erase({key});
-  admission_.on_run_end(id, Outcome::kObsolete, 0);
+  admission_.on_run_finished(id, Outcome::kObsolete, 0);
   if ((request = in_flight_.find(id)) != nullptr) in_flight_.settle(*request);
 }
 
@@ -296,7 +298,7 @@
 bool ResultReplay::on_run_ended(InFlightRequest& request, Outcome outcome, std::string_view result) {
   if (!on()) return false;
   const RequestId id = request.id;
-  const results::Table::Entry* entry = table_.entry_of(id);
+  const results::IdempotencyCache::Entry* entry = table_.entry_of(id);
   if (entry == nullptr || entry->state != State::kRunning) return false;
   const double now = net::monotonic_now();
   const results::Key key = entry->key;
@@ -306,7 +308,7 @@
         answer_repeats(table_.end(now, id, std::string(result)), How::kSucceeded, result);
         return false;
       }
-      Pending& pending = pending_[id];
+      PendingWrite& pending = pending_[id];
       pending.key = key;
       pending.result = result;
       const double left = std::max(0.0, request.due - net::unix_now());
@@ -326,7 +328,8 @@
       return false;
     }
     case Outcome::kCancelled:
-      if (!request.answered && site_.admission.preemption == Preemption::kPause) return false;  // it goes on later
+      if (!request.answered && site_.admission.preemption == Preemption::kPause)
+        return false;  // it goes on later
       [[fallthrough]];
     default: answer_repeats(table_.lose(now, id), How::kUnknown); return false;
   }
@@ -337,7 +340,7 @@
 void ResultReplay::on_result_written(RequestId id, bool durable) {
   auto found = pending_.extract(id);
   if (found.empty()) return;
-  Pending& pending = found.mapped();
+  PendingWrite& pending = found.mapped();
   reactor_.cancel(pending.due);
   if (!durable) counters_.add(Count::kResultsNotDurable);
   const std::vector<RequestId> repeats = table_.end(net::monotonic_now(), id, pending.result);
@@ -351,7 +354,7 @@
 void ResultReplay::on_closed(const InFlightRequest& request) {
   if (!on()) return;
   table_.leave(request.id);
-  const results::Table::Entry* entry = table_.entry_of(request.id);
+  const results::IdempotencyCache::Entry* entry = table_.entry_of(request.id);
   if (entry == nullptr || pending_.contains(request.id)) return;
   if (entry->state == State::kReserved) {
     answer_repeats(table_.release(request.id), How::kNeverRan);
@@ -386,7 +389,7 @@
   reactor_.post([this, id, how] {
     InFlightRequest* there = in_flight_.find(id);
     if (there == nullptr) return;
-    admission_.on_run_end(id, how == How::kSucceeded ? Outcome::kOk : Outcome::kObsolete, 0);
+    admission_.on_run_finished(id, how == How::kSucceeded ? Outcome::kOk : Outcome::kObsolete, 0);
     if ((there = in_flight_.find(id)) != nullptr) in_flight_.settle(*there);
   });
 }
--- a/src/stages/result_replay.h
+++ b/src/stages/result_replay.h
@@ -1,5 +1,5 @@
-// Remembered results on the way of a request: asks the table, obeys it, and brings together the module, the store
-// and the book. With results off it does nothing.
+// Remembered results on the way of a request: asks the table, obeys it, and brings together the module, the
+// store and the book. With results off it does nothing.
 #pragma once
 
 #include <memory>
@@ -12,16 +12,16 @@
 
 #include "catalog/catalog.h"
 #include "net/reactor.h"
+#include "observability/counters.h"
+#include "observability/logger.h"
 #include "peers/ports.h"
+#include "results/idempotency_cache.h"
 #include "results/recovery.h"
 #include "results/store.h"
-#include "results/table.h"
 #include "settings/operator_file.h"
 #include "settings/settings.h"
-#include "stages/in_flight_requests.h"
 #include "stages/command_sender.h"
-#include "watch/counters.h"
-#include "watch/logger.h"
+#include "stages/in_flight_requests.h"
 
 namespace damsonspoke::stages {
 
@@ -29,14 +29,15 @@
 
 class ResultReplay : private results::StoreEvents {
  public:
-  ResultReplay(net::Reactor& reactor, InFlightRequests& in_flight, CommandSender& send, AdmissionDriver& admission, const StartSettings& site,
-         const catalog::Catalog& catalog, const ResultsOptions& options, Counters& counters, Logger& log);
+  ResultReplay(net::Reactor& reactor, InFlightRequests& in_flight, CommandSender& send,
+               AdmissionDriver& admission, const StartSettings& site, const catalog::Catalog& catalog,
+               const ResultsOptions& options, Counters& counters, Logger& log);
   ~ResultReplay() override;
 
   bool on() const { return options_.enabled; }
 
-  // ---- As requests come. True where the request has been answered and must not come to the module; otherwise
-  // `request.original` says whether it is a repeat.
+  // ---- As requests come. True where the request has been answered and must not come to the module;
+  // otherwise `request.original` says whether it is a repeat.
   bool meet(Request& request, const peers::IncomingRequest& in, InFlightRequest& entered);
 
   // ---- Acts of the module.
@@ -63,7 +64,7 @@
     results::Kind kind = results::Kind::kKeyed;
   };
   // A result that is not durable yet; its run is over.
-  struct Pending {
+  struct PendingWrite {
     results::Key key;
     std::string result;
     net::Reactor::TimerId due;
@@ -72,9 +73,10 @@
   void on_seed(std::uint64_t seed, bool made_new) override;
   void on_recovered(const std::vector<results::Row>& rows) override;
   void on_store_state(results::StoreState state, const std::string& why) override;
-  void on_drops_wanted(const std::vector<results::Key>& keys) override;
+  void on_drop_requests(const std::vector<results::Key>& keys) override;
 
-  bool identify(const Request& request, const peers::IncomingRequest& in, const InFlightRequest& entered, Candidate& out) const;
+  bool identify(const Request& request, const peers::IncomingRequest& in, const InFlightRequest& entered,
+                Candidate& out) const;
   void reject(InFlightRequest& request, double retry_after);
   void not_known(InFlightRequest& request, bool certain, double now);
   void on_intent(RequestId id, const results::Key& key, bool durable);
@@ -94,13 +96,13 @@
   ResultsOptions options_;
   Counters& counters_;
   Logger& log_;
-  results::KeyMaker keys_;
-  results::Table table_;
+  results::KeyDeriver keys_;
+  results::IdempotencyCache table_;
   results::Recovery recovery_;
   const std::unordered_set<std::string> by_digest_;  // routes
   Candidate candidate_;                              // between meeting a request and the module's act on it
   std::unordered_map<RequestId, net::Reactor::TimerId> recording_;  // whose intent is on its way
-  std::unordered_map<RequestId, Pending> pending_;
+  std::unordered_map<RequestId, PendingWrite> pending_;
   net::Reactor::TimerId look_timer_;
   std::unique_ptr<results::Store> store_;  // last: its thread ends first
 };
--- a/src/stages/statistics_persistence.cpp
+++ b/src/stages/statistics_persistence.cpp
@@ -4,8 +4,9 @@
 
 namespace damsonspoke::stages {
 
-StatisticsPersistence::StatisticsPersistence(net::Reactor& reactor, const AdmissionDriver& admission, const StartSettings& site, std::string name,
-             const KnowledgeOptions& options, Counters& counters, Logger& log)
+StatisticsPersistence::StatisticsPersistence(net::Reactor& reactor, const AdmissionDriver& admission,
+                                             const StartSettings& site, std::string name,
+                                             const KnowledgeOptions& options, Counters& counters, Logger& log)
     : reactor_(reactor),
       admission_(admission),
       site_(site),
@@ -14,8 +15,8 @@
       counters_(counters),
       log_(log) {
   if (on())
-    keeper_ =
-        std::make_unique<knowledge::Keeper>([path = options_.folder] { return store::open_folder(path); });
+    keeper_ = std::make_unique<statistics::StatisticsStore>(
+        [path = options_.folder] { return store::open_folder(path); });
 }
 
 StatisticsPersistence::~StatisticsPersistence() { reactor_.cancel(timer_); }
@@ -29,7 +30,7 @@
   if (!on()) return {};
   began_ = net::monotonic_now();
   timer_ = reactor_.after(options_.interval, [this] { look(); });
-  const std::optional<knowledge::Reading> reading = keeper_->take_reading();
+  const std::optional<statistics::Reading> reading = keeper_->take_reading();
   if (!reading) {
     log_.warn("knowledge", "not read in time, starts without");
     return {};
@@ -38,8 +39,8 @@
     log_.event(Level::kInfo, "knowledge", "starts without", {{"why", reading->problem}});
     return {};
   }
-  const knowledge::Terms terms{options_.half_life, options_.most_age, options_.weight};
-  knowledge::Belief belief = believe(*reading->record, site_, net::unix_now(), reading->starts, terms);
+  const statistics::PriorOptions terms{options_.half_life, options_.most_age, options_.weight};
+  statistics::Prior belief = derive_prior(*reading->record, site_, net::unix_now(), reading->starts, terms);
   for (const std::string& reason : belief.reasons)
     log_.event(Level::kInfo, "knowledge", "not believed", {{"why", reason}});
   if (!belief.any) return {};
@@ -71,7 +72,7 @@
   if (learned.under_pressure) {
     counters_.add(Count::kKnowledgeSkipped);
   } else {
-    keeper_->write(encode(knowledge::record_of(learned, site_, name_, net::unix_now(), begin - began_)));
+    keeper_->write(encode(statistics::record_of(learned, site_, name_, net::unix_now(), begin - began_)));
     counters_.add(Count::kKnowledgeWrites);
   }
   counters_.most(Count::kKnowledgeMostUs, static_cast<std::uint64_t>((net::monotonic_now() - begin) * 1e6));
--- a/src/stages/statistics_persistence.h
+++ b/src/stages/statistics_persistence.h
@@ -6,13 +6,13 @@
 #include <string>
 
 #include "decide.h"
-#include "knowledge/age.h"
-#include "knowledge/keeper.h"
 #include "net/reactor.h"
+#include "observability/counters.h"
+#include "observability/logger.h"
 #include "settings/operator_file.h"
 #include "settings/settings.h"
-#include "watch/counters.h"
-#include "watch/logger.h"
+#include "statistics/prior.h"
+#include "statistics/statistics_store.h"
 
 namespace damsonspoke::stages {
 
@@ -20,8 +20,8 @@
 
 class StatisticsPersistence {
  public:
-  StatisticsPersistence(net::Reactor& reactor, const AdmissionDriver& admission, const StartSettings& site, std::string name,
-        const KnowledgeOptions& options, Counters& counters, Logger& log);
+  StatisticsPersistence(net::Reactor& reactor, const AdmissionDriver& admission, const StartSettings& site,
+                        std::string name, const KnowledgeOptions& options, Counters& counters, Logger& log);
   ~StatisticsPersistence();
 
   bool on() const { return options_.enabled; }
@@ -46,7 +46,7 @@
   double began_ = -1;  // monotonic s
   bool left_ = false;
   net::Reactor::TimerId timer_;
-  std::unique_ptr<knowledge::Keeper> keeper_;
+  std::unique_ptr<statistics::StatisticsStore> keeper_;
 };
 
 }  // namespace damsonspoke::stages
--- a/src/knowledge/age.cpp
+++ b/src/statistics/prior.cpp
@@ -1,11 +1,11 @@
-#include "knowledge/age.h"
+#include "statistics/prior.h"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 #include <cmath>
 
-namespace damsonspoke::knowledge {
+namespace damsonspoke::statistics {
 namespace {
 
 constexpr std::size_t kBins = 13;     // of the module's histogram
@@ -53,9 +53,9 @@
          times.sum <= most * (1 + 1e-6) + kDrift;
 }
 
-Belief believe(const Record& record, const StartSettings& site, double now_unix, int starts,
-               const Terms& terms) {
-  Belief out;
+Prior derive_prior(const StatisticsRecord& record, const StartSettings& site, double now_unix, int starts,
+                   const PriorOptions& terms) {
+  Prior out;
   const auto none = [&](std::string why) {
     out.reasons.push_back(std::move(why));
     return out;
@@ -80,7 +80,7 @@
   for (std::size_t i = 0; i < s.routes.size(); ++i) {
     const std::string& name = site.route_names[i];
     const auto found = std::find_if(record.types.begin(), record.types.end(),
-                                    [&](const TypeRecord& t) { return t.name == name; });
+                                    [&](const RouteRecord& t) { return t.name == name; });
     const auto skip = [&](const char* why) { out.reasons.push_back(fmt::format("{}: {}", name, why)); };
     if (found == record.types.end()) {
       skip("is new");
@@ -120,4 +120,4 @@
   return out;
 }
 
-}  // namespace damsonspoke::knowledge
+}  // namespace damsonspoke::statistics
--- a/src/knowledge/age.h
+++ b/src/statistics/prior.h
@@ -6,17 +6,17 @@
 #include <string>
 #include <vector>
 
-#include "knowledge/record.h"
+#include "statistics/record.h"
 
-namespace damsonspoke::knowledge {
+namespace damsonspoke::statistics {
 
-struct Terms {
+struct PriorOptions {
   double half_life = 0;  // s in which belief halves
   double most_age = 0;   // s; older says nothing
   double weight = 0;     // values that a fresh record weighs as, a type: a few new ones outweigh it
 };
 
-struct Belief {
+struct Prior {
   LearnedStatistics prior;  // empty parts where nothing is believed
   bool any = false;
   double share = 0;                  // of a fresh record's weight, 0 to 1
@@ -24,11 +24,11 @@
 };
 
 // `starts`: lives that began with this record and did not come through their first time.
-Belief believe(const Record& record, const StartSettings& site, double now_unix, int starts,
-               const Terms& terms);
+Prior derive_prior(const StatisticsRecord& record, const StartSettings& site, double now_unix, int starts,
+                   const PriorOptions& terms);
 
 // Whether values could come out of the module's histogram: right bins, finite, none negative, and a sum that
 // its counts allow.
 bool sensible(const LearnedDurations& times);
 
-}  // namespace damsonspoke::knowledge
+}  // namespace damsonspoke::statistics
--- a/src/knowledge/record.cpp
+++ b/src/statistics/record.cpp
@@ -1,8 +1,8 @@
-#include "knowledge/record.h"
+#include "statistics/record.h"
 
 #include <nlohmann/json.hpp>
 
-namespace damsonspoke::knowledge {
+namespace damsonspoke::statistics {
 namespace {
 
 using Json = nlohmann::json;
@@ -39,9 +39,9 @@
 
 }  // namespace
 
-Record record_of(const LearnedStatistics& learned, const StartSettings& site, const std::string& name, double written,
-                 double lived) {
-  Record out;
+StatisticsRecord record_of(const LearnedStatistics& learned, const StartSettings& site,
+                           const std::string& name, double written, double lived) {
+  StatisticsRecord out;
   out.written = written;
   out.lived = lived;
   out.site = name;
@@ -59,9 +59,9 @@
   return out;
 }
 
-std::string encode(const Record& r) {
+std::string encode(const StatisticsRecord& r) {
   Json types = Json::array();
-  for (const TypeRecord& t : r.types) {
+  for (const RouteRecord& t : r.types) {
     types.push_back({{"name", t.name},
                      {"target", t.target},
                      {"timeout", t.timeout},
@@ -69,15 +69,16 @@
                      {"run", json_of(t.run)},
                      {"away", json_of(t.away)}});
   }
-  const Json top = {{"written", r.written},   {"lived", r.lived},          {"site", r.site},
-                    {"cores", r.cores},       {"below", r.dependency},          {"caller_idle", r.caller_idle_timeout},
-                    {"troubled", r.troubled}, {"types", std::move(types)}, {"calls", json_of(r.calls)},
-                    {"returns", r.returns}};
+  const Json top = {
+      {"written", r.written},   {"lived", r.lived},          {"site", r.site},
+      {"cores", r.cores},       {"below", r.dependency},     {"caller_idle", r.caller_idle_timeout},
+      {"troubled", r.troubled}, {"types", std::move(types)}, {"calls", json_of(r.calls)},
+      {"returns", r.returns}};
   const std::vector<std::uint8_t> bytes = Json::to_cbor(top);
   return {bytes.begin(), bytes.end()};
 }
 
-std::optional<Record> decode(std::string_view bytes) {
+std::optional<StatisticsRecord> decode(std::string_view bytes) {
   if (bytes.size() > kMostBytes) return std::nullopt;
   Json top;
   try {
@@ -86,7 +87,7 @@
     return std::nullopt;
   }
   if (!top.is_object()) return std::nullopt;
-  Record r;
+  StatisticsRecord r;
   r.written = number(top, "written", -1);
   r.lived = number(top, "lived", 0);
   r.site = text(top, "site");
@@ -106,4 +107,4 @@
   return r;
 }
 
-}  // namespace damsonspoke::knowledge
+}  // namespace damsonspoke::statistics
--- a/src/knowledge/keeper.cpp
+++ b/src/statistics/statistics_store.cpp
@@ -1,4 +1,4 @@
-#include "knowledge/keeper.h"
+#include "statistics/statistics_store.h"
 
 #include <charconv>
 #include <chrono>
@@ -7,9 +7,9 @@
 #include <mutex>
 #include <utility>
 
-#include "store/side_thread.h"
+#include "store/worker_thread.h"
 
-namespace damsonspoke::knowledge {
+namespace damsonspoke::statistics {
 namespace {
 
 constexpr const char* kTrial = "knowledge.trial";  // how many lives began with it and have not come through
@@ -17,12 +17,12 @@
 }  // namespace
 
 // ---- The files.
-Reading Folder::read() {
+Reading StatisticsFolder::read() {
   Reading out;
-  store::SealedFile::Found found = file_.read();
+  store::ChecksummedFile::Found found = file_.read();
   out.older = found.older;
-  if (found.newest.problem == store::SealProblem::kMissing) return out.problem = "nothing is there", out;
-  if (found.newest.problem != store::SealProblem::kNone)
+  if (found.newest.problem == store::ChecksumProblem::kMissing) return out.problem = "nothing is there", out;
+  if (found.newest.problem != store::ChecksumProblem::kNone)
     return out.problem = store::text_of(found.newest.problem), out;
   out.record = decode(found.newest.content);
   if (!out.record) out.problem = "whole, but no knowledge";
@@ -34,23 +34,23 @@
   return out;
 }
 
-void Folder::begins(int starts) {
+void StatisticsFolder::begins(int starts) {
   const std::string aside = std::string(kTrial) + ".new";
   if (disk_.write(aside, std::to_string(starts)) && disk_.sync(aside) && disk_.rename(aside, kTrial))
     disk_.sync_folder();
 }
-void Folder::came_through() {
+void StatisticsFolder::came_through() {
   if (disk_.exists(kTrial) && disk_.remove(kTrial)) disk_.sync_folder();
 }
-bool Folder::write(const Record& record) { return write_bytes(encode(record)); }
-bool Folder::write_bytes(std::string_view encoded) { return disk_.lock() && file_.write(encoded); }
-void Folder::forget() {
+bool StatisticsFolder::write(const StatisticsRecord& record) { return write_bytes(encode(record)); }
+bool StatisticsFolder::write_bytes(std::string_view encoded) { return disk_.lock() && file_.write(encoded); }
+void StatisticsFolder::forget() {
   file_.forget();
   came_through();
 }
 
 // ---- The thread.
-struct Keeper::Shared : store::SideThreadState {
+struct StatisticsStore::Shared : store::WorkerThreadState {
   std::optional<Reading> reading;
   std::optional<std::string> to_write;
   std::optional<int> to_begin;
@@ -61,8 +61,8 @@
   std::uint64_t written = 0;
 
   void run(const MakeDisk& make_disk) {
-    const std::unique_ptr<store::Disk> disk = make_disk();
-    Folder folder(*disk);
+    const std::unique_ptr<store::FileSystem> disk = make_disk();
+    StatisticsFolder folder(*disk);
     Reading read = folder.read();
     std::unique_lock guard(lock);
     reading = std::move(read);
@@ -90,7 +90,7 @@
   }
 };
 
-Keeper::Keeper(MakeDisk make_disk) : shared_(std::make_shared<Shared>()) {
+StatisticsStore::StatisticsStore(MakeDisk make_disk) : shared_(std::make_shared<Shared>()) {
   thread_ = std::thread([shared = shared_, make = std::move(make_disk)] {
     try {
       shared->run(make);
@@ -103,39 +103,39 @@
   });
 }
 
-Keeper::~Keeper() { store::end_side_thread(*shared_, thread_); }
+StatisticsStore::~StatisticsStore() { store::stop_worker_thread(*shared_, thread_); }
 
-void Keeper::wait_for_reading(double seconds) {
+void StatisticsStore::wait_for_reading(double seconds) {
   std::unique_lock guard(shared_->lock);
   shared_->changed.wait_for(guard, std::chrono::duration<double>(seconds),
                             [this] { return shared_->reading.has_value() || shared_->ended; });
 }
-std::optional<Reading> Keeper::take_reading() {
+std::optional<Reading> StatisticsStore::take_reading() {
   const std::lock_guard guard(shared_->lock);
   return std::exchange(shared_->reading, std::nullopt);
 }
-void Keeper::write(std::string encoded) {
+void StatisticsStore::write(std::string encoded) {
   const std::lock_guard guard(shared_->lock);
   shared_->to_write = std::move(encoded);
   shared_->changed.notify_all();
 }
-void Keeper::begins(int starts) {
+void StatisticsStore::begins(int starts) {
   const std::lock_guard guard(shared_->lock);
   shared_->to_begin = starts;
   shared_->changed.notify_all();
 }
-void Keeper::came_through() {
+void StatisticsStore::came_through() {
   const std::lock_guard guard(shared_->lock);
   shared_->to_come_through = true;
   shared_->changed.notify_all();
 }
-std::optional<std::string> Keeper::take_trouble() {
+std::optional<std::string> StatisticsStore::take_trouble() {
   const std::lock_guard guard(shared_->lock);
   return std::exchange(shared_->trouble, std::nullopt);
 }
-std::uint64_t Keeper::written() const {
+std::uint64_t StatisticsStore::written() const {
   const std::lock_guard guard(shared_->lock);
   return shared_->written;
 }
 
-}  // namespace damsonspoke::knowledge
+}  // namespace damsonspoke::statistics
--- a/src/knowledge/keeper.h
+++ b/src/statistics/statistics_store.h
@@ -8,46 +8,47 @@
 #include <string>
 #include <thread>
 
-#include "knowledge/record.h"
-#include "store/disk.h"
-#include "store/sealed_file.h"
+#include "statistics/record.h"
+#include "store/checksummed_file.h"
+#include "store/file_system.h"
 
-namespace damsonspoke::knowledge {
+namespace damsonspoke::statistics {
 
 struct Reading {
-  std::optional<Record> record;
+  std::optional<StatisticsRecord> record;
   int starts = 0;       // lives that began with it and did not come through
   std::string problem;  // in plain words; empty: none
   bool older = false;   // the generation before: the newest was of no use
 };
 
 // The way of the files, without a thread: what a keeper does, for tests and for the command line.
-class Folder {
+class StatisticsFolder {
  public:
-  explicit Folder(store::Disk& disk) : disk_(disk), file_(disk, "knowledge", kForm, kMostBytes) {}
+  explicit StatisticsFolder(store::FileSystem& disk)
+      : disk_(disk), file_(disk, "knowledge", kForm, kMostBytes) {}
   Reading read();
   // A life begins with what was read: until it has come through, this counts against it.
   void begins(int starts);
   void came_through();
   // False where it could not be written, or another process has the folder.
-  bool write(const Record& record);
+  bool write(const StatisticsRecord& record);
   bool write_bytes(std::string_view encoded);
   void forget();
 
  private:
-  store::Disk& disk_;
-  store::SealedFile file_;
+  store::FileSystem& disk_;
+  store::ChecksummedFile file_;
 };
 
-class Keeper {
+class StatisticsStore {
  public:
   // Makes the disk on the thread: even that may hang.
-  using MakeDisk = std::function<std::unique_ptr<store::Disk>()>;
-  explicit Keeper(MakeDisk make_disk);
+  using MakeDisk = std::function<std::unique_ptr<store::FileSystem>()>;
+  explicit StatisticsStore(MakeDisk make_disk);
   // Waits a short time for what is being written; a folder that hangs is left behind.
-  ~Keeper();
-  Keeper(const Keeper&) = delete;
-  Keeper& operator=(const Keeper&) = delete;
+  ~StatisticsStore();
+  StatisticsStore(const StatisticsStore&) = delete;
+  StatisticsStore& operator=(const StatisticsStore&) = delete;
 
   // Until it has been read, or so long; before there is anything else to do.
   void wait_for_reading(double seconds);
@@ -66,4 +67,4 @@
   std::thread thread_;
 };
 
-}  // namespace damsonspoke::knowledge
+}  // namespace damsonspoke::statistics
--- a/src/store/sealed_file.h
+++ b/src/store/checksummed_file.h
@@ -11,40 +11,40 @@
 #include <string>
 #include <string_view>
 
-#include "store/disk.h"
+#include "store/file_system.h"
 
 namespace damsonspoke::store {
 
-enum class SealProblem { kNone, kMissing, kTorn, kForeign, kNewer };
-std::string_view text_of(SealProblem problem);
+enum class ChecksumProblem { kNone, kMissing, kTorn, kForeign, kNewer };
+std::string_view text_of(ChecksumProblem problem);
 
-struct Sealed {
-  SealProblem problem = SealProblem::kMissing;
+struct ChecksummedContent {
+  ChecksumProblem problem = ChecksumProblem::kMissing;
   std::uint32_t form = 0;  // of the content, as its writer names it
   std::string content;     // where there is no problem
 };
 
-std::string seal(std::uint32_t form, std::string_view content);
+std::string add_checksum(std::uint32_t form, std::string_view content);
 // Forms above `known` are kNewer: whole, and not for us.
-Sealed unseal(std::string_view bytes, std::uint32_t known);
+ChecksummedContent verify_checksum(std::string_view bytes, std::uint32_t known);
 
 // The head of what is sealed, for who reads the content piece by piece.
-struct SealHead {
-  SealProblem problem = SealProblem::kTorn;  // kTorn also where there are fewer bytes than a head has
+struct ChecksumHeader {
+  ChecksumProblem problem = ChecksumProblem::kTorn;  // kTorn also where there are fewer bytes than a head has
   std::uint32_t form = 0;
   std::uint64_t length = 0;  // bytes of content
   std::uint64_t checksum = 0;
 };
-constexpr std::size_t kSealHeadBytes = 28;
-SealHead read_seal_head(std::string_view bytes, std::uint32_t known);
+constexpr std::size_t kChecksumHeaderBytes = 28;
+ChecksumHeader read_checksum_header(std::string_view bytes, std::uint32_t known);
 
 // The checksum of content that is read piece by piece.
-class SealCheck {
+class ChecksumVerifier {
  public:
-  explicit SealCheck(const SealHead& head);
-  ~SealCheck();
-  SealCheck(const SealCheck&) = delete;
-  SealCheck& operator=(const SealCheck&) = delete;
+  explicit ChecksumVerifier(const ChecksumHeader& head);
+  ~ChecksumVerifier();
+  ChecksumVerifier(const ChecksumVerifier&) = delete;
+  ChecksumVerifier& operator=(const ChecksumVerifier&) = delete;
   void add(std::string_view piece);
   bool sound() const;  // all of the content was added, and it is what was sealed
 
@@ -53,15 +53,15 @@
   std::unique_ptr<State> state_;
 };
 
-class SealedFile {
+class ChecksummedFile {
  public:
   // `most`: bytes of content.
-  SealedFile(Disk& disk, std::string name, std::uint32_t form, std::size_t most)
-      : disk_(disk), name_(std::move(name)), form_(form), most_(most) {}
+  ChecksummedFile(FileSystem& disk, std::string name, std::uint32_t form, std::size_t most)
+      : files_(disk), name_(std::move(name)), form_(form), most_(most) {}
 
   struct Found {
-    Sealed newest;       // what is to be used, or why there is nothing
-    bool older = false;  // it is the one before: the newest was of no use
+    ChecksummedContent newest;  // what is to be used, or why there is nothing
+    bool older = false;         // it is the one before: the newest was of no use
   };
   Found read();
   // False where it could not be made durable; what was there is still there. A newer program's file is never
@@ -72,7 +72,7 @@
  private:
   std::string older() const { return name_ + ".1"; }
 
-  Disk& disk_;
+  FileSystem& files_;
   const std::string name_;
   const std::uint32_t form_;
   const std::size_t most_;
--- a/src/store/disk.cpp
+++ b/src/store/file_system.cpp
@@ -1,4 +1,4 @@
-#include "store/disk.h"
+#include "store/file_system.h"
 
 #include <fcntl.h>
 #include <sys/file.h>
@@ -27,10 +27,10 @@
   int fd_;
 };
 
-class FolderDisk : public Disk {
+class FolderFileSystem : public FileSystem {
  public:
-  explicit FolderDisk(std::string path) : path_(std::move(path)) {}
-  ~FolderDisk() override {
+  explicit FolderFileSystem(std::string path) : path_(std::move(path)) {}
+  ~FolderFileSystem() override {
     if (lock_ >= 0) ::close(lock_);
   }
 
@@ -105,6 +105,8 @@
 
 }  // namespace
 
-std::unique_ptr<Disk> open_folder(const std::string& path) { return std::make_unique<FolderDisk>(path); }
+std::unique_ptr<FileSystem> open_folder(const std::string& path) {
+  return std::make_unique<FolderFileSystem>(path);
+}
 
 }  // namespace damsonspoke::store
--- a/src/store/disk.h
+++ b/src/store/file_system.h
@@ -9,9 +9,9 @@
 
 namespace damsonspoke::store {
 
-class Disk {
+class FileSystem {
  public:
-  virtual ~Disk() = default;
+  virtual ~FileSystem() = default;
   // Nothing where it is not there, can't be read, or holds more than `most` bytes.
   virtual std::optional<std::string> read(const std::string& name, std::size_t most) = 0;
   virtual bool exists(const std::string& name) = 0;
@@ -26,6 +26,6 @@
   virtual std::string why() const = 0;  // the last thing that could not be done, in plain words
 };
 
-std::unique_ptr<Disk> open_folder(const std::string& path);
+std::unique_ptr<FileSystem> open_folder(const std::string& path);
 
 }  // namespace damsonspoke::store
--- a/src/store/kept_file.cpp
+++ b/src/store/persisted_file.cpp
@@ -1,4 +1,4 @@
-#include "store/kept_file.h"
+#include "store/persisted_file.h"
 
 #include <chrono>
 #include <condition_variable>
@@ -6,19 +6,19 @@
 #include <mutex>
 #include <utility>
 
-#include "store/side_thread.h"
+#include "store/worker_thread.h"
 
 namespace damsonspoke::store {
-struct KeptFile::Shared : SideThreadState {
-  std::optional<Sealed> found;
+struct PersistedFile::Shared : WorkerThreadState {
+  std::optional<ChecksummedContent> found;
   std::optional<std::string> to_write, trouble;
   std::string last_trouble;
   std::uint64_t written = 0;
 
   void run(const MakeDisk& make_disk, const std::string& name, std::uint32_t form, std::size_t most) {
-    const std::unique_ptr<Disk> disk = make_disk();
-    SealedFile file(*disk, name, form, most);
-    Sealed read = file.read().newest;
+    const std::unique_ptr<FileSystem> disk = make_disk();
+    ChecksummedFile file(*disk, name, form, most);
+    ChecksummedContent read = file.read().newest;
     std::unique_lock guard(lock);
     found = std::move(read);
     for (;;) {
@@ -42,7 +42,7 @@
   }
 };
 
-KeptFile::KeptFile(MakeDisk make_disk, std::string name, std::uint32_t form, std::size_t most)
+PersistedFile::PersistedFile(MakeDisk make_disk, std::string name, std::uint32_t form, std::size_t most)
     : shared_(std::make_shared<Shared>()) {
   thread_ = std::thread([shared = shared_, make = std::move(make_disk), name = std::move(name), form, most] {
     try {
@@ -54,26 +54,26 @@
   });
 }
 
-KeptFile::~KeptFile() { end_side_thread(*shared_, thread_); }
+PersistedFile::~PersistedFile() { stop_worker_thread(*shared_, thread_); }
 
-std::optional<Sealed> KeptFile::read(double seconds) {
+std::optional<ChecksummedContent> PersistedFile::read(double seconds) {
   std::unique_lock guard(shared_->lock);
   shared_->changed.wait_for(guard, std::chrono::duration<double>(seconds),
                             [this] { return shared_->found.has_value() || shared_->ended; });
   return shared_->found;
 }
 
-void KeptFile::write(std::string content) {
+void PersistedFile::write(std::string content) {
   const std::lock_guard guard(shared_->lock);
   shared_->to_write = std::move(content);
   shared_->changed.notify_all();
 }
 
-std::optional<std::string> KeptFile::take_trouble() {
+std::optional<std::string> PersistedFile::take_trouble() {
   const std::lock_guard guard(shared_->lock);
   return std::exchange(shared_->trouble, std::nullopt);
 }
-std::uint64_t KeptFile::written() const {
+std::uint64_t PersistedFile::written() const {
   const std::lock_guard guard(shared_->lock);
   return shared_->written;
 }
--- a/src/store/kept_file.h
+++ b/src/store/persisted_file.h
@@ -9,21 +9,21 @@
 #include <string>
 #include <thread>
 
-#include "store/sealed_file.h"
+#include "store/checksummed_file.h"
 
 namespace damsonspoke::store {
 
-class KeptFile {
+class PersistedFile {
  public:
-  using MakeDisk = std::function<std::unique_ptr<Disk>()>;
+  using MakeDisk = std::function<std::unique_ptr<FileSystem>()>;
   // `form`, `most`: as of SealedFile.
-  KeptFile(MakeDisk make_disk, std::string name, std::uint32_t form, std::size_t most);
-  ~KeptFile();  // what waits to be written gets 0.2 s
-  KeptFile(const KeptFile&) = delete;
-  KeptFile& operator=(const KeptFile&) = delete;
+  PersistedFile(MakeDisk make_disk, std::string name, std::uint32_t form, std::size_t most);
+  ~PersistedFile();  // what waits to be written gets 0.2 s
+  PersistedFile(const PersistedFile&) = delete;
+  PersistedFile& operator=(const PersistedFile&) = delete;
 
   // What is there; nothing where it could not be read within `seconds`.
-  std::optional<Sealed> read(double seconds);
+  std::optional<ChecksummedContent> read(double seconds);
   void write(std::string content);
   // Why the last writing failed, once; the one before is still there.
   std::optional<std::string> take_trouble();
--- a/src/store/side_thread.h
+++ b/src/store/worker_thread.h
@@ -10,7 +10,7 @@
 namespace damsonspoke::store {
 
 // What owner and thread share; it outlives whichever of them ends first.
-struct SideThreadState {
+struct WorkerThreadState {
   std::mutex lock;  // of everything here, and of what is added to it
   std::condition_variable changed;
   bool closing = false;  // the thread is to end
@@ -18,7 +18,7 @@
 };
 
 // Waits for the thread for at most 0.2 s, for the work in hand. False: it was left behind.
-inline bool end_side_thread(SideThreadState& state, std::thread& thread) {
+inline bool stop_worker_thread(WorkerThreadState& state, std::thread& thread) {
   constexpr auto kPatience = std::chrono::milliseconds(200);
   std::unique_lock guard(state.lock);
   state.closing = true;
--- a/src/tier/windows.h
+++ b/src/tier/concurrency_windows.h
@@ -7,20 +7,20 @@
 #include <cstdint>
 #include <functional>
 
-#include "tier/parts.h"
+#include "tier/slow_start_shares.h"
 
 namespace damsonspoke::tier {
 
 // As the settings tell of a planner.
-struct Warming {
+struct WarmUpOptions {
   int cores = 1;
-  double slow_start_speed = 1;  // share of its speed with which a cold life begins
+  double slow_start_speed = 1;    // share of its speed with which a cold life begins
   double slow_start_seconds = 0;  // s until it is warm
 };
 
-class Windows {
+class ConcurrencyWindows {
  public:
-  explicit Windows(Warming warming) : warming_(warming) {}
+  explicit ConcurrencyWindows(WarmUpOptions warming) : warming_(warming) {}
 
   // The work behind the planner came up at this time. Until it is told so nothing can run there: what may be
   // sent is as little as at the beginning of a cold life.
@@ -28,17 +28,17 @@
     cold_ = cold;
     began_at_ = at;
   }
-  void joined(Parts::Link link) { parts_.joined(link); }
-  void left(Parts::Link link, double now) { parts_.left(link, now); }
-  void look(double now, const std::function<std::size_t(Parts::Link)>& open);
-  std::uint32_t window(Parts::Link link, std::size_t links, double now) const;
+  void joined(SlowStartShares::Link link) { parts_.joined(link); }
+  void left(SlowStartShares::Link link, double now) { parts_.left(link, now); }
+  void look(double now, const std::function<std::size_t(SlowStartShares::Link)>& open);
+  std::uint32_t window(SlowStartShares::Link link, std::size_t links, double now) const;
   std::size_t known() const { return parts_.known(); }
 
  private:
   bool cold(double now) const;
 
-  const Warming warming_;
-  Parts parts_;
+  const WarmUpOptions warming_;
+  SlowStartShares parts_;
   bool cold_ = true;
   double began_at_ = -1;  // < 0: it has not come up yet
 };
--- a/src/tier/dispatch.cpp
+++ b/src/tier/dispatch.cpp
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-Dispatch::Dispatch(DispatchTerms terms, std::size_t routes, const std::vector<std::string>& planners,
+Dispatch::Dispatch(DispatchOptions terms, std::size_t routes, const std::vector<std::string>& planners,
                    DispatchSink& host, std::function<double()> chance, double now)
     : terms_(terms),
       host_(host),
@@ -51,7 +51,7 @@
   look_at_planners(now);
   // Keyed requests that wait find their way anew: where they were to run they may run no longer.
   std::vector<RequestId> waiting;
-  for (Line& line : homes_) {
+  for (WaitQueue& line : homes_) {
     while (const std::optional<RequestId> id = line.next()) line.leave(*id), waiting.push_back(*id);
   }
   std::sort(waiting.begin(), waiting.end());
@@ -81,7 +81,7 @@
 
 std::size_t Dispatch::waiting() const {
   std::size_t count = line_.size();
-  for (const Line& line : homes_) count += line.size();
+  for (const WaitQueue& line : homes_) count += line.size();
   return count;
 }
 
@@ -106,22 +106,24 @@
 // Refused at once where no planner is there, or where it could not be in time any more.
 void Dispatch::wait_or_refuse(RequestId id, double now) {
   Request& request = requests_.at(id);
-  Line& line = line_of(request);
+  WaitQueue& line = line_of(request);
   if (request.what.idempotency_key_hash != 0 && !request.asking() && !request.way.may_run)
     return refuse(id, outlook_.come_back(0, now, chance_()), false, now);
   const std::size_t ahead = line.ahead(request.what.priority_weight);
-  const bool alone = request.what.idempotency_key_hash != 0 ? request.home < 0 || !home_answers(request) : !picker_.any_up();
+  const bool alone =
+      request.what.idempotency_key_hash != 0 ? request.home < 0 || !home_answers(request) : !picker_.any_up();
   if (alone || request.due - now < terms_.least_left ||
       !outlook_.in_time(static_cast<std::size_t>(request.what.route), ahead, request.due - now, now))
     return refuse(id, outlook_.come_back(ahead, now, chance_()), false, now);
-  const std::optional<RequestId> goes = line.enter(id, request.what.priority_weight, request.what.caller, request.what.bytes);
+  const std::optional<RequestId> goes =
+      line.enter(id, request.what.priority_weight, request.what.caller, request.what.bytes);
   if (!goes) return;
   ++counts_.evicted;
   refuse(*goes, outlook_.come_back(line.size(), now, chance_()), false, now);
 }
 
-// A keyed request's results are remembered by one planner: its key belongs there whether that is up or not. Guards
-// against a repeat that runs a second time at a planner that has not heard of the first.
+// A keyed request's results are remembered by one planner: its key belongs there whether that is up or not.
+// Guards against a repeat that runs a second time at a planner that has not heard of the first.
 void Dispatch::find_way(Request& request, double now) {
   request.way = homes_of_keys_.way(request.what.idempotency_key_hash, now);
   request.asked = 0;
@@ -130,7 +132,9 @@
 }
 // Where a planner has to be asked first that is on no list any more, and is not there, nothing is known of
 // the key, and it runs nowhere.
-void Dispatch::next_step(Request& request) { request.home = request.asking() ? request.way.ask[request.asked] : request.way.home; }
+void Dispatch::next_step(Request& request) {
+  request.home = request.asking() ? request.way.ask[request.asked] : request.way.home;
+}
 bool Dispatch::home_answers(const Request& request) const {
   return request.asking() ? picker_.answers(request.home) : picker_.takes_requests(request.home);
 }
@@ -152,7 +156,7 @@
   wait_or_refuse(id, now);
 }
 
-Line& Dispatch::line_of(const Request& request) {
+WaitQueue& Dispatch::line_of(const Request& request) {
   return request.home >= 0 ? homes_[static_cast<std::size_t>(request.home)] : line_;
 }
 
@@ -176,8 +180,9 @@
   return true;
 }
 
-// Waiting requests go out while there is room, the more important first; those that would come too late are told.
-bool Dispatch::pump_line(Line& line, std::optional<int> only, double now) {
+// Waiting requests go out while there is room, the more important first; those that would come too late are
+// told.
+bool Dispatch::pump_line(WaitQueue& line, std::optional<int> only, double now) {
   bool any = false;
   while (const std::optional<RequestId> id = line.next()) {
     const Request& request = requests_.at(*id);
@@ -186,8 +191,9 @@
     if (!to) break;
     line.leave(*id);
     any = true;
-    const bool late = request.due - now < terms_.least_left ||
-                      !outlook_.in_time(static_cast<std::size_t>(request.what.route), 0, request.due - now, now);
+    const bool late =
+        request.due - now < terms_.least_left ||
+        !outlook_.in_time(static_cast<std::size_t>(request.what.route), 0, request.due - now, now);
     if (late) {
       refuse(*id, outlook_.come_back(line.size(), now, chance_()), false, now);
     } else {
@@ -202,11 +208,11 @@
   pump_line(line_, std::nullopt, now);
 }
 
-void Dispatch::on_gone(RequestId id, double now) {
+void Dispatch::on_caller_gone(RequestId id, double now) {
   if (!requests_.contains(id)) return;
   if (const std::optional<Attempt> attempt = fence_.in_hand(id)) {
-    const AttemptSeen seen = *fence_.find(*attempt);
-    if (seen.standing != Standing::kAdrift) host_.cancel(seen.planner, *attempt);
+    const AttemptRecord seen = *fence_.find(*attempt);
+    if (seen.standing != AttemptState::kDisconnected) host_.cancel(seen.planner, *attempt);
     picker_.let_go(seen.planner);
   }
   over(id);
@@ -226,22 +232,24 @@
 void Dispatch::refuse(RequestId id, double retry_after, bool no_retry, double) {
   ++counts_.refused_here;
   over(id);
-  host_.reply(id, Reply::kRejected, retry_after, no_retry);
+  host_.reply(id, LocalAnswer::kRejected, retry_after, no_retry);
 }
 void Dispatch::fail(RequestId id) {
   over(id);
-  host_.reply(id, Reply::kFailed, 0, false);
+  host_.reply(id, LocalAnswer::kFailed, 0, false);
 }
 
-// A request whose attempt is proven never to have run: another planner, where one has room, the budget allows it
-// and the key does not forbid it; else it is told at once.
+// A request whose attempt is proven never to have run: another planner, where one has room, the budget allows
+// it and the key does not forbid it; else it is told at once.
 void Dispatch::again_or_refuse(RequestId id, int not_this, double retry_after, bool no_retry, double now) {
   Request& request = requests_.at(id);
   fences_.erase({request.fence_at, id});
   request.fence_at = -1;
-  const bool may = request.what.idempotency_key_hash == 0 && !no_retry && request.due - now >= terms_.least_left && !leaving();
+  const bool may = request.what.idempotency_key_hash == 0 && !no_retry &&
+                   request.due - now >= terms_.least_left && !leaving();
   if (may) {
-    const std::optional<int> to = picker_.pick(terms_.by_key ? request.what.subject : 0, now, chance_, not_this);
+    const std::optional<int> to =
+        picker_.pick(terms_.by_key ? request.what.subject : 0, now, chance_, not_this);
     if (to && outlook_.in_time(static_cast<std::size_t>(request.what.route), 0, request.due - now, now) &&
         retries_.take()) {
       send(id, *to, now);
@@ -252,9 +260,9 @@
 }
 
 // ---- Planners.
-std::optional<RequestId> Dispatch::on_answer(int planner, std::uint64_t epoch, Attempt attempt, AnswerKind how,
-                                        double retry_after, bool no_retry, double now) {
-  const AttemptSeen* seen = fence_.find(attempt);
+std::optional<RequestId> Dispatch::on_answer(int planner, std::uint64_t epoch, Attempt attempt,
+                                             AnswerKind how, double retry_after, bool no_retry, double now) {
+  const AttemptRecord* seen = fence_.find(attempt);
   const bool ours = seen != nullptr && seen->planner == planner && seen->epoch == epoch;
   if (ours && how == AnswerKind::kRunning) return std::nullopt;  // it goes on; its end will be told
   const std::optional<RequestId> id = fence_.answered(planner, epoch, attempt);
@@ -268,7 +276,7 @@
   std::optional<RequestId> passed_on;
   switch (how) {
     case AnswerKind::kSucceeded:
-      picker_.ended(planner, Ended::kServed, took, now);
+      picker_.ended(planner, AttemptOutcome::kServed, took, now);
       outlook_.served(static_cast<std::size_t>(request.what.route), took);
       counts_.known += request.asking();
       over(*id);
@@ -276,12 +284,12 @@
       break;
     case AnswerKind::kFailed:
     case AnswerKind::kForgotten:
-      picker_.ended(planner, Ended::kBad, took, now);
+      picker_.ended(planner, AttemptOutcome::kBad, took, now);
       over(*id);
       passed_on = id;
       break;
     case AnswerKind::kRejected:
-      picker_.ended(planner, Ended::kRejected, took, now);
+      picker_.ended(planner, AttemptOutcome::kRejected, took, now);
       again_or_refuse(*id, planner, retry_after, no_retry, now);
       break;
     case AnswerKind::kNeverRan:
@@ -306,7 +314,7 @@
   Link& link = links_[static_cast<std::size_t>(planner)];
   link = {true, epoch, -1};
   picker_.up(planner, window, now);
-  Fence::Returned back = fence_.link_up(planner, epoch);
+  AttemptLedger::Reconnection back = fence_.link_up(planner, epoch);
   for (const Attempt attempt : back.to_fence) host_.fence(planner, attempt);
   // What its former life held is over: nobody will ever prove anything of it.
   for (const RequestId id : back.lost) {
@@ -327,7 +335,7 @@
   const std::vector<Attempt> adrift = fence_.link_lost(planner);
   std::vector<RequestId> free;
   for (const Attempt attempt : unwritten) {
-    const AttemptSeen* seen = fence_.find(attempt);
+    const AttemptRecord* seen = fence_.find(attempt);
     if (seen == nullptr || seen->planner != planner) continue;
     if (const std::optional<RequestId> id = fence_.never_written(attempt)) {
       ++counts_.proven;
@@ -340,7 +348,7 @@
   look_at_planners(now);
   for (const RequestId id : free) again_or_refuse(id, planner, 0, false, now);
   // Keyed requests that wait for it, and all where nobody is left: told at once, not held.
-  Line& mine = homes_[static_cast<std::size_t>(planner)];
+  WaitQueue& mine = homes_[static_cast<std::size_t>(planner)];
   while (const std::optional<RequestId> id = mine.next())
     refuse(*id, outlook_.come_back(0, now, chance_()), false, now);
   pump(now);
@@ -355,7 +363,7 @@
 
 void Dispatch::on_no_more(int planner, double now) {
   picker_.leaving(planner);
-  Line& mine = homes_[static_cast<std::size_t>(planner)];
+  WaitQueue& mine = homes_[static_cast<std::size_t>(planner)];
   while (const std::optional<RequestId> id = mine.next())
     refuse(*id, outlook_.come_back(0, now, chance_()), false, now);
   look_at_planners(now);
@@ -372,7 +380,8 @@
 
 // ---- Time.
 // A planner that has not answered in its share of the time is asked for proof, if another one could take the
-// request. Guards against a planner that accepts and never answers, and one that has turned slow with a long line.
+// request. Guards against a planner that accepts and never answers, and one that has turned slow with a long
+// line.
 void Dispatch::fence_late(double now) {
   while (!fences_.empty() && fences_.begin()->first <= now) {
     const RequestId id = fences_.begin()->second;
@@ -381,8 +390,9 @@
     request.fence_at = -1;
     const std::optional<Attempt> attempt = fence_.in_hand(id);
     if (!attempt) continue;
-    const AttemptSeen* seen = fence_.find(*attempt);
-    const bool elsewhere = request.what.idempotency_key_hash == 0 && picker_.pick(0, now, chance_, seen->planner).has_value();
+    const AttemptRecord* seen = fence_.find(*attempt);
+    const bool elsewhere =
+        request.what.idempotency_key_hash == 0 && picker_.pick(0, now, chance_, seen->planner).has_value();
     if (!elsewhere) {
       if (request.due - now > 2 * kFenceAgain) {
         request.fence_at = now + kFenceAgain;
@@ -398,7 +408,7 @@
   }
 }
 
-void Dispatch::on_wake(double now) {
+void Dispatch::on_timer(double now) {
   for (std::size_t i = 0; i < links_.size(); ++i) {
     Link& link = links_[i];
     if (link.lost_at < 0 || now < link.lost_at + terms_.link_patience) continue;
@@ -417,9 +427,9 @@
       refuse(id, outlook_.come_back(waiting(), now, chance_()), false, now);
       continue;
     }
-    const AttemptSeen seen = *fence_.find(*attempt);
-    if (seen.standing != Standing::kAdrift) host_.cancel(seen.planner, *attempt);
-    picker_.ended(seen.planner, Ended::kBad, now - requests_.at(id).sent, now);
+    const AttemptRecord seen = *fence_.find(*attempt);
+    if (seen.standing != AttemptState::kDisconnected) host_.cancel(seen.planner, *attempt);
+    picker_.ended(seen.planner, AttemptOutcome::kBad, now - requests_.at(id).sent, now);
     fail(id);
   }
   fence_late(now);
@@ -427,7 +437,7 @@
   wake(now);
 }
 
-void Dispatch::on_leave(double time_left, double grace, double now) {
+void Dispatch::on_drain(double time_left, double grace, double now) {
   leave_at_ = now;
   stop_at_ = now + time_left;
   grace_ = grace;
@@ -449,7 +459,7 @@
     if (link.lost_at >= 0) sooner(link.lost_at + terms_.link_patience);
   }
   if (waiting() > 0) sooner(now + kTick);
-  if (next >= 0) host_.wake_at(std::max(next, now));
+  if (next >= 0) host_.schedule_wakeup(std::max(next, now));
 }
 
 }  // namespace damsonspoke::tier
--- a/src/tier/dispatch.h
+++ b/src/tier/dispatch.h
@@ -1,6 +1,6 @@
-// A forwarder's decisions: which request goes to which planner, when, how often, and what its caller is told when
-// none can take it. Pure policy over fence, picker, line, outlook and retry budget: happenings come in with
-// the time, acts go out through a host. It holds no body and no socket.
+// A forwarder's decisions: which request goes to which planner, when, how often, and what its caller is told
+// when none can take it. Pure policy over fence, picker, line, outlook and retry budget: happenings come in
+// with the time, acts go out through a host. It holds no body and no socket.
 //
 // What it never does: answer a request twice, have two attempts at one in hand, or begin a second one without
 // proof that the first never ran. What it does not decide: who is served when cores run short; planners do.
@@ -14,19 +14,19 @@
 #include <unordered_map>
 #include <vector>
 
-#include "tier/fence.h"
-#include "tier/homes.h"
-#include "tier/line.h"
-#include "tier/outlook.h"
+#include "tier/attempt_ledger.h"
+#include "tier/key_ownership.h"
 #include "tier/picker.h"
 #include "tier/retry_budget.h"
+#include "tier/wait_estimator.h"
+#include "tier/wait_queue.h"
 
 namespace damsonspoke::tier {
 
-struct DispatchTerms {
-  PickerTerms picker;
-  OutlookTerms outlook;
-  HomesTerms homes;
+struct DispatchOptions {
+  PickerOptions picker;
+  WaitEstimatorOptions outlook;
+  KeyOwnershipOptions homes;
   double retry_share = 0.1;  // second tries, of first ones
   double retry_burst = 10;   // of them at once
   double try_share = 0.5;    // of the time left after which a planner that has not answered is fenced
@@ -46,14 +46,15 @@
   RequestId id = 0;
   int route = 0;
   std::uint32_t caller = 0;
-  std::uint64_t subject = 0;   // subject; 0: none
-  std::uint64_t idempotency_key_hash = 0;  // hash of a keyed request's key: its home is one planner for good; 0: not keyed
+  std::uint64_t subject = 0;  // subject; 0: none
+  std::uint64_t idempotency_key_hash =
+      0;  // hash of a keyed request's key: its home is one planner for good; 0: not keyed
   double priority_weight = 1;
   double remaining_time = 0;  // s that its caller waits from now on
   std::size_t bytes = 0;
 };
 
-enum class Reply { kRejected, kFailed };
+enum class LocalAnswer { kRejected, kFailed };
 
 class DispatchSink {
  public:
@@ -63,38 +64,38 @@
   virtual void cancel(int planner, Attempt attempt) = 0;
   virtual void fence(int planner, Attempt attempt) = 0;
   // The request's one answer, where it comes from here and not from a planner; the request is over.
-  virtual void reply(RequestId request, Reply how, double retry_after, bool no_retry) = 0;
-  virtual void wake_at(double time) = 0;  // the last one asked for counts
+  virtual void reply(RequestId request, LocalAnswer how, double retry_after, bool no_retry) = 0;
+  virtual void schedule_wakeup(double time) = 0;  // the last one asked for counts
 };
 
 // How a planner answered, as far as it matters here.
 enum class AnswerKind { kSucceeded, kRejected, kFailed, kNeverRan, kRunning, kForgotten, kNotKnown };
 
-struct DispatchCounts {
+struct DispatchCounters {
   std::uint64_t first_tries = 0, second_tries = 0, fences = 0, proven = 0, dropped_answers = 0, lost = 0,
                 adrift = 0, refused_here = 0, evicted = 0, overdue = 0, asked = 0, known = 0;
 };
 
 class Dispatch {
  public:
-  Dispatch(DispatchTerms terms, std::size_t routes, const std::vector<std::string>& planners,
+  Dispatch(DispatchOptions terms, std::size_t routes, const std::vector<std::string>& planners,
            DispatchSink& host, std::function<double()> chance, double now);
 
   void on_request(const ForwardedRequest& request, double now);
-  void on_gone(RequestId request, double now);
+  void on_caller_gone(RequestId request, double now);
 
   void on_link_up(int planner, std::uint64_t epoch, std::uint32_t window, double now);
   // `unwritten`: attempts of which no whole frame ever left: proven.
   void on_link_lost(int planner, const std::vector<Attempt>& unwritten, double now);
   void on_window(int planner, std::uint32_t window, double slot_worth, bool good, double now);
   void on_no_more(int planner, double now);
-  // The request that this answers for good, which is over; its acked or failed answer is the mechanism's to pass
-  // on. None: dropped, or dealt with here.
+  // The request that this answers for good, which is over; its acked or failed answer is the mechanism's to
+  // pass on. None: dropped, or dealt with here.
   std::optional<RequestId> on_answer(int planner, std::uint64_t epoch, Attempt attempt, AnswerKind how,
-                                double retry_after, bool no_retry, double now);
+                                     double retry_after, bool no_retry, double now);
 
-  void on_wake(double now);
-  void on_leave(double time_left, double grace, double now);  // the notice to leave
+  void on_timer(double now);
+  void on_drain(double time_left, double grace, double now);  // the notice to leave
 
   // The list of planners from now on. A name keeps the position that it had; new ones come last. Ones that
   // are no longer on it are sent nothing, but for questions about what they remember.
@@ -110,8 +111,8 @@
   std::size_t open() const { return requests_.size(); }
   std::size_t waiting() const;
   const Picker& picker() const { return picker_; }
-  const Fence& attempts() const { return fence_; }
-  const DispatchCounts& counts() const { return counts_; }
+  const AttemptLedger& attempts() const { return fence_; }
+  const DispatchCounters& counts() const { return counts_; }
 
  private:
   struct Request {
@@ -121,7 +122,7 @@
     double fence_at = -1;
     int tries = 0;
     int home = -1;          // of a keyed request: the one planner that may have it
-    Way way;                // of a keyed request
+    KeyRoute way;           // of a keyed request
     std::size_t asked = 0;  // of way.ask
     int way_of = 0;         // the list by which it was found
     bool asking() const { return asked < way.ask.size(); }
@@ -139,12 +140,12 @@
   int room_at_home(int planner, double now) const;
   bool home_answers(const Request& request) const;
   void not_known(RequestId id, double now);
-  Line& line_of(const Request& request);
+  WaitQueue& line_of(const Request& request);
   void wait_or_refuse(RequestId id, double now);
   bool send(RequestId id, int planner, double now);
   void again_or_refuse(RequestId id, int not_this, double retry_after, bool no_retry, double now);
   void pump(double now);
-  bool pump_line(Line& line, std::optional<int> only, double now);
+  bool pump_line(WaitQueue& line, std::optional<int> only, double now);
   void refuse(RequestId id, double retry_after, bool no_retry, double now);
   void fail(RequestId id);
   void over(RequestId id);
@@ -152,22 +153,22 @@
   void look_at_planners(double now);
   void wake(double now);
 
-  const DispatchTerms terms_;
+  const DispatchOptions terms_;
   DispatchSink& host_;
   std::function<double()> chance_;
-  Fence fence_;
+  AttemptLedger fence_;
   Picker picker_;
-  Outlook outlook_;
+  WaitEstimator outlook_;
   RetryBudget retries_;
-  Homes homes_of_keys_;
+  KeyOwnership homes_of_keys_;
   int lists_ = 0;  // that there have been
   std::unordered_map<RequestId, Request> requests_;
-  Line line_;                // requests that any planner may take
-  std::vector<Line> homes_;  // keyed requests, by the one planner that may
+  WaitQueue line_;                // requests that any planner may take
+  std::vector<WaitQueue> homes_;  // keyed requests, by the one planner that may
   std::vector<Link> links_;
   std::set<std::pair<double, RequestId>> due_, fences_;
   double leave_at_ = -1, stop_at_ = 0, grace_ = 0;
-  DispatchCounts counts_;
+  DispatchCounters counts_;
 };
 
 }  // namespace damsonspoke::tier
--- a/src/tier/lists_record.cpp
+++ b/src/tier/endpoint_list_history.cpp
@@ -1,4 +1,4 @@
-#include "tier/lists_record.h"
+#include "tier/endpoint_list_history.h"
 
 #include <cmath>
 #include <nlohmann/json.hpp>
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-std::string encode(const ListsRecord& record) {
+std::string encode(const EndpointListHistory& record) {
   Json former = Json::array();
   const std::size_t skipped = record.former.size() - std::min(record.former.size(), kMostFormerLists);
   for (std::size_t i = skipped; i < record.former.size(); ++i)
@@ -31,8 +31,8 @@
   return {bytes.begin(), bytes.end()};
 }
 
-std::optional<ListsRecord> decode_lists(std::string_view bytes) {
-  if (bytes.size() > kMostListsBytes) return std::nullopt;
+std::optional<EndpointListHistory> decode_endpoint_list_history(std::string_view bytes) {
+  if (bytes.size() > kMaxEndpointListHistoryBytes) return std::nullopt;
   Json top;
   try {  // lengths beyond all bounds are thrown even where it is told to throw nothing
     top = Json::from_cbor(bytes.begin(), bytes.end(), true, false);
@@ -43,12 +43,12 @@
   const auto in_force = top.find("in_force"), former = top.find("former");
   if (in_force == top.end() || former == top.end() || !former->is_array()) return std::nullopt;
   if (former->size() > kMostFormerLists) return std::nullopt;
-  ListsRecord out;
+  EndpointListHistory out;
   if (!read_list(*in_force, out.in_force)) return std::nullopt;
   for (const Json& one : *former) {
     const auto until = one.find("until"), planners = one.find("planners");
     if (until == one.end() || !until->is_number() || planners == one.end()) return std::nullopt;
-    FormerList& list = out.former.emplace_back();
+    FormerEndpointList& list = out.former.emplace_back();
     list.until = until->get<double>();
     if (!std::isfinite(list.until) || !read_list(*planners, list.planners)) return std::nullopt;
   }
--- a/src/tier/lists_record.h
+++ b/src/tier/endpoint_list_history.h
@@ -9,22 +9,22 @@
 
 namespace damsonspoke::tier {
 
-struct FormerList {
+struct FormerEndpointList {
   double until = 0;  // Unix s, when it was superseded
   std::vector<std::string> planners;
 };
 
-struct ListsRecord {
+struct EndpointListHistory {
   std::vector<std::string> in_force;
-  std::vector<FormerList> former;  // the oldest first
+  std::vector<FormerEndpointList> former;  // the oldest first
 };
 
-constexpr std::uint32_t kListsForm = 1;
-constexpr std::size_t kMostListsBytes = 64 * 1024, kMostListed = 64, kMostFormerLists = 16,
+constexpr std::uint32_t kEndpointListHistoryForm = 1;
+constexpr std::size_t kMaxEndpointListHistoryBytes = 64 * 1024, kMostListed = 64, kMostFormerLists = 16,
                       kMostAddress = 255;
 
-std::string encode(const ListsRecord& record);  // of what is over the bounds the newest is kept
+std::string encode(const EndpointListHistory& record);  // of what is over the bounds the newest is kept
 // None where it is no such record, whole and within its bounds.
-std::optional<ListsRecord> decode_lists(std::string_view bytes);
+std::optional<EndpointListHistory> decode_endpoint_list_history(std::string_view bytes);
 
 }  // namespace damsonspoke::tier
--- a/src/tier/holdings.cpp
+++ b/src/tier/forwarder_sessions.cpp
@@ -1,4 +1,4 @@
-#include "tier/holdings.h"
+#include "tier/forwarder_sessions.h"
 
 #include <algorithm>
 
@@ -19,14 +19,15 @@
 
 }  // namespace
 
-std::vector<RequestId> Holdings::requests_of(const Forwarder& forwarder) {
+std::vector<RequestId> ForwarderSessions::requests_of(const Forwarder& forwarder) {
   std::vector<RequestId> out;
   for (const auto& [attempt, held] : forwarder.open) out.push_back(held.request);
   return out;
 }
 
-Holdings::Greeting Holdings::hello(const std::string& name, std::uint64_t epoch, std::uint64_t link) {
-  Greeting out;
+ForwarderSessions::SessionStart ForwarderSessions::hello(const std::string& name, std::uint64_t epoch,
+                                                         std::uint64_t link) {
+  SessionStart out;
   for (auto it = forwarders_.begin(); it != forwarders_.end();) {
     Forwarder& known = it->second;
     if (known.name != name) {
@@ -61,7 +62,7 @@
   return out;
 }
 
-void Holdings::link_lost(std::uint64_t link, double now) {
+void ForwarderSessions::link_lost(std::uint64_t link, double now) {
   for (auto& [id, forwarder] : forwarders_) {
     if (forwarder.link != link) continue;
     forwarder.link = 0;
@@ -69,7 +70,7 @@
   }
 }
 
-double Holdings::next_expiry() const {
+double ForwarderSessions::next_expiry() const {
   double next = -1;
   for (const auto& [id, forwarder] : forwarders_) {
     if (forwarder.lost_at < 0) continue;
@@ -79,7 +80,7 @@
   return next;
 }
 
-std::vector<RequestId> Holdings::expired(double now) {
+std::vector<RequestId> ForwarderSessions::expired(double now) {
   std::vector<RequestId> out;
   for (auto it = forwarders_.begin(); it != forwarders_.end();) {
     const Forwarder& forwarder = it->second;
@@ -94,16 +95,17 @@
   return out;
 }
 
-Holdings::Taking Holdings::submit(ForwarderId id, std::uint64_t attempt, RequestId request, int type) {
+ForwarderSessions::SubmitResult ForwarderSessions::submit(ForwarderId id, std::uint64_t attempt,
+                                                          RequestId request, int type) {
   Forwarder& forwarder = forwarders_.at(id);
-  if (attempt <= forwarder.seen) return Taking::kFenced;
+  if (attempt <= forwarder.seen) return SubmitResult::kFenced;
   forwarder.seen = attempt;
-  if (forwarder.open.size() >= terms_.most_open) return Taking::kTooMany;
+  if (forwarder.open.size() >= terms_.most_open) return SubmitResult::kTooMany;
   forwarder.open[attempt] = {request, type};
-  return Taking::kTaken;
+  return SubmitResult::kTaken;
 }
 
-std::optional<RequestId> Holdings::cancel(ForwarderId id, std::uint64_t attempt) {
+std::optional<RequestId> ForwarderSessions::cancel(ForwarderId id, std::uint64_t attempt) {
   Forwarder& forwarder = forwarders_.at(id);
   forwarder.seen = std::max(forwarder.seen, attempt);
   const auto found = forwarder.open.find(attempt);
@@ -113,8 +115,8 @@
   return request;
 }
 
-Holdings::Proof Holdings::prove(ForwarderId id, std::uint64_t attempt,
-                                const std::function<bool(RequestId)>& started) {
+ForwarderSessions::Proof ForwarderSessions::prove(ForwarderId id, std::uint64_t attempt,
+                                                  const std::function<bool(RequestId)>& started) {
   Forwarder& forwarder = forwarders_.at(id);
   const auto open = forwarder.open.find(attempt);
   if (open != forwarder.open.end()) {
@@ -133,7 +135,7 @@
   return {plain(attempt, Result::kForgotten), std::nullopt};
 }
 
-std::uint64_t Holdings::answered(ForwarderId id, const Answer& answer) {
+std::uint64_t ForwarderSessions::answered(ForwarderId id, const Answer& answer) {
   const auto found = forwarders_.find(id);
   if (found == forwarders_.end()) return 0;
   Forwarder& forwarder = found->second;
@@ -145,7 +147,7 @@
 }
 
 // The oldest go: they are the least likely to be asked for.
-void Holdings::trim(Forwarder& forwarder) const {
+void ForwarderSessions::trim(Forwarder& forwarder) const {
   const std::size_t part = terms_.kept_bytes / std::max<std::size_t>(1, forwarders_.size());
   while (forwarder.kept_bytes > part) {
     forwarder.kept_bytes -= kAnswerBytes + forwarder.kept.front().body.size();
@@ -153,22 +155,22 @@
   }
 }
 
-const HeldAttempt* Holdings::find(ForwarderId id, std::uint64_t attempt) const {
+const OpenAttempt* ForwarderSessions::find(ForwarderId id, std::uint64_t attempt) const {
   const auto found = forwarders_.find(id);
   if (found == forwarders_.end()) return nullptr;
   const auto open = found->second.open.find(attempt);
   return open == found->second.open.end() ? nullptr : &open->second;
 }
 
-std::size_t Holdings::linked() const {
+std::size_t ForwarderSessions::linked() const {
   return static_cast<std::size_t>(std::count_if(forwarders_.begin(), forwarders_.end(),
                                                 [](const auto& one) { return one.second.link != 0; }));
 }
-std::size_t Holdings::open(ForwarderId forwarder) const {
+std::size_t ForwarderSessions::open(ForwarderId forwarder) const {
   const auto found = forwarders_.find(forwarder);
   return found == forwarders_.end() ? 0 : found->second.open.size();
 }
-std::size_t Holdings::open() const {
+std::size_t ForwarderSessions::open() const {
   std::size_t count = 0;
   for (const auto& [id, forwarder] : forwarders_) count += forwarder.open.size();
   return count;
--- a/src/tier/holdings.h
+++ b/src/tier/forwarder_sessions.h
@@ -21,7 +21,7 @@
 
 namespace damsonspoke::tier {
 
-struct HoldingsTerms {
+struct ForwarderSessionsOptions {
   double grace = 0.75;                  // s that a forwarder without a link may take to come back
   std::size_t kept_bytes = 256 * 1024;  // of answers, shared evenly by the forwarders that are known
   std::size_t most_forwarders = 128;
@@ -31,37 +31,37 @@
 // A forwarder as long as it is known here; never used again.
 using ForwarderId = std::uint64_t;
 
-struct HeldAttempt {
+struct OpenAttempt {
   RequestId request = 0;
   int route = 0;
 };
 
-class Holdings {
+class ForwarderSessions {
  public:
-  explicit Holdings(HoldingsTerms terms) : terms_(terms) {}
+  explicit ForwarderSessions(ForwarderSessionsOptions terms) : terms_(terms) {}
 
-  // A forwarder says hello on a link. Requests of its former life have lost their caller; a link that it had is to
-  // be closed unread, which makes "never seen" final.
-  struct Greeting {
+  // A forwarder says hello on a link. Requests of its former life have lost their caller; a link that it had
+  // is to be closed unread, which makes "never seen" final.
+  struct SessionStart {
     ForwarderId forwarder = 0;  // 0: there are too many
     std::uint64_t old_link = 0;
     std::vector<RequestId> gone;
   };
-  Greeting hello(const std::string& name, std::uint64_t epoch, std::uint64_t link);
+  SessionStart hello(const std::string& name, std::uint64_t epoch, std::uint64_t link);
   void link_lost(std::uint64_t link, double now);
   // Requests of forwarders that have not come back in time.
   std::vector<RequestId> expired(double now);
   double next_expiry() const;  // < 0: none
 
-  enum class Taking { kTaken, kFenced, kTooMany };
-  Taking submit(ForwarderId forwarder, std::uint64_t attempt, RequestId request, int type);
+  enum class SubmitResult { kTaken, kFenced, kTooMany };
+  SubmitResult submit(ForwarderId forwarder, std::uint64_t attempt, RequestId request, int type);
   // Nobody waits for it; the request, where it is still open.
   std::optional<RequestId> cancel(ForwarderId forwarder, std::uint64_t attempt);
 
   // What is proven of an attempt. `started`: whether a request of that id has ever been told to run.
   struct Proof {
-    wire::tier::Answer answer;  // to be sent
-    std::optional<RequestId> drop;   // a request that is held and will not run: its caller is gone
+    wire::tier::Answer answer;      // to be sent
+    std::optional<RequestId> drop;  // a request that is held and will not run: its caller is gone
   };
   template <class Started>
   Proof fence(ForwarderId forwarder, std::uint64_t attempt, const Started& started) {
@@ -70,7 +70,7 @@
 
   // The attempt's answer. The link it goes to now, 0 where there is none; it is kept in either case.
   std::uint64_t answered(ForwarderId forwarder, const wire::tier::Answer& answer);
-  const HeldAttempt* find(ForwarderId forwarder, std::uint64_t attempt) const;
+  const OpenAttempt* find(ForwarderId forwarder, std::uint64_t attempt) const;
 
   std::size_t forwarders() const { return forwarders_.size(); }
   std::size_t linked() const;
@@ -83,7 +83,7 @@
     std::uint64_t epoch = 0, link = 0;
     double lost_at = -1;
     std::uint64_t seen = 0;  // attempts up to this number are not taken any more
-    std::map<std::uint64_t, HeldAttempt> open;
+    std::map<std::uint64_t, OpenAttempt> open;
     std::deque<wire::tier::Answer> kept;
     std::size_t kept_bytes = 0;
   };
@@ -91,7 +91,7 @@
   void trim(Forwarder& forwarder) const;
   static std::vector<RequestId> requests_of(const Forwarder& forwarder);
 
-  const HoldingsTerms terms_;
+  const ForwarderSessionsOptions terms_;
   std::map<ForwarderId, Forwarder> forwarders_;
   ForwarderId next_ = 1;
 };
--- a/src/tier/homes.cpp
+++ b/src/tier/key_ownership.cpp
@@ -1,4 +1,4 @@
-#include "tier/homes.h"
+#include "tier/key_ownership.h"
 
 #include <xxhash.h>
 
@@ -6,7 +6,7 @@
 
 namespace damsonspoke::tier {
 
-int Homes::home(const List& list, std::uint64_t mark) {
+int KeyOwnership::home(const List& list, std::uint64_t mark) {
   int best = -1;
   std::uint64_t best_rank = 0;
   for (const Planner& one : list.planners) {
@@ -16,11 +16,11 @@
   return best;
 }
 
-void Homes::forget(double now) {
+void KeyOwnership::forget(double now) {
   std::erase_if(former_, [&](const List& one) { return over(one, now); });
 }
 
-void Homes::list(const std::vector<std::pair<int, std::string>>& planners, double now) {
+void KeyOwnership::list(const std::vector<std::pair<int, std::string>>& planners, double now) {
   List next;
   for (const auto& [position, name] : planners) next.planners.push_back({position, name});
   if (begun_ && terms_.memory > 0) {
@@ -38,7 +38,7 @@
   now_in_force_ = std::move(next);
 }
 
-void Homes::former(const std::vector<std::pair<int, std::string>>& planners, double until) {
+void KeyOwnership::former(const std::vector<std::pair<int, std::string>>& planners, double until) {
   if (terms_.memory <= 0) return;
   List before;
   for (const auto& [position, name] : planners) before.planners.push_back({position, name});
@@ -48,12 +48,12 @@
                    [](const List& a, const List& b) { return a.until < b.until; });
 }
 
-void Homes::unknown_before(double now) {
+void KeyOwnership::unknown_before(double now) {
   if (terms_.memory > 0) blocked_until_ = std::max(blocked_until_, now + terms_.spread + terms_.memory);
 }
 
-Way Homes::way(std::uint64_t mark, double now) const {
-  Way out;
+KeyRoute KeyOwnership::way(std::uint64_t mark, double now) const {
+  KeyRoute out;
   out.home = home(now_in_force_, mark);
   if (former_.empty() && now >= blocked_until_) return out;
   for (auto one = former_.rbegin(); one != former_.rend(); ++one) {
@@ -67,14 +67,14 @@
   return out;
 }
 
-bool Homes::may_be_asked(int planner, double now) const {
+bool KeyOwnership::may_be_asked(int planner, double now) const {
   return std::any_of(former_.begin(), former_.end(), [&](const List& one) {
     return !over(one, now) && std::any_of(one.planners.begin(), one.planners.end(),
                                           [&](const Planner& p) { return p.position == planner; });
   });
 }
 
-double Homes::settled_at() const {
+double KeyOwnership::settled_at() const {
   double at = blocked_until_;
   for (const List& one : former_) at = std::max(at, one.until + terms_.spread + terms_.memory);
   return at;
--- a/src/tier/homes.h
+++ b/src/tier/key_ownership.h
@@ -1,9 +1,10 @@
-// Where a keyed request belongs, and who has to be asked first while the list of planners changes. Pure policy.
+// Where a keyed request belongs, and who has to be asked first while the list of planners changes. Pure
+// policy.
 //
 // A key's results are remembered by one planner, by rendezvous over the names on the list. When the list
 // changes some keys move, and what was remembered of them does not: a repeat that goes to the new home would
-// run again within its window. So the former home of a moved key is asked whether it knows the request before the
-// new one may run it, for as long as it may remember anything; and the new one runs nothing until all
+// run again within its window. So the former home of a moved key is asked whether it knows the request before
+// the new one may run it, for as long as it may remember anything; and the new one runs nothing until all
 // forwarders can be expected to have the new list, since one that has the old one still runs new keys at the
 // former home.
 //
@@ -21,21 +22,21 @@
 
 namespace damsonspoke::tier {
 
-struct HomesTerms {
+struct KeyOwnershipOptions {
   double spread = 10;  // s in which all forwarders have a new list
   double memory = 0;   // s that a planner remembers a key at most; 0: nothing is remembered, nothing moves
 };
 
 // The way of one keyed request.
-struct Way {
+struct KeyRoute {
   std::vector<int> ask;  // former homes, to be asked in this order whether they know it
   int home = -1;         // where it runs once none of them does; < 0: nobody is on the list
   bool may_run = true;   // false: not yet, wherever it belongs
 };
 
-class Homes {
+class KeyOwnership {
  public:
-  explicit Homes(HomesTerms terms) : terms_(terms) {}
+  explicit KeyOwnership(KeyOwnershipOptions terms) : terms_(terms) {}
 
   // The list from now on: names and the positions that the caller knows them by. The first one is no change.
   void list(const std::vector<std::pair<int, std::string>>& planners, double now);
@@ -45,7 +46,7 @@
   // Nothing is known of the lists before: keys run nowhere until that no longer matters.
   void unknown_before(double now);
 
-  Way way(std::uint64_t mark, double now) const;
+  KeyRoute way(std::uint64_t mark, double now) const;
   // Whether keys of a list from before may still be remembered at this planner.
   bool may_be_asked(int planner, double now) const;
   // When the last change is over; <= now: nothing is moving.
@@ -65,7 +66,7 @@
   bool over(const List& list, double now) const { return now >= list.until + terms_.spread + terms_.memory; }
   static constexpr std::size_t kMostFormer = 8;  // lists; a change that would be one more waits, see list()
 
-  const HomesTerms terms_;
+  const KeyOwnershipOptions terms_;
   List now_in_force_;
   bool begun_ = false;
   std::vector<List> former_;   // the newest last
