--- a/src/tier/picker.cpp
+++ b/src/tier/picker.cpp
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-Picker::Picker(PickerTerms terms, std::vector<std::string> names) : terms_(terms) {
+Picker::Picker(PickerOptions terms, std::vector<std::string> names) : terms_(terms) {
   for (std::string& name : names) add(std::move(name), 0);
 }
 
@@ -63,19 +63,20 @@
 
 void Picker::late(int planner, double now) {
   ++at(planner).open;
-  ended(planner, Ended::kBad, 0, now);
+  ended(planner, AttemptOutcome::kBad, 0, now);
 }
 
-void Picker::ended(int planner, Ended how, double took, double now) {
+void Picker::ended(int planner, AttemptOutcome how, double took, double now) {
   let_go(planner);
   Planner& p = at(planner);
   if (p.ends >= kForget) p.ends /= 2, p.bad /= 2, p.rejected /= 2;
   p.ends += 1;
-  p.bad += how == Ended::kBad;
-  p.rejected += how == Ended::kRejected;
+  p.bad += how == AttemptOutcome::kBad;
+  p.rejected += how == AttemptOutcome::kRejected;
   while (!p.rests.empty() && p.rests.front() <= now) p.rests.pop_front();
-  if (how == Ended::kRejected && terms_.rejection_rest > 0) p.rests.push_back(now + terms_.rejection_rest);
-  if (how == Ended::kServed) {
+  if (how == AttemptOutcome::kRejected && terms_.rejection_rest > 0)
+    p.rests.push_back(now + terms_.rejection_rest);
+  if (how == AttemptOutcome::kServed) {
     p.took += (took - p.took) / (p.took == 0 ? 1 : kTookMemory);
     p.ejected_in_a_row = p.ejected_until < now - terms_.eject_most ? 0 : p.ejected_in_a_row;
   }
@@ -83,7 +84,8 @@
 }
 
 // Outliers are told by the others: where all do badly, leaving one out helps nobody. Guards against a planner
-// that accepts and never answers, fails or rejections everything, or is many times slower, and so looks empty.
+// that accepts and never answers, fails or rejections everything, or is many times slower, and so looks
+// empty.
 void Picker::judge(int planner, double now) {
   Planner& p = at(planner);
   if (!p.up || p.ejected_until > now || p.ends < terms_.judged_over) return;
@@ -101,7 +103,8 @@
   }
   if (bad.empty()) return;  // nobody to compare with
   const bool fails = p.bad / p.ends - median(bad) > terms_.bad_share;
-  const bool refuses = p.rejected / p.ends > kAllRejected && median(rejected) < kAllRejected - terms_.bad_share;
+  const bool refuses =
+      p.rejected / p.ends > kAllRejected && median(rejected) < kAllRejected - terms_.bad_share;
   const bool slow = !took.empty() && p.took > std::max(kLeastSlow, terms_.slow_multiple * median(took));
   if (!fails && !refuses && !slow) return;
   if (ejected_now(now) + 1 > terms_.most_ejected * up) return;
@@ -126,8 +129,8 @@
   return p.window == 0 ? 0 : std::max(1.0, share * p.window);
 }
 
-// Guards against a planner that is cold, or full, and rejections at once: its room would come free at once too,
-// and many forwarders together would send it a flood that no window bounds.
+// Guards against a planner that is cold, or full, and rejections at once: its room would come free at once
+// too, and many forwarders together would send it a flood that no window bounds.
 int Picker::resting(const Planner& p, double now) {
   return static_cast<int>(p.rests.end() - std::upper_bound(p.rests.begin(), p.rests.end(), now));
 }
--- a/src/tier/picker.h
+++ b/src/tier/picker.h
@@ -1,5 +1,5 @@
-// Which planner a request goes to. Pure policy: what planners say and how their attempts end goes in, a planner
-// comes out, or none.
+// Which planner a request goes to. Pure policy: what planners say and how their attempts end goes in, a
+// planner comes out, or none.
 //
 // With a key (a site with hot subjects): rendezvous hashing, so that a subject stays at one planner while
 // planners come and go, with bounded loads (Mirrokni, Thorup, Zadimoghaddam 2016), so that a hot one does not
@@ -18,7 +18,7 @@
 
 namespace damsonspoke::tier {
 
-struct PickerTerms {
+struct PickerOptions {
   double slow_start = 1.5;     // s in which a planner that has come up grows to its whole window
   double first_share = 0.25;   // of its window that it begins with
   double bounded_load = 1.25;  // x the mean use of windows that a key's planner may have
@@ -28,15 +28,15 @@
   int judged_over = 16;        // ends by which a planner is judged
   double bad_share = 0.5;      // of them that ended badly, beyond what the others' do
   double slow_multiple = 5;    // x the median of the others' times to an answer
-  double rejection_rest = 0;        // s that an attempt which was rejected keeps its room
+  double rejection_rest = 0;   // s that an attempt which was rejected keeps its room
 };
 
 // How an attempt ended, as far as it says something about its planner.
-enum class Ended { kServed, kRejected, kBad };
+enum class AttemptOutcome { kServed, kRejected, kBad };
 
 class Picker {
  public:
-  Picker(PickerTerms terms, std::vector<std::string> names);
+  Picker(PickerOptions terms, std::vector<std::string> names);
 
   // Planners are named by position; new ones come last, ones that are no longer wanted stay as holes.
   int add(std::string name, double now);
@@ -50,11 +50,12 @@
 
   void sent(int planner);
   // One attempt fewer is open there; `took` s from sending to its end.
-  void ended(int planner, Ended how, double took, double now);
+  void ended(int planner, AttemptOutcome how, double took, double now);
   void let_go(int planner);            // one fewer, and nothing is learned of it
   void late(int planner, double now);  // it has not answered in its share of the time; still open there
 
-  // `chance` gives numbers from 0 to under 1. None where no planner has room. `not_this`: where the request was.
+  // `chance` gives numbers from 0 to under 1. None where no planner has room. `not_this`: where the request
+  // was.
   std::optional<int> pick(std::uint64_t key, double now, const std::function<double()>& chance,
                           std::optional<int> not_this = std::nullopt);
 
@@ -83,7 +84,7 @@
     double up_since = 0;
     int open = 0;
     double ends = 0, bad = 0, rejected = 0;  // fading counts
-    double took = 0;                       // s, of served ones, a fading mean; 0: none yet
+    double took = 0;                         // s, of served ones, a fading mean; 0: none yet
     double ejected_until = 0;
     int ejected_in_a_row = 0;
     std::deque<double> rests;  // until when room stays taken that rejected attempts had
@@ -98,7 +99,7 @@
   void judge(int planner, double now);
   std::optional<int> by_key(std::uint64_t key, double now, const std::vector<int>& from) const;
 
-  const PickerTerms terms_;
+  const PickerOptions terms_;
   std::vector<Planner> planners_;
   std::uint64_t ejections_ = 0;
 };
--- a/src/tier/roll_call.cpp
+++ b/src/tier/planner_discovery.cpp
@@ -1,11 +1,11 @@
-#include "tier/roll_call.h"
+#include "tier/planner_discovery.h"
 
 #include <algorithm>
 
 namespace damsonspoke::tier {
 
-std::vector<std::string> RollCall::planners(const std::vector<std::string>& listed,
-                                            const std::vector<PlannerSeen>& seen, double now) {
+std::vector<std::string> PlannerDiscovery::planners(const std::vector<std::string>& listed,
+                                                    const std::vector<PlannerSeen>& seen, double now) {
   for (const PlannerSeen& one : seen) {
     if (one.serves.empty()) continue;
     const auto found = known_.find(one.serves);
--- a/src/tier/roll_call.h
+++ b/src/tier/planner_discovery.h
@@ -14,14 +14,14 @@
   bool there = false, left = false;
 };
 
-class RollCall {
+class PlannerDiscovery {
  public:
   struct Terms {
     double settled = 1;  // s that a new one has to be there before it is given requests
     double keep = 60;    // s that a silent one is kept
     std::size_t most = 64;
   };
-  explicit RollCall(Terms terms) : terms_(terms) {}
+  explicit PlannerDiscovery(Terms terms) : terms_(terms) {}
   // The planners from now on: `listed` first, in their order. Never none where there was one: a view that has
   // lost everybody says more of itself than of them.
   std::vector<std::string> planners(const std::vector<std::string>& listed,
--- a/src/tier/slot_worth.h
+++ b/src/tier/slot_value.h
@@ -8,7 +8,7 @@
 
 namespace damsonspoke::tier {
 
-class SlotWorth {
+class SlotValue {
  public:
   void rejected(double priority_weight, double now) {
     fade(now);
--- a/src/tier/parts.cpp
+++ b/src/tier/slow_start_shares.cpp
@@ -1,13 +1,13 @@
-#include "tier/parts.h"
+#include "tier/slow_start_shares.h"
 
 #include <algorithm>
 #include <vector>
 
-#include "tier/slot_worth.h"
+#include "tier/slot_value.h"
 
 namespace damsonspoke::tier {
 
-void Parts::left(Link link, double now) {
+void SlowStartShares::left(Link link, double now) {
   const auto found = links_.find(link);
   if (found == links_.end()) return;
   Held& held = found->second;
@@ -17,20 +17,20 @@
   held.gone = true;
 }
 
-std::uint32_t Parts::part(Link link) const {
+std::uint32_t SlowStartShares::part(Link link) const {
   const auto found = links_.find(link);
   return found == links_.end() ? 0 : found->second.part;
 }
 
 // What a link may have open now: its part, or the one before while that may still be acted on, or what is
 // open from before that.
-std::uint64_t Parts::charge(const Held& held, std::size_t open, double now) const {
+std::uint64_t SlowStartShares::charge(const Held& held, std::size_t open, double now) const {
   const std::uint32_t may =
       now - held.lowered_at < terms_.settle ? std::max(held.part, held.before) : held.part;
   return std::max<std::uint64_t>(may, open);
 }
 
-void Parts::look(double now, double budget, const std::function<std::size_t(Link)>& open) {
+void SlowStartShares::look(double now, double budget, const std::function<std::size_t(Link)>& open) {
   const auto whole = static_cast<std::uint64_t>(std::max(1.0, budget));
   std::vector<std::pair<Link, Held*>> here;
   std::uint64_t charged = 0;
@@ -81,7 +81,7 @@
   }
 }
 
-double cold_budget(int cores, double slow_start_speed, double slow_start_seconds, double age) {
+double slow_start_budget(int cores, double slow_start_speed, double slow_start_seconds, double age) {
   const double grown = slow_start_seconds > 0 ? std::clamp(age / slow_start_seconds, 0.0, 1.0) : 1;
   const double speed = slow_start_speed + (1 - slow_start_speed) * grown;
   return kAttemptsPerCore * std::max(1, cores) * speed;
--- a/src/tier/parts.h
+++ b/src/tier/slow_start_shares.h
@@ -13,16 +13,16 @@
 
 namespace damsonspoke::tier {
 
-struct PartsTerms {
+struct SlowStartSharesOptions {
   double settle =
       0.25;  // s after which a smaller part has surely been heard, and what was sent before it is here
   double turn = 0.25;  // s that a part which goes round stays; at least settle
 };
 
-class Parts {
+class SlowStartShares {
  public:
   using Link = std::uint64_t;
-  explicit Parts(PartsTerms terms = {}) : terms_(terms) {}
+  explicit SlowStartShares(SlowStartSharesOptions terms = {}) : terms_(terms) {}
 
   void joined(Link link) { links_[link].gone = false; }
   // Its part is free once what it has open here has ended, and what was on its way has come.
@@ -44,12 +44,12 @@
   };
   std::uint64_t charge(const Held& held, std::size_t open, double now) const;
 
-  const PartsTerms terms_;
+  const SlowStartSharesOptions terms_;
   std::map<Link, Held> links_;  // in the order in which they came
 };
 
 // So many attempts may be open at a planner that began this long ago (s), cold: its share of speed then, of
 // all that it takes when it is warm. The settings tell speed and time.
-double cold_budget(int cores, double slow_start_speed, double slow_start_seconds, double age);
+double slow_start_budget(int cores, double slow_start_speed, double slow_start_seconds, double age);
 
 }  // namespace damsonspoke::tier
--- a/src/tier/outlook.h
+++ b/src/tier/wait_estimator.h
@@ -8,7 +8,7 @@
 
 namespace damsonspoke::tier {
 
-struct OutlookTerms {
+struct WaitEstimatorOptions {
   double memory = 1.5;           // s over which the rate at which room comes free is a mean
   double wait_share = 0.85;      // of the time left that may be spent on a prediction
   double bad_after = 1;          // s without any planner after which health is bad
@@ -16,9 +16,9 @@
   double most_come_back = 1;     // s; what the site allows
 };
 
-class Outlook {
+class WaitEstimator {
  public:
-  Outlook(OutlookTerms terms, std::size_t routes, double now);
+  WaitEstimator(WaitEstimatorOptions terms, std::size_t routes, double now);
 
   // Whether any attempt is open. While none is, no time passes for the rate: guards against a burst after a
   // calm that is refused since nothing had come free in it.
@@ -28,8 +28,8 @@
   void some_planner(double now);               // at least one takes requests
   void no_planner(double now);
 
-  // Whether a request of the type with so many before it may still be served in `left` s. While nothing is known
-  // it may: the first ones show.
+  // Whether a request of the type with so many before it may still be served in `left` s. While nothing is
+  // known it may: the first ones show.
   bool in_time(std::size_t type, std::size_t ahead, double left, double now);
   // When a refused caller should come back; spread by chance (0 to under 1), so that they do not come
   // together, and the longer the longer nobody has been there.
@@ -39,7 +39,7 @@
  private:
   double rate(double now);  // of room coming free, 1/s; 0: not known
 
-  const OutlookTerms terms_;
+  const WaitEstimatorOptions terms_;
   double freed_ = 0, ends_ = 0;
   double seen_ = 0;  // s of busy time that the rate looks back on, faded as the count is
   double freed_at_;
--- a/src/tier/line.cpp
+++ b/src/tier/wait_queue.cpp
@@ -1,10 +1,11 @@
-#include "tier/line.h"
+#include "tier/wait_queue.h"
 
 #include <algorithm>
 
 namespace damsonspoke::tier {
 
-std::optional<RequestId> Line::enter(RequestId request, double priority_weight, std::uint32_t caller, std::size_t bytes) {
+std::optional<RequestId> WaitQueue::enter(RequestId request, double priority_weight, std::uint32_t caller,
+                                          std::size_t bytes) {
   Rank& rank = ranks_[priority_weight];
   std::deque<RequestId>& mine = rank.by_caller[caller];
   if (mine.empty()) rank.turns.push_back(caller);
@@ -19,7 +20,7 @@
 }
 
 // Of the least important: the newest of the caller that has most of them waiting.
-RequestId Line::worst() const {
+RequestId WaitQueue::worst() const {
   const Rank& rank = ranks_.rbegin()->second;
   const std::deque<RequestId>* most = nullptr;
   for (const std::uint32_t caller : rank.turns) {
@@ -29,20 +30,20 @@
   return most != nullptr ? most->back() : RequestId{};  // a rank that is there has turns
 }
 
-std::optional<RequestId> Line::next() const {
+std::optional<RequestId> WaitQueue::next() const {
   if (ranks_.empty()) return std::nullopt;
   const Rank& rank = ranks_.begin()->second;
   return rank.by_caller.at(rank.turns.front()).front();
 }
 
-bool Line::leave(RequestId request) {
+bool WaitQueue::leave(RequestId request) {
   if (!waiting_.contains(request)) return false;
   take_out(request, next() == request);
   return true;
 }
 
 // Whoever had its turn goes behind the other callers of its rank.
-void Line::take_out(RequestId request, bool its_turn) {
+void WaitQueue::take_out(RequestId request, bool its_turn) {
   const Waiting w = waiting_.at(request);
   waiting_.erase(request);
   bytes_ -= w.bytes;
@@ -60,7 +61,7 @@
   if (--rank.count == 0) ranks_.erase(at);
 }
 
-std::size_t Line::ahead(double priority_weight) const {
+std::size_t WaitQueue::ahead(double priority_weight) const {
   std::size_t count = 0;
   for (const auto& [of, rank] : ranks_) {
     if (of < priority_weight) break;
--- a/src/tier/line.h
+++ b/src/tier/wait_queue.h
@@ -1,6 +1,6 @@
-// The requests that wait at a forwarder while no planner has room for them. Pure policy. The more important first;
-// among equals callers take turns, so that one heavy caller delays itself and not the others; of one caller
-// the oldest first. Full, the least important request of the caller that has most waiting goes.
+// The requests that wait at a forwarder while no planner has room for them. Pure policy. The more important
+// first; among equals callers take turns, so that one heavy caller delays itself and not the others; of one
+// caller the oldest first. Full, the least important request of the caller that has most waiting goes.
 #pragma once
 
 #include <cstddef>
@@ -16,12 +16,14 @@
 
 namespace damsonspoke::tier {
 
-class Line {
+class WaitQueue {
  public:
-  Line(std::size_t max_requests, std::size_t most_bytes) : max_requests_(max_requests), most_bytes_(most_bytes) {}
+  WaitQueue(std::size_t max_requests, std::size_t most_bytes)
+      : max_requests_(max_requests), most_bytes_(most_bytes) {}
 
   // Enters a request. What has to go for it, which may be the request itself; none where there was room.
-  std::optional<RequestId> enter(RequestId request, double priority_weight, std::uint32_t caller, std::size_t bytes);
+  std::optional<RequestId> enter(RequestId request, double priority_weight, std::uint32_t caller,
+                                 std::size_t bytes);
   // Whose turn it is. None where nobody waits.
   std::optional<RequestId> next() const;
   bool leave(RequestId request);  // false: it does not wait
--- a/src/wire/below_lines.cpp
+++ b/src/wire/dependency_lines.cpp
@@ -1,4 +1,4 @@
-#include "wire/below_lines.h"
+#include "wire/dependency_lines.h"
 
 #include <fmt/format.h>
 
--- a/src/wire/members.cpp
+++ b/src/wire/members.cpp
@@ -42,7 +42,7 @@
   }
 };
 
-Json to_json(const m::Told& t) {
+Json to_json(const m::LoadReport& t) {
   if (t.serial == 0) return nullptr;
   Row row;
   row.add(t.serial, true);
@@ -142,7 +142,7 @@
   bool sound_ = true;
 };
 
-bool read(const Json& from, m::Told& t) {
+bool read(const Json& from, m::LoadReport& t) {
   Reader in(from);
   in.number(t.serial, 0xffffffff);
   in.text(t.role, m::kMostWord);
--- a/src/wire/rpc.cpp
+++ b/src/wire/rpc.cpp
@@ -164,7 +164,8 @@
       return params.text(out.tenant, told);
     }
     if (key == "second") return params.mark(out.is_retry);
-    if (!mark_field.empty() && key == mark_field) return params.text(out.idempotency_key, out.has_idempotency_key);
+    if (!mark_field.empty() && key == mark_field)
+      return params.text(out.idempotency_key, out.has_idempotency_key);
     if (key != "lb") return in.skip();
     if (!params.number(number, 0, 4294967295.0)) return false;
     if (number >= 0 && number <= 4294967295.0) out.caller = static_cast<std::uint32_t>(number);
--- a/src/wire/rpc.h
+++ b/src/wire/rpc.h
@@ -25,13 +25,13 @@
   std::uint64_t id = 0;
   std::string method;
   std::uint64_t txn = 0;
-  double received_at_ms = 0;   // Unix, when it came to the machine; 0: not told
+  double received_at_ms = 0;     // Unix, when it came to the machine; 0: not told
   double client_timeout_ms = 0;  // from then on; 0: not told
-  double work_ms = 0;   // the request's work on a standard core, as its caller estimates it; 0: not told
+  double work_ms = 0;  // the request's work on a standard core, as its caller estimates it; 0: not told
   double size_kb = 0;
   std::uint64_t subject = 0;
-  std::string idempotency_key;      // by which a repeat is known
-  std::string tenant;  // its name; empty: not told
+  std::string idempotency_key;  // by which a repeat is known
+  std::string tenant;           // its name; empty: not told
   std::string body;
   std::uint32_t caller = 0;
   bool notification = true;  // no id at all: nothing is to be answered
@@ -44,7 +44,8 @@
 inline constexpr std::string_view kMarkParam = "unique";
 
 // On a problem the id is filled in where it can be told, so that the request can be answered.
-// `mark_field` names the member of the params that holds a request's mark, a string; empty: none is looked for.
+// `mark_field` names the member of the params that holds a request's mark, a string; empty: none is looked
+// for.
 RpcProblem decode_request(std::string_view text, RpcRequest& out, std::string_view mark_field = {});
 
 // Whether the protocol has a member of that name among its params already.
--- a/src/wire/tier.h
+++ b/src/wire/tier.h
@@ -35,11 +35,11 @@
   std::uint64_t request = 0;
   std::uint16_t route = 0;
   std::uint32_t caller = 0;
-  std::uint64_t subject = 0;             // 0: none
-  std::uint32_t size_sixteenth_kb = 0;            // 1/16 kB
-  std::uint32_t age_us = 0;          // since its caller's door, when it was sent
+  std::uint64_t subject = 0;              // 0: none
+  std::uint32_t size_sixteenth_kb = 0;    // 1/16 kB
+  std::uint32_t age_us = 0;               // since its caller's door, when it was sent
   std::uint32_t remaining_us = kNoLimit;  // that its caller still waits
-  bool known_only = false;           // runs nothing: whether its key is known is asked
+  bool known_only = false;                // runs nothing: whether its key is known is asked
   std::string idempotency_key;
   std::string body;
 };
@@ -53,7 +53,7 @@
 // Planner to forwarder.
 enum class Result : std::uint8_t {
   kSucceeded = 0,
-  kRejected = 1,     // never ran and never will
+  kRejected = 1,   // never ran and never will
   kFailed = 2,     // may have run
   kUnknown = 3,    // it repeats one that ran, whose outcome is not known
   kConflict = 4,   // its key belongs to another body
--- a/standins/ajp_gateway.h
+++ b/standins/ajp_gateway.h
@@ -62,7 +62,7 @@
  private:
   struct Link {
     std::uint64_t request = 0;  // 0: idle
-    std::string in, rest;  // of the body, not asked for yet
+    std::string in, rest;       // of the body, not asked for yet
     int status = 0;
     std::string result, outcome;
     bool closing = false;
--- a/standins/callers.cpp
+++ b/standins/callers.cpp
@@ -160,7 +160,8 @@
                                 bool own) {
   const int fd = link(server, own);
   if (fd < 0) return 0;
-  const std::uint64_t request = (random_() & 0xffffffff00000000ULL) | next_request_++, number = next_number_++;
+  const std::uint64_t request = (random_() & 0xffffffff00000000ULL) | next_request_++,
+                      number = next_number_++;
   const double door = unix_now();
   std::string more;
   if (flow.marked) more += fmt::format(R"(,"key":"{}")", key);
--- a/standins/decision_load.cpp
+++ b/standins/decision_load.cpp
@@ -26,7 +26,7 @@
     ++result.started;
   }
   void reject(RequestId, double, bool) override { ++result.rejected; }
-  void wake_at(double time, std::uint64_t token) override { wake_time = time, wake_token = token; }
+  void schedule_wakeup(double time, std::uint64_t token) override { wake_time = time, wake_token = token; }
   double now = 0;
   double wake_time = -1;
   std::uint64_t wake_token = 0;
@@ -49,10 +49,10 @@
     if (run_end <= wake) {
       const RequestId id = host.runs.top().id;
       host.runs.pop();
-      controller.on_run_end(host.now, id, Outcome::kOk, 0);
+      controller.on_run_finished(host.now, id, Outcome::kOk, 0);
     } else {
       host.wake_time = -1;
-      controller.on_wake(host.now, host.wake_token, gauges);
+      controller.on_timer(host.now, host.wake_token, gauges);
     }
   }
 }
--- a/standins/fleet.h
+++ b/standins/fleet.h
@@ -20,14 +20,14 @@
 struct RouteSpec {
   std::string name;
   std::string idempotency = "retryable";  // dedup: keyed, fragile: non-retryable
-  double target = 1, timeout = 3;    // s
-  double window = 0;                 // s
+  double target = 1, timeout = 3;         // s
+  double window = 0;                      // s
   double priority_weight = 1;
 };
 
 struct SiteSpec {
   std::vector<RouteSpec> types;
-  double fresh = 0;                     // s
+  double fresh = 0;                                     // s
   double slow_start_speed = 1, slow_start_seconds = 0;  // s, as the settings tell
   int cores = 2;
   double memory_mb = 192;
--- a/standins/forwarder.h
+++ b/standins/forwarder.h
@@ -41,7 +41,8 @@
   }
   ScriptedForwarder& submit(std::uint64_t attempt, std::uint64_t request) {
     wire::tier::Submit submit;
-    submit.attempt = attempt, submit.request = request, submit.size_sixteenth_kb = 160, submit.remaining_us = 1900000, submit.body = "k ";
+    submit.attempt = attempt, submit.request = request, submit.size_sixteenth_kb = 160,
+    submit.remaining_us = 1900000, submit.body = "k ";
     return send(submit);
   }
   // How an attempt was answered, within so many seconds; -1: not.
--- a/standins/gate_flood.h
+++ b/standins/gate_flood.h
@@ -13,12 +13,13 @@
 #include <string>
 #include <vector>
 
-#include "conns/gate.h"
+#include "conns/connection_limiter.h"
 
 namespace damsonspoke::standins {
 
-using conns::Address, conns::Arrival, conns::ConnId, conns::Gate, conns::GateTerms, conns::Known,
-    conns::KnownTerms, conns::Share, conns::Standing, conns::Turned, conns::Waste;
+using conns::Address, conns::Arrival, conns::ConnId, conns::ConnectionLimiter,
+    conns::ConnectionLimiterOptions, conns::KnownClients, conns::KnownClientsOptions, conns::ConnectionQuota,
+    conns::Standing, conns::RejectCause, conns::Penalty;
 
 constexpr double kUnix = 1.7e9;  // s; the Unix time at which plays begin
 
@@ -34,12 +35,12 @@
  public:
   explicit GateFlood(std::uint64_t seed, bool tell) : random_(seed), tell_(tell) {
     total_ = 40 + random_() % 200;
-    GateTerms terms;
+    ConnectionLimiterOptions terms;
     terms.clients = 64 + random_() % 128;  // far fewer than addresses
     terms.reserve = 0.15 + chance() * 0.35;
-    share_ = std::make_unique<Share>(total_, std::vector<double>{1});
-    known_ = std::make_unique<Known>(KnownTerms{7 * 86400, 5, 256});
-    gate_ = std::make_unique<Gate>(terms, *share_, *known_);
+    share_ = std::make_unique<ConnectionQuota>(total_, std::vector<double>{1});
+    known_ = std::make_unique<KnownClients>(KnownClientsOptions{7 * 86400, 5, 256});
+    gate_ = std::make_unique<ConnectionLimiter>(terms, *share_, *known_);
     reserve_ = total_ - gate_->strangers_most();
     friends_ = 1 + random_() % 12;
     for (unsigned n = 0; n < friends_; ++n)
@@ -129,12 +130,12 @@
       case 0: break;  // silent, for good
       case 1:         // connects and resets
         at(now_ + 0.001, [this, id] {
-          if (open_.contains(id)) gate_->wasted(id, Waste::kReset, now_), end(id);
+          if (open_.contains(id)) gate_->wasted(id, Penalty::kReset, now_), end(id);
         });
         break;
       case 2:  // half a request, dripped
         at(now_ + 0.75, [this, id] {
-          if (open_.contains(id)) gate_->wasted(id, Waste::kHalf, now_), end(id);
+          if (open_.contains(id)) gate_->wasted(id, Penalty::kHalf, now_), end(id);
         });
         break;
       case 3:  // asks something now and then, and stays
@@ -200,9 +201,9 @@
   bool spread_ = false;
   double per_s_ = 0, now_ = 0;
   int manner_ = 0;
-  std::unique_ptr<Share> share_;
-  std::unique_ptr<Known> known_;
-  std::unique_ptr<Gate> gate_;
+  std::unique_ptr<ConnectionQuota> share_;
+  std::unique_ptr<KnownClients> known_;
+  std::unique_ptr<ConnectionLimiter> gate_;
   std::map<ConnId, Open> open_;
   std::map<unsigned, std::size_t> known_open_of_;
   std::multimap<double, std::function<void()>> ends_;
--- a/standins/journal.h
+++ b/standins/journal.h
@@ -23,12 +23,13 @@
   std::uint64_t request = 0;
   std::string key;  // of the thing wanted; tries of one thing share it
   std::string type;
-  int life = 0;             // of the program, when it was sent
-  double sent = 0;          // s
-  double due = 0;           // s
-  bool lost = false;        // its connection ended before an answer
-  bool refused = false;     // never sent
-  bool unnumbered = false;  // the program gave its request a number of its own: its runs are known by key alone
+  int life = 0;          // of the program, when it was sent
+  double sent = 0;       // s
+  double due = 0;        // s
+  bool lost = false;     // its connection ended before an answer
+  bool refused = false;  // never sent
+  bool unnumbered =
+      false;  // the program gave its request a number of its own: its runs are known by key alone
   std::vector<Answer> answers;
 };
 
--- a/standins/members_sim.cpp
+++ b/standins/members_sim.cpp
@@ -56,9 +56,9 @@
   });
 }
 
-void MembersSim::Node::changed(const std::string& who, State state, const std::string& why) {
+void MembersSim::Node::changed(const std::string& who, MemberState state, const std::string& why) {
   if (sim->on_change) sim->on_change(number, fmt::format("{} is {}: {}", who, text_of(state), why));
-  if (state != State::kDead) return;
+  if (state != MemberState::kDead) return;
   const auto found = sim->by_name_.find(who);
   if (found == sim->by_name_.end()) return;
   const int of = found->second;
@@ -79,7 +79,7 @@
 }
 
 std::uint64_t MembersSim::Node::epoch_known(const std::string& who) const {
-  for (const Seen& seen : view->members(sim->now_)) {
+  for (const MemberStatus& seen : view->members(sim->now_)) {
     if (seen.name == who) return seen.epoch;
   }
   return 0;
@@ -129,9 +129,9 @@
   ++node.life;
   node.paused_until = -1;
   node.backlog.clear();
-  node.view = std::make_unique<View>(options_.terms, Self{node.name, node.address, next_epoch_++}, seeds,
-                                     static_cast<std::uint64_t>(random_()), node);
-  Told told;
+  node.view = std::make_unique<MembershipView>(options_.terms, Self{node.name, node.address, next_epoch_++},
+                                               seeds, static_cast<std::uint64_t>(random_()), node);
+  LoadReport told;
   told.role = "relay", told.zone = fmt::format("z{}", number % 3), told.build = "1.0", told.room = 8;
   node.view->tell(told);
   node.view->begin(now_);
@@ -151,7 +151,7 @@
   at(when, [this, &node, life] {
     if (!node.up || node.life != life) return;
     if (node.paused_until > now_) return;  // resume() goes on
-    node.view->on_wake(now_);
+    node.view->on_timer(now_);
     schedule_wake(node);
   });
 }
@@ -185,7 +185,7 @@
 
 // As a process that goes on: its timer is late, and what waited in its socket is read as stale.
 void MembersSim::resume(Node& node) {
-  const bool noticed = node.view->on_wake(now_);
+  const bool noticed = node.view->on_timer(now_);
   for (const auto& [from, message] : node.backlog) node.view->on_message(from, *message, now_, noticed);
   node.backlog.clear();
   schedule_wake(node);
@@ -223,11 +223,11 @@
   now_ = time;
 }
 
-State MembersSim::state(int of, const std::string& name) {
-  for (const Seen& seen : view(of).members(now_)) {
+MemberState MembersSim::state(int of, const std::string& name) {
+  for (const MemberStatus& seen : view(of).members(now_)) {
     if (seen.name == name) return seen.state;
   }
-  return State::kLeft;
+  return MemberState::kLeft;
 }
 
 double MembersSim::a_member_second(double total) const {
@@ -256,13 +256,13 @@
 bool MembersSim::views_same(std::string* how_not) {
   for (int i = 0; i < count(); ++i) {
     if (!up(i) || view(i).yielded()) continue;
-    std::map<std::string, State> seen;
-    for (const Seen& one : view(i).members(now_)) seen[one.name] = one.state;
+    std::map<std::string, MemberState> seen;
+    for (const MemberStatus& one : view(i).members(now_)) seen[one.name] = one.state;
     for (int j = 0; j < count(); ++j) {
       if (i == j || name(i) == name(j) || (up(j) && view(j).yielded())) continue;
       const auto found = seen.find(name(j));
-      const bool there =
-          found != seen.end() && (found->second == State::kThere || found->second == State::kUnsettled);
+      const bool there = found != seen.end() &&
+                         (found->second == MemberState::kAlive || found->second == MemberState::kFlapping);
       if (there == up(j)) continue;
       if (how_not != nullptr)
         *how_not =
@@ -274,11 +274,11 @@
   return true;
 }
 
-View::Counts MembersSim::counts() const {
-  View::Counts sum;
+MembershipView::Counts MembersSim::counts() const {
+  MembershipView::Counts sum;
   for (const auto& node : nodes_) {
     if (!node->view) continue;
-    const View::Counts& c = node->view->counts();
+    const MembershipView::Counts& c = node->view->counts();
     sum.probes += c.probes, sum.failed += c.failed, sum.indirect += c.indirect,
         sum.suspicions += c.suspicions;
     sum.deaths += c.deaths, sum.refuted += c.refuted, sum.pauses += c.pauses, sum.held += c.held;
--- a/standins/members_sim.h
+++ b/standins/members_sim.h
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-#include "members/view.h"
+#include "members/membership_view.h"
 
 namespace damsonspoke::standins {
 
@@ -22,7 +22,7 @@
     std::uint64_t seed = 1;
     double loss = 0;                         // share of datagrams
     double latency = 0.001, jitter = 0.001;  // s
-    members::Terms terms;
+    members::MembershipOptions terms;
     std::string names = "n";  // before each one's number
     int weigh_each = 50;      // of the datagrams one in so many is encoded, to know its bytes
   };
@@ -46,10 +46,10 @@
 
   bool up(int node) const { return nodes_[static_cast<std::size_t>(node)]->up; }
   bool paused(int node) const { return nodes_[static_cast<std::size_t>(node)]->paused_until > now_; }
-  members::View& view(int node) { return *nodes_[static_cast<std::size_t>(node)]->view; }
+  members::MembershipView& view(int node) { return *nodes_[static_cast<std::size_t>(node)]->view; }
   int count() const { return static_cast<int>(nodes_.size()); }
   std::string name(int node) const { return nodes_[static_cast<std::size_t>(node)]->name; }
-  members::State state(int of, const std::string& name);
+  members::MemberState state(int of, const std::string& name);
 
   struct Death {
     double at = 0;  // s, of the end
@@ -80,14 +80,14 @@
   }
   // Every member that is up sees each other one that is up as there, and nobody else.
   bool views_same(std::string* how_not = nullptr);
-  members::View::Counts counts() const;
+  members::MembershipView::Counts counts() const;
 
  private:
-  struct Node : members::Port {
+  struct Node : members::MembershipSink {
     MembersSim* sim = nullptr;
     int number = 0;
     std::string name, address;
-    std::unique_ptr<members::View> view;
+    std::unique_ptr<members::MembershipView> view;
     bool up = false;
     double paused_until = -1;
     std::uint64_t life = 0;
@@ -95,7 +95,7 @@
     std::vector<std::pair<std::string, std::shared_ptr<const members::Message>>> backlog;
     void send(const std::string& address, const members::Message& message) override;
     void exchange(const std::string& address) override;
-    void changed(const std::string& name, members::State state, const std::string& why) override;
+    void changed(const std::string& name, members::MemberState state, const std::string& why) override;
     void noticed(const std::string& what) override;
     std::uint64_t epoch_known(const std::string& who) const;  // the life that it knows under this name
   };
--- a/standins/planner.cpp
+++ b/standins/planner.cpp
@@ -13,7 +13,7 @@
 namespace wt = wire::tier;
 
 namespace {
-constexpr double kBlind = 0.05;         // s that a stranger reads nothing: a few requests are sent to it meanwhile
+constexpr double kBlind = 0.05;  // s that a stranger reads nothing: a few requests are sent to it meanwhile
 constexpr std::uint64_t kGuesses = 16;  // attempts that it answers then
 }  // namespace
 
@@ -159,7 +159,8 @@
   }
   const std::string key = Runtime::key_of(request.body), result = fmt::format("{} made {}", key, ++made_);
   const int life = static_cast<int>(journal_.lives.size()) - 1;
-  journal_.runs.push_back({request.request, key, links_.at(fd).types.at(request.route), life, now(), 0, result, true});
+  journal_.runs.push_back(
+      {request.request, key, links_.at(fd).types.at(request.route), life, now(), 0, result, true});
   loop_.after(options.takes, [this, here = here_, fd, serial, attempt, result] {
     if (*here) answer(fd, serial, attempt, wt::Result::kSucceeded, result);
   });
--- a/standins/planner.h
+++ b/standins/planner.h
@@ -10,18 +10,18 @@
 
 #include "journal.h"
 #include "loop.h"
-#include "tier/parts.h"
+#include "tier/slow_start_shares.h"
 #include "wire/tier.h"
 
 namespace damsonspoke::standins {
 
 enum class PlannerManner {
   kSound,
-  kMute,     // takes requests, answers pings, says nothing of requests, not even to a fence
-  kRejections,    // refuses everything
-  kHalf,     // sends the first half of its first answer and then nothing, ever
-  kLies,     // says that a fenced attempt never ran, and acks it all the same
-  kStranger  // answers attempts that it was never given, those on their way to it too, then what it was
+  kMute,        // takes requests, answers pings, says nothing of requests, not even to a fence
+  kRejections,  // refuses everything
+  kHalf,        // sends the first half of its first answer and then nothing, ever
+  kLies,        // says that a fenced attempt never ran, and acks it all the same
+  kStranger     // answers attempts that it was never given, those on their way to it too, then what it was
 };
 
 class Planner {
@@ -66,7 +66,7 @@
   };
   void hand_out();
   std::size_t open() const;
-  tier::Parts parts_;
+  tier::SlowStartShares parts_;
   std::size_t most_open_ = 0;
   std::shared_ptr<bool> here_ = std::make_shared<bool>(true);  // timers may outlive this
   Loop& loop_;
--- a/standins/rehearsal.cpp
+++ b/standins/rehearsal.cpp
@@ -139,8 +139,8 @@
 SiteSpec Rehearsal::site_of(const std::string& role, const std::string& name, std::size_t number) {
   SiteSpec site;
   for (const LoadRequest& request : script.requests)
-    site.types.push_back(
-        {request.name, request.idempotency, request.target, request.timeout, request.idempotency == "dedup" ? 20.0 : 0, request.priority_weight});
+    site.types.push_back({request.name, request.idempotency, request.target, request.timeout,
+                          request.idempotency == "dedup" ? 20.0 : 0, request.priority_weight});
   site.cores = script.cores;
   site.slow_start_speed = script.slow_start_speed;
   site.slow_start_seconds = script.slow_start_seconds;
@@ -553,8 +553,8 @@
   for (const LoadRequest& request : script.requests) {
     if (request.idempotency != "retryable") limits.keyed.push_back(request.name);
   }
-  // The stand-in keeps runs whose request has failed at a call, which the platform's runtime ends: with calls its
-  // count says nothing of the crowd.
+  // The stand-in keeps runs whose request has failed at a call, which the platform's runtime ends: with calls
+  // its count says nothing of the crowd.
   if (script.calls <= 0) limits.survivable = 8 * script.cores * std::max(script.relays, script.planners);
   out.verdict = check_rules(journal, limits);
   struct Thing {
@@ -600,7 +600,8 @@
   }
   out.served = asked > 0 ? served / asked : 0;
   out.served_last = asked_last > 0 ? served_last / asked_last : 0;
-  out.attempts_a_request = things.empty() ? 0 : static_cast<double>(tries) / static_cast<double>(things.size());
+  out.attempts_a_request =
+      things.empty() ? 0 : static_cast<double>(tries) / static_cast<double>(things.size());
 }
 
 }  // namespace damsonspoke::standins
--- a/standins/rehearsal.h
+++ b/standins/rehearsal.h
@@ -1,5 +1,6 @@
 // A rehearsal played: the processes of a script beside their stand-ins, with a faulty network between them;
-// every request recorded end to end; the four rules judged over the whole fleet, and whether service comes back.
+// every request recorded end to end; the four rules judged over the whole fleet, and whether service comes
+// back.
 #pragma once
 
 #include <functional>
--- a/standins/rehearsal_script.cpp
+++ b/standins/rehearsal_script.cpp
@@ -212,7 +212,8 @@
   if (s.relays > 0) out += fmt::format("    relays {}\n", s.relays);
   if (s.forwarders > 0) out += fmt::format("    forwarders {}\n    planners {}\n", s.forwarders, s.planners);
   out += fmt::format("    cores {}\n    work {}\n", s.cores, ms(s.work));
-  if (s.slow_start_seconds > 0) out += fmt::format("    cold {} {}\n", percent(s.slow_start_speed), ms(s.slow_start_seconds));
+  if (s.slow_start_seconds > 0)
+    out += fmt::format("    cold {} {}\n", percent(s.slow_start_speed), ms(s.slow_start_seconds));
   if (s.calls > 0)
     out += fmt::format("    calls {}\n    below {} {}\n", percent(s.calls), ms(s.below_takes), s.below_most);
   if (s.store) out += "    store on\n";
@@ -225,8 +226,8 @@
   }
   out += "load\n";
   for (const LoadRequest& request : s.requests)
-    out += fmt::format("    op {} {} {:.0f} {:.0f} {} {}\n", request.name, request.idempotency, request.per_s, request.priority_weight,
-                       ms(request.target), ms(request.timeout));
+    out += fmt::format("    op {} {} {:.0f} {:.0f} {} {}\n", request.name, request.idempotency, request.per_s,
+                       request.priority_weight, ms(request.target), ms(request.timeout));
   out += fmt::format("    retries {}\n    connections {}\n    pause {}\nfaults\n", s.retries, s.connections,
                      ms(s.pause));
   for (const FaultSpec& fault : s.faults) out += "    " + text_of(fault) + "\n";
--- a/standins/rehearsal_script.h
+++ b/standins/rehearsal_script.h
@@ -2,10 +2,9 @@
 // operators' file. Plain data; reading and writing it.
 //
 //   rehearsal                          fleet                     load
-//       name     planners_killed           forwarders 2              request       read retryable 90 1 500ms 1s
-//       seed     7                         planners   3              retries  2
-//       lasts    5s                        work       10ms           unmarked
-//       judged   1500ms 85%           faults
+//       name     planners_killed           forwarders 2              request       read retryable 90 1 500ms
+//       1s seed     7                         planners   3              retries  2 lasts    5s work 10ms
+//       unmarked judged   1500ms 85%           faults
 //                                          at 1s kill p1
 //                                          at 1500ms start p1
 //                                          at 2s cut f1 p2 for 1s
@@ -40,11 +39,11 @@
   double wanted = 0.85;  // of the same seconds of a calm play with the same seed
   int relays = 0, forwarders = 0, planners = 0;
   int cores = 2;
-  double work = 0.01;                   // core s of a run
+  double work = 0.01;                                   // core s of a run
   double slow_start_speed = 1, slow_start_seconds = 0;  // of its speed, s
-  double calls = 0;                     // share of runs that call below
-  double below_takes = 0.01;            // s
-  int below_most = 1 << 20;             // calls in hand at it
+  double calls = 0;                                     // share of runs that call below
+  double below_takes = 0.01;                            // s
+  int below_most = 1 << 20;                             // calls in hand at it
   bool store = false, members = false;  // results with a store; membership among all processes
   bool planners_told = false;           // forwarders hear of planners by members, not by a list
   std::vector<std::string> zones;       // that processes are dealt into in turn
--- a/standins/rules.cpp
+++ b/standins/rules.cpp
@@ -58,8 +58,8 @@
   for (const RunSeen& run : journal.runs) {
     const auto [at, fresh] = ran.emplace(run.request, run.life);
     if (fresh || at->second == run.life) continue;
-    runs.add(
-        fmt::format("rule 2: {} {:016x} ran in lives {} and {}", run.type, run.request, at->second, run.life));
+    runs.add(fmt::format("rule 2: {} {:016x} ran in lives {} and {}", run.type, run.request, at->second,
+                         run.life));
   }
   for (const auto& [request, t] : journal.tries) {
     for (const Answer& answer : t.answers) {
@@ -72,13 +72,14 @@
                          std::any_of(found->second.begin(), found->second.end(),
                                      [&](const RunSeen* run) { return run->result == answer.result; });
       if (!known)
-        wrong.add(fmt::format("rule 2: {} {:016x} was acked with what no run of its key made", t.type, request));
+        wrong.add(
+            fmt::format("rule 2: {} {:016x} was acked with what no run of its key made", t.type, request));
     }
   }
 }
 
-// Rules 2 and 3 where a request's number is the program's own: by key, of which there are no more runs than tries
-// that were not rejected, and none at all where each try came after the grace.
+// Rules 2 and 3 where a request's number is the program's own: by key, of which there are no more runs than
+// tries that were not rejected, and none at all where each try came after the grace.
 void unnumbered(const Journal& journal, const RuleLimits& limits, Verdict& verdict) {
   Told wrong(verdict, verdict.wrong_results);
   std::map<std::string, int> may_run, runs;
--- a/standins/runtime.cpp
+++ b/standins/runtime.cpp
@@ -38,7 +38,8 @@
 
 double Runtime::speed() const {
   if (options.slow_start_seconds <= 0) return 1;
-  return std::min(1.0, options.slow_start_speed + (1 - options.slow_start_speed) * (now() - began_) / options.slow_start_seconds);
+  return std::min(1.0, options.slow_start_speed +
+                           (1 - options.slow_start_speed) * (now() - began_) / options.slow_start_seconds);
 }
 
 void Runtime::new_life(int life) {
@@ -165,7 +166,8 @@
   for (auto& [request, run] : runs_) {
     if (run.at_call) continue;
     run.left -= dt * share * speed();
-    const double place = static_cast<double>(request % 1000) / 1000;  // the same request fares the same each time
+    const double place =
+        static_cast<double>(request % 1000) / 1000;  // the same request fares the same each time
     if (!run.called && place < options.calls && run.left < run.work / 2) {
       run.called = run.at_call = true;
       wanting.push_back(request);
--- a/standins/runtime.h
+++ b/standins/runtime.h
@@ -1,5 +1,6 @@
 // A runtime that does work: it runs what it is told to, shares its cores among what runs, and records every
-// run. The effect of a request counts from the start of its run. Its words are those of the runtime's protocol.
+// run. The effect of a request counts from the start of its run. Its words are those of the runtime's
+// protocol.
 #pragma once
 
 #include <cstdint>
@@ -19,8 +20,8 @@
     double work = 0.01;                          // core s of a run
     std::map<std::string, double> work_by_type;  // where a type's differs
     double fails = 0;                            // share of runs that end in error
-    double slow_start_speed = 1;                        // share of full speed with which a life begins
-    double slow_start_seconds = 0;                        // s until it is warm
+    double slow_start_speed = 1;                 // share of full speed with which a life begins
+    double slow_start_seconds = 0;               // s until it is warm
     double calls = 0;                            // share of runs that want a call below
     std::size_t result_bytes = 64;               // of a result
     double late = 0;                             // s after a link is made in which it is not up yet
--- a/standins/scripted_site.h
+++ b/standins/scripted_site.h
@@ -280,7 +280,7 @@
   }
   // A request whose txn is its number.
   void send_request(int fd, int id, const char* type = "push", const char* more = R"("ram":10,"limit":3000)",
-               const char* body = "Ym9keQ==") {
+                    const char* body = "Ym9keQ==") {
     char text[400];
     const double now =
         std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch()).count();
--- a/standins/silent_sink.h
+++ b/standins/silent_sink.h
@@ -19,9 +19,9 @@
   void forget(RequestId) override {}
   void join(RequestId) override {}
   void set_health(bool, bool) override {}
-  void announce(double) override {}
-  void close_idle(double) override {}
-  void wake_at(double, std::uint64_t) override {}
+  void publish_load_feedback(double) override {}
+  void set_idle_timeout(double) override {}
+  void schedule_wakeup(double, std::uint64_t) override {}
   void log(const std::string&) override {}
 };
 
--- a/tests/ajp.cpp
+++ b/tests/ajp.cpp
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "ajp_gateway.h"
-#include "conns/share.h"
+#include "conns/connection_quota.h"
 #include "settings/ajp_routes.h"
 
 using namespace damsonspoke;
@@ -266,7 +266,7 @@
 }
 
 void share() {
-  conns::Share one(100, {0.5, 0.25}, {0.01, 60});
+  conns::ConnectionQuota one(100, {0.5, 0.25}, {0.01, 60});
   const auto fill = [&](std::size_t front) {
     int count = 0;
     while (one.room(front)) one.opened(front), ++count;
@@ -296,9 +296,9 @@
   fmt::print("before it ends: {} and {}, again at {:.3f}\n", read(1, 9, 1.021), read(0, 9, 1.021),
              one.resume_at());
   fmt::print("the first rests, two periods on: {}\n", read(1, 1000, 1.05));
-  conns::Share small(2, {0.5, 0.25});
+  conns::ConnectionQuota small(2, {0.5, 0.25});
   fmt::print("two places: floors of {} and {}\n", small.floor(0), small.floor(1));
-  conns::Share least(1, {0.5, 0.25});
+  conns::ConnectionQuota least(1, {0.5, 0.25});
   fmt::print("one place: floors of {} and {}, room {} and {}\n", least.floor(0), least.floor(1),
              least.room(0), least.room(1));
 }
--- a/tests/ajp_below.cpp
+++ b/tests/ajp_below.cpp
@@ -1,7 +1,5 @@
 // Calls below by AJP against a scripted server on a bare socket: what each end of a call proves, and what a
 // server may not do. CTest compares with tests/traces/ajp_below.txt. usage: ajp_below
-#include "peers/ajp/dependency_client.h"
-
 #include <fmt/format.h>
 
 #include <csignal>
@@ -10,6 +8,7 @@
 
 #include "ajp_server.h"
 #include "loop.h"
+#include "peers/ajp/dependency_client.h"
 #include "stepped_reactor.h"
 
 using namespace damsonspoke;
@@ -40,7 +39,8 @@
     options.dependency = fmt::format("127.0.0.1:{}", server.port);
     options.below_uri = "/call";
     options.below_refuses = true;
-    dependency = std::make_unique<peers::AjpDependencyClient>(stepped.reactor, options, links, *this, counters, log);
+    dependency =
+        std::make_unique<peers::AjpDependencyClient>(stepped.reactor, options, links, *this, counters, log);
   }
   void on_call_ended(RequestId id, Outcome outcome, double, std::string_view reply) override {
     ends[id] =
--- a/tests/ajp_program.cpp
+++ b/tests/ajp_program.cpp
@@ -351,7 +351,8 @@
   say("much was nacked, nothing odd answered", rejected > 300 && failed == 0);
   say("most close-outs are served, by either front",
       succeeded[0][1] > 0.8 * asked[0][1] && succeeded[1][1] > 0.8 * asked[1][1]);
-  say("few reads are, by either front", succeeded[0][0] < 0.6 * asked[0][0] && succeeded[1][0] < 0.6 * asked[1][0]);
+  say("few reads are, by either front",
+      succeeded[0][0] < 0.6 * asked[0][0] && succeeded[1][0] < 0.6 * asked[1][0]);
   say("the reads that are served come by both", succeeded[0][0] > 10 && succeeded[1][0] > 80);
   say("all tries end", settled);
   say("leaves in order", play.server.leave());
--- a/tests/backend.h
+++ b/tests/backend.h
@@ -1,5 +1,5 @@
-// The one helper of the tests: a Host that prints what it is told, and a hand on a AdmissionController's clock and
-// events.
+// The one helper of the tests: a Host that prints what it is told, and a hand on a AdmissionController's
+// clock and events.
 #pragma once
 
 #include <cstdarg>
@@ -47,7 +47,7 @@
       const auto [at, token] = *wakes_.begin();
       wakes_.erase(wakes_.begin());
       now_ = std::max(now_, at);
-      controller_.on_wake(now_, token, gauges);
+      controller_.on_timer(now_, token, gauges);
     }
     now_ = time;
   }
@@ -75,7 +75,7 @@
     static const char* const kNames[] = {"ok",          "error", "refused",   "timeout",
                                          "unreachable", "reset", "cancelled", "moot"};
     if (!quiet_) say("-- run of %d ends: %s", static_cast<int>(id), kNames[static_cast<int>(outcome)]);
-    controller_.on_run_end(now_, id, outcome, 0);
+    controller_.on_run_finished(now_, id, outcome, 0);
   }
   void needs_call(RequestId id) {
     if (!quiet_) say("-- %d needs a call", static_cast<int>(id));
@@ -83,15 +83,15 @@
   }
   void call_ends(RequestId id, Outcome outcome) {
     if (!quiet_) say("-- call of %d ends: outcome %d", static_cast<int>(id), static_cast<int>(outcome));
-    controller_.on_call_end(now_, id, outcome, 0);
+    controller_.on_call_finished(now_, id, outcome, 0);
   }
   void gone(RequestId id) {
     say("-- caller of %d has gone", static_cast<int>(id));
-    controller_.on_gone(now_, id);
+    controller_.on_caller_gone(now_, id);
   }
   void leave(double left) {
     say("-- notice to leave, stop in %.1f s", left);
-    controller_.on_leave(now_, left);
+    controller_.on_drain(now_, left);
   }
   void quiet(bool on) { quiet_ = on; }
   void pool() { say("pool in use: %.0f kB", controller_.pool_in_use()); }
@@ -101,7 +101,7 @@
     quiet_ = true;
     controller_.on_request(now_, request(id, type));
     until(now_ + run_time);
-    controller_.on_run_end(now_, id, Outcome::kOk, 0);
+    controller_.on_run_finished(now_, id, Outcome::kOk, 0);
     quiet_ = false;
     say("(type %d has been seen to run %.1f s)", type, run_time);
   }
@@ -111,7 +111,7 @@
   void reject(RequestId id, double retry_after, bool no_retry) override {
     const char* when = retry_after >= settings_.max_retry_after / 2 ? ", come back much later"
                        : retry_after > 0                            ? ", come back later"
-                                                                     : "";
+                                                                    : "";
     if (!quiet_) say("nack %d%s%s", static_cast<int>(id), when, no_retry ? ", not elsewhere" : "");
   }
   void fail(RequestId id) override { act("fail", id); }
@@ -125,9 +125,9 @@
   void forget(RequestId id) override { act("forget", id); }
   void join(RequestId id) override { act("join", id); }
   void set_health(bool good, bool) override { say("health %s", good ? "good" : "bad"); }
-  void announce(double value) override { say("announce %.2f", value); }
-  void close_idle(double after) override { say("close connections idle for %.2f s", after); }
-  void wake_at(double time, std::uint64_t token) override { wakes_.emplace(time, token); }
+  void publish_load_feedback(double value) override { say("announce %.2f", value); }
+  void set_idle_timeout(double after) override { say("close connections idle for %.2f s", after); }
+  void schedule_wakeup(double time, std::uint64_t token) override { wakes_.emplace(time, token); }
   void log(const std::string& line) override { say("log: %s", line.c_str()); }
 
   Gauges gauges;
--- a/tests/catalog.cpp
+++ b/tests/catalog.cpp
@@ -56,7 +56,7 @@
   std::function<void()> at_second;       // before the second piece of a file
 
   void request(const std::string& name, std::uint64_t offset, std::size_t most) override {
-    Piece piece;
+    FileChunk piece;
     if (offset > 0 && at_second) std::exchange(at_second, nullptr)();
     most_asked = std::max(most_asked, most);
     const auto found = files.find(name);
@@ -69,15 +69,16 @@
     }
     piece_ = std::move(piece);
   }
-  std::optional<Piece> take() override { return std::exchange(piece_, std::nullopt); }
+  std::optional<FileChunk> take() override { return std::exchange(piece_, std::nullopt); }
 
  private:
-  std::optional<Piece> piece_;
+  std::optional<FileChunk> piece_;
 };
 
 std::string snapshot_of(Version version, HistoryDigest history, const std::string& lines,
                         std::uint64_t routes, std::uint64_t tenants) {
-  return store::seal(kSnapshotForm, encode_header(SnapshotHeader{version, history, routes, tenants}) + lines);
+  return store::add_checksum(kSnapshotForm,
+                             encode_header(SnapshotHeader{version, history, routes, tenants}) + lines);
 }
 
 // A backend's catalog, and the files that it follows.
@@ -92,7 +93,7 @@
   std::uint64_t written = 0;  // its last change
 
   void append(const std::string& lines, std::uint64_t epoch = 1) {
-    source.files[kChangesFile].bytes += seal_span(epoch, written + 1, history, lines);
+    source.files[kChangesFile].bytes += encode_batch(epoch, written + 1, history, lines);
     written += static_cast<std::uint64_t>(std::count(lines.begin(), lines.end(), '\n'));
   }
   void read() {
@@ -106,7 +107,7 @@
                 static_cast<int>(catalog.route_count()), static_cast<int>(catalog.tenant_count()),
                 catalog.total_quota_per_second(), catalog.highest_priority_weight());
     for (const FollowerMessage& message : follower.take_messages())
-      if (message.trouble) std::printf("    %s\n", message.text.c_str());
+      if (message.is_error) std::printf("    %s\n", message.text.c_str());
   }
 };
 
@@ -164,11 +165,14 @@
                                                        catalog.tenant(b).quota_per_second == 7);
   say("the sum follows", catalog.total_quota_per_second() == 17);
   catalog.apply(RemoveTenant{"b"});
-  say("removed", catalog.find_tenant("b") == -1 && catalog.total_quota_per_second() == 10 && catalog.tenant_count() == 1);
+  say("removed", catalog.find_tenant("b") == -1 && catalog.total_quota_per_second() == 10 &&
+                     catalog.tenant_count() == 1);
   catalog.apply(tenant("c", 1));
-  say("its position goes to another life", catalog.find_tenant("c") == b && catalog.tenant(b).generation != generation);
+  say("its position goes to another life",
+      catalog.find_tenant("c") == b && catalog.tenant(b).generation != generation);
   catalog.apply(tenant("b", 5));
-  say("one that comes back has a new life", catalog.tenant(catalog.find_tenant("b")).generation > generation + 1);
+  say("one that comes back has a new life",
+      catalog.tenant(catalog.find_tenant("b")).generation > generation + 1);
   catalog.apply(route("important", 0.4, 9));
   say("the most important follows", catalog.highest_priority_weight() == 9);
   catalog.apply(route("important", 0.4, 2));
@@ -275,14 +279,14 @@
   std::string all = lines_of_changes({route("r"), tenant("a", 10), tenant("b", 5)});
   MemorySource::File& file = f.source.files[kChangesFile];
   const std::size_t before = file.bytes.size();
-  file.bytes = seal_span(1, 1, history, all);
+  file.bytes = encode_batch(1, 1, history, all);
   f.tell("shorter, and older");
   const Version now = f.catalog.version();
   HistoryDigest known = f.catalog.history();
   const std::uint64_t written = f.written;
   all.clear();
   for (int i = 0; i < 40; ++i) all += encode_change(tenant("n" + std::to_string(i), 1));
-  file.bytes = seal_span(2, written + 1, known, all);
+  file.bytes = encode_batch(2, written + 1, known, all);
   say("longer than what was read", file.bytes.size() > before && now.sequence == written);
   f.written += 40;
   f.history = known;
@@ -349,10 +353,11 @@
   f->source.files[kChangesFile].bytes.back() ^= 1;
   f->tell("a flipped bit");
   f = begun();
-  f->source.files[kChangesFile].bytes += store::seal(kSpanForm + 1, "x");
+  f->source.files[kChangesFile].bytes += store::add_checksum(kBatchForm + 1, "x");
   f->tell("a newer form");
   f = begun();
-  f->source.files[kChangesFile].bytes += store::seal(kSpanForm, std::string(kMostSpan + 1, 'x'));
+  f->source.files[kChangesFile].bytes +=
+      store::add_checksum(kBatchForm, std::string(kMaxBatchBytes + 1, 'x'));
   f->tell("too long");
   for (const char* content : {"", "x\n", R"({"epoch":1,"first":3,"last":2,"before":"0","after":"0"}
 )",
@@ -360,21 +365,21 @@
 {}
 )"}) {
     f = begun();
-    f->source.files[kChangesFile].bytes += store::seal(kSpanForm, content);
+    f->source.files[kChangesFile].bytes += store::add_checksum(kBatchForm, content);
     f->tell("a bad span");
   }
   f = begun();
   HistoryDigest next = f->history;
-  const std::string whole_span = seal_span(1, 3, next, lines_of_changes({tenant("b", 1)}));
+  const std::string whole_span = encode_batch(1, 3, next, lines_of_changes({tenant("b", 1)}));
   f->source.files[kChangesFile].bytes +=
-      store::seal(kSpanForm, whole_span.substr(store::kSealHeadBytes) + "{");
+      store::add_checksum(kBatchForm, whole_span.substr(store::kChecksumHeaderBytes) + "{");
   f->tell("a line without end");
   f = begun();
-  std::string changed = seal_span(1, 3, f->history, lines_of_changes({tenant("b", 1)}));
-  changed = changed.substr(store::kSealHeadBytes);
+  std::string changed = encode_batch(1, 3, f->history, lines_of_changes({tenant("b", 1)}));
+  changed = changed.substr(store::kChecksumHeaderBytes);
   const std::size_t at = changed.find("\"b\"");
   changed[at + 1] = 'z';
-  f->source.files[kChangesFile].bytes += store::seal(kSpanForm, changed);
+  f->source.files[kChangesFile].bytes += store::add_checksum(kBatchForm, changed);
   f->tell("changes that are not those of the header");
 }
 
@@ -420,8 +425,9 @@
   given("a removal", snapshot_of({1, 20}, 5, entries + lines_of_changes({RemoveTenant{"a"}}), 2, 2));
   given("no route", snapshot_of({1, 20}, 5, lines_of_changes({tenant("a", 1)}), 0, 1));
   given("no end", snapshot_of({1, 20}, 5, entries + "{", 2, 2));
-  given("a line without end", store::seal(kSnapshotForm, encode_header(SnapshotHeader{{1, 20}, 5, 2, 2}) +
-                                                             entries + std::string(200000, 'x')));
+  given("a line without end",
+        store::add_checksum(kSnapshotForm, encode_header(SnapshotHeader{{1, 20}, 5, 2, 2}) + entries +
+                                               std::string(200000, 'x')));
   // Replaced between two pieces: by another file, or by one of another size.
   std::string many = entries;
   for (int i = 0; i < 90; ++i)
@@ -435,8 +441,8 @@
     };
     f.tell(other ? "replaced while it is read" : "longer while it is read");
   }
-  given("no header", store::seal(kSnapshotForm, "x\n"));
-  given("a span in its place", store::seal(kSpanForm, "x\n"));
+  given("no header", store::add_checksum(kSnapshotForm, "x\n"));
+  given("a span in its place", store::add_checksum(kBatchForm, "x\n"));
   given("nothing", "");
   given("sound at last", newer);
   f.source.files.erase(kChangesFile);
@@ -498,7 +504,7 @@
   HistoryDigest history = 1;
   std::string lines;
   for (int i = 0; i < 1000; ++i) lines += encode_change(tenant("tenant-" + std::to_string(i), 2));
-  source.files[kChangesFile].bytes = seal_span(1, 2, history, lines);
+  source.files[kChangesFile].bytes = encode_batch(1, 2, history, lines);
   follower.follow();
   while (follower.step(0.002) != Follower::State::kIdle) {
     most = std::max<std::size_t>(most, follower.counts().applied - before);
@@ -507,18 +513,18 @@
   say("a thousand changes, few in a step", follower.counts().applied == 1000 && most <= 64);
   follower.follow();
   follower.step(0);  // the end of the file is on its way, as it was
-  source.files[kChangesFile].bytes += seal_span(1, 1002, history, encode_change(tenant("tenant-1", 3)));
+  source.files[kChangesFile].bytes += encode_batch(1, 1002, history, encode_change(tenant("tenant-1", 3)));
   follower.follow();
   while (follower.step(1) != Follower::State::kIdle) continue;
   say("asked again while it reads: once more afterwards", follower.counts().applied == 1001);
-  say("pieces of files are small", source.most_asked <= kMostSpan + store::kSealHeadBytes);
+  say("pieces of files are small", source.most_asked <= kMaxBatchBytes + store::kChecksumHeaderBytes);
 }
 
 // A host that only notes how each request was answered.
 struct NotingHost : standins::SilentSink {
   void reject(RequestId id, double, bool) override { answers[id] = "rejected"; }
   void fail(RequestId id) override { answers[id] = "failed"; }
-  void wake_at(double, std::uint64_t token) override { wake = token; }
+  void schedule_wakeup(double, std::uint64_t token) override { wake = token; }
 
   std::map<RequestId, std::string> answers;
   std::uint64_t wake = 0;
@@ -545,24 +551,25 @@
   Request request;
   request.route = position;
   request.size_kb = 1;
-  for (request.id = 1; request.id <= 9; ++request.id) controller.on_request(0.1, request);  // eight run, the ninth is held
-  catalog.apply(route("r", 1));                                 // may be repeated, from now on
-  controller.on_wake(2, host.wake, {});
+  for (request.id = 1; request.id <= 9; ++request.id)
+    controller.on_request(0.1, request);  // eight run, the ninth is held
+  catalog.apply(route("r", 1));           // may be repeated, from now on
+  controller.on_timer(2, host.wake, {});
   std::printf("a held one that was not to be repeated when it was read: %s\n", host.answers[9].c_str());
   request.id = 10;
   controller.on_request(2, request);
-  controller.on_wake(4, host.wake, {});
+  controller.on_timer(4, host.wake, {});
   std::printf("one that came after the change: %s\n", host.answers[10].c_str());
   catalog.apply(RemoveRoute{"r"});
   catalog.apply(route("new", 1));
   say("another route has its position", catalog.find_route("new") == position);
   request.id = 11;
   controller.on_request(4, request);
-  controller.on_run_end(4.1, 1, Outcome::kOk, 0);
-  controller.on_run_end(4.1, 2, Outcome::kOk, 0);
+  controller.on_run_finished(4.1, 1, Outcome::kOk, 0);
+  controller.on_run_finished(4.1, 2, Outcome::kOk, 0);
   say("runs of the one that went teach nothing of it", values_learned(controller, position) == 0);
-  for (RequestId id = 3; id <= 8; ++id) controller.on_run_end(4.2, id, Outcome::kOk, 0);
-  controller.on_run_end(4.3, 11, Outcome::kOk, 0);
+  for (RequestId id = 3; id <= 8; ++id) controller.on_run_finished(4.2, id, Outcome::kOk, 0);
+  controller.on_run_finished(4.3, 11, Outcome::kOk, 0);
   say("its own do", values_learned(controller, position) == 1);
   say("nothing is charged in the end", controller.pool_in_use() == 0);
 }
@@ -677,11 +684,11 @@
     std::ofstream(file, std::ios::binary) << whole.substr(0, size);
     const Loaded loaded = load_folder(folder, limits);
     const std::uint64_t sequence = loaded.catalog->version().sequence;
-    prefixes = prefixes && loaded.refusals.empty() && (sequence == 1 || sequence == 2);
+    prefixes = prefixes && loaded.rejected_changes.empty() && (sequence == 1 || sequence == 2);
     if (size % 16 != 0) continue;
     append_changes(folder, 1, lines_of_changes({tenant("e", 1)}), limits);
     const Loaded next = load_folder(folder, limits);
-    goes_on = goes_on && next.refusals.empty() && next.catalog->version().sequence == sequence + 1;
+    goes_on = goes_on && next.rejected_changes.empty() && next.catalog->version().sequence == sequence + 1;
   }
   say("cut at any byte: the whole spans are in force, nothing is refused", prefixes);
   say("and the next one goes on behind them", goes_on);
@@ -691,7 +698,7 @@
   const Loaded again = load_folder(folder, limits);
   say("a snapshot of what is there is the same", lines_of(*again.catalog) == lines_of(*loaded.catalog) &&
                                                      again.catalog->version() == loaded.catalog->version() &&
-                                                     again.refusals.empty());
+                                                     again.rejected_changes.empty());
   try {
     append_changes(folder, 0, lines_of_changes({tenant("x", 1)}), limits);
     std::printf("NO\n");
--- a/tests/catalog_program.cpp
+++ b/tests/catalog_program.cpp
@@ -49,9 +49,9 @@
   }
   // Prints so many refusals, then waits until all of this reading is done: a signal that comes while files
   // are read has them read once more, and their refusals told once more.
-  void follow_with_refusals(int refusals) {
+  void follow_with_refusals(int rejected_changes) {
     signal(SIGHUP);
-    for (int i = 0; i < refusals; ++i) {
+    for (int i = 0; i < rejected_changes; ++i) {
       const std::string line = expect_log("catalog: ");
       std::printf("log: %s\n", line.substr(std::min(line.size(), line.find("catalog: "))).c_str());
     }
@@ -98,14 +98,15 @@
   site.counters({"ops.read", "ops.acked", "bad.types", "bad.params", "catalog.applied", "catalog.refused"});
 }
 
-// Open requests end under what they began with: a timeout that shrinks, a route that goes, a name that comes back
-// as something else.
+// Open requests end under what they began with: a timeout that shrinks, a route that goes, a name that comes
+// back as something else.
 void open() {
   CatalogSite site;
   site.comes_up();
   const int caller = site.connect();
   site.change({route("extra", 3)});
-  for (int id = 1; id <= 3; ++id) site.send_request(caller, id, "extra", R"("ram":10)");  // two run, one is held
+  for (int id = 1; id <= 3; ++id)
+    site.send_request(caller, id, "extra", R"("ram":10)");  // two run, one is held
   site.runtime_hears(3);
   site.change({route("extra", 0.3)});
   site.pause(0.6);
@@ -141,7 +142,7 @@
   site.follow_with_refusals(1);
   HistoryDigest history = 1;
   std::ofstream(site.folder() + "/" + kChangesFile, std::ios::app)
-      << seal_span(1, 90, history, lines_of_changes({route("four", 3)}));
+      << encode_batch(1, 90, history, lines_of_changes({route("four", 3)}));
   site.follow_with_refusals(1);
   std::ofstream(site.folder() + "/" + kSnapshotFile) << "DSPKFILE and then nothing of use";
   site.follow_with_refusals(2);  // and the gap once more
--- a/tests/cold_calls.cpp
+++ b/tests/cold_calls.cpp
@@ -88,7 +88,7 @@
     while (!wakes_.empty() && wakes_.begin()->first <= now) {
       const auto [at, token] = *wakes_.begin();
       wakes_.erase(wakes_.begin());
-      controller_->on_wake(now, token, {});
+      controller_->on_timer(now, token, {});
     }
     for (owed_ += arrivals * kStep * 2 * chance.next(); owed_ >= 1; owed_ -= 1) {
       Request request;
@@ -98,7 +98,7 @@
       controller_->on_request(now, request);
     }
     for (const RequestId id : due(runs_)) controller_->on_call_needed(now, id);
-    for (const RequestId id : due(rests_)) controller_->on_run_end(now, id, Outcome::kOk, 0.02);
+    for (const RequestId id : due(rests_)) controller_->on_run_finished(now, id, Outcome::kOk, 0.02);
     std::vector<std::pair<RequestId, Outcome>> over;
     for (auto it = calls_.begin(); it != calls_.end();) {
       if (it->second.first > now) {
@@ -110,7 +110,7 @@
     }
     for (const auto& [id, outcome] : over) {
       if (outcome == Outcome::kOk) rests_.emplace(id, now + 0.01);
-      controller_->on_call_end(now, id, outcome, 0);
+      controller_->on_call_finished(now, id, outcome, 0);
     }
   }
   // The layer's view: what each call keeps in its hands, from when to when.
@@ -143,7 +143,7 @@
       calls.push_back({now_, now_ + takes + (outcome == Outcome::kTimeout ? kLinger : 0), id, false});
   }
   void skip_call(RequestId id) override { rests_.emplace(id, now_ + 0.01); }
-  void wake_at(double time, std::uint64_t token) override { wakes_.emplace(time, token); }
+  void schedule_wakeup(double time, std::uint64_t token) override { wakes_.emplace(time, token); }
 
   // Runs that were stopped or stood at a call end on the next step.
   void settle(double now) {
@@ -152,7 +152,7 @@
     for (const RequestId id : over) {
       runs_.erase(id);
       rests_.erase(id);
-      controller_->on_run_end(now, id, Outcome::kCancelled, 0);
+      controller_->on_run_finished(now, id, Outcome::kCancelled, 0);
     }
   }
 
--- a/tests/cold_parts.cpp
+++ b/tests/cold_parts.cpp
@@ -15,9 +15,9 @@
 #include "forwarder.h"
 #include "planner.h"
 #include "scenarios.h"
-#include "tier/parts.h"
+#include "tier/concurrency_windows.h"
 #include "tier/picker.h"
-#include "tier/windows.h"
+#include "tier/slow_start_shares.h"
 
 using namespace damsonspoke;
 using namespace damsonspoke::standins;
@@ -37,7 +37,7 @@
 
   void play(double seconds) {
     for (now_ = 0; now_ < seconds; now_ += kStep) {
-      budget_ = tier::cold_budget(kCores, kFrom, cold_time_, now_);
+      budget_ = tier::slow_start_budget(kCores, kFrom, cold_time_, now_);
       come_and_go();
       planner_looks();
       hear();
@@ -64,8 +64,8 @@
     std::uint64_t forwarder = 0;
     double comes = 0, ends = 0;
   };
-  static tier::PickerTerms terms() {
-    tier::PickerTerms terms;
+  static tier::PickerOptions terms() {
+    tier::PickerOptions terms;
     terms.rejection_rest = 0.25;  // as forwarders have it
     return terms;
   }
@@ -129,14 +129,16 @@
       if (a.ends > now_) return false;
       const auto found = forwarders_.find(a.forwarder);
       if (found != forwarders_.end())
-        found->second->picker.ended(0, rejections_ ? tier::Ended::kRejected : tier::Ended::kServed, 0.1, now_);
+        found->second->picker.ended(
+            0, rejections_ ? tier::AttemptOutcome::kRejected : tier::AttemptOutcome::kServed, 0.1, now_);
       return true;
     });
   }
   void judge() {
     // Nacked at once, an attempt still counts for the quarter of a second in which its room rests.
     std::erase_if(came_, [&](double at) { return at < now_ - 0.25; });
-    const double open = rejections_ ? static_cast<double>(came_.size()) : static_cast<double>(attempts_.size());
+    const double open =
+        rejections_ ? static_cast<double>(came_.size()) : static_cast<double>(attempts_.size());
     worst_over = std::max(worst_over, open - budget_);
     worst_chance = std::max(worst_chance, open - budget_ - chance_over(budget_));
   }
@@ -147,7 +149,7 @@
   const double cold_time_;  // s
   double now_ = 0, budget_ = 0, next_look_ = 0;
   std::uint64_t next_ = 1;
-  tier::Parts parts_;
+  tier::SlowStartShares parts_;
   std::map<std::uint64_t, std::unique_ptr<Forwarder>> forwarders_;
   std::vector<Attempt> attempts_;
   std::vector<double> came_;
@@ -174,7 +176,8 @@
         fmt::print(
             "cold for {:.0f} s, {} forwarders, {}: within the budget{}: {}; nobody without for 6 s: {}; "
             "used: {}\n",
-            slow_start_seconds, forwarders, rejections ? "all nacked" : "all served", rejections ? " and chance" : "",
+            slow_start_seconds, forwarders, rejections ? "all nacked" : "all served",
+            rejections ? " and chance" : "",
             told((rejections ? beyond : over) <= 0, rejections ? beyond : over), told(none < 6, none),
             told(least > 100, static_cast<double>(least)));
       }
@@ -185,7 +188,7 @@
 // Forwarders that come back under new lives without end leave nothing behind, warm or cold.
 void lives() {
   for (const bool cold : {false, true}) {
-    tier::Windows windows({2, 0.2, 1e9});
+    tier::ConcurrencyWindows windows({2, 0.2, 1e9});
     windows.began(cold, 0);
     std::size_t most = 0;
     for (std::uint64_t life = 1; life <= 10000; ++life) {
@@ -238,7 +241,8 @@
     say(fmt::format("{}: open at once within {} and chance",
                     manner == PlannerManner::kRejections ? "all nacked" : "all served", kBudget),
         static_cast<double>(planner.most_open()) <= kBudget + chance_over(kBudget));
-    // A rejected attempt keeps its room for a quarter of a second: four times the budget a second, and chance.
+    // A rejected attempt keeps its room for a quarter of a second: four times the budget a second, and
+    // chance.
     if (manner == PlannerManner::kRejections)
       say("sent within four budgets a second and chance", a_second <= 4 * kBudget + chance_over(4 * kBudget));
     say("every one of them has sent some", planner.fewest_sent() >= 1);
@@ -280,7 +284,7 @@
         if (links[i]->window > 0) had.insert(i);
       }
       const double age = now() - began;
-      const double budget = damsonspoke::tier::cold_budget(spec.cores, kFrom, kTime, age + 0.5);
+      const double budget = damsonspoke::tier::slow_start_budget(spec.cores, kFrom, kTime, age + 0.5);
       if (age < kTime - 0.5) over = std::max(over, sum - budget - chance_over(budget));
     }
   };
--- a/tests/compatibility/stored_files_test.cpp
+++ b/tests/compatibility/stored_files_test.cpp
@@ -8,12 +8,12 @@
 #include <sstream>
 
 #include "catalog/files.h"
-#include "conns/known_record.h"
-#include "knowledge/keeper.h"
+#include "conns/known_clients_record.h"
 #include "results/database.h"
-#include "store/disk.h"
-#include "store/sealed_file.h"
-#include "tier/lists_record.h"
+#include "statistics/statistics_store.h"
+#include "store/checksummed_file.h"
+#include "store/file_system.h"
+#include "tier/endpoint_list_history.h"
 
 using namespace damsonspoke;
 
@@ -31,10 +31,10 @@
   void TearDown() override { std::filesystem::remove_all(folder_); }
   std::string path(const std::string& name) const { return (folder_ / name).string(); }
 
-  store::Sealed read_sealed(const std::string& folder, const std::string& name, std::uint32_t form,
-                            std::size_t most_bytes) {
-    const std::unique_ptr<store::Disk> disk = store::open_folder(path(folder));
-    return store::SealedFile(*disk, name, form, most_bytes).read().newest;
+  store::ChecksummedContent read_sealed(const std::string& folder, const std::string& name,
+                                        std::uint32_t form, std::size_t most_bytes) {
+    const std::unique_ptr<store::FileSystem> disk = store::open_folder(path(folder));
+    return store::ChecksummedFile(*disk, name, form, most_bytes).read().newest;
   }
 
   std::filesystem::path folder_;
@@ -68,13 +68,13 @@
 }
 
 TEST_F(StoredFiles, LearnedStatisticsAreReadWhole) {
-  const std::unique_ptr<store::Disk> disk = store::open_folder(path("knowledge"));
-  const knowledge::Reading reading = knowledge::Folder(*disk).read();
+  const std::unique_ptr<store::FileSystem> disk = store::open_folder(path("knowledge"));
+  const statistics::Reading reading = statistics::StatisticsFolder(*disk).read();
   EXPECT_EQ(reading.problem, "");
   EXPECT_EQ(reading.starts, 0);
   EXPECT_FALSE(reading.older);
   ASSERT_TRUE(reading.record.has_value());
-  const knowledge::Record& record = *reading.record;
+  const statistics::StatisticsRecord& record = *reading.record;
   EXPECT_EQ(record.written, 1764700000.25);
   EXPECT_EQ(record.lived, 3600.5);
   EXPECT_EQ(record.site, "relay-1");
@@ -99,8 +99,9 @@
 }
 
 TEST_F(StoredFiles, KnownClientsAreReadWhole) {
-  const store::Sealed sealed = read_sealed("clients", "clients", conns::kKnownForm, conns::kMostKnownBytes);
-  ASSERT_EQ(sealed.problem, store::SealProblem::kNone);
+  const store::ChecksummedContent sealed =
+      read_sealed("clients", "clients", conns::kKnownForm, conns::kMostKnownBytes);
+  ASSERT_EQ(sealed.problem, store::ChecksumProblem::kNone);
   const std::optional<std::vector<conns::KnownClient>> clients = conns::decode_known(sealed.content);
   ASSERT_TRUE(clients.has_value());
   ASSERT_EQ(clients->size(), 2u);
@@ -115,9 +116,10 @@
 }
 
 TEST_F(StoredFiles, PlannerListsAreReadWhole) {
-  const store::Sealed sealed = read_sealed("planners", "planners", tier::kListsForm, tier::kMostListsBytes);
-  ASSERT_EQ(sealed.problem, store::SealProblem::kNone);
-  const std::optional<tier::ListsRecord> lists = tier::decode_lists(sealed.content);
+  const store::ChecksummedContent sealed =
+      read_sealed("planners", "planners", tier::kEndpointListHistoryForm, tier::kMaxEndpointListHistoryBytes);
+  ASSERT_EQ(sealed.problem, store::ChecksumProblem::kNone);
+  const std::optional<tier::EndpointListHistory> lists = tier::decode_endpoint_list_history(sealed.content);
   ASSERT_TRUE(lists.has_value());
   EXPECT_EQ(lists->in_force, (std::vector<std::string>{"127.0.0.1:7001", "127.0.0.1:7002"}));
   ASSERT_EQ(lists->former.size(), 1u);
@@ -127,7 +129,7 @@
 
 TEST_F(StoredFiles, CatalogSnapshotAndChangesAreReadWhole) {
   const catalog::Loaded loaded = catalog::load_folder(path("catalog"), {64, 64, true});
-  EXPECT_TRUE(loaded.refusals.empty());
+  EXPECT_TRUE(loaded.rejected_changes.empty());
   EXPECT_EQ(loaded.catalog->version(), (catalog::Version{3, 12}));
   EXPECT_EQ(loaded.catalog->history(), 0x809ad23af1326f82u);
   EXPECT_EQ(
--- a/tests/compatibility/wire_messages_test.cpp
+++ b/tests/compatibility/wire_messages_test.cpp
@@ -7,9 +7,9 @@
 #include "control/lines.h"
 #include "recorded_messages.h"
 #include "wire/ajp.h"
-#include "wire/below_lines.h"
+#include "wire/dependency_lines.h"
 #include "wire/members.h"
-#include "wire/roster_report.h"
+#include "wire/registry_report.h"
 #include "wire/rpc.h"
 #include "wire/runtime_lines.h"
 #include "wire/tier.h"
@@ -163,7 +163,7 @@
   const std::map<std::string, CallEnd> ends = {
       {"ok", CallEnd::kOk},           {"overload", CallEnd::kRefused},
       {"internal", CallEnd::kFailed}, {"deadline", CallEnd::kTimedOut},
-      {"stale", CallEnd::kObsolete},      {"other", CallEnd::kUnknown}};
+      {"stale", CallEnd::kObsolete},  {"other", CallEnd::kUnknown}};
   for (const auto& [name, end] : ends) {
     const ReplyRead read = next_reply(recorded.at(name));
     EXPECT_EQ(read.state, LineState::kLine) << name;
@@ -318,7 +318,8 @@
   record.condition = members::Condition::kSuspected;
   record.address = "127.0.0.1:7000";
   record.pause_ms = 120;
-  record.told = {3, "relay", "north", "0.3.0", 8, 0xdef, 12, 640, 7, members::DependencyState::kSlow, "127.0.0.1:7100"};
+  record.told = {
+      3, "relay", "north", "0.3.0", 8, 0xdef, 12, 640, 7, members::DependencyState::kSlow, "127.0.0.1:7100"};
   record.told_age_ms = 900;
   record.by = {"relay-2", "relay-3"};
   record.heard = 99;
--- a/tests/conns.cpp
+++ b/tests/conns.cpp
@@ -13,9 +13,9 @@
 #include <string>
 #include <vector>
 
-#include "conns/byte_pace.h"
-#include "conns/gate.h"
-#include "conns/known_record.h"
+#include "conns/connection_limiter.h"
+#include "conns/known_clients_record.h"
+#include "conns/minimum_byte_rate.h"
 #include "gate_flood.h"
 
 using namespace damsonspoke::conns;
@@ -117,9 +117,9 @@
 }
 
 void known() {
-  KnownTerms terms;
+  KnownClientsOptions terms;
   terms.needed = 4, terms.lasts = 100, terms.entries = 3;
-  Known known(terms);
+  KnownClients known(terms);
   const auto client = [](unsigned n) { return client_of(v4(10, 0, 0, n)); };
   double now = kUnix;
   const auto tell = [&](const char* what) {
@@ -159,7 +159,7 @@
   all.push_back({client(9), -1, now, true});               // senseless
   all.push_back({{v4(10, 0, 0, 10), 100}, 4, now, true});  // no such prefix
   all.push_back({client(11), 1, now, true});               // says that it is known, and has earned nothing
-  Known next(terms);
+  KnownClients next(terms);
   all.push_back({client(12), 4, std::nan(""), true});
   all.push_back({client(13), 2.5, now, true});  // has lost some of what it earned, and kept its standing
   std::printf("an heir takes %zu of %zu, of whom are known", next.begin_with(all, now), all.size());
@@ -183,7 +183,7 @@
       spoilt[random() % spoilt.size()] = static_cast<char>(random());
     const auto clients = decode_known(spoilt);
     if (!clients) continue;
-    Known heir(terms);
+    KnownClients heir(terms);
     heir.begin_with(*clients, now);
     for (const KnownClient& one : heir.all())
       spoilt_known += !std::isfinite(one.earned) || one.earned > 8 || one.last > now || now - one.last > 100;
@@ -192,8 +192,8 @@
 }
 
 void pace() {
-  const ByteTerms terms{0.5, 1000};
-  BytePace pace;
+  const MinimumByteRateOptions terms{0.5, 1000};
+  MinimumByteRate pace;
   std::printf("not begun: %d\n", pace.too_slow(9, 0, terms));
   pace.begin(1, 100);
   std::printf("in the grace: %d, after it with nothing: %d, with enough: %d, one short: %d\n",
@@ -205,7 +205,7 @@
 
 // ---- The gate, told step by step.
 struct Told {
-  explicit Told(GateTerms terms, std::size_t total, std::vector<double> floors = {1})
+  explicit Told(ConnectionLimiterOptions terms, std::size_t total, std::vector<double> floors = {1})
       : share(total, floors), known({7 * 86400, 2, 64}), gate(std::move(terms), share, known) {}
   // One connection; who is shed goes at once.
   ConnId comes(const Address& from, std::size_t front = 0, bool scarce = false) {
@@ -237,15 +237,15 @@
   void is_of_use(ConnId id, double priority_weight) {
     gate.asked(id, now), gate.succeeded(id, priority_weight, now, kUnix + now);
   }
-  Share share;
-  Known known;
-  Gate gate;
+  ConnectionQuota share;
+  KnownClients known;
+  ConnectionLimiter gate;
   double now = 10;
   ConnId last = 0;
 };
 
 void steps() {
-  GateTerms terms;
+  ConnectionLimiterOptions terms;
   terms.address_burst = 100, terms.network_burst = 1000, terms.strangers_burst = 1000;
   {
     std::printf("caps: 20 places, a quarter a client, half a network, a quarter for known clients\n");
@@ -291,7 +291,7 @@
   }
   {
     std::printf("rates: 2 a second and 3 at once a client; all strangers 10 at once\n");
-    GateTerms slow;
+    ConnectionLimiterOptions slow;
     slow.address_rate = 2, slow.address_burst = 3, slow.strangers_rate = 5, slow.strangers_burst = 10;
     Told t(slow, 1000);
     t.many(v4(10, 0, 0, 1), 5);
@@ -304,12 +304,12 @@
   }
   {
     std::printf("a rate that is raised counts at once, and a shorter half-life makes no points\n");
-    GateTerms slow;
+    ConnectionLimiterOptions slow;
     slow.address_rate = 1, slow.address_burst = 10;
     Told t(slow, 1000);
     t.many(v4(10, 0, 0, 1), 12);
     const ConnId half = t.comes(v4(10, 0, 0, 2));
-    t.gate.wasted(half, Waste::kHalf, t.now);
+    t.gate.wasted(half, Penalty::kHalf, t.now);
     slow.address_rate = 100, slow.waste_half_life = 1;
     t.gate.reconfigure(slow, t.now);
     t.now += 0.05;
@@ -318,11 +318,11 @@
   }
   {
     std::printf("points: half a request four times, then it waits outside until they fade\n");
-    GateTerms wasteful;
+    ConnectionLimiterOptions wasteful;
     Told t(wasteful, 100);
     for (int i = 0; i < 4; ++i) {
       const ConnId id = t.comes(v4(10, 0, 0, 1));
-      t.gate.wasted(id, Waste::kHalf, t.now), t.gate.ended(id);
+      t.gate.wasted(id, Penalty::kHalf, t.now), t.gate.ended(id);
     }
     t.comes(v4(10, 0, 0, 1));
     t.comes(v4(10, 0, 0, 2));
@@ -335,12 +335,12 @@
     for (int i = 0; i < 4; ++i) {
       const ConnId id = t.comes(v4(10, 0, 0, 9));
       if (id == 0) break;
-      t.gate.wasted(id, Waste::kFaults, t.now), t.gate.ended(id);
+      t.gate.wasted(id, Penalty::kFaults, t.now), t.gate.ended(id);
     }
   }
   {
     std::printf("groups: 30%% for two networks together, whose members have no smaller cap\n");
-    GateTerms grouped;
+    ConnectionLimiterOptions grouped;
     grouped.address_share = 0.1, grouped.address_burst = 100;
     grouped.groups.push_back({"edge", 0.3, {*parse_prefix("10.1.0.0/16"), *parse_prefix("10.2.0.0/16")}});
     grouped.listed.push_back(*parse_prefix("10.2.0.0/24"));
@@ -352,7 +352,7 @@
   }
   {
     std::printf("the narrowest network says which group; a network of strangers has a rate of its own\n");
-    GateTerms two;
+    ConnectionLimiterOptions two;
     two.network_rate = 1, two.network_burst = 3, two.keep_most = 1, two.keep_worth = 10;
     two.groups.push_back({"narrow", 0.05, {*parse_prefix("10.1.1.0/24")}});
     two.groups.push_back({"wide", 1, {*parse_prefix("10.1.0.0/16")}});
@@ -367,7 +367,7 @@
     t.is_of_use(id, 3), t.is_of_use(id, 3);
     std::printf("  strangers %zu, then %zu, earned %.1f", before, t.gate.strangers(),
                 t.known.earned(client_of(v4(10, 5, 0, 1))));
-    t.gate.wasted(id, Waste::kSilent, t.now);
+    t.gate.wasted(id, Penalty::kSilent, t.now);
     std::printf(", after a silent one %.1f", t.known.earned(client_of(v4(10, 5, 0, 1))));
     t.share.resize(0);
     t.now += 1.29;
@@ -378,7 +378,7 @@
   {
     std::printf(
         "a sketch as large as it has to be: who comes all the time is held to its rate among 400 others\n");
-    GateTerms small;
+    ConnectionLimiterOptions small;
     small.clients = 1, small.address_rate = 1, small.address_burst = 5,
     small.network_rate = small.network_burst = 10000;
     Told t(small, 10000);
@@ -394,7 +394,7 @@
   }
   {
     std::printf("no descriptor left: in only where another goes\n");
-    GateTerms plain;
+    ConnectionLimiterOptions plain;
     Told t(plain, 100);
     t.comes(v4(10, 0, 0, 1));
     t.comes(v4(10, 0, 0, 2), 0, true);
@@ -404,7 +404,7 @@
   }
   {
     std::printf("two fronts of four places each: a place must be one that the front may take\n");
-    GateTerms plain;
+    ConnectionLimiterOptions plain;
     plain.reserve = 0, plain.address_share = 1, plain.network_share = 1;
     Told t(plain, 8, {0.5, 0.5});
     for (int i = 0; i < 4; ++i) t.comes(v4(10, 0, 1, 1), 0);
@@ -418,7 +418,7 @@
   }
   {
     std::printf("fewer places than are open: who has outstayed its time goes, busy ones stay\n");
-    GateTerms plain;
+    ConnectionLimiterOptions plain;
     plain.address_share = 1, plain.network_share = 1, plain.reserve = 0;
     Told t(plain, 8);
     for (int i = 0; i < 6; ++i) t.comes(v4(10, 0, 0, 1));
--- a/tests/fleet.cpp
+++ b/tests/fleet.cpp
@@ -11,8 +11,8 @@
 #include <memory>
 #include <pcg_random.hpp>
 
-#include "fleet/probes.h"
-#include "fleet/tries.h"
+#include "fleet/health_check_budget.h"
+#include "fleet/retry_budget.h"
 #include "scenarios.h"
 
 using namespace damsonspoke::fleet;
@@ -24,7 +24,7 @@
   World(int count, std::uint64_t seed)
       : random(seed), count(count), up(static_cast<std::size_t>(count), true) {
     for (int i = 0; i < count; ++i) {
-      all.push_back(std::make_unique<Probes>(ProbeTerms(), name(i)));
+      all.push_back(std::make_unique<HealthCheckBudget>(HealthCheckBudgetOptions(), name(i)));
       delay.push_back(0.2 + 2 * chance());
       all.back()->view(usable(i), 0);
     }
@@ -64,7 +64,7 @@
   std::vector<bool> up;
   std::map<int, double> paused;
   std::vector<double> delay;
-  std::vector<std::unique_ptr<Probes>> all;
+  std::vector<std::unique_ptr<HealthCheckBudget>> all;
   std::vector<std::deque<std::pair<double, std::vector<std::string>>>> beliefs;
   std::deque<double> probes;
   double most = 0;
@@ -72,7 +72,7 @@
 
 void bound() {
   double most = 0;
-  const ProbeTerms terms;
+  const HealthCheckBudgetOptions terms;
   for (const int count : {3, 12, 60, 300}) {
     const int seeds = count > 100 ? 1 : count > 20 ? 5 : 40;
     double of_size = 0;
@@ -136,14 +136,14 @@
   say("and probes go on", now_sent >= 12);
   say("another layer has other probers",
       world.all[static_cast<std::size_t>(watcher)]->probers("rates") != after);
-  Probes fresh(ProbeTerms(), "x");
+  HealthCheckBudget fresh(HealthCheckBudgetOptions(), "x");
   fresh.view({}, 0);
   bool early = false;
   for (int i = 0; i < 29; ++i) early |= fresh.may_probe("ledger", i * 0.1);
   say("one that has just come up probes nothing yet", !early);
   std::vector<std::string> others;
   for (int i = 0; i < 30; ++i) others.push_back(World::name(i));
-  Probes next(ProbeTerms(), "n30");
+  HealthCheckBudget next(HealthCheckBudgetOptions(), "n30");
   next.view(others, 0);
   const bool none = next.rate("ledger", 10) == 0;
   next.view({}, 10);  // all before it are gone
@@ -157,7 +157,7 @@
 struct Borrowers {
   Borrowers(int count, std::uint64_t seed, bool lending) : random(seed), count(count), lending(lending) {
     for (int i = 0; i < count; ++i) {
-      all.push_back(std::make_unique<Tries>(TryTerms()));
+      all.push_back(std::make_unique<FleetRetryBudget>(FleetRetryBudgetOptions()));
       firsts.push_back(i % 5 == 0 ? 40 * chance() : 4 * chance());
       furthers.push_back(i % 3 == 0 ? 30 * chance() : 0.2);
     }
@@ -179,7 +179,7 @@
         if (j != i && (!split || i % 2 == j % 2))
           wanted[std::to_string(j)] = all[static_cast<std::size_t>(j)]->wants(now);
       }
-      for (const Tries::Part& part : all[static_cast<std::size_t>(i)]->lend(wanted, now)) {
+      for (const FleetRetryBudget::Part& part : all[static_cast<std::size_t>(i)]->lend(wanted, now)) {
         if (chance() < loss) continue;
         const double comes = now + latest * chance();
         const auto to = static_cast<std::size_t>(std::atoi(part.to.c_str()));
@@ -196,7 +196,7 @@
   double next = 0, loss = 0.2, latest = 4;
   int first = 0, made = 0;
   std::vector<double> firsts, furthers;
-  std::vector<std::unique_ptr<Tries>> all;
+  std::vector<std::unique_ptr<FleetRetryBudget>> all;
   std::multimap<double, std::function<void(double)>> under_way;
   std::vector<double> first_at, made_at;
 };
@@ -234,19 +234,19 @@
   if (std::getenv("FLEET_TRACE") != nullptr)
     std::fprintf(stderr, "%d alone, %d as one\n", alone.made, one.made);
   say("who needs more gets what others do not need", one.made > 1.2 * alone.made);
-  Tries t{TryTerms()};
+  FleetRetryBudget t{FleetRetryBudgetOptions()};
   for (int i = 0; i < 100; ++i) t.first(i * 0.1);
   const double budget = t.own(10);
   t.lend({{"x", 100}}, 10);
   say("a lender keeps a part", t.lent(10) > 0.5 * budget && t.lent(10) < 0.8 * budget);
   say("and has it back after a while", t.lent(17.9) > 0 && t.lent(18.1) == 0);
-  Tries late{TryTerms()};
+  FleetRetryBudget late{FleetRetryBudgetOptions()};
   late.borrowed(100, 3.5, 0);
   late.borrowed(std::nan(""), 0, 0);
   int got = 0;
   for (int i = 0; i < 20; ++i) got += late.further(0.1 * i) ? 1 : 0;
   say("what comes too late, or is no number, is worth nothing", got == 0);
-  Tries lender{TryTerms()}, idle{TryTerms()};
+  FleetRetryBudget lender{FleetRetryBudgetOptions()}, idle{FleetRetryBudgetOptions()};
   int made = 0, without = 0;
   for (int i = 0; i < 2000; ++i) {
     const double now = i * 0.01;
--- a/tests/knowledge.cpp
+++ b/tests/knowledge.cpp
@@ -9,12 +9,12 @@
 #include <limits>
 #include <thread>
 
-#include "knowledge/age.h"
-#include "knowledge/keeper.h"
 #include "recording_folder.h"
+#include "statistics/prior.h"
+#include "statistics/statistics_store.h"
 
 using namespace damsonspoke;
-using namespace damsonspoke::knowledge;
+using namespace damsonspoke::statistics;
 using testing::RecordingFolder;
 
 namespace {
@@ -40,7 +40,7 @@
   return s;
 }
 
-Record good(double written = 1000) {
+StatisticsRecord good(double written = 1000) {
   LearnedStatistics learned;
   learned.routes = {{times(5, 20), times(3, 20)}, {times(4, 8), times(0, 0)}};
   learned.routes[1].away.sum = 0;
@@ -49,7 +49,7 @@
   return record_of(learned, site(), "n1", written, 60);
 }
 
-constexpr Terms kTerms{43200, 259200, 4};
+constexpr PriorOptions kTerms{43200, 259200, 4};
 
 double count_of(const LearnedDurations& t) {
   double n = 0;
@@ -60,7 +60,7 @@
 // ---- Crashes.
 void crash() {
   RecordingFolder folder;
-  Folder files(folder);
+  StatisticsFolder files(folder);
   std::vector<std::pair<std::size_t, double>> succeeded;  // steps so far, and what was written last
   for (int i = 1; i <= 40; ++i) {
     if (i % 7 == 0) files.begins(1);
@@ -76,7 +76,7 @@
       if (steps <= returned) last = written;
     }
     RecordingFolder after(std::move(state));
-    Folder there(after);
+    StatisticsFolder there(after);
     const Reading read = there.read();
     const double found = read.record ? read.record->written : 0;
     const bool whole = !read.record || encode(*read.record) == encode(good(found));
@@ -104,9 +104,9 @@
 
 // ---- Belief.
 void cases() {
-  const auto say = [](const char* what, const Record& record, double now, int starts = 0,
-                      const StartSettings& with = site(), const Terms& terms = kTerms) {
-    const Belief b = believe(record, with, now, starts, terms);
+  const auto say = [](const char* what, const StatisticsRecord& record, double now, int starts = 0,
+                      const StartSettings& with = site(), const PriorOptions& terms = kTerms) {
+    const Prior b = derive_prior(record, with, now, starts, terms);
     std::printf("%-28s believed %-3s share %.2f", what, b.any ? "yes" : "no", b.share);
     for (const auto& t : b.prior.routes) std::printf(", run %.2f values", count_of(t.run));
     if (b.prior.returning_share >= 0) std::printf(", returns %.2f", b.prior.returning_share);
@@ -120,7 +120,7 @@
   say("last week, and no bound", good(), 1000 + 7 * 86400.0, 0, site(), {43200, 1e9, 4});
   say("from the future", good(), 900);
   say("clocks a little apart", good(), 997);
-  Record r = good();
+  StatisticsRecord r = good();
   r.troubled = true;
   say("a bad spell", r, 1000);
   say("one life lost with it", good(), 1000, 1);
@@ -168,15 +168,15 @@
   const auto chance = [&] { return random() / 4294967296.0; };
   int grows = 0, outweighs = 0, senseless = 0, lost = 0, believed = 0, refused = 0;
   for (int i = 0; i < 4000; ++i) {
-    Record r = good(1000);
-    for (TypeRecord& t : r.types) {
+    StatisticsRecord r = good(1000);
+    for (RouteRecord& t : r.types) {
       t.run = times(random() % 13, chance() * 63);
       t.away = times(random() % 13, chance() * 20);
     }
     for (int spoil = static_cast<int>(random() % 3); spoil > 0; --spoil) {
       LearnedDurations& t = random() % 2   ? r.types[random() % 2].run
-                        : random() % 2 ? r.types[random() % 2].away
-                                       : r.calls;
+                            : random() % 2 ? r.types[random() % 2].away
+                                           : r.calls;
       const double values[] = {-chance(),
                                chance() * 1e12,
                                std::numeric_limits<double>::infinity(),
@@ -187,11 +187,11 @@
       random() % 3 ? t.bins[random() % t.bins.size()] = value : t.sum = value;
     }
     r.returns = chance() * 3 - 1;
-    const std::optional<Record> back = decode(encode(r));
+    const std::optional<StatisticsRecord> back = decode(encode(r));
     if (!back || encode(*back) != encode(r)) ++lost;
     double last = 1e9;
     for (const double age : {0.0, 100.0, 3600.0, 40000.0, 100000.0, 250000.0, 400000.0}) {
-      const Belief b = believe(r, site(), 1000 + age, 0, kTerms);
+      const Prior b = derive_prior(r, site(), 1000 + age, 0, kTerms);
       double weight = 0;
       for (std::size_t k = 0; k < b.prior.routes.size(); ++k) {
         const auto& t = b.prior.routes[k];
@@ -219,7 +219,7 @@
 // ---- Files that are not what they should be.
 void files() {
   const auto say = [](const char* what, RecordingFolder& folder) {
-    Folder there(folder);
+    StatisticsFolder there(folder);
     const Reading read = there.read();
     std::printf("%-34s %s%s%s", what, read.record ? "record of " : "nothing",
                 read.record ? std::to_string(static_cast<int>(read.record->written)).c_str() : "",
@@ -227,7 +227,7 @@
     std::printf("%s%s, lives lost %d\n", read.problem.empty() ? "" : ": ", read.problem.c_str(), read.starts);
   };
   RecordingFolder folder;
-  Folder mine(folder);
+  StatisticsFolder mine(folder);
   say("an empty folder", folder);
   mine.write(good(1));
   mine.write(good(2));
@@ -244,18 +244,19 @@
   with("both are cut short", [](auto& f) { f["knowledge"].resize(20), f["knowledge.1"].resize(9); });
   with("somebody else's file", [](auto& f) { f["knowledge"] = "#!/bin/sh\n", f.erase("knowledge.1"); });
   with("a megabyte", [](auto& f) { f["knowledge"].assign(1 << 20, 'x'), f.erase("knowledge.1"); });
-  with("sealed, and no record", [](auto& f) { f["knowledge"] = store::seal(kForm, "hello"); });
-  with("a newer form", [](auto& f) { f["knowledge"] = store::seal(kForm + 1, "what it knows"); });
+  with("sealed, and no record", [](auto& f) { f["knowledge"] = store::add_checksum(kForm, "hello"); });
+  with("a newer form", [](auto& f) { f["knowledge"] = store::add_checksum(kForm + 1, "what it knows"); });
   with("a trial that can't be read", [](auto& f) { f["knowledge.trial"] = "many"; });
   with("two lives lost", [](auto& f) { f["knowledge.trial"] = "2"; });
 
-  RecordingFolder newer({{"knowledge", store::seal(kForm + 1, "what it knows")}});
-  Folder over(newer);
+  RecordingFolder newer({{"knowledge", store::add_checksum(kForm + 1, "what it knows")}});
+  StatisticsFolder over(newer);
   over.write(good(5));
   over.write(good(6));
   say("written over a newer form", newer);
-  std::printf("the newer one is kept: %s\n",
-              newer.files().at("knowledge.newer") == store::seal(kForm + 1, "what it knows") ? "yes" : "no");
+  std::printf(
+      "the newer one is kept: %s\n",
+      newer.files().at("knowledge.newer") == store::add_checksum(kForm + 1, "what it knows") ? "yes" : "no");
 
   folder.full = true;
   std::printf("on a full disk: %s\n", mine.write(good(3)) ? "written" : "not written");
@@ -274,7 +275,7 @@
 
 // A bounded run of what the fuzz target does: bytes of a record, spoilt anywhere, as a file and as a record.
 void bytes() {
-  const std::string record = encode(good()), sealed = store::seal(kForm, record);
+  const std::string record = encode(good()), sealed = store::add_checksum(kForm, record);
   pcg32 random(17);
   int passed = 0, read = 0, senseless = 0;
   const auto spoilt = [&](std::string text) {
@@ -292,11 +293,11 @@
   };
   for (int i = 0; i < 20000; ++i) {
     const std::string file = spoilt(sealed);
-    passed += file != sealed && store::unseal(file, kForm).problem == store::SealProblem::kNone;
-    const std::optional<Record> back = decode(spoilt(record));  // as if the sum were right
+    passed += file != sealed && store::verify_checksum(file, kForm).problem == store::ChecksumProblem::kNone;
+    const std::optional<StatisticsRecord> back = decode(spoilt(record));  // as if the sum were right
     if (!back) continue;
     ++read;
-    const Belief b = believe(*back, site(), 1000, 0, kTerms);
+    const Prior b = derive_prior(*back, site(), 1000, 0, kTerms);
     for (const auto& t : b.prior.routes) {
       for (const LearnedDurations* times : {&t.run, &t.away})
         senseless += !times->bins.empty() && !sensible(*times);
@@ -321,7 +322,7 @@
     return std::chrono::duration<double>(Clock::now() - from).count();
   };
   const auto began = Clock::now();
-  auto keeper = std::make_unique<Keeper>([] { return std::make_unique<Hung>(); });
+  auto keeper = std::make_unique<StatisticsStore>([] { return std::make_unique<Hung>(); });
   keeper->wait_for_reading(0.25);
   std::printf("the start waited a quarter of a second: %s\n",
               since(began) >= 0.25 && since(began) < 1 ? "yes" : "no");
--- a/tests/link_ends.cpp
+++ b/tests/link_ends.cpp
@@ -280,7 +280,9 @@
   }
   void on_verdict(std::uint64_t, bool) override {}
   void on_not_started(RequestId id) override { ends[id].push_back("not started"); }
-  void on_runtime_anew(const std::unordered_set<RequestId>& unsent) override { ++anew, spared = unsent.size(); }
+  void on_runtime_anew(const std::unordered_set<RequestId>& unsent) override {
+    ++anew, spared = unsent.size();
+  }
   // Lets it run until this has come to the other side; gauges are answered meanwhile.
   bool hears(const std::string& part, bool gauges = true) {
     for (int i = 0; i < 150; ++i) {
--- a/tests/members.cpp
+++ b/tests/members.cpp
@@ -241,9 +241,9 @@
   sim.run_until(5);
   sim.pause(3, 30);
   sim.run_until(20);
-  say("one that stands still for half a minute is called dead", sim.state(0, "n3") == State::kDead);
+  say("one that stands still for half a minute is called dead", sim.state(0, "n3") == MemberState::kDead);
   sim.run_until(60);
-  say("and is there again", sim.state(0, "n3") == State::kThere && sim.views_same());
+  say("and is there again", sim.state(0, "n3") == MemberState::kAlive && sim.views_same());
   const auto wrong = sim.wrong().size();
   sim.pause(3, 5);
   sim.run_until(75);
@@ -267,7 +267,7 @@
   sim.run_until(35);
   int cut = 0;
   for (int a = 1; a < 30; a += 3) {
-    for (int b = 0; b < 30; b += 3) cut += sim.state(a, sim.name(b)) == State::kCut ? 1 : 0;
+    for (int b = 0; b < 30; b += 3) cut += sim.state(a, sim.name(b)) == MemberState::kUnreachable ? 1 : 0;
   }
   return cut;
 }
@@ -285,7 +285,8 @@
   say("a one-sided cut between two zones of three: nobody is called dead", sim.wrong().empty());
   int others = 0;
   for (int a = 1; a < 30; a += 3) {
-    others += sim.state(a, "n2") == State::kThere && sim.state(2, sim.name(a)) == State::kThere ? 1 : 0;
+    others +=
+        sim.state(a, "n2") == MemberState::kAlive && sim.state(2, sim.name(a)) == MemberState::kAlive ? 1 : 0;
   }
   int cut = 0;
   for (std::uint64_t seed = 7; seed <= 10; ++seed) cut += links_shown_as_cut(seed);
@@ -293,7 +294,7 @@
   say("it shows as cut, to who does not hear, on 86 of 100 links in the mean of four fleets", cut >= 4 * 86);
   say("and nothing else does", others >= 9);
   bool named = false, other_way = false;
-  for (const LinkSeen& link : sim.view(2).broken_links(sim.now())) {
+  for (const ObservedLink& link : sim.view(2).broken_links(sim.now())) {
     named |= link.from == "n0" && link.to == "n1";
     other_way |= link.from[1] == '1' && link.from.size() == 2 && link.to == "n0";
   }
@@ -318,14 +319,14 @@
   on = true;
   sim.run_until(40);
   say("one that hears nobody is heard, and lives", sim.wrong().empty());
-  say("it shows as cut", sim.state(0, "n4") == State::kCut);
+  say("it shows as cut", sim.state(0, "n4") == MemberState::kUnreachable);
   on = false;
   sim.run_until(70);
   say("and is there again", sim.views_same());
   on = true, mute = true;
   sim.run_until(85);
-  say("one that nobody hears can't be told from a dead one", sim.state(0, "n4") == State::kDead);
-  say("it calls nobody dead", sim.state(4, "n0") != State::kDead);
+  say("one that nobody hears can't be told from a dead one", sim.state(0, "n4") == MemberState::kDead);
+  say("it calls nobody dead", sim.state(4, "n0") != MemberState::kDead);
   on = false;
   sim.run_until(140);
   say("and is there again, too", sim.views_same());
@@ -341,9 +342,9 @@
   on = true;
   sim.run_until(40);
   say("two halves apart: nobody is called dead, it may be us",
-      sim.wrong().empty() && sim.state(0, "n1") == State::kCut);
+      sim.wrong().empty() && sim.state(0, "n1") == MemberState::kUnreachable);
   sim.run_until(120);
-  say("after a minute they are", sim.state(0, "n1") == State::kDead);
+  say("after a minute they are", sim.state(0, "n1") == MemberState::kDead);
   sim.run_until(3720);
   on = false;
   sim.run_until(3800);
@@ -364,9 +365,9 @@
     sim.start(4);
     sim.run_until(sim.now() + 2);
   }
-  say("one that comes and goes is unsettled", sim.state(0, "n4") == State::kUnsettled);
+  say("one that comes and goes is unsettled", sim.state(0, "n4") == MemberState::kFlapping);
   sim.run_until(sim.now() + 90);
-  say("until it has stayed", sim.state(0, "n4") == State::kThere);
+  say("until it has stayed", sim.state(0, "n4") == MemberState::kAlive);
 }
 
 // An accuser that is ill: nine in ten of what it sends and gets are lost.
@@ -383,7 +384,7 @@
   bool others = false;
   for (const auto& wrong : sim.wrong()) others |= wrong.of != 4;
   say("one that is ill itself has nobody called dead", !others);
-  say("it knows", sim.view(4).fitness() > 2);
+  say("it knows", sim.view(4).local_health() > 2);
 }
 
 void replaced() {
@@ -433,14 +434,15 @@
   sim.clone(4);
   sim.run_until(15);
   say("of two under one name the younger yields", sim.view(12).yielded() && !sim.view(4).yielded());
-  say("the older stays", sim.state(0, "n4") == State::kThere);
+  say("the older stays", sim.state(0, "n4") == MemberState::kAlive);
   bool named = false;
-  for (const Seen& seen : sim.view(0).members(sim.now())) named |= seen.name == "n4" && seen.contest > 0;
+  for (const MemberStatus& seen : sim.view(0).members(sim.now()))
+    named |= seen.name == "n4" && seen.contest > 0;
   say("both are named", named);
   sim.kill(4);
   sim.run_until(80);
   say("when the older is gone the younger takes the name",
-      !sim.view(12).yielded() && sim.state(0, "n4") == State::kThere);
+      !sim.view(12).yielded() && sim.state(0, "n4") == MemberState::kAlive);
 }
 
 void leaves() {
@@ -451,7 +453,7 @@
   sim.leave(4);
   sim.run_until(6.5);
   bool all = true;
-  for (int i = 0; i < 30; ++i) all &= i == 4 || sim.state(i, "n4") == State::kLeft;
+  for (int i = 0; i < 30; ++i) all &= i == 4 || sim.state(i, "n4") == MemberState::kLeft;
   say("a leave is known to all within 1.5 s", all);
   sim.start(4);
   sim.run_until(10);
@@ -460,16 +462,16 @@
 
 // ---- One view alone, step by step, among members that answer as a case has it.
 
-struct Alone : Port {
+struct Alone : MembershipSink {
   explicit Alone(int others, std::vector<std::string> seeds = {}, std::uint64_t chance = 3)
-      : view(Terms(), {"v", "v:1", 100}, std::move(seeds), chance, *this) {
+      : view(MembershipOptions(), {"v", "v:1", 100}, std::move(seeds), chance, *this) {
     view.begin(0);
     std::vector<Record> all;
     for (int i = 0; i < others; ++i) all.push_back(of(fmt::format("m{}", i)));
     if (others > 0) view.on_exchange(all, 0);
   }
   static Record of(const std::string& name, std::uint32_t incarnation = 0,
-                   Condition condition = Condition::kThere) {
+                   Condition condition = Condition::kAlive) {
     Record r;
     r.name = name, r.epoch = 50, r.address = name + ":1", r.incarnation = incarnation,
     r.condition = condition;
@@ -482,7 +484,9 @@
     if (message.kind == Kind::kAsk && answers && answers(name)) due.emplace_back(name, message);
   }
   void exchange(const std::string& address) override { exchanged.push_back(address); }
-  void changed(const std::string& name, State state, const std::string&) override { states[name] = state; }
+  void changed(const std::string& name, MemberState state, const std::string&) override {
+    states[name] = state;
+  }
   void noticed(const std::string&) override {}
   void hear(const std::string& from, Kind kind, std::vector<Record> records, bool stale = false,
             std::uint64_t sum = 0) {
@@ -496,7 +500,7 @@
   void run_until(double time) {
     while (view.wake() <= time) {
       now = std::max(now, view.wake());
-      view.on_wake(now);
+      view.on_timer(now);
       for (const auto& [name, ping] : std::exchange(due, {})) {
         Message ack;
         ack.kind = ping.kind == Kind::kPing ? Kind::kAck : Kind::kSilent;
@@ -518,9 +522,9 @@
   std::map<std::string, std::uint32_t> incarnations;
   std::vector<std::pair<std::string, Message>> sent, due;
   std::vector<std::string> exchanged;
-  std::map<std::string, State> states;
+  std::map<std::string, MemberState> states;
   std::uint32_t number = 0;
-  View view;
+  MembershipView view;
 };
 
 void alone() {
@@ -532,37 +536,37 @@
     r.by = {"m1", "m2", "m3", "m4"};
     a.hear("m1", Kind::kGossip, {r});
     a.run_until(20);
-    say("who has not found it silent itself does not call it dead", a.states["m5"] != State::kDead);
+    say("who has not found it silent itself does not call it dead", a.states["m5"] != MemberState::kDead);
   }
   {
     Alone a(30);
     bool dumb = true;
     a.answers = [&](const std::string& name) { return name != "m5" || !dumb; };
-    while (a.states["m5"] != State::kSuspected && a.now < 30) a.run_until(a.now + 0.1);
+    while (a.states["m5"] != MemberState::kSuspected && a.now < 30) a.run_until(a.now + 0.1);
     dumb = false, a.incarnations["m5"] = 1;
     a.run_until(a.now + 8);
-    say("it is looked at once more before its time is over", a.states["m5"] == State::kThere);
+    say("it is looked at once more before its time is over", a.states["m5"] == MemberState::kAlive);
   }
   {
     Alone a(30);
     bool dumb = true;
     a.answers = [&](const std::string& name) { return name != "m5" || !dumb; };
-    while (a.states["m5"] != State::kSuspected && a.now < 30) a.run_until(a.now + 0.1);
+    while (a.states["m5"] != MemberState::kSuspected && a.now < 30) a.run_until(a.now + 0.1);
     a.now += 8;  // it stands still, and m5 lives
     dumb = false, a.incarnations["m5"] = 1;
     a.sent.clear();
-    say("it notices its own pause", a.view.on_wake(a.now));
+    say("it notices its own pause", a.view.on_timer(a.now));
     bool refuted = false;
     for (const auto& [address, message] : a.sent)
       refuted |= message.records.front().name == "v" && message.records.front().incarnation > 0 &&
                  message.records.front().pause_ms > 7000;
     say("it refutes before it is accused, and says how long it was away", refuted);
     a.run_until(a.now + 8);
-    say("a pause of its own is no time in which others refuted", a.states["m5"] == State::kThere);
+    say("a pause of its own is no time in which others refuted", a.states["m5"] == MemberState::kAlive);
     a.sent.clear();
     a.hear("m1", Kind::kPing, {Alone::of("m7", 0, Condition::kDead)}, true);
     say("what waited unread meanwhile is neither believed nor answered",
-        a.states["m7"] != State::kDead && a.sent.empty());
+        a.states["m7"] != MemberState::kDead && a.sent.empty());
     Record me = a.view.self_record(a.now);
     me.condition = Condition::kSuspected, me.by = {"m1"};
     a.hear("m1", Kind::kGossip, {me}, true);
@@ -666,29 +670,29 @@
   {
     Alone a(3);
     a.answers = [](const std::string& name) { return name != "m1"; };
-    while (a.now < 15 && a.states["m1"] != State::kSuspected) a.run_until(a.now + 0.1);
+    while (a.now < 15 && a.states["m1"] != MemberState::kSuspected) a.run_until(a.now + 0.1);
     Record told_of = Alone::of("m1");
     told_of.told.serial = 1, told_of.told.role = "relay";
     a.hear("m2", Kind::kGossip, {told_of});
-    while (a.now < 25 && a.states["m1"] != State::kDead) a.run_until(a.now + 0.1);
+    while (a.now < 25 && a.states["m1"] != MemberState::kDead) a.run_until(a.now + 0.1);
     bool told = false;
     for (const Record& r : a.view.full(a.now)) told |= r.name == "m1" && r.told.serial != 0;
     say("what a dead one told is not passed on", !told);
-    const bool dead = a.states["m1"] == State::kDead;
+    const bool dead = a.states["m1"] == MemberState::kDead;
     a.exchanged.clear();
     a.run_until(50);
     say("the dead are tried now and then",
         dead && std::count(a.exchanged.begin(), a.exchanged.end(), "m1:1") > 0);
     a.run_until(8000);
     bool known = false;
-    for (const Seen& seen : a.view.members(a.now)) known |= seen.name == "m1";
+    for (const MemberStatus& seen : a.view.members(a.now)) known |= seen.name == "m1";
     say("and forgotten after two hours", !known);
   }
 }
 
 // What goes next among the news that waits.
 void news() {
-  Gossip gossip;
+  GossipQueue gossip;
   for (int member = 1; member <= 4; ++member) gossip.add(member, 2);
   say("of equals the newest go first", gossip.take(2) == std::vector<int>({4, 3}));
   say("then what was passed on least", gossip.take(3) == std::vector<int>({2, 1, 4}));
@@ -697,7 +701,7 @@
       gossip.take(1) == std::vector<int>({2}) && gossip.size() == 3);
   gossip.add(5, 1, true);
   say("urgent news goes first, and alone where only that may go",
-      gossip.has_urgent() && gossip.take(9, Gossip::Which::kUrgent) == std::vector<int>({5}) &&
+      gossip.has_urgent() && gossip.take(9, GossipQueue::Which::kUrgent) == std::vector<int>({5}) &&
           !gossip.has_urgent() && gossip.size() == 3);
   gossip.forget(2);
   gossip.forget(9);
@@ -707,7 +711,7 @@
 
 // What goes beyond the pace is owed for a bounded time.
 void pace() {
-  NewsPace pace(1000, 500);
+  GossipRateLimiter pace(1000, 500);
   pace.spend(500);
   say("what is spent is not there, and comes with time", !pace.open(0) && pace.open(0.1));
   for (int i = 0; i < 1000; ++i) pace.spend(1000);
@@ -771,7 +775,8 @@
   };
   Record usual = Alone::of("backend-00417"), dead = usual, suspected = usual;
   usual.epoch = dead.epoch = suspected.epoch = 1796000000000ULL << 12;
-  usual.told = {4, "relay", "north/zone-2", "0.3.0", 0, 0, 12, 640, 0, DependencyState::kUnknown, "10.0.0.1:7100"};
+  usual.told = {
+      4, "relay", "north/zone-2", "0.3.0", 0, 0, 12, 640, 0, DependencyState::kUnknown, "10.0.0.1:7100"};
   dead.condition = Condition::kDead, suspected.condition = Condition::kSuspected;
   suspected.by = {"backend-00123", "backend-01123"};
   say("what a record takes is known within a fifth", approximately(usual) && approximately(dead) &&
@@ -828,7 +833,8 @@
   message.records = {r};
   sim.view(0).on_message("10.0.9.9:1", message, sim.now());
   sim.run_until(15);
-  say("a forged death of a later life is outlived", sim.state(0, "n2") == State::kThere && sim.views_same());
+  say("a forged death of a later life is outlived",
+      sim.state(0, "n2") == MemberState::kAlive && sim.views_same());
   r.epoch = sim.view(2).self().epoch, r.incarnation = kMostIncarnation, r.condition = Condition::kSuspected;
   message.records = {r};
   sim.view(2).on_message("10.0.9.9:1", message, sim.now());
--- a/tests/planner_link.cpp
+++ b/tests/planner_link.cpp
@@ -16,10 +16,10 @@
 
 #include "loop.h"
 #include "net/reactor.h"
+#include "observability/counters.h"
+#include "observability/logger.h"
 #include "peers/tier/planner_client.h"
 #include "stepped_reactor.h"
-#include "watch/counters.h"
-#include "watch/logger.h"
 
 using namespace damsonspoke;
 namespace wt = damsonspoke::wire::tier;
@@ -165,13 +165,13 @@
   net::Reactor::TimerId timer_;
 };
 
-struct Greeting {
-  explicit Greeting(std::string words) : log(Level::kError), peer(stepped.reactor, std::move(words)) {
-    planners = std::make_unique<peers::PlannerClient>(stepped.reactor, peers::PlannerClient::Self{"f1", 7, {"read"}},
-                                                 1 << 20, seen, counters, log);
+struct SessionStart {
+  explicit SessionStart(std::string words) : log(Level::kError), peer(stepped.reactor, std::move(words)) {
+    planners = std::make_unique<peers::PlannerClient>(
+        stepped.reactor, peers::PlannerClient::Self{"f1", 7, {"read"}}, 1 << 20, seen, counters, log);
     planners->add(fmt::format("127.0.0.1:{}", peer.port));
   }
-  ~Greeting() { stepped.end(); }
+  ~SessionStart() { stepped.end(); }
   void run_for(double seconds) { stepped.run_for(seconds); }
   SteppedReactor stepped;
   Counters counters;
@@ -199,18 +199,18 @@
       {"no frame at all", std::string(64, 'x')},
       {"a sound hello", wt::encode(sound)}};
   for (const auto& [what, words] : kWords) {
-    Greeting g(words);
+    SessionStart g(words);
     g.run_for(0.35);
     std::printf("%s: up %s, lost %s, opened again %s\n", what, yes(g.seen.up), yes(g.seen.lost),
                 yes(g.peer.accepted > 1));
   }
-  Greeting mute("");
+  SessionStart mute("");
   mute.run_for(0.8);
   const int before = mute.peer.accepted;
   mute.run_for(0.8);
   std::printf("nothing said: after 0.8 s %d connection, after 1.6 s more: %s\n", before,
               yes(mute.peer.accepted > before));
-  Greeting sounds(wt::encode(sound));
+  SessionStart sounds(wt::encode(sound));
   for (int i = 0; i < 12; ++i) sounds.run_for(0.1), sounds.peer.say(wt::Pong{1});
   std::printf("pings in 1.2 s: %s; the link holds: %s\n",
               yes(sounds.peer.pings >= 3 && sounds.peer.pings <= 12), yes(!sounds.seen.lost));
--- a/tests/planner_program.cpp
+++ b/tests/planner_program.cpp
@@ -117,8 +117,8 @@
   play.end();
 }
 
-// Links that end with requests in hand: the same life takes them over, a new one gives them up, nobody does in
-// time.
+// Links that end with requests in hand: the same life takes them over, a new one gives them up, nobody does
+// in time.
 void lives() {
   Play play(0.5);
   {
--- a/tests/program.cpp
+++ b/tests/program.cpp
@@ -38,9 +38,9 @@
                  "runs.error", "runs.cancelled", "calls.made", "calls.ok", "checks.good"});
 }
 
-// Where the settings say that requests tell their work, a run is judged by it: the request that tells fifty times the
-// work of those that ran is rejected at once, the one that tells a tenth waits. Without "hints" both are
-// rejected.
+// Where the settings say that requests tell their work, a run is judged by it: the request that tells fifty
+// times the work of those that ran is rejected at once, the one that tells a tenth waits. Without "hints"
+// both are rejected.
 void hints() {
   Site site("", "", {}, R"("hints":"good",)");
   site.comes_up();
@@ -247,8 +247,8 @@
   site.counters({"calls.made", "calls.timed_out", "calls.omitted"});
 }
 
-// Turned away and refused prove that a call never ran, a break proves nothing; a request that is safe is tried
-// again, one that must never take effect twice is not.
+// Turned away and refused prove that a call never ran, a break proves nothing; a request that is safe is
+// tried again, one that must never take effect twice is not.
 void calls(const std::string& types) {
   Site site("", "", {types, ""});
   site.comes_up();
@@ -285,8 +285,8 @@
   site.counters({"ops.failed", "ops.overdue", "runs.complete"});
 }
 
-// The notice to leave: off the list, callers told, what is open answered, what comes too late rejected, an end
-// in time.
+// The notice to leave: off the list, callers told, what is open answered, what comes too late rejected, an
+// end in time.
 void leaving() {
   Site site;
   site.comes_up();
@@ -359,8 +359,8 @@
   site.counters({"bad.slow_peers", "callers.reset"});
 }
 
-// Callers that do not come back: idle connections are told to send no more, and a request that crosses that is
-// served.
+// Callers that do not come back: idle connections are told to send no more, and a request that crosses that
+// is served.
 void idle() {
   Site site(R"(,"caller-idle":3000)");
   site.comes_up();
--- a/tests/recording_disk.cpp
+++ b/tests/recording_disk.cpp
@@ -108,7 +108,7 @@
 int RecordingDisk::write(sqlite3_file* f, const void* bytes, int count, sqlite3_int64 at) {
   RecordingDisk* disk = file(f)->disk;
   DiskOp request{DiskOp::What::kWrite, file(f)->name, static_cast<std::uint64_t>(at),
-            std::string(static_cast<const char*>(bytes), static_cast<std::size_t>(count))};
+                 std::string(static_cast<const char*>(bytes), static_cast<std::size_t>(count))};
   apply(disk->state_, request, request.bytes.size());
   disk->requests_.push_back(std::move(request));
   return SQLITE_OK;
--- a/tests/recording_disk.h
+++ b/tests/recording_disk.h
@@ -35,7 +35,8 @@
   // What is there after a crash behind the first `count` operations: the process was killed...
   static DiskState after_kill(const std::vector<DiskOp>& requests, std::size_t count, bool torn);
   // ... or the power was cut: of each file's writes behind its last sync any part is there, or torn.
-  static DiskState after_power_cut(const std::vector<DiskOp>& requests, std::size_t count, std::uint64_t seed);
+  static DiskState after_power_cut(const std::vector<DiskOp>& requests, std::size_t count,
+                                   std::uint64_t seed);
 
  private:
   struct File;
--- a/tests/recording_folder.h
+++ b/tests/recording_folder.h
@@ -8,11 +8,11 @@
 #include <string>
 #include <vector>
 
-#include "store/disk.h"
+#include "store/file_system.h"
 
 namespace damsonspoke::testing {
 
-class RecordingFolder : public store::Disk {
+class RecordingFolder : public store::FileSystem {
  public:
   struct Step {
     enum class What { kWrite, kSync, kRename, kRemove, kSyncFolder } what = What::kWrite;
--- a/tests/restarts.cpp
+++ b/tests/restarts.cpp
@@ -1,5 +1,6 @@
 // A relay that is killed under load and started again on the same address, many times: how soon it takes an
-// request and acks it. usage: restarts BINARY RESTARTS [times]; with `times` each part of each start is printed.
+// request and acks it. usage: restarts BINARY RESTARTS [times]; with `times` each part of each start is
+// printed.
 #include <chrono>
 #include <cstdio>
 #include <cstdlib>
@@ -38,7 +39,8 @@
   const int life = fleet.server.life_number();
   double at = -1;
   fleet.callers.on_answer = [&](const Try& one) {
-    if (at < 0 && one.life == life && !one.answers.empty() && one.answers.back().kind == AnswerKind::kSucceeded)
+    if (at < 0 && one.life == life && !one.answers.empty() &&
+        one.answers.back().kind == AnswerKind::kSucceeded)
       at = one.answers.back().at;
   };
   fleet.loop.run_until([&] { return at >= 0; }, kReadyIn + 5);
--- a/tests/results_program.cpp
+++ b/tests/results_program.cpp
@@ -199,8 +199,8 @@
   site.counters({"runs.started", "results.recovered", "results.from_store", "results.unknown"});
 }
 
-// A store that holds as much as it may: newcomers are rejected with a time to come back, what is remembered is
-// still answered, and room comes back as windows end.
+// A store that holds as much as it may: newcomers are rejected with a time to come back, what is remembered
+// is still answered, and room comes back as windows end.
 void full() {
   Site site("", "",
             {R"([{"name":"push","target":400,"give-up":3000,"semantics":"dedup","window":1500}])",
--- a/tests/results_store.cpp
+++ b/tests/results_store.cpp
@@ -57,7 +57,7 @@
   });
   for (const Key& key : ended) {
     const std::optional<Row> row = database.fetch(key);
-    if (!row) throw DatabaseError(DatabaseTrouble::kDamaged, "an entry is not found by its key");
+    if (!row) throw DatabaseError(DatabaseFault::kDamaged, "an entry is not found by its key");
     content[key] = row->result;
   }
   if (spoilt) content[{}] = "an entry that nobody wrote";
@@ -162,7 +162,8 @@
     // The write in the middle of which it was killed never returned.
     if (count > 0) look(disk, fast, count - 1, RecordingDisk::after_kill(fast.requests, count, true), torn);
     for (std::uint64_t seed = 1; seed <= 3; ++seed)
-      look(disk, fast, count, RecordingDisk::after_power_cut(fast.requests, count, seed * 1000 + count), unsynced);
+      look(disk, fast, count, RecordingDisk::after_power_cut(fast.requests, count, seed * 1000 + count),
+           unsynced);
   }
   for (std::size_t count = 0; count <= safe.requests.size(); ++count) {
     for (std::uint64_t seed = 1; seed <= 6; ++seed)
@@ -236,7 +237,7 @@
                 colon == std::string::npos ? "" : why.substr(colon + 2).c_str());
     last = state;
   }
-  void on_drops_wanted(const std::vector<Key>& keys) override {
+  void on_drop_requests(const std::vector<Key>& keys) override {
     std::printf("an operator wants %zu dropped\n", keys.size());
   }
   StoreState last = StoreState::kOpening;
@@ -410,18 +411,18 @@
                 health.should_open(now) ? "yes" : "no", health.retry_after(now));
   };
   say("at the start", 0);
-  health.failed(0, DatabaseTrouble::kUnavailable), say("unavailable", 0);
+  health.failed(0, DatabaseFault::kUnavailable), say("unavailable", 0);
   say("later", 0.5);
-  health.failed(0.5, DatabaseTrouble::kUnavailable), say("unavailable again", 0.5);
+  health.failed(0.5, DatabaseFault::kUnavailable), say("unavailable again", 0.5);
   say("later", 1.4);
-  for (int i = 0; i < 9; ++i) health.failed(2, DatabaseTrouble::kUnavailable);
+  for (int i = 0; i < 9; ++i) health.failed(2, DatabaseFault::kUnavailable);
   say("for long", 2);
   health.opened(), say("opened", 12);
-  health.failed(13, DatabaseTrouble::kFull), say("full", 13);
+  health.failed(13, DatabaseFault::kFull), say("full", 13);
   say("later", 13.3);
   health.wrote(), say("an intent was written", 13.3);
-  health.failed(14, DatabaseTrouble::kDamaged), say("damaged", 14);
-  health.failed(15, DatabaseTrouble::kFull), say("full", 15);
+  health.failed(14, DatabaseFault::kDamaged), say("damaged", 14);
+  health.failed(15, DatabaseFault::kFull), say("full", 15);
   say("much later", 1000);
 }
 
--- a/tests/results_table.cpp
+++ b/tests/results_table.cpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "results/table.h"
+#include "results/idempotency_cache.h"
 
 using namespace damsonspoke;
 using namespace damsonspoke::results;
@@ -54,7 +54,7 @@
   std::set<std::string> seen;  // that were met, so that a harness that tests nothing is noticed
 
  private:
-  static constexpr std::size_t kBig = Table::kEntryBytes + Table::kMostResult;
+  static constexpr std::size_t kBig = IdempotencyCache::kEntryBytes + IdempotencyCache::kMostResult;
 
   static Key key(unsigned n) { return {n, n * 7919ULL}; }
   void must(bool holds, const std::string& what) {
@@ -78,8 +78,8 @@
     for (const auto& [k, t] : things_) {
       if (t.open()) bytes += kBig;
       if (t.state == State::kEnded && t.kind == Kind::kKeyed)
-        bytes += Table::kEntryBytes + (stored_ ? 0 : t.result.size());
-      if (t.state == State::kUnknown) bytes += Table::kEntryBytes;
+        bytes += IdempotencyCache::kEntryBytes + (stored_ ? 0 : t.result.size());
+      if (t.state == State::kUnknown) bytes += IdempotencyCache::kEntryBytes;
     }
     return bytes;
   }
@@ -160,27 +160,28 @@
     const unsigned k = s.a % 12;
     const Kind kind = k < 9 ? Kind::kKeyed : Kind::kShared;
     const Fingerprint print = kind == Kind::kKeyed ? s.b % 2 : 0;
-    const Met met = table_.meet(now_, key(k), print, kind);
+    const Lookup met = table_.meet(now_, key(k), print, kind);
     const RequestId id = ++last_id_;
     const auto found = things_.find(k);
     const bool valid = found != things_.end() && (found->second.open() || found->second.until > now_);
     if (valid && (kind == Kind::kKeyed || found->second.open())) {
       const Thing& t = found->second;
-      const Meeting expected = t.fingerprint != print       ? Meeting::kOtherBody
-                               : t.state == State::kUnknown ? Meeting::kUnknown
-                                                            : Meeting::kRepeat;
+      const LookupOutcome expected = t.fingerprint != print       ? LookupOutcome::kOtherBody
+                                     : t.state == State::kUnknown ? LookupOutcome::kUnknown
+                                                                  : LookupOutcome::kRepeat;
       must(met.what == expected, "meet: what must be known was met otherwise");
-      if (met.what == Meeting::kRepeat) must(met.original == t.id, "meet: another's original");
+      if (met.what == LookupOutcome::kRepeat) must(met.original == t.id, "meet: another's original");
     }
     if (!valid)
-      must(met.what == Meeting::kNew || met.what == Meeting::kNoRoom, "meet: something that is not there");
+      must(met.what == LookupOutcome::kNew || met.what == LookupOutcome::kNoRoom,
+           "meet: something that is not there");
     seen.insert("met " + std::to_string(static_cast<int>(met.what)));
-    if (met.what == Meeting::kNoRoom) {
+    if (met.what == LookupOutcome::kNoRoom) {
       must(kind == Kind::kKeyed, "no room: for a read");
       must(needed() + kBig > bounds_.bytes || must_stay() + 1 > bounds_.entries, "no room: though there is");
-    } else if (met.what == Meeting::kRepeat) {
+    } else if (met.what == LookupOutcome::kRepeat) {
       join(id, k);
-    } else if (met.what == Meeting::kNew) {
+    } else if (met.what == LookupOutcome::kNew) {
       if (found != things_.end() && !found->second.open()) things_.erase(found);  // evicted, or over
       const bool kept = table_.reserve(now_, id, key(k), print, kind, now_ + kWindow);
       must(kept || kind == Kind::kShared, "reserve: refused right after there was room");
@@ -191,18 +192,18 @@
 
   void join(RequestId id, unsigned k) {
     Thing& t = things_.at(k);
-    const Joined joined = table_.join(id, key(k));
+    const JoinOutcome joined = table_.join(id, key(k));
     seen.insert("joined " + std::to_string(static_cast<int>(joined)));
     if (t.open()) {
-      must(joined == Joined::kWaits, "join: does not wait for what goes on");
+      must(joined == JoinOutcome::kWaits, "join: does not wait for what goes on");
       t.waiting.push_back(id);
       return;
     }
-    if (joined == Joined::kStored) {
+    if (joined == JoinOutcome::kStored) {
       must(stored_ && t.kind == Kind::kKeyed, "join: in a store that is not there");
       return;
     }
-    must(joined == Joined::kHere, "join: no result of what has ended");
+    must(joined == JoinOutcome::kHere, "join: no result of what has ended");
     const std::string* result = table_.result(key(k));
     must(result != nullptr && *result == t.result, "join: another result");
     must(!recovered_.contains(k), "join: a result in memory that was never there");
@@ -210,7 +211,8 @@
 
   void end(Thing& t, const Step& s) {
     const bool too_long = s.b % 16 == 0;
-    std::string result(too_long ? Table::kMostResult + 1 : s.b % 3000, static_cast<char>('a' + s.c % 26));
+    std::string result(too_long ? IdempotencyCache::kMostResult + 1 : s.b % 3000,
+                       static_cast<char>('a' + s.c % 26));
     must(table_.end(now_, t.id, result) == t.waiting, "end: other repeats than those that wait");
     t.waiting.clear();
     t.until = std::max(t.until, now_);
@@ -245,7 +247,7 @@
     must(table_.entries() <= std::max(bounds_.entries, must_stay()), "more entries than the bound");
     if (table_.evicted() > 0) seen.insert("evicted");
     for (const auto& [k, t] : things_) {
-      const Table::Entry* entry = table_.find(key(k));
+      const IdempotencyCache::Entry* entry = table_.find(key(k));
       if (t.kind == Kind::kKeyed || t.open()) {
         must(entry != nullptr, "forgotten: what must be remembered");
         if (entry) must(entry->state == t.state && entry->id == t.id, "an entry in another state");
@@ -254,8 +256,8 @@
   }
 
   const bool stored_;
-  Bounds bounds_;
-  Table table_;
+  CacheLimits bounds_;
+  IdempotencyCache table_;
   std::map<unsigned, Thing> things_;
   std::set<unsigned> recovered_;
   double now_ = 0;
--- a/tests/settings_program.cpp
+++ b/tests/settings_program.cpp
@@ -69,7 +69,8 @@
   site.counters({"ops.read", "results.conflicts", "results.unknown"});
 }
 
-// Tenants are known by name; a request without one, or of another fleet's, is told so and nothing else is lost.
+// Tenants are known by name; a request without one, or of another fleet's, is told so and nothing else is
+// lost.
 void tenants() {
   Site site("", "", {}, R"("customers":[{"name":"alba","quota-per-s":7},{"name":"brera","quota-per-s":0}],)");
   site.comes_up();
@@ -112,8 +113,9 @@
   site.counters({"runs.started", "results.kept", "results.no_room", "bad.types"});
 }
 
-// Where worth is counted by work, requests tell theirs, and the settings need not say that they do: the request that
-// tells fifty times the work of those that ran is rejected at once, the one that tells a tenth waits.
+// Where worth is counted by work, requests tell theirs, and the settings need not say that they do: the
+// request that tells fifty times the work of those that ran is rejected at once, the one that tells a tenth
+// waits.
 void told_work() {
   Site site("", "", {}, R"("counted-by":"work",)");
   site.comes_up();
--- a/tests/settings_shape.cpp
+++ b/tests/settings_shape.cpp
@@ -23,8 +23,8 @@
   try {
     const Config config = parse_config(config_with(extra));
     const std::string lacking = unserved(config, OperatorOptions{});
-    std::printf("%-22s hints %d, by work %d: %s\n", name, config.site.has_work_hints, config.site.counted_by_work,
-                lacking.empty() ? "served" : lacking.c_str());
+    std::printf("%-22s hints %d, by work %d: %s\n", name, config.site.has_work_hints,
+                config.site.counted_by_work, lacking.empty() ? "served" : lacking.c_str());
   } catch (const SettingsError& error) {
     std::printf("%-22s refused: %s\n", name, error.what());
   }
--- a/tests/stages.cpp
+++ b/tests/stages.cpp
@@ -5,12 +5,12 @@
 #include <string>
 
 #include "stages/admission_driver.h"
-#include "stages/in_flight_requests.h"
-#include "stages/statistics_persistence.h"
+#include "stages/command_sender.h"
 #include "stages/completion_handler.h"
 #include "stages/decision_executor.h"
-#include "stages/command_sender.h"
+#include "stages/in_flight_requests.h"
 #include "stages/request_intake.h"
+#include "stages/statistics_persistence.h"
 
 using namespace damsonspoke;
 
@@ -32,7 +32,7 @@
   void answer_check(peers::ReplyAddress t, bool good) override {
     std::printf("  check %d: %s\n", number(t.number), good ? "good" : "bad");
   }
-  void close_idle(double after) override { std::printf("  callers: close after %.1f s\n", after); }
+  void set_idle_timeout(double after) override { std::printf("  callers: close after %.1f s\n", after); }
   void ask_no_more() override { std::printf("  callers: no more\n"); }
 };
 
@@ -126,7 +126,8 @@
     std::printf("-- caller of %d goes\n", number(id));
     intake.on_caller_gone(id);
   }
-  // Requests read are requests answered plus requests open plus callers gone; nothing that must hold was broken.
+  // Requests read are requests answered plus requests open plus callers gone; nothing that must hold was
+  // broken.
   void sums() {
     const auto read = counters[Count::kRequestsRead], succeeded = counters[Count::kRequestsSucceeded],
                rejected = counters[Count::kRequestsRejected], failed = counters[Count::kRequestsFailed],
@@ -156,12 +157,15 @@
   Counters counters;
   stages::InFlightRequests in_flight{ports_, counters};
   stages::CommandSender send{ports_, site_, counters};
-  stages::ResultReplay replay{reactor_, in_flight, send, admission, site_, *catalog_, options_, counters, log_};
+  stages::ResultReplay replay{reactor_,  in_flight, send,     admission, site_,
+                              *catalog_, options_,  counters, log_};
   stages::StatisticsPersistence statistics{reactor_, admission, site_, "n1", knowledge_, counters, log_};
   stages::DecisionExecutor executor{in_flight, send, replay, counters, log_};
   stages::AdmissionDriver admission{reactor_, site_, *catalog_, 7, executor, statistics, ports_, counters};
-  stages::RequestIntake intake{reactor_, {in_flight, admission, send, replay}, ports_, site_, *catalog_, counters};
-  stages::CompletionHandler relay{in_flight, send, replay, admission, intake, site_.admission.preemption, counters};
+  stages::RequestIntake intake{reactor_, {in_flight, admission, send, replay}, ports_, site_, *catalog_,
+                               counters};
+  stages::CompletionHandler relay{in_flight, send, replay, admission, intake, site_.admission.preemption,
+                                  counters};
 };
 
 // A request passes the stages and leaves the book when it is answered and its run is over.
@@ -175,7 +179,7 @@
   s.ends(3, Outcome::kError);
   s.request(4);
   s.ends(4, Outcome::kObsolete);  // over for the runtime, though nothing was answered: its caller is told
-  s.request(5, 0, 3, 4);           // its wait is over when it is read
+  s.request(5, 0, 3, 4);          // its wait is over when it is read
   s.ends(77, Outcome::kOk, "not ours");
   s.sums();
 }
--- a/tests/tier_dispatch.cpp
+++ b/tests/tier_dispatch.cpp
@@ -27,19 +27,20 @@
   void fence(int planner, Attempt attempt) override {
     std::printf("  fence %d at p%d\n", static_cast<int>(attempt), planner);
   }
-  void reply(RequestId request, Reply how, double retry_after, bool no_retry) override {
-    std::printf("  op %d: %s", static_cast<int>(request), how == Reply::kRejected ? "nacked" : "failed");
-    if (how == Reply::kRejected)
+  void reply(RequestId request, LocalAnswer how, double retry_after, bool no_retry) override {
+    std::printf("  op %d: %s", static_cast<int>(request),
+                how == LocalAnswer::kRejected ? "nacked" : "failed");
+    if (how == LocalAnswer::kRejected)
       std::printf(", back in %.2f s%s", retry_after, no_retry ? ", nowhere else" : "");
     std::printf("\n");
   }
-  void wake_at(double time) override { next = time; }
+  void schedule_wakeup(double time) override { next = time; }
   double next = 0;
 };
 
 void dispatch() {
   Told told;
-  DispatchTerms terms;
+  DispatchOptions terms;
   terms.picker.slow_start = 0;
   terms.retry_burst = 3;
   terms.retry_share = 0;
@@ -49,7 +50,8 @@
   double now = 0;
   const auto request = [&](RequestId id, double left, double priority_weight = 1, std::uint64_t mark = 0) {
     ForwardedRequest o;
-    o.id = id, o.remaining_time = left, o.priority_weight = priority_weight, o.idempotency_key_hash = mark, o.bytes = 10;
+    o.id = id, o.remaining_time = left, o.priority_weight = priority_weight, o.idempotency_key_hash = mark,
+    o.bytes = 10;
     d.on_request(o, now);
   };
   const auto answer = [&](int planner, std::uint64_t epoch, Attempt attempt, AnswerKind how,
@@ -59,7 +61,7 @@
                 over ? ("op " + std::to_string(*over) + " is over").c_str() : "nothing is passed on");
   };
   const auto until = [&](double time) {
-    while (told.next > now && told.next <= time) now = told.next, told.next = 0, d.on_wake(now);
+    while (told.next > now && told.next <= time) now = told.next, told.next = 0, d.on_timer(now);
     now = time;
   };
   std::printf("no planner yet\n");
@@ -84,7 +86,7 @@
   answer(1, 200, 4, AnswerKind::kRejected, true);
   std::printf("a planner that does not answer in half of the time is asked for proof\n");
   now = 10;
-  d.on_wake(now);
+  d.on_timer(now);
   request(20, 2);
   until(11.2);
   answer(0, 100, 7, AnswerKind::kRunning);
@@ -121,9 +123,9 @@
   d.on_link_up(0, 101, 1, now);
   for (std::uint64_t mark = 1; mark <= 4; ++mark) request(30 + mark, 0.2, 1, mark);
   std::printf("callers go; the notice to leave; late comers\n");
-  d.on_gone(31, now), d.on_gone(32, now), d.on_gone(33, now), d.on_gone(34, now);
+  d.on_caller_gone(31, now), d.on_caller_gone(32, now), d.on_caller_gone(33, now), d.on_caller_gone(34, now);
   request(40, 5);
-  d.on_leave(2, 0.3, now);
+  d.on_drain(2, 0.3, now);
   now += 0.4;
   request(41, 5);
   until(39);
@@ -133,7 +135,7 @@
 // What waits for a planner that goes: told at once.
 void waiting() {
   Told told;
-  DispatchTerms terms;
+  DispatchOptions terms;
   terms.picker.slow_start = 0;
   Dispatch d(
       terms, 1, {"p0", "p1"}, told, [] { return 0.5; }, 0);
@@ -162,7 +164,7 @@
   d.on_link_lost(0, {}, 0.3);
   d.on_link_lost(1, {}, 0.3);
   std::printf("a keyed one whose planner is no longer wanted goes to the other\n");
-  d.on_wake(5);
+  d.on_timer(5);
   d.on_link_up(0, 8, 4, 6);
   d.on_link_up(1, 8, 4, 6);
   request(9, 1, 6);
@@ -183,25 +185,25 @@
   late.id = 200, late.remaining_time = 1, late.bytes = 10;
   slow.on_request(late, 4.1);
   std::printf("the notice to leave, and one that comes in its grace\n");
-  d.on_leave(2, 0.3, 7);
+  d.on_drain(2, 0.3, 7);
   request(11, 0, 7.1);
-  d.on_wake(8.79);
+  d.on_timer(8.79);
   std::printf("just before the stop's margin: open %zu\n", d.open());
-  d.on_wake(8.81);
+  d.on_timer(8.81);
   std::printf("and behind it: open %zu\n", d.open());
 }
 
 // Keyed requests while the list changes, told one by one.
 void moving() {
   Told told;
-  DispatchTerms terms;
+  DispatchOptions terms;
   terms.picker.slow_start = 0;
   terms.homes = {2, 10};
   Dispatch d(
       terms, 1, {"p0", "p1"}, told, [] { return 0.5; }, 0);
   d.on_link_up(0, 7, 1, 0);
   d.on_link_up(1, 7, 1, 0);
-  Homes before({2, 10});
+  KeyOwnership before({2, 10});
   before.list({{0, "p0"}, {1, "p1"}}, 0);
   std::uint64_t stays = 0, moves = 0;  // keys of p0 and p1
   for (std::uint64_t mark = 1; stays == 0 || moves == 0; ++mark)
@@ -267,14 +269,14 @@
   void send(int, Attempt attempt, RequestId, double, bool) override { sent.push_back(attempt); }
   void cancel(int, Attempt) override {}
   void fence(int, Attempt) override {}
-  void reply(RequestId, Reply, double, bool) override {}
-  void wake_at(double) override {}
+  void reply(RequestId, LocalAnswer, double, bool) override {}
+  void schedule_wakeup(double) override {}
   std::vector<Attempt> sent;
 };
 void guessed() {
   for (const std::uint64_t steps : {1, 1 << 24}) {
     Numbers numbers;
-    DispatchTerms terms;
+    DispatchOptions terms;
     terms.picker.slow_start = 0;
     terms.number_steps = steps;
     pcg64 random(9);
--- a/tests/tier_histories.cpp
+++ b/tests/tier_histories.cpp
@@ -17,7 +17,7 @@
 
 #include "scenarios.h"
 #include "tier/dispatch.h"
-#include "tier/holdings.h"
+#include "tier/forwarder_sessions.h"
 
 using namespace damsonspoke;
 using namespace damsonspoke::tier;
@@ -61,15 +61,16 @@
   }
 
   struct Totals {
-    int requests = 0, succeeded = 0, rejected = 0, failed = 0, second = 0, fenced = 0, proven = 0, dropped = 0, lost = 0,
-        asked = 0, known = 0;
+    int requests = 0, succeeded = 0, rejected = 0, failed = 0, second = 0, fenced = 0, proven = 0,
+        dropped = 0, lost = 0, asked = 0, known = 0;
   };
   Totals totals() const {
     Totals t;
     for (const auto& [id, request] : requests_)
-      ++t.requests, t.succeeded += request.succeeded, t.rejected += request.rejected, t.failed += request.failed;
+      ++t.requests, t.succeeded += request.succeeded, t.rejected += request.rejected,
+          t.failed += request.failed;
     for (const auto& f : forwarders_) {
-      const DispatchCounts& c = f->dispatch.counts();
+      const DispatchCounters& c = f->dispatch.counts();
       t.second += static_cast<int>(c.second_tries), t.fenced += static_cast<int>(c.fences);
       t.proven += static_cast<int>(c.proven), t.dropped += static_cast<int>(c.dropped_answers);
       t.lost += static_cast<int>(c.lost);
@@ -124,7 +125,7 @@
     std::uint64_t epoch = 0;
     bool up = false;
     Manner manner = Manner::kSound;
-    std::unique_ptr<Holdings> holdings;
+    std::unique_ptr<ForwarderSessions> holdings;
     std::deque<Held> line;
     std::map<RequestId, Held> open;  // held and running
     std::map<std::uint64_t, Memory> memory;
@@ -137,8 +138,8 @@
           number(n),
           dispatch(
               terms(), 1, {"p1", "p2", "p3", "p4"}, *this, [&h] { return h.chance(); }, 0) {}
-    static DispatchTerms terms() {
-      DispatchTerms t;
+    static DispatchOptions terms() {
+      DispatchOptions t;
       t.by_key = true;
       t.homes = {kSpread + kLongest, kWindow + 2 * kLongest};
       return t;
@@ -161,16 +162,16 @@
       history.note("f" + std::to_string(number) + " fences " + std::to_string(attempt));
       history.out(links[planner], wt::Fence{attempt});
     }
-    void reply(RequestId request, Reply how, double, bool) override {
-      history.answered(request, how == Reply::kRejected ? 'n' : 'f');
+    void reply(RequestId request, LocalAnswer how, double, bool) override {
+      history.answered(request, how == LocalAnswer::kRejected ? 'n' : 'f');
     }
-    void wake_at(double time) override {
+    void schedule_wakeup(double time) override {
       if (time >= wake_time) return;  // it asks anew when it is woken
       wake_time = time;
       history.at(std::max(time, history.now_), [this, time] {
         if (wake_time != time) return;
         wake_time = 1e18;
-        dispatch.on_wake(history.now_);
+        dispatch.on_timer(history.now_);
       });
     }
     History& history;
@@ -224,7 +225,7 @@
         if (requests_[id].answers > 0) return;
         note("caller of " + std::to_string(id) + " goes");
         requests_[id].gone = true;
-        dispatch.on_gone(id, now_);
+        dispatch.on_caller_gone(id, now_);
       });
     }
     after(-std::log(1 - chance()) / 150, [this] { next_request(); });
@@ -308,7 +309,8 @@
   // Where nothing of it has run, its key is free again, and its repeats are told so.
   void release(Planner& planner, RequestId request) {
     const auto found = planner.memory.find(requests_[request].mark);
-    if (found == planner.memory.end() || found->second.request != request || found->second.state != Memory::kReserved)
+    if (found == planner.memory.end() || found->second.request != request ||
+        found->second.state != Memory::kReserved)
       return;
     const std::vector<Held> waits = std::move(found->second.waits);
     planner.memory.erase(found);
@@ -335,7 +337,7 @@
     planner.memory = std::move(kept);
     planner.up = true;
     planner.epoch = 1000 + ++next_epoch_;
-    planner.holdings = std::make_unique<Holdings>(HoldingsTerms{0.75, 4096, 8, 64});
+    planner.holdings = std::make_unique<ForwarderSessions>(ForwarderSessionsOptions{0.75, 4096, 8, 64});
   }
   void kill(int p) {
     Planner& planner = *planners_[static_cast<std::size_t>(p)];
@@ -362,7 +364,8 @@
     Planner& planner = *planners_[static_cast<std::size_t>(link->planner)];
     if (!planner.up) return;
     if (const auto* hello = std::get_if<wt::Hello>(&message)) {
-      const Holdings::Greeting greeting = planner.holdings->hello(hello->name, hello->epoch, link->number);
+      const ForwarderSessions::SessionStart greeting =
+          planner.holdings->hello(hello->name, hello->epoch, link->number);
       if (greeting.old_link != 0 && links_[greeting.old_link]) links_[greeting.old_link]->there = false;
       gone(planner, greeting.gone);
       link->known_as = greeting.forwarder;
@@ -374,7 +377,7 @@
       in(link, mine);
     } else if (const auto* submit = std::get_if<wt::Submit>(&message)) {
       if (planner.holdings->submit(link->known_as, submit->attempt, submit->request, 0) !=
-          Holdings::Taking::kTaken)
+          ForwarderSessions::SubmitResult::kTaken)
         return;
       const Held held{submit->request, link->known_as, submit->attempt, now_ + submit->remaining_us * 1e-6};
       if (planner.manner == Manner::kRejections || planner.open.contains(submit->request))
@@ -399,10 +402,11 @@
       planner.line.push_back(held);
       run_more(link->planner);
     } else if (const auto* cancel = std::get_if<wt::Cancel>(&message)) {
-      if (const auto request = planner.holdings->cancel(link->known_as, cancel->attempt)) gone(planner, {*request});
+      if (const auto request = planner.holdings->cancel(link->known_as, cancel->attempt))
+        gone(planner, {*request});
     } else if (const auto* fence = std::get_if<wt::Fence>(&message)) {
-      const Holdings::Proof proof = planner.holdings->fence(link->known_as, fence->attempt,
-                                                            [&](RequestId request) { return planner.started[request]; });
+      const ForwarderSessions::Proof proof = planner.holdings->fence(
+          link->known_as, fence->attempt, [&](RequestId request) { return planner.started[request]; });
       if (proof.drop) gone(planner, {*proof.drop});
       in(link, proof.answer);
     }
@@ -428,7 +432,8 @@
           fail("key " + std::to_string(mark) + " ran twice within its window");
         ran_[mark] = memory.admitted;
       }
-      if (requests_[held.request].rejected) fail("op " + std::to_string(held.request) + " ran after it was nacked");
+      if (requests_[held.request].rejected)
+        fail("op " + std::to_string(held.request) + " ran after it was nacked");
       note("p" + std::to_string(p) + " runs op " + std::to_string(held.request));
       const std::uint64_t epoch = planner.epoch;
       const double takes = -std::log(1 - chance()) * 0.02 * (planner.manner == Manner::kSlow ? 10 : 1);
@@ -509,7 +514,8 @@
         f->dispatch.set_planners(names, now_);
       });
     }
-    if (static_cast<int>(requests_.size()) < max_requests_) after(kSpread + chance() * 4, [this] { relist(); });
+    if (static_cast<int>(requests_.size()) < max_requests_)
+      after(kSpread + chance() * 4, [this] { relist(); });
   }
 
   pcg32 random_;
@@ -536,13 +542,15 @@
       History history(seed * 1000 + static_cast<std::uint64_t>(requests), requests, false);
       const std::string broken = history.play();
       if (!broken.empty()) {
-        std::printf("%d ops, seed %llu: %s\n", requests, static_cast<unsigned long long>(seed), broken.c_str());
+        std::printf("%d ops, seed %llu: %s\n", requests, static_cast<unsigned long long>(seed),
+                    broken.c_str());
         History again(seed * 1000 + static_cast<std::uint64_t>(requests), requests, true);
         again.play();
         return;
       }
       const History::Totals t = history.totals();
-      all.requests += t.requests, all.succeeded += t.succeeded, all.rejected += t.rejected, all.failed += t.failed;
+      all.requests += t.requests, all.succeeded += t.succeeded, all.rejected += t.rejected,
+          all.failed += t.failed;
       all.second += t.second, all.fenced += t.fenced, all.proven += t.proven, all.dropped += t.dropped;
       all.lost += t.lost, all.asked += t.asked, all.known += t.known;
     }
--- a/tests/tier_parts.cpp
+++ b/tests/tier_parts.cpp
@@ -11,9 +11,9 @@
 
 #include "scenarios.h"
 #include "tier/dispatch.h"
-#include "tier/holdings.h"
-#include "tier/lists_record.h"
-#include "tier/slot_worth.h"
+#include "tier/endpoint_list_history.h"
+#include "tier/forwarder_sessions.h"
+#include "tier/slot_value.h"
 
 using namespace damsonspoke;
 using namespace damsonspoke::tier;
@@ -31,7 +31,7 @@
 void picker() {
   pcg32 random(5);
   const auto chance = [&] { return random() / 4294967296.0; };
-  PickerTerms terms;
+  PickerOptions terms;
   terms.slow_start = 0;
   {  // A subject stays where it is while planners come and go.
     Picker five(terms, names(5));
@@ -56,7 +56,7 @@
       const int to = *four.pick(random() % 2 ? 7 : 1 + random() % 1000, 1, chance);
       four.sent(to);
       open.push_back(to);
-      if (open.size() > 80) four.ended(open.front(), Ended::kServed, 0.01, 1), open.pop_front();
+      if (open.size() > 80) four.ended(open.front(), AttemptOutcome::kServed, 0.01, 1), open.pop_front();
       if (open.size() >= 80) worst = std::max(worst, four.open(to) / 20.0);
     }
     std::printf("a hot subject: most at one planner within 1.35 x the mean: %s\n",
@@ -74,7 +74,7 @@
     std::printf("400 ops over 8 by the better of two: at most %s\n", most <= 54 ? "54" : "more");
   }
   {
-    PickerTerms slow;
+    PickerOptions slow;
     Picker two(slow, names(2));
     two.up(0, 100, -100);
     two.up(1, 100, 0);
@@ -84,35 +84,35 @@
   {  // Outliers go, for longer each time, but never more than half.
     Picker four(terms, names(4));
     for (int i = 0; i < 4; ++i) four.up(i, 1000, 0);
-    const auto round = [&](int planner, Ended how, double took, double now) {
+    const auto round = [&](int planner, AttemptOutcome how, double took, double now) {
       for (int i = 0; i < 20; ++i) four.sent(planner), four.ended(planner, how, took, now);
     };
-    for (const int sound : {0, 1, 2}) round(sound, Ended::kServed, 0.02, 1);
-    round(3, Ended::kBad, 0.5, 1);
+    for (const int sound : {0, 1, 2}) round(sound, AttemptOutcome::kServed, 0.02, 1);
+    round(3, AttemptOutcome::kBad, 0.5, 1);
     std::printf("one fails: left out %s\n", four.ejected(3, 1) ? "yes" : "no");
-    for (int i = 0; i < 20; ++i) round(2, Ended::kRejected, 0.001, 1);
+    for (int i = 0; i < 20; ++i) round(2, AttemptOutcome::kRejected, 0.001, 1);
     std::printf("a second nacks everything: left out %s\n", four.ejected(2, 1) ? "yes" : "no");
-    round(1, Ended::kBad, 1, 1);
-    round(1, Ended::kBad, 1, 1);
-    round(1, Ended::kBad, 1, 1);
+    round(1, AttemptOutcome::kBad, 1, 1);
+    round(1, AttemptOutcome::kBad, 1, 1);
+    round(1, AttemptOutcome::kBad, 1, 1);
     std::printf("a third fails: left out %s, so many %d of 4\n", four.ejected(1, 1) ? "yes" : "no",
                 four.ejected_now(1));
     double back = 1;
     while (four.ejected(3, back)) back += 0.25;
-    round(3, Ended::kBad, 0.5, back);
+    round(3, AttemptOutcome::kBad, 0.5, back);
     double again = back;
     while (four.ejected(3, again)) again += 0.25;
     std::printf("left out for %.0f s, then for %.0f s\n", back - 1, again - back);
     Picker all(terms, names(2));
     for (int i = 0; i < 2; ++i) all.up(i, 1000, 0);
     for (int i = 0; i < 64; ++i) {
-      for (int p = 0; p < 2; ++p) all.sent(p), all.ended(p, Ended::kBad, 1, 1);
+      for (int p = 0; p < 2; ++p) all.sent(p), all.ended(p, AttemptOutcome::kBad, 1, 1);
     }
     std::printf("all fail alike: left out %d\n", all.ejected_now(1));
     Picker lag(terms, names(3));
     for (int i = 0; i < 3; ++i) lag.up(i, 1000, 0);
     for (int i = 0; i < 20; ++i) {
-      for (int p = 0; p < 3; ++p) lag.sent(p), lag.ended(p, Ended::kServed, p == 1 ? 0.5 : 0.05, 1);
+      for (int p = 0; p < 3; ++p) lag.sent(p), lag.ended(p, AttemptOutcome::kServed, p == 1 ? 0.5 : 0.05, 1);
     }
     std::printf("one is ten times slower: left out %s\n", lag.ejected(1, 1) ? "yes" : "no");
     Picker choice(terms, names(2));
@@ -135,7 +135,7 @@
 
 // ---- The line and the outlook.
 void line() {
-  Line waits(6, 10000);
+  WaitQueue waits(6, 10000);
   for (RequestId id = 1; id <= 4; ++id) waits.enter(id, 1, 1, 10);  // a heavy caller
   waits.enter(5, 1, 2, 10);
   waits.enter(6, 3, 1, 10);
@@ -149,14 +149,14 @@
   while (const auto id = waits.next())
     waits.leave(*id), std::printf(" %llu", static_cast<unsigned long long>(*id));
   std::printf("; left over %zu ops, %zu bytes\n", waits.size(), waits.bytes());
-  Line small(100, 100);
+  WaitQueue small(100, 100);
   small.enter(1, 1, 1, 60);
   std::printf("bytes full: op %llu goes\n",
               static_cast<unsigned long long>(small.enter(2, 1, 2, 60).value_or(0)));
 }
 
 void outlook() {
-  Outlook sees({}, 2, 0);
+  WaitEstimator sees({}, 2, 0);
   sees.some_planner(0);
   sees.busy(true, 0);
   std::printf("nothing known, 50 ahead, 0.1 s left: %s\n", sees.in_time(0, 50, 0.1, 0.1) ? "may" : "no");
@@ -192,7 +192,7 @@
                            "conflict", "never ran", "running", "forgotten"};
     return names[static_cast<int>(result)];
   };
-  Holdings holds({0.75, 1024, 2, 3});
+  ForwarderSessions holds({0.75, 1024, 2, 3});
   const auto f = holds.hello("f1", 7, 1).forwarder;
   bool started = false;
   const auto fence = [&](std::uint64_t attempt) {
@@ -206,8 +206,9 @@
   started = true;
   fence(2);
   fence(5);
-  std::printf("submitted all the same: %s\n",
-              holds.submit(f, 5, 105, 0) == Holdings::Taking::kFenced ? "fenced off" : "taken");
+  std::printf(
+      "submitted all the same: %s\n",
+      holds.submit(f, 5, 105, 0) == ForwarderSessions::SubmitResult::kFenced ? "fenced off" : "taken");
   holds.link_lost(1, 10);
   wt::Answer answer;
   answer.attempt = 2;
@@ -230,8 +231,9 @@
   std::printf("a second forwarder halves what is kept\n");
   fence(23);
   for (std::uint64_t i = 40; i < 43; ++i) holds.submit(f, i, 100 + i, 0);
-  std::printf("a fourth open one: %s\n",
-              holds.submit(f, 43, 143, 0) == Holdings::Taking::kTooMany ? "too many" : "taken");
+  std::printf(
+      "a fourth open one: %s\n",
+      holds.submit(f, 43, 143, 0) == ForwarderSessions::SubmitResult::kTooMany ? "too many" : "taken");
   const auto anew = holds.hello("f1", 8, 3);
   std::printf("a new life: known %s, old link %llu, ops without a caller %zu\n",
               anew.forwarder == f ? "yes" : "no", static_cast<unsigned long long>(anew.old_link),
@@ -281,11 +283,11 @@
                                                  four = {{0, "p1"}, {1, "p2"}, {2, "p3"}, {3, "p4"}},
                                                  two = {{0, "p1"}, {2, "p3"}};
   constexpr std::uint64_t kMarks = 4000;
-  const auto tell = [](const char* when, const Homes& homes, double now) {
+  const auto tell = [](const char* when, const KeyOwnership& homes, double now) {
     int asks = 0, barred = 0, twice = 0, none = 0;
     std::vector<int> at(4);
     for (std::uint64_t mark = 1; mark <= kMarks; ++mark) {
-      const Way way = homes.way(mark, now);
+      const KeyRoute way = homes.way(mark, now);
       asks += !way.ask.empty(), barred += !way.may_run, twice += way.ask.size() > 1, none += way.home < 0;
       if (way.home >= 0) ++at[static_cast<std::size_t>(way.home)];
       if (std::find(way.ask.begin(), way.ask.end(), way.home) != way.ask.end())
@@ -296,7 +298,7 @@
         when, at[0] * 100.0 / kMarks, at[1] * 100.0 / kMarks, at[2] * 100.0 / kMarks, at[3] * 100.0 / kMarks,
         asks * 100.0 / kMarks, twice * 100.0 / kMarks, barred * 100.0 / kMarks, none > 0 ? ", nowhere" : "");
   };
-  Homes homes({2, 10});
+  KeyOwnership homes({2, 10});
   homes.list(three, 0);
   tell("three", homes, 0);
   homes.list(four, 100);
@@ -316,20 +318,20 @@
               homes.may_be_asked(1, 211) ? "yes" : "no", homes.may_be_asked(3, 212) ? "yes" : "no");
   homes.list({}, 300);
   tell("nobody", homes, 300);
-  Homes again({2, 10});
+  KeyOwnership again({2, 10});
   again.former(two, 295);
   again.list(three, 300);
   tell("another list before the start", again, 300);
-  Homes blind({2, 10});
+  KeyOwnership blind({2, 10});
   blind.list(three, 0);
   blind.unknown_before(0);
   tell("nobody knows what was before", blind, 11.9);
   tell("and nothing matters of it now", blind, 12);
-  Homes restless({2, 10});
+  KeyOwnership restless({2, 10});
   for (int i = 0; i < 10; ++i) restless.list(i % 2 ? three : four, i);
   tell("more lists than are kept", restless, 9);
   tell("the first of them is over", restless, 14);
-  Homes plain({2, 0});
+  KeyOwnership plain({2, 0});
   plain.list(three, 0);
   plain.list(four, 1);
   tell("nothing is ever remembered", plain, 1);
@@ -337,9 +339,9 @@
 
 // The lists as they are kept.
 void lists() {
-  ListsRecord record{{"10.0.0.1:7100", "10.0.0.2:7100"}, {{1000.5, {"10.0.0.1:7100"}}, {2000, {}}}};
+  EndpointListHistory record{{"10.0.0.1:7100", "10.0.0.2:7100"}, {{1000.5, {"10.0.0.1:7100"}}, {2000, {}}}};
   const std::string bytes = encode(record);
-  const auto read = decode_lists(bytes);
+  const auto read = decode_endpoint_list_history(bytes);
   std::printf("whole: %s\n", read && read->in_force == record.in_force && read->former.size() == 2 &&
                                      read->former[0].until == 1000.5 &&
                                      read->former[0].planners == record.former[0].planners
@@ -347,36 +349,38 @@
                                  : "no");
   int taken = 0, other = 0;
   for (std::size_t i = 0; i < bytes.size(); ++i) {
-    if (decode_lists(std::string_view(bytes).substr(0, i))) ++taken;
+    if (decode_endpoint_list_history(std::string_view(bytes).substr(0, i))) ++taken;
     for (int bit = 0; bit < 8; ++bit) {
       std::string spoilt = bytes;
       spoilt[i] = static_cast<char>(spoilt[i] ^ (1 << bit));
-      const auto got = decode_lists(spoilt);
-      other += got && encode(*got).size() > kMostListsBytes;
+      const auto got = decode_endpoint_list_history(spoilt);
+      other += got && encode(*got).size() > kMaxEndpointListHistoryBytes;
     }
   }
   std::printf("cut short and taken: %d; spoilt and out of bounds: %d\n", taken, other);
   record.former.assign(20, {1, {"a"}});
   for (std::size_t i = 0; i < 20; ++i) record.former[i].until = static_cast<double>(i);
-  const auto newest = decode_lists(encode(record));
+  const auto newest = decode_endpoint_list_history(encode(record));
   std::printf("of twenty former ones %zu are kept, from %.0f on\n", newest->former.size(),
               newest->former.front().until);
   record.former.clear();
   record.in_force.assign(65, "a");
-  std::printf("65 planners: %s\n", decode_lists(encode(record)) ? "taken" : "no list");
+  std::printf("65 planners: %s\n", decode_endpoint_list_history(encode(record)) ? "taken" : "no list");
   record.in_force = {std::string(256, 'a')};
-  std::printf("an address of 256 bytes: %s\n", decode_lists(encode(record)) ? "taken" : "no list");
+  std::printf("an address of 256 bytes: %s\n",
+              decode_endpoint_list_history(encode(record)) ? "taken" : "no list");
   record.in_force = {""};
-  std::printf("an empty one: %s\n", decode_lists(encode(record)) ? "taken" : "no list");
+  std::printf("an empty one: %s\n", decode_endpoint_list_history(encode(record)) ? "taken" : "no list");
   std::string many =
       "\xa2\x68in_force\x80\x66"
       "former\x91";  // CBOR: no list in force, 17 former ones
   for (int i = 0; i < 17; ++i) many += "\xa2\x65until\x01\x68planners\x80";
-  std::printf("17 former ones: %s", decode_lists(many) ? "taken" : "no list");
+  std::printf("17 former ones: %s", decode_endpoint_list_history(many) ? "taken" : "no list");
   many[18] = '\x90', many.resize(many.size() - 18);
-  std::printf("; 16: %s\n", decode_lists(many) ? "taken" : "no list");
+  std::printf("; 16: %s\n", decode_endpoint_list_history(many) ? "taken" : "no list");
   record = {{"a"}, {{std::nan(""), {"b"}}}};
-  std::printf("a time that is none: %s\n", decode_lists(encode(record)) ? "taken" : "no list");
+  std::printf("a time that is none: %s\n",
+              decode_endpoint_list_history(encode(record)) ? "taken" : "no list");
 }
 
 }  // namespace
--- a/tests/tier_program.cpp
+++ b/tests/tier_program.cpp
@@ -164,7 +164,8 @@
   play.loop.run_for(1.5);
   say("off the list after a grace", !play.forwarder->roster.listed());
   const Tally t = tally(play.journal, gone);
-  say("meanwhile all are nacked, at once", t.asked > 50 && t.rejected >= t.asked - 2 && t.longest_rejection < 0.1);
+  say("meanwhile all are nacked, at once",
+      t.asked > 50 && t.rejected >= t.asked - 2 && t.longest_rejection < 0.1);
   for (int i = 0; i < 2; ++i)
     play.planners[i] =
         std::make_unique<Planner>(play.loop, play.journal, of(PlannerManner::kSound), ports[i]);
--- a/tests/traces.cpp
+++ b/tests/traces.cpp
@@ -65,7 +65,8 @@
   b.pool();
 }
 
-// Nothing learned: held. Learned: a request that cannot be in time is rejected on intake, the important one is not.
+// Nothing learned: held. Learned: a request that cannot be in time is rejected on intake, the important one
+// is not.
 void finish_check() {
   Backend b(plain_settings());
   for (RequestId id = 1; id <= 6; ++id) b.arrives(b.request(id));
@@ -290,8 +291,8 @@
   }
 }
 
-// Requests that are stale when they are read: nothing here can be in time, so callers are sent away until cores
-// idle.
+// Requests that are stale when they are read: nothing here can be in time, so callers are sent away until
+// cores idle.
 void drowning() {
   Backend b(plain_settings());
   b.gauges.cpu_busy = 1;
@@ -375,8 +376,8 @@
   for (RequestId id = 29; id <= 31; ++id) b.arrives(b.request(id));
 }
 
-// One of 300: rejections leave callers free to try elsewhere until requests come that have been, by the wait that they
-// tell.
+// One of 300: rejections leave callers free to try elsewhere until requests come that have been, by the wait
+// that they tell.
 void elsewhere() {
   AdmissionOptions s = plain_settings();
   s.servers = 300;
@@ -389,8 +390,8 @@
   }
 }
 
-// A request that tells its work is judged by it: the long one misses and is rejected at once, the short one and the
-// untold one wait, though the three are of one route.
+// A request that tells its work is judged by it: the long one misses and is rejected at once, the short one
+// and the untold one wait, though the three are of one route.
 void hints() {
   Backend b(plain_settings());
   for (RequestId id = 1; id <= 2; ++id) b.arrives(hinted(b, id, 0.1));
@@ -402,8 +403,8 @@
   b.arrives(b.request(7));
 }
 
-// Two requests told a thousandth of their work: an honest one after them is not taken for a thousand times its
-// own.
+// Two requests told a thousandth of their work: an honest one after them is not taken for a thousand times
+// its own.
 void told_too_little() {
   AdmissionOptions s = plain_settings();
   s.routes[0].latency_objective = 10;
@@ -505,9 +506,10 @@
 }
 
 // What is announced under pressure means something else for each kind of free value.
-void announce() {
+void publish_load_feedback() {
   AdmissionOptions s = plain_settings();
-  for (const LoadFeedback say : {LoadFeedback::kLevel, LoadFeedback::kWeight, LoadFeedback::kCredit, LoadFeedback::kOff}) {
+  for (const LoadFeedback say :
+       {LoadFeedback::kLevel, LoadFeedback::kWeight, LoadFeedback::kCredit, LoadFeedback::kOff}) {
     s.load_feedback = say;
     Backend b(s);
     b.learn(0, 1.0);
@@ -519,8 +521,8 @@
   }
 }
 
-// What an earlier life learned: its times are used from the first request on; a few runs that take other times
-// outweigh it, and while the backend is cold nothing speaks against it.
+// What an earlier life learned: its times are used from the first request on; a few runs that take other
+// times outweigh it, and while the backend is cold nothing speaks against it.
 void prior() {
   const AdmissionOptions s = plain_settings();
   Backend first(s);
@@ -599,7 +601,7 @@
     {"drowning", drowning},
     {"failing", failing},
     {"shares", shares},
-    {"announce", announce},
+    {"announce", publish_load_feedback},
     {"silence", silence},
     {"storm", storm},
     {"skewed", skewed},
--- a/tests/wire.cpp
+++ b/tests/wire.cpp
@@ -6,7 +6,7 @@
 #include <string>
 
 #include "wire/base64.h"
-#include "wire/below_lines.h"
+#include "wire/dependency_lines.h"
 #include "wire/rpc.h"
 #include "wire/runtime_lines.h"
 
@@ -90,8 +90,8 @@
     std::printf(", %s", r.method.c_str());
     if (r.has_txn) std::printf(", txn %s", format_id(r.txn).c_str());
     if (r.has_subject) std::printf(", item %s", format_id(r.subject).c_str());
-    std::printf(", door %.0f, limit %.0f, caller %u, %.1f kB, probe %d, body '%s'", r.received_at_ms, r.client_timeout_ms,
-                r.caller, r.size_kb, r.probe, shown(r.body).c_str());
+    std::printf(", door %.0f, limit %.0f, caller %u, %.1f kB, probe %d, body '%s'", r.received_at_ms,
+                r.client_timeout_ms, r.caller, r.size_kb, r.probe, shown(r.body).c_str());
     if (r.work_ms > 0) std::printf(", work %.1f ms", r.work_ms);
   }
   std::printf("\n");
