--- /dev/null
+++ b/src/admission/call_concurrency_limit.h
@@ -0,0 +1,28 @@
+// How many dependency calls may be in flight at once.
+#pragma once
+
+namespace damsonspoke {
+
+// Additive increase, multiplicative decrease: calls that succeed in their usual time raise the limit up to
+// its ceiling, signs of overload lower it.
+class CallConcurrencyLimit {
+ public:
+  explicit CallConcurrencyLimit(double ceiling) : ceiling_(ceiling), limit_(ceiling) {}
+
+  enum class Change { kNone, kLowered, kRestored };
+  // A call has succeeded while calls take their usual time.
+  Change raise();
+  // A call shows that the dependency is overloaded; counts once in the time that a drop takes to show.
+  Change lower(double now);
+
+  [[nodiscard]] bool lowered() const { return limit_ < ceiling_; }
+  [[nodiscard]] double ceiling() const { return ceiling_; }
+  [[nodiscard]] double value() const { return limit_; }
+
+ private:
+  const double ceiling_;
+  double limit_;
+  double next_drop_at_ = 0;  // s
+};
+
+}  // namespace damsonspoke
--- a/src/fixed_directory.h
+++ b/src/admission/fixed_route_directory.h
@@ -1,18 +1,19 @@
-// A directory that never changes: the routes and tenants of one backend's settings.
+// A route directory that never changes: the routes and tenants of one server's settings.
 #pragma once
 
 #include <algorithm>
 #include <vector>
 
-#include "decide.h"
+#include "admission/route_directory.h"
 
 namespace damsonspoke {
 
 class FixedRouteDirectory final : public RouteDirectory {
  public:
-  explicit FixedRouteDirectory(const AdmissionOptions& settings)
-      : routes_(settings.routes), tenants_(settings.tenants) {
-    for (const Route& type : routes_) most_important_ = std::max(most_important_, type.priority_weight);
+  explicit FixedRouteDirectory(const AdmissionOptions& options)
+      : routes_(options.routes), tenants_(options.tenants) {
+    for (const Route& route : routes_)
+      highest_priority_weight_ = std::max(highest_priority_weight_, route.priority_weight);
     for (const Tenant& tenant : tenants_) total_quota_per_second_ += tenant.quota_per_second;
   }
 
@@ -22,12 +23,12 @@
   std::size_t tenant_count() const override { return tenants_.size(); }
   std::size_t tenant_positions() const override { return tenants_.size(); }
   double total_quota_per_second() const override { return total_quota_per_second_; }
-  double highest_priority_weight() const override { return most_important_; }
+  double highest_priority_weight() const override { return highest_priority_weight_; }
 
  private:
   const std::vector<Route> routes_;
   const std::vector<Tenant> tenants_;
-  double total_quota_per_second_ = 0, most_important_ = 0;
+  double total_quota_per_second_ = 0, highest_priority_weight_ = 0;
 };
 
 }  // namespace damsonspoke
--- /dev/null
+++ b/src/admission/idle_connections.cpp
@@ -0,0 +1,51 @@
+#include "admission/idle_connections.h"
+
+#include <algorithm>
+#include <cmath>
+
+namespace damsonspoke {
+namespace {
+
+constexpr std::size_t kCallerEntries = 1024;
+constexpr double kNever = -1e9;  // s
+constexpr double kMemoryRequests = 30;
+// Of the callers' idle timeout: a connection that is open longer costs as much as a new one.
+constexpr double kReturnSoonShare = 1.0 / 6;
+constexpr double kKeepFromReturningShare = 0.5;
+constexpr double kLeastTimeoutSeconds = 0.3;   // a retry still finds its connection
+constexpr double kUnreadPerCore = 6;           // threads; above, reading falls behind
+constexpr double kGrowthPerTick = 2;           // while reading falls behind
+constexpr double kDecayPerTick = 0.95;         // slower, or all callers would connect at once
+constexpr double kLeastPublishedChange = 0.2;  // of the published timeout
+
+}  // namespace
+
+IdleConnections::IdleConnections(const AdmissionOptions& options, DecisionSink& sink)
+    : options_(options),
+      sink_(sink),
+      published_(options.caller_idle_timeout),
+      last_requests_(kCallerEntries, {0, kNever}) {}
+
+void IdleConnections::observe_caller(std::uint32_t caller, double now) {
+  LastRequest& last = last_requests_[caller % kCallerEntries];
+  const bool returned =
+      last.caller == caller && now - last.at < kReturnSoonShare * options_.caller_idle_timeout;
+  returning_share_ += ((returned ? 1 : 0) - returning_share_) / kMemoryRequests;
+  last = {caller, now};
+}
+
+void IdleConnections::tick(double unread, bool has_capacity) {
+  if (options_.caller_idle_timeout <= 0) return;
+  if (unread > kUnreadPerCore * options_.cores)
+    timeout_ *= kGrowthPerTick;
+  else if (has_capacity)
+    timeout_ *= kDecayPerTick;
+  timeout_ = std::clamp(timeout_, std::min(kLeastTimeoutSeconds, options_.caller_idle_timeout),
+                        options_.caller_idle_timeout);
+  const double timeout = returning_share_ > kKeepFromReturningShare ? options_.caller_idle_timeout : timeout_;
+  if (std::abs(timeout - published_) <= kLeastPublishedChange * published_) return;
+  published_ = timeout;
+  sink_.set_idle_timeout(timeout);
+}
+
+}  // namespace damsonspoke
--- /dev/null
+++ b/src/admission/slow_start.cpp
@@ -0,0 +1,18 @@
+#include "admission/slow_start.h"
+
+#include <algorithm>
+
+namespace damsonspoke {
+namespace {
+
+constexpr double kLeastRampSeconds = 0.1;  // a ramp without length would divide by 0
+
+}  // namespace
+
+double SlowStart::least_speed(double now) const {
+  if (!warming_up(now)) return 1;
+  return options_.slow_start_speed + (1 - options_.slow_start_speed) * (now - started_at_) /
+                                         std::max(options_.slow_start_time, kLeastRampSeconds);
+}
+
+}  // namespace damsonspoke
--- a/src/benchlink/main.cpp
+++ b/src/benchlink/main.cpp
@@ -7,7 +7,7 @@
 #include <memory>
 #include <string>
 
-#include "decide.h"
+#include "admission/controller.h"
 #include "frames.h"
 #include "settings/settings.h"
 
--- a/src/catalog/catalog.h
+++ b/src/catalog/catalog.h
@@ -11,7 +11,7 @@
 #include "catalog/change.h"
 #include "catalog/table.h"
 #include "catalog/version.h"
-#include "decide.h"
+#include "admission/route_directory.h"
 #include "settings/settings.h"
 
 namespace damsonspoke::catalog {
--- a/src/catalog/change.h
+++ b/src/catalog/change.h
@@ -4,7 +4,7 @@
 #include <string>
 #include <variant>
 
-#include "decide.h"
+#include "admission/options.h"
 
 namespace damsonspoke::catalog {
 
--- a/src/peers/ports.h
+++ b/src/peers/ports.h
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <unordered_set>
 
-#include "decide.h"
+#include "admission/request.h"
 
 namespace damsonspoke::peers {
 
--- a/src/results/database.h
+++ b/src/results/database.h
@@ -11,7 +11,7 @@
 #include <string_view>
 #include <vector>
 
-#include "decide.h"
+#include "admission/request.h"
 #include "results/key.h"
 
 struct sqlite3;
--- a/src/results/idempotency_cache.h
+++ b/src/results/idempotency_cache.h
@@ -14,7 +14,7 @@
 #include <utility>
 #include <vector>
 
-#include "decide.h"
+#include "admission/request.h"
 #include "results/key.h"
 
 namespace damsonspoke::results {
--- a/src/results/recovery.h
+++ b/src/results/recovery.h
@@ -5,7 +5,6 @@
 #include <unordered_map>
 #include <vector>
 
-#include "decide.h"
 #include "results/database.h"
 
 namespace damsonspoke::results {
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <vector>
 
-#include "decide.h"
+#include "admission/options.h"
 
 namespace damsonspoke {
 
--- a/src/stages/admission_driver.h
+++ b/src/stages/admission_driver.h
@@ -5,7 +5,7 @@
 #include <memory>
 
 #include "catalog/catalog.h"
-#include "decide.h"
+#include "admission/controller.h"
 #include "net/reactor.h"
 #include "observability/counters.h"
 #include "peers/ports.h"
--- a/src/stages/decision_executor.h
+++ b/src/stages/decision_executor.h
@@ -4,7 +4,7 @@
 #include <functional>
 #include <string>
 
-#include "decide.h"
+#include "admission/decision_sink.h"
 #include "observability/logger.h"
 #include "stages/command_sender.h"
 #include "stages/in_flight_requests.h"
--- a/src/stages/in_flight_requests.h
+++ b/src/stages/in_flight_requests.h
@@ -7,6 +7,7 @@
 #include <unordered_map>
 #include <vector>
 
+#include "admission/options.h"
 #include "catalog/version.h"
 #include "observability/counters.h"
 #include "observability/logger.h"
--- a/src/stages/statistics_persistence.h
+++ b/src/stages/statistics_persistence.h
@@ -5,7 +5,7 @@
 #include <memory>
 #include <string>
 
-#include "decide.h"
+#include "admission/learned_statistics.h"
 #include "net/reactor.h"
 #include "observability/counters.h"
 #include "observability/logger.h"
--- a/src/statistics/record.h
+++ b/src/statistics/record.h
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <vector>
 
-#include "decide.h"
+#include "admission/learned_statistics.h"
 #include "settings/settings.h"
 
 namespace damsonspoke::statistics {
--- a/src/tier/attempt_ledger.h
+++ b/src/tier/attempt_ledger.h
@@ -12,7 +12,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "decide.h"
+#include "admission/request.h"
 
 namespace damsonspoke::tier {
 
--- a/src/tier/forwarder_sessions.h
+++ b/src/tier/forwarder_sessions.h
@@ -16,7 +16,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "decide.h"
+#include "admission/request.h"
 #include "wire/tier.h"
 
 namespace damsonspoke::tier {
--- a/standins/decision_load.cpp
+++ b/standins/decision_load.cpp
@@ -5,6 +5,7 @@
 #include <pcg_random.hpp>
 #include <queue>
 
+#include "admission/controller.h"
 #include "silent_sink.h"
 
 namespace damsonspoke::standins {
--- a/standins/decision_load.h
+++ b/standins/decision_load.h
@@ -4,7 +4,7 @@
 
 #include <cstdint>
 
-#include "decide.h"
+#include "admission/route_directory.h"
 
 namespace damsonspoke::standins {
 
--- a/standins/silent_sink.h
+++ b/standins/silent_sink.h
@@ -3,7 +3,7 @@
 
 #include <string>
 
-#include "decide.h"
+#include "admission/decision_sink.h"
 
 namespace damsonspoke::standins {
 
--- a/tests/backend.h
+++ b/tests/backend.h
@@ -7,7 +7,7 @@
 #include <map>
 #include <string>
 
-#include "decide.h"
+#include "admission/controller.h"
 
 namespace damsonspoke::testing {
 
--- a/tests/catalog.cpp
+++ b/tests/catalog.cpp
@@ -14,10 +14,11 @@
 #include <pcg_random.hpp>
 #include <set>
 
+#include "admission/controller.h"
+#include "admission/tenant_quotas.h"
 #include "catalog/files.h"
 #include "catalog/follower.h"
 #include "decision_load.h"
-#include "quota.h"
 #include "scenarios.h"
 #include "silent_sink.h"
 #include "synthetic_site.h"
@@ -580,33 +581,33 @@
   Catalog catalog({1, 200000, true}, 1);
   catalog.apply(route("r"));
   for (int i = 0; i < 200000; ++i) catalog.apply(tenant("t" + std::to_string(i), 1));
-  Quotas many(catalog, 1);
+  TenantQuotas many(catalog, 1);
   int within = 0;
   for (int i = 0; i < 40; ++i) {
-    const bool in = many.within(5, 0);
+    const bool in = many.observe(5, 0);
     within += in;
     if (in) many.spend(5);
   }
   std::printf("of 40 at once, of one tenant of 200000: %d within\n", within);
   // Four others of its set, a while later: then it has a full bucket anyway.
-  for (int i = 1; i <= 4; ++i) many.within(5 + i * 16384, 60);
+  for (int i = 1; i <= 4; ++i) many.observe(5 + i * 16384, 60);
   within = 0;
   for (int i = 0; i < 40; ++i) {
-    const bool in = many.within(5, 60);
+    const bool in = many.observe(5, 60);
     within += in;
     if (in) many.spend(5);
   }
   std::printf("a minute later, pushed out meanwhile: %d within\n", within);
-  for (int i = 1; i <= 3; ++i) many.within(5 + i * 16384, 60);
+  for (int i = 1; i <= 3; ++i) many.observe(5 + i * 16384, 60);
   std::printf("three others of its set push nobody out: %s\n",
-              many.within(5, 60) ? "NO" : "its bucket is empty");
+              many.observe(5, 60) ? "NO" : "its bucket is empty");
   catalog.apply(RemoveTenant{"t5"});
   catalog.apply(tenant("t5", 1));
-  std::printf("removed and back: %s\n", many.within(5, 60) ? "a full bucket" : "NO");
+  std::printf("removed and back: %s\n", many.observe(5, 60) ? "a full bucket" : "NO");
   catalog.apply(tenant("t5", 0));
   within = 0;
   for (int i = 0; i < 40; ++i) {
-    const bool in = many.within(5, 60);
+    const bool in = many.observe(5, 60);
     within += in;
     if (in) many.spend(5);
   }
--- a/tests/cold_calls.cpp
+++ b/tests/cold_calls.cpp
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-#include "decide.h"
+#include "admission/controller.h"
 #include "silent_sink.h"
 
 using namespace damsonspoke;
--- a/tests/results_store.cpp
+++ b/tests/results_store.cpp
@@ -12,6 +12,7 @@
 #include <future>
 #include <thread>
 
+#include "admission/options.h"
 #include "net/reactor.h"
 #include "recording_disk.h"
 #include "results/database.h"
