--- a/src/admission/controller.h
+++ b/src/admission/controller.h
@@ -39,6 +39,7 @@
   // A prior counts as much as its histograms hold, until the first runs contradict it.
   AdmissionController(const AdmissionOptions& options, std::uint64_t seed, DecisionSink& sink, double now,
                       const LearnedStatistics& prior = {}, const RouteDirectory* directory = nullptr);
+  ~AdmissionController() = default;
   AdmissionController(const AdmissionController&) = delete;
   AdmissionController& operator=(const AdmissionController&) = delete;
 
