--- a/bench/ajp.cpp
+++ b/bench/ajp.cpp
@@ -77,7 +77,7 @@
   const double began = server.process->processor_time();
   loop.run_for(seconds);
   out.cpu = server.process->processor_time() - began;
-  out.requests = server.process->counters()["ops.read"];
+  out.requests = server.process->counters()["requests.read"];
   callers.want_more(false);
   gateway.want_more(false);
   loop.run_until([&] { return callers.open() == 0 && callers.still_wanted() == 0 && gateway.open() == 0; },
--- a/bench/knowledge.cpp
+++ b/bench/knowledge.cpp
@@ -166,8 +166,8 @@
 void look_at(Played& out, Server& server) {
   const auto counters = server.process->counters();
   const auto count = [&](const char* name) { return counters.contains(name) ? counters.at(name) : 0; };
-  out.reactor_ms = std::max(out.reactor_ms, static_cast<double>(count("knowledge.most_us")) / 1000);
-  out.used += count("knowledge.used") > 0;
+  out.reactor_ms = std::max(out.reactor_ms, static_cast<double>(count("statistics.max_write_us")) / 1000);
+  out.used += count("statistics.restored") > 0;
 }
 
 void judge(Played& out, const char* name, const Journal& journal, double from, double until) {
--- a/bench/results.cpp
+++ b/bench/results.cpp
@@ -181,8 +181,8 @@
   const auto counters = on.process->counters();
   const auto count = [&](const char* name) { return counters.contains(name) ? counters.at(name) : 0; };
   memory.entries = count("results.entries");
-  memory.latest_wake_ms = static_cast<double>(count("time.wake_most_us")) / 1000;
-  memory.commit_ms = static_cast<double>(count("results.commit_most_us")) / 1000;
+  memory.latest_wake_ms = static_cast<double>(count("timers.max_delay_us")) / 1000;
+  memory.commit_ms = static_cast<double>(count("results.max_commit_us")) / 1000;
   on.leave();
   return memory;
 }
--- a/bench/scale_backend.cpp
+++ b/bench/scale_backend.cpp
@@ -140,11 +140,11 @@
   fleet.settle(3);
   fleet.loop.run_for(1);
   auto counters = fleet.process->counters();
-  out.hold_ms = static_cast<double>(counters["catalog.most_us"]) / 1000;
+  out.hold_ms = static_cast<double>(counters["catalog.max_step_us"]) / 1000;
   out.applied = counters["catalog.applied"];
-  out.refused = counters["catalog.refused"];
+  out.refused = counters["catalog.rejected"];
   out.sequence = counters["catalog.sequence"];
-  out.overdue = counters["ops.overdue"];
+  out.overdue = counters["requests.overdue"];
   out.last_written = files.sequence();
   fleet.leave();
   std::map<std::uint64_t, double> ran;  // s at the runtime, by request
@@ -263,11 +263,11 @@
     fleet.loop.run_for(0.5);
     const double watched = options.seconds / 2;
     const double cpu = fleet.process->processor_time();
-    const auto reports = fleet.process->counters()["roster.reports"];
+    const auto reports = fleet.process->counters()["registry.reports"];
     fleet.loop.run_for(watched);
     const double spent = (fleet.process->processor_time() - cpu) / watched;
     const auto reported =
-        static_cast<double>(fleet.process->counters()["roster.reports"] - reports) / watched;
+        static_cast<double>(fleet.process->counters()["registry.reports"] - reports) / watched;
     const auto kb = static_cast<double>(fleet.process->resident_kb() - before);
     fmt::print(
         "  {:>5} asked for, {} ended by it: {:.2f} KB each, {:.2f}% of a core, {:.1f} reports to the roster "
--- a/bench/scale_members.cpp
+++ b/bench/scale_members.cpp
@@ -56,7 +56,7 @@
       out.resident_kb = std::max(out.resident_kb, static_cast<double>(process->resident_kb()));
       auto counters = process->counters();
       out.bytes += static_cast<double>(counters["members.bytes"]);
-      out.there += static_cast<double>(counters["members.there"]) / kReal;
+      out.there += static_cast<double>(counters["members.alive"]) / kReal;
     }
     return out;
   }
--- a/bench/tier.cpp
+++ b/bench/tier.cpp
@@ -149,7 +149,7 @@
   fleet.settle(4);
   for (const auto& forwarder : fleet.forwarders) {
     const auto counters = forwarder->process->counters();
-    out.forwarded += counters.contains("ops.read") ? counters.at("ops.read") : 0;
+    out.forwarded += counters.contains("requests.read") ? counters.at("requests.read") : 0;
     out.forwarder_cpu += forwarder->process->processor_time();
     out.forwarder_kb = std::max(out.forwarder_kb, forwarder->process->resident_kb());
   }
@@ -174,7 +174,7 @@
   const auto counters = fleet.forwarders[0]->process->counters();
   fleet.settle(2);
   fleet.leave();
-  return spent / static_cast<double>(std::max<std::uint64_t>(1, counters.at("ops.read"))) * 1e6;
+  return spent / static_cast<double>(std::max<std::uint64_t>(1, counters.at("requests.read"))) * 1e6;
 }
 
 // What a hop adds of itself: the same light load, which nothing waits for, on the same runtime, through one
--- a/src/admission/controller.cpp
+++ b/src/admission/controller.cpp
@@ -239,8 +239,8 @@
 void AdmissionController::learn_from_run(const RequestState& state) {
   const auto contradicted = statistics_.record_run(state, !slow_start_.warming_up(now_), now_);
   if (contradicted) {
-    sink_.log("learned statistics: dropped for route " + std::to_string(contradicted->route) + ", runs take " +
-              std::to_string(contradicted->run_time) + " s, not " +
+    sink_.log("learned statistics: dropped for route " + std::to_string(contradicted->route) +
+              ", runs take " + std::to_string(contradicted->run_time) + " s, not " +
               std::to_string(contradicted->prior_run_time));
   }
   service_rate_.work_done(statistics_.expected_run_time(state));
--- a/src/admission/overload_signals.cpp
+++ b/src/admission/overload_signals.cpp
@@ -90,7 +90,8 @@
 
 void OverloadSignals::note_overload() {
   const bool overloaded = shortage_ > (overloaded_ ? kRecoveredShortage : kOverloadShortage);
-  if (overloaded != overloaded_) sink_.log(overloaded ? "overload: most requests are rejected for lack of capacity" : "overload: over");
+  if (overloaded != overloaded_)
+    sink_.log(overloaded ? "overload: most requests are rejected for lack of capacity" : "overload: over");
   overloaded_ = overloaded;
 }
 
--- a/src/app/backend.cpp
+++ b/src/app/backend.cpp
@@ -220,7 +220,7 @@
   statistics_.leaving();
   if (connection_admission_) connection_admission_->leaving();
   membership_.leave();
-  sender_.leaving();
+  sender_.drain();
   admission_.on_drain(config_.stop_after);
   look_at_leaving();
 }
--- a/src/stages/admission_driver.cpp
+++ b/src/stages/admission_driver.cpp
@@ -6,44 +6,46 @@
 namespace damsonspoke::stages {
 namespace {
 
-// s before a wake: the gauges are asked for then, so that they are there and still new when it comes; a wake
-// itself never waits for them.
-constexpr double kGaugeLead = 0.008;
-constexpr double kLateWake = 0.005;  // s; counted as late over this: polls count in whole milliseconds
+// Before a timer: the gauges are requested then, so that a new reading is there when it fires.
+constexpr double kGaugeLeadSeconds = 0.008;
+constexpr double kLateTimerSeconds = 0.005;  // counted as late over this: polls have a resolution of 1 ms
+constexpr double kMicrosecondsPerSecond = 1e6;
 
 }  // namespace
 
 AdmissionDriver::AdmissionDriver(net::Reactor& reactor, const StartSettings& site,
-                                 const catalog::Catalog& catalog, std::uint64_t seed, DecisionExecutor& route,
-                                 StatisticsPersistence& statistics, const peers::Ports& peers,
-                                 Counters& counters)
+                                 const catalog::Catalog& catalog, std::uint64_t seed,
+                                 DecisionExecutor& executor, StatisticsPersistence& statistics,
+                                 const peers::Ports& peers, Counters& counters)
     : reactor_(reactor),
-      settings_(site.admission),
+      options_(site.admission),
       catalog_(catalog),
       seed_(seed),
-      executor_(route),
+      executor_(executor),
       statistics_(statistics),
       peers_(peers),
       counters_(counters) {
-  executor_.set_wakes([this](double time, std::uint64_t token) { schedule_wakeup(time, token); });
+  executor_.set_timer([this](double time, std::uint64_t token) { schedule_wakeup(time, token); });
 }
 
-void AdmissionDriver::begin(bool cold, double ago) {
-  settings_.slow_start = cold;
-  controller_ = std::make_unique<AdmissionController>(
-      settings_, seed_, executor_, net::monotonic_now() - (cold ? ago : 0), statistics_.prior(), &catalog_);
+void AdmissionDriver::begin(bool warming_up, double seconds_ago) {
+  options_.slow_start = warming_up;
+  const double started_at = net::monotonic_now() - (warming_up ? seconds_ago : 0);
+  controller_ = std::make_unique<AdmissionController>(options_, seed_, executor_, started_at,
+                                                      statistics_.prior(), &catalog_);
 }
 
 void AdmissionDriver::schedule_wakeup(double time, std::uint64_t token) {
-  reactor_.at(time - kGaugeLead, [this] { peers_.runtime->ask_gauges(); });
-  reactor_.at(time, [this, time, token] { wake(time, token); });
+  reactor_.at(time - kGaugeLeadSeconds, [this] { peers_.runtime->ask_gauges(); });
+  reactor_.at(time, [this, time, token] { on_timer(time, token); });
 }
 
-void AdmissionDriver::wake(double time, std::uint64_t token) {
+void AdmissionDriver::on_timer(double scheduled_at, std::uint64_t token) {
   const double now = net::monotonic_now();
+  const double late = now - scheduled_at;
   counters_.add(Count::kWakes);
-  if (now - time > kLateWake) counters_.add(Count::kWakesLate);
-  counters_.most(Count::kWakeMostUs, static_cast<std::uint64_t>((now - time) * 1e6));
+  if (late > kLateTimerSeconds) counters_.add(Count::kWakesLate);
+  counters_.most(Count::kWakeMostUs, static_cast<std::uint64_t>(late * kMicrosecondsPerSecond));
   const Gauges gauges = peers_.runtime->gauges(now);
   if (gauges.cpu_busy < 0) counters_.add(Count::kGaugesStale);
   controller_->on_timer(now, token, gauges);
@@ -52,14 +54,19 @@
 void AdmissionDriver::on_request(const Request& request) {
   controller_->on_request(net::monotonic_now(), request);
 }
+
 void AdmissionDriver::on_run_finished(RequestId id, Outcome outcome, double spent) {
   controller_->on_run_finished(net::monotonic_now(), id, outcome, spent);
 }
+
 void AdmissionDriver::on_call_needed(RequestId id) { controller_->on_call_needed(net::monotonic_now(), id); }
+
 void AdmissionDriver::on_call_finished(RequestId id, Outcome outcome, double spent) {
   controller_->on_call_finished(net::monotonic_now(), id, outcome, spent);
 }
+
 void AdmissionDriver::on_caller_gone(RequestId id) { controller_->on_caller_gone(net::monotonic_now(), id); }
+
 void AdmissionDriver::on_drain(double time_left) {
   if (controller_) controller_->on_drain(net::monotonic_now(), time_left);
 }
--- a/src/stages/command_sender.h
+++ b/src/stages/command_sender.h
@@ -1,8 +1,7 @@
-// Puts what was decided on its way: commands to the runtime, calls below, health to callers and roster.
+// Sends commands to the peers: runs to the runtime, calls to the dependency, health to callers and registry.
 #pragma once
 
-#include <string>
-#include <vector>
+#include <string_view>
 
 #include "observability/counters.h"
 #include "peers/ports.h"
@@ -16,26 +15,39 @@
   CommandSender(const peers::Ports& peers, const StartSettings& site, Counters& counters)
       : peers_(peers), site_(site), counters_(counters) {}
 
+  // ---- Runs.
   void start(InFlightRequest& request);
   void resume(InFlightRequest& request);
+  // Nothing where its run has not started, or the runtime can't stop runs.
   void stop(InFlightRequest& request);
-  void call(InFlightRequest& request, double patience);
-  void give(InFlightRequest& request, std::string_view reply);
-  void omit(InFlightRequest& request);
-  void give_up_call(const InFlightRequest& request) { peers_.dependency->cancel(request.id); }
-  void health(bool good, bool from_store);
-  void began(bool cold, double ago) { peers_.callers->began(cold, ago); }
-  void leaving();
-  void set_idle_timeout(double after) { peers_.callers->set_idle_timeout(after); }
-
-  bool good() const { return good_ && !leaving_; }
-  bool from_store() const { return from_store_; }
+
+  // ---- Dependency calls of a run.
+  // `timeout`: s; 0: that of the route.
+  void call(InFlightRequest& request, double timeout);
+  void cancel_call(const InFlightRequest& request) { peers_.dependency->cancel(request.id); }
+  // Lets the run go on with the reply, or without the call.
+  void deliver_reply(InFlightRequest& request, std::string_view reply);
+  void skip_call(InFlightRequest& request);
+
+  // ---- State of this server.
+  // `from_store`: health checks are answered without work.
+  void set_health(bool healthy, bool from_store);
+  // The runtime came up this long ago (s).
+  void began(bool warming_up, double seconds_ago) { peers_.callers->began(warming_up, seconds_ago); }
+  // Graceful shutdown: leaves the registry, and asks callers to send no more.
+  void drain();
+  void set_idle_timeout(double seconds) { peers_.callers->set_idle_timeout(seconds); }
+
+  [[nodiscard]] bool healthy() const { return healthy_ && !draining_; }
+  [[nodiscard]] bool answers_from_store() const { return from_store_; }
 
  private:
   const peers::Ports& peers_;
   const StartSettings& site_;
   Counters& counters_;
-  bool good_ = false, from_store_ = false, leaving_ = false;
+  bool healthy_ = false;
+  bool from_store_ = false;
+  bool draining_ = false;
 };
 
 }  // namespace damsonspoke::stages
--- a/src/stages/completion_handler.cpp
+++ b/src/stages/completion_handler.cpp
@@ -14,34 +14,34 @@
 
 }  // namespace
 
-// A new process is good, and not from store, until the module says otherwise: one that has no deep checks to
-// answer from store says nothing at its start, and would never come on the list.
-void CompletionHandler::on_runtime_ready(bool cold, double ago) {
-  sender_.began(cold, ago);
-  sender_.health(true, false);
-  admission_.begin(cold, ago);
+// A new process is healthy until the controller says otherwise: one without deep checks publishes no health
+// at its start, and would never be listed in the registry.
+void CompletionHandler::on_runtime_ready(bool warming_up, double seconds_ago) {
+  sender_.began(warming_up, seconds_ago);
+  sender_.set_health(true, false);
+  admission_.begin(warming_up, seconds_ago);
 }
 
 void CompletionHandler::on_run_ended(RequestId id, Outcome outcome, double spent, std::string_view result) {
   counters_.add(count_of(outcome));
   InFlightRequest* request = in_flight_.find(id);
   if (request == nullptr) return;
-  if (request->run == Run::kAtCall) sender_.give_up_call(*request);
-  // One that was stopped and is still owed an answer goes on later; what ran is kept where the site pauses.
-  const bool goes_on = outcome == Outcome::kCancelled && !request->answered;
-  request->run = goes_on && pauses_ ? Run::kPaused : Run::kNone;
+  if (request->run == RunStage::kInCall) sender_.cancel_call(*request);
+  // A stopped run whose request still waits for an answer goes on later.
+  const bool continues = outcome == Outcome::kCancelled && !request->answered;
+  request->run = continues && pauses_ ? RunStage::kPaused : RunStage::kNone;
   const bool answer_follows = replay_.on_run_ended(*request, outcome, result);
-  if (outcome == Outcome::kOk && !answer_follows) in_flight_.ack(*request, result);
-  // Nothing was started, as the request is over for the runtime: the module lets go of it, its caller is
-  // told.
+  if (outcome == Outcome::kOk && !answer_follows) in_flight_.succeed(*request, result);
+  // kObsolete: nothing was started, since for the runtime the request is over.
   if (outcome == Outcome::kError || outcome == Outcome::kObsolete) in_flight_.fail(*request);
   admission_.on_run_finished(id, outcome, spent);
-  if ((request = in_flight_.find(id)) != nullptr) in_flight_.settle(*request);
+  request = in_flight_.find(id);
+  if (request != nullptr) in_flight_.release_if_over(*request);
 }
 
 void CompletionHandler::on_not_started(RequestId id) { on_run_ended(id, Outcome::kObsolete, 0, {}); }
 
-// What ran may have had its effect: it is failed, never run again.
+// What ran may have had its effect: its request fails, and never runs again.
 void CompletionHandler::on_runtime_anew(const std::unordered_set<RequestId>& unsent) {
   for (const RequestId id : in_flight_.at_runtime()) {
     if (!unsent.contains(id)) on_run_ended(id, Outcome::kError, 0, {});
@@ -51,7 +51,7 @@
 void CompletionHandler::on_call_wanted(RequestId id, std::uint64_t notice, std::string_view body) {
   InFlightRequest* request = in_flight_.find(id);
   if (request == nullptr) return;
-  request->run = Run::kAtCall;
+  request->run = RunStage::kInCall;
   request->call_notice = notice;
   request->call_body = body;
   admission_.on_call_needed(id);
@@ -59,8 +59,8 @@
 
 void CompletionHandler::on_call_ended(RequestId id, Outcome outcome, double spent, std::string_view reply) {
   InFlightRequest* request = in_flight_.find(id);
-  if (request == nullptr || request->run != Run::kAtCall) return;
-  if (outcome == Outcome::kOk) sender_.give(*request, reply);
+  if (request == nullptr || request->run != RunStage::kInCall) return;
+  if (outcome == Outcome::kOk) sender_.deliver_reply(*request, reply);
   admission_.on_call_finished(id, outcome, spent);
 }
 
--- a/src/stages/completion_handler.h
+++ b/src/stages/completion_handler.h
@@ -1,4 +1,5 @@
-// Brings back what runs and calls come to: to the caller, to the run that waits, to the module.
+// Handles the ends of runs and dependency calls: for the caller, the waiting run and the admission
+// controller.
 #pragma once
 
 #include "observability/counters.h"
@@ -13,20 +14,21 @@
 
 class CompletionHandler : public peers::RuntimeEvents, public peers::DependencyEvents {
  public:
-  CompletionHandler(InFlightRequests& in_flight, CommandSender& send, ResultReplay& replay,
-                    AdmissionDriver& admission, RequestIntake& intake, Preemption halt, Counters& counters)
+  CompletionHandler(InFlightRequests& in_flight, CommandSender& sender, ResultReplay& replay,
+                    AdmissionDriver& admission, RequestIntake& intake, Preemption preemption,
+                    Counters& counters)
       : in_flight_(in_flight),
-        sender_(send),
+        sender_(sender),
         replay_(replay),
         admission_(admission),
         intake_(intake),
-        pauses_(halt == Preemption::kPause),
+        pauses_(preemption == Preemption::kPause),
         counters_(counters) {}
 
   void on_runtime_ready(bool cold, double ago) override;
   void on_run_ended(RequestId id, Outcome outcome, double spent, std::string_view result) override;
   void on_call_wanted(RequestId id, std::uint64_t notice, std::string_view body) override;
-  void on_verdict(std::uint64_t tag, bool good) override { intake_.on_verdict(tag, good); }
+  void on_verdict(std::uint64_t tag, bool good) override { intake_.on_self_test_result(tag, good); }
   void on_not_started(RequestId id) override;
   void on_runtime_anew(const std::unordered_set<RequestId>& unsent) override;
   void on_call_ended(RequestId id, Outcome outcome, double spent, std::string_view reply) override;
@@ -37,7 +39,7 @@
   ResultReplay& replay_;
   AdmissionDriver& admission_;
   RequestIntake& intake_;
-  const bool pauses_;  // a stopped run keeps what it has done
+  const bool pauses_;  // a stopped run keeps its progress
   Counters& counters_;
 };
 
--- a/src/stages/in_flight_requests.h
+++ b/src/stages/in_flight_requests.h
@@ -1,4 +1,4 @@
-// The last stage: the open requests, their one answer each, and what was counted of them.
+// The requests that are in flight: each has one answer, and goes once it is answered and its run is over.
 #pragma once
 
 #include <functional>
@@ -15,59 +15,69 @@
 
 namespace damsonspoke::stages {
 
-enum class Run { kNone, kRecording, kOnCores, kPaused, kAtCall };
+enum class RunStage {
+  kNone,          // not started, or over
+  kRecordingKey,  // starts once its idempotency key is durable
+  kRunning,
+  kPaused,
+  kInCall,  // waits for a dependency call
+};
 
 struct InFlightRequest {
   RequestId id = 0;
-  int route = 0;
-  std::string route_name;  // its route, as it was when the request was read: it ends under what it began with
-  Route route_settings;    // of that
-  catalog::Version version;  // of the catalog, by which it was decided
+  int route = 0;             // position in the catalog
+  std::string route_name;    // as it was when the request was read: it ends under what it began with
+  Route route_settings;      // likewise
+  catalog::Version version;  // of the catalog by which it was decided
   peers::ReplyAddress reply_to;
-  std::string body;       // a dropped run starts with it again
-  double due = 0;         // Unix s
+  std::string body;
+  double deadline = 0;    // Unix s
   bool answered = false;  // or its caller has gone
-  Run run = Run::kNone;
-  bool started = false;           // it has been told to run, whatever came of it
-  std::uint64_t call_notice = 0;  // the notice by which its run wants a call
-  std::string call_body;          // of that call, until it is over
+  RunStage run = RunStage::kNone;
+  bool started = false;           // its run was ever asked of the runtime
+  std::uint64_t call_notice = 0;  // number of the runtime's notice that asked for the call
+  std::string call_body;          // of the call, until it is over
 };
 
+// Invariant: a request is answered at most once; what is rejected has never run.
 class InFlightRequests {
  public:
   InFlightRequests(const peers::Ports& peers, Counters& counters) : peers_(peers), counters_(counters) {}
 
+  // References stay valid until release_if_over() has released the request.
   InFlightRequest& enter(InFlightRequest request);
   InFlightRequest* find(RequestId id);
-  bool holds(RequestId id) const { return open_.contains(id); }
+  [[nodiscard]] bool contains(RequestId id) const { return requests_.contains(id); }
 
-  // The one answer; nothing is sent where it was given before or nobody waits any more.
-  void ack(InFlightRequest& request, std::string_view result);
+  // The one answer; nothing is sent where the request was answered before or its caller has gone.
+  // `retry_after`: s, 0: no advice; `no_retry`: other servers lack capacity too.
+  void succeed(InFlightRequest& request, std::string_view result);
   void reject(InFlightRequest& request, double retry_after, bool no_retry);
-  void fail(InFlightRequest& request, peers::FailureReason why = peers::FailureReason::kPlain);
+  void fail(InFlightRequest& request, peers::FailureReason reason = peers::FailureReason::kPlain);
   void caller_gone(InFlightRequest& request);
-  // Lets go of a request that is answered and whose run is over. To be called last: the reference ends here.
-  void settle(InFlightRequest& request);
-  // Each answer as a line of the log at level debug, with the version of the catalog that it was decided by.
-  void log_answers(Logger& log) { log_ = &log; }
-  // Told of each request that the book lets go of, before it does.
-  void on_closed(std::function<void(const InFlightRequest&)> tell) { on_closed_ = std::move(tell); }
+  // Releases a request that is answered and whose run is over. To be called last: the reference ends here.
+  void release_if_over(InFlightRequest& request);
 
-  // Requests of which the runtime has something: a run, running, paused or at a call. In the order of their
-  // ids.
-  std::vector<RequestId> at_runtime() const;
+  // Logs each answer at level debug, with the version of the catalog by which it was decided.
+  void log_answers(Logger& log) { log_ = &log; }
+  // Called with each request before it is released.
+  void set_release_listener(std::function<void(const InFlightRequest&)> listener) {
+    release_listener_ = std::move(listener);
+  }
 
-  std::size_t unanswered() const { return unanswered_; }
-  std::size_t open() const { return open_.size(); }
+  // Requests of which the runtime has a run: running, paused or in a call. In the order of their ids.
+  [[nodiscard]] std::vector<RequestId> at_runtime() const;
+  [[nodiscard]] std::size_t unanswered() const { return unanswered_; }
+  [[nodiscard]] std::size_t size() const { return requests_.size(); }
 
  private:
-  bool answer(InFlightRequest& request, Count as);
+  bool mark_answered(InFlightRequest& request, Count counter);
 
   const peers::Ports& peers_;
   Counters& counters_;
-  Logger* log_ = nullptr;
-  std::unordered_map<RequestId, InFlightRequest> open_;
-  std::function<void(const InFlightRequest&)> on_closed_;
+  Logger* log_ = nullptr;  // null: answers are not logged
+  std::unordered_map<RequestId, InFlightRequest> requests_;
+  std::function<void(const InFlightRequest&)> release_listener_;
   std::size_t unanswered_ = 0;
 };
 
--- a/src/stages/request_intake.cpp
+++ b/src/stages/request_intake.cpp
@@ -5,16 +5,17 @@
 namespace damsonspoke::stages {
 namespace {
 
-constexpr double kLateRead = 0.020;  // s; counted as late over this
-constexpr double kOverdueLeft =
-    1e-6;  // s; what is left of a wait that is over: 0 would say that none was told
-constexpr double kSelfTestPatience = 2;     // s; a check that hangs longer has failed
-constexpr std::size_t kMostSelfTests = 64;  // at once; more checks than that wait for nothing
+constexpr double kLateReadSeconds = 0.020;  // requests read later than this are counted
+// What is left of a timeout that is over: 0 would say that the caller told none.
+constexpr double kOverdueTimeoutSeconds = 1e-6;
+constexpr double kSelfTestTimeoutSeconds = 2;
+constexpr std::size_t kMaxPendingChecks = 64;  // further checks are answered without a self test
+constexpr double kMicrosecondsPerSecond = 1e6;
 
 }  // namespace
 
 RequestIntake::~RequestIntake() {
-  for (auto& [tag, check] : checks_) reactor_.cancel(check.patience);
+  for (auto& [tag, check] : pending_checks_) reactor_.cancel(check.timeout);
 }
 
 bool RequestIntake::has_started(RequestId id) const {
@@ -22,78 +23,94 @@
   return request != nullptr && request->started;
 }
 
-void RequestIntake::on_request_read(peers::IncomingRequest in) {
+void RequestIntake::on_request_read(peers::IncomingRequest incoming) {
   const double now = net::unix_now();
-  const Route& type = catalog_.route(in.route);
-  Request request;
-  request.id = in.id;
-  request.route = in.route;
-  request.subject = in.subject;
-  request.size_kb = in.size_kb;
-  request.caller = in.caller;
-  request.tenant = in.tenant;
-  request.is_retry = in.is_retry;
-  request.is_write = in.subject == 0;
-  if (site_.has_work_hints)
-    request.work_hint = in.work_hint;  // where the site says so; else a caller's figure means nothing
-  request.age = in.received_at > 0 ? std::max(0.0, now - in.received_at) : 0;
-  if (in.client_timeout > 0)
-    request.remaining_timeout = std::max(kOverdueLeft, in.client_timeout - request.age);
-  counters_.add(Count::kReadSumUs, static_cast<std::uint64_t>(request.age * 1e6));
-  counters_.most(Count::kReadMostUs, static_cast<std::uint64_t>(request.age * 1e6));
-  if (request.age > kLateRead) counters_.add(Count::kReadsLate);
-
-  InFlightRequest open;
-  open.id = in.id;
-  open.route = in.route;
-  open.route_name = catalog_.route_name(in.route);
-  open.route_settings = type;
-  open.version = catalog_.version();
-  open.reply_to = in.reply_to;
-  if (!stages_.replay.on()) {
-    open.body = std::move(in.body);
-  } else {
-    open.body = in.body;  // the digest is of it
-  }
-  open.due = now - request.age + (in.client_timeout > 0 ? in.client_timeout : type.timeout);
-  InFlightRequest& entered = stages_.in_flight.enter(std::move(open));
-  if (!stages_.admission.begun()) {  // nothing runs yet: others may have room
+  Request request = to_decide(incoming, now);
+  count_read_delay(request.age);
+  InFlightRequest& entered = enter(incoming, request.age, now);
+  if (!stages_.admission.begun()) {
+    // Nothing runs here yet, while other servers may have capacity.
     stages_.in_flight.reject(entered, 0, false);
-    return stages_.in_flight.settle(entered);
+    return stages_.in_flight.release_if_over(entered);
   }
-  if (stages_.replay.meet(request, in, entered)) return stages_.in_flight.settle(entered);
-  if (in.known_only &&
-      request.duplicate_of == 0) {  // nothing is remembered here, so nobody can say: it never runs
+  if (stages_.replay.meet(request, incoming, entered)) return stages_.in_flight.release_if_over(entered);
+  if (incoming.known_only && request.duplicate_of == 0) {
+    // Nothing is remembered here, so nobody can say whether the key is known: the request never runs.
     stages_.in_flight.reject(entered, 0, true);
-    return stages_.in_flight.settle(entered);
+    return stages_.in_flight.release_if_over(entered);
   }
   stages_.admission.on_request(request);
 }
 
+Request RequestIntake::to_decide(const peers::IncomingRequest& incoming, double now) const {
+  Request request;
+  request.id = incoming.id;
+  request.route = incoming.route;
+  request.subject = incoming.subject;
+  request.size_kb = incoming.size_kb;
+  request.caller = incoming.caller;
+  request.tenant = incoming.tenant;
+  request.is_retry = incoming.is_retry;
+  request.is_write = incoming.subject == 0;
+  // Where the settings don't announce work hints a caller's figure means nothing.
+  if (site_.has_work_hints) request.work_hint = incoming.work_hint;
+  request.age = incoming.received_at > 0 ? std::max(0.0, now - incoming.received_at) : 0;
+  if (incoming.client_timeout > 0)
+    request.remaining_timeout = std::max(kOverdueTimeoutSeconds, incoming.client_timeout - request.age);
+  return request;
+}
+
+void RequestIntake::count_read_delay(double seconds) {
+  const auto microseconds = static_cast<std::uint64_t>(seconds * kMicrosecondsPerSecond);
+  counters_.add(Count::kReadSumUs, microseconds);
+  counters_.most(Count::kReadMostUs, microseconds);
+  if (seconds > kLateReadSeconds) counters_.add(Count::kReadsLate);
+}
+
+InFlightRequest& RequestIntake::enter(peers::IncomingRequest& incoming, double age, double now) {
+  const Route& route = catalog_.route(incoming.route);
+  InFlightRequest entry;
+  entry.id = incoming.id;
+  entry.route = incoming.route;
+  entry.route_name = catalog_.route_name(incoming.route);
+  entry.route_settings = route;
+  entry.version = catalog_.version();
+  entry.reply_to = incoming.reply_to;
+  // The replay of results still needs the body: its digest may tell duplicates.
+  entry.body = stages_.replay.on() ? incoming.body : std::move(incoming.body);
+  entry.deadline = now - age + (incoming.client_timeout > 0 ? incoming.client_timeout : route.timeout);
+  return stages_.in_flight.enter(std::move(entry));
+}
+
 void RequestIntake::on_caller_gone(RequestId id) {
   InFlightRequest* request = stages_.in_flight.find(id);
   if (request == nullptr || request->answered) return;
   stages_.in_flight.caller_gone(*request);
-  if (request->run == Run::kAtCall) stages_.send.give_up_call(*request);
+  if (request->run == RunStage::kInCall) stages_.sender.cancel_call(*request);
   stages_.admission.on_caller_gone(id);
-  if ((request = stages_.in_flight.find(id)) != nullptr) stages_.in_flight.settle(*request);
+  request = stages_.in_flight.find(id);
+  if (request != nullptr) stages_.in_flight.release_if_over(*request);
 }
 
-void RequestIntake::on_check(peers::ReplyAddress ticket, bool wants_work) {
-  const bool good = stages_.admission.begun() && stages_.send.good();
-  const bool works = good && wants_work && site_.admission.deep_checks && !stages_.send.from_store();
-  if (!works || checks_.size() >= kMostSelfTests) return peers_.callers->answer_check(ticket, good);
-  const std::uint64_t tag = next_check_++;
-  checks_[tag] = {ticket, reactor_.after(kSelfTestPatience, [this, tag] { on_verdict(tag, false); })};
+void RequestIntake::on_check(peers::ReplyAddress reply_to, bool wants_work) {
+  const bool healthy = stages_.admission.begun() && stages_.sender.healthy();
+  const bool needs_self_test =
+      healthy && wants_work && site_.admission.deep_checks && !stages_.sender.answers_from_store();
+  if (!needs_self_test || pending_checks_.size() >= kMaxPendingChecks)
+    return peers_.callers->answer_check(reply_to, healthy);
+  const std::uint64_t tag = next_tag_++;
+  const auto timeout =
+      reactor_.after(kSelfTestTimeoutSeconds, [this, tag] { on_self_test_result(tag, false); });
+  pending_checks_[tag] = {reply_to, timeout};
   peers_.runtime->self_test(tag);
 }
 
-void RequestIntake::on_verdict(std::uint64_t tag, bool good) {
-  const auto found = checks_.find(tag);
-  if (found == checks_.end()) return;
-  reactor_.cancel(found->second.patience);
-  peers_.callers->answer_check(found->second.ticket, good && stages_.send.good());
-  checks_.erase(found);
+void RequestIntake::on_self_test_result(std::uint64_t tag, bool passed) {
+  const auto found = pending_checks_.find(tag);
+  if (found == pending_checks_.end()) return;
+  reactor_.cancel(found->second.timeout);
+  peers_.callers->answer_check(found->second.reply_to, passed && stages_.sender.healthy());
+  pending_checks_.erase(found);
 }
 
 }  // namespace damsonspoke::stages
--- a/src/stages/request_intake.h
+++ b/src/stages/request_intake.h
@@ -1,4 +1,5 @@
-// The first stage: requests and checks as callers send them.
+// The first stage of a request: takes what callers send, gives it to the admission controller, and answers
+// health checks.
 #pragma once
 
 #include <unordered_map>
@@ -16,10 +17,11 @@
 
 class RequestIntake : public peers::CallerEvents {
  public:
+  // The stages that it hands requests to; they outlive it.
   struct Stages {
     InFlightRequests& in_flight;
     AdmissionDriver& admission;
-    CommandSender& send;
+    CommandSender& sender;
     ResultReplay& replay;
   };
   RequestIntake(net::Reactor& reactor, Stages stages, const peers::Ports& peers, const StartSettings& site,
@@ -32,18 +34,27 @@
         counters_(counters) {}
   ~RequestIntake() override;
 
-  bool in_use(RequestId id) const override { return stages_.in_flight.holds(id); }
-  bool has_started(RequestId id) const override;
+  RequestIntake(const RequestIntake&) = delete;
+  RequestIntake& operator=(const RequestIntake&) = delete;
+
+  [[nodiscard]] bool in_use(RequestId id) const override { return stages_.in_flight.contains(id); }
+  [[nodiscard]] bool has_started(RequestId id) const override;
   void on_request_read(peers::IncomingRequest request) override;
   void on_caller_gone(RequestId id) override;
-  void on_check(peers::ReplyAddress ticket, bool wants_work) override;
-  void on_verdict(std::uint64_t tag, bool good);
+  // `wants_work`: the check asks for a self test where the settings have deep checks.
+  void on_check(peers::ReplyAddress reply_to, bool wants_work) override;
+  // The runtime's self test has ended; unknown tags are ignored.
+  void on_self_test_result(std::uint64_t tag, bool passed);
 
  private:
-  struct Check {
-    peers::ReplyAddress ticket;
-    net::Reactor::TimerId patience;
+  // A health check that waits for a self test.
+  struct PendingCheck {
+    peers::ReplyAddress reply_to;
+    net::Reactor::TimerId timeout;
   };
+  [[nodiscard]] Request to_decide(const peers::IncomingRequest& incoming, double now) const;
+  void count_read_delay(double seconds);
+  InFlightRequest& enter(peers::IncomingRequest& incoming, double age, double now);
 
   net::Reactor& reactor_;
   Stages stages_;
@@ -51,8 +62,8 @@
   const StartSettings& site_;
   const catalog::Catalog& catalog_;
   Counters& counters_;
-  std::unordered_map<std::uint64_t, Check> checks_;  // that wait for a self test, by its tag
-  std::uint64_t next_check_ = 1;
+  std::unordered_map<std::uint64_t, PendingCheck> pending_checks_;  // by the tag of the self test
+  std::uint64_t next_tag_ = 1;
 };
 
 }  // namespace damsonspoke::stages
--- a/src/stages/result_replay.cpp
+++ b/src/stages/result_replay.cpp
@@ -70,7 +70,7 @@
     results::StoreEvents& events = *this;
     store_ = std::make_unique<results::Store>(reactor_, how, events);
   }
-  in_flight_.on_closed([this](const InFlightRequest& request) { on_closed(request); });
+  in_flight_.set_release_listener([this](const InFlightRequest& request) { on_closed(request); });
   look();
 }
 
@@ -254,7 +254,7 @@
   row.type = request.route_name;
   row.fingerprint = entry->fingerprint;
   row.until_ms = unix_ms() + static_cast<std::int64_t>((entry->until - net::monotonic_now()) * kMsPerSecond);
-  request.run = Run::kRecording;
+  request.run = RunStage::kRecordingKey;
   const bool taken =
       store_->intent(std::move(row), [this, id, key](bool durable) { on_intent(id, key, durable); });
   if (!taken) {
@@ -275,7 +275,8 @@
   }
   InFlightRequest* request = in_flight_.find(id);
   const results::IdempotencyCache::Entry* entry = table_.entry_of(id);
-  if (request == nullptr || request->run != Run::kRecording || entry == nullptr || entry->key != key) return;
+  if (request == nullptr || request->run != RunStage::kRecordingKey || entry == nullptr || entry->key != key)
+    return;
   if (!durable) counters_.add(Count::kResultsNotDurable);
   if (!durable || request->answered) return not_started(id, key, store_->retry_after(net::monotonic_now()));
   table_.start(id);
@@ -286,12 +287,12 @@
 void ResultReplay::not_started(RequestId id, const results::Key& key, double retry_after) {
   InFlightRequest* request = in_flight_.find(id);
   if (request == nullptr) return;
-  request->run = Run::kNone;
+  request->run = RunStage::kNone;
   reject(*request, retry_after);
   answer_repeats(table_.release(id), How::kNeverRan);
   if (store_) store_->erase({key});
   admission_.on_run_finished(id, Outcome::kObsolete, 0);
-  if ((request = in_flight_.find(id)) != nullptr) in_flight_.settle(*request);
+  if ((request = in_flight_.find(id)) != nullptr) in_flight_.release_if_over(*request);
 }
 
 // ---- Ends of runs.
@@ -311,13 +312,13 @@
       PendingWrite& pending = pending_[id];
       pending.key = key;
       pending.result = result;
-      const double left = std::max(0.0, request.due - net::unix_now());
+      const double left = std::max(0.0, request.deadline - net::unix_now());
       pending.due =
           reactor_.after(left, [this, id] {  // the answer is owed now; the result follows when it can
             InFlightRequest* late = in_flight_.find(id);
             if (late == nullptr) return;
             in_flight_.fail(*late);
-            in_flight_.settle(*late);
+            in_flight_.release_if_over(*late);
           });
       store_->result(key, pending.result, [this, id](bool durable) { on_result_written(id, durable); });
       return true;
@@ -345,8 +346,8 @@
   if (!durable) counters_.add(Count::kResultsNotDurable);
   const std::vector<RequestId> repeats = table_.end(net::monotonic_now(), id, pending.result);
   if (InFlightRequest* request = in_flight_.find(id)) {
-    in_flight_.ack(*request, pending.result);
-    in_flight_.settle(*request);
+    in_flight_.succeed(*request, pending.result);
+    in_flight_.release_if_over(*request);
   }
   answer_repeats(repeats, How::kSucceeded, pending.result);
 }
@@ -382,7 +383,7 @@
   InFlightRequest* request = in_flight_.find(id);
   if (request == nullptr) return;
   switch (how) {
-    case How::kSucceeded: in_flight_.ack(*request, result); break;
+    case How::kSucceeded: in_flight_.succeed(*request, result); break;
     case How::kUnknown: in_flight_.fail(*request, peers::FailureReason::kOutcomeUnknown); break;
     case How::kNeverRan: reject(*request, 0); break;
   }
@@ -390,7 +391,7 @@
     InFlightRequest* there = in_flight_.find(id);
     if (there == nullptr) return;
     admission_.on_run_finished(id, how == How::kSucceeded ? Outcome::kOk : Outcome::kObsolete, 0);
-    if ((there = in_flight_.find(id)) != nullptr) in_flight_.settle(*there);
+    if ((there = in_flight_.find(id)) != nullptr) in_flight_.release_if_over(*there);
   });
 }
 
--- a/standins/demo.cpp
+++ b/standins/demo.cpp
@@ -90,7 +90,7 @@
     return found == counters.end() ? 0 : found->second;
   };
   fmt::print("\nkeys acked {}, their runs {}; repeats joined {}; {} KB resident\n", keys["close"].size(),
-             runs["close"], count("results.joined"), resident);
+             runs["close"], count("results.coalesced"), resident);
   const Verdict verdict = check_rules(fleet.journal, fleet.limits());
   for (const std::string& line : verdict.broken) fmt::print("{}\n", line);
   const bool good = verdict.kept() && left && !fleet.journal.runs.empty();
--- a/tests/ajp_program.cpp
+++ b/tests/ajp_program.cpp
@@ -391,7 +391,7 @@
   say("calls are answered", server.requests > 30 && play.count("calls.ok") > 30);
   server.answer = bare::answer(503);
   play.loop.run_for(0.6);
-  say("turned away", play.count("calls.refused") > 3);
+  say("turned away", play.count("calls.rejected") > 3);
   server.answer = "!";
   play.loop.run_for(0.6);
   say("broken", play.count("calls.broken") > 0);
@@ -410,7 +410,7 @@
     say("cut off", goes.closed());
   }
   play.loop.run_for(0.2);
-  say("its op is given up", play.count("ops.gone") == 1);
+  say("its op is given up", play.count("requests.caller_gone") == 1);
   play.end();
 }
 
--- a/tests/catalog_program.cpp
+++ b/tests/catalog_program.cpp
@@ -95,7 +95,8 @@
   site.runtime_hears();
   site.send_request(caller, 7, "extra", R"("ram":10,"limit":3000,"team":"acme")");
   site.caller_hears(caller);
-  site.counters({"ops.read", "ops.acked", "bad.types", "bad.params", "catalog.applied", "catalog.refused"});
+  site.counters({"requests.read", "requests.succeeded", "bad.routes", "bad.params", "catalog.applied",
+                 "catalog.rejected"});
 }
 
 // Open requests end under what they began with: a timeout that shrinks, a route that goes, a name that comes
@@ -123,7 +124,8 @@
   std::printf("by its own timeout, before the one that began earlier: %s\n", rejected ? "rejected" : "NO");
   site.run_ends(3);
   site.caller_hears(caller);
-  site.counters({"ops.read", "ops.acked", "ops.nacked", "ops.failed", "ops.overdue"});
+  site.counters(
+      {"requests.read", "requests.succeeded", "requests.rejected", "requests.failed", "requests.overdue"});
 }
 
 // A bad change amid good ones, a gap and a torn file: told in one line each; who serves notices nothing.
@@ -152,7 +154,7 @@
   site.caller_hears(caller);
   site.start_again();
   site.comes_up();
-  site.counters({"catalog.epoch", "catalog.sequence", "catalog.routes", "catalog.refused"});
+  site.counters({"catalog.epoch", "catalog.sequence", "catalog.routes", "catalog.rejected"});
   const int again = site.connect();
   site.send_request(again, 3, "three");
   site.runtime_hears(2);
@@ -173,7 +175,7 @@
   bool there = false;
   for (int i = 0; i < 50 && !there; ++i) there = !site.expect_log("1.5020 in force").empty();
   std::printf("all in force: %s\n", there ? "yes" : "NO");
-  site.counters({"catalog.sequence", "catalog.tenants", "catalog.applied", "catalog.refused"});
+  site.counters({"catalog.sequence", "catalog.tenants", "catalog.applied", "catalog.rejected"});
 }
 
 // Thousands of changes are read while it leaves: what it has read is answered, and it ends in time.
@@ -225,7 +227,7 @@
     site.restart();
     std::map<std::string, std::string> counters = site.counter_values();
     all_in_force = all_in_force && counters["catalog.sequence"] == std::to_string(whole) &&
-                   counters["catalog.refused"] == "0" && counters["invariants.broken"] == "0";
+                   counters["catalog.rejected"] == "0" && counters["invariants.broken"] == "0";
     if (torn) std::filesystem::resize_file(file, before);  // as the next writer does
   }
   say("all whole spans in force after each of 16 kills, nothing refused", all_in_force);
@@ -246,8 +248,8 @@
   const auto answered = [&](int id) {
     site.run_ends(id);
     site.caller_hears(caller);
-    const std::string line = site.expect_log("op: " + txn(id));
-    std::printf("log: %s\n", line.substr(std::min(line.size(), line.find("op: "))).c_str());
+    const std::string line = site.expect_log("request: " + txn(id));
+    std::printf("log: %s\n", line.substr(std::min(line.size(), line.find("request: "))).c_str());
   };
   site.send_request(caller, 1, "push");
   site.runtime_hears(2);
@@ -266,17 +268,17 @@
   write_snapshot(site.folder(), {1, 7}, 3, lines_of_changes({route("push", 3), route("extra", 3)}));
   site.start_again();
   site.comes_up();
-  site.counters({"catalog.epoch", "catalog.sequence", "catalog.routes", "catalog.refused"});
+  site.counters({"catalog.epoch", "catalog.sequence", "catalog.routes", "catalog.rejected"});
   write_snapshot(site.folder(), {1, 9}, 4, lines_of_changes({route("push", 3), route("more", 3)}));
   const std::string file = site.folder() + "/" + kSnapshotFile;
   std::filesystem::resize_file(file, std::filesystem::file_size(file) - 1);
   site.start_again();
   site.comes_up();
-  site.counters({"catalog.epoch", "catalog.sequence", "catalog.routes", "catalog.refused"});
+  site.counters({"catalog.epoch", "catalog.sequence", "catalog.routes", "catalog.rejected"});
   std::filesystem::remove(file + ".1");
   site.start_again();
   site.comes_up();
-  site.counters({"catalog.epoch", "catalog.sequence", "catalog.routes", "catalog.refused"});
+  site.counters({"catalog.epoch", "catalog.sequence", "catalog.routes", "catalog.rejected"});
   const int caller = site.connect();
   site.send_request(caller, 1, "extra");
   site.caller_hears(caller);
--- a/tests/conns_program.cpp
+++ b/tests/conns_program.cpp
@@ -85,7 +85,7 @@
   client.stop();
   play.fleet.loop.run_until([&] { return client.quiet(); }, 6);
   say("the known client always got in", client.came() > 50 && client.in_time() >= client.came() - 1);
-  say("strangers were turned away", play.count("callers.turned_away") > 100);
+  say("strangers were turned away", play.count("callers.rejected") > 100);
   play.fleet.loop.run_for(0.5);
   Newcomers stranger(play.fleet.loop, play.port, {"127.9.9.9", 0.1, 0.5, 0});
   play.fleet.loop.run_for(1);
@@ -109,7 +109,7 @@
   Newcomers client(play.fleet.loop, play.port, {kClient, 0.05, 0.25, 0});
   Flood flood(play.port, {FloodShape::kSilent, 200, 5, 800});
   play.fleet.loop.run_for(1.5);
-  say("the last descriptor was reached", play.count("gate.scarce") > 0);
+  say("the last descriptor was reached", play.count("admission.last_descriptor") > 0);
   const auto before = play.fleet.process->processor_time();
   play.fleet.loop.run_for(1);
   say("it does not spin", play.fleet.process->processor_time() - before < 0.6);
@@ -174,7 +174,7 @@
     play.fleet.loop.run_for(0.1);
   }
   say("who drips a request is gone within a second", ended > 0 && ended - began < 1.2);
-  say("it counts against it", play.count("gate.wasted") > 0);
+  say("it counts against it", play.count("admission.penalties") > 0);
   play.end();
 }
 
--- a/tests/endings.cpp
+++ b/tests/endings.cpp
@@ -158,7 +158,7 @@
     answered += fresh.back().answers(1, 2) == 1;
   }
   std::printf("newcomers: %d, answered: %d\n", kTable, answered);
-  site.counters({"callers.turned_away"});
+  site.counters({"callers.rejected"});
 }
 
 const char* const kGate =
@@ -230,7 +230,7 @@
   int in_order = 0;
   for (Raw& one : fresh) in_order += std::strcmp(one.end(), "in order") == 0;
   std::printf("newcomers at a full table: 8, ended in order: %d\n", in_order);
-  site.counters({"callers.turned_away"});
+  site.counters({"callers.rejected"});
 }
 
 // One that has said nothing for its two seconds asks in the instant in which it would be closed.
@@ -447,7 +447,7 @@
               site.processor_time() - used < 0.3 ? "little" : "much");
   caller = site.connect();
   serve(3, 3);
-  site.counters({"ops.acked", "runtime.links"});
+  site.counters({"requests.succeeded", "runtime.links"});
 }
 
 }  // namespace
--- a/tests/planner_program.cpp
+++ b/tests/planner_program.cpp
@@ -111,7 +111,7 @@
   play.loop.run_for(0.05);
   one.send(wt::Cancel{8});
   play.loop.run_for(0.05);
-  say("a cancelled one is let go of", play.count("ops.gone") == 1);
+  say("a cancelled one is let go of", play.count("requests.caller_gone") == 1);
   say("the others are answered", one.answer(6) == 0 && one.answer(7) == 0);
   say("it is not", one.answer(8, 0.4) == -1);
   play.end();
@@ -129,7 +129,7 @@
   Link again(play);
   again.hello("f1", 7);
   say("taken over by the same life", again.answer(1) == 0);
-  say("nothing was given up", play.count("ops.gone") == 0);
+  say("nothing was given up", play.count("requests.caller_gone") == 0);
   again.submit(2, 2002);
   play.loop.run_for(0.1);
   Link twin(play);
@@ -141,7 +141,7 @@
   Link reborn(play);
   reborn.hello("f1", 8);
   play.loop.run_for(0.1);
-  say("a new life: what the old one had is given up", play.count("ops.gone") == 1);
+  say("a new life: what the old one had is given up", play.count("requests.caller_gone") == 1);
   say("its numbers begin anew", reborn.submit(1, 2004).answer(1) == 0);
   {
     Link leaves(play);
@@ -149,9 +149,9 @@
     play.loop.run_for(0.1);
   }
   reborn.ping_for(0.5);
-  say("held for a while after a link has ended", play.count("ops.gone") == 1);
+  say("held for a while after a link has ended", play.count("requests.caller_gone") == 1);
   reborn.ping_for(0.75);
-  say("then given up", play.count("ops.gone") > 1);
+  say("then given up", play.count("requests.caller_gone") > 1);
   play.end();
 }
 
@@ -183,7 +183,7 @@
   for (int i = 0; i < 200; ++i) crowd.push_back(std::make_unique<Link>(play));
   first.ping_for(0.5);
   say("who is there is served", first.submit(1, 4001).answer(1) == 0);
-  say("some were turned away", play.count("callers.turned_away") > 50);
+  say("some were turned away", play.count("callers.rejected") > 50);
   first.ping_for(1);
   Link later(play);
   later.hello("f1", 2);
--- a/tests/program.cpp
+++ b/tests/program.cpp
@@ -34,8 +34,9 @@
   site.hang_up(caller, true);
   site.runtime_hears(2);
   site.runtime_says("end 4 0000000000000004 cancelled 20 0\r\n");
-  site.counters({"ops.read", "ops.acked", "ops.nacked", "ops.failed", "ops.gone", "runs.complete",
-                 "runs.error", "runs.cancelled", "calls.made", "calls.ok", "checks.good"});
+  site.counters({"requests.read", "requests.succeeded", "requests.rejected", "requests.failed",
+                 "requests.caller_gone", "runs.succeeded", "runs.failed", "runs.cancelled", "calls.made",
+                 "calls.ok", "checks.good"});
 }
 
 // Where the settings say that requests tell their work, a run is judged by it: the request that tells fifty
@@ -58,7 +59,7 @@
   std::printf("caller hears: %s\n", answer.find("-32001") != std::string::npos ? "nacked" : answer.c_str());
   site.send_request(caller, 5, "pull", R"("ram":10,"limit":3000,"work":10)");
   site.pause(0.05);
-  site.counters({"ops.read", "ops.acked", "ops.nacked"});
+  site.counters({"requests.read", "requests.succeeded", "requests.rejected"});
 }
 
 // Nothing runs before the runtime is up; it may come up late.
@@ -100,7 +101,8 @@
   site.runtime_says("end 1 " + kId1 + " complete 20 3\r\none");  // a repeat
   site.runtime_says("end 2 " + kId2 + " complete 20 3\r\ntwo");
   site.caller_hears(caller);
-  site.counters({"ops.read", "ops.acked", "runtime.links", "runtime.resent", "runtime.repeats"});
+  site.counters(
+      {"requests.read", "requests.succeeded", "runtime.links", "runtime.resent", "runtime.duplicates"});
 }
 
 // Lines that can't be used are counted; when the framing is lost, the link is opened anew.
@@ -118,7 +120,8 @@
   site.caller_hears(caller);
   site.runtime_says("wants 3 " + kId1 + " 99999999");
   site.runtime_comes_up("hot 900");
-  site.counters({"runtime.links", "runtime.bad", "runtime.infos", "runtime.nacks", "ops.failed"});
+  site.counters(
+      {"runtime.links", "runtime.invalid", "runtime.remarks", "runtime.rejections", "requests.failed"});
 }
 
 // Under load the peers move, twice: the runs go on, and what is unproven is sent again on the new link; a
@@ -149,7 +152,7 @@
   site.runtime_hears(2);
   site.runtime_says("end 4 " + kId2 + " complete 20 6\r\nresult");
   site.caller_hears(caller);
-  site.counters({"ops.acked", "ops.failed", "calls.ok", "runtime.links", "runtime.broken"});
+  site.counters({"requests.succeeded", "requests.failed", "calls.ok", "runtime.links", "runtime.broken"});
 }
 
 // A notice that is missing is asked for once more before those behind it are taken; what no longer comes is
@@ -179,7 +182,7 @@
   site.runtime_hears(2);
   site.runtime_says("end 6 0000000000000003 complete 20 5\r\nthree");
   site.caller_hears(caller);
-  site.counters({"runtime.links", "runtime.gaps", "runtime.resent", "ops.acked"});
+  site.counters({"runtime.links", "runtime.gaps", "runtime.resent", "requests.succeeded"});
 }
 
 // Spoilt replies end the call that they belong to, at once, and no other.
@@ -205,7 +208,7 @@
   site.below_is(other);
   site.below_says(kId1 + " ok 5\r\nfirst");
   site.runtime_hears(2);
-  site.counters({"calls.made", "calls.ok", "calls.broken", "below.bad", "below.late"});
+  site.counters({"calls.made", "calls.ok", "calls.broken", "dependency.invalid", "dependency.late"});
 }
 
 // Out of descriptors a call was never made: the run goes on without, and the next call is made.
@@ -228,7 +231,7 @@
     site.runtime_says("end " + std::to_string(2 * i) + " " + id + " complete 20 6\r\nresult");
     site.caller_hears(caller);
   }
-  site.counters({"calls.made", "calls.unreachable", "calls.omitted", "calls.ok"});
+  site.counters({"calls.made", "calls.unreachable", "calls.skipped", "calls.ok"});
 }
 
 // Patience is kept here: a call that is given up takes its connection with it, and the run goes on without.
@@ -244,7 +247,7 @@
   site.runtime_hears();  // left out
   site.runtime_says("end 2 " + kId1 + " complete 20 6\r\nresult");
   site.caller_hears(caller);
-  site.counters({"calls.made", "calls.timed_out", "calls.omitted"});
+  site.counters({"calls.made", "calls.timed_out", "calls.skipped"});
 }
 
 // Turned away and refused prove that a call never ran, a break proves nothing; a request that is safe is
@@ -262,7 +265,7 @@
   site.below_goes_down();
   site.below_breaks();
   site.caller_hears(caller);  // failed: nothing can be left out
-  site.counters({"calls.made", "calls.refused", "calls.broken", "calls.unreachable", "below.broken"});
+  site.counters({"calls.made", "calls.rejected", "calls.broken", "calls.unreachable", "dependency.broken"});
 }
 void safe_calls() { calls(""); }
 void unsafe_calls() {
@@ -282,7 +285,7 @@
   site.runtime_says("end 1 " + kId1 + " complete 300 6\r\nresult");
   site.send(caller, R"({"jsonrpc":"2.0","id":9,"method":"health","params":{}})");
   site.caller_hears(caller);
-  site.counters({"ops.failed", "ops.overdue", "runs.complete"});
+  site.counters({"requests.failed", "requests.overdue", "runs.succeeded"});
 }
 
 // The notice to leave: off the list, callers told, what is open answered, what comes too late rejected, an
@@ -380,7 +383,7 @@
   site.runtime_hears(2);
   site.runtime_says("end 1 0000000000000064 complete 20 6\r\nresult");
   site.caller_hears(caller);
-  site.counters({"callers.no_more", "ops.nacked", "ops.acked"});
+  site.counters({"callers.drained", "requests.rejected", "requests.succeeded"});
 }
 
 // More connections than descriptors allow: silent ones go first, then the longest idle; newcomers never wait.
@@ -408,10 +411,10 @@
   int ended = 0;
   for (const int fd : silent) ended += site.heard(fd) == "(the end)";
   std::printf("silent ones closed: %d\n", ended);
-  site.counters({"callers.evicted", "callers.most"});
+  site.counters({"callers.evicted", "callers.max_open"});
   newcomers();
   std::printf("the longest idle hears: %s\n", site.heard(known[0]).c_str());
-  site.counters({"callers.evicted", "callers.turned_away", "callers.most"});
+  site.counters({"callers.evicted", "callers.rejected", "callers.max_open"});
 }
 
 // Who says nothing, stalls in a request, sends what is of no use or never ends is told so, or closed, within
@@ -436,7 +439,7 @@
   site.caller_hears(silent);
   const double took = std::chrono::duration<double>(Clock::now() - begin).count();
   std::printf("within 3 s: %s\n", took < 3 ? "yes" : "no");
-  site.counters({"callers.silent", "callers.half", "callers.faults", "bad.json"});
+  site.counters({"callers.silent", "callers.incomplete", "callers.invalid", "bad.json"});
 }
 
 // One error answer where the request can be told; the connection alone is closed where the frame can't be
@@ -474,8 +477,8 @@
   site.runtime_says("end 2 " + kId1 + " complete 20 6\r\nresult");
   site.caller_hears(caller);
   site.caller_hears(caller);
-  site.counters({"bad.frames", "bad.json", "bad.requests", "bad.params", "bad.types", "bad.ids", "ops.read",
-                 "ops.acked"});
+  site.counters({"bad.frames", "bad.json", "bad.requests", "bad.params", "bad.routes", "bad.ids",
+                 "requests.read", "requests.succeeded"});
 }
 
 // A poll that returns at once for ever shows in the processor time of a backend that does nothing.
--- a/tests/results_fleet.cpp
+++ b/tests/results_fleet.cpp
@@ -99,7 +99,7 @@
   fleet.loop.run_for(2.5);
   auto counters = fleet.process->counters();
   std::printf("nacked for want of the store: %s\n",
-              yes(counters["results.no_store"] + counters["results.not_durable"] > 50));
+              yes(counters["results.store_unavailable"] + counters["results.not_durable"] > 50));
   ends(fleet, 8);
   verdict(fleet);
 }
@@ -117,7 +117,7 @@
   }
   fleet.loop.run_for(0.6);
   auto counters = fleet.process->counters();
-  std::printf("nacked for want of room: %s\n", yes(counters["results.no_room"] > 20));
+  std::printf("nacked for want of room: %s\n", yes(counters["results.no_capacity"] > 20));
   ends(fleet, 8);
   verdict(fleet);
 }
--- a/tests/results_program.cpp
+++ b/tests/results_program.cpp
@@ -49,8 +49,8 @@
   site.caller_hears(caller);
   site.send_request(caller, 7, "push", R"("ram":10,"limit":3000,"key":7)");
   site.caller_hears(caller);
-  site.counters({"runs.started", "results.kept", "results.joined", "results.from_memory", "results.conflicts",
-                 "bad.params"});
+  site.counters({"runs.started", "results.remembered", "results.coalesced", "results.from_memory",
+                 "results.conflicts", "bad.params"});
 }
 
 // Each at its own due time: the first gives up and its run goes on for the second.
@@ -66,7 +66,8 @@
   site.caller_hears(caller);
   site.runtime_says("end 1 " + kId1 + " complete 400 6\r\nresult");
   site.caller_hears(caller);
-  site.counters({"runs.started", "runs.stopped", "ops.failed", "ops.acked", "ops.overdue"});
+  site.counters(
+      {"runs.started", "runs.stopped", "requests.failed", "requests.succeeded", "requests.overdue"});
 }
 
 // The first's caller goes; its run is not stopped, and the repeat gets what it came to.
@@ -82,7 +83,7 @@
   site.pause(0.05);
   site.runtime_says("end 1 " + kId1 + " complete 20 6\r\nresult");
   site.caller_hears(second);
-  site.counters({"runs.started", "runs.stopped", "ops.gone", "ops.acked"});
+  site.counters({"runs.started", "runs.stopped", "requests.caller_gone", "requests.succeeded"});
 }
 
 // A run that fails has had its effect, or not: nobody knows, and nobody runs it again.
@@ -131,7 +132,7 @@
     const std::string answer = site.heard(caller);
     std::printf("caller hears: %s\n", answer.substr(0, answer.find(",\"data\"")).c_str());
   }
-  site.counters({"runs.started", "ops.nacked", "results.entries"});
+  site.counters({"runs.started", "requests.rejected", "results.entries"});
 }
 
 // Without a key, known by what is said; another caller's number or body is another request.
@@ -149,7 +150,7 @@
   site.caller_hears(caller);
   site.send_request(caller, 4, "push", kA, kOtherBody);
   site.runtime_hears(2);
-  site.counters({"runs.started", "results.joined"});
+  site.counters({"runs.started", "results.coalesced"});
 }
 
 // Reads of one subject share one run while it goes on and for `fresh` after it.
@@ -170,7 +171,7 @@
   site.pause(0.5);
   site.send_request(caller, 4, "push", kItem);
   site.runtime_hears(2);
-  site.counters({"runs.started", "results.joined"});
+  site.counters({"runs.started", "results.coalesced"});
 }
 
 // Killed after the run's end, and in the middle of a run: the first is answered from the store, the second is
@@ -225,7 +226,7 @@
   site.pause(1.6);
   site.send_request(caller, 19, "push", R"("ram":10,"limit":3000,"key":"k17")");
   site.runtime_hears(2);
-  site.counters({"results.no_room", "runs.started", "results.entries"});
+  site.counters({"results.no_capacity", "runs.started", "results.entries"});
 }
 
 // Smaller bounds on SIGHUP: what must be remembered stays, newcomers wait until it has aged; a bad file
--- a/tests/settings_program.cpp
+++ b/tests/settings_program.cpp
@@ -38,7 +38,7 @@
   site.caller_hears(caller);
   site.send_request(caller, 5, "pull");  // one that needs none
   site.runtime_hears(2);
-  site.counters({"runs.started", "results.kept", "results.joined", "bad.params"});
+  site.counters({"runs.started", "results.remembered", "results.coalesced", "bad.params"});
 }
 
 // A window shorter than the run: the repeat that waits as it ends still gets the one result, one that comes
@@ -66,7 +66,7 @@
   site.pause(0.5);
   site.send_request(caller, 5, "push", marked("a").c_str());
   site.pause(0.1);
-  site.counters({"ops.read", "results.conflicts", "results.unknown"});
+  site.counters({"requests.read", "results.conflicts", "results.unknown"});
 }
 
 // Tenants are known by name; a request without one, or of another fleet's, is told so and nothing else is
@@ -87,7 +87,7 @@
   site.caller_hears(caller);
   site.runtime_says("end 1 " + txn(1) + " complete 20 6\r\nresult");
   site.caller_hears(caller);
-  site.counters({"ops.read", "ops.acked", "bad.params"});
+  site.counters({"requests.read", "requests.succeeded", "bad.params"});
 }
 
 // A new configuration that is another deployment's, with no keyed route: its addresses are taken, our request
@@ -110,7 +110,7 @@
   site.runtime_hears(2);
   site.send_request(caller, 4, "read");
   site.caller_hears(caller);
-  site.counters({"runs.started", "results.kept", "results.no_room", "bad.types"});
+  site.counters({"runs.started", "results.remembered", "results.no_capacity", "bad.routes"});
 }
 
 // Where worth is counted by work, requests tell theirs, and the settings need not say that they do: the
@@ -135,7 +135,7 @@
   request(5, R"("ram":10,"limit":3000,"cpu":10)");
   request(6, R"("ram":10,"limit":3000,"cpu":"much")");
   site.caller_hears(caller);
-  site.counters({"ops.read", "ops.acked", "ops.nacked", "bad.params"});
+  site.counters({"requests.read", "requests.succeeded", "requests.rejected", "bad.params"});
 }
 
 // One route, twenty, and none that calls below, where there is no layer below at all.
--- a/tests/stages.cpp
+++ b/tests/stages.cpp
@@ -137,7 +137,7 @@
         number(read), number(succeeded), number(rejected), number(failed), number(gone),
         static_cast<int>(in_flight.unanswered()),
         read == succeeded + rejected + failed + gone + in_flight.unanswered() ? "holds" : "does not hold",
-        static_cast<int>(in_flight.open()), number(counters[Count::kBroken]));
+        static_cast<int>(in_flight.size()), number(counters[Count::kBroken]));
   }
 
  private:
@@ -243,7 +243,7 @@
   s.relay.on_verdict(1, true);
   s.intake.on_check({1, 5}, true);
   s.relay.on_verdict(2, false);
-  s.send.leaving();
+  s.send.drain();
   s.executor.set_health(true, true);
   s.intake.on_check({1, 6}, true);
 }
--- a/tests/tier_program.cpp
+++ b/tests/tier_program.cpp
@@ -112,8 +112,8 @@
 void rejections() {
   Scripted play(of(PlannerManner::kRejections), of(PlannerManner::kSound));
   play.loop.run_for(2);
-  say("further tries were made", play.count("tier.second") > 0);
-  say("they keep to their share", play.count("tier.second") <= 12 + play.count("tier.first") / 10);
+  say("further tries were made", play.count("tier.retries") > 0);
+  say("they keep to their share", play.count("tier.retries") <= 12 + play.count("tier.first_attempts") / 10);
   say("it is left out", play.count("tier.ejections") > 0);
   play.end();
   const Tally t = tally(play.journal);
@@ -130,14 +130,14 @@
 void lies() {
   Scripted play(of(PlannerManner::kLies), of(PlannerManner::kSound));
   play.loop.run_for(2);
-  say("answers behind a fence are dropped", play.count("tier.dropped") > 0);
+  say("answers behind a fence are dropped", play.count("tier.answers_dropped") > 0);
   play.end();
 }
 
 void stranger() {
   Scripted play(of(PlannerManner::kStranger), of(PlannerManner::kStranger));
   play.loop.run_for(1);
-  say("answers to what was never sent are dropped", play.count("tier.dropped") > 0);
+  say("answers to what was never sent are dropped", play.count("tier.answers_dropped") > 0);
   play.end();
   const Tally t = tally(play.journal);
   say("all are served", t.succeeded == t.asked);
@@ -313,7 +313,8 @@
   play.fleet.forwarders[0]->kill();
   play.fleet.loop.run_for(1.2);
   std::uint64_t gone = 0;
-  for (const auto& planner : play.fleet.planners) gone += planner->process->counters()["ops.gone"];
+  for (const auto& planner : play.fleet.planners)
+    gone += planner->process->counters()["requests.caller_gone"];
   say("planners learn that its callers are gone", gone > 0);
   say("it starts again", play.fleet.forwarders[0]->start());
   play.fleet.loop.run_for(0.5);
@@ -358,8 +359,8 @@
   say("nearly all are served", t.succeeded > 0.97 * (t.asked - 20));
   for (const auto& planner : fleet.planners) {
     auto counters = planner->process->counters();
-    say("each planner serves", counters["ops.acked"] > 30);
-    say("none takes an op to be older than it is", counters["time.read_most_us"] < 200000);
+    say("each planner serves", counters["requests.succeeded"] > 30);
+    say("none takes an op to be older than it is", counters["reads.max_delay_us"] < 200000);
   }
   fleet.planners[0]->kill();
   fleet.loop.run_for(0.1);
@@ -402,8 +403,8 @@
   std::uint64_t questions = 0, known = 0;
   const auto count = [&](Server& forwarder) {
     auto counters = forwarder.process->counters();
-    questions += counters["tier.questions"], known += counters["tier.known"];
-    return counters["tier.questions"];
+    questions += counters["tier.key_queries"], known += counters["tier.key_queries_known"];
+    return counters["tier.key_queries"];
   };
   count(*fleet.forwarders[0]);
   Server& restarted = *fleet.forwarders[1];
