--- a/src/benchlink/frames.h
+++ b/src/benchlink/frames.h
@@ -1,4 +1,4 @@
-// The frame codec of the bench's wire: little-endian, unpadded, bounds checked.
+// The frame codec of the simulator's wire: little-endian, unpadded, bounds checked.
 #pragma once
 
 #include <bit>
@@ -41,7 +41,7 @@
   // A number that is used as a time or a size: it has to be finite.
   template <typename T>
   double take_number(const char* what) {
-    const double value = take<T>();
+    const auto value = static_cast<double>(take<T>());
     if (!std::isfinite(value)) throw MalformedInput(std::string(what) + " is not a finite number");
     return value;
   }
--- a/src/benchlink/main.cpp
+++ b/src/benchlink/main.cpp
@@ -1,5 +1,7 @@
-// The adapter: decodes the bench's batches into calls of AdmissionControllers and encodes what their Hosts
-// are told to do. One process carries many instances; they share nothing but the stream.
+// The adapter to the simulator: decodes its batches of events into calls of admission controllers, and
+// encodes their decisions. One process carries many instances; they share nothing but the stream. Malformed
+// input ends the process with one line and status 1; an exception in a controller is reported as a fault of
+// its instance.
 #include <cmath>
 #include <cstdio>
 #include <exception>
@@ -18,6 +20,7 @@
 constexpr double kMsPerSecond = 1000;
 constexpr std::size_t kMaxBatchBytes = std::size_t{1} << 30;  // a longer frame is a broken stream
 
+// Codes on the wire, in its own words.
 enum EventCode : std::uint8_t {
   kSubmit = 1,
   kWake,
@@ -47,55 +50,60 @@
   kEvict
 };
 
+// Flags of a request.
+constexpr unsigned kHasWorkHint = 1;
+constexpr unsigned kIsRetry = 2;
+constexpr unsigned kIsWrite = 4;
+
 // Encodes one instance's actions in the order in which they are taken.
 class WireDecisionSink : public DecisionSink {
  public:
   WireDecisionSink(Writer& out, std::uint32_t who) : out_(out), who_(who) {}
 
-  void start(RequestId id) override { about(kProcess, id); }
-  void interrupt(RequestId id) override { about(kInterrupt, id); }
+  void start(RequestId id) override { put_request(kProcess, id); }
+  void interrupt(RequestId id) override { put_request(kInterrupt, id); }
   void reject(RequestId id, double retry_after, bool no_retry) override {
-    about(kPushBack, id);
+    put_request(kPushBack, id);
     out_.put(retry_after * kMsPerSecond);
     out_.put(static_cast<std::uint8_t>(no_retry));
   }
-  void fail(RequestId id) override { about(kSurrender, id); }
-  void call(RequestId id, double patience) override { about(kDial, id, patience); }
-  void skip_call(RequestId id) override { about(kDegrade, id); }
-  void remember(RequestId id, double ttl) override { about(kRemember, id, ttl); }
-  void forget(RequestId id) override { about(kEvict, id); }
-  void join(RequestId id) override { about(kJoin, id); }
-  void set_health(bool good, bool from_store) override {
+  void fail(RequestId id) override { put_request(kSurrender, id); }
+  void call(RequestId id, double timeout) override { put_request(kDial, id, timeout); }
+  void skip_call(RequestId id) override { put_request(kDegrade, id); }
+  void remember(RequestId id, double ttl) override { put_request(kRemember, id, ttl); }
+  void forget(RequestId id) override { put_request(kEvict, id); }
+  void join(RequestId id) override { put_request(kJoin, id); }
+  void set_health(bool healthy, bool from_store) override {
     out_.begin_record(kSetHealth, who_);
-    out_.put(static_cast<std::uint8_t>(good));
+    out_.put(static_cast<std::uint8_t>(healthy));
     out_.put(static_cast<std::uint8_t>(from_store));
   }
   void publish_load_feedback(double value) override {
     out_.begin_record(kAnnounce, who_);
     out_.put(static_cast<float>(value));
   }
-  void set_idle_timeout(double after) override {
+  void set_idle_timeout(double seconds) override {
     out_.begin_record(kIdle, who_);
-    out_.put(after * kMsPerSecond);
+    out_.put(seconds * kMsPerSecond);
   }
   void schedule_wakeup(double time, std::uint64_t token) override {
     out_.begin_record(kAfter, who_);
     out_.put(time * kMsPerSecond);
     out_.put(token);
   }
-  void log(const std::string& line) override { text(kJournalLine, line); }
-  void bug(const std::string& line) { text(kBug, line); }
+  void log(const std::string& line) override { put_text(kJournalLine, line); }
+  void report_fault(const std::string& line) { put_text(kBug, line); }
 
  private:
-  void about(ActionCode code, RequestId id) {
+  void put_request(ActionCode code, RequestId id) {
     out_.begin_record(code, who_);
     out_.put(id);
   }
-  void about(ActionCode code, RequestId id, double time) {
-    about(code, id);
+  void put_request(ActionCode code, RequestId id, double time) {
+    put_request(code, id);
     out_.put(time * kMsPerSecond);
   }
-  void text(ActionCode code, const std::string& line) {
+  void put_text(ActionCode code, const std::string& line) {
     out_.begin_record(code, who_);
     out_.put_text(line);
   }
@@ -104,6 +112,7 @@
   std::uint32_t who_;
 };
 
+// One simulated server.
 struct Instance {
   Instance(Writer& out, std::uint32_t who, const StartSettings& start, std::uint64_t seed, double now)
       : sink(out, who),
@@ -113,7 +122,7 @@
     try {
       controller = std::make_unique<AdmissionController>(start.admission, seed, sink, now);
     } catch (const std::exception& error) {
-      sink.bug(error.what());
+      sink.report_fault(error.what());
     }
   }
   WireDecisionSink sink;
@@ -149,10 +158,10 @@
   const double predicted = in.take_number<double>("predicted") * kSecondsPerMs;
   request.size_kb = in.take_number<float>("mem-kb");
   in.take_number<float>("place");
-  const auto options = in.take<std::uint8_t>();
-  request.is_retry = (options & 2) != 0;
-  request.is_write = (options & 4) != 0;
-  if ((options & 1) != 0 && std::isfinite(predicted) && predicted > 0) request.work_hint = predicted;
+  const auto flags = in.take<std::uint8_t>();
+  request.is_retry = (flags & kIsRetry) != 0;
+  request.is_write = (flags & kIsWrite) != 0;
+  if ((flags & kHasWorkHint) != 0 && std::isfinite(predicted) && predicted > 0) request.work_hint = predicted;
   request.caller = in.take<std::uint32_t>();
   request.age = in.take_number<double>("age") * kSecondsPerMs;
   request.duplicate_of = in.take<std::uint64_t>();
@@ -182,15 +191,15 @@
   return gauges;
 }
 
-// Each record is read in full before the decision, so that an exception in a AdmissionController cannot shift
-// the stream.
+// Each record is read in full before the decision, so that an exception in a controller can't shift the
+// stream.
 template <typename Decision>
 void decide(Instance& instance, Decision decision) {
   if (!instance.controller) return;
   try {
     decision(*instance.controller);
   } catch (const std::exception& error) {
-    instance.sink.bug(error.what());
+    instance.sink.report_fault(error.what());
   }
 }
 
--- a/src/control/lines.cpp
+++ b/src/control/lines.cpp
@@ -6,27 +6,29 @@
 namespace damsonspoke::control {
 namespace {
 
-constexpr std::string_view kOk = "ok ", kError = "error ";
-constexpr std::size_t kMostHead = 64;  // of an answer that is good
+constexpr std::string_view kOk = "ok ";
+constexpr std::string_view kError = "error ";
+constexpr std::size_t kMaxHeadBytes = 64;  // the first line of an answer that is no error
 
-bool printable(std::string_view text) {
+bool is_printable(std::string_view text) {
   return std::all_of(text.begin(), text.end(), [](char c) { return c >= ' ' && c < 0x7f; });
 }
 
 }  // namespace
 
 Request read_request(std::string_view input) {
-  const std::size_t end = input.substr(0, kMostRequest).find('\n');
+  const std::size_t end = input.substr(0, kMaxRequestBytes).find('\n');
   if (end == std::string_view::npos)
-    return {input.size() >= kMostRequest ? Reading::kBroken : Reading::kNeedMore, {}};
+    return {input.size() >= kMaxRequestBytes ? Reading::kMalformed : Reading::kNeedMore, {}};
   const std::string_view line = input.substr(0, end);
-  Request out{Reading::kWhole, {}};
+  Request out{Reading::kComplete, {}};
   for (std::size_t at = 0; at < line.size();) {
     const std::size_t blank = std::min(line.find(' ', at), line.size());
     if (blank > at) out.words.emplace_back(line.substr(at, blank - at));
     at = blank + 1;
   }
-  if (out.words.empty() || out.words.size() > kMostWords || !printable(line)) return {Reading::kBroken, {}};
+  if (out.words.empty() || out.words.size() > kMaxWords || !is_printable(line))
+    return {Reading::kMalformed, {}};
   return out;
 }
 
@@ -44,32 +46,33 @@
   const std::size_t end = input.find('\n');
   if (input.substr(0, kError.size()) == kError) {
     if (end == std::string_view::npos)
-      return {input.size() > kMostAnswer ? Reading::kBroken : Reading::kNeedMore, false, {}};
-    return {Reading::kWhole, false, std::string(input.substr(kError.size(), end - kError.size()))};
+      return {input.size() > kMaxAnswerBytes ? Reading::kMalformed : Reading::kNeedMore, false, {}};
+    return {Reading::kComplete, false, std::string(input.substr(kError.size(), end - kError.size()))};
   }
   if (end == std::string_view::npos)
-    return {input.size() > kMostHead ? Reading::kBroken : Reading::kNeedMore, false, {}};
-  if (input.substr(0, kOk.size()) != kOk) return {Reading::kBroken, false, {}};
+    return {input.size() > kMaxHeadBytes ? Reading::kMalformed : Reading::kNeedMore, false, {}};
+  if (input.substr(0, kOk.size()) != kOk) return {Reading::kMalformed, false, {}};
   std::size_t length = 0;
-  const char *first = input.data() + kOk.size(), *last = input.data() + end;
+  const char* first = input.data() + kOk.size();
+  const char* last = input.data() + end;
   const auto read = std::from_chars(first, last, length);
-  if (read.ec != std::errc() || read.ptr != last || first == last || length > kMostAnswer)
-    return {Reading::kBroken, false, {}};
+  if (read.ec != std::errc() || read.ptr != last || first == last || length > kMaxAnswerBytes)
+    return {Reading::kMalformed, false, {}};
   if (input.size() - end - 1 < length) return {Reading::kNeedMore, false, {}};
-  return {Reading::kWhole, true, std::string(input.substr(end + 1, length))};
+  return {Reading::kComplete, true, std::string(input.substr(end + 1, length))};
 }
 
 std::string encode_answer(std::string_view text) {
-  if (text.size() > kMostAnswer) {
-    const std::size_t line = text.substr(0, kMostAnswer).rfind('\n');
-    text = text.substr(0, line == std::string_view::npos ? kMostAnswer : line + 1);
+  if (text.size() > kMaxAnswerBytes) {
+    const std::size_t line = text.substr(0, kMaxAnswerBytes).rfind('\n');
+    text = text.substr(0, line == std::string_view::npos ? kMaxAnswerBytes : line + 1);
   }
   return std::string(kOk) + std::to_string(text.size()) + "\n" + std::string(text);
 }
 
 std::string encode_error(std::string_view text) {
   std::string out(kError);
-  for (const char c : text.substr(0, kMostRequest)) out += c == '\n' ? ' ' : c;
+  for (const char c : text.substr(0, kMaxRequestBytes)) out += c == '\n' ? ' ' : c;
   return out + "\n";
 }
 
--- a/src/control/lines.h
+++ b/src/control/lines.h
@@ -1,4 +1,5 @@
-// What is said on the control socket: one line of words, and one answer, whole by its told length. A codec.
+// The protocol of the control socket: a query is one line of words, its answer is framed by its length. A
+// codec.
 //
 //   request  = word *(SP word) LF               at most 256 bytes
 //   answer   = "ok" SP length LF text           or "error" SP text LF
@@ -12,11 +13,12 @@
 
 namespace damsonspoke::control {
 
-constexpr std::size_t kMostRequest = 256;        // bytes, with its end
-constexpr std::size_t kMostAnswer = 256 * 1024;  // bytes of text
-constexpr std::size_t kMostWords = 8;
+constexpr std::size_t kMaxRequestBytes = 256;        // with its line feed
+constexpr std::size_t kMaxAnswerBytes = 256 * 1024;  // of text
+constexpr std::size_t kMaxWords = 8;
 
-enum class Reading { kNeedMore, kWhole, kBroken };
+// More bytes are needed; the message is complete; it is malformed.
+enum class Reading { kNeedMore, kComplete, kMalformed };
 struct Request {
   Reading state = Reading::kNeedMore;
   std::vector<std::string> words;
@@ -30,7 +32,8 @@
   std::string text;
 };
 Answer read_answer(std::string_view input);
-std::string encode_answer(std::string_view text);  // what is over the bound is cut at a line's end
+// Text over the bound is cut at the end of a line.
+std::string encode_answer(std::string_view text);
 std::string encode_error(std::string_view text);
 
 }  // namespace damsonspoke::control
--- a/src/control/server.cpp
+++ b/src/control/server.cpp
@@ -14,9 +14,9 @@
 namespace damsonspoke::control {
 namespace {
 
-constexpr std::size_t kMostAsking = 4;  // connections at once; operators ask by hand
-constexpr double kPatience = 1;         // s for a question to be whole and its answer to be taken
-constexpr int kWaiting = 8;             // connections that may wait to be accepted
+constexpr std::size_t kMaxOpenQueries = 4;
+constexpr double kQueryTimeoutSeconds = 1;  // from the connection to the end of the answer
+constexpr int kListenBacklog = 8;           // connections
 
 sockaddr_un address_of(const std::string& path) {
   sockaddr_un out{};
@@ -27,19 +27,23 @@
   return out;
 }
 
-// Its owner alone may enter it: whoever can reach the socket may ask.
+// Only its owner may enter it: whoever can reach the socket may send queries.
 void check_private(const std::string& folder) {
-  struct stat seen {};
-  if (::stat(folder.c_str(), &seen) != 0)
+  struct stat status {};
+  if (::stat(folder.c_str(), &status) != 0)
     throw std::runtime_error("control: folder '" + folder + "': " + std::strerror(errno));
-  if (!S_ISDIR(seen.st_mode)) throw std::runtime_error("control: '" + folder + "' is no folder");
-  if (seen.st_uid != ::geteuid() || (seen.st_mode & 077) != 0)
+  if (!S_ISDIR(status.st_mode)) throw std::runtime_error("control: '" + folder + "' is no folder");
+  if (status.st_uid != ::geteuid() || (status.st_mode & 077) != 0)
     throw std::runtime_error("control: folder '" + folder +
                              "' is not private: it has to be ours, with mode 700");
 }
 
+// Owns a socket of the asking side.
 struct Socket {
   int fd = ::socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0);
+  Socket() = default;
+  Socket(const Socket&) = delete;
+  Socket& operator=(const Socket&) = delete;
   ~Socket() {
     if (fd >= 0) ::close(fd);
   }
@@ -53,20 +57,20 @@
 int listen_at(const std::string& path) {
   const sockaddr_un address = address_of(path);
   {
-    // A socket that a killed process left behind refuses; one that answers is somebody's.
+    // A socket that a killed process left behind refuses connections; one that accepts has an owner.
     Socket probe;
     if (probe.fd >= 0 && connect_to(path, probe.fd) == 0)
       throw std::runtime_error("control: another process answers at '" + path + "'");
   }
-  struct stat seen {};
-  if (::lstat(path.c_str(), &seen) == 0) {
-    if (!S_ISSOCK(seen.st_mode)) throw std::runtime_error("control: '" + path + "' is no socket");
+  struct stat status {};
+  if (::lstat(path.c_str(), &status) == 0) {
+    if (!S_ISSOCK(status.st_mode)) throw std::runtime_error("control: '" + path + "' is no socket");
     ::unlink(path.c_str());
   }
   const int fd = ::socket(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd < 0) throw std::runtime_error("control: cannot make a socket");
   if (::bind(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0 ||
-      ::listen(fd, kWaiting) != 0) {
+      ::listen(fd, kListenBacklog) != 0) {
     const std::string why = std::strerror(errno);
     ::close(fd);
     throw std::runtime_error("control: cannot listen at '" + path + "': " + why);
@@ -86,23 +90,23 @@
 }
 
 Server::~Server() {
-  for (auto& [tag, asking] : asking_) reactor_.cancel(asking.patience);
+  for (auto& [tag, query] : queries_) reactor_.cancel(query.timeout);
   ::unlink(path_.c_str());
 }
 
 void Server::on_accept(const net::Accepted& accepted) {
-  if (asking_.size() >= kMostAsking) {
+  if (queries_.size() >= kMaxOpenQueries) {
     ::close(accepted.fd);
     return;
   }
   const std::uint64_t tag = next_tag_++;
-  Asking& asking = asking_[tag];
-  asking.connection =
-      net::Connection::accepted(reactor_, *this, accepted.fd, {kMostRequest, 2 * kMostAnswer, nullptr});
-  asking.connection->tag = tag;
-  asking.patience = reactor_.after(kPatience, [this, tag] {
-    const auto found = asking_.find(tag);
-    if (found != asking_.end()) found->second.connection->close();
+  OpenQuery& query = queries_[tag];
+  query.connection = net::Connection::accepted(reactor_, *this, accepted.fd,
+                                               {kMaxRequestBytes, 2 * kMaxAnswerBytes, nullptr});
+  query.connection->tag = tag;
+  query.timeout = reactor_.after(kQueryTimeoutSeconds, [this, tag] {
+    const auto found = queries_.find(tag);
+    if (found != queries_.end()) found->second.connection->close();
   });
 }
 
@@ -117,12 +121,12 @@
 }
 
 std::size_t Server::on_input(net::Connection& connection, std::string_view bytes) {
-  const auto found = asking_.find(connection.tag);
-  if (found == asking_.end() || found->second.answered) return bytes.size();
+  const auto found = queries_.find(connection.tag);
+  if (found == queries_.end() || found->second.answered) return bytes.size();
   const Request request = read_request(bytes);
   if (request.state == Reading::kNeedMore) return 0;
   found->second.answered = true;
-  if (request.state == Reading::kBroken) {
+  if (request.state == Reading::kMalformed) {
     log_.debug("control", "a question that can't be read");
     connection.send(encode_error("no question: one line of words"));
   } else {
@@ -133,37 +137,36 @@
 }
 
 void Server::on_end_of_input(net::Connection& connection) {
-  const auto found = asking_.find(connection.tag);
-  if (found != asking_.end() && !found->second.answered) connection.close();
+  const auto found = queries_.find(connection.tag);
+  if (found != queries_.end() && !found->second.answered) connection.close();
 }
 
 void Server::on_output_sent(net::Connection& connection) { connection.end(); }
 
 void Server::on_end(net::Connection& connection, net::End) {
-  const auto found = asking_.find(connection.tag);
-  if (found == asking_.end()) return;
-  reactor_.cancel(found->second.patience);
-  asking_.erase(found);
+  const auto found = queries_.find(connection.tag);
+  if (found == queries_.end()) return;
+  reactor_.cancel(found->second.timeout);
+  queries_.erase(found);
 }
 
 std::string ask(const std::string& folder, const std::vector<std::string>& words, double seconds) {
   const std::string path = socket_in(folder);
   Socket socket;
-  const timeval patience{static_cast<time_t>(seconds),
-                         static_cast<suseconds_t>((seconds - static_cast<long>(seconds)) * 1e6)};
-  ::setsockopt(socket.fd, SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
-  ::setsockopt(socket.fd, SOL_SOCKET, SO_SNDTIMEO, &patience, sizeof patience);
+  const timeval timeout{static_cast<time_t>(seconds),
+                        static_cast<suseconds_t>((seconds - static_cast<long>(seconds)) * 1e6)};
+  ::setsockopt(socket.fd, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
+  ::setsockopt(socket.fd, SOL_SOCKET, SO_SNDTIMEO, &timeout, sizeof timeout);
   if (connect_to(path, socket.fd) != 0)
     throw std::runtime_error("nobody answers at '" + path + "': " + std::strerror(errno));
-  const std::string question = encode_request(words);
+  const std::string query = encode_request(words);
   std::string in;
-  if (::send(socket.fd, question.data(), question.size(), MSG_NOSIGNAL) ==
-      static_cast<ssize_t>(question.size())) {
+  if (::send(socket.fd, query.data(), query.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(query.size())) {
     char bytes[16384];
     for (ssize_t got = 0; (got = ::recv(socket.fd, bytes, sizeof bytes, 0)) > 0;) {
       in.append(bytes, static_cast<std::size_t>(got));
       const Answer answer = read_answer(in);
-      if (answer.state == Reading::kBroken) break;
+      if (answer.state == Reading::kMalformed) break;
       if (answer.state == Reading::kNeedMore) continue;
       if (!answer.good) throw std::runtime_error(answer.text);
       return answer.text;
--- a/src/control/server.h
+++ b/src/control/server.h
@@ -1,5 +1,6 @@
-// The control socket: operators' questions to a running process, on a socket in a private folder. Subsystems
-// add the words that they answer. One question a connection, a few connections at once, a second for each.
+// The control socket: operators' queries to a running process, on a Unix socket in a private folder.
+// Subsystems register the queries that they answer. One query a connection, a few connections at once, a
+// second for each.
 #pragma once
 
 #include <functional>
@@ -15,19 +16,23 @@
 
 class Server : private net::ConnectionOwner {
  public:
-  // Gets all words, its own first; what it throws is the error that is told.
+  // Answers a query; gets all its words, the registered one first. An exception's text is sent as the error.
   using Answerer = std::function<std::string(const std::vector<std::string>& words)>;
 
-  // Throws std::runtime_error with one plain line: the folder is not there or not private, or another process
-  // answers there.
+  // Throws std::runtime_error with one plain line where the folder does not exist or is not private, or
+  // another process answers there.
   Server(net::Reactor& reactor, const std::string& folder, Logger& log);
   ~Server() override;
+  Server(const Server&) = delete;
+  Server& operator=(const Server&) = delete;
+
+  // Registers the answer to queries that begin with this word.
   void add(std::string word, Answerer answer) { answerers_[std::move(word)] = std::move(answer); }
 
  private:
-  struct Asking {
+  struct OpenQuery {
     std::shared_ptr<net::Connection> connection;
-    net::Reactor::TimerId patience;
+    net::Reactor::TimerId timeout;
     bool answered = false;
   };
   std::size_t on_input(net::Connection& connection, std::string_view bytes) override;
@@ -41,15 +46,15 @@
   Logger& log_;
   const std::string path_;
   std::map<std::string, Answerer> answerers_;
-  std::map<std::uint64_t, Asking> asking_;
+  std::map<std::uint64_t, OpenQuery> queries_;  // by the tag of their connection
   std::uint64_t next_tag_ = 1;
   std::unique_ptr<net::Listener> listener_;
 };
 
-// Where a process with that folder listens.
+// The path of the socket of a process with that folder.
 std::string socket_in(const std::string& folder);
-// Asks a running process and waits for its answer, at most so long. Throws std::runtime_error with one plain
-// line where nobody listens, or no whole answer comes.
+// Sends a query to a running process and waits for its answer, at most so long. Throws std::runtime_error
+// with one plain line where nobody listens, or no complete answer arrives.
 std::string ask(const std::string& folder, const std::vector<std::string>& words, double seconds);
 
 }  // namespace damsonspoke::control
--- a/src/observability/counters.h
+++ b/src/observability/counters.h
@@ -1,13 +1,15 @@
-// What the program counts, one row a counter: its name in the report and what it says. Plain numbers that
-// every layer may raise; printed as one block on request and at exit.
+// The counters of the program, one row each in counters.def. Plain numbers that every layer may raise;
+// printed as one block on SIGUSR1 and at exit.
 #pragma once
 
+#include <algorithm>
 #include <array>
 #include <cstdint>
 #include <string>
 
 namespace damsonspoke {
 
+// Identifies a counter.
 enum class Count {
 #define DAMSONSPOKE_COUNTER(name, text, meaning) name,
 #include "observability/counters.def"
@@ -17,16 +19,18 @@
 
 class Counters {
  public:
-  void add(Count what, std::uint64_t by = 1) { values_[static_cast<std::size_t>(what)] += by; }
-  void set(Count what, std::uint64_t value) { values_[static_cast<std::size_t>(what)] = value; }
-  void most(Count what, std::uint64_t value) {
-    auto& kept = values_[static_cast<std::size_t>(what)];
-    if (value > kept) kept = value;
-  }
-  std::uint64_t operator[](Count what) const { return values_[static_cast<std::size_t>(what)]; }
-  std::string report() const;
+  void add(Count counter, std::uint64_t by = 1) { value(counter) += by; }
+  // For gauges: the present value.
+  void set(Count counter, std::uint64_t value_now) { value(counter) = value_now; }
+  // Raises the counter to the value where that is higher.
+  void most(Count counter, std::uint64_t candidate) { value(counter) = std::max(value(counter), candidate); }
+  std::uint64_t operator[](Count counter) const { return values_[static_cast<std::size_t>(counter)]; }
+  // All counters, one a line, below the line "counters:".
+  [[nodiscard]] std::string report() const;
 
  private:
+  std::uint64_t& value(Count counter) { return values_[static_cast<std::size_t>(counter)]; }
+
   std::array<std::uint64_t, static_cast<std::size_t>(Count::kEnd)> values_{};
 };
 
--- a/src/observability/invariants.h
+++ b/src/observability/invariants.h
@@ -1,4 +1,4 @@
-// What must hold: asserted in debug builds, counted in release builds.
+// Invariants of the program: asserted in debug builds, counted in release builds.
 #pragma once
 
 #include <cassert>
@@ -7,7 +7,7 @@
 
 namespace damsonspoke {
 
-// True when it holds, so that a release build can go on the safe way when it does not.
+// Returns whether the invariant holds, so that a release build can take the safe way where it does not.
 inline bool must_hold(bool holds, Counters& counters) {
   assert(holds);
   if (!holds) counters.add(Count::kBroken);
--- a/src/observability/logger.cpp
+++ b/src/observability/logger.cpp
@@ -12,8 +12,8 @@
 namespace damsonspoke {
 namespace {
 
-constexpr int kLinesPerSecond = 50;         // a peer that sends nonsense must not fill the log
-constexpr std::size_t kLongestLine = 1000;  // bytes; part of it may come from a peer
+constexpr int kMaxLinesPerSecond = 50;  // a peer that sends garbage must not fill the log
+constexpr std::size_t kMaxLineBytes = 1000;
 
 spdlog::level::level_enum level_for(Level level) {
   switch (level) {
@@ -25,11 +25,31 @@
   return spdlog::level::info;
 }
 
-// What a peer sent may be no UTF-8: the library's replacement keeps the line valid JSON.
-std::string quoted(std::string_view text) {
+// Text from a peer may be invalid UTF-8; the library's replacement keeps the line valid JSON.
+std::string json_string(std::string_view text) {
   return nlohmann::json(text).dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
+std::string text_body(std::string_view text, std::initializer_list<Field> fields) {
+  std::string body(text);
+  for (const Field& field : fields) body += fmt::format(" {}={}", field.name, field.value);
+  if (body.size() > kMaxLineBytes) body.resize(kMaxLineBytes);
+  for (char& c : body) {
+    if (static_cast<unsigned char>(c) < ' ') c = ' ';
+  }
+  return body;
+}
+
+std::string json_body(std::string_view text, std::initializer_list<Field> fields) {
+  std::string body = fmt::format(R"("text":{})", json_string(text.substr(0, kMaxLineBytes)));
+  for (const Field& field : fields) {
+    const std::string_view value = std::string_view(field.value).substr(0, kMaxLineBytes);
+    body += fmt::format(",{}:{}", json_string(field.name),
+                        field.number ? std::string(value) : json_string(value));
+  }
+  return body;
+}
+
 }  // namespace
 
 std::optional<Level> level_of(std::string_view name) {
@@ -46,7 +66,7 @@
   return std::nullopt;
 }
 
-// One thread writes: the sinks without locks do. The end of line comes from the formatter.
+// One thread writes, so sinks without locks suffice. The formatter adds the end of the line.
 Logger::Logger(Level level, LogForm form)
     : level_(level), form_(form), sink_(std::make_shared<spdlog::sinks::stderr_sink_st>()) {
   const char* pattern =
@@ -54,37 +74,25 @@
   sink_->set_formatter(std::make_unique<spdlog::pattern_formatter>(pattern));
 }
 
-void Logger::write(Level level, std::string_view who, std::string_view text,
-                   std::initializer_list<Field> fields) {
-  const auto now = std::chrono::system_clock::now();
-  const std::int64_t second =
-      std::chrono::duration_cast<std::chrono::seconds>(now.time_since_epoch()).count();
+bool Logger::exceeds_rate(std::int64_t second) {
   if (second != second_) {
     second_ = second;
     lines_ = 0;
   }
-  if (++lines_ > kLinesPerSecond) {
+  return ++lines_ > kMaxLinesPerSecond;
+}
+
+void Logger::write(Level level, std::string_view component, std::string_view text,
+                   std::initializer_list<Field> fields) {
+  const auto now = std::chrono::system_clock::now();
+  if (exceeds_rate(std::chrono::duration_cast<std::chrono::seconds>(now.time_since_epoch()).count())) {
     ++withheld_;
     return;
   }
-  std::string body;
-  if (form_ == LogForm::kText) {
-    body = text;
-    for (const Field& field : fields) body += fmt::format(" {}={}", field.name, field.value);
-    if (body.size() > kLongestLine) body.resize(kLongestLine);
-    for (char& c : body) {
-      if (static_cast<unsigned char>(c) < ' ') c = ' ';
-    }
-  } else {
-    body = fmt::format(R"("text":{})", quoted(text.substr(0, kLongestLine)));
-    for (const Field& field : fields) {
-      const std::string_view value = std::string_view(field.value).substr(0, kLongestLine);
-      body += fmt::format(",{}:{}", quoted(field.name), field.number ? std::string(value) : quoted(value));
-    }
-  }
-  const spdlog::string_view_t name(who.data(), who.size());
-  spdlog::details::log_msg message(now, spdlog::source_loc{}, name, level_for(level),
-                                   spdlog::string_view_t(body.data(), body.size()));
+  const std::string body = form_ == LogForm::kText ? text_body(text, fields) : json_body(text, fields);
+  const spdlog::string_view_t name(component.data(), component.size());
+  const spdlog::details::log_msg message(now, spdlog::source_loc{}, name, level_for(level),
+                                         spdlog::string_view_t(body.data(), body.size()));
   sink_->log(message);
   sink_->flush();
 }
@@ -92,7 +100,7 @@
 void Logger::block(std::string_view text) {
   while (!text.empty()) {
     const ssize_t wrote = ::write(STDERR_FILENO, text.data(), text.size());
-    if (wrote <= 0) return;  // a full or closed log must not stop the backend
+    if (wrote <= 0) return;  // a full or closed log must not stop the server
     text.remove_prefix(static_cast<std::size_t>(wrote));
   }
 }
--- a/src/observability/logger.h
+++ b/src/observability/logger.h
@@ -1,5 +1,6 @@
-// Log lines on standard error, as text (time level who: text) or as one JSON object a line; behind it works
-// spdlog. Like the counters and the invariants it depends on nothing of ours, so that every layer may use it.
+// Log lines on standard error, as text (`time level component: text`) or as one JSON object a line, written
+// by spdlog. Like the counters and the invariants it depends on nothing else of the project, so that every
+// layer may use it.
 #pragma once
 
 #include <fmt/format.h>
@@ -20,10 +21,11 @@
 enum class Level { kError, kWarning, kInfo, kDebug };
 enum class LogForm { kText, kJson };
 
+// None: no level, or no form, of that name.
 std::optional<Level> level_of(std::string_view name);
 std::optional<LogForm> log_form_of(std::string_view name);
 
-// A named value beside a line: ` name=value` behind the text, a member of its own in JSON.
+// A named value of a log line: ` name=value` behind the text, a member of its own in JSON.
 struct Field {
   std::string_view name;
   std::string value;
@@ -36,47 +38,52 @@
       : name(n), value(fmt::format("{}", v)), number(true) {}
 };
 
+// At most 50 lines a second are written; the others are counted. For one thread.
 class Logger {
  public:
+  // Lines above the level are not written.
   explicit Logger(Level level, LogForm form = LogForm::kText);
 
   template <typename... Args>
-  void error(std::string_view who, fmt::format_string<Args...> text, Args&&... args) {
-    line(Level::kError, who, text, std::forward<Args>(args)...);
+  void error(std::string_view component, fmt::format_string<Args...> text, Args&&... args) {
+    line(Level::kError, component, text, std::forward<Args>(args)...);
   }
   template <typename... Args>
-  void warn(std::string_view who, fmt::format_string<Args...> text, Args&&... args) {
-    line(Level::kWarning, who, text, std::forward<Args>(args)...);
+  void warn(std::string_view component, fmt::format_string<Args...> text, Args&&... args) {
+    line(Level::kWarning, component, text, std::forward<Args>(args)...);
   }
   template <typename... Args>
-  void info(std::string_view who, fmt::format_string<Args...> text, Args&&... args) {
-    line(Level::kInfo, who, text, std::forward<Args>(args)...);
+  void info(std::string_view component, fmt::format_string<Args...> text, Args&&... args) {
+    line(Level::kInfo, component, text, std::forward<Args>(args)...);
   }
   template <typename... Args>
-  void debug(std::string_view who, fmt::format_string<Args...> text, Args&&... args) {
-    line(Level::kDebug, who, text, std::forward<Args>(args)...);
+  void debug(std::string_view component, fmt::format_string<Args...> text, Args&&... args) {
+    line(Level::kDebug, component, text, std::forward<Args>(args)...);
   }
   // A line with named values.
-  void event(Level level, std::string_view who, std::string_view text, std::initializer_list<Field> fields) {
-    if (level <= level_) write(level, who, text, fields);
+  void event(Level level, std::string_view component, std::string_view text,
+             std::initializer_list<Field> fields) {
+    if (level <= level_) write(level, component, text, fields);
   }
-  // As it is, whatever the level: reports that were asked for.
+  // Writes the text as it is, whatever the level: for reports that an operator has asked for.
   void block(std::string_view text);
-  std::uint64_t withheld() const { return withheld_; }
+  [[nodiscard]] std::uint64_t withheld() const { return withheld_; }
 
  private:
   template <typename... Args>
-  void line(Level level, std::string_view who, fmt::format_string<Args...> text, Args&&... args) {
+  void line(Level level, std::string_view component, fmt::format_string<Args...> text, Args&&... args) {
     if (level > level_) return;
-    write(level, who, fmt::format(text, std::forward<Args>(args)...), {});
+    write(level, component, fmt::format(text, std::forward<Args>(args)...), {});
   }
-  void write(Level level, std::string_view who, std::string_view text, std::initializer_list<Field> fields);
+  bool exceeds_rate(std::int64_t second);
+  void write(Level level, std::string_view component, std::string_view text,
+             std::initializer_list<Field> fields);
 
   Level level_;
   LogForm form_;
   std::shared_ptr<spdlog::sinks::sink> sink_;
   std::int64_t second_ = 0;  // the second in which lines_ were written
-  int lines_ = 0;
+  int lines_ = 0;            // written in it
   std::uint64_t withheld_ = 0;
 };
 
--- a/tests/control.cpp
+++ b/tests/control.cpp
@@ -21,7 +21,7 @@
 namespace {
 
 const char* text_of(Reading state) {
-  return state == Reading::kWhole ? "whole" : state == Reading::kBroken ? "broken" : "more";
+  return state == Reading::kComplete ? "whole" : state == Reading::kMalformed ? "broken" : "more";
 }
 
 void lines() {
@@ -43,7 +43,7 @@
     std::printf("answer %-14.14s: %s, %s, %zu bytes\n", input.substr(0, input.find('\n')).c_str(),
                 text_of(answer.state), answer.good ? "good" : "not good", answer.text.size());
   }
-  const std::string large(kMostAnswer, 'a');
+  const std::string large(kMaxAnswerBytes, 'a');
   std::printf("an answer over the bound is cut at a line's end: %zu\n",
               read_answer(encode_answer("line\n" + large)).text.size());
   std::printf("an error is one line: %s", encode_error("two\nlines").c_str());
