--- a/bench/scale_members.cpp
+++ b/bench/scale_members.cpp
@@ -224,14 +224,14 @@
     record.condition = members::Condition::kDead;
     return record;
   }
-  record.told.role = "relay";
-  record.told.zone = fmt::format("region-{}/zone-{}", number % 3, number % 6);
-  record.told.build = "0.3.0";
-  record.told.serves = record.address;
-  record.told.serial = 7;
-  record.told.load = 400;
-  record.told.room = 12;
-  record.told_age_ms = 1500;
+  record.load_report.role = "relay";
+  record.load_report.zone = fmt::format("region-{}/zone-{}", number % 3, number % 6);
+  record.load_report.build = "0.3.0";
+  record.load_report.service_address = record.address;
+  record.load_report.version = 7;
+  record.load_report.load_permille = 400;
+  record.load_report.free_capacity = 12;
+  record.load_report_age_ms = 1500;
   return record;
 }
 
@@ -279,13 +279,13 @@
   print_forecast("bytes", "bytes", bytes);
   print_forecast("written and read", "ms", time);
   const Forecast line = forecast(bytes);
-  const double fit = (static_cast<double>(wire::members::kMostExchange) - line.base) / line.slope;
+  const double fit = (static_cast<double>(wire::members::kMaxPushPullBytes) - line.base) / line.slope;
   const ExchangeCosts whole = exchange_costs(kBackends, kDeadOfTwoHours, options.rounds);
   fmt::print(
       "  {:.0f} bytes a record; {:.0f} fit into the bound of {}; {} there and {} dead: {:.0f} bytes, {} "
       "arrive, {:.1f} "
       "ms to write, {:.1f} ms to read\n",
-      line.slope, fit, wire::members::kMostExchange, kBackends, kDeadOfTwoHours, whole.bytes, whole.read,
+      line.slope, fit, wire::members::kMaxPushPullBytes, kBackends, kDeadOfTwoHours, whole.bytes, whole.read,
       whole.encode_ms, whole.decode_ms);
   figures["bytes_per_record"] = line.slope;
   figures["records_that_fit"] = fit;
--- a/fuzz/members.cpp
+++ b/fuzz/members.cpp
@@ -11,12 +11,13 @@
 
 struct Nowhere : damsonspoke::members::MembershipSink {
   void send(const std::string&, const damsonspoke::members::Message& message) override {
-    if (damsonspoke::wire::members::encode("c", message).size() > damsonspoke::wire::members::kMostDatagram)
+    if (damsonspoke::wire::members::encode("c", message).size() >
+        damsonspoke::wire::members::kMaxDatagramBytes)
       std::abort();
   }
-  void exchange(const std::string&) override {}
-  void changed(const std::string&, damsonspoke::members::MemberState, const std::string&) override {}
-  void noticed(const std::string&) override {}
+  void start_push_pull(const std::string&) override {}
+  void on_state_changed(const std::string&, damsonspoke::members::MemberState, const std::string&) override {}
+  void on_notice(const std::string&) override {}
 };
 
 }  // namespace
@@ -31,18 +32,18 @@
   if (read.problem != wm::Problem::kNone) return 0;
   const std::string again = wm::encode("c", read.message);
   const wm::Read second = wm::decode("c", again);
-  if (second.problem != wm::Problem::kNone || second.message.from != read.message.from) std::abort();
+  if (second.problem != wm::Problem::kNone || second.message.sender != read.message.sender) std::abort();
   if (second.message.records.size() > read.message.records.size()) std::abort();
   for (std::size_t i = 0; i < second.message.records.size(); ++i) {
     if (!(second.message.records[i] == read.message.records[i])) std::abort();
   }
   Nowhere nowhere;
   MembershipView view({}, {"self", "127.0.0.1:1", 1000}, {}, 1, nowhere);
-  view.begin(0);
+  view.start(0);
   for (double now = 0; now < 3; now += 0.05) {
-    if (now >= view.wake()) view.on_timer(now);
+    if (now >= view.next_timer_at()) view.on_timer(now);
     if (now < 0.2) view.on_message("127.0.0.1:2", read.message, now);
   }
-  if (!view.yielded() && view.self_record(3).condition != Condition::kAlive) std::abort();
+  if (!view.has_yielded() && view.self_record(3).condition != Condition::kAlive) std::abort();
   return 0;
 }
--- a/src/app/membership.cpp
+++ b/src/app/membership.cpp
@@ -9,7 +9,7 @@
 namespace damsonspoke {
 namespace {
 
-constexpr double kTellEvery = 0.5;  // s; what it tells changes no faster than others hear of it
+constexpr double kLoadReportSeconds = 0.5;  // s; what it tells changes no faster than others hear of it
 
 }  // namespace
 
@@ -26,8 +26,8 @@
   if (options_.peers.empty())
     throw std::runtime_error(
         "members: no peers; an operators' file names their networks in section 'members'");
-  if (choice.config.name.size() > members::kMostName)
-    throw std::runtime_error(fmt::format("members: a name has {} bytes at most", members::kMostName));
+  if (choice.config.name.size() > members::kMaxNameBytes)
+    throw std::runtime_error(fmt::format("members: a name has {} bytes at most", members::kMaxNameBytes));
   listen_host_ = choice.config.listen.substr(0, choice.config.listen.rfind(':'));
   members_ = std::make_unique<peers::MembershipTransport>(reactor, options_, choice.config.name, draw_life(),
                                                           std::random_device{}(), counters, log);
@@ -41,28 +41,29 @@
 void Membership::answer_questions(control::Server& control) {
   control.add("members", [this](const std::vector<std::string>& words) {
     if (!members_) throw std::runtime_error("members are off: no section 'members' with 'bind'");
-    return members_->told(words.size() > 1 && words[1] == "json");
+    return members_->status(words.size() > 1 && words[1] == "json");
   });
 }
 
 void Membership::begin(std::uint16_t port) {
   if (!members_) return;
-  told_.role = role_;
-  told_.zone = options_.zone;
-  told_.build = DAMSONSPOKE_VERSION;
-  told_.generation = 1;
-  told_.serves = options_.serves.empty() ? fmt::format("{}:{}", listen_host_, port) : options_.serves;
-  members_->begin();
-  tell();
+  load_report_.role = role_;
+  load_report_.zone = options_.zone;
+  load_report_.build = DAMSONSPOKE_VERSION;
+  load_report_.config_generation = 1;
+  load_report_.service_address =
+      options_.serves.empty() ? fmt::format("{}:{}", listen_host_, port) : options_.serves;
+  members_->start();
+  publish_load_report();
 }
 
-void Membership::tell() {
+void Membership::publish_load_report() {
   const Now now = now_();
   const double use = std::clamp(now.open / std::max(now.most, 1.0), 0.0, 1.0);
-  told_.load = static_cast<std::uint16_t>(use * 1000);
-  told_.room = static_cast<std::uint16_t>(std::clamp(now.most - now.open, 0.0, 60000.0));
-  members_->tell(told_);
-  timer_ = reactor_.after(kTellEvery, [this] { tell(); });
+  load_report_.load_permille = static_cast<std::uint16_t>(use * 1000);
+  load_report_.free_capacity = static_cast<std::uint16_t>(std::clamp(now.most - now.open, 0.0, 60000.0));
+  members_->set_load_report(load_report_);
+  timer_ = reactor_.after(kLoadReportSeconds, [this] { publish_load_report(); });
   if (on_change) on_change();
 }
 
@@ -73,8 +74,8 @@
 
 // Bind, face and cluster are those of the start; what is told is taken anew.
 void Membership::reloaded(const Choice& choice) {
-  ++told_.generation;
-  told_.zone = choice.options.members.zone;
+  ++load_report_.config_generation;
+  load_report_.zone = choice.options.members.zone;
 }
 
 void Membership::report() {
@@ -84,14 +85,14 @@
 std::vector<tier::PlannerSeen> Membership::planners() const {
   std::vector<tier::PlannerSeen> out;
   if (!members_) return out;
-  for (const members::MemberStatus& seen : members_->seen()) {
-    if (!seen.told || seen.told->role != "planner") continue;
-    if (!members_->may_reach(seen.told->serves))
+  for (const members::MemberStatus& seen : members_->known_members()) {
+    if (!seen.load_report || seen.load_report->role != "planner") continue;
+    if (!members_->may_reach(seen.load_report->service_address))
       continue;  // what members tell leads nowhere else than to members
     const bool there = seen.state == members::MemberState::kAlive ||
                        seen.state == members::MemberState::kFlapping ||
                        seen.state == members::MemberState::kUnreachable;  // links have their own eyes
-    out.push_back({seen.told->serves, there, seen.state == members::MemberState::kLeft});
+    out.push_back({seen.load_report->service_address, there, seen.state == members::MemberState::kLeft});
   }
   return out;
 }
--- a/src/app/membership.h
+++ b/src/app/membership.h
@@ -36,14 +36,14 @@
   std::function<void()> on_change;
 
  private:
-  void tell();
+  void publish_load_report();
 
   net::Reactor& reactor_;
   const std::string role_;
   const std::function<Now()> now_;
   MembersOptions options_;
   std::unique_ptr<peers::MembershipTransport> members_;
-  members::LoadReport told_;
+  members::LoadReport load_report_;
   std::string listen_host_;
   net::Reactor::TimerId timer_;
   bool leaving_ = false;
--- a/src/members/broken_links.cpp
+++ b/src/members/broken_links.cpp
@@ -2,40 +2,40 @@
 
 namespace damsonspoke::members {
 
-void BrokenLinks::told(const std::string& by, const std::vector<BrokenLink>& broken, double now) {
-  if (broken.empty()) return forget(by);
-  Account& account = told_[by];
-  account.at = now;
-  account.links.clear();
+void BrokenLinks::update(const std::string& reporter, const std::vector<BrokenLink>& broken, double now) {
+  if (broken.empty()) return forget(reporter);
+  Report& report = reports_[reporter];
+  report.received_at = now;
+  report.links.clear();
   for (const BrokenLink& link : broken) {
     const double since = now - link.age_ms / 1000.0;
-    account.links.push_back(link.inward ? ObservedLink{link.other, by, since, by}
-                                        : ObservedLink{by, link.other, since, by});
+    report.links.push_back(link.is_inbound ? ObservedLink{link.peer, reporter, since, reporter}
+                                           : ObservedLink{reporter, link.peer, since, reporter});
   }
 }
 
-std::vector<ObservedLink> BrokenLinks::broken(double now) const {
+std::vector<ObservedLink> BrokenLinks::links(double now) const {
   std::vector<ObservedLink> out;
-  for (const auto& [by, account] : told_) {
-    if (now - account.at > keep_) continue;
-    out.insert(out.end(), account.links.begin(), account.links.end());
+  for (const auto& [reporter, report] : reports_) {
+    if (now - report.received_at > retention_) continue;
+    out.insert(out.end(), report.links.begin(), report.links.end());
   }
   return out;
 }
 
 bool BrokenLinks::is_broken(const std::string& from, const std::string& to, double now) const {
-  for (const auto& [by, account] : told_) {
-    if (now - account.at > keep_) continue;
-    for (const ObservedLink& link : account.links) {
+  for (const auto& [reporter, report] : reports_) {
+    if (now - report.received_at > retention_) continue;
+    for (const ObservedLink& link : report.links) {
       if (link.from == from && link.to == to) return true;
     }
   }
   return false;
 }
 
-void LinkHealth::judged(bool inward_works, bool outward_works, double now) {
-  inward_.judged(inward_works, now);
-  outward_.judged(outward_works, now);
+void LinkHealth::record_probe(bool inbound_works, bool outbound_works, double now) {
+  inbound_.record_probe(inbound_works, now);
+  outbound_.record_probe(outbound_works, now);
 }
 
 }  // namespace damsonspoke::members
--- a/src/members/broken_links.h
+++ b/src/members/broken_links.h
@@ -13,25 +13,25 @@
 struct ObservedLink {
   std::string from, to;  // what goes from the one to the other does not come
   double since = 0;      // s, by the clock of who asks
-  std::string told_by;
+  std::string reported_by;
 };
 
 class BrokenLinks {
  public:
-  explicit BrokenLinks(double keep) : keep_(keep) {}
+  explicit BrokenLinks(double retention_seconds) : retention_(retention_seconds) {}
   // What a member tells takes the place of what it told before.
-  void told(const std::string& by, const std::vector<BrokenLink>& broken, double now);
-  void forget(const std::string& by) { told_.erase(by); }
-  std::vector<ObservedLink> broken(double now) const;
+  void update(const std::string& reporter, const std::vector<BrokenLink>& broken, double now);
+  void forget(const std::string& reporter) { reports_.erase(reporter); }
+  std::vector<ObservedLink> links(double now) const;
   bool is_broken(const std::string& from, const std::string& to, double now) const;
 
  private:
-  struct Account {
-    double at = 0;
+  struct Report {
+    double received_at = 0;
     std::vector<ObservedLink> links;
   };
-  const double keep_;  // s that an account counts
-  std::map<std::string, Account> told_;
+  const double retention_;  // s that an account counts
+  std::map<std::string, Report> reports_;
 };
 
 // One member's own findings of its links to another, from probes: three in a row that went wrong in one
@@ -39,27 +39,27 @@
 class LinkHealth {
  public:
   // What a probe showed, where the other is known to be alive.
-  void judged(bool inward_works, bool outward_works, double now);
-  bool inward_broken() const { return inward_.wrong >= kSure; }
-  bool outward_broken() const { return outward_.wrong >= kSure; }
-  bool broken() const { return inward_broken() || outward_broken(); }
-  bool doubtful() const { return !broken() && (inward_.wrong > 0 || outward_.wrong > 0); }
-  double inward_since() const { return inward_.since; }
-  double outward_since() const { return outward_.since; }
+  void record_probe(bool inbound_works, bool outbound_works, double now);
+  bool is_inbound_broken() const { return inbound_.failures >= kFailuresToBreak; }
+  bool is_outbound_broken() const { return outbound_.failures >= kFailuresToBreak; }
+  bool is_broken() const { return is_inbound_broken() || is_outbound_broken(); }
+  bool is_uncertain() const { return !is_broken() && (inbound_.failures > 0 || outbound_.failures > 0); }
+  double inbound_since() const { return inbound_.since; }
+  double outbound_since() const { return outbound_.since; }
 
  private:
-  static constexpr int kSure = 3;
-  struct Way {
-    int wrong = 0;
+  static constexpr int kFailuresToBreak = 3;
+  struct Direction {
+    int failures = 0;
     double since = 0;
-    void judged(bool works, double now) {
+    void record_probe(bool works, double now) {
       if (works)
-        wrong = 0;
-      else if (wrong++ == 0)
+        failures = 0;
+      else if (failures++ == 0)
         since = now;
     }
   };
-  Way inward_, outward_;
+  Direction inbound_, outbound_;
 };
 
 }  // namespace damsonspoke::members
--- a/src/members/gossip_queue.cpp
+++ b/src/members/gossip_queue.cpp
@@ -2,9 +2,9 @@
 
 namespace damsonspoke::members {
 
-void GossipQueue::add(int member, int passes, bool urgent) {
+void GossipQueue::add(int member, int transmissions, bool urgent) {
   forget(member);
-  by_member_[member] = queue_.insert({urgent, passes, next_++, member}).first;
+  by_member_[member] = queue_.insert({urgent, transmissions, next_sequence_++, member}).first;
 }
 
 void GossipQueue::forget(int member) {
@@ -14,19 +14,19 @@
   by_member_.erase(found);
 }
 
-std::vector<int> GossipQueue::take(std::size_t most, Which which) {
-  std::vector<Piece> taken;
-  for (const Piece& piece : queue_) {
-    if (taken.size() >= most || (which == Which::kUrgent && !piece.urgent)) break;
-    taken.push_back(piece);
+std::vector<int> GossipQueue::take(std::size_t limit, Filter filter) {
+  std::vector<Update> taken;
+  for (const Update& update : queue_) {
+    if (taken.size() >= limit || (filter == Filter::kUrgentOnly && !update.urgent)) break;
+    taken.push_back(update);
   }
   std::vector<int> out;
-  for (Piece& piece : taken) {
-    out.push_back(piece.member);
-    const auto found = by_member_.find(piece.member);
+  for (Update& update : taken) {
+    out.push_back(update.member);
+    const auto found = by_member_.find(update.member);
     queue_.erase(found->second);
-    if (--piece.passes > 0)
-      found->second = queue_.insert(piece).first;
+    if (--update.transmissions > 0)
+      found->second = queue_.insert(update).first;
     else
       by_member_.erase(found);
   }
--- a/src/members/gossip_queue.h
+++ b/src/members/gossip_queue.h
@@ -17,29 +17,30 @@
  public:
   // Of this member there is news, to be passed on `passes` times; older news of it is of no use any more.
   // `urgent`: that it lives after all; whoever hears too late calls it dead.
-  void add(int member, int passes, bool urgent = false);
+  void add(int member, int transmissions, bool urgent = false);
   void forget(int member);
   bool empty() const { return queue_.empty(); }
   std::size_t size() const { return queue_.size(); }
   bool has_urgent() const { return !queue_.empty() && queue_.begin()->urgent; }
   // The members whose news goes next, at most so many; each has a pass less. Of equals the newest.
-  enum class Which { kAll, kUrgent };
-  std::vector<int> take(std::size_t most, Which which = Which::kAll);
+  enum class Filter { kAll, kUrgentOnly };
+  std::vector<int> take(std::size_t limit, Filter filter = Filter::kAll);
 
  private:
-  struct Piece {
+  struct Update {
     bool urgent = false;
-    int passes = 0;            // left
-    std::uint64_t number = 0;  // later pieces have higher ones
+    int transmissions = 0;       // left
+    std::uint64_t sequence = 0;  // later pieces have higher ones
     int member = 0;
-    bool operator>(const Piece& other) const {
-      return std::tie(urgent, passes, number) > std::tie(other.urgent, other.passes, other.number);
+    bool operator>(const Update& other) const {
+      return std::tie(urgent, transmissions, sequence) >
+             std::tie(other.urgent, other.transmissions, other.sequence);
     }
   };
-  using Queue = std::set<Piece, std::greater<>>;
+  using Queue = std::set<Update, std::greater<>>;
   Queue queue_;  // what goes next comes first
   std::unordered_map<int, Queue::iterator> by_member_;
-  std::uint64_t next_ = 1;
+  std::uint64_t next_sequence_ = 1;
 };
 
 }  // namespace damsonspoke::members
--- a/src/members/gossip_rate_limiter.h
+++ b/src/members/gossip_rate_limiter.h
@@ -10,23 +10,26 @@
 class GossipRateLimiter {
  public:
   // `per_s`: bytes a second on the long run; `burst`: bytes that may go at once after a rest.
-  GossipRateLimiter(double per_s, double burst) : per_s_(per_s), burst_(burst), left_(burst) {}
+  GossipRateLimiter(double bytes_per_second, double burst_bytes)
+      : bytes_per_second_(bytes_per_second), burst_bytes_(burst_bytes), available_bytes_(burst_bytes) {}
 
   // Whether a datagram may carry news now; what it carries may go beyond what is left, the next one waits for
   // it. `now`: s, monotonic; never earlier than in the call before.
-  bool open(double now) {
-    left_ = std::min(burst_, left_ + (now - at_) * per_s_);
-    at_ = now;
-    return left_ > 0;
+  bool has_budget(double now) {
+    available_bytes_ = std::min(burst_bytes_, available_bytes_ + (now - refilled_at_) * bytes_per_second_);
+    refilled_at_ = now;
+    return available_bytes_ > 0;
   }
   // Owed is a burst at most: what goes without asking would else hold back all other news for as long as it
   // lasts.
-  void spend(std::size_t bytes) { left_ = std::max(left_ - static_cast<double>(bytes), -burst_); }
+  void charge(std::size_t bytes) {
+    available_bytes_ = std::max(available_bytes_ - static_cast<double>(bytes), -burst_bytes_);
+  }
 
  private:
-  const double per_s_, burst_;
-  double left_;
-  double at_ = 0;
+  const double bytes_per_second_, burst_bytes_;
+  double available_bytes_;
+  double refilled_at_ = 0;
 };
 
 }  // namespace damsonspoke::members
--- a/src/members/record.h
+++ b/src/members/record.h
@@ -7,40 +7,41 @@
 
 namespace damsonspoke::members {
 
-constexpr std::size_t kMostName = 64, kMostAddress = 64, kMostWord = 32;  // bytes
-constexpr std::size_t kMostWitnesses = 6;                                 // names told with a suspicion
-constexpr std::size_t kMostBroken = 8;                                    // links that one member tells of
+constexpr std::size_t kMaxNameBytes = 64, kMaxAddressBytes = 64, kMaxLabelBytes = 32;  // bytes
+constexpr std::size_t kMaxAccusers = 6;     // names told with a suspicion
+constexpr std::size_t kMaxBrokenLinks = 8;  // links that one member tells of
 // What may be told. Beyond the last incarnation a member goes on with a later epoch; epochs are milliseconds
 // of the Unix clock with 12 bits drawn, so none that is honest comes near the bound.
-constexpr std::uint32_t kMostIncarnation = 0xfffffff0;
-constexpr std::uint64_t kMostEpoch = std::uint64_t{1} << 61;
+constexpr std::uint32_t kMaxIncarnation = 0xfffffff0;
+constexpr std::uint64_t kMaxEpoch = std::uint64_t{1} << 61;
 
 // As it is told; what a member makes of it itself is view.h's State.
 enum class Condition : std::uint8_t { kAlive = 0, kSuspected = 1, kDead = 2, kLeft = 3 };
 
 // State of the layer below, as a member sees it.
-enum class DependencyState : std::uint8_t { kUnknown = 0, kWell = 1, kSlow = 2, kGone = 3 };
+enum class DependencyState : std::uint8_t { kUnknown = 0, kHealthy = 1, kSlow = 2, kUnavailable = 3 };
 
 // What a member tells of itself beside its being there: small, and worth nothing once it is old.
 struct LoadReport {
-  std::uint32_t serial = 0;  // rises with each change in one life; 0: nothing told
-  std::string role;          // relay, planner, forwarder
+  std::uint32_t version = 0;  // rises with each change in one life; 0: nothing told
+  std::string role;           // relay, planner, forwarder
   std::string zone;
   std::string build;
-  std::uint64_t generation = 0, digest = 0;  // of the configuration
-  std::uint16_t room = 0;                    // requests that it would take now
-  std::uint16_t load = 0;                    // thousandths of its cores in use
-  std::uint16_t sheds = 0;  // tenths of importance under which it refuses; 0: it refuses nothing
+  std::uint64_t config_generation = 0, config_digest = 0;  // of the configuration
+  std::uint16_t free_capacity = 0;                         // requests that it would take now
+  std::uint16_t load_permille = 0;                         // thousandths of its cores in use
+  std::uint16_t shed_threshold_tenths =
+      0;  // tenths of importance under which it refuses; 0: it refuses nothing
   DependencyState dependency = DependencyState::kUnknown;
-  std::string serves;  // address that its requests go to; empty: none
+  std::string service_address;  // address that its requests go to; empty: none
   bool operator==(const LoadReport&) const = default;
 };
 
 // A link that is broken as one end of it finds: what `other` sends does not come (inward), or what is sent to
 // it does not.
 struct BrokenLink {
-  std::string other;
-  bool inward = true;
+  std::string peer;
+  bool is_inbound = true;
   std::uint32_t age_ms = 0;  // since when
   bool operator==(const BrokenLink&) const = default;
 };
@@ -49,19 +50,20 @@
 // one, still running, says is a clone of it.
 struct Record {
   std::string name;
-  std::uint64_t epoch = 0, contest = 0;
+  std::uint64_t epoch = 0, conflicting_epoch = 0;
   std::uint32_t incarnation = 0;
   Condition condition = Condition::kAlive;
   std::string address;
-  std::uint32_t pause_ms = 0;  // the longest that it lately stood still, by its own account
-  LoadReport told;
-  std::uint32_t told_age_ms = 0;  // of `told`, when this was sent
-  std::vector<std::string> by;    // of a suspicion: who found it silent
-  std::uint32_t heard = 0;        // of a suspicion: the number of the last datagram that somebody got from it
-  std::vector<BrokenLink> broken;
+  std::uint32_t longest_pause_ms = 0;  // the longest that it lately stood still, by its own account
+  LoadReport load_report;
+  std::uint32_t load_report_age_ms = 0;  // of `told`, when this was sent
+  std::vector<std::string> accusers;     // of a suspicion: who found it silent
+  std::uint32_t heard_datagram_number =
+      0;  // of a suspicion: the number of the last datagram that somebody got from it
+  std::vector<BrokenLink> broken_links;
   bool operator==(const Record&) const = default;
 
-  std::uint64_t rank() const { return epoch > contest ? epoch : contest; }
+  std::uint64_t newest_epoch() const { return epoch > conflicting_epoch ? epoch : conflicting_epoch; }
 };
 
 // Bytes that a record takes in a datagram, about: src/wire/members.h has the form. For who has to stay within
@@ -72,25 +74,26 @@
 // later incarnation, and what is worse of equals.
 bool supersedes(const Record& a, const Record& b);
 
-enum class Kind : std::uint8_t {
-  kPing = 0,    // answer it
-  kAck = 1,     // the answer
-  kAsk = 2,     // ping `target` for me, I do not hear it
-  kSilent = 3,  // I did, and do not hear it either
-  kGossip = 4   // nothing but records
+enum class MessageKind : std::uint8_t {
+  kPing = 0,         // answer it
+  kAck = 1,          // the answer
+  kPingRequest = 2,  // ping `target` for me, I do not hear it
+  kNegativeAck = 3,  // I did, and do not hear it either
+  kGossip = 4        // nothing but records
 };
 
 struct Message {
-  Kind kind = Kind::kGossip;
-  std::string from;
-  std::uint64_t epoch = 0;
-  std::uint32_t number = 0;  // of its sender's datagrams
-  std::uint32_t serial = 0;  // of the ping that this is or answers
-  std::string target;        // of a ping or an ask: who is meant
-  std::string on_behalf;     // of a ping, and its ack: who asked for it; empty: who sends it
-  std::uint32_t direct = 0;  // of an ask, and what follows from it: the serial of the ping that got no answer
-  bool heard_direct = false;  // of an ack on behalf: that ping did come
-  std::uint64_t sum = 0;      // of all that its sender takes for members in play; 0: not told
+  MessageKind kind = MessageKind::kGossip;
+  std::string sender;
+  std::uint64_t sender_epoch = 0;
+  std::uint32_t datagram_number = 0;  // of its sender's datagrams
+  std::uint32_t probe_id = 0;         // of the ping that this is or answers
+  std::string target;                 // of a ping or an ask: who is meant
+  std::string requested_by;           // of a ping, and its ack: who asked for it; empty: who sends it
+  std::uint32_t direct_probe_id =
+      0;  // of an ask, and what follows from it: the serial of the ping that got no answer
+  bool direct_ping_received = false;    // of an ack on behalf: that ping did come
+  std::uint64_t membership_digest = 0;  // of all that its sender takes for members in play; 0: not told
   std::vector<Record> records;
 };
 
--- a/src/peers/members/transport.cpp
+++ b/src/peers/members/transport.cpp
@@ -63,23 +63,23 @@
                                            *this, &MembershipTransport::on_readable));
 }
 
-void MembershipTransport::begin() {
-  begun_ = true;
+void MembershipTransport::start() {
+  started_ = true;
   listener_->pause(false);
-  view_.begin(net::monotonic_now());
+  view_.start(net::monotonic_now());
   log_.info("members", "{} of cluster {} at {}, {} seeds", view_.self().name, options_.cluster, options_.face,
             options_.seeds.size());
-  timer_ = reactor_.at(view_.wake(), [this] { tick(); });
+  timer_ = reactor_.at(view_.next_timer_at(), [this] { tick(); });
 }
 
 void MembershipTransport::tick() {
   view_.on_timer(net::monotonic_now());
   reactor_.cancel(timer_);
-  timer_ = reactor_.at(view_.wake(), [this] { tick(); });
+  timer_ = reactor_.at(view_.next_timer_at(), [this] { tick(); });
 }
 
 void MembershipTransport::leave() {
-  if (begun_) view_.leave(net::monotonic_now());
+  if (started_) view_.leave(net::monotonic_now());
 }
 
 // ---- Datagrams.
@@ -127,17 +127,17 @@
 
 void MembershipTransport::on_readable(Poco::Net::ReadableNotification* notification) {
   notification->release();
-  if (!begun_) return;
+  if (!started_) return;
   const double now = net::monotonic_now();
   // The view's own wake comes first: it notices whether this process stood still, and then all that waits is
   // from before.
   bool stale = false;
-  if (now >= view_.wake()) {
+  if (now >= view_.next_timer_at()) {
     stale = view_.on_timer(now);
     reactor_.cancel(timer_);
-    timer_ = reactor_.at(view_.wake(), [this] { tick(); });
+    timer_ = reactor_.at(view_.next_timer_at(), [this] { tick(); });
   }
-  char bytes[wm::kMostDatagram + 1];
+  char bytes[wm::kMaxDatagramBytes + 1];
   for (int i = 0; i < (stale ? kStaleAtOnce : kReadAtOnce); ++i) {
     sockaddr_storage from{};
     socklen_t size = sizeof from;
@@ -176,11 +176,11 @@
   return stream;
 }
 
-void MembershipTransport::exchange(const std::string& address) {
+void MembershipTransport::start_push_pull(const std::string& address) {
   const Poco::Net::SocketAddress* to = resolved(address);
   if (to == nullptr || streams_.size() >= kMostStreams) return;
   const Poco::Net::SocketAddress from(net::parse_address(options_.bind).host(), 0);
-  const net::BufferLimits limits{wm::kMostExchange + 4, wm::kMostExchange + 4, nullptr};
+  const net::BufferLimits limits{wm::kMaxPushPullBytes + 4, wm::kMaxPushPullBytes + 4, nullptr};
   // Not from inside the view: a connection that is refused at once tells so on the next turn.
   add(net::Connection::connecting(reactor_, *this, *to, limits, from), true);
 }
@@ -189,7 +189,7 @@
   const Poco::Net::SocketAddress source(
       reinterpret_cast<const sockaddr*>(&accepted.from),
       accepted.from.ss_family == AF_INET ? sizeof(sockaddr_in) : sizeof(sockaddr_in6));
-  const net::BufferLimits limits{wm::kMostExchange + 4, wm::kMostExchange + 4, nullptr};
+  const net::BufferLimits limits{wm::kMaxPushPullBytes + 4, wm::kMaxPushPullBytes + 4, nullptr};
   auto connection = net::Connection::accepted(reactor_, *this, accepted.fd, limits);
   const bool peer = is_peer(source);
   if (!peer) counters_.add(Count::kMembersStrangers);
@@ -199,7 +199,7 @@
 }
 
 void MembershipTransport::on_connected(net::Connection& connection) {
-  const std::string bytes = wm::encode_exchange(options_.cluster, view_.full(net::monotonic_now()));
+  const std::string bytes = wm::encode_exchange(options_.cluster, view_.full_state(net::monotonic_now()));
   counters_.add(Count::kMembersBytes, bytes.size());
   connection.send(bytes);
 }
@@ -219,11 +219,11 @@
   counters_.add(Count::kMembersExchanges);
   const double now = net::monotonic_now();
   if (!found->second.ours) {
-    const std::string answer = wm::encode_exchange(options_.cluster, view_.full(now));
+    const std::string answer = wm::encode_exchange(options_.cluster, view_.full_state(now));
     counters_.add(Count::kMembersBytes, answer.size());
     connection.send(answer);
   }
-  view_.on_exchange(read.records, now);
+  view_.on_push_pull(read.records, now);
   // An answer that the system took at once has been sent: nothing tells so later, and the stream would hold
   // its place among the few there are until its patience ends.
   if (found->second.ours || connection.waiting() == 0) connection.close();
@@ -245,35 +245,38 @@
   reactor_.cancel(found->second.patience);
   const bool failed = found->second.ours && !found->second.answered;
   streams_.erase(found);
-  if (failed) view_.on_exchange_failed(net::monotonic_now());
+  if (failed) view_.on_push_pull_failed(net::monotonic_now());
 }
 
 // ---- What it tells.
 
-void MembershipTransport::changed(const std::string& name, MemberState state, const std::string& why) {
+void MembershipTransport::on_state_changed(const std::string& name, MemberState state,
+                                           const std::string& why) {
   log_.event(Level::kInfo, "members", "a member's state",
              {{"member", name}, {"state", members::text_of(state)}, {"why", why}});
-  if (change_told_ || !on_change) return;
-  change_told_ = true;
+  if (change_posted_ || !on_change) return;
+  change_posted_ = true;
   reactor_.post([this] {
-    change_told_ = false;
+    change_posted_ = false;
     on_change();
   });
 }
 
-void MembershipTransport::noticed(const std::string& what) { log_.warn("members", "{}", what); }
+void MembershipTransport::on_notice(const std::string& what) { log_.warn("members", "{}", what); }
 
 void MembershipTransport::report() {
   const members::MembershipView::Counts& c = view_.counts();
   counters_.set(Count::kMembersDeaths, c.deaths);
   counters_.set(Count::kMembersPauses, c.pauses);
-  counters_.set(Count::kMembersRefuted, c.refuted);
-  counters_.set(Count::kMembersThere, view_.there() + 1);
+  counters_.set(Count::kMembersRefuted, c.refutations);
+  counters_.set(Count::kMembersThere, view_.alive_count() + 1);
 }
 
-std::vector<MemberStatus> MembershipTransport::seen() const { return view_.members(net::monotonic_now()); }
+std::vector<MemberStatus> MembershipTransport::known_members() const {
+  return view_.members(net::monotonic_now());
+}
 
-std::string MembershipTransport::told(bool json) const {
+std::string MembershipTransport::status(bool json) const {
   const double now = net::monotonic_now();
   const std::vector<MemberStatus> all = view_.members(now);
   const auto broken = view_.broken_links(now);
@@ -288,61 +291,64 @@
                              {"address", self.address},
                              {"epoch", self.epoch},
                              {"incarnation", self.incarnation},
-                             {"yielded", view_.yielded()},
-                             {"fitness", view_.local_health()},
-                             {"contest", self.contest}}},
-                           {"there", view_.there() + 1},
+                             {"yielded", view_.has_yielded()},
+                             {"fitness", view_.local_health_score()},
+                             {"contest", self.conflicting_epoch}}},
+                           {"there", view_.alive_count() + 1},
                            {"known", all.size() + 1}};
     for (std::size_t i = 0; i < std::min(all.size(), kMostTold); ++i) {
       const MemberStatus& s = all[i];
       nlohmann::json one = {{"name", s.name},           {"address", s.address},
                             {"epoch", s.epoch},         {"state", members::text_of(s.state)},
-                            {"since_s", now - s.since}, {"pause_s", s.pause}};
-      if (!s.by.empty()) one["by"] = s.by;
-      if (s.contest != 0) one["contest"] = s.contest;
-      if (s.told) {
-        one["told"] = {{"role", s.told->role},
-                       {"zone", s.told->zone},
-                       {"build", s.told->build},
-                       {"generation", s.told->generation},
-                       {"digest", s.told->digest},
-                       {"room", s.told->room},
-                       {"load", s.told->load},
-                       {"sheds", s.told->sheds},
-                       {"below", dependency(s.told->dependency)},
-                       {"serves", s.told->serves}};
-        one["told_age_s"] = s.told_age;
+                            {"since_s", now - s.since}, {"pause_s", s.longest_pause}};
+      if (!s.accusers.empty()) one["by"] = s.accusers;
+      if (s.conflicting_epoch != 0) one["contest"] = s.conflicting_epoch;
+      if (s.load_report) {
+        one["told"] = {{"role", s.load_report->role},
+                       {"zone", s.load_report->zone},
+                       {"build", s.load_report->build},
+                       {"generation", s.load_report->config_generation},
+                       {"digest", s.load_report->config_digest},
+                       {"room", s.load_report->free_capacity},
+                       {"load", s.load_report->load_permille},
+                       {"sheds", s.load_report->shed_threshold_tenths},
+                       {"below", dependency(s.load_report->dependency)},
+                       {"serves", s.load_report->service_address}};
+        one["told_age_s"] = s.load_report_age;
       }
       page["members"].push_back(std::move(one));
     }
     for (const members::ObservedLink& link : broken)
-      page["broken_links"].push_back(
-          {{"from", link.from}, {"to", link.to}, {"since_s", now - link.since}, {"told_by", link.told_by}});
+      page["broken_links"].push_back({{"from", link.from},
+                                      {"to", link.to},
+                                      {"since_s", now - link.since},
+                                      {"told_by", link.reported_by}});
     return page.dump() + "\n";
   }
-  std::string out =
-      fmt::format("{} at {}, life {}, {} of {} there{}{}\n\n", self.name, self.address, self.epoch,
-                  view_.there() + 1, all.size() + 1, view_.yielded() ? "; YIELDED to an older one" : "",
-                  view_.local_health() > 2 ? "; it may be ill itself" : "");
+  std::string out = fmt::format("{} at {}, life {}, {} of {} there{}{}\n\n", self.name, self.address,
+                                self.epoch, view_.alive_count() + 1, all.size() + 1,
+                                view_.has_yielded() ? "; YIELDED to an older one" : "",
+                                view_.local_health_score() > 2 ? "; it may be ill itself" : "");
   out += fmt::format("{:<16}{:<11}{:>8}  {:<10}{:<10}{:>6}{:>6}{:>7}  {}\n", "member", "state", "since",
                      "role", "zone", "load", "room", "age", "why");
   for (std::size_t i = 0; i < std::min(all.size(), kMostTold); ++i) {
     const MemberStatus& s = all[i];
     std::string why;
-    if (!s.by.empty()) why = fmt::format("silent to {}", fmt::join(s.by, " "));
-    if (s.contest != 0) why += " has a clone";
-    if (s.pause > 0) why += fmt::format(" stood still {:.1f} s", s.pause);
-    const std::string age = s.told ? fmt::format("{:.1f}s", s.told_age) : "old";
+    if (!s.accusers.empty()) why = fmt::format("silent to {}", fmt::join(s.accusers, " "));
+    if (s.conflicting_epoch != 0) why += " has a clone";
+    if (s.longest_pause > 0) why += fmt::format(" stood still {:.1f} s", s.longest_pause);
+    const std::string age = s.load_report ? fmt::format("{:.1f}s", s.load_report_age) : "old";
     out += fmt::format("{:<16}{:<11}{:>7.1f}s  {:<10}{:<10}{:>6}{:>6}{:>7}  {}\n", s.name,
-                       members::text_of(s.state), now - s.since, s.told ? s.told->role : "-",
-                       s.told ? s.told->zone : "-", s.told ? fmt::format("{}%", s.told->load / 10) : "-",
-                       s.told ? fmt::format("{}", s.told->room) : "-", age, why);
+                       members::text_of(s.state), now - s.since, s.load_report ? s.load_report->role : "-",
+                       s.load_report ? s.load_report->zone : "-",
+                       s.load_report ? fmt::format("{}%", s.load_report->load_permille / 10) : "-",
+                       s.load_report ? fmt::format("{}", s.load_report->free_capacity) : "-", age, why);
   }
   if (all.size() > kMostTold) out += fmt::format("and {} more\n", all.size() - kMostTold);
   if (!broken.empty()) out += "\nbroken links\n";
   for (const members::ObservedLink& link : broken)
-    out +=
-        fmt::format("    {} -> {} for {:.1f} s, by {}\n", link.from, link.to, now - link.since, link.told_by);
+    out += fmt::format("    {} -> {} for {:.1f} s, by {}\n", link.from, link.to, now - link.since,
+                       link.reported_by);
   return out;
 }
 
--- a/src/peers/members/transport.h
+++ b/src/peers/members/transport.h
@@ -25,14 +25,14 @@
   MembershipTransport(net::Reactor& reactor, const MembersOptions& options, const std::string& name,
                       std::uint64_t epoch, std::uint64_t seed, Counters& counters, Logger& log);
   ~MembershipTransport() override;
-  void begin();
-  void tell(members::LoadReport told) { view_.tell(std::move(told)); }
+  void start();
+  void set_load_report(members::LoadReport load_report) { view_.set_load_report(std::move(load_report)); }
   void leave();
   void report();  // the counters
-  std::vector<members::MemberStatus> seen() const;
+  std::vector<members::MemberStatus> known_members() const;
   bool may_reach(const std::string& address) const;  // it is one of the networks of members
   // For operators: a table, or JSON.
-  std::string told(bool json) const;
+  std::string status(bool json) const;
   // Somebody has come, gone or changed; on the next turn.
   std::function<void()> on_change;
 
@@ -43,9 +43,9 @@
     bool ours = false, answered = false;
   };
   void send(const std::string& address, const members::Message& message) override;
-  void exchange(const std::string& address) override;
-  void changed(const std::string& name, members::MemberState state, const std::string& why) override;
-  void noticed(const std::string& what) override;
+  void start_push_pull(const std::string& address) override;
+  void on_state_changed(const std::string& name, members::MemberState state, const std::string& why) override;
+  void on_notice(const std::string& what) override;
 
   void on_connected(net::Connection& connection) override;
   std::size_t on_input(net::Connection& connection, std::string_view bytes) override;
@@ -71,7 +71,7 @@
   std::uint64_t next_tag_ = 1;
   std::map<std::string, Poco::Net::SocketAddress> addresses_;
   net::Reactor::TimerId timer_;
-  bool change_told_ = false, begun_ = false;
+  bool change_posted_ = false, started_ = false;
 };
 
 }  // namespace damsonspoke::peers
--- a/src/wire/members.cpp
+++ b/src/wire/members.cpp
@@ -43,18 +43,18 @@
 };
 
 Json to_json(const m::LoadReport& t) {
-  if (t.serial == 0) return nullptr;
+  if (t.version == 0) return nullptr;
   Row row;
-  row.add(t.serial, true);
+  row.add(t.version, true);
   row.add(t.role, !t.role.empty());
   row.add(t.zone, !t.zone.empty());
-  row.add(t.load, t.load != 0);
-  row.add(t.room, t.room != 0);
-  row.add(t.serves, !t.serves.empty());
+  row.add(t.load_permille, t.load_permille != 0);
+  row.add(t.free_capacity, t.free_capacity != 0);
+  row.add(t.service_address, !t.service_address.empty());
   row.add(t.build, !t.build.empty());
-  row.add(t.generation, t.generation != 0);
-  row.add(t.digest, t.digest != 0);
-  row.add(t.sheds, t.sheds != 0);
+  row.add(t.config_generation, t.config_generation != 0);
+  row.add(t.config_digest, t.config_digest != 0);
+  row.add(t.shed_threshold_tenths, t.shed_threshold_tenths != 0);
   row.add(static_cast<int>(t.dependency), t.dependency != m::DependencyState::kUnknown);
   return row.done();
 }
@@ -66,15 +66,16 @@
   row.add(r.incarnation, true);
   row.add(static_cast<int>(r.condition), true);
   row.add(r.address, true);
-  row.add(r.told_age_ms, r.told.serial != 0);
-  row.add(to_json(r.told), r.told.serial != 0);
-  row.add(r.pause_ms, r.pause_ms != 0);
-  row.add(r.by, !r.by.empty());
-  row.add(r.contest, r.contest != 0);
-  row.add(r.heard, r.heard != 0);
+  row.add(r.load_report_age_ms, r.load_report.version != 0);
+  row.add(to_json(r.load_report), r.load_report.version != 0);
+  row.add(r.longest_pause_ms, r.longest_pause_ms != 0);
+  row.add(r.accusers, !r.accusers.empty());
+  row.add(r.conflicting_epoch, r.conflicting_epoch != 0);
+  row.add(r.heard_datagram_number, r.heard_datagram_number != 0);
   Json broken = Json::array();
-  for (const m::BrokenLink& link : r.broken) broken.push_back({link.other, link.inward, link.age_ms});
-  row.add(std::move(broken), !r.broken.empty());
+  for (const m::BrokenLink& link : r.broken_links)
+    broken.push_back({link.peer, link.is_inbound, link.age_ms});
+  row.add(std::move(broken), !r.broken_links.empty());
   return row.done();
 }
 
@@ -144,44 +145,44 @@
 
 bool read(const Json& from, m::LoadReport& t) {
   Reader in(from);
-  in.number(t.serial, 0xffffffff);
-  in.text(t.role, m::kMostWord);
-  in.text(t.zone, m::kMostWord);
-  in.number(t.load, 0xffff);
-  in.number(t.room, 0xffff);
-  in.text(t.serves, m::kMostAddress);
-  in.text(t.build, m::kMostWord);
-  in.number(t.generation, UINT64_MAX);
-  in.number(t.digest, UINT64_MAX);
-  in.number(t.sheds, 0xffff);
+  in.number(t.version, 0xffffffff);
+  in.text(t.role, m::kMaxLabelBytes);
+  in.text(t.zone, m::kMaxLabelBytes);
+  in.number(t.load_permille, 0xffff);
+  in.number(t.free_capacity, 0xffff);
+  in.text(t.service_address, m::kMaxAddressBytes);
+  in.text(t.build, m::kMaxLabelBytes);
+  in.number(t.config_generation, UINT64_MAX);
+  in.number(t.config_digest, UINT64_MAX);
+  in.number(t.shed_threshold_tenths, 0xffff);
   in.number(t.dependency, 3);
-  return in.sound() && t.serial != 0;
+  return in.sound() && t.version != 0;
 }
 
 bool read(const Json& from, m::Record& r) {
   Reader in(from);
-  in.text(r.name, m::kMostName, true);
-  in.number(r.epoch, m::kMostEpoch);
-  in.number(r.incarnation, m::kMostIncarnation);
+  in.text(r.name, m::kMaxNameBytes, true);
+  in.number(r.epoch, m::kMaxEpoch);
+  in.number(r.incarnation, m::kMaxIncarnation);
   in.number(r.condition, 3);
-  in.text(r.address, m::kMostAddress, true);
-  in.number(r.told_age_ms, kMostAge);
-  if (const Json* told = in.list(32); told != nullptr && !read(*told, r.told)) in.fail();
-  in.number(r.pause_ms, kMostAge);
-  if (const Json* by = in.list(m::kMostWitnesses); by != nullptr) {
+  in.text(r.address, m::kMaxAddressBytes, true);
+  in.number(r.load_report_age_ms, kMostAge);
+  if (const Json* told = in.list(32); told != nullptr && !read(*told, r.load_report)) in.fail();
+  in.number(r.longest_pause_ms, kMostAge);
+  if (const Json* by = in.list(m::kMaxAccusers); by != nullptr) {
     for (const Json& one : *by) {
-      if (!one.is_string() || one.get_ref<const std::string&>().size() > m::kMostName) return false;
-      r.by.push_back(one.get<std::string>());
+      if (!one.is_string() || one.get_ref<const std::string&>().size() > m::kMaxNameBytes) return false;
+      r.accusers.push_back(one.get<std::string>());
     }
   }
-  in.number(r.contest, m::kMostEpoch);
-  in.number(r.heard, 0xffffffff);
-  if (const Json* broken = in.list(m::kMostBroken); broken != nullptr) {
+  in.number(r.conflicting_epoch, m::kMaxEpoch);
+  in.number(r.heard_datagram_number, 0xffffffff);
+  if (const Json* broken = in.list(m::kMaxBrokenLinks); broken != nullptr) {
     for (const Json& one : *broken) {
       Reader link(one);
-      m::BrokenLink& into = r.broken.emplace_back();
-      link.text(into.other, m::kMostName, true);
-      link.flag(into.inward);
+      m::BrokenLink& into = r.broken_links.emplace_back();
+      link.text(into.peer, m::kMaxNameBytes, true);
+      link.flag(into.is_inbound);
       link.number(into.age_ms, kMostAge);
       if (!link.sound()) return false;
     }
@@ -190,11 +191,11 @@
 }
 
 Problem open(const std::string& cluster, std::string_view bytes, Json& body) {
-  if (bytes.size() < kHead) return Problem::kShort;
+  if (bytes.size() < kHeaderBytes) return Problem::kShort;
   if (bytes.substr(0, 3) != kMagic) return Problem::kForeign;
   if (static_cast<std::uint8_t>(bytes[3]) != kVersion) return Problem::kVersion;
   if (get(bytes.substr(4), 4) != cluster_of(cluster)) return Problem::kCluster;
-  const std::string_view inside = bytes.substr(kHead);
+  const std::string_view inside = bytes.substr(kHeaderBytes);
   if (get(bytes.substr(8), 8) != XXH64(inside.data(), inside.size(), cluster_of(cluster)))
     return Problem::kDamaged;
   try {  // lengths beyond all bounds are thrown even where it is told to throw nothing
@@ -231,22 +232,22 @@
 std::string encode(const std::string& cluster, const m::Message& message) {
   Row row;
   row.add(static_cast<int>(message.kind), true);
-  row.add(message.from, true);
-  row.add(message.epoch, true);
-  row.add(message.number, true);
+  row.add(message.sender, true);
+  row.add(message.sender_epoch, true);
+  row.add(message.datagram_number, true);
   Json records = Json::array();
   for (const m::Record& record : message.records) records.push_back(to_json(record));
   row.add(std::move(records), true);
-  row.add(message.serial, message.serial != 0);
-  row.add(message.sum, message.sum != 0);
+  row.add(message.probe_id, message.probe_id != 0);
+  row.add(message.membership_digest, message.membership_digest != 0);
   row.add(message.target, !message.target.empty());
-  row.add(message.on_behalf, !message.on_behalf.empty());
-  row.add(message.direct, message.direct != 0);
-  row.add(message.heard_direct, message.heard_direct);
+  row.add(message.requested_by, !message.requested_by.empty());
+  row.add(message.direct_probe_id, message.direct_probe_id != 0);
+  row.add(message.direct_ping_received, message.direct_ping_received);
   Json body = row.done();
   for (;;) {
     std::string out = sealed(cluster, body);
-    if (out.size() <= kMostDatagram || body[4].empty()) return out;
+    if (out.size() <= kMaxDatagramBytes || body[4].empty()) return out;
     body[4].get_ref<Json::array_t&>().pop_back();
   }
 }
@@ -254,21 +255,21 @@
 Read decode(const std::string& cluster, std::string_view bytes) {
   Read out;
   Json body;
-  if (bytes.size() > kMostDatagram) return out.problem = Problem::kUnsound, out;
+  if (bytes.size() > kMaxDatagramBytes) return out.problem = Problem::kUnsound, out;
   out.problem = open(cluster, bytes, body);
   if (out.problem != Problem::kNone) return out;
   Reader in(body);
   in.number(out.message.kind, 4);
-  in.text(out.message.from, m::kMostName, true);
-  in.number(out.message.epoch, UINT64_MAX);
-  in.number(out.message.number, 0xffffffff);
+  in.text(out.message.sender, m::kMaxNameBytes, true);
+  in.number(out.message.sender_epoch, UINT64_MAX);
+  in.number(out.message.datagram_number, 0xffffffff);
   const bool records = read_records(in.list(64), out.message.records);
-  in.number(out.message.serial, 0xffffffff);
-  in.number(out.message.sum, UINT64_MAX);
-  in.text(out.message.target, m::kMostName);
-  in.text(out.message.on_behalf, m::kMostName);
-  in.number(out.message.direct, 0xffffffff);
-  in.flag(out.message.heard_direct);
+  in.number(out.message.probe_id, 0xffffffff);
+  in.number(out.message.membership_digest, UINT64_MAX);
+  in.text(out.message.target, m::kMaxNameBytes);
+  in.text(out.message.requested_by, m::kMaxNameBytes);
+  in.number(out.message.direct_probe_id, 0xffffffff);
+  in.flag(out.message.direct_ping_received);
   if (!in.sound() || !records) return {Problem::kUnsound, {}};
   return out;
 }
@@ -277,12 +278,12 @@
   Json body = Json::array();
   std::size_t count = 0;
   for (const m::Record& record : records) {
-    if (++count > kMostRecords) break;
+    if (++count > kMaxRecords) break;
     body.push_back(to_json(record));
   }
   std::string bytes = sealed(cluster, body);
   // Beyond the bound the half of it goes: what is missing comes with gossip.
-  while (bytes.size() > kMostExchange && body.size() > 1) {
+  while (bytes.size() > kMaxPushPullBytes && body.size() > 1) {
     body.get_ref<Json::array_t&>().resize(body.size() / 2);
     bytes = sealed(cluster, body);
   }
@@ -295,13 +296,13 @@
   ReadExchange out;
   if (bytes.size() < 4) return out;
   const auto length = static_cast<std::size_t>(get(bytes, 4));
-  if (length > kMostExchange || length < kHead) return out.problem = Problem::kUnsound, out;
+  if (length > kMaxPushPullBytes || length < kHeaderBytes) return out.problem = Problem::kUnsound, out;
   if (bytes.size() < 4 + length) return out;
   Json body;
   out.used = 4 + length;
   out.problem = open(cluster, bytes.substr(4, length), body);
   if (out.problem != Problem::kNone) return out;
-  if (body.size() > kMostRecords || !read_records(&body, out.records)) {
+  if (body.size() > kMaxRecords || !read_records(&body, out.records)) {
     out.problem = Problem::kUnsound;
     out.records.clear();
     return out;
--- a/src/wire/members.h
+++ b/src/wire/members.h
@@ -15,10 +15,10 @@
 namespace damsonspoke::wire::members {
 
 constexpr std::uint8_t kVersion = 1;
-constexpr std::size_t kHead = 4 + 4 + 8;           // bytes: magic with the version, cluster, checksum
-constexpr std::size_t kMostDatagram = 1400;        // bytes; one packet on any network
-constexpr std::size_t kMostExchange = 256 * 1024;  // bytes of one side's records: some two thousand
-constexpr std::size_t kMostRecords = 4097;
+constexpr std::size_t kHeaderBytes = 4 + 4 + 8;        // bytes: magic with the version, cluster, checksum
+constexpr std::size_t kMaxDatagramBytes = 1400;        // bytes; one packet on any network
+constexpr std::size_t kMaxPushPullBytes = 256 * 1024;  // bytes of one side's records: some two thousand
+constexpr std::size_t kMaxRecords = 4097;
 
 enum class Problem { kNone, kShort, kForeign, kVersion, kCluster, kDamaged, kUnsound };
 const char* text_of(Problem problem);
--- a/standins/hollow.cpp
+++ b/standins/hollow.cpp
@@ -79,7 +79,7 @@
         auto one = std::make_unique<peers::MembershipTransport>(
             lane->reactor, member, fmt::format("hollow-{:04}", i), 1000 + static_cast<std::uint64_t>(i),
             options_.seed * 100003 + static_cast<std::uint64_t>(i), lane->counters, lane->log);
-        one->begin();
+        one->start();
         lane->members[i] = std::move(one);
         ++up_;
       });
--- a/standins/members_sim.cpp
+++ b/standins/members_sim.cpp
@@ -34,7 +34,7 @@
   sim->deliver(number, found->second, std::make_shared<Message>(message));
 }
 
-void MembersSim::Node::exchange(const std::string& to) {
+void MembersSim::Node::start_push_pull(const std::string& to) {
   const auto found = sim->by_address_.find(to);
   if (found == sim->by_address_.end()) return;
   const int other = found->second;
@@ -44,19 +44,19 @@
     if (!x.up || x.life != mine) return;
     if (x.paused_until > s->now_) return;
     const bool cut = s->is_cut(a, b) || s->is_cut(b, a);
-    if (!y.up || cut || y.paused_until > s->now_) return x.view->on_exchange_failed(s->now_);
-    const std::vector<Record> of_x = x.view->full(s->now_), of_y = y.view->full(s->now_);
+    if (!y.up || cut || y.paused_until > s->now_) return x.view->on_push_pull_failed(s->now_);
+    const std::vector<Record> of_x = x.view->full_state(s->now_), of_y = y.view->full_state(s->now_);
     s->exchanged_records_ += of_x.size() + of_y.size();
     if (s->options_.weigh_each > 0 && ++s->exchanges_ % kWeighExchangeEach == 1) {
       s->weighed_records_ += of_x.size();
       s->weighed_exchange_bytes_ += wire::members::encode_exchange("cluster", of_x).size();
     }
-    y.view->on_exchange(of_x, s->now_);
-    x.view->on_exchange(of_y, s->now_);
+    y.view->on_push_pull(of_x, s->now_);
+    x.view->on_push_pull(of_y, s->now_);
   });
 }
 
-void MembersSim::Node::changed(const std::string& who, MemberState state, const std::string& why) {
+void MembersSim::Node::on_state_changed(const std::string& who, MemberState state, const std::string& why) {
   if (sim->on_change) sim->on_change(number, fmt::format("{} is {}: {}", who, text_of(state), why));
   if (state != MemberState::kDead) return;
   const auto found = sim->by_name_.find(who);
@@ -85,7 +85,7 @@
   return 0;
 }
 
-void MembersSim::Node::noticed(const std::string& what) {
+void MembersSim::Node::on_notice(const std::string& what) {
   if (sim->on_change) sim->on_change(number, what);
 }
 
@@ -116,7 +116,7 @@
   if (!acquainted) return;
   std::vector<Record> all;
   for (const auto& node : nodes_) all.push_back(node->view->self_record(now_));
-  for (const auto& node : nodes_) node->view->on_exchange(all, now_);
+  for (const auto& node : nodes_) node->view->on_push_pull(all, now_);
 }
 
 void MembersSim::start(int number) {
@@ -129,12 +129,14 @@
   ++node.life;
   node.paused_until = -1;
   node.backlog.clear();
-  node.view = std::make_unique<MembershipView>(options_.terms, Self{node.name, node.address, next_epoch_++},
-                                               seeds, static_cast<std::uint64_t>(random_()), node);
-  LoadReport told;
-  told.role = "relay", told.zone = fmt::format("z{}", number % 3), told.build = "1.0", told.room = 8;
-  node.view->tell(told);
-  node.view->begin(now_);
+  node.view =
+      std::make_unique<MembershipView>(options_.membership, Self{node.name, node.address, next_epoch_++},
+                                       seeds, static_cast<std::uint64_t>(random_()), node);
+  LoadReport load_report;
+  load_report.role = "relay", load_report.zone = fmt::format("z{}", number % 3), load_report.build = "1.0",
+  load_report.free_capacity = 8;
+  node.view->set_load_report(load_report);
+  node.view->start(now_);
   schedule_wake(node);
 }
 
@@ -146,7 +148,7 @@
 
 void MembersSim::schedule_wake(Node& node) {
   const std::uint64_t life = node.life;
-  const double when = std::max(node.view->wake(), now_);
+  const double when = std::max(node.view->next_timer_at(), now_);
   node.next_wake = when;
   at(when, [this, &node, life] {
     if (!node.up || node.life != life) return;
@@ -255,11 +257,11 @@
 
 bool MembersSim::views_same(std::string* how_not) {
   for (int i = 0; i < count(); ++i) {
-    if (!up(i) || view(i).yielded()) continue;
+    if (!up(i) || view(i).has_yielded()) continue;
     std::map<std::string, MemberState> seen;
     for (const MemberStatus& one : view(i).members(now_)) seen[one.name] = one.state;
     for (int j = 0; j < count(); ++j) {
-      if (i == j || name(i) == name(j) || (up(j) && view(j).yielded())) continue;
+      if (i == j || name(i) == name(j) || (up(j) && view(j).has_yielded())) continue;
       const auto found = seen.find(name(j));
       const bool there = found != seen.end() &&
                          (found->second == MemberState::kAlive || found->second == MemberState::kFlapping);
@@ -279,10 +281,11 @@
   for (const auto& node : nodes_) {
     if (!node->view) continue;
     const MembershipView::Counts& c = node->view->counts();
-    sum.probes += c.probes, sum.failed += c.failed, sum.indirect += c.indirect,
+    sum.probes += c.probes, sum.failed_probes += c.failed_probes, sum.indirect_probes += c.indirect_probes,
         sum.suspicions += c.suspicions;
-    sum.deaths += c.deaths, sum.refuted += c.refuted, sum.pauses += c.pauses, sum.held += c.held;
-    sum.exchanges += c.exchanges, sum.refused += c.refused;
+    sum.deaths += c.deaths, sum.refutations += c.refutations, sum.pauses += c.pauses,
+        sum.mass_silences += c.mass_silences;
+    sum.push_pulls += c.push_pulls, sum.rejected_members += c.rejected_members;
   }
   return sum;
 }
--- a/standins/members_sim.h
+++ b/standins/members_sim.h
@@ -22,7 +22,7 @@
     std::uint64_t seed = 1;
     double loss = 0;                         // share of datagrams
     double latency = 0.001, jitter = 0.001;  // s
-    members::MembershipOptions terms;
+    members::MembershipOptions membership;
     std::string names = "n";  // before each one's number
     int weigh_each = 50;      // of the datagrams one in so many is encoded, to know its bytes
   };
@@ -94,9 +94,10 @@
     double next_wake = -1;
     std::vector<std::pair<std::string, std::shared_ptr<const members::Message>>> backlog;
     void send(const std::string& address, const members::Message& message) override;
-    void exchange(const std::string& address) override;
-    void changed(const std::string& name, members::MemberState state, const std::string& why) override;
-    void noticed(const std::string& what) override;
+    void start_push_pull(const std::string& address) override;
+    void on_state_changed(const std::string& name, members::MemberState state,
+                          const std::string& why) override;
+    void on_notice(const std::string& what) override;
     std::uint64_t epoch_known(const std::string& who) const;  // the life that it knows under this name
   };
   struct Event {
--- a/tests/compatibility/wire_messages_test.cpp
+++ b/tests/compatibility/wire_messages_test.cpp
@@ -313,17 +313,17 @@
   members::Record record;
   record.name = "relay-1";
   record.epoch = 0x123456789abcd;
-  record.contest = 0x123456789abce;
+  record.conflicting_epoch = 0x123456789abce;
   record.incarnation = 4;
   record.condition = members::Condition::kSuspected;
   record.address = "127.0.0.1:7000";
-  record.pause_ms = 120;
-  record.told = {
+  record.longest_pause_ms = 120;
+  record.load_report = {
       3, "relay", "north", "0.3.0", 8, 0xdef, 12, 640, 7, members::DependencyState::kSlow, "127.0.0.1:7100"};
-  record.told_age_ms = 900;
-  record.by = {"relay-2", "relay-3"};
-  record.heard = 99;
-  record.broken = {{"relay-4", true, 1500}, {"relay-5", false, 20}};
+  record.load_report_age_ms = 900;
+  record.accusers = {"relay-2", "relay-3"};
+  record.heard_datagram_number = 99;
+  record.broken_links = {{"relay-4", true, 1500}, {"relay-5", false, 20}};
   return record;
 }
 
@@ -333,27 +333,27 @@
   least.epoch = 1;
   least.address = "127.0.0.1:7009";
   members::Message ping;
-  ping.kind = members::Kind::kPing;
-  ping.from = "relay-1";
-  ping.epoch = 6;
-  ping.number = 7;
-  ping.serial = 8;
+  ping.kind = members::MessageKind::kPing;
+  ping.sender = "relay-1";
+  ping.sender_epoch = 6;
+  ping.datagram_number = 7;
+  ping.probe_id = 8;
   ping.target = "relay-2";
-  ping.sum = 0xabcdef;
+  ping.membership_digest = 0xabcdef;
   members::Message ack = ping;
-  ack.kind = members::Kind::kAck;
-  ack.on_behalf = "relay-3";
-  ack.heard_direct = true;
+  ack.kind = members::MessageKind::kAck;
+  ack.requested_by = "relay-3";
+  ack.direct_ping_received = true;
   members::Message indirect = ping;
-  indirect.kind = members::Kind::kAsk;
-  indirect.direct = 5;
+  indirect.kind = members::MessageKind::kPingRequest;
+  indirect.direct_probe_id = 5;
   members::Message silent = indirect;
-  silent.kind = members::Kind::kSilent;
+  silent.kind = members::MessageKind::kNegativeAck;
   members::Message gossip;
-  gossip.kind = members::Kind::kGossip;
-  gossip.from = "relay-1";
-  gossip.epoch = 6;
-  gossip.number = 9;
+  gossip.kind = members::MessageKind::kGossip;
+  gossip.sender = "relay-1";
+  gossip.sender_epoch = 6;
+  gossip.datagram_number = 9;
   gossip.records = {least, whole_record()};
   return {{"ping", ping}, {"ack", ack}, {"ask", indirect}, {"silent", silent}, {"gossip", gossip}};
 }
--- a/tests/members.cpp
+++ b/tests/members.cpp
@@ -384,7 +384,7 @@
   bool others = false;
   for (const auto& wrong : sim.wrong()) others |= wrong.of != 4;
   say("one that is ill itself has nobody called dead", !others);
-  say("it knows", sim.view(4).local_health() > 2);
+  say("it knows", sim.view(4).local_health_score() > 2);
 }
 
 void replaced() {
@@ -433,16 +433,16 @@
   sim.run_until(5);
   sim.clone(4);
   sim.run_until(15);
-  say("of two under one name the younger yields", sim.view(12).yielded() && !sim.view(4).yielded());
+  say("of two under one name the younger yields", sim.view(12).has_yielded() && !sim.view(4).has_yielded());
   say("the older stays", sim.state(0, "n4") == MemberState::kAlive);
   bool named = false;
   for (const MemberStatus& seen : sim.view(0).members(sim.now()))
-    named |= seen.name == "n4" && seen.contest > 0;
+    named |= seen.name == "n4" && seen.conflicting_epoch > 0;
   say("both are named", named);
   sim.kill(4);
   sim.run_until(80);
   say("when the older is gone the younger takes the name",
-      !sim.view(12).yielded() && sim.state(0, "n4") == MemberState::kAlive);
+      !sim.view(12).has_yielded() && sim.state(0, "n4") == MemberState::kAlive);
 }
 
 void leaves() {
@@ -465,10 +465,10 @@
 struct Alone : MembershipSink {
   explicit Alone(int others, std::vector<std::string> seeds = {}, std::uint64_t chance = 3)
       : view(MembershipOptions(), {"v", "v:1", 100}, std::move(seeds), chance, *this) {
-    view.begin(0);
+    view.start(0);
     std::vector<Record> all;
     for (int i = 0; i < others; ++i) all.push_back(of(fmt::format("m{}", i)));
-    if (others > 0) view.on_exchange(all, 0);
+    if (others > 0) view.on_push_pull(all, 0);
   }
   static Record of(const std::string& name, std::uint32_t incarnation = 0,
                    Condition condition = Condition::kAlive) {
@@ -480,39 +480,41 @@
   void send(const std::string& address, const Message& message) override {
     sent.emplace_back(address, message);
     const std::string name = address.substr(0, address.find(':'));
-    if (message.kind == Kind::kPing && answers && answers(name)) due.emplace_back(name, message);
-    if (message.kind == Kind::kAsk && answers && answers(name)) due.emplace_back(name, message);
+    if (message.kind == MessageKind::kPing && answers && answers(name)) due.emplace_back(name, message);
+    if (message.kind == MessageKind::kPingRequest && answers && answers(name))
+      due.emplace_back(name, message);
   }
-  void exchange(const std::string& address) override { exchanged.push_back(address); }
-  void changed(const std::string& name, MemberState state, const std::string&) override {
+  void start_push_pull(const std::string& address) override { exchanged.push_back(address); }
+  void on_state_changed(const std::string& name, MemberState state, const std::string&) override {
     states[name] = state;
   }
-  void noticed(const std::string&) override {}
-  void hear(const std::string& from, Kind kind, std::vector<Record> records, bool stale = false,
+  void on_notice(const std::string&) override {}
+  void hear(const std::string& from, MessageKind kind, std::vector<Record> records, bool stale = false,
             std::uint64_t sum = 0) {
     Message m;
-    m.sum = sum;
-    m.kind = kind, m.from = from, m.epoch = 50, m.number = ++number, m.target = "v", m.serial = 1;
+    m.membership_digest = sum;
+    m.kind = kind, m.sender = from, m.sender_epoch = 50, m.datagram_number = ++number, m.target = "v",
+    m.probe_id = 1;
     records.insert(records.begin(), of(from, incarnations[from]));
     m.records = std::move(records);
     view.on_message(from + ":1", m, now, stale);
   }
   void run_until(double time) {
-    while (view.wake() <= time) {
-      now = std::max(now, view.wake());
+    while (view.next_timer_at() <= time) {
+      now = std::max(now, view.next_timer_at());
       view.on_timer(now);
       for (const auto& [name, ping] : std::exchange(due, {})) {
         Message ack;
-        ack.kind = ping.kind == Kind::kPing ? Kind::kAck : Kind::kSilent;
-        ack.from = name, ack.epoch = 50, ack.number = ++number, ack.serial = ping.serial,
-        ack.target = ping.target;
+        ack.kind = ping.kind == MessageKind::kPing ? MessageKind::kAck : MessageKind::kNegativeAck;
+        ack.sender = name, ack.sender_epoch = 50, ack.datagram_number = ++number,
+        ack.probe_id = ping.probe_id, ack.target = ping.target;
         ack.records = {of(name, incarnations[name])};
         view.on_message(name + ":1", ack, now);
       }
     }
     now = time;
   }
-  std::size_t count(Kind kind) const {
+  std::size_t count(MessageKind kind) const {
     std::size_t n = 0;
     for (const auto& [address, message] : sent) n += message.kind == kind ? 1 : 0;
     return n;
@@ -533,8 +535,8 @@
     a.answers = [](const std::string&) { return true; };
     a.run_until(1);
     Record r = Alone::of("m5", 0, Condition::kSuspected);
-    r.by = {"m1", "m2", "m3", "m4"};
-    a.hear("m1", Kind::kGossip, {r});
+    r.accusers = {"m1", "m2", "m3", "m4"};
+    a.hear("m1", MessageKind::kGossip, {r});
     a.run_until(20);
     say("who has not found it silent itself does not call it dead", a.states["m5"] != MemberState::kDead);
   }
@@ -559,17 +561,17 @@
     bool refuted = false;
     for (const auto& [address, message] : a.sent)
       refuted |= message.records.front().name == "v" && message.records.front().incarnation > 0 &&
-                 message.records.front().pause_ms > 7000;
+                 message.records.front().longest_pause_ms > 7000;
     say("it refutes before it is accused, and says how long it was away", refuted);
     a.run_until(a.now + 8);
     say("a pause of its own is no time in which others refuted", a.states["m5"] == MemberState::kAlive);
     a.sent.clear();
-    a.hear("m1", Kind::kPing, {Alone::of("m7", 0, Condition::kDead)}, true);
+    a.hear("m1", MessageKind::kPing, {Alone::of("m7", 0, Condition::kDead)}, true);
     say("what waited unread meanwhile is neither believed nor answered",
         a.states["m7"] != MemberState::kDead && a.sent.empty());
     Record me = a.view.self_record(a.now);
-    me.condition = Condition::kSuspected, me.by = {"m1"};
-    a.hear("m1", Kind::kGossip, {me}, true);
+    me.condition = Condition::kSuspected, me.accusers = {"m1"};
+    a.hear("m1", MessageKind::kGossip, {me}, true);
     say("but for what accuses it", a.view.self_record(a.now).incarnation > me.incarnation && !a.sent.empty());
   }
   {
@@ -577,9 +579,9 @@
     a.answers = [](const std::string&) { return true; };
     a.run_until(1);
     a.incarnations["m2"] = 2;
-    a.hear("m2", Kind::kGossip, {});
+    a.hear("m2", MessageKind::kGossip, {});
     a.sent.clear();
-    a.hear("m1", Kind::kGossip, {Alone::of("m2", 1, Condition::kSuspected)});
+    a.hear("m1", MessageKind::kGossip, {Alone::of("m2", 1, Condition::kSuspected)});
     bool told = false;
     for (const auto& [address, message] : a.sent) {
       for (const Record& r : message.records)
@@ -591,10 +593,10 @@
     Alone a(50);
     a.answers = [](const std::string&) { return true; };
     a.run_until(3);
-    say("much news of one exchange is not passed on one by one", a.count(Kind::kGossip) == 0);
-    a.hear("m1", Kind::kGossip, {Alone::of("x")});
+    say("much news of one exchange is not passed on one by one", a.count(MessageKind::kGossip) == 0);
+    a.hear("m1", MessageKind::kGossip, {Alone::of("x")});
     a.run_until(6);
-    say("little news is", a.count(Kind::kGossip) > 3);
+    say("little news is", a.count(MessageKind::kGossip) > 3);
   }
   {
     Alone a(5);
@@ -602,7 +604,7 @@
     a.exchanged.clear();
     for (int i = 0; i < 80; ++i) {  // one that knows somebody whom it does not know
       a.run_until(a.now + 0.1);
-      a.hear("m3", Kind::kPing, {}, false, 12345);
+      a.hear("m3", MessageKind::kPing, {}, false, 12345);
     }
     say("who knows another set for five seconds is asked for all that it knows",
         a.exchanged.size() == 1 && a.exchanged.front() == "m3:1");
@@ -616,7 +618,7 @@
       a.exchanged.clear();
       while (a.now < 70 && a.exchanged.empty()) {
         a.run_until(a.now + 0.1);
-        a.hear("m3", Kind::kPing, {}, false, 12345);
+        a.hear("m3", MessageKind::kPing, {}, false, 12345);
       }
       a.now < 16 ? ++early : a.now < 70 ? ++late : 0;
     }
@@ -627,25 +629,25 @@
     a.answers = [](const std::string&) { return true; };
     a.run_until(1);
     Record r = Alone::of("m5", 0, Condition::kSuspected);
-    r.by = {"m1", "m2", "m3", "m4"};
-    a.hear("m1", Kind::kGossip, {r});
+    r.accusers = {"m1", "m2", "m3", "m4"};
+    a.hear("m1", MessageKind::kGossip, {r});
     a.run_until(2.5);
     a.sent.clear();
-    r.by = {"m6", "m7"};
-    a.hear("m1", Kind::kGossip, {r});
+    r.accusers = {"m6", "m7"};
+    a.hear("m1", MessageKind::kGossip, {r});
     a.run_until(2.9);
-    say("witnesses that leave it no less time are not passed on", a.count(Kind::kGossip) == 0);
+    say("witnesses that leave it no less time are not passed on", a.count(MessageKind::kGossip) == 0);
   }
   {
     Alone a(400);
     a.answers = [](const std::string&) { return true; };
     a.run_until(1);
     for (int i = 0; i < 200; ++i)
-      a.hear("m399", Kind::kGossip, {Alone::of(fmt::format("m{}", i), 0, Condition::kDead)});
+      a.hear("m399", MessageKind::kGossip, {Alone::of(fmt::format("m{}", i), 0, Condition::kDead)});
     a.run_until(3);
     a.sent.clear();
     for (int i = 0; i < 200; ++i)
-      a.hear("m399", Kind::kGossip, {Alone::of(fmt::format("m{}", i), 0, Condition::kSuspected)});
+      a.hear("m399", MessageKind::kGossip, {Alone::of(fmt::format("m{}", i), 0, Condition::kSuspected)});
     a.run_until(4);
     std::size_t records = 0;
     for (const auto& [address, message] : a.sent) records += message.records.size();
@@ -657,13 +659,13 @@
     a.run_until(15);
     say("a seed that did not answer is tried again", a.exchanged.size() >= 2 && a.exchanged.back() == "s:1");
     const std::size_t tries = a.exchanged.size();
-    a.view.on_exchange_failed(a.now);
+    a.view.on_push_pull_failed(a.now);
     a.run_until(a.now + 0.5);
     say("one that refused is tried again at once while nobody is known", a.exchanged.size() == tries + 1);
     a.exchanged.clear();
     const double begin = a.now;
     for (std::size_t refused = 0; a.now < begin + 15; a.run_until(a.now + 0.05)) {
-      if (refused < a.exchanged.size()) a.view.on_exchange_failed(a.now), ++refused;
+      if (refused < a.exchanged.size()) a.view.on_push_pull_failed(a.now), ++refused;
     }
     say("and less often the longer it goes on", a.exchanged.size() >= 3 && a.exchanged.size() <= 7);
   }
@@ -672,11 +674,11 @@
     a.answers = [](const std::string& name) { return name != "m1"; };
     while (a.now < 15 && a.states["m1"] != MemberState::kSuspected) a.run_until(a.now + 0.1);
     Record told_of = Alone::of("m1");
-    told_of.told.serial = 1, told_of.told.role = "relay";
-    a.hear("m2", Kind::kGossip, {told_of});
+    told_of.load_report.version = 1, told_of.load_report.role = "relay";
+    a.hear("m2", MessageKind::kGossip, {told_of});
     while (a.now < 25 && a.states["m1"] != MemberState::kDead) a.run_until(a.now + 0.1);
     bool told = false;
-    for (const Record& r : a.view.full(a.now)) told |= r.name == "m1" && r.told.serial != 0;
+    for (const Record& r : a.view.full_state(a.now)) told |= r.name == "m1" && r.load_report.version != 0;
     say("what a dead one told is not passed on", !told);
     const bool dead = a.states["m1"] == MemberState::kDead;
     a.exchanged.clear();
@@ -701,7 +703,7 @@
       gossip.take(1) == std::vector<int>({2}) && gossip.size() == 3);
   gossip.add(5, 1, true);
   say("urgent news goes first, and alone where only that may go",
-      gossip.has_urgent() && gossip.take(9, GossipQueue::Which::kUrgent) == std::vector<int>({5}) &&
+      gossip.has_urgent() && gossip.take(9, GossipQueue::Filter::kUrgentOnly) == std::vector<int>({5}) &&
           !gossip.has_urgent() && gossip.size() == 3);
   gossip.forget(2);
   gossip.forget(9);
@@ -712,11 +714,11 @@
 // What goes beyond the pace is owed for a bounded time.
 void pace() {
   GossipRateLimiter pace(1000, 500);
-  pace.spend(500);
-  say("what is spent is not there, and comes with time", !pace.open(0) && pace.open(0.1));
-  for (int i = 0; i < 1000; ++i) pace.spend(1000);
+  pace.charge(500);
+  say("what is spent is not there, and comes with time", !pace.has_budget(0) && pace.has_budget(0.1));
+  for (int i = 0; i < 1000; ++i) pace.charge(1000);
   say("much that went without asking holds the rest back for a burst's time",
-      !pace.open(0.4) && pace.open(0.7));
+      !pace.has_budget(0.4) && pace.has_budget(0.7));
 }
 
 // ---- The codec.
@@ -725,26 +727,29 @@
   Record r;
   r.name = name, r.epoch = 17, r.incarnation = 3, r.condition = Condition::kSuspected,
   r.address = "10.0.0.1:7400";
-  r.pause_ms = 1200, r.contest = 18, r.heard = 250, r.told_age_ms = 40, r.by = {"a", "b"};
-  r.told = {4, "planner", "north", "0.3.0", 7, 99, 12, 640, 20, DependencyState::kSlow, "10.0.0.1:7100"};
-  r.broken = {{"c", true, 1000}, {"d", false, 0}};
+  r.longest_pause_ms = 1200, r.conflicting_epoch = 18, r.heard_datagram_number = 250,
+  r.load_report_age_ms = 40, r.accusers = {"a", "b"};
+  r.load_report = {
+      4, "planner", "north", "0.3.0", 7, 99, 12, 640, 20, DependencyState::kSlow, "10.0.0.1:7100"};
+  r.broken_links = {{"c", true, 1000}, {"d", false, 0}};
   return r;
 }
 
 void codec() {
   namespace wm = damsonspoke::wire::members;
   Message message;
-  message.kind = Kind::kPing, message.from = "a", message.epoch = 5, message.number = 33, message.sum = 77,
-  message.serial = 9, message.target = "b";
-  message.on_behalf = "c", message.direct = 8, message.heard_direct = true;
+  message.kind = MessageKind::kPing, message.sender = "a", message.sender_epoch = 5,
+  message.datagram_number = 33, message.membership_digest = 77, message.probe_id = 9, message.target = "b";
+  message.requested_by = "c", message.direct_probe_id = 8, message.direct_ping_received = true;
   message.records = {record("a"), Record()};
   message.records[1].name = "x", message.records[1].epoch = 1, message.records[1].address = "y:1";
   const std::string bytes = wm::encode("one", message);
   const wm::Read read = wm::decode("one", bytes);
   say("what is written is read the same",
       read.problem == wm::Problem::kNone && read.message.records == message.records &&
-          read.message.on_behalf == "c" && read.message.number == 33 && read.message.sum == 77 &&
-          read.message.heard_direct && read.message.direct == 8);
+          read.message.requested_by == "c" && read.message.datagram_number == 33 &&
+          read.message.membership_digest == 77 && read.message.direct_ping_received &&
+          read.message.direct_probe_id == 8);
   std::printf("a plain record takes %zu bytes, a full one %zu\n",
               wm::encode("one",
                          [&] {
@@ -775,10 +780,10 @@
   };
   Record usual = Alone::of("backend-00417"), dead = usual, suspected = usual;
   usual.epoch = dead.epoch = suspected.epoch = 1796000000000ULL << 12;
-  usual.told = {
+  usual.load_report = {
       4, "relay", "north/zone-2", "0.3.0", 0, 0, 12, 640, 0, DependencyState::kUnknown, "10.0.0.1:7100"};
   dead.condition = Condition::kDead, suspected.condition = Condition::kSuspected;
-  suspected.by = {"backend-00123", "backend-01123"};
+  suspected.accusers = {"backend-00123", "backend-01123"};
   say("what a record takes is known within a fifth", approximately(usual) && approximately(dead) &&
                                                          approximately(suspected) &&
                                                          approximately(message.records[0]));
@@ -802,7 +807,7 @@
   for (int i = 0; i < 40; ++i) large.records.push_back(record(fmt::format("member-{}", i)));
   const std::string cut = wm::encode("one", large);
   say("a datagram keeps to one packet",
-      cut.size() <= wm::kMostDatagram && wm::decode("one", cut).message.records.size() > 3);
+      cut.size() <= wm::kMaxDatagramBytes && wm::decode("one", cut).message.records.size() > 3);
   say("an oversized one is refused", wm::decode("one", std::string(5000, 'x')).problem != wm::Problem::kNone);
   std::vector<Record> all;
   for (int i = 0; i < 1000; ++i) all.push_back(record(fmt::format("member-{}", i)));
@@ -826,7 +831,7 @@
   sim.begin(true);
   sim.run_until(5);
   Message message;
-  message.kind = Kind::kGossip, message.from = "n9", message.epoch = 5;
+  message.kind = MessageKind::kGossip, message.sender = "n9", message.sender_epoch = 5;
   Record r;
   r.name = "n2", r.epoch = 1UL << 60, r.address = "10.0.9.9:1", r.condition = Condition::kDead,
   r.incarnation = 7;
@@ -835,13 +840,13 @@
   sim.run_until(15);
   say("a forged death of a later life is outlived",
       sim.state(0, "n2") == MemberState::kAlive && sim.views_same());
-  r.epoch = sim.view(2).self().epoch, r.incarnation = kMostIncarnation, r.condition = Condition::kSuspected;
+  r.epoch = sim.view(2).self().epoch, r.incarnation = kMaxIncarnation, r.condition = Condition::kSuspected;
   message.records = {r};
   sim.view(2).on_message("10.0.9.9:1", message, sim.now());
   sim.run_until(30);
   namespace wm = damsonspoke::wire::members;
   Message own;
-  own.from = "n2", own.records = {sim.view(2).self_record(sim.now())};
+  own.sender = "n2", own.records = {sim.view(2).self_record(sim.now())};
   say("nor does an accusation of the last incarnation silence it",
       wm::decode("c", wm::encode("c", own)).problem == wm::Problem::kNone && sim.views_same());
   message.records.clear();
@@ -851,7 +856,7 @@
     sim.view(0).on_message("10.0.9.9:1", message, sim.now());
   }
   say("no more members than there is room for",
-      sim.view(0).members(sim.now()).size() <= 4096 && sim.view(0).counts().refused > 0);
+      sim.view(0).members(sim.now()).size() <= 4096 && sim.view(0).counts().rejected_members > 0);
 }
 
 }  // namespace
