--- a/fuzz/members.cpp
+++ b/fuzz/members.cpp
@@ -16,8 +16,9 @@
       std::abort();
   }
   void start_push_pull(const std::string&) override {}
-  void on_state_changed(const std::string&, damsonspoke::members::MemberState, const std::string&) override {}
-  void on_notice(const std::string&) override {}
+  void on_state_changed(const std::string&, damsonspoke::members::MemberState,
+                        damsonspoke::members::StateChangeReason) override {}
+  void on_notice(const damsonspoke::members::Notice&) override {}
 };
 
 }  // namespace
--- a/models/membership.pml
+++ b/models/membership.pml
@@ -1,15 +1,15 @@
-/* Suspicion, refutation and leave, as src/members/view.cpp has them: one subject, two accusers, a network that
+/* Suspicion, refutation and leave, as src/members/membership_view*.cpp have them: one subject, two accusers, a network that
  * loses and disorders. Time is left out: whatever may happen in time happens in some order here. Each step is
  * one call of the view, which runs to its end.
  *
  *   here                      in src/members
- *   news                      View::take, supersedes (record.cpp)
- *   probe                     View::start_probe, judge_probe, accuse; on_message (kPing, kAck)
- *   last look, call           View::look_at_suspicions, call_dead
- *   the dead are tried        View::look_around, on_message (ill news that is out of date)
- *   accused                   View::take_about_self, refute
- *   stall, go on              View::notice_pause
- *   leave                     View::leave
+ *   news                      MembershipView::apply_record, supersedes (record.cpp)
+ *   probe                     MembershipView::start_probe, finish_probe, accuse; on_message (kPing, kAck)
+ *   last look, call           MembershipView::check_suspicions, declare_dead
+ *   the dead are tried        MembershipView::contact_dead_member, apply_records (corrections)
+ *   accused                   MembershipView::apply_record_about_self, refute
+ *   stall, go on              MembershipView::handle_own_pause
+ *   leave                     MembershipView::leave
  *
  * What must hold:
  *   - who calls the subject dead has just looked and got no answer (`call`)
--- a/src/members/broken_links.h
+++ b/src/members/broken_links.h
@@ -1,5 +1,5 @@
-// Who hears whom: the broken links that members tell of, each with its direction and age. Small, and recent
-// only. Pure.
+// The broken links that other members report, each with its direction and age. A report replaces the former
+// one of the same member and expires. Pure; times are seconds, monotonic.
 #pragma once
 
 #include <map>
@@ -10,56 +10,29 @@
 
 namespace damsonspoke::members {
 
+// A direction between two members in which nothing arrives.
 struct ObservedLink {
-  std::string from, to;  // what goes from the one to the other does not come
-  double since = 0;      // s, by the clock of who asks
+  std::string from;
+  std::string to;
+  double since = 0;  // when the link broke
   std::string reported_by;
 };
 
 class BrokenLinks {
  public:
-  explicit BrokenLinks(double retention_seconds) : retention_(retention_seconds) {}
-  // What a member tells takes the place of what it told before.
-  void update(const std::string& reporter, const std::vector<BrokenLink>& broken, double now);
+  explicit BrokenLinks(double retention_seconds) : retention_seconds_(retention_seconds) {}
+  void update(const std::string& reporter, const std::vector<BrokenLink>& links, double now);
   void forget(const std::string& reporter) { reports_.erase(reporter); }
-  std::vector<ObservedLink> links(double now) const;
-  bool is_broken(const std::string& from, const std::string& to, double now) const;
+  // The links of all reports that have not expired.
+  [[nodiscard]] std::vector<ObservedLink> links(double now) const;
 
  private:
   struct Report {
     double received_at = 0;
     std::vector<ObservedLink> links;
   };
-  const double retention_;  // s that an account counts
-  std::map<std::string, Report> reports_;
-};
-
-// One member's own findings of its links to another, from probes: three in a row that went wrong in one
-// direction are a broken link; one or two may be lost datagrams.
-class LinkHealth {
- public:
-  // What a probe showed, where the other is known to be alive.
-  void record_probe(bool inbound_works, bool outbound_works, double now);
-  bool is_inbound_broken() const { return inbound_.failures >= kFailuresToBreak; }
-  bool is_outbound_broken() const { return outbound_.failures >= kFailuresToBreak; }
-  bool is_broken() const { return is_inbound_broken() || is_outbound_broken(); }
-  bool is_uncertain() const { return !is_broken() && (inbound_.failures > 0 || outbound_.failures > 0); }
-  double inbound_since() const { return inbound_.since; }
-  double outbound_since() const { return outbound_.since; }
-
- private:
-  static constexpr int kFailuresToBreak = 3;
-  struct Direction {
-    int failures = 0;
-    double since = 0;
-    void record_probe(bool works, double now) {
-      if (works)
-        failures = 0;
-      else if (failures++ == 0)
-        since = now;
-    }
-  };
-  Direction inbound_, outbound_;
+  const double retention_seconds_;
+  std::map<std::string, Report> reports_;  // by reporter
 };
 
 }  // namespace damsonspoke::members
--- a/src/members/gossip_queue.cpp
+++ b/src/members/gossip_queue.cpp
@@ -15,14 +15,14 @@
 }
 
 std::vector<int> GossipQueue::take(std::size_t limit, Filter filter) {
-  std::vector<Update> taken;
+  std::vector<Update> updates;
   for (const Update& update : queue_) {
-    if (taken.size() >= limit || (filter == Filter::kUrgentOnly && !update.urgent)) break;
-    taken.push_back(update);
+    if (updates.size() >= limit || (filter == Filter::kUrgentOnly && !update.urgent)) break;
+    updates.push_back(update);
   }
-  std::vector<int> out;
-  for (Update& update : taken) {
-    out.push_back(update.member);
+  std::vector<int> members;
+  for (Update& update : updates) {
+    members.push_back(update.member);
     const auto found = by_member_.find(update.member);
     queue_.erase(found->second);
     if (--update.transmissions > 0)
@@ -30,7 +30,7 @@
     else
       by_member_.erase(found);
   }
-  return out;
+  return members;
 }
 
 }  // namespace damsonspoke::members
--- a/src/members/gossip_rate_limiter.h
+++ b/src/members/gossip_rate_limiter.h
@@ -1,5 +1,5 @@
-// How many bytes of news of other members one member may add to what it sends: a token bucket. Without it the
-// bytes that a member sends grow with the number of members that change at once. Pure: time is handed in.
+// A token bucket for the bytes of gossip about other members that one member sends. Without it these bytes
+// would grow with the number of members that change at once. Pure; times are seconds, monotonic.
 #pragma once
 
 #include <algorithm>
@@ -9,25 +9,25 @@
 
 class GossipRateLimiter {
  public:
-  // `per_s`: bytes a second on the long run; `burst`: bytes that may go at once after a rest.
   GossipRateLimiter(double bytes_per_second, double burst_bytes)
       : bytes_per_second_(bytes_per_second), burst_bytes_(burst_bytes), available_bytes_(burst_bytes) {}
 
-  // Whether a datagram may carry news now; what it carries may go beyond what is left, the next one waits for
-  // it. `now`: s, monotonic; never earlier than in the call before.
-  bool has_budget(double now) {
+  // Whether a datagram may carry gossip now. A datagram may go beyond the budget; the next one waits for it.
+  // `now` must not decrease between calls.
+  [[nodiscard]] bool has_budget(double now) {
     available_bytes_ = std::min(burst_bytes_, available_bytes_ + (now - refilled_at_) * bytes_per_second_);
     refilled_at_ = now;
     return available_bytes_ > 0;
   }
-  // Owed is a burst at most: what goes without asking would else hold back all other news for as long as it
-  // lasts.
+  // The debt is bounded by one burst: urgent updates, which don't wait for the budget, would else hold back
+  // all others for as long as they last.
   void charge(std::size_t bytes) {
     available_bytes_ = std::max(available_bytes_ - static_cast<double>(bytes), -burst_bytes_);
   }
 
  private:
-  const double bytes_per_second_, burst_bytes_;
+  const double bytes_per_second_;
+  const double burst_bytes_;
   double available_bytes_;
   double refilled_at_ = 0;
 };
--- a/src/members/record.h
+++ b/src/members/record.h
@@ -1,99 +1,107 @@
-// What members say of themselves and of one another. Plain data.
+// What members of a fleet tell about themselves and about one another: records, load reports and the messages
+// that carry them. Plain data; src/wire/members.h defines the bytes.
+//
+// The protocol follows SWIM (Das, Gupta, Motivala 2002) with the extensions of Lifeguard (Dadgar, Phillips,
+// Currey 2017); the terms probe, suspicion, refutation and incarnation are theirs.
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
 #include <string>
 #include <vector>
 
 namespace damsonspoke::members {
 
-constexpr std::size_t kMaxNameBytes = 64, kMaxAddressBytes = 64, kMaxLabelBytes = 32;  // bytes
-constexpr std::size_t kMaxAccusers = 6;     // names told with a suspicion
-constexpr std::size_t kMaxBrokenLinks = 8;  // links that one member tells of
-// What may be told. Beyond the last incarnation a member goes on with a later epoch; epochs are milliseconds
-// of the Unix clock with 12 bits drawn, so none that is honest comes near the bound.
+constexpr std::size_t kMaxNameBytes = 64;
+constexpr std::size_t kMaxAddressBytes = 64;
+constexpr std::size_t kMaxLabelBytes = 32;  // role, zone, build
+constexpr std::size_t kMaxAccusers = 6;     // names listed with one suspicion
+constexpr std::size_t kMaxBrokenLinks = 8;  // that one member reports
+// Beyond the last incarnation a member goes on with a later epoch.
 constexpr std::uint32_t kMaxIncarnation = 0xfffffff0;
+// Epochs are milliseconds of the Unix clock with 12 random bits, so no honest one comes near this bound.
 constexpr std::uint64_t kMaxEpoch = std::uint64_t{1} << 61;
 
-// As it is told; what a member makes of it itself is view.h's State.
+// A member's condition as members tell it to one another, in the order of precedence at equal incarnations.
 enum class Condition : std::uint8_t { kAlive = 0, kSuspected = 1, kDead = 2, kLeft = 3 };
 
-// State of the layer below, as a member sees it.
+// Health of the dependency that a member calls, as that member sees it.
 enum class DependencyState : std::uint8_t { kUnknown = 0, kHealthy = 1, kSlow = 2, kUnavailable = 3 };
 
-// What a member tells of itself beside its being there: small, and worth nothing once it is old.
+// A member's description of itself and its load. It expires after MembershipOptions::load_report_ttl.
 struct LoadReport {
-  std::uint32_t version = 0;  // rises with each change in one life; 0: nothing told
-  std::string role;           // relay, planner, forwarder
+  std::uint32_t version = 0;  // rises with each change within one epoch; 0: nothing reported
+  std::string role;           // "relay", "planner" or "forwarder"
   std::string zone;
   std::string build;
-  std::uint64_t config_generation = 0, config_digest = 0;  // of the configuration
-  std::uint16_t free_capacity = 0;                         // requests that it would take now
-  std::uint16_t load_permille = 0;                         // thousandths of its cores in use
-  std::uint16_t shed_threshold_tenths =
-      0;  // tenths of importance under which it refuses; 0: it refuses nothing
+  std::uint64_t config_generation = 0;
+  std::uint64_t config_digest = 0;
+  std::uint16_t free_capacity = 0;          // requests that the member would accept now
+  std::uint16_t load_permille = 0;          // share of its capacity in use
+  std::uint16_t shed_threshold_tenths = 0;  // priority weight in tenths below which it sheds load; 0: none
   DependencyState dependency = DependencyState::kUnknown;
-  std::string service_address;  // address that its requests go to; empty: none
+  std::string service_address;  // where its requests go; empty: none
   bool operator==(const LoadReport&) const = default;
 };
 
-// A link that is broken as one end of it finds: what `other` sends does not come (inward), or what is sent to
-// it does not.
+// A link that one of its ends finds broken in one direction.
 struct BrokenLink {
   std::string peer;
-  bool is_inbound = true;
-  std::uint32_t age_ms = 0;  // since when
+  bool is_inbound = true;    // what the peer sends does not arrive; else: what is sent to the peer does not
+  std::uint32_t age_ms = 0;  // since the link broke
   bool operator==(const BrokenLink&) const = default;
 };
 
-// An epoch is one life of a process, later ones higher. `contest`: the life under the same name that an older
-// one, still running, says is a clone of it.
+// All that one member tells about another one, or about itself.
 struct Record {
   std::string name;
-  std::uint64_t epoch = 0, conflicting_epoch = 0;
-  std::uint32_t incarnation = 0;
+  std::uint64_t epoch = 0;  // one life of a process; later lives have higher ones
+  // The epoch of a second process under the same name, which this older one, still running, disputes; 0:
+  // none.
+  std::uint64_t conflicting_epoch = 0;
+  std::uint32_t incarnation = 0;  // raised by the member itself, to refute suspicions
   Condition condition = Condition::kAlive;
   std::string address;
-  std::uint32_t longest_pause_ms = 0;  // the longest that it lately stood still, by its own account
+  std::uint32_t longest_pause_ms = 0;  // the longest recent pause of its process, by its own account
   LoadReport load_report;
-  std::uint32_t load_report_age_ms = 0;  // of `told`, when this was sent
-  std::vector<std::string> accusers;     // of a suspicion: who found it silent
-  std::uint32_t heard_datagram_number =
-      0;  // of a suspicion: the number of the last datagram that somebody got from it
+  std::uint32_t load_report_age_ms = 0;     // when the record was sent
+  std::vector<std::string> accusers;        // of a suspicion: the members that got no answer
+  std::uint32_t heard_datagram_number = 0;  // of a suspicion: the last datagram that anybody got; 0: none
   std::vector<BrokenLink> broken_links;
   bool operator==(const Record&) const = default;
 
-  std::uint64_t newest_epoch() const { return epoch > conflicting_epoch ? epoch : conflicting_epoch; }
+  [[nodiscard]] std::uint64_t newest_epoch() const {
+    return epoch > conflicting_epoch ? epoch : conflicting_epoch;
+  }
 };
 
-// Bytes that a record takes in a datagram, about: src/wire/members.h has the form. For who has to stay within
-// a rate; tests hold it against the codec.
-std::size_t approximate_bytes(const Record& record);
+// Approximate size of a record in a datagram, for rate limits. Tests compare it with the codec.
+[[nodiscard]] std::size_t approximate_bytes(const Record& record);
 
-// Whether a says more than b of the same name: a later life first, one that contests before the contested, a
-// later incarnation, and what is worse of equals.
-bool supersedes(const Record& a, const Record& b);
+// Whether record a replaces record b of the same name: by newest epoch, then by an identity conflict, then by
+// incarnation, then by the worse condition.
+[[nodiscard]] bool supersedes(const Record& a, const Record& b);
 
 enum class MessageKind : std::uint8_t {
-  kPing = 0,         // answer it
-  kAck = 1,          // the answer
-  kPingRequest = 2,  // ping `target` for me, I do not hear it
-  kNegativeAck = 3,  // I did, and do not hear it either
-  kGossip = 4        // nothing but records
+  kPing = 0,         // to be answered with kAck
+  kAck = 1,          // the answer to a ping
+  kPingRequest = 2,  // asks the receiver to ping `target` for the sender
+  kNegativeAck = 3,  // the requested ping got no answer either (Lifeguard's nack)
+  kGossip = 4        // records alone
 };
 
+// One datagram.
 struct Message {
   MessageKind kind = MessageKind::kGossip;
   std::string sender;
   std::uint64_t sender_epoch = 0;
-  std::uint32_t datagram_number = 0;  // of its sender's datagrams
-  std::uint32_t probe_id = 0;         // of the ping that this is or answers
-  std::string target;                 // of a ping or an ask: who is meant
-  std::string requested_by;           // of a ping, and its ack: who asked for it; empty: who sends it
-  std::uint32_t direct_probe_id =
-      0;  // of an ask, and what follows from it: the serial of the ping that got no answer
-  bool direct_ping_received = false;    // of an ack on behalf: that ping did come
-  std::uint64_t membership_digest = 0;  // of all that its sender takes for members in play; 0: not told
+  std::uint32_t datagram_number = 0;    // counts the sender's datagrams
+  std::uint32_t probe_id = 0;           // of the ping that this message is, requests or answers
+  std::string target;                   // of a ping or a ping request
+  std::string requested_by;             // of an indirect ping and its ack; empty: the sender itself
+  std::uint32_t direct_probe_id = 0;    // of an indirect probe: the direct ping that got no answer
+  bool direct_ping_received = false;    // of an ack to an indirect ping: the direct ping did arrive
+  std::uint64_t membership_digest = 0;  // over the members that the sender counts as active; 0: not given
   std::vector<Record> records;
 };
 
--- a/src/peers/members/transport.cpp
+++ b/src/peers/members/transport.cpp
@@ -251,9 +251,9 @@
 // ---- What it tells.
 
 void MembershipTransport::on_state_changed(const std::string& name, MemberState state,
-                                           const std::string& why) {
-  log_.event(Level::kInfo, "members", "a member's state",
-             {{"member", name}, {"state", members::text_of(state)}, {"why", why}});
+                                           members::StateChangeReason reason) {
+  log_.event(Level::kInfo, "members", "member state changed",
+             {{"member", name}, {"state", members::text_of(state)}, {"reason", members::text_of(reason)}});
   if (change_posted_ || !on_change) return;
   change_posted_ = true;
   reactor_.post([this] {
@@ -262,7 +262,9 @@
   });
 }
 
-void MembershipTransport::on_notice(const std::string& what) { log_.warn("members", "{}", what); }
+void MembershipTransport::on_notice(const members::Notice& notice) {
+  log_.warn("members", "{}", members::text_of(notice));
+}
 
 void MembershipTransport::report() {
   const members::MembershipView::Counts& c = view_.counts();
--- a/src/peers/members/transport.h
+++ b/src/peers/members/transport.h
@@ -44,8 +44,9 @@
   };
   void send(const std::string& address, const members::Message& message) override;
   void start_push_pull(const std::string& address) override;
-  void on_state_changed(const std::string& name, members::MemberState state, const std::string& why) override;
-  void on_notice(const std::string& what) override;
+  void on_state_changed(const std::string& name, members::MemberState state,
+                        members::StateChangeReason reason) override;
+  void on_notice(const members::Notice& notice) override;
 
   void on_connected(net::Connection& connection) override;
   std::size_t on_input(net::Connection& connection, std::string_view bytes) override;
--- a/standins/members_sim.cpp
+++ b/standins/members_sim.cpp
@@ -56,8 +56,9 @@
   });
 }
 
-void MembersSim::Node::on_state_changed(const std::string& who, MemberState state, const std::string& why) {
-  if (sim->on_change) sim->on_change(number, fmt::format("{} is {}: {}", who, text_of(state), why));
+void MembersSim::Node::on_state_changed(const std::string& who, MemberState state, StateChangeReason reason) {
+  if (sim->on_change)
+    sim->on_change(number, fmt::format("{} is {}: {}", who, text_of(state), text_of(reason)));
   if (state != MemberState::kDead) return;
   const auto found = sim->by_name_.find(who);
   if (found == sim->by_name_.end()) return;
@@ -85,8 +86,8 @@
   return 0;
 }
 
-void MembersSim::Node::on_notice(const std::string& what) {
-  if (sim->on_change) sim->on_change(number, what);
+void MembersSim::Node::on_notice(const Notice& notice) {
+  if (sim->on_change) sim->on_change(number, text_of(notice));
 }
 
 MembersSim::MembersSim(Options options) : options_(options), random_(options.seed) {
--- a/standins/members_sim.h
+++ b/standins/members_sim.h
@@ -96,8 +96,8 @@
     void send(const std::string& address, const members::Message& message) override;
     void start_push_pull(const std::string& address) override;
     void on_state_changed(const std::string& name, members::MemberState state,
-                          const std::string& why) override;
-    void on_notice(const std::string& what) override;
+                          members::StateChangeReason reason) override;
+    void on_notice(const members::Notice& notice) override;
     std::uint64_t epoch_known(const std::string& who) const;  // the life that it knows under this name
   };
   struct Event {
--- a/tests/members.cpp
+++ b/tests/members.cpp
@@ -485,10 +485,10 @@
       due.emplace_back(name, message);
   }
   void start_push_pull(const std::string& address) override { exchanged.push_back(address); }
-  void on_state_changed(const std::string& name, MemberState state, const std::string&) override {
+  void on_state_changed(const std::string& name, MemberState state, StateChangeReason) override {
     states[name] = state;
   }
-  void on_notice(const std::string&) override {}
+  void on_notice(const Notice&) override {}
   void hear(const std::string& from, MessageKind kind, std::vector<Record> records, bool stale = false,
             std::uint64_t sum = 0) {
     Message m;
