--- /dev/null
+++ b/tests/members/failure_detection.cpp
@@ -0,0 +1,178 @@
+// Deaths, lost datagrams and pauses in simulated fleets: every death is found, nobody else is declared dead.
+// CTest compares with tests/traces/members_CASE.txt. usage: failure_detection - CASE
+#include <fmt/format.h>
+
+#include <algorithm>
+#include <cstdio>
+#include <cstdlib>
+#include <pcg_random.hpp>
+#include <string>
+
+#include "scenarios.h"
+#include "simulated_fleet.h"
+
+using namespace damsonspoke::standins;
+using namespace damsonspoke::members;
+
+namespace {
+
+void third() {
+  constexpr int kCount = 30;
+  MembersSim sim(fleet_options(kCount));
+  trace(sim);
+  sim.begin(true);
+  sim.run_until(5);
+  for (int i = 0; i < kCount; i += 3) sim.kill(i);
+  sim.run_until(15);
+  std::size_t found = 0;
+  for (const auto& death : sim.deaths()) found += death.found.size();
+  say("a third lost at once is found by all of the others", found == 10U * 20U);
+  if (slowest_detection(sim) >= 8) std::printf("%.2f s\n", slowest_detection(sim));
+  say("within eight seconds", slowest_detection(sim) < 8);
+  say("nobody else is called dead", sim.wrong().empty());
+}
+
+// The highest rates of one member in any second.
+struct PeakRates {
+  double datagrams = 0;
+  double records = 0;
+  double push_pull_records = 0;
+};
+
+PeakRates peak_rates(MembersSim& sim, int seconds) {
+  PeakRates peak;
+  for (int second = 0; second < seconds; ++second) {
+    sim.forget_bytes();
+    sim.run_until(sim.now() + 1);
+    peak.datagrams = std::max(peak.datagrams, sim.datagrams_a_member_second());
+    peak.records = std::max(peak.records, sim.records_a_member_second());
+    peak.push_pull_records = std::max(peak.push_pull_records, sim.exchanged_records_a_member_second());
+  }
+  return peak;
+}
+
+// What a member sends in a second at most is the same at any fleet size, also when a sixth is lost.
+void sixth() {
+  for (const int count : {60, 120, 240}) {
+    MembersSim sim(fleet_options(count, 17, 0.01));
+    trace(sim);
+    sim.begin(true);
+    sim.run_until(5);
+    sim.forget_bytes();
+    sim.run_until(10);
+    const double calm = sim.records_a_member_second() + sim.exchanged_records_a_member_second();
+    for (int i = 0; i < count; i += 6) sim.kill(i);
+    const PeakRates peak = peak_rates(sim, 15);
+    if (std::getenv("MEMBERS_TRACE") != nullptr)
+      std::fprintf(stderr, "%d: calm %.1f; %.1f datagrams, %.1f records, %.1f by push-pull\n", count, calm,
+                   peak.datagrams, peak.records, peak.push_pull_records);
+    say(fmt::format("{} members: calm at most 18 records a second", count), calm <= 18);
+    say("a sixth lost: at most 25 datagrams, 130 records and 50 in exchanges in any second",
+        peak.datagrams <= 25 && peak.records <= 130 && peak.push_pull_records <= 50);
+    say("all see it within 15 s, nobody else is called dead", sim.views_same() && sim.wrong().empty());
+  }
+}
+
+// A third of a large fleet pauses for the longest time that is tolerated: its refutations have to reach all
+// in time, beside all the suspicions.
+void third_paused() {
+  constexpr int kCount = 360;
+  std::size_t wrong = 0;
+  for (std::uint64_t seed = 1; seed <= 2; ++seed) {
+    MembersSim sim(fleet_options(kCount, seed, 0.01));
+    trace(sim);
+    sim.begin(true);
+    sim.run_until(5);
+    for (int i = 0; i < kCount; i += 3) sim.pause(i, 2);
+    sim.run_until(20);
+    wrong += sim.wrong().size();
+  }
+  if (std::getenv("MEMBERS_TRACE") != nullptr) std::fprintf(stderr, "%zu wrong\n", wrong);
+  say("a third of 360 stands still for 2 s: nobody is called dead", wrong == 0);
+}
+
+void lossy() {
+  MembersSim sim(fleet_options(30, 3, 0.2));
+  sim.late = 0.2;
+  sim.doubled = 0.2;
+  trace(sim);
+  sim.begin(true);
+  sim.run_until(120);
+  say("a fifth lost, a fifth doubled, a fifth 2 s late: nobody is called dead in an hour of members",
+      sim.wrong().empty());
+  sim.kill(4);
+  sim.run_until(135);
+  say("a death is found all the same", sim.deaths()[0].found.size() == 29);
+}
+
+void short_pauses(double seconds) {
+  MembersSim sim(fleet_options(30, 5));
+  trace(sim);
+  sim.begin(true);
+  sim.run_until(5);
+  sim.pause(3, seconds);
+  sim.run_until(15);
+  for (int i = 0; i < 10; ++i) sim.pause(i, seconds);
+  sim.run_until(25);
+  for (int i = 0; i < 30; ++i) sim.pause(i, seconds);
+  sim.run_until(60);
+  say(fmt::format("one, a third, all stand still for {:.1f} s: nobody is called dead", seconds),
+      sim.wrong().empty());
+  say("and all see all", sim.views_same());
+}
+
+void long_pauses() {
+  MembersSim sim(fleet_options(30, 6));
+  trace(sim);
+  sim.begin(true);
+  sim.run_until(5);
+  sim.pause(3, 30);
+  sim.run_until(20);
+  say("one that stands still for half a minute is called dead", sim.state(0, "n3") == MemberState::kDead);
+  sim.run_until(60);
+  say("and is there again", sim.state(0, "n3") == MemberState::kAlive && sim.views_same());
+  const auto wrong = sim.wrong().size();
+  sim.pause(3, 5);
+  sim.run_until(75);
+  say("a second pause of 5 s is borne: it is known to stand still", sim.wrong().size() == wrong);
+  for (int i = 0; i < 30; ++i) sim.pause(i, 30);
+  sim.run_until(120);
+  say("all stand still for half a minute: nobody is called dead",
+      sim.wrong().size() == wrong && sim.views_same());
+}
+
+void pauses() {
+  for (const double seconds : {0.5, 1.0, 1.9}) short_pauses(seconds);
+  long_pauses();
+}
+
+// An accuser with a fault of its own: nine in ten of its datagrams, both ways, are lost.
+void ill() {
+  constexpr int kIll = 4;
+  MembersSim sim(fleet_options(30, 11));
+  pcg64 random(5);
+  bool is_ill = false;
+  sim.cut = [&](int from, int to) { return is_ill && (from == kIll || to == kIll) && random() % 10 != 0; };
+  trace(sim);
+  sim.begin(true);
+  sim.run_until(5);
+  is_ill = true;
+  sim.run_until(125);
+  const bool others_called_dead =
+      std::any_of(sim.wrong().begin(), sim.wrong().end(), [](const auto& wrong) { return wrong.of != kIll; });
+  say("one that is ill itself has nobody called dead", !others_called_dead);
+  say("it knows", sim.view(kIll).local_health_score() > 2);
+}
+
+}  // namespace
+
+int main(int argc, char** argv) {
+  std::string unused;
+  return run_scenario(argc, argv, unused,
+                      {{"third", third},
+                       {"sixth", sixth},
+                       {"third_paused", third_paused},
+                       {"lossy", lossy},
+                       {"pauses", pauses},
+                       {"ill", ill}});
+}
--- a/tests/members_streams.cpp
+++ b/tests/members/push_pull_streams.cpp
@@ -1,9 +1,10 @@
-// Full exchanges at one member on a real socket; CTest compares with tests/traces/members_streams.txt.
+// Push-pulls with one member on a real socket; CTest compares with tests/traces/members_streams.txt.
 #include <arpa/inet.h>
 #include <fmt/format.h>
 #include <sys/socket.h>
 #include <unistd.h>
 
+#include <array>
 #include <chrono>
 #include <string>
 #include <thread>
@@ -20,14 +21,16 @@
 namespace wm = wire::members;
 
 constexpr std::uint64_t kSeed = 91;
-constexpr int kExchanges = 40;
-constexpr int kPatience = 5;  // s
+constexpr int kPushPulls = 40;
+constexpr int kTimeoutSeconds = 5;
+constexpr std::size_t kReadBytes = 65536;
 
-int connected() {
+// A socket, or -1.
+int connect_to_member() {
   const std::string address = HollowMembers::address(kSeed, 0);
   const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-  const timeval patience{kPatience, 0};
-  ::setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
+  const timeval timeout{kTimeoutSeconds, 0};
+  ::setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
   sockaddr_in to{};
   to.sin_family = AF_INET;
   to.sin_port = htons(HollowMembers::kPort);
@@ -37,7 +40,7 @@
   return -1;
 }
 
-members::Record stranger(int number) {
+members::Record unknown_member(int number) {
   members::Record record;
   record.name = fmt::format("stranger-{}", number);
   record.address = "127.0.0.1:1";
@@ -45,27 +48,28 @@
   return record;
 }
 
-// The records that it tells in answer; none where it refuses.
-std::size_t records_told(int number) {
-  const int fd = connected();
+// The number of records in the member's answer; 0 when it refuses.
+std::size_t push_pull(int number) {
+  const int fd = connect_to_member();
   if (fd < 0) return 0;
-  const std::string mine = wm::encode_exchange("hollow", {stranger(number)});
-  ::send(fd, mine.data(), mine.size(), MSG_NOSIGNAL);
+  const std::string own = wm::encode_exchange("hollow", {unknown_member(number)});
+  ::send(fd, own.data(), own.size(), MSG_NOSIGNAL);
   std::string bytes;
-  wm::ReadExchange read;
-  char piece[65536];
-  for (ssize_t got; !read.whole && (got = ::recv(fd, piece, sizeof piece, 0)) > 0;) {
-    bytes.append(piece, static_cast<std::size_t>(got));
-    read = wm::decode_exchange("hollow", bytes);
+  wm::ReadExchange answer;
+  std::array<char, kReadBytes> buffer{};
+  while (!answer.whole) {
+    const ssize_t got = ::recv(fd, buffer.data(), buffer.size(), 0);
+    if (got <= 0) break;
+    bytes.append(buffer.data(), static_cast<std::size_t>(got));
+    answer = wm::decode_exchange("hollow", bytes);
   }
   ::close(fd);
-  return read.records.size();
+  return answer.records.size();
 }
 
-// Waits until it listens.
-bool listens() {
-  for (int i = 0; i < 100 * kPatience; ++i) {
-    const int fd = connected();
+bool wait_until_listening() {
+  for (int i = 0; i < 100 * kTimeoutSeconds; ++i) {
+    const int fd = connect_to_member();
     if (fd >= 0) return ::close(fd) == 0;
     std::this_thread::sleep_for(std::chrono::milliseconds(10));
   }
@@ -81,9 +85,9 @@
   options.seed = kSeed;
   HollowMembers member(options);
   member.begin();
-  say("it listens", listens());
+  say("it listens", wait_until_listening());
   int answered = 0;
-  for (int i = 0; i < kExchanges; ++i) answered += records_told(i) > 0 ? 1 : 0;
+  for (int i = 0; i < kPushPulls; ++i) answered += push_pull(i) > 0 ? 1 : 0;
   // Far more than may be open at once: each one's place is free again when it is answered.
-  say(fmt::format("{} exchanges one after another: all answered", kExchanges), answered == kExchanges);
+  say(fmt::format("{} exchanges one after another: all answered", kPushPulls), answered == kPushPulls);
 }
