--- a/bench/scale_members.cpp
+++ b/bench/scale_members.cpp
@@ -252,9 +252,9 @@
   std::vector<double> encode, decode;
   for (int i = 0; i < rounds; ++i) {
     const double begin = thread_processor_time();
-    const std::string bytes = wire::members::encode_exchange("fleet", records);
+    const std::string bytes = wire::members::encode_push_pull("fleet", records);
     const double encoded = thread_processor_time();
-    out.read = wire::members::decode_exchange("fleet", bytes).records.size();
+    out.read = wire::members::decode_push_pull("fleet", bytes).records.size();
     decode.push_back(1000 * (thread_processor_time() - encoded));
     encode.push_back(1000 * (encoded - begin));
     out.bytes = static_cast<double>(bytes.size());
--- a/fuzz/members.cpp
+++ b/fuzz/members.cpp
@@ -27,13 +27,13 @@
   using namespace damsonspoke::members;
   namespace wm = damsonspoke::wire::members;
   const std::string_view bytes(reinterpret_cast<const char*>(data), size);
-  const auto exchange = wm::decode_exchange("c", bytes);
-  if (exchange.whole && exchange.used > bytes.size()) std::abort();
-  const wm::Read read = wm::decode("c", bytes);
-  if (read.problem != wm::Problem::kNone) return 0;
+  const auto exchange = wm::decode_push_pull("c", bytes);
+  if (exchange.is_complete && exchange.bytes_used > bytes.size()) std::abort();
+  const wm::DecodedMessage read = wm::decode("c", bytes);
+  if (read.error != wm::DecodeError::kNone) return 0;
   const std::string again = wm::encode("c", read.message);
-  const wm::Read second = wm::decode("c", again);
-  if (second.problem != wm::Problem::kNone || second.message.sender != read.message.sender) std::abort();
+  const wm::DecodedMessage second = wm::decode("c", again);
+  if (second.error != wm::DecodeError::kNone || second.message.sender != read.message.sender) std::abort();
   if (second.message.records.size() > read.message.records.size()) std::abort();
   for (std::size_t i = 0; i < second.message.records.size(); ++i) {
     if (!(second.message.records[i] == read.message.records[i])) std::abort();
--- a/src/app/backend.cpp
+++ b/src/app/backend.cpp
@@ -122,8 +122,8 @@
       membership_(
           reactor_, choice, role == Role::kPlanner ? "planner" : "relay",
           [this] {
-            return Membership::Now{static_cast<double>(in_flight_.unanswered()),
-                                   kOpenPerCore * static_cast<double>(config_.site.admission.cores)};
+            return Membership::Load{static_cast<double>(in_flight_.unanswered()),
+                                    kOpenPerCore * static_cast<double>(config_.site.admission.cores)};
           },
           counters_, log_),
       front_(make_front(role)),
@@ -152,7 +152,7 @@
 void Backend::listen_for_questions() {
   if (options_.control.folder.empty()) return;
   control_ = std::make_unique<control::Server>(reactor_, options_.control.folder, log_);
-  membership_.answer_questions(*control_);
+  membership_.register_command(*control_);
   catalog_.answer_questions(*control_);
   control_->add("conns", [this](const std::vector<std::string>& words) {
     if (!connection_admission_) throw std::runtime_error("the gate is off: nothing is counted by client");
@@ -167,7 +167,7 @@
   if (ajp_ != nullptr) log_.info("backend", "takes AJP callers on port {}", ajp_->port());
   statistics_.get_ready();
   if (connection_admission_) connection_admission_->begin();
-  membership_.begin(front_->port());
+  membership_.start(front_->port());
   reactor_.run();
   report();
   return 0;
@@ -209,7 +209,7 @@
   replay_.reconfigure(choice.options.results);
   if (ajp_ != nullptr) ajp_->reconfigure(choice.options.ajp);
   if (connection_admission_) connection_admission_->reconfigure(choice.options.gate);
-  membership_.reloaded(choice);
+  membership_.on_configuration_reloaded(choice);
 }
 
 void Backend::leave() {
--- a/src/app/forwarder.cpp
+++ b/src/app/forwarder.cpp
@@ -48,8 +48,8 @@
       membership_(
           reactor_, choice, "forwarder",
           [this] {
-            return Membership::Now{static_cast<double>(forward_.open()),
-                                   static_cast<double>(options_.forward.line)};
+            return Membership::Load{static_cast<double>(forward_.open()),
+                                    static_cast<double>(options_.forward.line)};
           },
           counters_, log_),
       roll_call_({}),
@@ -64,7 +64,7 @@
   membership_.on_change = [this] { take_planners(); };
   if (options_.control.folder.empty()) return;
   control_ = std::make_unique<control::Server>(reactor_, options_.control.folder, log_);
-  membership_.answer_questions(*control_);
+  membership_.register_command(*control_);
 }
 
 // Planners that members tell come to those of the list.
@@ -81,7 +81,7 @@
 int Forwarder::run() {
   const std::string host = config_.listen.substr(0, config_.listen.rfind(':'));
   forward_.begin();
-  membership_.begin(callers_.port());
+  membership_.start(callers_.port());
   log_.info("forwarder", "{} listens on {}:{}", config_.name, host, callers_.port());
   reactor_.run();
   report();
@@ -113,7 +113,7 @@
     planners_in_force_ =
         roll_call_.planners(options_.forward.planners, membership_.planners(), net::monotonic_now());
   forward_.set_planners(planners_in_force_);
-  membership_.reloaded(choice);
+  membership_.on_configuration_reloaded(choice);
   log_.info("forwarder", "new configuration: {} planners", options_.forward.planners.size());
 }
 
--- a/src/app/membership.cpp
+++ b/src/app/membership.cpp
@@ -9,19 +9,31 @@
 namespace damsonspoke {
 namespace {
 
-constexpr double kLoadReportSeconds = 0.5;  // s; what it tells changes no faster than others hear of it
+using members::MemberState;
+
+constexpr double kLoadReportSeconds = 0.5;  // gossip spreads a change no faster
+constexpr double kPermille = 1000;
+constexpr double kMaxFreeCapacity = 60000;
+constexpr int kRandomEpochBits = 12;
+
+// Links to planners have health checks of their own.
+bool may_serve(MemberState state) {
+  return state == MemberState::kAlive || state == MemberState::kFlapping ||
+         state == MemberState::kUnreachable;
+}
 
 }  // namespace
 
-std::uint64_t draw_life() {
+std::uint64_t draw_member_epoch() {
+  constexpr std::uint64_t kRandomMask = (1U << kRandomEpochBits) - 1;
   std::random_device device;
-  const auto ms = static_cast<std::uint64_t>(net::unix_now() * 1000);
-  return ms << 12 | (device() & 0xfff);
+  const auto milliseconds = static_cast<std::uint64_t>(net::unix_now() * 1000);
+  return milliseconds << kRandomEpochBits | (device() & kRandomMask);
 }
 
 Membership::Membership(net::Reactor& reactor, const Choice& choice, std::string role,
-                       std::function<Now()> now, Counters& counters, Logger& log)
-    : reactor_(reactor), role_(std::move(role)), now_(std::move(now)), options_(choice.options.members) {
+                       std::function<Load()> load, Counters& counters, Logger& log)
+    : reactor_(reactor), role_(std::move(role)), load_(std::move(load)), options_(choice.options.members) {
   if (!options_.enabled()) return;
   if (options_.peers.empty())
     throw std::runtime_error(
@@ -29,72 +41,70 @@
   if (choice.config.name.size() > members::kMaxNameBytes)
     throw std::runtime_error(fmt::format("members: a name has {} bytes at most", members::kMaxNameBytes));
   listen_host_ = choice.config.listen.substr(0, choice.config.listen.rfind(':'));
-  members_ = std::make_unique<peers::MembershipTransport>(reactor, options_, choice.config.name, draw_life(),
-                                                          std::random_device{}(), counters, log);
-  members_->on_change = [this] {
+  transport_ = std::make_unique<peers::MembershipTransport>(
+      reactor, options_, choice.config.name, draw_member_epoch(), std::random_device{}(), counters, log);
+  transport_->on_change = [this] {
     if (on_change) on_change();
   };
 }
 
 Membership::~Membership() { reactor_.cancel(timer_); }
 
-void Membership::answer_questions(control::Server& control) {
+void Membership::register_command(control::Server& control) {
   control.add("members", [this](const std::vector<std::string>& words) {
-    if (!members_) throw std::runtime_error("members are off: no section 'members' with 'bind'");
-    return members_->status(words.size() > 1 && words[1] == "json");
+    if (!transport_) throw std::runtime_error("members are off: no section 'members' with 'bind'");
+    return transport_->status(words.size() > 1 && words[1] == "json");
   });
 }
 
-void Membership::begin(std::uint16_t port) {
-  if (!members_) return;
+void Membership::start(std::uint16_t service_port) {
+  if (!transport_) return;
   load_report_.role = role_;
   load_report_.zone = options_.zone;
   load_report_.build = DAMSONSPOKE_VERSION;
   load_report_.config_generation = 1;
   load_report_.service_address =
-      options_.serves.empty() ? fmt::format("{}:{}", listen_host_, port) : options_.serves;
-  members_->start();
+      options_.serves.empty() ? fmt::format("{}:{}", listen_host_, service_port) : options_.serves;
+  transport_->start();
   publish_load_report();
 }
 
 void Membership::publish_load_report() {
-  const Now now = now_();
-  const double use = std::clamp(now.open / std::max(now.most, 1.0), 0.0, 1.0);
-  load_report_.load_permille = static_cast<std::uint16_t>(use * 1000);
-  load_report_.free_capacity = static_cast<std::uint16_t>(std::clamp(now.most - now.open, 0.0, 60000.0));
-  members_->set_load_report(load_report_);
+  const Load load = load_();
+  const double used_share = std::clamp(load.open_requests / std::max(load.max_open_requests, 1.0), 0.0, 1.0);
+  const double free = std::clamp(load.max_open_requests - load.open_requests, 0.0, kMaxFreeCapacity);
+  load_report_.load_permille = static_cast<std::uint16_t>(used_share * kPermille);
+  load_report_.free_capacity = static_cast<std::uint16_t>(free);
+  transport_->set_load_report(load_report_);
   timer_ = reactor_.after(kLoadReportSeconds, [this] { publish_load_report(); });
   if (on_change) on_change();
 }
 
 void Membership::leave() {
-  if (members_ && !leaving_) members_->leave();
-  leaving_ = true;
+  if (transport_ && !is_leaving_) transport_->leave();
+  is_leaving_ = true;
 }
 
-// Bind, face and cluster are those of the start; what is told is taken anew.
-void Membership::reloaded(const Choice& choice) {
+// The addresses and the cluster stay those of the start.
+void Membership::on_configuration_reloaded(const Choice& choice) {
   ++load_report_.config_generation;
   load_report_.zone = choice.options.members.zone;
 }
 
 void Membership::report() {
-  if (members_) members_->report();
+  if (transport_) transport_->report();
 }
 
 std::vector<tier::PlannerSeen> Membership::planners() const {
-  std::vector<tier::PlannerSeen> out;
-  if (!members_) return out;
-  for (const members::MemberStatus& seen : members_->known_members()) {
-    if (!seen.load_report || seen.load_report->role != "planner") continue;
-    if (!members_->may_reach(seen.load_report->service_address))
-      continue;  // what members tell leads nowhere else than to members
-    const bool there = seen.state == members::MemberState::kAlive ||
-                       seen.state == members::MemberState::kFlapping ||
-                       seen.state == members::MemberState::kUnreachable;  // links have their own eyes
-    out.push_back({seen.load_report->service_address, there, seen.state == members::MemberState::kLeft});
+  std::vector<tier::PlannerSeen> found;
+  if (!transport_) return found;
+  for (const members::MemberStatus& member : transport_->known_members()) {
+    if (!member.load_report || member.load_report->role != "planner") continue;
+    const std::string& address = member.load_report->service_address;
+    if (!transport_->may_reach(address)) continue;  // a forged report must not lead to other networks
+    found.push_back({address, may_serve(member.state), member.state == MemberState::kLeft});
   }
-  return out;
+  return found;
 }
 
 }  // namespace damsonspoke
--- a/src/app/membership.h
+++ b/src/app/membership.h
@@ -1,5 +1,5 @@
-// An instance's part in the fleet's membership: what it tells of itself, and operators' questions about it.
-// Nothing at all where the operators' file does not switch it on.
+// This instance's part in the fleet's membership: its load report, the operators' command and the planners
+// that members report. It does nothing unless the operators' file switches membership on.
 #pragma once
 
 #include <cstdint>
@@ -17,22 +17,31 @@
 
 class Membership {
  public:
-  // What changes of this instance from moment to moment.
-  struct Now {
-    double open = 0, most = 1;  // requests, and how many it would hold at most
+  // The load of this instance at the moment.
+  struct Load {
+    double open_requests = 0;
+    double max_open_requests = 1;
   };
-  // Throws std::exception with one plain line where an address can't be used.
-  Membership(net::Reactor& reactor, const Choice& choice, std::string role, std::function<Now()> now,
+  // `role`: "relay", "planner" or "forwarder". Throws std::exception with a message of one line when an
+  // address can't be used.
+  Membership(net::Reactor& reactor, const Choice& choice, std::string role, std::function<Load()> load,
              Counters& counters, Logger& log);
   ~Membership();
-  bool on() const { return members_ != nullptr; }
-  void answer_questions(control::Server& control);
-  void begin(std::uint16_t port);  // on which it serves
+  Membership(const Membership&) = delete;
+  Membership& operator=(const Membership&) = delete;
+
+  // Adds the command `members`.
+  void register_command(control::Server& control);
+  // `service_port`: the port on which this instance serves requests.
+  void start(std::uint16_t service_port);
   void leave();
-  void reloaded(const Choice& choice);  // a new generation of its configuration is in force
+  // A new generation of the configuration is in force.
+  void on_configuration_reloaded(const Choice& choice);
+  // Brings the counters up to date.
   void report();
-  // Those that serve as planners, for a forwarder; and when to ask again.
-  std::vector<tier::PlannerSeen> planners() const;
+  // The members that serve as planners, for a forwarder.
+  [[nodiscard]] std::vector<tier::PlannerSeen> planners() const;
+  // Called when members have changed, and with each load report.
   std::function<void()> on_change;
 
  private:
@@ -40,16 +49,17 @@
 
   net::Reactor& reactor_;
   const std::string role_;
-  const std::function<Now()> now_;
+  const std::function<Load()> load_;
   MembersOptions options_;
-  std::unique_ptr<peers::MembershipTransport> members_;
+  std::unique_ptr<peers::MembershipTransport> transport_;  // none when membership is off
   members::LoadReport load_report_;
   std::string listen_host_;
   net::Reactor::TimerId timer_;
-  bool leaving_ = false;
+  bool is_leaving_ = false;
 };
 
-// One life of a process, later ones higher: by the Unix clock, and drawn within its millisecond.
-std::uint64_t draw_life();
+// An epoch for a new process: the Unix clock in milliseconds and 12 random bits, so that later ones are
+// higher.
+[[nodiscard]] std::uint64_t draw_member_epoch();
 
 }  // namespace damsonspoke
--- a/src/peers/members/transport.cpp
+++ b/src/peers/members/transport.cpp
@@ -6,10 +6,12 @@
 #include <sys/socket.h>
 
 #include <algorithm>
-#include <nlohmann/json.hpp>
+#include <array>
+#include <optional>
 #include <stdexcept>
 
 #include "net/address.h"
+#include "peers/members/status_page.h"
 #include "wire/members.h"
 
 namespace damsonspoke::peers {
@@ -19,86 +21,101 @@
 using members::MemberState;
 using members::MemberStatus;
 
-constexpr int kReadAtOnce = 256;              // datagrams; then the others get their turn
-constexpr int kStaleAtOnce = 8192;            // after a pause: all that waited, as much as the system keeps
-constexpr std::size_t kMostStreams = 4;       // exchanges at once
-constexpr double kStreamPatience = 2;         // s for one to be whole, both ways
-constexpr std::size_t kMostAddresses = 8192;  // kept as the system wants them
-constexpr std::size_t kMostTold = 600;        // members in one answer to an operator
+constexpr int kMaxDatagramsPerTurn = 256;
+constexpr int kMaxStaleDatagrams = 8192;       // in the turn after a pause: all that waits
+constexpr std::size_t kMaxPushPulls = 4;       // that this member starts; twice as many in all
+constexpr double kPushPullTimeoutSeconds = 2;  // for both directions
+constexpr std::size_t kMaxResolvedAddresses = 8192;
+constexpr std::size_t kPushPullBufferBytes = wm::kMaxPushPullBytes + wm::kLengthBytes;
+
+members::MembershipOptions membership_options(const MembersOptions& options) {
+  members::MembershipOptions membership;
+  membership.probe_interval = options.interval;
+  membership.min_suspicion_timeout = options.suspicion;
+  membership.dead_retention = options.remember;
+  return membership;
+}
 
-// As an address of a client; none where it is no address at all.
-std::optional<conns::Address> plain(const Poco::Net::SocketAddress& address) {
+// None for an address that is neither IPv4 nor IPv6.
+std::optional<conns::Address> client_address(const Poco::Net::SocketAddress& address) {
   return conns::parse_address(address.host().toString());
 }
 
 }  // namespace
 
 MembershipTransport::MembershipTransport(net::Reactor& reactor, const MembersOptions& options,
-                                         const std::string& name, std::uint64_t epoch, std::uint64_t seed,
-                                         Counters& counters, Logger& log)
+                                         const std::string& name, std::uint64_t epoch,
+                                         std::uint64_t random_seed, Counters& counters, Logger& log)
     : reactor_(reactor),
       options_(options),
       counters_(counters),
       log_(log),
-      view_({options.interval, options.suspicion, 3, 60, options.remember, 10, 30},
-            {name, options.face, epoch}, options.seeds, seed, *this) {
-  const Poco::Net::SocketAddress at = net::parse_address(options.bind);
+      view_(membership_options(options), {name, options.face, epoch}, options.seeds, random_seed, *this) {
+  const Poco::Net::SocketAddress bind_address = net::parse_address(options.bind);
   net::parse_address(options.face);
-  for (const std::string& one : options.seeds) net::parse_address(one);
+  for (const std::string& seed : options.seeds) net::parse_address(seed);
   try {
-    socket_ = Poco::Net::DatagramSocket(at, false);
+    socket_ = Poco::Net::DatagramSocket(bind_address, false);
   } catch (const Poco::Exception& error) {
     throw std::runtime_error(fmt::format("members: cannot bind '{}': {}", options.bind, error.displayText()));
   }
   socket_.setBlocking(false);
-  listener_ = std::make_unique<net::Listener>(reactor_, at, [this](const net::Accepted& a) { on_accept(a); });
+  listener_ = std::make_unique<net::Listener>(reactor_, bind_address,
+                                              [this](const net::Accepted& accepted) { on_accept(accepted); });
   reactor_.addEventHandler(socket_, Poco::Observer<MembershipTransport, Poco::Net::ReadableNotification>(
                                         *this, &MembershipTransport::on_readable));
 }
 
 MembershipTransport::~MembershipTransport() {
   reactor_.cancel(timer_);
-  for (auto& [tag, stream] : streams_) reactor_.cancel(stream.patience);
+  for (auto& [tag, push_pull] : push_pulls_) reactor_.cancel(push_pull.timeout);
   reactor_.removeEventHandler(socket_, Poco::Observer<MembershipTransport, Poco::Net::ReadableNotification>(
                                            *this, &MembershipTransport::on_readable));
 }
 
 void MembershipTransport::start() {
-  started_ = true;
+  is_started_ = true;
   listener_->pause(false);
   view_.start(net::monotonic_now());
   log_.info("members", "{} of cluster {} at {}, {} seeds", view_.self().name, options_.cluster, options_.face,
             options_.seeds.size());
-  timer_ = reactor_.at(view_.next_timer_at(), [this] { tick(); });
+  schedule_timer();
 }
 
-void MembershipTransport::tick() {
+void MembershipTransport::on_timer() {
   view_.on_timer(net::monotonic_now());
+  schedule_timer();
+}
+
+void MembershipTransport::schedule_timer() {
   reactor_.cancel(timer_);
-  timer_ = reactor_.at(view_.next_timer_at(), [this] { tick(); });
+  timer_ = reactor_.at(view_.next_timer_at(), [this] { on_timer(); });
 }
 
 void MembershipTransport::leave() {
-  if (started_) view_.leave(net::monotonic_now());
+  if (is_started_) view_.leave(net::monotonic_now());
 }
 
-// ---- Datagrams.
+// ---- Addresses.
 
-bool MembershipTransport::is_peer(const Poco::Net::SocketAddress& address) const {
-  const auto client = plain(address);
+bool MembershipTransport::is_allowed(const Poco::Net::SocketAddress& address) const {
+  const auto client = client_address(address);
   return client && std::any_of(options_.peers.begin(), options_.peers.end(),
                                [&](const conns::Prefix& prefix) { return prefix.holds(*client); });
 }
 
-// Addresses come from what members tell of one another. Guards against being made to write to anybody else.
-const Poco::Net::SocketAddress* MembershipTransport::resolved(const std::string& address) {
-  const auto found = addresses_.find(address);
-  if (found != addresses_.end()) return &found->second;
+// Members report addresses of one another: a forged one must not make this member write to anybody else.
+const Poco::Net::SocketAddress* MembershipTransport::resolve(const std::string& address) {
+  const auto found = resolved_addresses_.find(address);
+  if (found != resolved_addresses_.end()) return &found->second;
   try {
     const Poco::Net::SocketAddress parsed = net::parse_address(address);
-    if (!is_peer(parsed)) return counters_.add(Count::kMembersStrangers), nullptr;
-    if (addresses_.size() >= kMostAddresses) addresses_.clear();
-    return &addresses_.emplace(address, parsed).first->second;
+    if (!is_allowed(parsed)) {
+      counters_.add(Count::kMembersStrangers);
+      return nullptr;
+    }
+    if (resolved_addresses_.size() >= kMaxResolvedAddresses) resolved_addresses_.clear();
+    return &resolved_addresses_.emplace(address, parsed).first->second;
   } catch (const std::exception&) {
     counters_.add(Count::kMembersBad);
     return nullptr;
@@ -107,157 +124,173 @@
 
 bool MembershipTransport::may_reach(const std::string& address) const {
   try {
-    return is_peer(net::parse_address(address));
+    return is_allowed(net::parse_address(address));
   } catch (const std::exception&) {
     return false;
   }
 }
 
+// ---- Datagrams.
+
 void MembershipTransport::send(const std::string& address, const members::Message& message) {
-  const Poco::Net::SocketAddress* to = resolved(address);
+  const Poco::Net::SocketAddress* to = resolve(address);
   if (to == nullptr) return;
   const std::string bytes = wm::encode(options_.cluster, message);
-  // One that can't be sent now is lost, as datagrams are.
-  if (::sendto(socket_.impl()->sockfd(), bytes.data(), bytes.size(), MSG_DONTWAIT | MSG_NOSIGNAL, to->addr(),
-               to->length()) < 0)
-    return;
+  const ssize_t sent = ::sendto(socket_.impl()->sockfd(), bytes.data(), bytes.size(),
+                                MSG_DONTWAIT | MSG_NOSIGNAL, to->addr(), to->length());
+  if (sent < 0) return;  // lost, as any datagram may be
   counters_.add(Count::kMembersSent);
   counters_.add(Count::kMembersBytes, bytes.size());
 }
 
 void MembershipTransport::on_readable(Poco::Net::ReadableNotification* notification) {
   notification->release();
-  if (!started_) return;
+  if (!is_started_) return;
   const double now = net::monotonic_now();
-  // The view's own wake comes first: it notices whether this process stood still, and then all that waits is
-  // from before.
-  bool stale = false;
+  // The view's timer comes first: it notices whether this process was paused, and then all that waits is
+  // stale.
+  bool is_stale = false;
   if (now >= view_.next_timer_at()) {
-    stale = view_.on_timer(now);
-    reactor_.cancel(timer_);
-    timer_ = reactor_.at(view_.next_timer_at(), [this] { tick(); });
+    is_stale = view_.on_timer(now);
+    schedule_timer();
   }
-  char bytes[wm::kMaxDatagramBytes + 1];
-  for (int i = 0; i < (stale ? kStaleAtOnce : kReadAtOnce); ++i) {
-    sockaddr_storage from{};
-    socklen_t size = sizeof from;
-    const ssize_t got = ::recvfrom(socket_.impl()->sockfd(), bytes, sizeof bytes, MSG_DONTWAIT,
-                                   reinterpret_cast<sockaddr*>(&from), &size);
-    if (got < 0) return;
-    const Poco::Net::SocketAddress source(reinterpret_cast<const sockaddr*>(&from), size);
-    if (!is_peer(source)) {
-      counters_.add(Count::kMembersStrangers);
-      continue;
-    }
-    const wm::Read read = wm::decode(options_.cluster, {bytes, static_cast<std::size_t>(got)});
-    if (read.problem != wm::Problem::kNone) {
-      counters_.add(Count::kMembersBad);
-      log_.debug("members", "a datagram from {}: {}", source.toString(), wm::text_of(read.problem));
-      continue;
-    }
-    counters_.add(Count::kMembersRead);
-    view_.on_message(source.toString(), read.message, now, stale);
+  const int limit = is_stale ? kMaxStaleDatagrams : kMaxDatagramsPerTurn;
+  for (int i = 0; i < limit; ++i) {
+    if (!receive_datagram(now, is_stale)) return;
+  }
+}
+
+// Returns whether a datagram was waiting.
+bool MembershipTransport::receive_datagram(double now, bool is_stale) {
+  std::array<char, wm::kMaxDatagramBytes + 1> buffer;  // one byte more shows that a datagram is too long
+  sockaddr_storage from{};
+  socklen_t size = sizeof from;
+  const ssize_t got = ::recvfrom(socket_.impl()->sockfd(), buffer.data(), buffer.size(), MSG_DONTWAIT,
+                                 reinterpret_cast<sockaddr*>(&from), &size);
+  if (got < 0) return false;
+  const Poco::Net::SocketAddress source(reinterpret_cast<const sockaddr*>(&from), size);
+  if (!is_allowed(source)) {
+    counters_.add(Count::kMembersStrangers);
+    return true;
   }
+  const wm::DecodedMessage decoded =
+      wm::decode(options_.cluster, {buffer.data(), static_cast<std::size_t>(got)});
+  if (decoded.error != wm::DecodeError::kNone) {
+    counters_.add(Count::kMembersBad);
+    log_.debug("members", "invalid datagram from {}: {}", source.toString(), wm::text_of(decoded.error));
+    return true;
+  }
+  counters_.add(Count::kMembersRead);
+  view_.on_message(source.toString(), decoded.message, now, is_stale);
+  return true;
 }
 
-// ---- Full exchanges: who connects sends first, the other answers and closes.
+// ---- Push-pulls.
 
-MembershipTransport::Stream& MembershipTransport::add(std::shared_ptr<net::Connection> connection,
-                                                      bool ours) {
+MembershipTransport::PushPull& MembershipTransport::add_push_pull(std::shared_ptr<net::Connection> connection,
+                                                                  bool is_initiator) {
   const std::uint64_t tag = next_tag_++;
   connection->tag = tag;
-  Stream& stream = streams_[tag];
-  stream.connection = std::move(connection);
-  stream.ours = ours;
-  stream.patience = reactor_.after(kStreamPatience, [this, tag] {
-    const auto found = streams_.find(tag);
-    if (found != streams_.end()) found->second.connection->close(net::End::kBroken);
+  PushPull& push_pull = push_pulls_[tag];
+  push_pull.connection = std::move(connection);
+  push_pull.is_initiator = is_initiator;
+  push_pull.timeout = reactor_.after(kPushPullTimeoutSeconds, [this, tag] {
+    const auto found = push_pulls_.find(tag);
+    if (found != push_pulls_.end()) found->second.connection->close(net::End::kBroken);
   });
-  return stream;
+  return push_pull;
+}
+
+MembershipTransport::PushPull* MembershipTransport::find_push_pull(const net::Connection& connection) {
+  const auto found = push_pulls_.find(connection.tag);
+  return found == push_pulls_.end() ? nullptr : &found->second;
 }
 
 void MembershipTransport::start_push_pull(const std::string& address) {
-  const Poco::Net::SocketAddress* to = resolved(address);
-  if (to == nullptr || streams_.size() >= kMostStreams) return;
+  const Poco::Net::SocketAddress* to = resolve(address);
+  if (to == nullptr || push_pulls_.size() >= kMaxPushPulls) return;
   const Poco::Net::SocketAddress from(net::parse_address(options_.bind).host(), 0);
-  const net::BufferLimits limits{wm::kMaxPushPullBytes + 4, wm::kMaxPushPullBytes + 4, nullptr};
-  // Not from inside the view: a connection that is refused at once tells so on the next turn.
-  add(net::Connection::connecting(reactor_, *this, *to, limits, from), true);
+  const net::BufferLimits limits{kPushPullBufferBytes, kPushPullBufferBytes, nullptr};
+  // A connection that is refused at once says so on the next turn, so the view is not called from within.
+  add_push_pull(net::Connection::connecting(reactor_, *this, *to, limits, from), true);
 }
 
 void MembershipTransport::on_accept(const net::Accepted& accepted) {
   const Poco::Net::SocketAddress source(
       reinterpret_cast<const sockaddr*>(&accepted.from),
       accepted.from.ss_family == AF_INET ? sizeof(sockaddr_in) : sizeof(sockaddr_in6));
-  const net::BufferLimits limits{wm::kMaxPushPullBytes + 4, wm::kMaxPushPullBytes + 4, nullptr};
+  const net::BufferLimits limits{kPushPullBufferBytes, kPushPullBufferBytes, nullptr};
   auto connection = net::Connection::accepted(reactor_, *this, accepted.fd, limits);
-  const bool peer = is_peer(source);
-  if (!peer) counters_.add(Count::kMembersStrangers);
-  const bool room = streams_.size() < 2 * kMostStreams;
-  Stream& stream = add(std::move(connection), false);
-  if (!peer || !room) stream.connection->close(net::End::kBroken);
+  const bool is_known_network = is_allowed(source);
+  if (!is_known_network) counters_.add(Count::kMembersStrangers);
+  const bool has_capacity = push_pulls_.size() < 2 * kMaxPushPulls;
+  PushPull& push_pull = add_push_pull(std::move(connection), false);
+  if (!is_known_network || !has_capacity) push_pull.connection->close(net::End::kBroken);
 }
 
-void MembershipTransport::on_connected(net::Connection& connection) {
-  const std::string bytes = wm::encode_exchange(options_.cluster, view_.full_state(net::monotonic_now()));
+void MembershipTransport::send_records(net::Connection& connection, double now) {
+  const std::string bytes = wm::encode_push_pull(options_.cluster, view_.full_state(now));
   counters_.add(Count::kMembersBytes, bytes.size());
   connection.send(bytes);
 }
 
+void MembershipTransport::on_connected(net::Connection& connection) {
+  send_records(connection, net::monotonic_now());
+}
+
 std::size_t MembershipTransport::on_input(net::Connection& connection, std::string_view bytes) {
-  const auto found = streams_.find(connection.tag);
-  if (found == streams_.end() || found->second.answered) return bytes.size();
-  const wm::ReadExchange read = wm::decode_exchange(options_.cluster, bytes);
-  if (read.problem != wm::Problem::kNone) {
+  PushPull* push_pull = find_push_pull(connection);
+  if (push_pull == nullptr || push_pull->is_complete) return bytes.size();
+  const wm::DecodedPushPull decoded = wm::decode_push_pull(options_.cluster, bytes);
+  if (decoded.error != wm::DecodeError::kNone) {
     counters_.add(Count::kMembersBad);
-    log_.debug("members", "an exchange: {}", wm::text_of(read.problem));
+    log_.debug("members", "invalid push-pull: {}", wm::text_of(decoded.error));
     connection.close(net::End::kBroken);
     return bytes.size();
   }
-  if (!read.whole) return 0;
-  found->second.answered = true;
+  if (!decoded.is_complete) return 0;
+  push_pull->is_complete = true;
   counters_.add(Count::kMembersExchanges);
   const double now = net::monotonic_now();
-  if (!found->second.ours) {
-    const std::string answer = wm::encode_exchange(options_.cluster, view_.full_state(now));
-    counters_.add(Count::kMembersBytes, answer.size());
-    connection.send(answer);
-  }
-  view_.on_push_pull(read.records, now);
-  // An answer that the system took at once has been sent: nothing tells so later, and the stream would hold
-  // its place among the few there are until its patience ends.
-  if (found->second.ours || connection.waiting() == 0) connection.close();
+  const bool is_initiator = push_pull->is_initiator;
+  if (!is_initiator) send_records(connection, now);
+  view_.on_push_pull(decoded.records, now);
+  // An answer that the system took at once causes no on_output_sent: the push-pull would hold its place until
+  // its timeout.
+  if (is_initiator || connection.waiting() == 0) connection.close();
   return bytes.size();
 }
 
 void MembershipTransport::on_output_sent(net::Connection& connection) {
-  const auto found = streams_.find(connection.tag);
-  if (found != streams_.end() && !found->second.ours && found->second.answered) connection.close();
+  const PushPull* push_pull = find_push_pull(connection);
+  if (push_pull != nullptr && !push_pull->is_initiator && push_pull->is_complete) connection.close();
 }
+
+// An answer that is still being sent goes on.
 void MembershipTransport::on_end_of_input(net::Connection& connection) {
-  const auto found = streams_.find(connection.tag);
-  // Half an exchange is none; what is still to be sent to who has asked goes on.
-  if (found == streams_.end() || !found->second.answered) connection.close(net::End::kBroken);
+  const PushPull* push_pull = find_push_pull(connection);
+  if (push_pull == nullptr || !push_pull->is_complete) connection.close(net::End::kBroken);
 }
+
 void MembershipTransport::on_end(net::Connection& connection, net::End /*why*/) {
-  const auto found = streams_.find(connection.tag);
-  if (found == streams_.end()) return;
-  reactor_.cancel(found->second.patience);
-  const bool failed = found->second.ours && !found->second.answered;
-  streams_.erase(found);
-  if (failed) view_.on_push_pull_failed(net::monotonic_now());
+  PushPull* push_pull = find_push_pull(connection);
+  if (push_pull == nullptr) return;
+  reactor_.cancel(push_pull->timeout);
+  const bool has_failed = push_pull->is_initiator && !push_pull->is_complete;
+  push_pulls_.erase(connection.tag);
+  if (has_failed) view_.on_push_pull_failed(net::monotonic_now());
 }
 
-// ---- What it tells.
+// ---- What the view reports, and what this class shows.
 
 void MembershipTransport::on_state_changed(const std::string& name, MemberState state,
                                            members::StateChangeReason reason) {
   log_.event(Level::kInfo, "members", "member state changed",
              {{"member", name}, {"state", members::text_of(state)}, {"reason", members::text_of(reason)}});
-  if (change_posted_ || !on_change) return;
-  change_posted_ = true;
+  if (is_change_posted_ || !on_change) return;
+  is_change_posted_ = true;
   reactor_.post([this] {
-    change_posted_ = false;
+    is_change_posted_ = false;
     on_change();
   });
 }
@@ -267,10 +300,10 @@
 }
 
 void MembershipTransport::report() {
-  const members::MembershipView::Counts& c = view_.counts();
-  counters_.set(Count::kMembersDeaths, c.deaths);
-  counters_.set(Count::kMembersPauses, c.pauses);
-  counters_.set(Count::kMembersRefuted, c.refutations);
+  const members::MembershipView::Counts& counts = view_.counts();
+  counters_.set(Count::kMembersDeaths, counts.deaths);
+  counters_.set(Count::kMembersPauses, counts.pauses);
+  counters_.set(Count::kMembersRefuted, counts.refutations);
   counters_.set(Count::kMembersThere, view_.alive_count() + 1);
 }
 
@@ -278,80 +311,9 @@
   return view_.members(net::monotonic_now());
 }
 
-std::string MembershipTransport::status(bool json) const {
+std::string MembershipTransport::status(bool as_json) const {
   const double now = net::monotonic_now();
-  const std::vector<MemberStatus> all = view_.members(now);
-  const auto broken = view_.broken_links(now);
-  const members::Record self = view_.self_record(now);
-  const auto dependency = [](members::DependencyState b) {
-    static const char* const names[] = {"unknown", "well", "slow", "gone"};
-    return names[static_cast<int>(b)];
-  };
-  if (json) {
-    nlohmann::json page = {{"self",
-                            {{"name", self.name},
-                             {"address", self.address},
-                             {"epoch", self.epoch},
-                             {"incarnation", self.incarnation},
-                             {"yielded", view_.has_yielded()},
-                             {"fitness", view_.local_health_score()},
-                             {"contest", self.conflicting_epoch}}},
-                           {"there", view_.alive_count() + 1},
-                           {"known", all.size() + 1}};
-    for (std::size_t i = 0; i < std::min(all.size(), kMostTold); ++i) {
-      const MemberStatus& s = all[i];
-      nlohmann::json one = {{"name", s.name},           {"address", s.address},
-                            {"epoch", s.epoch},         {"state", members::text_of(s.state)},
-                            {"since_s", now - s.since}, {"pause_s", s.longest_pause}};
-      if (!s.accusers.empty()) one["by"] = s.accusers;
-      if (s.conflicting_epoch != 0) one["contest"] = s.conflicting_epoch;
-      if (s.load_report) {
-        one["told"] = {{"role", s.load_report->role},
-                       {"zone", s.load_report->zone},
-                       {"build", s.load_report->build},
-                       {"generation", s.load_report->config_generation},
-                       {"digest", s.load_report->config_digest},
-                       {"room", s.load_report->free_capacity},
-                       {"load", s.load_report->load_permille},
-                       {"sheds", s.load_report->shed_threshold_tenths},
-                       {"below", dependency(s.load_report->dependency)},
-                       {"serves", s.load_report->service_address}};
-        one["told_age_s"] = s.load_report_age;
-      }
-      page["members"].push_back(std::move(one));
-    }
-    for (const members::ObservedLink& link : broken)
-      page["broken_links"].push_back({{"from", link.from},
-                                      {"to", link.to},
-                                      {"since_s", now - link.since},
-                                      {"told_by", link.reported_by}});
-    return page.dump() + "\n";
-  }
-  std::string out = fmt::format("{} at {}, life {}, {} of {} there{}{}\n\n", self.name, self.address,
-                                self.epoch, view_.alive_count() + 1, all.size() + 1,
-                                view_.has_yielded() ? "; YIELDED to an older one" : "",
-                                view_.local_health_score() > 2 ? "; it may be ill itself" : "");
-  out += fmt::format("{:<16}{:<11}{:>8}  {:<10}{:<10}{:>6}{:>6}{:>7}  {}\n", "member", "state", "since",
-                     "role", "zone", "load", "room", "age", "why");
-  for (std::size_t i = 0; i < std::min(all.size(), kMostTold); ++i) {
-    const MemberStatus& s = all[i];
-    std::string why;
-    if (!s.accusers.empty()) why = fmt::format("silent to {}", fmt::join(s.accusers, " "));
-    if (s.conflicting_epoch != 0) why += " has a clone";
-    if (s.longest_pause > 0) why += fmt::format(" stood still {:.1f} s", s.longest_pause);
-    const std::string age = s.load_report ? fmt::format("{:.1f}s", s.load_report_age) : "old";
-    out += fmt::format("{:<16}{:<11}{:>7.1f}s  {:<10}{:<10}{:>6}{:>6}{:>7}  {}\n", s.name,
-                       members::text_of(s.state), now - s.since, s.load_report ? s.load_report->role : "-",
-                       s.load_report ? s.load_report->zone : "-",
-                       s.load_report ? fmt::format("{}%", s.load_report->load_permille / 10) : "-",
-                       s.load_report ? fmt::format("{}", s.load_report->free_capacity) : "-", age, why);
-  }
-  if (all.size() > kMostTold) out += fmt::format("and {} more\n", all.size() - kMostTold);
-  if (!broken.empty()) out += "\nbroken links\n";
-  for (const members::ObservedLink& link : broken)
-    out += fmt::format("    {} -> {} for {:.1f} s, by {}\n", link.from, link.to, now - link.since,
-                       link.reported_by);
-  return out;
+  return as_json ? status_json(view_, now) : status_table(view_, now);
 }
 
 }  // namespace damsonspoke::peers
--- a/src/peers/members/transport.h
+++ b/src/peers/members/transport.h
@@ -1,15 +1,18 @@
-// The other instances of a fleet: one socket for datagrams, one for full exchanges by stream, and the view
-// that decides who is there. Who is heard, and written to, is a list of networks; every buffer has its bound,
-// every stream its deadline. Off without an operators' file.
+// Carries the membership protocol over the network: one socket for datagrams, one for push-pulls by stream,
+// and the view that decides who is alive. Only addresses in the configured networks are heard and written to;
+// every buffer has a limit and every stream a timeout. Off without an operators' file.
 #pragma once
 
 #include <Poco/Net/DatagramSocket.h>
 #include <Poco/Net/SocketNotification.h>
 
+#include <cstdint>
 #include <functional>
 #include <map>
 #include <memory>
 #include <string>
+#include <string_view>
+#include <vector>
 
 #include "members/membership_view.h"
 #include "net/connection.h"
@@ -21,27 +24,37 @@
 
 class MembershipTransport : private members::MembershipSink, private net::ConnectionOwner {
  public:
-  // Throws std::runtime_error with one plain line where an address can't be used.
+  // `name` and `epoch` identify this member. Throws std::runtime_error with a message of one line when an
+  // address can't be used. The reactor, the counters and the log must outlive the transport.
   MembershipTransport(net::Reactor& reactor, const MembersOptions& options, const std::string& name,
-                      std::uint64_t epoch, std::uint64_t seed, Counters& counters, Logger& log);
+                      std::uint64_t epoch, std::uint64_t random_seed, Counters& counters, Logger& log);
   ~MembershipTransport() override;
+  MembershipTransport(const MembershipTransport&) = delete;
+  MembershipTransport& operator=(const MembershipTransport&) = delete;
+
   void start();
   void set_load_report(members::LoadReport load_report) { view_.set_load_report(std::move(load_report)); }
+  // Notifies other members that this one leaves. It goes on answering until it is destroyed.
   void leave();
-  void report();  // the counters
-  std::vector<members::MemberStatus> known_members() const;
-  bool may_reach(const std::string& address) const;  // it is one of the networks of members
-  // For operators: a table, or JSON.
-  std::string status(bool json) const;
-  // Somebody has come, gone or changed; on the next turn.
+  // Brings the counters up to date.
+  void report();
+  [[nodiscard]] std::vector<members::MemberStatus> known_members() const;
+  // Whether the address is in one of the networks of members.
+  [[nodiscard]] bool may_reach(const std::string& address) const;
+  // For operators, as JSON or as a table.
+  [[nodiscard]] std::string status(bool as_json) const;
+  // Called on a later turn of the reactor when members have changed their states.
   std::function<void()> on_change;
 
  private:
-  struct Stream {
+  // One push-pull by stream: the initiator sends first, the other side answers and closes.
+  struct PushPull {
     std::shared_ptr<net::Connection> connection;
-    net::Reactor::TimerId patience;
-    bool ours = false, answered = false;
+    net::Reactor::TimerId timeout;
+    bool is_initiator = false;
+    bool is_complete = false;  // the records of the other side have arrived
   };
+
   void send(const std::string& address, const members::Message& message) override;
   void start_push_pull(const std::string& address) override;
   void on_state_changed(const std::string& name, members::MemberState state,
@@ -55,11 +68,15 @@
   void on_output_sent(net::Connection& connection) override;
 
   void on_readable(Poco::Net::ReadableNotification* notification);
+  bool receive_datagram(double now, bool is_stale);
   void on_accept(const net::Accepted& accepted);
-  void tick();
-  bool is_peer(const Poco::Net::SocketAddress& address) const;
-  const Poco::Net::SocketAddress* resolved(const std::string& address);
-  Stream& add(std::shared_ptr<net::Connection> connection, bool ours);
+  void on_timer();
+  void schedule_timer();
+  void send_records(net::Connection& connection, double now);
+  PushPull& add_push_pull(std::shared_ptr<net::Connection> connection, bool is_initiator);
+  PushPull* find_push_pull(const net::Connection& connection);
+  [[nodiscard]] bool is_allowed(const Poco::Net::SocketAddress& address) const;
+  const Poco::Net::SocketAddress* resolve(const std::string& address);
 
   net::Reactor& reactor_;
   const MembersOptions options_;
@@ -68,11 +85,12 @@
   members::MembershipView view_;
   Poco::Net::DatagramSocket socket_;
   std::unique_ptr<net::Listener> listener_;
-  std::map<std::uint64_t, Stream> streams_;
+  std::map<std::uint64_t, PushPull> push_pulls_;  // by the connection's tag
   std::uint64_t next_tag_ = 1;
-  std::map<std::string, Poco::Net::SocketAddress> addresses_;
+  std::map<std::string, Poco::Net::SocketAddress> resolved_addresses_;
   net::Reactor::TimerId timer_;
-  bool change_posted_ = false, started_ = false;
+  bool is_change_posted_ = false;
+  bool is_started_ = false;
 };
 
 }  // namespace damsonspoke::peers
--- a/src/wire/members.h
+++ b/src/wire/members.h
@@ -1,7 +1,7 @@
-// What members of a fleet send one another: datagrams, and full exchanges by stream. A head (magic, digest of
-// the cluster's name, checksum) and a body in CBOR: arrays whose last fields are left out where they say
-// nothing. A codec: bytes to typed values and back, every length bounded, whatever is not sound refused
-// whole.
+// The codec of the membership protocol: datagrams, and push-pulls by stream. A message is a header (magic
+// with the version, digest of the cluster's name, checksum) and a body in CBOR: arrays whose last fields are
+// left out where they hold their default. All lengths are bounded; a message that is not valid is rejected as
+// a whole.
 #pragma once
 
 #include <cstddef>
@@ -15,31 +15,33 @@
 namespace damsonspoke::wire::members {
 
 constexpr std::uint8_t kVersion = 1;
-constexpr std::size_t kHeaderBytes = 4 + 4 + 8;        // bytes: magic with the version, cluster, checksum
-constexpr std::size_t kMaxDatagramBytes = 1400;        // bytes; one packet on any network
-constexpr std::size_t kMaxPushPullBytes = 256 * 1024;  // bytes of one side's records: some two thousand
+constexpr std::size_t kHeaderBytes = 4 + 4 + 8;
+constexpr std::size_t kLengthBytes = 4;                // before a push-pull, in network byte order
+constexpr std::size_t kMaxDatagramBytes = 1400;        // one packet in any network
+constexpr std::size_t kMaxPushPullBytes = 256 * 1024;  // of one side: some two thousand records
 constexpr std::size_t kMaxRecords = 4097;
 
-enum class Problem { kNone, kShort, kForeign, kVersion, kCluster, kDamaged, kUnsound };
-const char* text_of(Problem problem);
+enum class DecodeError { kNone, kTooShort, kOtherProtocol, kVersion, kCluster, kChecksum, kMalformed };
+[[nodiscard]] const char* text_of(DecodeError error);
 
-// Records that do not fit are left out, the last ones first.
-std::string encode(const std::string& cluster, const damsonspoke::members::Message& message);
-struct Read {
-  Problem problem = Problem::kNone;
+// Records that don't fit into kMaxDatagramBytes are left out, the last ones first.
+[[nodiscard]] std::string encode(const std::string& cluster, const damsonspoke::members::Message& message);
+struct DecodedMessage {
+  DecodeError error = DecodeError::kNone;
   damsonspoke::members::Message message;
 };
-Read decode(const std::string& cluster, std::string_view bytes);
-
-// Of a stream: its length (4 bytes, network order), then as above.
-std::string encode_exchange(const std::string& cluster,
-                            const std::vector<damsonspoke::members::Record>& records);
-struct ReadExchange {
-  bool whole = false;  // else more is needed, unless there is a problem
-  std::size_t used = 0;
-  Problem problem = Problem::kNone;
+[[nodiscard]] DecodedMessage decode(const std::string& cluster, std::string_view bytes);
+
+// One side of a push-pull: its length, then a message whose body is its records. Records that don't fit are
+// left out; gossip brings them.
+[[nodiscard]] std::string encode_push_pull(const std::string& cluster,
+                                           const std::vector<damsonspoke::members::Record>& records);
+struct DecodedPushPull {
+  bool is_complete = false;  // if not, and without an error, more bytes are needed
+  std::size_t bytes_used = 0;
+  DecodeError error = DecodeError::kNone;
   std::vector<damsonspoke::members::Record> records;
 };
-ReadExchange decode_exchange(const std::string& cluster, std::string_view bytes);
+[[nodiscard]] DecodedPushPull decode_push_pull(const std::string& cluster, std::string_view bytes);
 
 }  // namespace damsonspoke::wire::members
--- a/standins/members_sim.cpp
+++ b/standins/members_sim.cpp
@@ -49,7 +49,7 @@
     s->exchanged_records_ += of_x.size() + of_y.size();
     if (s->options_.weigh_each > 0 && ++s->exchanges_ % kWeighExchangeEach == 1) {
       s->weighed_records_ += of_x.size();
-      s->weighed_exchange_bytes_ += wire::members::encode_exchange("cluster", of_x).size();
+      s->weighed_exchange_bytes_ += wire::members::encode_push_pull("cluster", of_x).size();
     }
     y.view->on_push_pull(of_x, s->now_);
     x.view->on_push_pull(of_y, s->now_);
--- a/tests/compatibility/wire_messages_test.cpp
+++ b/tests/compatibility/wire_messages_test.cpp
@@ -364,8 +364,8 @@
   for (const auto& [name, message] : member_messages()) encoded[name] = wm::encode("fleet", message);
   expect_recorded("members_datagrams.txt", encoded);
   for (const auto& [name, bytes] : recorded_messages("members_datagrams.txt")) {
-    const wm::Read read = wm::decode("fleet", bytes);
-    ASSERT_EQ(read.problem, wm::Problem::kNone) << name;
+    const wm::DecodedMessage read = wm::decode("fleet", bytes);
+    ASSERT_EQ(read.error, wm::DecodeError::kNone) << name;
     EXPECT_EQ(read.message.kind, member_messages().at(name).kind) << name;
     EXPECT_EQ(read.message.records, member_messages().at(name).records) << name;
     EXPECT_EQ(escaped(wm::encode("fleet", read.message)), escaped(bytes)) << name;
@@ -375,12 +375,12 @@
 TEST(MemberMessages, ExchangesAreEncodedAsRecordedAndDecodeAgain) {
   namespace wm = wire::members;
   const std::vector<members::Record> records = {whole_record(), whole_record()};
-  expect_recorded("members_exchange.txt", {{"exchange", wm::encode_exchange("fleet", records)}});
+  expect_recorded("members_exchange.txt", {{"exchange", wm::encode_push_pull("fleet", records)}});
   const std::string bytes = recorded_messages("members_exchange.txt").at("exchange");
-  const wm::ReadExchange read = wm::decode_exchange("fleet", bytes);
-  EXPECT_EQ(read.problem, wm::Problem::kNone);
-  EXPECT_TRUE(read.whole);
-  EXPECT_EQ(read.used, bytes.size());
+  const wm::DecodedPushPull read = wm::decode_push_pull("fleet", bytes);
+  EXPECT_EQ(read.error, wm::DecodeError::kNone);
+  EXPECT_TRUE(read.is_complete);
+  EXPECT_EQ(read.bytes_used, bytes.size());
   EXPECT_EQ(read.records, records);
 }
 
--- a/tests/members/codec.cpp
+++ b/tests/members/codec.cpp
@@ -69,9 +69,9 @@
 }
 
 void say_round_trip(const Message& message, const std::string& bytes) {
-  const wm::Read read = wm::decode(kCluster, bytes);
+  const wm::DecodedMessage read = wm::decode(kCluster, bytes);
   say("what is written is read the same",
-      read.problem == wm::Problem::kNone && read.message.records == message.records &&
+      read.error == wm::DecodeError::kNone && read.message.records == message.records &&
           read.message.requested_by == "c" && read.message.datagram_number == 33 &&
           read.message.membership_digest == 77 && read.message.direct_ping_received &&
           read.message.direct_probe_id == 8);
@@ -101,19 +101,19 @@
 }
 
 void print_damaged(const std::string& bytes) {
-  std::printf("another cluster: %s\n", wm::text_of(wm::decode("two", bytes).problem));
+  std::printf("another cluster: %s\n", wm::text_of(wm::decode("two", bytes).error));
   std::set<std::string> problems;
   int accepted = 0;
   for (std::size_t i = 0; i < bytes.size(); ++i) {
     for (const int flip : {1, 128}) {
       std::string damaged = bytes;
       damaged[i] = static_cast<char>(damaged[i] ^ flip);
-      const wm::Problem problem = wm::decode(kCluster, damaged).problem;
-      accepted += problem == wm::Problem::kNone ? 1 : 0;
+      const wm::DecodeError problem = wm::decode(kCluster, damaged).error;
+      accepted += problem == wm::DecodeError::kNone ? 1 : 0;
       problems.insert(wm::text_of(problem));
     }
     const std::string_view truncated = std::string_view(bytes).substr(0, i);
-    accepted += wm::decode(kCluster, truncated).problem == wm::Problem::kNone ? 1 : 0;
+    accepted += wm::decode(kCluster, truncated).error == wm::DecodeError::kNone ? 1 : 0;
   }
   std::printf("spoilt or cut at any place: %d read;", accepted);
   for (const std::string& problem : problems) std::printf(" %s;", problem.c_str());
@@ -133,14 +133,15 @@
   say("a datagram keeps to one packet",
       datagram.size() <= wm::kMaxDatagramBytes && wm::decode(kCluster, datagram).message.records.size() > 3);
   say("an oversized one is refused",
-      wm::decode(kCluster, std::string(5000, 'x')).problem != wm::Problem::kNone);
+      wm::decode(kCluster, std::string(5000, 'x')).error != wm::DecodeError::kNone);
   const std::vector<Record> records = many_records(1000);
-  const std::string bytes = wm::encode_exchange(kCluster, records);
-  const auto read = wm::decode_exchange(kCluster, bytes + "more");
-  say("a full exchange of 1000", read.whole && read.records == records && read.used == bytes.size());
-  say("half of it is not whole", !wm::decode_exchange(kCluster, bytes.substr(0, 3000)).whole);
+  const std::string bytes = wm::encode_push_pull(kCluster, records);
+  const auto read = wm::decode_push_pull(kCluster, bytes + "more");
+  say("a full exchange of 1000",
+      read.is_complete && read.records == records && read.bytes_used == bytes.size());
+  say("half of it is not whole", !wm::decode_push_pull(kCluster, bytes.substr(0, 3000)).is_complete);
   say("a length beyond the bound is refused",
-      wm::decode_exchange(kCluster, "\x7f\xff\xff\xff????").problem != wm::Problem::kNone);
+      wm::decode_push_pull(kCluster, "\x7f\xff\xff\xff????").error != wm::DecodeError::kNone);
 }
 
 void codec() {
@@ -154,7 +155,7 @@
     Message bad = message;
     bad.records[0].name = name;
     std::printf("a name that is none: %s\n",
-                wm::text_of(wm::decode(kCluster, wm::encode(kCluster, bad)).problem));
+                wm::text_of(wm::decode(kCluster, wm::encode(kCluster, bad)).error));
   }
 }
 
--- a/tests/members/joins_and_leaves.cpp
+++ b/tests/members/joins_and_leaves.cpp
@@ -136,7 +136,7 @@
   own.sender = "n2";
   own.records = {sim.view(2).self_record(sim.now())};
   say("nor does an accusation of the last incarnation silence it",
-      wm::decode("c", wm::encode("c", own)).problem == wm::Problem::kNone && sim.views_same());
+      wm::decode("c", wm::encode("c", own)).error == wm::DecodeError::kNone && sim.views_same());
   for (int i = 0; i < 5000; ++i) {
     record.name = fmt::format("x{}", i);
     message.records = {record};
--- a/tests/members/push_pull_streams.cpp
+++ b/tests/members/push_pull_streams.cpp
@@ -52,16 +52,16 @@
 std::size_t push_pull(int number) {
   const int fd = connect_to_member();
   if (fd < 0) return 0;
-  const std::string own = wm::encode_exchange("hollow", {unknown_member(number)});
+  const std::string own = wm::encode_push_pull("hollow", {unknown_member(number)});
   ::send(fd, own.data(), own.size(), MSG_NOSIGNAL);
   std::string bytes;
-  wm::ReadExchange answer;
+  wm::DecodedPushPull answer;
   std::array<char, kReadBytes> buffer{};
-  while (!answer.whole) {
+  while (!answer.is_complete) {
     const ssize_t got = ::recv(fd, buffer.data(), buffer.size(), 0);
     if (got <= 0) break;
     bytes.append(buffer.data(), static_cast<std::size_t>(got));
-    answer = wm::decode_exchange("hollow", bytes);
+    answer = wm::decode_push_pull("hollow", bytes);
   }
   ::close(fd);
   return answer.records.size();
