--- a/src/fleet/health_check_budget.h
+++ b/src/fleet/health_check_budget.h
@@ -1,15 +1,15 @@
-// Who probes a layer below that ails, and how often: all instances together send a stated number of probes a
-// second, whatever their number and whatever each of them believes of the others. Pure policy: what the view
-// of members says goes in, this one's rate comes out; no clock is shared, nothing is agreed.
+// Which instances send health checks to an unhealthy dependency, and how often: all instances together send a
+// configured number a second, however many they are and whatever each believes of the others. Pure policy:
+// the membership goes in, this instance's rate comes out; no clock is shared and nothing is agreed.
 //
-// Probers are the few that rank first by rendezvous hashing over those that are usable. A prober that dies,
-// pauses or is cut off has its turn taken over by the next in rank, who waits first: news of the one before
-// may be under way, and two in one turn would be too many. Each takes only its own side's known share of the
-// whole, so that the sides of a split, or members who all think that they are alone, add up to no more than
-// the whole fleet.
+// The checkers of a dependency are the few usable instances that rank first by rendezvous hashing (Thaler and
+// Ravishankar 1998). When one of them dies, pauses or is cut off, the next in rank takes its place, after a
+// wait: the news of it may not have reached all yet. Each instance uses only the share of the rate that its
+// side's share of the known fleet allows, so that the sides of a split, or members that all believe that they
+// are alone, together stay within the rate.
 #pragma once
 
-#include <cstdint>
+#include <cstddef>
 #include <map>
 #include <string>
 #include <vector>
@@ -17,41 +17,46 @@
 namespace damsonspoke::fleet {
 
 struct HealthCheckBudgetOptions {
-  double per_s = 4;       // probes a second of all together
-  int probers = 4;        // that share them
-  double settle = 3;      // s that who comes to a turn waits; longer than news takes to reach all
-  double remember = 600;  // s that somebody who is no longer usable counts as part of the whole
+  double checks_per_second = 4;    // of all instances together
+  int checkers = 4;                // that share them
+  double takeover_seconds = 3;     // that a new checker waits; longer than gossip takes to reach all
+  double retention_seconds = 600;  // that an instance no longer usable counts as part of the fleet
 };
 
 class HealthCheckBudget {
  public:
-  HealthCheckBudget(HealthCheckBudgetOptions terms, std::string self);
+  HealthCheckBudget(HealthCheckBudgetOptions options, std::string self);
 
-  // Who is usable besides this one; to be told at each change of the view, and now and then.
-  void view(const std::vector<std::string>& usable, double now);
-  // Of the layer of that name, probes a second that this one may send now.
-  double rate(const std::string& layer, double now);
-  // Whether one may be sent now; it is counted then. Never more than one at once is saved up.
-  bool may_probe(const std::string& layer, double now);
+  // Sets the usable instances beside this one. To be called at each change of the membership, and now and
+  // then. `now`: seconds, monotonic, in all methods.
+  void set_usable(const std::vector<std::string>& usable, double now);
+  // Checks a second of the given dependency that this instance may send now.
+  [[nodiscard]] double checks_per_second(const std::string& dependency, double now);
+  // Whether a check may be sent now; it is charged then. At most one is saved up.
+  [[nodiscard]] bool try_check(const std::string& dependency, double now);
 
-  std::size_t whole() const { return seen_.size(); }                 // known lately, this one among them
-  std::vector<std::string> probers(const std::string& layer) const;  // by rank
+  // Instances known lately, this one among them.
+  [[nodiscard]] std::size_t fleet_size() const { return last_usable_at_.size(); }
+  // The instances that check the dependency, by rank.
+  [[nodiscard]] std::vector<std::string> checkers(const std::string& dependency) const;
 
  private:
-  struct Turn {
-    bool ranked = false;  // for the view as it is
-    std::size_t probers = 1;
-    bool ours = false;
-    double since = 0;   // that it is ours
-    double credit = 0;  // probes
-    double at = 0;      // when that was counted
+  struct CheckerState {
+    bool is_current = false;  // computed for the present membership
+    std::size_t checkers = 1;
+    bool is_checker = false;  // this instance is one of them
+    double checker_since = 0;
+    double credit = 0;  // checks
+    double credited_at = 0;
   };
-  const HealthCheckBudgetOptions terms_;
+  CheckerState& state_of(const std::string& dependency, double now);
+
+  const HealthCheckBudgetOptions options_;
   const std::string self_;
-  std::vector<std::string> usable_;     // this one among them
-  std::map<std::string, double> seen_;  // when each was usable last
-  std::map<std::string, Turn> turns_;   // by layer
-  double begun_ = -1;
+  std::vector<std::string> usable_;  // this instance among them
+  std::map<std::string, double> last_usable_at_;
+  std::map<std::string, CheckerState> states_;  // by dependency
+  double started_at_ = -1;                      // negative: not yet
 };
 
 }  // namespace damsonspoke::fleet
--- a/src/fleet/retry_budget.cpp
+++ b/src/fleet/retry_budget.cpp
@@ -5,69 +5,79 @@
 
 namespace damsonspoke::fleet {
 
-void FleetRetryBudget::pass(double now) {
-  if (at_ < 0) at_ = now;
-  const double dt = now - at_;
-  if (dt <= 0) return;
-  std::erase_if(lent_, [&](const Held& one) { return now >= one.until; });
-  double rate = terms_.share * firsts_ - lent(now);
-  for (const Held& one : borrowed_) rate += one.per_s * std::clamp((one.until - at_) / dt, 0.0, 1.0);
-  std::erase_if(borrowed_, [&](const Held& one) { return now >= one.until; });
-  // No more than a second of it is saved up, but for a single one: budgets are not for storms.
-  credit_ = std::min(credit_ + std::max(0.0, rate) * dt, std::max(1.0, rate));
-  const double fade = std::exp(-dt / terms_.memory);
-  firsts_ *= fade, wanted_ *= fade, made_ *= fade;
-  at_ = now;
+void FleetRetryBudget::advance(double now) {
+  if (advanced_to_ < 0) advanced_to_ = now;
+  const double elapsed = now - advanced_to_;
+  if (elapsed <= 0) return;
+  const auto has_expired = [&](const Grant& grant) { return now >= grant.expires_at; };
+  std::erase_if(leased_, has_expired);
+  double rate = options_.retry_share * first_attempts_per_second_ - leased_per_second(now);
+  for (const Grant& grant : borrowed_) {
+    const double usable_share = std::clamp((grant.expires_at - advanced_to_) / elapsed, 0.0, 1.0);
+    rate += grant.retries_per_second * usable_share;
+  }
+  std::erase_if(borrowed_, has_expired);
+  // At most one second of the rate is saved up, or a single retry: the budget must not feed a retry storm.
+  credit_ = std::min(credit_ + std::max(0.0, rate) * elapsed, std::max(1.0, rate));
+  const double decay = std::exp(-elapsed / options_.rate_memory_seconds);
+  first_attempts_per_second_ *= decay;
+  wanted_per_second_ *= decay;
+  advanced_to_ = now;
 }
 
-void FleetRetryBudget::first(double now) {
-  pass(now);
-  firsts_ += 1 / terms_.memory;
+void FleetRetryBudget::record_first_attempt(double now) {
+  advance(now);
+  first_attempts_per_second_ += 1 / options_.rate_memory_seconds;
 }
 
-bool FleetRetryBudget::further(double now) {
-  pass(now);
-  wanted_ += 1 / terms_.memory;
+bool FleetRetryBudget::try_retry(double now) {
+  advance(now);
+  wanted_per_second_ += 1 / options_.rate_memory_seconds;
   if (credit_ < 1) return false;
   credit_ -= 1;
-  made_ += 1 / terms_.memory;
   return true;
 }
 
-double FleetRetryBudget::own(double now) {
-  pass(now);
-  return terms_.share * firsts_;
+double FleetRetryBudget::own_per_second(double now) {
+  advance(now);
+  return options_.retry_share * first_attempts_per_second_;
 }
 
-double FleetRetryBudget::lent(double now) const {
-  double out = 0;
-  for (const Held& one : lent_) out += now < one.until ? one.per_s : 0;
-  return out;
+double FleetRetryBudget::leased_per_second(double now) const {
+  double sum = 0;
+  for (const Grant& grant : leased_) sum += now < grant.expires_at ? grant.retries_per_second : 0;
+  return sum;
 }
 
-double FleetRetryBudget::wants(double now) { return std::max(0.0, wanted_ - own(now)); }
+double FleetRetryBudget::wanted_per_second(double now) {
+  return std::max(0.0, wanted_per_second_ - own_per_second(now));
+}
 
-std::vector<FleetRetryBudget::Part> FleetRetryBudget::lend(const std::map<std::string, double>& wanted,
-                                                           double now) {
-  const double budget = own(now);
-  double spare = budget - lent(now) - std::max(wanted_, terms_.kept * budget);
-  double all = 0;
-  for (const auto& [name, per_s] : wanted) all += std::max(0.0, per_s);
-  std::vector<Part> out;
-  if (spare <= 0 || all <= 0) return out;
-  spare = std::min(spare, all);
-  for (const auto& [name, per_s] : wanted) {
-    if (per_s <= 0) continue;
-    out.push_back({name, spare * per_s / all});
-    lent_.push_back({out.back().per_s, now + terms_.lasts + terms_.under_way});
+std::vector<FleetRetryBudget::Lease> FleetRetryBudget::lease(const std::map<std::string, double>& wanted,
+                                                             double now) {
+  const double own = own_per_second(now);
+  const double needed = std::max(wanted_per_second_, options_.reserved_share * own);
+  double spare = own - leased_per_second(now) - needed;
+  double total_wanted = 0;
+  for (const auto& [name, per_second] : wanted) total_wanted += std::max(0.0, per_second);
+  std::vector<Lease> leases;
+  if (spare <= 0 || total_wanted <= 0) return leases;
+  spare = std::min(spare, total_wanted);
+  const double expires_at = now + options_.lease_seconds + options_.max_delivery_seconds;
+  for (const auto& [name, per_second] : wanted) {
+    if (per_second <= 0) continue;
+    const double part = spare * per_second / total_wanted;
+    leases.push_back({name, part});
+    leased_.push_back({part, expires_at});
   }
-  return out;
+  return leases;
 }
 
-void FleetRetryBudget::borrowed(double per_s, double age, double now) {
-  pass(now);
-  if (per_s <= 0 || !std::isfinite(per_s) || age > terms_.under_way) return;
-  borrowed_.push_back({per_s, now + terms_.lasts});
+void FleetRetryBudget::on_lease(double retries_per_second, double age, double now) {
+  advance(now);
+  if (retries_per_second <= 0 || !std::isfinite(retries_per_second)) return;
+  if (age > options_.max_delivery_seconds) return;
+  borrowed_.push_back({retries_per_second, now + options_.lease_seconds});
 }
 
 }  // namespace damsonspoke::fleet
--- a/src/fleet/retry_budget.h
+++ b/src/fleet/retry_budget.h
@@ -1,12 +1,11 @@
-// One budget of further tries for the whole fleet: a share of its first tries. Each instance may make its own
-// share; what it does not need it lends, in parts that run out, to who needs more. Pure policy.
+// One retry budget for the whole fleet: a share of its first attempts. Each instance may spend its own share;
+// what it does not need it leases, for a short time, to instances that need more. Pure policy.
 //
-// A lender goes without what it has lent until that has run out, and a while longer for what was under way:
-// so the sum over all stays under the share of the sum, whatever is lost, late or cut off. Nothing has to
-// come back.
+// A lender does without what it has leased until the lease and the time of its delivery have passed: so the
+// retries of all stay under the share of all first attempts, whatever is lost, late or cut off. Nothing has
+// to be returned.
 #pragma once
 
-#include <cstdint>
 #include <map>
 #include <string>
 #include <vector>
@@ -14,46 +13,52 @@
 namespace damsonspoke::fleet {
 
 struct FleetRetryBudgetOptions {
-  double share = 0.1;    // further tries, of first ones
-  double memory = 5;     // s over which rates are means
-  double lasts = 5;      // s that a part that is lent may be used, from when it comes
-  double under_way = 3;  // s that it may take to come; later it is worth nothing
-  double kept = 0.25;    // of its own budget that a lender keeps at least, for what comes suddenly
+  double retry_share = 0.1;         // retries, of first attempts
+  double rate_memory_seconds = 5;   // over which rates are averaged
+  double lease_seconds = 5;         // that a lease may be used, from its arrival
+  double max_delivery_seconds = 3;  // that a lease may take to arrive; later it is worth nothing
+  double reserved_share = 0.25;     // of its own budget that a lender keeps for sudden needs
 };
 
 class FleetRetryBudget {
  public:
-  explicit FleetRetryBudget(FleetRetryBudgetOptions terms) : terms_(terms) {}
+  explicit FleetRetryBudget(FleetRetryBudgetOptions options) : options_(options) {}
 
-  void first(double now);  // a first try was made
-  // A further one is wanted; true where it may be made, and is counted then.
-  bool further(double now);
+  // Records a first attempt. `now`: seconds, monotonic, in all methods.
+  void record_first_attempt(double now);
+  // Whether a retry may be made; it is charged then.
+  [[nodiscard]] bool try_retry(double now);
 
-  // Further tries a second that it would make beyond its own budget.
-  double wants(double now);
-  struct Part {
+  // Retries a second that this instance would make beyond its own budget.
+  [[nodiscard]] double wanted_per_second(double now);
+  struct Lease {
     std::string to;
-    double per_s = 0;
+    double retries_per_second = 0;
   };
-  // What it lends now to those that want; to be asked each `lasts`, and told to them at once.
-  std::vector<Part> lend(const std::map<std::string, double>& wanted, double now);
-  // A part came, `age` s after it was lent.
-  void borrowed(double per_s, double age, double now);
+  // What this instance leases now, by what others want a second. To be called every lease_seconds; the leases
+  // must be sent at once.
+  [[nodiscard]] std::vector<Lease> lease(const std::map<std::string, double>& wanted, double now);
+  // A lease arrived, `age` seconds after it was made.
+  void on_lease(double retries_per_second, double age, double now);
 
-  double own(double now);  // per s, its share of its own first tries
-  double lent(double now) const;
+  // Retries a second: the share of this instance's own first attempts.
+  [[nodiscard]] double own_per_second(double now);
+  [[nodiscard]] double leased_per_second(double now) const;
 
  private:
-  struct Held {
-    double per_s = 0, until = 0;
+  struct Grant {
+    double retries_per_second = 0;
+    double expires_at = 0;
   };
-  void pass(double now);
+  void advance(double now);
 
-  const FleetRetryBudgetOptions terms_;
-  double at_ = -1;
-  double firsts_ = 0, wanted_ = 0, made_ = 0;  // a second
-  double credit_ = 0;                          // further tries that may be made now
-  std::vector<Held> lent_, borrowed_;
+  const FleetRetryBudgetOptions options_;
+  double advanced_to_ = -1;               // negative: not yet
+  double first_attempts_per_second_ = 0;  // averages
+  double wanted_per_second_ = 0;
+  double credit_ = 0;  // retries that may be made now
+  std::vector<Grant> leased_;
+  std::vector<Grant> borrowed_;
 };
 
 }  // namespace damsonspoke::fleet
