--- a/bench/members.cpp
+++ b/bench/members.cpp
@@ -38,18 +38,18 @@
   MembersSim::Options o;
   o.count = count, o.seed = seed, o.loss = 0.05;
   MembersSim sim(o);
-  sim.begin(true);
+  sim.start_all(true);
   sim.run_until(20);
-  sim.forget_bytes();
+  sim.reset_traffic();
   sim.run_until(20 + seconds);
   Simulated out;
-  out.bytes = sim.bytes_a_member_second();
+  out.bytes = sim.bytes_per_member_second();
   for (int i = 0; i < kills; ++i) {
     sim.kill((i * 37 + 5) % count);
     sim.run_until(sim.now() + 12);
   }
   out.member_hours = sim.member_seconds() / 3600;
-  out.wrong = sim.wrong().size();
+  out.wrong = sim.false_deaths().size();
   for (const auto& death : sim.deaths()) {
     out.found.insert(out.found.end(), death.found.begin(), death.found.end());
     const auto watching = static_cast<std::size_t>(count - kills);
@@ -63,9 +63,9 @@
   std::size_t wrong = 0;
   for (int seed = 1; seed <= seeds; ++seed) {
     MembersSim::Options o;
-    o.count = 30, o.seed = static_cast<std::uint64_t>(seed), o.weigh_each = 0;
+    o.count = 30, o.seed = static_cast<std::uint64_t>(seed), o.encode_one_in = 0;
     MembersSim sim(o);
-    sim.begin(true);
+    sim.start_all(true);
     sim.run_until(3);
     sim.pause(seed % 30, 2);
     sim.run_until(10);
@@ -73,7 +73,7 @@
     sim.run_until(18);
     for (int i = 0; i < 30; ++i) sim.pause(i, 2);
     sim.run_until(26);
-    wrong += sim.wrong().size();
+    wrong += sim.false_deaths().size();
   }
   return wrong;
 }
@@ -83,19 +83,19 @@
   std::size_t wrong = 0;
   for (int seed = 1; seed <= seeds; ++seed) {
     MembersSim::Options o;
-    o.count = 30, o.seed = static_cast<std::uint64_t>(seed), o.weigh_each = 0;
+    o.count = 30, o.seed = static_cast<std::uint64_t>(seed), o.encode_one_in = 0;
     MembersSim sim(o);
     int how = 0;
-    sim.cut = [&](int a, int b) {
+    sim.is_cut = [&](int a, int b) {
       if (how == 1) return a == 4 && b == 5;
       if (how == 2) return a % 3 == 0 && b % 3 == 1;
       if (how == 3) return a % 3 == 1 && b % 3 == 0;
       if (how == 4) return a == 7 && b % 2 == 0;
       return false;
     };
-    sim.begin(true);
+    sim.start_all(true);
     for (how = 0; how < 5; ++how) sim.run_until(sim.now() + 12);
-    wrong += sim.wrong().size();
+    wrong += sim.false_deaths().size();
   }
   return wrong;
 }
@@ -199,11 +199,11 @@
                of->not_found, quantile(of->found, 0.5), quantile(of->found, 0.99), of->bytes);
   // A fleet of strangers that knows three seeds.
   MembersSim::Options o;
-  o.count = 1000, o.seed = seed, o.weigh_each = 0;
+  o.count = 1000, o.seed = seed, o.encode_one_in = 0;
   MembersSim sim(o);
-  sim.begin(false);
+  sim.start_all(false);
   double converged = 0;
-  while (sim.now() < 300 && !sim.views_same()) sim.run_until(sim.now() + 2);
+  while (sim.now() < 300 && !sim.views_agree()) sim.run_until(sim.now() + 2);
   converged = sim.now();
   const std::size_t in_pauses = pauses(40), in_cuts = cuts(40);
   const double hours = small.member_hours + middle.member_hours + large.member_hours;
--- a/bench/scale_members.cpp
+++ b/bench/scale_members.cpp
@@ -72,16 +72,16 @@
 
 // Watches for so long.
 Rates rates_over(Loop& loop, HollowMembers& hollow, RealMembers& real, double seconds) {
-  const HollowMembers::Sums h = hollow.sums();
+  const HollowMembers::Totals h = hollow.totals();
   const RealMembers::Sums r = real.sums();
   const double begin = now();
   loop.run_for(seconds);
-  const HollowMembers::Sums h2 = hollow.sums();
+  const HollowMembers::Totals h2 = hollow.totals();
   const RealMembers::Sums r2 = real.sums();
   const double took = now() - begin;
   Rates out;
-  out.bytes = (static_cast<double>(h2.bytes - h.bytes) + r2.bytes - r.bytes) / (h2.alive + kReal) / took;
-  out.hollow_share = (h2.processor_seconds - h.processor_seconds) / h2.alive / took;
+  out.bytes = (static_cast<double>(h2.bytes - h.bytes) + r2.bytes - r.bytes) / (h2.running + kReal) / took;
+  out.hollow_share = (h2.processor_seconds - h.processor_seconds) / h2.running / took;
   out.real_share = (r2.processor_seconds - r.processor_seconds) / kReal / took;
   return out;
 }
@@ -101,14 +101,14 @@
   double most = 0, found = -1;
   for (int look = 0; look < 9; ++look) {
     const Rates rates = rates_over(loop, hollow, real, kLook);
-    const HollowMembers::Sums sums = hollow.sums();
-    if (found < 0 && sums.most_there <= left) found = now() - begin;
+    const HollowMembers::Totals sums = hollow.totals();
+    if (found < 0 && sums.max_alive <= left) found = now() - begin;
     most = std::max(most, rates.bytes);
     fmt::print(
         "    {:>4.0f} s after {} ended: {:>7.0f} bytes/s a member, {:.2f}% of a core (real {:.2f}%), sees {} "
         "to {}\n",
         now() - begin, lost.size(), rates.bytes, 100 * rates.hollow_share, 100 * rates.real_share,
-        sums.least_there, sums.most_there);
+        sums.min_alive, sums.max_alive);
   }
   figures[fmt::format("bytes_per_s_loss_{}", members)] = most;
   figures[fmt::format("loss_found_s_{}", members)] = found;
@@ -120,29 +120,29 @@
   HollowMembers::Options hollow_options;
   hollow_options.count = members - kReal;
   hollow_options.seed = options.seed + static_cast<std::uint64_t>(members);
-  hollow_options.joins_per_s = options.joins_per_s;
+  hollow_options.starts_per_second = options.joins_per_s;
   HollowMembers hollow(hollow_options);
-  hollow.begin();
-  RealMembers real(loop, hollow_options.seed, hollow.first_addresses());
+  hollow.start();
+  RealMembers real(loop, hollow_options.seed, hollow.seed_addresses());
   const double begin = now();
-  HollowMembers::Sums sums;
+  HollowMembers::Totals sums;
   while (now() - begin < options.converge) {
     loop.run_for(1);
-    sums = hollow.sums();
+    sums = hollow.totals();
     if (std::getenv("SCALE_TRACE") != nullptr)
-      fmt::print("    {:.0f} s: {} up, see {} to {}\n", now() - begin, sums.alive, sums.least_there,
-                 sums.most_there);
-    if (hollow.all_up() && sums.least_there == static_cast<std::size_t>(members)) break;
+      fmt::print("    {:.0f} s: {} up, see {} to {}\n", now() - begin, sums.running, sums.min_alive,
+                 sums.max_alive);
+    if (hollow.all_started() && sums.min_alive == static_cast<std::size_t>(members)) break;
   }
-  if (sums.least_there == static_cast<std::size_t>(members)) out.converged = now() - begin;
+  if (sums.min_alive == static_cast<std::size_t>(members)) out.converged = now() - begin;
   loop.run_for(5);
   out.calm = rates_over(loop, hollow, real, options.seconds);
   out.resident_kb = real.sums().resident_kb;
-  sums = hollow.sums();
+  sums = hollow.totals();
   fmt::print(
       "  {:>4} members: {} see {} to {}{}; calm {:.0f} bytes/s a member, {:.3f}% of a core (real {:.3f}%), "
       "{:.1f} MB resident\n",
-      members, sums.alive, sums.least_there, sums.most_there,
+      members, sums.running, sums.min_alive, sums.max_alive,
       out.converged < 0 ? fmt::format(", not all of them within {:.0f} s", options.converge)
                         : fmt::format(", all of them after {:.0f} s", out.converged),
       out.calm.bytes, 100 * out.calm.hollow_share, 100 * out.calm.real_share, out.resident_kb / 1024);
@@ -153,27 +153,27 @@
 // A simulated fleet that loses a sixth at once; bytes a member and second, by fifths of a minute.
 void simulated_loss(int members, std::uint64_t seed, Figures& figures) {
   MembersSim::Options options;
-  options.count = members, options.seed = seed, options.loss = 0.01, options.names = kLongNames;
+  options.count = members, options.seed = seed, options.loss = 0.01, options.name_prefix = kLongNames;
   MembersSim sim(options);
-  sim.begin(true);
+  sim.start_all(true);
   sim.run_until(10);
-  sim.forget_bytes();
+  sim.reset_traffic();
   const double begin = thread_processor_time();
   sim.run_until(20);
   const double us = (thread_processor_time() - begin) * 1e6 / 10 / members;
-  const double calm = sim.bytes_a_member_second();
+  const double calm = sim.bytes_per_member_second();
   fmt::print("  {:>4} members, simulated: calm {:.0f} bytes/s a member, {:.0f} us a second;", members, calm,
              us);
   for (int i = 0; i < members; i += 6) sim.kill(i);
   double most = 0, one_view = -1;
   for (int look = 1; look <= kSimulatedLooks; ++look) {
-    sim.forget_bytes();
+    sim.reset_traffic();
     sim.run_until(20 + 5 * look);
     // The dead send nothing, and are counted among the fleet.
-    const double bytes = sim.bytes_a_member_second() * 6 / 5;
+    const double bytes = sim.bytes_per_member_second() * 6 / 5;
     most = std::max(most, bytes);
-    fmt::print(" {:.0f} ({:.0f})", bytes, sim.exchange_bytes_a_member_second() * 6 / 5);
-    if (one_view < 0 && sim.views_same()) one_view = 5 * look;
+    fmt::print(" {:.0f} ({:.0f})", bytes, sim.push_pull_bytes_per_member_second() * 6 / 5);
+    if (one_view < 0 && sim.views_agree()) one_view = 5 * look;
   }
   std::vector<double> found;
   for (const MembersSim::Death& death : sim.deaths())
@@ -183,7 +183,7 @@
       " bytes/s in each 5 s after a sixth ended (of them exchanges); a death is known after p50 {:.1f}, p99 "
       "{:.1f} "
       "s, one view after {:.0f} s, {} called dead that were not\n",
-      found_p50, found_p99, one_view, sim.wrong().size());
+      found_p50, found_p99, one_view, sim.false_deaths().size());
   figures[fmt::format("death_known_s_p99_simulated_{}", members)] = found_p99;
   figures[fmt::format("one_view_s_loss_simulated_{}", members)] = one_view;
   figures[fmt::format("bytes_per_s_calm_simulated_{}", members)] = calm;
@@ -301,22 +301,22 @@
 
 std::unique_ptr<MembersSim> faulty_fleet(std::uint64_t seed) {
   MembersSim::Options options;
-  options.count = kFaultyFleet, options.seed = seed, options.loss = 0.01, options.names = kLongNames,
-  options.weigh_each = 200;
+  options.count = kFaultyFleet, options.seed = seed, options.loss = 0.01, options.name_prefix = kLongNames,
+  options.encode_one_in = 200;
   return std::make_unique<MembersSim>(options);
 }
 
 double bytes_over(MembersSim& sim, double seconds) {
-  sim.forget_bytes();
+  sim.reset_traffic();
   sim.run_until(sim.now() + seconds);
-  return sim.bytes_a_member_second();
+  return sim.bytes_per_member_second();
 }
 
 void regions_apart(std::uint64_t seed, Figures& figures) {
   const auto sim = faulty_fleet(seed);
   bool apart = false;
-  sim->cut = [&](int a, int b) { return apart && (a % 3 == 0) != (b % 3 == 0); };
-  sim->begin(true);
+  sim->is_cut = [&](int a, int b) { return apart && (a % 3 == 0) != (b % 3 == 0); };
+  sim->start_all(true);
   sim->run_until(10);
   const double calm = bytes_over(*sim, 10);
   apart = true;
@@ -325,7 +325,7 @@
   apart = false;
   for (int i = 0; i < 24 && again < 0; ++i) {
     after = std::max(after, bytes_over(*sim, 5));
-    if (sim->views_same()) again = 5 * (i + 1);
+    if (sim->views_agree()) again = 5 * (i + 1);
   }
   fmt::print(
       "  a region of three apart for 120 s: calm {:.0f}, most {:.0f} apart, {:.0f} together again, one view "
@@ -339,20 +339,20 @@
 
 void third_paused(std::uint64_t seed, Figures& figures) {
   const auto sim = faulty_fleet(seed);
-  sim->begin(true);
+  sim->start_all(true);
   sim->run_until(10);
   for (int i = 0; i < kFaultyFleet; i += 3) sim->pause(i, 2);
   double most = 0;
   for (int i = 0; i < 6; ++i) most = std::max(most, bytes_over(*sim, 5));
   fmt::print("  a third paused for 2 s: most {:.0f}, {} called dead that were not\n", most,
-             sim->wrong().size());
+             sim->false_deaths().size());
   figures["bytes_per_s_paused"] = most;
-  figures["dead_in_pauses"] += static_cast<double>(sim->wrong().size());
+  figures["dead_in_pauses"] += static_cast<double>(sim->false_deaths().size());
 }
 
 void one_in_twenty_restarted(std::uint64_t seed, Figures& figures) {
   const auto sim = faulty_fleet(seed);
-  sim->begin(true);
+  sim->start_all(true);
   sim->run_until(10);
   double most = 0;
   for (int i = 0; i < kFaultyFleet / 20; ++i) {
@@ -363,22 +363,22 @@
     most = std::max(most, bytes_over(*sim, 1));
   }
   fmt::print("  one in twenty restarted in a minute: most {:.0f} in a second, {} called dead that were not\n",
-             most, sim->wrong().size());
+             most, sim->false_deaths().size());
   figures["bytes_per_s_restarts"] = most;
 }
 
 // A fleet that comes up at once and knows three seeds.
 void strangers(int members, std::uint64_t seed, Figures& figures) {
   MembersSim::Options options;
-  options.count = members, options.seed = seed, options.loss = 0.01, options.names = kLongNames,
-  options.weigh_each = 200;
+  options.count = members, options.seed = seed, options.loss = 0.01, options.name_prefix = kLongNames,
+  options.encode_one_in = 200;
   MembersSim sim(options);
-  sim.begin(false);
+  sim.start_all(false);
   double most = 0;
   bool same = false;
   while (sim.now() < 300 && !same) {
     most = std::max(most, bytes_over(sim, 10));
-    same = sim.views_same();
+    same = sim.views_agree();
   }
   fmt::print("  {} strangers that come up at once: {} after {:.0f} s, most {:.0f}\n", members,
              same ? "one view" : "not one view", sim.now(), most);
--- a/standins/hollow.cpp
+++ b/standins/hollow.cpp
@@ -13,19 +13,24 @@
 namespace damsonspoke::standins {
 namespace {
 
-constexpr int kSeedsHere = 3;
-constexpr double kInterval = 0.3, kSuspicion = 2, kRemember = 7200;  // s; what the directives have by default
+constexpr int kSeedMembers = 3;
+// The defaults of the operators' directives.
+constexpr double kProbeIntervalSeconds = 0.3;
+constexpr double kSuspicionSeconds = 2;
+constexpr double kDeadRetentionSeconds = 7200;
+constexpr std::uint64_t kFirstEpoch = 1000;
+constexpr std::uint64_t kSeedFactor = 100003;  // keeps the draws of fleets with different seeds apart
 
 }  // namespace
 
-struct HollowMembers::Lane {
+struct HollowMembers::Worker {
   net::Reactor reactor;
   Counters counters;
   Logger log{Level::kError};
   std::map<int, std::unique_ptr<peers::MembershipTransport>> members;
   std::thread thread;
 
-  // On the lane's thread; waits for it.
+  // Runs a task on the worker's thread and waits for it.
   template <typename Work>
   void run(Work&& work) {
     std::promise<void> done;
@@ -43,76 +48,83 @@
 
 HollowMembers::HollowMembers(Options options) : options_(std::move(options)) {
   for (int i = 0; i < options_.threads; ++i) {
-    lanes_.push_back(std::make_unique<Lane>());
-    Lane* lane = lanes_.back().get();
-    lane->thread = std::thread([lane] { lane->reactor.run(); });
+    workers_.push_back(std::make_unique<Worker>());
+    Worker* worker = workers_.back().get();
+    worker->thread = std::thread([worker] { worker->reactor.run(); });
   }
 }
 
 HollowMembers::~HollowMembers() {
-  for (const auto& lane : lanes_) {
-    lane->run([&] { lane->members.clear(); });
-    lane->reactor.post_from_elsewhere([&] { lane->reactor.stop(); });
-    lane->thread.join();
+  for (const auto& worker : workers_) {
+    worker->run([&] { worker->members.clear(); });
+    worker->reactor.post_from_elsewhere([&] { worker->reactor.stop(); });
+    worker->thread.join();
   }
 }
 
-std::vector<std::string> HollowMembers::first_addresses() const {
+std::vector<std::string> HollowMembers::seed_addresses() const {
   std::vector<std::string> out;
-  for (int i = 0; i < std::min(kSeedsHere, options_.count); ++i) out.push_back(address(options_.seed, i));
+  for (int i = 0; i < std::min(kSeedMembers, options_.count); ++i) out.push_back(address(options_.seed, i));
   return out;
 }
 
-void HollowMembers::begin() {
-  std::vector<std::string> seeds = first_addresses();
+void HollowMembers::start() {
+  std::vector<std::string> seeds = seed_addresses();
   seeds.insert(seeds.end(), options_.seeds.begin(), options_.seeds.end());
   for (int i = 0; i < options_.count; ++i) {
-    Lane* lane = lanes_[static_cast<std::size_t>(i) % lanes_.size()].get();
-    lane->reactor.post_from_elsewhere([this, lane, i, seeds] {
-      lane->reactor.after(i / options_.joins_per_s, [this, lane, i, seeds] {
-        MembersOptions member;
-        member.bind = member.face = address(options_.seed, i);
-        member.cluster = options_.cluster;
-        member.seeds = seeds;
-        member.peers = {*conns::parse_prefix("127.0.0.0/8")};
-        member.interval = kInterval, member.suspicion = kSuspicion, member.remember = kRemember;
-        auto one = std::make_unique<peers::MembershipTransport>(
-            lane->reactor, member, fmt::format("hollow-{:04}", i), 1000 + static_cast<std::uint64_t>(i),
-            options_.seed * 100003 + static_cast<std::uint64_t>(i), lane->counters, lane->log);
-        one->start();
-        lane->members[i] = std::move(one);
-        ++up_;
-      });
+    Worker* worker = workers_[static_cast<std::size_t>(i) % workers_.size()].get();
+    worker->reactor.post_from_elsewhere([this, worker, i, seeds] {
+      worker->reactor.after(i / options_.starts_per_second,
+                            [this, worker, i, seeds] { start_member(*worker, i, seeds); });
     });
   }
 }
 
+void HollowMembers::start_member(Worker& worker, int number, const std::vector<std::string>& seeds) {
+  MembersOptions options;
+  options.bind = address(options_.seed, number);
+  options.face = options.bind;
+  options.cluster = options_.cluster;
+  options.seeds = seeds;
+  options.peers = {*conns::parse_prefix("127.0.0.0/8")};
+  options.interval = kProbeIntervalSeconds;
+  options.suspicion = kSuspicionSeconds;
+  options.remember = kDeadRetentionSeconds;
+  const auto index = static_cast<std::uint64_t>(number);
+  auto member = std::make_unique<peers::MembershipTransport>(
+      worker.reactor, options, fmt::format("hollow-{:04}", number), kFirstEpoch + index,
+      options_.seed * kSeedFactor + index, worker.counters, worker.log);
+  member->start();
+  worker.members[number] = std::move(member);
+  ++started_;
+}
+
 void HollowMembers::kill(const std::vector<int>& numbers) {
-  for (const auto& lane : lanes_) {
-    lane->run([&] {
-      for (const int number : numbers) lane->members.erase(number);
+  for (const auto& worker : workers_) {
+    worker->run([&] {
+      for (const int number : numbers) worker->members.erase(number);
     });
   }
 }
 
-HollowMembers::Sums HollowMembers::sums() {
-  Sums sums;
-  for (const auto& lane : lanes_) {
-    lane->run([&] {
-      sums.bytes += lane->counters[Count::kMembersBytes];
-      sums.datagrams += lane->counters[Count::kMembersSent];
-      sums.processor_seconds += thread_processor_time();
-      sums.alive += static_cast<int>(lane->members.size());
-      for (const auto& [number, member] : lane->members) {
+HollowMembers::Totals HollowMembers::totals() {
+  Totals totals;
+  for (const auto& worker : workers_) {
+    worker->run([&] {
+      totals.bytes += worker->counters[Count::kMembersBytes];
+      totals.datagrams += worker->counters[Count::kMembersSent];
+      totals.processor_seconds += thread_processor_time();
+      totals.running += static_cast<int>(worker->members.size());
+      for (const auto& [number, member] : worker->members) {
         member->report();
-        const auto there = static_cast<std::size_t>(lane->counters[Count::kMembersThere]);
-        sums.least_there = sums.least_there == 0 ? there : std::min(sums.least_there, there);
-        sums.most_there = std::max(sums.most_there, there);
-        sums.deaths += lane->counters[Count::kMembersDeaths];
+        const auto alive = static_cast<std::size_t>(worker->counters[Count::kMembersThere]);
+        totals.min_alive = totals.min_alive == 0 ? alive : std::min(totals.min_alive, alive);
+        totals.max_alive = std::max(totals.max_alive, alive);
+        totals.deaths += worker->counters[Count::kMembersDeaths];
       }
     });
   }
-  return sums;
+  return totals;
 }
 
 }  // namespace damsonspoke::standins
--- a/standins/hollow.h
+++ b/standins/hollow.h
@@ -1,6 +1,6 @@
 // Hollow members: instances of a fleet that only take part in membership, many of them in one process. Each
 // runs the program's own view, codec and sockets (peers/members) at a loopback address of its own; they share
-// a few reactors, a thread each. They stand in for processes that would not fit on one machine.
+// a few reactors, each with a thread. They stand in for processes that would not fit on one machine.
 #pragma once
 
 #include <atomic>
@@ -22,8 +22,8 @@
     int threads = 5;
     std::uint64_t seed = 1;
     std::string cluster = "hollow";
-    double joins_per_s = 200;        // how fast they come up
-    std::vector<std::string> seeds;  // addresses of members outside; beside the first three here
+    double starts_per_second = 200;
+    std::vector<std::string> seeds;  // addresses of members outside, beside the first three here
   };
   explicit HollowMembers(Options options);
   ~HollowMembers();  // ends the threads
@@ -31,30 +31,36 @@
   HollowMembers& operator=(const HollowMembers&) = delete;
 
   static constexpr std::uint16_t kPort = 17946;
-  // Loopback addresses of their own, by the seed and the number.
+  // The loopback address of a member.
   static std::string address(std::uint64_t seed, int number);
-  std::vector<std::string> first_addresses() const;  // for others that join
+  // Addresses by which others may join.
+  [[nodiscard]] std::vector<std::string> seed_addresses() const;
 
-  void begin();  // they come up one after another, on their threads
-  bool all_up() const { return up_ == options_.count; }
-  // These end at once, without a word.
+  // Starts the members one after another, on their threads.
+  void start();
+  [[nodiscard]] bool all_started() const { return started_ == options_.count; }
+  // Ends these members at once; they don't notify anybody.
   void kill(const std::vector<int>& numbers);
 
-  struct Sums {
-    std::uint64_t bytes = 0;                      // sent, streams too
-    std::uint64_t datagrams = 0;                  // sent
-    std::uint64_t deaths = 0;                     // called by a member here
-    double processor_seconds = 0;                 // of the threads
-    int alive = 0;                                // members that run here
-    std::size_t least_there = 0, most_there = 0;  // members that one of them sees as there, itself counted
+  struct Totals {
+    std::uint64_t bytes = 0;       // sent, push-pulls included
+    std::uint64_t datagrams = 0;   // sent
+    std::uint64_t deaths = 0;      // declared by members here
+    double processor_seconds = 0;  // of the threads
+    int running = 0;
+    // Members that one of them sees as alive, itself included: the fewest and the most.
+    std::size_t min_alive = 0;
+    std::size_t max_alive = 0;
   };
-  Sums sums();
+  [[nodiscard]] Totals totals();
 
  private:
-  struct Lane;  // a thread with its reactor and its members
+  struct Worker;  // a thread with its reactor and its members
+  void start_member(Worker& worker, int number, const std::vector<std::string>& seeds);
+
   Options options_;
-  std::vector<std::unique_ptr<Lane>> lanes_;
-  std::atomic<int> up_{0};
+  std::vector<std::unique_ptr<Worker>> workers_;
+  std::atomic<int> started_{0};
 };
 
 }  // namespace damsonspoke::standins
--- a/standins/members_sim.cpp
+++ b/standins/members_sim.cpp
@@ -13,210 +13,212 @@
 
 namespace {
 
-constexpr double kLate = 2;                       // s; of datagrams that come late
-constexpr double kStreamPatience = 1;             // s; a paused peer does not answer a stream in time
-constexpr double kSpell = 5;                      // s; one wrong death told by many is one
-constexpr std::uint64_t kWeighExchangeEach = 50;  // exchanges; one of so many is encoded, to know its bytes
+constexpr double kLateSeconds = 2;
+constexpr double kFalseDeathSeconds = 5;  // declarations within it count as one
+constexpr std::uint64_t kEncodeOnePushPullIn = 50;
+constexpr std::size_t kUdpHeaderBytes = 28;  // with IP
+constexpr std::size_t kMaxBacklog = 200;
+constexpr int kSeeds = 3;
+constexpr int kSeedStride = 7;
+constexpr int kAddressesPerNetwork = 250;
+const std::string kCluster = "cluster";
 
 }  // namespace
 
+// ---- A node.
+
 void MembersSim::Node::send(const std::string& to, const Message& message) {
-  const auto found = sim->by_address_.find(to);
-  ++sim->sent_;
-  sim->sent_records_ += message.records.size();
-  if (sim->options_.weigh_each > 0 &&
-      sim->sent_ % static_cast<std::uint64_t>(sim->options_.weigh_each) == 0) {
-    ++sim->weighed_;
-    sim->weighed_bytes_ +=
-        wire::members::encode("cluster", message).size() + 28;  // with its IP and UDP heads
+  DatagramTraffic& traffic = sim->datagrams_;
+  ++traffic.sent;
+  traffic.records += message.records.size();
+  const auto encode_one_in = static_cast<std::uint64_t>(sim->options_.encode_one_in);
+  if (encode_one_in > 0 && traffic.sent % encode_one_in == 0) {
+    ++traffic.encoded;
+    traffic.encoded_bytes += wire::members::encode(kCluster, message).size() + kUdpHeaderBytes;
   }
-  if (found == sim->by_address_.end()) return;
-  sim->deliver(number, found->second, std::make_shared<Message>(message));
+  const auto found = sim->by_address_.find(to);
+  if (found != sim->by_address_.end())
+    sim->deliver(number, found->second, std::make_shared<Message>(message));
 }
 
 void MembersSim::Node::start_push_pull(const std::string& to) {
   const auto found = sim->by_address_.find(to);
   if (found == sim->by_address_.end()) return;
   const int other = found->second;
-  const std::uint64_t mine = life;
-  sim->at(sim->now_ + 2 * sim->options_.latency, [s = sim, a = number, b = other, mine] {
-    Node &x = *s->nodes_[static_cast<std::size_t>(a)], &y = *s->nodes_[static_cast<std::size_t>(b)];
-    if (!x.up || x.life != mine) return;
-    if (x.paused_until > s->now_) return;
-    const bool cut = s->is_cut(a, b) || s->is_cut(b, a);
-    if (!y.up || cut || y.paused_until > s->now_) return x.view->on_push_pull_failed(s->now_);
-    const std::vector<Record> of_x = x.view->full_state(s->now_), of_y = y.view->full_state(s->now_);
-    s->exchanged_records_ += of_x.size() + of_y.size();
-    if (s->options_.weigh_each > 0 && ++s->exchanges_ % kWeighExchangeEach == 1) {
-      s->weighed_records_ += of_x.size();
-      s->weighed_exchange_bytes_ += wire::members::encode_push_pull("cluster", of_x).size();
-    }
-    y.view->on_push_pull(of_x, s->now_);
-    x.view->on_push_pull(of_y, s->now_);
+  const std::uint64_t started_by = process;
+  sim->schedule(sim->now_ + 2 * sim->options_.latency, [this, other, started_by] {
+    if (is_up && process == started_by && paused_until <= sim->now_) sim->push_pull(*this, sim->node(other));
   });
 }
 
-void MembersSim::Node::on_state_changed(const std::string& who, MemberState state, StateChangeReason reason) {
+void MembersSim::Node::on_state_changed(const std::string& member, MemberState state,
+                                        StateChangeReason reason) {
   if (sim->on_change)
-    sim->on_change(number, fmt::format("{} is {}: {}", who, text_of(state), text_of(reason)));
+    sim->on_change(number, fmt::format("{} is {}: {}", member, text_of(state), text_of(reason)));
   if (state != MemberState::kDead) return;
-  const auto found = sim->by_name_.find(who);
+  const auto found = sim->by_name_.find(member);
   if (found == sim->by_name_.end()) return;
   const int of = found->second;
-  if (!sim->up(of)) {
-    for (auto it = sim->deaths_.rbegin(); it != sim->deaths_.rend(); ++it) {
-      if (it->node != of) continue;
-      it->found.push_back(sim->now_ - it->at);
-      return;
-    }
-    return;
-  }
-  if (epoch_known(who) < sim->nodes_[static_cast<std::size_t>(of)]->view->self().epoch)
-    return;  // the life before this one, which did end
-  const auto last = sim->wrong_since_.find(of);
-  if (last == sim->wrong_since_.end() || sim->now_ - last->second > kSpell)
-    sim->wrong_.push_back({sim->now_, number, of});
-  sim->wrong_since_[of] = sim->now_;
+  if (!sim->is_up(of)) return sim->note_death_found(of);
+  const bool is_former_process = known_epoch(member) < sim->view(of).self().epoch;
+  if (!is_former_process) sim->note_false_death(number, of);
 }
 
-std::uint64_t MembersSim::Node::epoch_known(const std::string& who) const {
-  for (const MemberStatus& seen : view->members(sim->now_)) {
-    if (seen.name == who) return seen.epoch;
+void MembersSim::Node::on_notice(const Notice& notice) {
+  if (sim->on_change) sim->on_change(number, text_of(notice));
+}
+
+std::uint64_t MembersSim::Node::known_epoch(const std::string& member) const {
+  for (const MemberStatus& status : view->members(sim->now_)) {
+    if (status.name == member) return status.epoch;
   }
   return 0;
 }
 
-void MembersSim::Node::on_notice(const Notice& notice) {
-  if (sim->on_change) sim->on_change(number, text_of(notice));
-}
+// ---- The fleet.
 
-MembersSim::MembersSim(Options options) : options_(options), random_(options.seed) {
-  for (int i = 0; i < options_.count; ++i) add_node(fmt::format("{}{}", options_.names, i));
+MembersSim::MembersSim(Options options) : options_(std::move(options)), random_(options_.seed) {
+  for (int i = 0; i < options_.count; ++i) add_node(fmt::format("{}{}", options_.name_prefix, i));
 }
 
 MembersSim::Node& MembersSim::add_node(const std::string& name) {
-  auto node = std::make_unique<Node>();
-  node->sim = this;
-  node->number = static_cast<int>(nodes_.size());
-  node->name = name;
-  node->address = fmt::format("10.0.{}.{}:7400", node->number / 250, node->number % 250);
-  by_address_[node->address] = node->number;
-  by_name_.emplace(name, node->number);
-  nodes_.push_back(std::move(node));
+  auto added = std::make_unique<Node>();
+  added->sim = this;
+  added->number = count();
+  added->name = name;
+  added->address = fmt::format("10.0.{}.{}:7400", added->number / kAddressesPerNetwork,
+                               added->number % kAddressesPerNetwork);
+  by_address_[added->address] = added->number;
+  by_name_.emplace(name, added->number);
+  nodes_.push_back(std::move(added));
   return *nodes_.back();
 }
 
-double MembersSim::chance() { return std::ldexp(static_cast<double>(random_() >> 11), -53); }
+double MembersSim::random_unit() { return std::ldexp(static_cast<double>(random_() >> 11), -53); }
 
-void MembersSim::at(double time, std::function<void()> act) {
+void MembersSim::schedule(double time, std::function<void()> act) {
   events_.push({time, next_event_++, std::move(act)});
 }
 
-void MembersSim::begin(bool acquainted) {
+void MembersSim::start_all(bool know_one_another) {
   for (int i = 0; i < options_.count; ++i) start(i);
-  if (!acquainted) return;
-  std::vector<Record> all;
-  for (const auto& node : nodes_) all.push_back(node->view->self_record(now_));
-  for (const auto& node : nodes_) node->view->on_push_pull(all, now_);
+  if (!know_one_another) return;
+  std::vector<Record> records;
+  for (const auto& one : nodes_) records.push_back(one->view->self_record(now_));
+  for (const auto& one : nodes_) one->view->on_push_pull(records, now_);
 }
 
 void MembersSim::start(int number) {
-  Node& node = *nodes_[static_cast<std::size_t>(number)];
-  if (node.up) return;
+  Node& started = node(number);
+  if (started.is_up) return;
   std::vector<std::string> seeds;
-  for (int i = 0; i < 3; ++i)
-    seeds.push_back(nodes_[static_cast<std::size_t>(i * 7 % options_.count)]->address);
-  node.up = true;
-  ++node.life;
-  node.paused_until = -1;
-  node.backlog.clear();
-  node.view =
-      std::make_unique<MembershipView>(options_.membership, Self{node.name, node.address, next_epoch_++},
-                                       seeds, static_cast<std::uint64_t>(random_()), node);
-  LoadReport load_report;
-  load_report.role = "relay", load_report.zone = fmt::format("z{}", number % 3), load_report.build = "1.0",
-  load_report.free_capacity = 8;
-  node.view->set_load_report(load_report);
-  node.view->start(now_);
-  schedule_wake(node);
+  for (int i = 0; i < kSeeds; ++i) seeds.push_back(node(i * kSeedStride % options_.count).address);
+  started.is_up = true;
+  ++started.process;
+  started.paused_until = -1;
+  started.backlog.clear();
+  const Self self{started.name, started.address, next_epoch_++};
+  started.view = std::make_unique<MembershipView>(options_.membership, self, seeds,
+                                                  static_cast<std::uint64_t>(random_()), started);
+  LoadReport report;
+  report.role = "relay";
+  report.zone = fmt::format("z{}", number % 3);
+  report.build = "1.0";
+  report.free_capacity = 8;
+  started.view->set_load_report(report);
+  started.view->start(now_);
+  schedule_timer(started);
 }
 
-void MembersSim::clone(int of) {
-  const std::string name = nodes_[static_cast<std::size_t>(of)]->name;
+void MembersSim::start_clone(int number) {
+  const std::string name = node(number).name;
   add_node(name);
   start(count() - 1);
 }
 
-void MembersSim::schedule_wake(Node& node) {
-  const std::uint64_t life = node.life;
-  const double when = std::max(node.view->next_timer_at(), now_);
-  node.next_wake = when;
-  at(when, [this, &node, life] {
-    if (!node.up || node.life != life) return;
-    if (node.paused_until > now_) return;  // resume() goes on
+void MembersSim::schedule_timer(Node& node) {
+  const std::uint64_t process = node.process;
+  schedule(std::max(node.view->next_timer_at(), now_), [this, &node, process] {
+    if (!node.is_up || node.process != process) return;
+    if (node.paused_until > now_) return;  // resume() continues
     node.view->on_timer(now_);
-    schedule_wake(node);
+    schedule_timer(node);
   });
 }
 
 void MembersSim::kill(int number) {
-  Node& node = *nodes_[static_cast<std::size_t>(number)];
-  if (!node.up) return;
-  node.up = false;
+  Node& killed = node(number);
+  if (!killed.is_up) return;
+  killed.is_up = false;
   deaths_.push_back({now_, number, {}});
 }
 
 void MembersSim::leave(int number) {
-  Node& node = *nodes_[static_cast<std::size_t>(number)];
-  if (!node.up) return;
-  node.view->leave(now_);
-  const std::uint64_t life = node.life;
-  at(now_ + 1, [&node, life] {
-    if (node.life == life) node.up = false;
+  Node& leaving = node(number);
+  if (!leaving.is_up) return;
+  leaving.view->leave(now_);
+  const std::uint64_t process = leaving.process;
+  schedule(now_ + 1, [&leaving, process] {
+    if (leaving.process == process) leaving.is_up = false;
   });
 }
 
 void MembersSim::pause(int number, double seconds) {
-  Node& node = *nodes_[static_cast<std::size_t>(number)];
-  if (!node.up || node.paused_until > now_) return;
-  node.paused_until = now_ + seconds;
-  const std::uint64_t life = node.life;
-  at(node.paused_until, [this, &node, life] {
-    if (node.up && node.life == life) resume(node);
+  Node& paused = node(number);
+  if (!paused.is_up || paused.paused_until > now_) return;
+  paused.paused_until = now_ + seconds;
+  const std::uint64_t process = paused.process;
+  schedule(paused.paused_until, [this, &paused, process] {
+    if (paused.is_up && paused.process == process) resume(paused);
   });
 }
 
-// As a process that goes on: its timer is late, and what waited in its socket is read as stale.
+// As in a real process, the timer is late and what waited in the socket is read as stale.
 void MembersSim::resume(Node& node) {
-  const bool noticed = node.view->on_timer(now_);
-  for (const auto& [from, message] : node.backlog) node.view->on_message(from, *message, now_, noticed);
+  const bool is_stale = node.view->on_timer(now_);
+  for (const auto& [from, message] : node.backlog) node.view->on_message(from, *message, now_, is_stale);
   node.backlog.clear();
-  schedule_wake(node);
+  schedule_timer(node);
 }
 
-void MembersSim::deliver(int from, int to, std::shared_ptr<const Message> message) {
-  if (is_cut(from, to) || chance() < options_.loss) return;
-  const int copies = chance() < doubled ? 2 : 1;
+void MembersSim::deliver(int from, int to, const SharedMessage& message) {
+  if (is_lost(from, to) || random_unit() < options_.loss) return;
+  const int copies = random_unit() < duplicated_share ? 2 : 1;
   for (int i = 0; i < copies; ++i) {
-    const double extra = chance() < late ? kLate : 0;
-    const double when = now_ + options_.latency + options_.jitter * chance() + extra;
-    at(when, [this, from, to, message] {
-      Node& node = *nodes_[static_cast<std::size_t>(to)];
-      if (!node.up) return;
-      const std::string& address = nodes_[static_cast<std::size_t>(from)]->address;
-      if (node.paused_until > now_) {
-        if (node.backlog.size() < 200) node.backlog.emplace_back(address, message);
-        return;
-      }
-      node.view->on_message(address, *message, now_);
-    });
+    const double extra = random_unit() < late_share ? kLateSeconds : 0;
+    const double arrives_at = now_ + options_.latency + options_.jitter * random_unit() + extra;
+    schedule(arrives_at, [this, from, to, message] { receive(from, to, message); });
   }
 }
 
+void MembersSim::receive(int from, int to, const SharedMessage& message) {
+  Node& receiver = node(to);
+  if (!receiver.is_up) return;
+  const std::string& address = node(from).address;
+  if (receiver.paused_until <= now_)
+    receiver.view->on_message(address, *message, now_);
+  else if (receiver.backlog.size() < kMaxBacklog)
+    receiver.backlog.emplace_back(address, message);
+}
+
+void MembersSim::push_pull(Node& initiator, Node& other) {
+  const bool is_broken = is_lost(initiator.number, other.number) || is_lost(other.number, initiator.number);
+  if (!other.is_up || is_broken || other.paused_until > now_)
+    return initiator.view->on_push_pull_failed(now_);
+  const std::vector<Record> sent = initiator.view->full_state(now_);
+  const std::vector<Record> answered = other.view->full_state(now_);
+  push_pulls_.records += sent.size() + answered.size();
+  if (options_.encode_one_in > 0 && ++push_pull_count_ % kEncodeOnePushPullIn == 1) {
+    push_pulls_.encoded_records += sent.size();
+    push_pulls_.encoded_bytes += wire::members::encode_push_pull(kCluster, sent).size();
+  }
+  other.view->on_push_pull(sent, now_);
+  initiator.view->on_push_pull(answered, now_);
+}
+
 void MembersSim::run_until(double time) {
-  double up = 0;
-  for (const auto& node : nodes_) up += node->up ? 1 : 0;
-  member_seconds_ += up * (time - now_);
+  const auto up = std::count_if(nodes_.begin(), nodes_.end(), [](const auto& one) { return one->is_up; });
+  member_seconds_ += static_cast<double>(up) * (time - now_);
   while (!events_.empty() && events_.top().at <= time) {
     const Event event = events_.top();
     events_.pop();
@@ -226,69 +228,98 @@
   now_ = time;
 }
 
-MemberState MembersSim::state(int of, const std::string& name) {
-  for (const MemberStatus& seen : view(of).members(now_)) {
-    if (seen.name == name) return seen.state;
-  }
-  return MemberState::kLeft;
-}
+// ---- What is observed.
 
-double MembersSim::a_member_second(double total) const {
-  const double seconds = now_ - bytes_since_;
-  return seconds > 0 ? total / seconds / options_.count : 0;
+void MembersSim::note_death_found(int dead) {
+  const auto last = std::find_if(deaths_.rbegin(), deaths_.rend(),
+                                 [dead](const Death& death) { return death.node == dead; });
+  if (last != deaths_.rend()) last->found.push_back(now_ - last->at);
 }
 
-double MembersSim::datagram_bytes_a_member_second() const {
-  if (weighed_ == 0) return 0;
-  const double mean = static_cast<double>(weighed_bytes_) / static_cast<double>(weighed_);
-  return a_member_second(mean * static_cast<double>(sent_));
+void MembersSim::note_false_death(int by, int of) {
+  const auto last = last_false_death_at_.find(of);
+  if (last == last_false_death_at_.end() || now_ - last->second > kFalseDeathSeconds)
+    false_deaths_.push_back({now_, by, of});
+  last_false_death_at_[of] = now_;
 }
 
-double MembersSim::exchange_bytes_a_member_second() const {
-  if (weighed_records_ == 0) return 0;
-  const double mean = static_cast<double>(weighed_exchange_bytes_) / static_cast<double>(weighed_records_);
-  return a_member_second(mean * static_cast<double>(exchanged_records_));
+MemberState MembersSim::state(int observer, const std::string& name) const {
+  for (const MemberStatus& status : node(observer).view->members(now_)) {
+    if (status.name == name) return status.state;
+  }
+  return MemberState::kLeft;
 }
 
-void MembersSim::forget_bytes() {
-  weighed_ = weighed_bytes_ = sent_ = sent_records_ = exchanged_records_ =
-      0;  // a record's bytes in an exchange stay known
-  bytes_since_ = now_;
+bool MembersSim::views_agree(std::string* difference) {
+  for (int i = 0; i < count(); ++i) {
+    if (is_up(i) && !view(i).has_yielded() && !agrees_with_truth(i, difference)) return false;
+  }
+  return true;
 }
 
-bool MembersSim::views_same(std::string* how_not) {
+bool MembersSim::agrees_with_truth(int observer, std::string* difference) {
+  std::map<std::string, MemberState> states;
+  for (const MemberStatus& status : view(observer).members(now_)) states[status.name] = status.state;
   for (int i = 0; i < count(); ++i) {
-    if (!up(i) || view(i).has_yielded()) continue;
-    std::map<std::string, MemberState> seen;
-    for (const MemberStatus& one : view(i).members(now_)) seen[one.name] = one.state;
-    for (int j = 0; j < count(); ++j) {
-      if (i == j || name(i) == name(j) || (up(j) && view(j).has_yielded())) continue;
-      const auto found = seen.find(name(j));
-      const bool there = found != seen.end() &&
-                         (found->second == MemberState::kAlive || found->second == MemberState::kFlapping);
-      if (there == up(j)) continue;
-      if (how_not != nullptr)
-        *how_not =
-            fmt::format("{} sees {} as {}, which is {}", name(i), name(j),
-                        found == seen.end() ? "unknown" : text_of(found->second), up(j) ? "up" : "down");
-      return false;
-    }
+    const bool is_yielded_clone = is_up(i) && view(i).has_yielded();
+    if (name(observer) == name(i) || is_yielded_clone) continue;
+    const auto found = states.find(name(i));
+    const bool is_known = found != states.end();
+    const bool is_seen_alive =
+        is_known && (found->second == MemberState::kAlive || found->second == MemberState::kFlapping);
+    if (is_seen_alive == is_up(i)) continue;
+    if (difference != nullptr)
+      *difference = fmt::format("{} sees {} as {}, which is {}", name(observer), name(i),
+                                is_known ? text_of(found->second) : "unknown", is_up(i) ? "up" : "down");
+    return false;
   }
   return true;
 }
 
 MembershipView::Counts MembersSim::counts() const {
   MembershipView::Counts sum;
-  for (const auto& node : nodes_) {
-    if (!node->view) continue;
-    const MembershipView::Counts& c = node->view->counts();
-    sum.probes += c.probes, sum.failed_probes += c.failed_probes, sum.indirect_probes += c.indirect_probes,
-        sum.suspicions += c.suspicions;
-    sum.deaths += c.deaths, sum.refutations += c.refutations, sum.pauses += c.pauses,
-        sum.mass_silences += c.mass_silences;
-    sum.push_pulls += c.push_pulls, sum.rejected_members += c.rejected_members;
+  for (const auto& one : nodes_) {
+    if (!one->view) continue;
+    const MembershipView::Counts& counts = one->view->counts();
+    sum.probes += counts.probes;
+    sum.failed_probes += counts.failed_probes;
+    sum.indirect_probes += counts.indirect_probes;
+    sum.suspicions += counts.suspicions;
+    sum.deaths += counts.deaths;
+    sum.refutations += counts.refutations;
+    sum.pauses += counts.pauses;
+    sum.mass_silences += counts.mass_silences;
+    sum.push_pulls += counts.push_pulls;
+    sum.rejected_members += counts.rejected_members;
   }
   return sum;
 }
 
+// ---- Traffic.
+
+// The sample of push-pulls is kept: the bytes of a record in them stay the same.
+void MembersSim::reset_traffic() {
+  datagrams_ = {};
+  push_pulls_.records = 0;
+  traffic_since_ = now_;
+}
+
+double MembersSim::per_member_second(double total) const {
+  const double seconds = now_ - traffic_since_;
+  return seconds > 0 ? total / seconds / options_.count : 0;
+}
+
+double MembersSim::datagram_bytes_per_member_second() const {
+  if (datagrams_.encoded == 0) return 0;
+  const double mean = static_cast<double>(datagrams_.encoded_bytes) / static_cast<double>(datagrams_.encoded);
+  return per_member_second(mean * static_cast<double>(datagrams_.sent));
+}
+
+double MembersSim::push_pull_bytes_per_member_second() const {
+  if (push_pulls_.encoded_records == 0) return 0;
+  const double mean =
+      static_cast<double>(push_pulls_.encoded_bytes) / static_cast<double>(push_pulls_.encoded_records);
+  return per_member_second(mean * static_cast<double>(push_pulls_.records));
+}
+
 }  // namespace damsonspoke::standins
--- a/standins/members_sim.h
+++ b/standins/members_sim.h
@@ -1,5 +1,6 @@
-// A fleet of members in a simulated network and time: the program's own View, thousands of them, with events
-// in the order of their times and chance from a seed. Stands in for sockets, clocks and processes.
+// A fleet of members in simulated network and time: thousands of the program's own membership views, with
+// events in the order of their times and random draws from a seed. It stands in for sockets, clocks and
+// processes.
 #pragma once
 
 #include <cstdint>
@@ -9,6 +10,7 @@
 #include <pcg_random.hpp>
 #include <queue>
 #include <string>
+#include <utility>
 #include <vector>
 
 #include "members/membership_view.h"
@@ -20,85 +22,98 @@
   struct Options {
     int count = 12;
     std::uint64_t seed = 1;
-    double loss = 0;                         // share of datagrams
-    double latency = 0.001, jitter = 0.001;  // s
+    double loss = 0;  // share of datagrams
+    double latency = 0.001;
+    double jitter = 0.001;  // seconds, as latency
     members::MembershipOptions membership;
-    std::string names = "n";  // before each one's number
-    int weigh_each = 50;      // of the datagrams one in so many is encoded, to know its bytes
+    std::string name_prefix = "n";  // before each one's number
+    int encode_one_in = 50;         // datagrams, to measure their bytes; 0: none
   };
   explicit MembersSim(Options options);
 
-  // Everybody knows everybody at the start, or each one its seeds alone.
-  void begin(bool acquainted);
+  // All members start. They know one another, or their seeds alone.
+  void start_all(bool know_one_another);
   void run_until(double time);
-  double now() const { return now_; }
+  [[nodiscard]] double now() const { return now_; }
 
   void kill(int node);
-  void start(int node);  // a new life
-  void clone(int node);  // a second process under its name, as the last node
+  void start(int node);        // with a new epoch
+  void start_clone(int node);  // a second process under the same name, which becomes the last node
   void leave(int node);
   void pause(int node, double seconds);
-  // What goes from the one to the other is lost; streams need both ways.
-  std::function<bool(int from, int to)> cut;
-  // What views say as it happens; for who looks for a cause.
+  // Whether what goes from one node to the other is lost; push-pulls need both directions.
+  std::function<bool(int from, int to)> is_cut;
+  // What views report as it happens, for tracing.
   std::function<void(int node, const std::string& what)> on_change;
-  double late = 0, doubled = 0;  // share of datagrams that come 2 s late, or twice
+  double late_share = 0;        // of datagrams that arrive 2 s late
+  double duplicated_share = 0;  // of datagrams that arrive twice
 
-  bool up(int node) const { return nodes_[static_cast<std::size_t>(node)]->up; }
-  bool paused(int node) const { return nodes_[static_cast<std::size_t>(node)]->paused_until > now_; }
-  members::MembershipView& view(int node) { return *nodes_[static_cast<std::size_t>(node)]->view; }
-  int count() const { return static_cast<int>(nodes_.size()); }
-  std::string name(int node) const { return nodes_[static_cast<std::size_t>(node)]->name; }
-  members::MemberState state(int of, const std::string& name);
+  [[nodiscard]] bool is_up(int number) const { return node(number).is_up; }
+  [[nodiscard]] bool is_paused(int number) const { return node(number).paused_until > now_; }
+  [[nodiscard]] members::MembershipView& view(int number) { return *node(number).view; }
+  [[nodiscard]] int count() const { return static_cast<int>(nodes_.size()); }
+  [[nodiscard]] std::string name(int number) const { return node(number).name; }
+  // What one node makes of the member of that name; kLeft where it does not know it.
+  [[nodiscard]] members::MemberState state(int observer, const std::string& name) const;
 
   struct Death {
-    double at = 0;  // s, of the end
+    double at = 0;
     int node = 0;
-    std::vector<double> found;  // s after it, by each who found it
+    std::vector<double> found;  // seconds after it, by each that found it
   };
-  const std::vector<Death>& deaths() const { return deaths_; }
-  struct Wrong {
+  [[nodiscard]] const std::vector<Death>& deaths() const { return deaths_; }
+  // A member was declared dead while that process of it was up. Many declarations in a row count as one.
+  struct FalseDeath {
     double at = 0;
-    int by = 0, of = 0;
+    int by = 0;
+    int of = 0;
   };
-  // Called dead while that life of it was up: each first teller counts once a spell.
-  const std::vector<Wrong>& wrong() const { return wrong_; }
-  double member_seconds() const { return member_seconds_; }
-  // Bytes that a member sent a second since forget_bytes(): in datagrams, with their IP and UDP heads; in
-  // full exchanges; in both. By encoding a sample, so none where `weigh_each` is 0.
-  double datagram_bytes_a_member_second() const;
-  double exchange_bytes_a_member_second() const;
-  double bytes_a_member_second() const {
-    return datagram_bytes_a_member_second() + exchange_bytes_a_member_second();
+  [[nodiscard]] const std::vector<FalseDeath>& false_deaths() const { return false_deaths_; }
+  [[nodiscard]] double member_seconds() const { return member_seconds_; }
+
+  // Traffic sent by a member in a second since reset_traffic(). Bytes include IP and UDP headers and come
+  // from encoding a sample, so there are none where `encode_one_in` is 0.
+  void reset_traffic();
+  [[nodiscard]] double datagram_bytes_per_member_second() const;
+  [[nodiscard]] double push_pull_bytes_per_member_second() const;
+  [[nodiscard]] double bytes_per_member_second() const {
+    return datagram_bytes_per_member_second() + push_pull_bytes_per_member_second();
+  }
+  [[nodiscard]] double datagrams_per_member_second() const {
+    return per_member_second(static_cast<double>(datagrams_.sent));
   }
-  void forget_bytes();
-  // Counts since then, a member and second: datagrams, the records in them, records in full exchanges.
-  double datagrams_a_member_second() const { return a_member_second(static_cast<double>(sent_)); }
-  double records_a_member_second() const { return a_member_second(static_cast<double>(sent_records_)); }
-  double exchanged_records_a_member_second() const {
-    return a_member_second(static_cast<double>(exchanged_records_));
+  [[nodiscard]] double records_per_member_second() const {
+    return per_member_second(static_cast<double>(datagrams_.records));
   }
-  // Every member that is up sees each other one that is up as there, and nobody else.
-  bool views_same(std::string* how_not = nullptr);
-  members::MembershipView::Counts counts() const;
+  [[nodiscard]] double push_pull_records_per_member_second() const {
+    return per_member_second(static_cast<double>(push_pulls_.records));
+  }
+  // Whether every member that is up sees all others that are up as alive, and nobody else. If not, a
+  // difference is written to `difference`.
+  [[nodiscard]] bool views_agree(std::string* difference = nullptr);
+  [[nodiscard]] members::MembershipView::Counts counts() const;
 
  private:
+  using SharedMessage = std::shared_ptr<const members::Message>;
+
   struct Node : members::MembershipSink {
     MembersSim* sim = nullptr;
     int number = 0;
-    std::string name, address;
+    std::string name;
+    std::string address;
     std::unique_ptr<members::MembershipView> view;
-    bool up = false;
+    bool is_up = false;
     double paused_until = -1;
-    std::uint64_t life = 0;
-    double next_wake = -1;
-    std::vector<std::pair<std::string, std::shared_ptr<const members::Message>>> backlog;
-    void send(const std::string& address, const members::Message& message) override;
-    void start_push_pull(const std::string& address) override;
-    void on_state_changed(const std::string& name, members::MemberState state,
+    std::uint64_t process = 0;  // counts its starts
+    std::vector<std::pair<std::string, SharedMessage>>
+        backlog;  // unread during a pause, with the sender's address
+    void send(const std::string& to, const members::Message& message) override;
+    void start_push_pull(const std::string& to) override;
+    void on_state_changed(const std::string& member, members::MemberState state,
                           members::StateChangeReason reason) override;
     void on_notice(const members::Notice& notice) override;
-    std::uint64_t epoch_known(const std::string& who) const;  // the life that it knows under this name
+    // The epoch that it knows under this name; 0 where it knows none.
+    [[nodiscard]] std::uint64_t known_epoch(const std::string& member) const;
   };
   struct Event {
     double at = 0;
@@ -108,28 +123,51 @@
       return at != other.at ? at > other.at : number > other.number;
     }
   };
-  void at(double time, std::function<void()> act);
-  void schedule_wake(Node& node);
-  void deliver(int from, int to, std::shared_ptr<const members::Message> message);
-  void resume(Node& node);
-  double chance();
-  double a_member_second(double total) const;
-  bool is_cut(int from, int to) const { return cut && cut(from, to); }
+  struct DatagramTraffic {
+    std::uint64_t sent = 0;
+    std::uint64_t records = 0;
+    std::uint64_t encoded = 0;  // the sample
+    std::uint64_t encoded_bytes = 0;
+  };
+  struct PushPullTraffic {
+    std::uint64_t records = 0;
+    std::uint64_t encoded_records = 0;  // the sample
+    std::uint64_t encoded_bytes = 0;
+  };
+
+  [[nodiscard]] Node& node(int number) { return *nodes_[static_cast<std::size_t>(number)]; }
+  [[nodiscard]] const Node& node(int number) const { return *nodes_[static_cast<std::size_t>(number)]; }
   Node& add_node(const std::string& name);
+  void schedule(double time, std::function<void()> act);
+  void schedule_timer(Node& node);
+  void resume(Node& node);
+  void deliver(int from, int to, const SharedMessage& message);
+  void receive(int from, int to, const SharedMessage& message);
+  void push_pull(Node& initiator, Node& other);
+  void note_death_found(int dead);
+  void note_false_death(int by, int of);
+  [[nodiscard]] bool agrees_with_truth(int observer, std::string* difference);
+  [[nodiscard]] double random_unit();
+  [[nodiscard]] double per_member_second(double total) const;
+  [[nodiscard]] bool is_lost(int from, int to) const { return is_cut && is_cut(from, to); }
 
   const Options options_;
   pcg64 random_;
-  double now_ = 0, member_seconds_ = 0, bytes_since_ = 0;
-  std::uint64_t next_event_ = 1, next_epoch_ = 1000;
+  double now_ = 0;
+  double member_seconds_ = 0;
+  std::uint64_t next_event_ = 1;
+  std::uint64_t next_epoch_ = 1000;
   std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
   std::vector<std::unique_ptr<Node>> nodes_;
   std::map<std::string, int> by_address_;
   std::map<std::string, int> by_name_;
   std::vector<Death> deaths_;
-  std::vector<Wrong> wrong_;
-  std::map<int, double> wrong_since_;
-  std::uint64_t sent_ = 0, sent_records_ = 0, weighed_ = 0, weighed_bytes_ = 0;  // datagrams
-  std::uint64_t exchanges_ = 0, exchanged_records_ = 0, weighed_records_ = 0, weighed_exchange_bytes_ = 0;
+  std::vector<FalseDeath> false_deaths_;
+  std::map<int, double> last_false_death_at_;  // by node
+  DatagramTraffic datagrams_;
+  PushPullTraffic push_pulls_;
+  std::uint64_t push_pull_count_ = 0;
+  double traffic_since_ = 0;
 };
 
 }  // namespace damsonspoke::standins
--- a/tests/members/failure_detection.cpp
+++ b/tests/members/failure_detection.cpp
@@ -20,7 +20,7 @@
   constexpr int kCount = 30;
   MembersSim sim(fleet_options(kCount));
   trace(sim);
-  sim.begin(true);
+  sim.start_all(true);
   sim.run_until(5);
   for (int i = 0; i < kCount; i += 3) sim.kill(i);
   sim.run_until(15);
@@ -29,7 +29,7 @@
   say("a third lost at once is found by all of the others", found == 10U * 20U);
   if (slowest_detection(sim) >= 8) std::printf("%.2f s\n", slowest_detection(sim));
   say("within eight seconds", slowest_detection(sim) < 8);
-  say("nobody else is called dead", sim.wrong().empty());
+  say("nobody else is called dead", sim.false_deaths().empty());
 }
 
 // The highest rates of one member in any second.
@@ -42,11 +42,11 @@
 PeakRates peak_rates(MembersSim& sim, int seconds) {
   PeakRates peak;
   for (int second = 0; second < seconds; ++second) {
-    sim.forget_bytes();
+    sim.reset_traffic();
     sim.run_until(sim.now() + 1);
-    peak.datagrams = std::max(peak.datagrams, sim.datagrams_a_member_second());
-    peak.records = std::max(peak.records, sim.records_a_member_second());
-    peak.push_pull_records = std::max(peak.push_pull_records, sim.exchanged_records_a_member_second());
+    peak.datagrams = std::max(peak.datagrams, sim.datagrams_per_member_second());
+    peak.records = std::max(peak.records, sim.records_per_member_second());
+    peak.push_pull_records = std::max(peak.push_pull_records, sim.push_pull_records_per_member_second());
   }
   return peak;
 }
@@ -56,11 +56,11 @@
   for (const int count : {60, 120, 240}) {
     MembersSim sim(fleet_options(count, 17, 0.01));
     trace(sim);
-    sim.begin(true);
+    sim.start_all(true);
     sim.run_until(5);
-    sim.forget_bytes();
+    sim.reset_traffic();
     sim.run_until(10);
-    const double calm = sim.records_a_member_second() + sim.exchanged_records_a_member_second();
+    const double calm = sim.records_per_member_second() + sim.push_pull_records_per_member_second();
     for (int i = 0; i < count; i += 6) sim.kill(i);
     const PeakRates peak = peak_rates(sim, 15);
     if (std::getenv("MEMBERS_TRACE") != nullptr)
@@ -69,7 +69,8 @@
     say(fmt::format("{} members: calm at most 18 records a second", count), calm <= 18);
     say("a sixth lost: at most 25 datagrams, 130 records and 50 in exchanges in any second",
         peak.datagrams <= 25 && peak.records <= 130 && peak.push_pull_records <= 50);
-    say("all see it within 15 s, nobody else is called dead", sim.views_same() && sim.wrong().empty());
+    say("all see it within 15 s, nobody else is called dead",
+        sim.views_agree() && sim.false_deaths().empty());
   }
 }
 
@@ -81,11 +82,11 @@
   for (std::uint64_t seed = 1; seed <= 2; ++seed) {
     MembersSim sim(fleet_options(kCount, seed, 0.01));
     trace(sim);
-    sim.begin(true);
+    sim.start_all(true);
     sim.run_until(5);
     for (int i = 0; i < kCount; i += 3) sim.pause(i, 2);
     sim.run_until(20);
-    wrong += sim.wrong().size();
+    wrong += sim.false_deaths().size();
   }
   if (std::getenv("MEMBERS_TRACE") != nullptr) std::fprintf(stderr, "%zu wrong\n", wrong);
   say("a third of 360 stands still for 2 s: nobody is called dead", wrong == 0);
@@ -93,13 +94,13 @@
 
 void lossy() {
   MembersSim sim(fleet_options(30, 3, 0.2));
-  sim.late = 0.2;
-  sim.doubled = 0.2;
+  sim.late_share = 0.2;
+  sim.duplicated_share = 0.2;
   trace(sim);
-  sim.begin(true);
+  sim.start_all(true);
   sim.run_until(120);
   say("a fifth lost, a fifth doubled, a fifth 2 s late: nobody is called dead in an hour of members",
-      sim.wrong().empty());
+      sim.false_deaths().empty());
   sim.kill(4);
   sim.run_until(135);
   say("a death is found all the same", sim.deaths()[0].found.size() == 29);
@@ -108,7 +109,7 @@
 void short_pauses(double seconds) {
   MembersSim sim(fleet_options(30, 5));
   trace(sim);
-  sim.begin(true);
+  sim.start_all(true);
   sim.run_until(5);
   sim.pause(3, seconds);
   sim.run_until(15);
@@ -117,28 +118,28 @@
   for (int i = 0; i < 30; ++i) sim.pause(i, seconds);
   sim.run_until(60);
   say(fmt::format("one, a third, all stand still for {:.1f} s: nobody is called dead", seconds),
-      sim.wrong().empty());
-  say("and all see all", sim.views_same());
+      sim.false_deaths().empty());
+  say("and all see all", sim.views_agree());
 }
 
 void long_pauses() {
   MembersSim sim(fleet_options(30, 6));
   trace(sim);
-  sim.begin(true);
+  sim.start_all(true);
   sim.run_until(5);
   sim.pause(3, 30);
   sim.run_until(20);
   say("one that stands still for half a minute is called dead", sim.state(0, "n3") == MemberState::kDead);
   sim.run_until(60);
-  say("and is there again", sim.state(0, "n3") == MemberState::kAlive && sim.views_same());
-  const auto wrong = sim.wrong().size();
+  say("and is there again", sim.state(0, "n3") == MemberState::kAlive && sim.views_agree());
+  const auto wrong = sim.false_deaths().size();
   sim.pause(3, 5);
   sim.run_until(75);
-  say("a second pause of 5 s is borne: it is known to stand still", sim.wrong().size() == wrong);
+  say("a second pause of 5 s is borne: it is known to stand still", sim.false_deaths().size() == wrong);
   for (int i = 0; i < 30; ++i) sim.pause(i, 30);
   sim.run_until(120);
   say("all stand still for half a minute: nobody is called dead",
-      sim.wrong().size() == wrong && sim.views_same());
+      sim.false_deaths().size() == wrong && sim.views_agree());
 }
 
 void pauses() {
@@ -152,14 +153,14 @@
   MembersSim sim(fleet_options(30, 11));
   pcg64 random(5);
   bool is_ill = false;
-  sim.cut = [&](int from, int to) { return is_ill && (from == kIll || to == kIll) && random() % 10 != 0; };
+  sim.is_cut = [&](int from, int to) { return is_ill && (from == kIll || to == kIll) && random() % 10 != 0; };
   trace(sim);
-  sim.begin(true);
+  sim.start_all(true);
   sim.run_until(5);
   is_ill = true;
   sim.run_until(125);
-  const bool others_called_dead =
-      std::any_of(sim.wrong().begin(), sim.wrong().end(), [](const auto& wrong) { return wrong.of != kIll; });
+  const bool others_called_dead = std::any_of(sim.false_deaths().begin(), sim.false_deaths().end(),
+                                              [](const auto& wrong) { return wrong.of != kIll; });
   say("one that is ill itself has nobody called dead", !others_called_dead);
   say("it knows", sim.view(kIll).local_health_score() > 2);
 }
--- a/tests/members/joins_and_leaves.cpp
+++ b/tests/members/joins_and_leaves.cpp
@@ -18,7 +18,7 @@
 void flapping() {
   MembersSim sim(fleet_options(12, 10));
   trace(sim);
-  sim.begin(true);
+  sim.start_all(true);
   sim.run_until(5);
   for (int i = 0; i < 6; ++i) {
     sim.kill(4);
@@ -35,7 +35,7 @@
   constexpr int kReplaced = 18;
   MembersSim sim(fleet_options(30, 12));
   trace(sim);
-  sim.begin(true);
+  sim.start_all(true);
   sim.run_until(5);
   for (int i = 0; i < kReplaced; ++i) {
     sim.leave(i);
@@ -48,16 +48,16 @@
   }
   sim.run_until(sim.now() + 3);
   say_same_views(sim, "six in ten replaced within 7 s: three seconds later all see all");
-  say("nobody is called dead", sim.wrong().empty());
+  say("nobody is called dead", sim.false_deaths().empty());
 }
 
 void joins() {
   MembersSim sim(fleet_options(30, 13));
-  sim.begin(false);
+  sim.start_all(false);
   sim.run_until(5);
-  say("strangers with three seeds know each other within 5 s", sim.views_same());
+  say("strangers with three seeds know each other within 5 s", sim.views_agree());
   bool is_split = true;
-  sim.cut = [&](int from, int to) { return is_split && from % 3 == 0 && to % 3 != 0; };
+  sim.is_cut = [&](int from, int to) { return is_split && from % 3 == 0 && to % 3 != 0; };
   sim.kill(7);
   sim.run_until(15);
   sim.start(7);  // its seeds are on both sides of the split
@@ -70,9 +70,9 @@
 void clones() {
   MembersSim sim(fleet_options(12, 14));
   trace(sim);
-  sim.begin(true);
+  sim.start_all(true);
   sim.run_until(5);
-  sim.clone(4);
+  sim.start_clone(4);
   sim.run_until(15);
   say("of two under one name the younger yields", sim.view(12).has_yielded() && !sim.view(4).has_yielded());
   say("the older stays", sim.state(0, "n4") == MemberState::kAlive);
@@ -90,7 +90,7 @@
 void leaves() {
   MembersSim sim(fleet_options(30, 15));
   trace(sim);
-  sim.begin(true);
+  sim.start_all(true);
   sim.run_until(5);
   sim.leave(4);
   sim.run_until(6.5);
@@ -99,7 +99,7 @@
   say("a leave is known to all within 1.5 s", is_known_to_all);
   sim.start(4);
   sim.run_until(10);
-  say("and a new life takes its place", sim.views_same());
+  say("and a new life takes its place", sim.views_agree());
 }
 
 // Forged gossip: a later epoch of another member, the last incarnation, and more members than there is room
@@ -109,7 +109,7 @@
   const std::string forger = "10.0.9.9:1";
   MembersSim sim(fleet_options(6, 16));
   trace(sim);
-  sim.begin(true);
+  sim.start_all(true);
   sim.run_until(5);
   Message message;
   message.kind = MessageKind::kGossip;
@@ -125,7 +125,7 @@
   sim.view(0).on_message(forger, message, sim.now());
   sim.run_until(15);
   say("a forged death of a later life is outlived",
-      sim.state(0, "n2") == MemberState::kAlive && sim.views_same());
+      sim.state(0, "n2") == MemberState::kAlive && sim.views_agree());
   record.epoch = sim.view(2).self().epoch;
   record.incarnation = kMaxIncarnation;
   record.condition = Condition::kSuspected;
@@ -136,7 +136,7 @@
   own.sender = "n2";
   own.records = {sim.view(2).self_record(sim.now())};
   say("nor does an accusation of the last incarnation silence it",
-      wm::decode("c", wm::encode("c", own)).error == wm::DecodeError::kNone && sim.views_same());
+      wm::decode("c", wm::encode("c", own)).error == wm::DecodeError::kNone && sim.views_agree());
   for (int i = 0; i < 5000; ++i) {
     record.name = fmt::format("x{}", i);
     message.records = {record};
--- a/tests/members/network_splits.cpp
+++ b/tests/members/network_splits.cpp
@@ -22,8 +22,8 @@
 int unreachable_links(std::uint64_t seed) {
   MembersSim sim(fleet_options(30, seed));
   bool is_cut = false;
-  sim.cut = [&](int from, int to) { return is_cut && from % kZones == 0 && to % kZones == 1; };
-  sim.begin(true);
+  sim.is_cut = [&](int from, int to) { return is_cut && from % kZones == 0 && to % kZones == 1; };
+  sim.start_all(true);
   sim.run_until(5);
   is_cut = true;
   sim.run_until(35);
@@ -63,20 +63,22 @@
   int from_zone = 0;
   int to_zone = 1;
   bool is_cut = false;
-  sim.cut = [&](int from, int to) { return is_cut && from % kZones == from_zone && to % kZones == to_zone; };
+  sim.is_cut = [&](int from, int to) {
+    return is_cut && from % kZones == from_zone && to % kZones == to_zone;
+  };
   trace(sim);
-  sim.begin(true);
+  sim.start_all(true);
   sim.run_until(5);
   is_cut = true;
   sim.run_until(35);
-  say("a one-sided cut between two zones of three: nobody is called dead", sim.wrong().empty());
+  say("a one-sided cut between two zones of three: nobody is called dead", sim.false_deaths().empty());
   say_who_sees_the_cut(sim);
   std::swap(from_zone, to_zone);
   sim.run_until(65);
-  say("it turns round: nobody is called dead", sim.wrong().empty());
+  say("it turns round: nobody is called dead", sim.false_deaths().empty());
   is_cut = false;
   sim.run_until(110);
-  say("it heals: all see all", sim.views_same());
+  say("it heals: all see all", sim.views_agree());
 }
 
 // One that is heard by all and hears nobody, then one that hears all and is heard by nobody.
@@ -85,40 +87,40 @@
   enum class Fault { kNone, kHearsNobody, kHeardByNobody };
   MembersSim sim(fleet_options(12, 8));
   Fault fault = Fault::kNone;
-  sim.cut = [&](int from, int to) {
+  sim.is_cut = [&](int from, int to) {
     if (fault == Fault::kHearsNobody) return to == kFaulty;
     return fault == Fault::kHeardByNobody && from == kFaulty;
   };
   trace(sim);
-  sim.begin(true);
+  sim.start_all(true);
   sim.run_until(5);
   fault = Fault::kHearsNobody;
   sim.run_until(40);
-  say("one that hears nobody is heard, and lives", sim.wrong().empty());
+  say("one that hears nobody is heard, and lives", sim.false_deaths().empty());
   say("it shows as cut", sim.state(0, "n4") == MemberState::kUnreachable);
   fault = Fault::kNone;
   sim.run_until(70);
-  say("and is there again", sim.views_same());
+  say("and is there again", sim.views_agree());
   fault = Fault::kHeardByNobody;
   sim.run_until(85);
   say("one that nobody hears can't be told from a dead one", sim.state(0, "n4") == MemberState::kDead);
   say("it calls nobody dead", sim.state(kFaulty, "n0") != MemberState::kDead);
   fault = Fault::kNone;
   sim.run_until(140);
-  say("and is there again, too", sim.views_same());
+  say("and is there again, too", sim.views_agree());
 }
 
 void halves() {
   MembersSim sim(fleet_options(12, 9));
   bool is_split = false;
-  sim.cut = [&](int from, int to) { return is_split && from % 2 != to % 2; };
+  sim.is_cut = [&](int from, int to) { return is_split && from % 2 != to % 2; };
   trace(sim);
-  sim.begin(true);
+  sim.start_all(true);
   sim.run_until(5);
   is_split = true;
   sim.run_until(40);
   say("two halves apart: nobody is called dead, it may be us",
-      sim.wrong().empty() && sim.state(0, "n1") == MemberState::kUnreachable);
+      sim.false_deaths().empty() && sim.state(0, "n1") == MemberState::kUnreachable);
   sim.run_until(120);
   say("after a minute they are", sim.state(0, "n1") == MemberState::kDead);
   sim.run_until(3720);
--- a/tests/members/push_pull_streams.cpp
+++ b/tests/members/push_pull_streams.cpp
@@ -84,7 +84,7 @@
   options.threads = 1;
   options.seed = kSeed;
   HollowMembers member(options);
-  member.begin();
+  member.start();
   say("it listens", wait_until_listening());
   int answered = 0;
   for (int i = 0; i < kPushPulls; ++i) answered += push_pull(i) > 0 ? 1 : 0;
--- a/tests/members/random_histories.cpp
+++ b/tests/members/random_histories.cpp
@@ -65,9 +65,9 @@
  public:
   FaultyFleet(int count, std::uint64_t seed)
       : count_(count), sim_(fleet_options(count, seed)), random_(seed) {
-    sim_.cut = [this](int from, int to) { return is_lost(from, to); };
+    sim_.is_cut = [this](int from, int to) { return is_lost(from, to); };
     trace(sim_);
-    sim_.begin(true);
+    sim_.start_all(true);
   }
 
   void play(const std::vector<FaultEvent>& history) {
@@ -85,9 +85,9 @@
   // that no third one bridges; a death is found; after the last fault all see the same. Empty if it holds.
   std::string broken_rule() {
     std::string difference;
-    if (!sim_.views_same(&difference)) return difference;
-    if (sim_.wrong().empty() || (was_cut_ && count_ < 10)) return {};
-    const auto& wrong = sim_.wrong().front();
+    if (!sim_.views_agree(&difference)) return difference;
+    if (sim_.false_deaths().empty() || (was_cut_ && count_ < 10)) return {};
+    const auto& wrong = sim_.false_deaths().front();
     return fmt::format("{} is called dead by {} at {:.2f} s and is up", sim_.name(wrong.of),
                        sim_.name(wrong.by), wrong.at);
   }
@@ -119,7 +119,7 @@
 
   [[nodiscard]] int up_count() const {
     int up = 0;
-    for (int i = 0; i < count_; ++i) up += sim_.up(i) ? 1 : 0;
+    for (int i = 0; i < count_; ++i) up += sim_.is_up(i) ? 1 : 0;
     return up;
   }
 
--- a/tests/members/simulated_fleet.h
+++ b/tests/members/simulated_fleet.h
@@ -25,7 +25,7 @@
   options.count = count;
   options.seed = seed;
   options.loss = loss;
-  options.weigh_each = 0;
+  options.encode_one_in = 0;
   return options;
 }
 
@@ -41,7 +41,7 @@
 // Says whether all views agree, and prints a difference between them before.
 inline void say_same_views(damsonspoke::standins::MembersSim& sim, const std::string& what) {
   std::string difference;
-  const bool is_same = sim.views_same(&difference);
+  const bool is_same = sim.views_agree(&difference);
   if (!is_same) std::printf("%s\n", difference.c_str());
   say(what, is_same);
 }
