--- a/src/app/membership.cpp
+++ b/src/app/membership.cpp
@@ -15,6 +15,7 @@
 constexpr double kPermille = 1000;
 constexpr double kMaxFreeCapacity = 60000;
 constexpr int kRandomEpochBits = 12;
+constexpr std::uint64_t kRandomEpochMask = (1U << kRandomEpochBits) - 1;
 
 // Links to planners have health checks of their own.
 bool may_serve(MemberState state) {
@@ -25,10 +26,9 @@
 }  // namespace
 
 std::uint64_t draw_member_epoch() {
-  constexpr std::uint64_t kRandomMask = (1U << kRandomEpochBits) - 1;
   std::random_device device;
   const auto milliseconds = static_cast<std::uint64_t>(net::unix_now() * 1000);
-  return milliseconds << kRandomEpochBits | (device() & kRandomMask);
+  return milliseconds << kRandomEpochBits | (device() & kRandomEpochMask);
 }
 
 Membership::Membership(net::Reactor& reactor, const Choice& choice, std::string role,
--- a/src/members/membership_sink.cpp
+++ b/src/members/membership_sink.cpp
@@ -1,6 +1,11 @@
 #include "members/membership_sink.h"
 
 namespace damsonspoke::members {
+namespace {
+
+constexpr double kMillisecondsPerSecond = 1000;
+
+}  // namespace
 
 const char* text_of(MemberState state) {
   switch (state) {
@@ -28,7 +33,6 @@
 }
 
 std::string text_of(const Notice& notice) {
-  constexpr double kMillisecondsPerSecond = 1000;
   switch (notice.kind) {
     case Notice::Kind::kRefuted: return "refuted a suspicion of this member";
     case Notice::Kind::kYielded:
--- a/src/members/membership_view_probes.cpp
+++ b/src/members/membership_view_probes.cpp
@@ -63,7 +63,8 @@
 // broken, since a false suspicion is then more likely.
 std::vector<MemberIndex> MembershipView::choose_helpers(const Member& target) {
   const bool looks_broken = target.link.is_broken() || target.link.is_uncertain();
-  const auto wanted = static_cast<std::size_t>((looks_broken ? 2 : 1) * options_.indirect_probes);
+  const auto wanted =
+      static_cast<std::size_t>(looks_broken ? 2 * options_.indirect_probes : options_.indirect_probes);
   std::vector<MemberIndex> helpers;
   const std::optional<MemberIndex> last_relay = table_.find(target.last_relay);
   if (last_relay && table_[*last_relay].is_alive()) helpers.push_back(*last_relay);
--- a/src/members/membership_view_send.cpp
+++ b/src/members/membership_view_send.cpp
@@ -13,6 +13,7 @@
 
 constexpr std::size_t kMaxUpdatesPerDatagram = 6;  // about others
 constexpr std::size_t kGossipFanout = 3;
+constexpr std::size_t kDrawsPerMember = 3;        // of random_members, before it scans
 constexpr std::size_t kDatagramHeaderBytes = 75;  // of IP, UDP and the message
 
 bool is_probe(const Message& message) {
@@ -121,7 +122,6 @@
     if (std::find(chosen.begin(), chosen.end(), index) == chosen.end()) chosen.push_back(index);
   };
   // A few draws are cheap in a large fleet; the scan from a random place completes them in a small one.
-  constexpr std::size_t kDrawsPerMember = 3;
   const std::size_t place = random_.index(round.size());
   for (std::size_t i = 0; i < kDrawsPerMember * limit && chosen.size() < limit; ++i)
     try_add(round[random_.index(round.size())]);
--- a/src/members/probe_schedule.cpp
+++ b/src/members/probe_schedule.cpp
@@ -4,6 +4,11 @@
 #include <utility>
 
 namespace damsonspoke::members {
+namespace {
+
+constexpr int kRounds = 2;  // that next() looks at: the rest of the current one, then a new one
+
+}  // namespace
 
 void ProbeSchedule::insert(MemberIndex member, RandomSource& random) {
   const std::size_t place = position_ + random.index(round_.size() - position_ + 1);
@@ -21,7 +26,6 @@
   }
   const std::optional<MemberIndex> out_of_turn = std::exchange(next_out_of_turn_, std::nullopt);
   if (out_of_turn && table[*out_of_turn].is_active()) return out_of_turn;
-  constexpr int kRounds = 2;  // what is left of the current one, then a new one
   for (int i = 0; i < kRounds; ++i) {
     while (position_ < round_.size()) {
       const MemberIndex member = round_[position_++];
--- a/src/peers/members/status_page.cpp
+++ b/src/peers/members/status_page.cpp
@@ -13,6 +13,7 @@
 using members::MemberStatus;
 
 constexpr std::size_t kMaxListedMembers = 600;
+constexpr int kPermillePerPercent = 10;
 constexpr int kUnhealthyScore = 2;  // beyond it, the first line warns
 
 // The words for DependencyState in the operators' interface.
@@ -61,7 +62,6 @@
 }
 
 std::string table_row(const MemberStatus& member, double now) {
-  constexpr int kPermillePerPercent = 10;
   std::string role = "-";
   std::string zone = "-";
   std::string load = "-";
--- a/src/wire/members.cpp
+++ b/src/wire/members.cpp
@@ -16,6 +16,8 @@
 constexpr std::size_t kClusterBytes = 4;  // digest of the cluster's name
 constexpr std::size_t kChecksumBytes = 8;
 static_assert(kMagicBytes + kClusterBytes + kChecksumBytes == kHeaderBytes);
+constexpr unsigned char kFirstPrintable = 0x21;
+constexpr unsigned char kDelete = 0x7f;
 constexpr std::uint32_t kClusterSeed = 0x6d656d62;
 constexpr std::uint64_t kMaxAgeMs = 0xfffffffe;
 constexpr std::uint64_t kMaxUint16 = std::numeric_limits<std::uint16_t>::max();
@@ -135,8 +137,6 @@
 
 // Names, not prose: they go into log lines.
 bool is_printable(const std::string& text) {
-  constexpr unsigned char kFirstPrintable = 0x21;
-  constexpr unsigned char kDelete = 0x7f;
   for (const char c : text) {
     const auto byte = static_cast<unsigned char>(c);
     if (byte < kFirstPrintable || byte == kDelete) return false;
--- a/tests/fleet/health_check_budget.cpp
+++ b/tests/fleet/health_check_budget.cpp
@@ -23,6 +23,9 @@
 namespace {
 
 constexpr double kTickSeconds = 0.1;
+constexpr int kTicks = 1200;
+constexpr int kFirstFaultTick = 100;
+constexpr int kHealTick = 1000;
 constexpr double kWindowSeconds = 5;  // in which checks are counted
 
 std::string instance_name(int number) { return fmt::format("n{}", number); }
@@ -128,9 +131,6 @@
 };
 
 double max_checks(int count, std::uint64_t seed) {
-  constexpr int kTicks = 1200;
-  constexpr int kFirstFaultTick = 100;
-  constexpr int kHealTick = 1000;
   SimulatedFleet fleet(count, seed);
   for (int tick = 0; tick < kTicks; ++tick) {
     const double now = tick * kTickSeconds;
--- a/tests/members/failure_detection.cpp
+++ b/tests/members/failure_detection.cpp
@@ -16,13 +16,15 @@
 
 namespace {
 
+constexpr int kIll = 4;  // the accuser in ill()
+
 void third() {
-  constexpr int kCount = 30;
-  MembersSim sim(fleet_options(kCount));
+  const int count = 30;
+  MembersSim sim(fleet_options(count));
   trace(sim);
   sim.start_all(true);
   sim.run_until(5);
-  for (int i = 0; i < kCount; i += 3) sim.kill(i);
+  for (int i = 0; i < count; i += 3) sim.kill(i);
   sim.run_until(15);
   std::size_t found = 0;
   for (const auto& death : sim.deaths()) found += death.found.size();
@@ -77,14 +79,14 @@
 // A third of a large fleet pauses for the longest time that is tolerated: its refutations have to reach all
 // in time, beside all the suspicions.
 void third_paused() {
-  constexpr int kCount = 360;
+  const int count = 360;
   std::size_t wrong = 0;
   for (std::uint64_t seed = 1; seed <= 2; ++seed) {
-    MembersSim sim(fleet_options(kCount, seed, 0.01));
+    MembersSim sim(fleet_options(count, seed, 0.01));
     trace(sim);
     sim.start_all(true);
     sim.run_until(5);
-    for (int i = 0; i < kCount; i += 3) sim.pause(i, 2);
+    for (int i = 0; i < count; i += 3) sim.pause(i, 2);
     sim.run_until(20);
     wrong += sim.false_deaths().size();
   }
@@ -149,7 +151,6 @@
 
 // An accuser with a fault of its own: nine in ten of its datagrams, both ways, are lost.
 void ill() {
-  constexpr int kIll = 4;
   MembersSim sim(fleet_options(30, 11));
   pcg64 random(5);
   bool is_ill = false;
--- a/tests/members/joins_and_leaves.cpp
+++ b/tests/members/joins_and_leaves.cpp
@@ -15,6 +15,8 @@
 
 namespace {
 
+constexpr int kReplaced = 18;  // members in replaced()
+
 void flapping() {
   MembersSim sim(fleet_options(12, 10));
   trace(sim);
@@ -32,7 +34,6 @@
 }
 
 void replaced() {
-  constexpr int kReplaced = 18;
   MembersSim sim(fleet_options(30, 12));
   trace(sim);
   sim.start_all(true);
--- a/tests/members/network_splits.cpp
+++ b/tests/members/network_splits.cpp
@@ -16,6 +16,7 @@
 namespace {
 
 constexpr int kZones = 3;
+constexpr int kFaulty = 4;  // the member in deaf()
 
 // Of the hundred links that a one-sided cut between two zones breaks: how many the receiving side sees as
 // unreachable after half a minute. Each is found by a probe of its own, so the count of one fleet varies.
@@ -83,7 +84,6 @@
 
 // One that is heard by all and hears nobody, then one that hears all and is heard by nobody.
 void deaf() {
-  constexpr int kFaulty = 4;
   enum class Fault { kNone, kHearsNobody, kHeardByNobody };
   MembersSim sim(fleet_options(12, 8));
   Fault fault = Fault::kNone;
