--- a/src/members/broken_links.h
+++ b/src/members/broken_links.h
@@ -1,5 +1,5 @@
-// Who hears whom: the broken links that members tell of, each with its direction and age. Small, and recent
-// only. Pure.
+// The broken links that other members report, each with its direction and age. A report replaces the former
+// one of the same member and expires. Pure; times are seconds, monotonic.
 #pragma once
 
 #include <map>
@@ -10,56 +10,29 @@
 
 namespace damsonspoke::members {
 
+// A direction between two members in which nothing arrives.
 struct ObservedLink {
-  std::string from, to;  // what goes from the one to the other does not come
-  double since = 0;      // s, by the clock of who asks
-  std::string told_by;
+  std::string from;
+  std::string to;
+  double since = 0;  // when the link broke
+  std::string reported_by;
 };
 
 class BrokenLinks {
  public:
-  explicit BrokenLinks(double keep) : keep_(keep) {}
-  // What a member tells takes the place of what it told before.
-  void told(const std::string& by, const std::vector<BrokenLink>& broken, double now);
-  void forget(const std::string& by) { told_.erase(by); }
-  std::vector<ObservedLink> broken(double now) const;
-  bool is_broken(const std::string& from, const std::string& to, double now) const;
+  explicit BrokenLinks(double retention_seconds) : retention_seconds_(retention_seconds) {}
+  void update(const std::string& reporter, const std::vector<BrokenLink>& links, double now);
+  void forget(const std::string& reporter) { reports_.erase(reporter); }
+  // The links of all reports that have not expired.
+  [[nodiscard]] std::vector<ObservedLink> links(double now) const;
 
  private:
-  struct Account {
-    double at = 0;
+  struct Report {
+    double received_at = 0;
     std::vector<ObservedLink> links;
   };
-  const double keep_;  // s that an account counts
-  std::map<std::string, Account> told_;
-};
-
-// One member's own findings of its links to another, from probes: three in a row that went wrong in one
-// direction are a broken link; one or two may be lost datagrams.
-class LinkHealth {
- public:
-  // What a probe showed, where the other is known to be alive.
-  void judged(bool inward_works, bool outward_works, double now);
-  bool inward_broken() const { return inward_.wrong >= kSure; }
-  bool outward_broken() const { return outward_.wrong >= kSure; }
-  bool broken() const { return inward_broken() || outward_broken(); }
-  bool doubtful() const { return !broken() && (inward_.wrong > 0 || outward_.wrong > 0); }
-  double inward_since() const { return inward_.since; }
-  double outward_since() const { return outward_.since; }
-
- private:
-  static constexpr int kSure = 3;
-  struct Way {
-    int wrong = 0;
-    double since = 0;
-    void judged(bool works, double now) {
-      if (works)
-        wrong = 0;
-      else if (wrong++ == 0)
-        since = now;
-    }
-  };
-  Way inward_, outward_;
+  const double retention_seconds_;
+  std::map<std::string, Report> reports_;  // by reporter
 };
 
 }  // namespace damsonspoke::members
