--- a/src/catalog/follower.cpp
+++ b/src/catalog/follower.cpp
@@ -147,7 +147,7 @@
   const store::ChecksumHeader head = store::read_checksum_header(piece.bytes, kSnapshotForm);
   if (head.problem != store::ChecksumProblem::kNone)
     return reject_snapshot(std::string(text_of(head.problem)));
-  if (head.form != kSnapshotForm) return reject_snapshot("it is no snapshot");
+  if (head.format_version != kSnapshotForm) return reject_snapshot("it is no snapshot");
   if (head.length > kMaxSnapshotBytes)
     return reject_snapshot(fmt::format("it holds {} bytes, {} at most", head.length, kMaxSnapshotBytes));
   if (piece.size != head.length + store::kChecksumHeaderBytes)
@@ -199,7 +199,7 @@
   if (!next_line(text_, used_, line)) {
     if (snapshot_offset_ < snapshot_end_)
       return ask(Stage::kSnapshotEntries, snapshot_name_, snapshot_offset_, kPieceBytes);
-    if (used_ != text_.size() || !check_->sound()) return reject_snapshot("torn or damaged");
+    if (used_ != text_.size() || !check_->is_valid()) return reject_snapshot("torn or damaged");
     if (successor_->route_count() != snapshot_.routes || successor_->tenant_count() != snapshot_.tenants)
       return reject_snapshot(fmt::format("its header tells {} routes and {} tenants, it has {} and {}",
                                          snapshot_.routes, snapshot_.tenants, successor_->route_count(),
@@ -251,13 +251,13 @@
   const store::ChecksumHeader head = store::read_checksum_header(piece.bytes, kBatchForm);
   const std::uint64_t whole = store::kChecksumHeaderBytes + head.length;
   const bool known = head.problem == store::ChecksumProblem::kNone;
-  if (head.problem == store::ChecksumProblem::kTorn || (known && offset_ + whole > piece.size)) {
+  if (head.problem == store::ChecksumProblem::kCorrupt || (known && offset_ + whole > piece.size)) {
     say(true, fmt::format("{}: the last span is not whole, {} bytes at {}", kChangesFile,
                           piece.size - offset_, offset_));
     return end();
   }
   if (!known) return reject_bytes(head.problem);
-  if (head.form != kBatchForm) return reject_batch("it is no span of changes");
+  if (head.format_version != kBatchForm) return reject_batch("it is no span of changes");
   if (head.length > kMaxBatchBytes)
     return reject_batch(fmt::format("it holds {} bytes, {} at most", head.length, kMaxBatchBytes));
   if (piece.bytes.size() < whole)
--- a/src/catalog/threaded_source.cpp
+++ b/src/catalog/threaded_source.cpp
@@ -25,7 +25,7 @@
   std::optional<FileChunk> piece;
 
   void run() {
-    std::unique_lock guard(lock);
+    std::unique_lock guard(mutex);
     for (;;) {
       changed.wait(guard, [this] { return closing || request; });
       if (closing) break;
@@ -53,19 +53,19 @@
 ThreadedSource::~ThreadedSource() { store::stop_worker_thread(*shared_, thread_); }
 
 void ThreadedSource::request(const std::string& name, std::uint64_t offset, std::size_t most) {
-  const std::lock_guard guard(shared_->lock);
+  const std::lock_guard guard(shared_->mutex);
   shared_->piece.reset();
   shared_->request = Request{name, offset, most};
   shared_->changed.notify_all();
 }
 
 std::optional<FileChunk> ThreadedSource::take() {
-  const std::lock_guard guard(shared_->lock);
+  const std::lock_guard guard(shared_->mutex);
   return std::exchange(shared_->piece, std::nullopt);
 }
 
 bool ThreadedSource::wait(double seconds) {
-  std::unique_lock guard(shared_->lock);
+  std::unique_lock guard(shared_->mutex);
   return shared_->changed.wait_for(guard, std::chrono::duration<double>(seconds),
                                    [this] { return shared_->piece.has_value(); });
 }
--- a/src/peers/connection_admission.cpp
+++ b/src/peers/connection_admission.cpp
@@ -98,7 +98,7 @@
 void ConnectionAdmission::keep_known() {
   if (kept_ == nullptr) return;
   kept_->write(conns::encode(known_.all()));
-  if (const std::optional<std::string> trouble = kept_->take_trouble())
+  if (const std::optional<std::string> trouble = kept_->take_write_error())
     log_.event(Level::kWarning, "door",
                trouble->empty() ? "known clients written again" : "known clients not written",
                {{"why", *trouble}});
--- a/src/stages/request_forwarder.cpp
+++ b/src/stages/request_forwarder.cpp
@@ -251,7 +251,7 @@
   }
   link_planners();
   if (kept_) {
-    if (const std::optional<std::string> trouble = kept_->take_trouble(); trouble && !trouble->empty())
+    if (const std::optional<std::string> trouble = kept_->take_write_error(); trouble && !trouble->empty())
       log_.warn("forward", "lists of planners not kept: {}", *trouble);
   }
   for (std::size_t i = 0; i < linked_.size(); ++i) {
--- a/src/stages/statistics_persistence.cpp
+++ b/src/stages/statistics_persistence.cpp
@@ -55,7 +55,7 @@
 
 void StatisticsPersistence::look() {
   write();
-  if (std::optional<std::string> trouble = keeper_->take_trouble()) {
+  if (std::optional<std::string> trouble = keeper_->take_write_error()) {
     trouble->empty() ? log_.info("knowledge", "written again")
                      : log_.event(Level::kWarning, "knowledge", "not written", {{"why", *trouble}});
   }
--- a/src/statistics/statistics_store.cpp
+++ b/src/statistics/statistics_store.cpp
@@ -19,12 +19,12 @@
 // ---- The files.
 Reading StatisticsFolder::read() {
   Reading out;
-  store::ChecksummedFile::Found found = file_.read();
-  out.older = found.older;
-  if (found.newest.problem == store::ChecksumProblem::kMissing) return out.problem = "nothing is there", out;
-  if (found.newest.problem != store::ChecksumProblem::kNone)
-    return out.problem = store::text_of(found.newest.problem), out;
-  out.record = decode(found.newest.content);
+  store::ChecksummedFile::ReadResult found = file_.read();
+  out.older = found.is_previous;
+  if (found.content.problem == store::ChecksumProblem::kMissing) return out.problem = "nothing is there", out;
+  if (found.content.problem != store::ChecksumProblem::kNone)
+    return out.problem = store::text_of(found.content.problem), out;
+  out.record = decode(found.content.content);
   if (!out.record) out.problem = "whole, but no knowledge";
   if (const std::optional<std::string> trial = disk_.read(kTrial, 16)) {
     // What can't be read counts as one life lost: no reason to believe more.
@@ -43,9 +43,11 @@
   if (disk_.exists(kTrial) && disk_.remove(kTrial)) disk_.sync_folder();
 }
 bool StatisticsFolder::write(const StatisticsRecord& record) { return write_bytes(encode(record)); }
-bool StatisticsFolder::write_bytes(std::string_view encoded) { return disk_.lock() && file_.write(encoded); }
+bool StatisticsFolder::write_bytes(std::string_view encoded) {
+  return disk_.try_lock() && file_.write(encoded);
+}
 void StatisticsFolder::forget() {
-  file_.forget();
+  file_.remove();
   came_through();
 }
 
@@ -60,11 +62,11 @@
   std::string last_trouble;
   std::uint64_t written = 0;
 
-  void run(const MakeDisk& make_disk) {
-    const std::unique_ptr<store::FileSystem> disk = make_disk();
+  void run(const FileSystemFactory& make_file_system) {
+    const std::unique_ptr<store::FileSystem> disk = make_file_system();
     StatisticsFolder folder(*disk);
     Reading read = folder.read();
-    std::unique_lock guard(lock);
+    std::unique_lock guard(mutex);
     reading = std::move(read);
     for (;;) {
       busy = false;
@@ -79,7 +81,7 @@
       if (starts) folder.begins(*starts);
       if (through) folder.came_through();
       const bool good = !bytes || folder.write_bytes(*bytes);
-      const std::string now_trouble = good ? std::string() : disk->why();
+      const std::string now_trouble = good ? std::string() : disk->last_error();
       guard.lock();
       if (!bytes) continue;
       if (good) ++written;
@@ -90,13 +92,13 @@
   }
 };
 
-StatisticsStore::StatisticsStore(MakeDisk make_disk) : shared_(std::make_shared<Shared>()) {
-  thread_ = std::thread([shared = shared_, make = std::move(make_disk)] {
+StatisticsStore::StatisticsStore(FileSystemFactory make_file_system) : shared_(std::make_shared<Shared>()) {
+  thread_ = std::thread([shared = shared_, make = std::move(make_file_system)] {
     try {
       shared->run(make);
     } catch (const std::exception& error) {
       std::fprintf(stderr, "damsonspoke: knowledge: %s\n", error.what());
-      const std::lock_guard guard(shared->lock);
+      const std::lock_guard guard(shared->mutex);
       shared->ended = true;
       shared->changed.notify_all();
     }
@@ -106,35 +108,35 @@
 StatisticsStore::~StatisticsStore() { store::stop_worker_thread(*shared_, thread_); }
 
 void StatisticsStore::wait_for_reading(double seconds) {
-  std::unique_lock guard(shared_->lock);
+  std::unique_lock guard(shared_->mutex);
   shared_->changed.wait_for(guard, std::chrono::duration<double>(seconds),
                             [this] { return shared_->reading.has_value() || shared_->ended; });
 }
 std::optional<Reading> StatisticsStore::take_reading() {
-  const std::lock_guard guard(shared_->lock);
+  const std::lock_guard guard(shared_->mutex);
   return std::exchange(shared_->reading, std::nullopt);
 }
 void StatisticsStore::write(std::string encoded) {
-  const std::lock_guard guard(shared_->lock);
+  const std::lock_guard guard(shared_->mutex);
   shared_->to_write = std::move(encoded);
   shared_->changed.notify_all();
 }
 void StatisticsStore::begins(int starts) {
-  const std::lock_guard guard(shared_->lock);
+  const std::lock_guard guard(shared_->mutex);
   shared_->to_begin = starts;
   shared_->changed.notify_all();
 }
 void StatisticsStore::came_through() {
-  const std::lock_guard guard(shared_->lock);
+  const std::lock_guard guard(shared_->mutex);
   shared_->to_come_through = true;
   shared_->changed.notify_all();
 }
-std::optional<std::string> StatisticsStore::take_trouble() {
-  const std::lock_guard guard(shared_->lock);
+std::optional<std::string> StatisticsStore::take_write_error() {
+  const std::lock_guard guard(shared_->mutex);
   return std::exchange(shared_->trouble, std::nullopt);
 }
-std::uint64_t StatisticsStore::written() const {
-  const std::lock_guard guard(shared_->lock);
+std::uint64_t StatisticsStore::write_count() const {
+  const std::lock_guard guard(shared_->mutex);
   return shared_->written;
 }
 
--- a/src/statistics/statistics_store.h
+++ b/src/statistics/statistics_store.h
@@ -43,8 +43,8 @@
 class StatisticsStore {
  public:
   // Makes the disk on the thread: even that may hang.
-  using MakeDisk = std::function<std::unique_ptr<store::FileSystem>()>;
-  explicit StatisticsStore(MakeDisk make_disk);
+  using FileSystemFactory = std::function<std::unique_ptr<store::FileSystem>()>;
+  explicit StatisticsStore(FileSystemFactory make_file_system);
   // Waits a short time for what is being written; a folder that hangs is left behind.
   ~StatisticsStore();
   StatisticsStore(const StatisticsStore&) = delete;
@@ -58,8 +58,8 @@
   void begins(int starts);
   void came_through();
   // The last write's trouble, told once a change; empty: it went well.
-  std::optional<std::string> take_trouble();
-  std::uint64_t written() const;
+  std::optional<std::string> take_write_error();
+  std::uint64_t write_count() const;
 
  private:
   struct Shared;
--- a/src/store/checksummed_file.h
+++ b/src/store/checksummed_file.h
@@ -15,23 +15,24 @@
 
 namespace damsonspoke::store {
 
-enum class ChecksumProblem { kNone, kMissing, kTorn, kForeign, kNewer };
+enum class ChecksumProblem { kNone, kMissing, kCorrupt, kUnrecognized, kNewerFormat };
 std::string_view text_of(ChecksumProblem problem);
 
 struct ChecksummedContent {
   ChecksumProblem problem = ChecksumProblem::kMissing;
-  std::uint32_t form = 0;  // of the content, as its writer names it
-  std::string content;     // where there is no problem
+  std::uint32_t format_version = 0;  // of the content, as its writer names it
+  std::string content;               // where there is no problem
 };
 
-std::string add_checksum(std::uint32_t form, std::string_view content);
-// Forms above `known` are kNewer: whole, and not for us.
+std::string add_checksum(std::uint32_t format_version, std::string_view content);
+// Forms above `known` are kNewerFormat: whole, and not for us.
 ChecksummedContent verify_checksum(std::string_view bytes, std::uint32_t known);
 
 // The head of what is sealed, for who reads the content piece by piece.
 struct ChecksumHeader {
-  ChecksumProblem problem = ChecksumProblem::kTorn;  // kTorn also where there are fewer bytes than a head has
-  std::uint32_t form = 0;
+  ChecksumProblem problem =
+      ChecksumProblem::kCorrupt;  // kCorrupt also where there are fewer bytes than a head has
+  std::uint32_t format_version = 0;
   std::uint64_t length = 0;  // bytes of content
   std::uint64_t checksum = 0;
 };
@@ -46,7 +47,7 @@
   ChecksumVerifier(const ChecksumVerifier&) = delete;
   ChecksumVerifier& operator=(const ChecksumVerifier&) = delete;
   void add(std::string_view piece);
-  bool sound() const;  // all of the content was added, and it is what was sealed
+  bool is_valid() const;  // all of the content was added, and it is what was sealed
 
  private:
   struct State;
@@ -55,27 +56,27 @@
 
 class ChecksummedFile {
  public:
-  // `most`: bytes of content.
-  ChecksummedFile(FileSystem& disk, std::string name, std::uint32_t form, std::size_t most)
-      : files_(disk), name_(std::move(name)), form_(form), most_(most) {}
+  // `max_bytes`: bytes of content.
+  ChecksummedFile(FileSystem& disk, std::string name, std::uint32_t format_version, std::size_t max_bytes)
+      : files_(disk), name_(std::move(name)), format_version_(format_version), max_bytes_(max_bytes) {}
 
-  struct Found {
-    ChecksummedContent newest;  // what is to be used, or why there is nothing
-    bool older = false;         // it is the one before: the newest was of no use
+  struct ReadResult {
+    ChecksummedContent content;  // what is to be used, or why there is nothing
+    bool is_previous = false;    // it is the one before: the newest was of no use
   };
-  Found read();
+  ReadResult read();
   // False where it could not be made durable; what was there is still there. A newer program's file is never
   // overwritten: it is moved aside once, to NAME.newer.
   bool write(std::string_view content);
-  void forget();  // both generations
+  void remove();  // both generations
 
  private:
   std::string older() const { return name_ + ".1"; }
 
   FileSystem& files_;
   const std::string name_;
-  const std::uint32_t form_;
-  const std::size_t most_;
+  const std::uint32_t format_version_;
+  const std::size_t max_bytes_;
 };
 
 }  // namespace damsonspoke::store
--- a/src/store/file_system.cpp
+++ b/src/store/file_system.cpp
@@ -34,11 +34,11 @@
     if (lock_ >= 0) ::close(lock_);
   }
 
-  std::optional<std::string> read(const std::string& name, std::size_t most) override {
+  std::optional<std::string> read(const std::string& name, std::size_t max_bytes) override {
     const Fd file(::open(at(name).c_str(), O_RDONLY | O_CLOEXEC | O_NONBLOCK));
     struct stat status {};
     if (!file.good() || ::fstat(file.get(), &status) != 0) return failed("read", name), std::nullopt;
-    if (!S_ISREG(status.st_mode) || static_cast<std::size_t>(status.st_size) > most)
+    if (!S_ISREG(status.st_mode) || static_cast<std::size_t>(status.st_size) > max_bytes)
       return errno = EFBIG, failed("read", name), std::nullopt;
     std::string bytes(static_cast<std::size_t>(status.st_size), '\0');
     std::size_t have = 0;
@@ -77,7 +77,7 @@
     const Fd folder(::open(path_.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
     return (folder.good() && ::fsync(folder.get()) == 0) || failed("sync", "the folder");
   }
-  bool lock() override {
+  bool try_lock() override {
     if (lock_ >= 0) return true;
     const int fd = ::open(at("lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0644);
     if (fd < 0) return failed("make", "lock");
@@ -89,7 +89,7 @@
     lock_ = fd;
     return true;
   }
-  std::string why() const override { return why_; }
+  std::string last_error() const override { return why_; }
 
  private:
   std::string at(const std::string& name) const { return path_ + "/" + name; }
--- a/src/store/persisted_file.cpp
+++ b/src/store/persisted_file.cpp
@@ -15,11 +15,12 @@
   std::string last_trouble;
   std::uint64_t written = 0;
 
-  void run(const MakeDisk& make_disk, const std::string& name, std::uint32_t form, std::size_t most) {
-    const std::unique_ptr<FileSystem> disk = make_disk();
-    ChecksummedFile file(*disk, name, form, most);
-    ChecksummedContent read = file.read().newest;
-    std::unique_lock guard(lock);
+  void run(const FileSystemFactory& make_file_system, const std::string& name, std::uint32_t format_version,
+           std::size_t max_bytes) {
+    const std::unique_ptr<FileSystem> disk = make_file_system();
+    ChecksummedFile file(*disk, name, format_version, max_bytes);
+    ChecksummedContent read = file.read().content;
+    std::unique_lock guard(mutex);
     found = std::move(read);
     for (;;) {
       changed.notify_all();
@@ -27,26 +28,28 @@
       if (!to_write) return;  // closing, and nothing is left
       const std::string content = *std::exchange(to_write, std::nullopt);
       guard.unlock();
-      const bool good = disk->lock() && file.write(content);
-      const std::string why = good ? std::string() : disk->why();
+      const bool good = disk->try_lock() && file.write(content);
+      const std::string why = good ? std::string() : disk->last_error();
       guard.lock();
       written += good;
       if (why != last_trouble) trouble = last_trouble = why;
     }
   }
   void end(const char* why) {
-    const std::lock_guard guard(lock);
+    const std::lock_guard guard(mutex);
     ended = true;
     if (why != nullptr) trouble = why;
     changed.notify_all();
   }
 };
 
-PersistedFile::PersistedFile(MakeDisk make_disk, std::string name, std::uint32_t form, std::size_t most)
+PersistedFile::PersistedFile(FileSystemFactory make_file_system, std::string name,
+                             std::uint32_t format_version, std::size_t max_bytes)
     : shared_(std::make_shared<Shared>()) {
-  thread_ = std::thread([shared = shared_, make = std::move(make_disk), name = std::move(name), form, most] {
+  thread_ = std::thread([shared = shared_, make = std::move(make_file_system), name = std::move(name),
+                         format_version, max_bytes] {
     try {
-      shared->run(make, name, form, most);
+      shared->run(make, name, format_version, max_bytes);
       shared->end(nullptr);
     } catch (const std::exception& error) {
       shared->end(error.what());
@@ -57,24 +60,24 @@
 PersistedFile::~PersistedFile() { stop_worker_thread(*shared_, thread_); }
 
 std::optional<ChecksummedContent> PersistedFile::read(double seconds) {
-  std::unique_lock guard(shared_->lock);
+  std::unique_lock guard(shared_->mutex);
   shared_->changed.wait_for(guard, std::chrono::duration<double>(seconds),
                             [this] { return shared_->found.has_value() || shared_->ended; });
   return shared_->found;
 }
 
 void PersistedFile::write(std::string content) {
-  const std::lock_guard guard(shared_->lock);
+  const std::lock_guard guard(shared_->mutex);
   shared_->to_write = std::move(content);
   shared_->changed.notify_all();
 }
 
-std::optional<std::string> PersistedFile::take_trouble() {
-  const std::lock_guard guard(shared_->lock);
+std::optional<std::string> PersistedFile::take_write_error() {
+  const std::lock_guard guard(shared_->mutex);
   return std::exchange(shared_->trouble, std::nullopt);
 }
-std::uint64_t PersistedFile::written() const {
-  const std::lock_guard guard(shared_->lock);
+std::uint64_t PersistedFile::write_count() const {
+  const std::lock_guard guard(shared_->mutex);
   return shared_->written;
 }
 
--- a/src/store/persisted_file.h
+++ b/src/store/persisted_file.h
@@ -15,9 +15,10 @@
 
 class PersistedFile {
  public:
-  using MakeDisk = std::function<std::unique_ptr<FileSystem>()>;
-  // `form`, `most`: as of SealedFile.
-  PersistedFile(MakeDisk make_disk, std::string name, std::uint32_t form, std::size_t most);
+  using FileSystemFactory = std::function<std::unique_ptr<FileSystem>()>;
+  // `format_version`, `max_bytes`: as of SealedFile.
+  PersistedFile(FileSystemFactory make_file_system, std::string name, std::uint32_t format_version,
+                std::size_t max_bytes);
   ~PersistedFile();  // what waits to be written gets 0.2 s
   PersistedFile(const PersistedFile&) = delete;
   PersistedFile& operator=(const PersistedFile&) = delete;
@@ -26,8 +27,8 @@
   std::optional<ChecksummedContent> read(double seconds);
   void write(std::string content);
   // Why the last writing failed, once; the one before is still there.
-  std::optional<std::string> take_trouble();
-  std::uint64_t written() const;
+  std::optional<std::string> take_write_error();
+  std::uint64_t write_count() const;
 
  private:
   struct Shared;
--- a/tests/compatibility/stored_files_test.cpp
+++ b/tests/compatibility/stored_files_test.cpp
@@ -34,7 +34,7 @@
   store::ChecksummedContent read_sealed(const std::string& folder, const std::string& name,
                                         std::uint32_t form, std::size_t most_bytes) {
     const std::unique_ptr<store::FileSystem> disk = store::open_folder(path(folder));
-    return store::ChecksummedFile(*disk, name, form, most_bytes).read().newest;
+    return store::ChecksummedFile(*disk, name, form, most_bytes).read().content;
   }
 
   std::filesystem::path folder_;
--- a/tests/recording_folder.h
+++ b/tests/recording_folder.h
@@ -48,8 +48,8 @@
     return files_.erase(name), done({Step::What::kRemove, name, {}, {}});
   }
   bool sync_folder() override { return done({Step::What::kSyncFolder, {}, {}, {}}); }
-  bool lock() override { return !locked_elsewhere; }
-  std::string why() const override { return locked_elsewhere ? "another process has it" : "it is full"; }
+  bool try_lock() override { return !locked_elsewhere; }
+  std::string last_error() const override { return locked_elsewhere ? "another process has it" : "it is full"; }
 
   const std::vector<Step>& steps() const { return steps_; }
   const Files& files() const { return files_; }
