--- a/src/app/knowledge_command.cpp
+++ b/src/app/knowledge_command.cpp
@@ -57,7 +57,7 @@
   const std::unique_ptr<store::FileSystem> disk = store::open_folder(path);
   statistics::StatisticsFolder folder(*disk);
   if (action == "forget") {
-    if (!disk->try_lock()) throw SettingsError(disk->last_error());
+    if (!disk->try_lock()) throw SettingsError(text_of(disk->last_error()));
     folder.forget();
     fmt::print("{}: forgotten\n", path);
     return kDone;
--- a/src/catalog/files.cpp
+++ b/src/catalog/files.cpp
@@ -90,7 +90,7 @@
   }
   const std::unique_ptr<store::FileSystem> disk = store::open_folder(folder);
   store::ChecksummedFile file(*disk, kSnapshotFile, kSnapshotForm, kMaxSnapshotBytes);
-  if (!file.write(encode_header(header) + lines)) throw FilesError(disk->last_error());
+  if (!file.write(encode_header(header) + lines)) throw FilesError(text_of(disk->last_error()));
 }
 
 std::string lines_of(const Catalog& catalog) {
--- a/src/statistics/statistics_store.cpp
+++ b/src/statistics/statistics_store.cpp
@@ -81,7 +81,7 @@
       if (starts) folder.begins(*starts);
       if (through) folder.came_through();
       const bool good = !bytes || folder.write_bytes(*bytes);
-      const std::string now_trouble = good ? std::string() : disk->last_error();
+      const std::string now_trouble = good ? std::string() : text_of(disk->last_error());
       guard.lock();
       if (!bytes) continue;
       if (good) ++written;
--- a/src/store/checksummed_file.cpp
+++ b/src/store/checksummed_file.cpp
@@ -8,27 +8,37 @@
 namespace damsonspoke::store {
 namespace {
 
-// "DSPKFILE", the format_version, the length and the checksum of format_version, length and content; numbers
-// as little endian.
-constexpr std::string_view kMark = "DSPKFILE";
-constexpr std::size_t kHead = kChecksumHeaderBytes;
-
-void put(std::string& out, std::uint64_t value, int bytes) {
-  for (int i = 0; i < bytes; ++i) out += static_cast<char>(value >> (8 * i));
+constexpr std::string_view kMagic = "DSPKFILE";
+constexpr std::size_t kVersionOffset = 8;
+constexpr std::size_t kVersionBytes = 4;
+constexpr std::size_t kLengthOffset = 12;
+constexpr std::size_t kChecksumOffset = 20;
+constexpr std::size_t kNumberBytes = 8;  // of the length and of the checksum
+
+void append_little_endian(std::string& out, std::uint64_t value, std::size_t bytes) {
+  for (std::size_t i = 0; i < bytes; ++i) out += static_cast<char>(value >> (8 * i));
 }
-std::uint64_t take(std::string_view in, std::size_t at, int bytes) {
+
+std::uint64_t read_little_endian(std::string_view in, std::size_t offset, std::size_t bytes) {
   std::uint64_t value = 0;
-  for (int i = bytes; i-- > 0;)
-    value = value << 8 | static_cast<unsigned char>(in[at + static_cast<std::size_t>(i)]);
+  for (std::size_t i = bytes; i-- > 0;) value = value << 8 | static_cast<unsigned char>(in[offset + i]);
   return value;
 }
+
+// Format version and length enter the checksum as its seed.
 std::uint64_t seed_of(std::uint32_t format_version, std::uint64_t length) {
   return format_version * 0x9e3779b97f4a7c15ULL + length;
 }
-std::uint64_t sum_of(std::uint32_t format_version, std::string_view content) {
+
+std::uint64_t checksum_of(std::uint32_t format_version, std::string_view content) {
   return XXH3_64bits_withSeed(content.data(), content.size(), seed_of(format_version, content.size()));
 }
 
+bool begins_with_magic(std::string_view bytes) {
+  const std::size_t length = std::min(bytes.size(), kMagic.size());
+  return bytes.substr(0, length) == kMagic.substr(0, length);
+}
+
 }  // namespace
 
 std::string_view text_of(ChecksumProblem problem) {
@@ -43,34 +53,38 @@
 }
 
 std::string add_checksum(std::uint32_t format_version, std::string_view content) {
-  std::string out(kMark);
-  put(out, format_version, 4);
-  put(out, content.size(), 8);
-  put(out, sum_of(format_version, content), 8);
+  std::string out(kMagic);
+  append_little_endian(out, format_version, kVersionBytes);
+  append_little_endian(out, content.size(), kNumberBytes);
+  append_little_endian(out, checksum_of(format_version, content), kNumberBytes);
   out += content;
   return out;
 }
 
 ChecksumHeader read_checksum_header(std::string_view bytes, std::uint32_t known) {
-  ChecksumHeader head;
-  const std::size_t shown = std::min(bytes.size(), kMark.size());
-  if (bytes.substr(0, shown) != kMark.substr(0, shown)) head.problem = ChecksumProblem::kUnrecognized;
-  if (head.problem == ChecksumProblem::kUnrecognized || bytes.size() < kHead) return head;
-  head.format_version = static_cast<std::uint32_t>(take(bytes, 8, 4));
-  head.length = take(bytes, 12, 8);
-  head.checksum = take(bytes, 20, 8);
-  head.problem = head.format_version > known ? ChecksumProblem::kNewerFormat : ChecksumProblem::kNone;
-  return head;
+  ChecksumHeader header;
+  if (!begins_with_magic(bytes)) {
+    header.problem = ChecksumProblem::kUnrecognized;
+    return header;
+  }
+  if (bytes.size() < kChecksumHeaderBytes) return header;
+  header.format_version =
+      static_cast<std::uint32_t>(read_little_endian(bytes, kVersionOffset, kVersionBytes));
+  header.length = read_little_endian(bytes, kLengthOffset, kNumberBytes);
+  header.checksum = read_little_endian(bytes, kChecksumOffset, kNumberBytes);
+  header.problem = header.format_version > known ? ChecksumProblem::kNewerFormat : ChecksumProblem::kNone;
+  return header;
 }
 
 ChecksummedContent verify_checksum(std::string_view bytes, std::uint32_t known) {
+  const ChecksumHeader header = read_checksum_header(bytes, known);
   ChecksummedContent out;
-  const ChecksumHeader head = read_checksum_header(bytes, known);
-  out.problem = head.problem;
-  out.format_version = head.format_version;
-  if (head.problem == ChecksumProblem::kUnrecognized || head.problem == ChecksumProblem::kCorrupt) return out;
-  const std::string_view content = bytes.substr(kHead);
-  if (head.length != content.size() || head.checksum != sum_of(head.format_version, content)) {
+  out.problem = header.problem;
+  out.format_version = header.format_version;
+  if (header.problem == ChecksumProblem::kUnrecognized || header.problem == ChecksumProblem::kCorrupt)
+    return out;
+  const std::string_view content = bytes.substr(kChecksumHeaderBytes);
+  if (header.length != content.size() || header.checksum != checksum_of(header.format_version, content)) {
     out.problem = ChecksumProblem::kCorrupt;
     return out;
   }
@@ -78,68 +92,71 @@
   return out;
 }
 
-// ---- SealCheck.
-
 struct ChecksumVerifier::State {
-  ChecksumHeader head;
-  XXH3_state_t* sum = nullptr;
-  std::uint64_t length = 0;  // bytes so far
+  struct FreeHash {
+    void operator()(XXH3_state_t* hash) const { XXH3_freeState(hash); }
+  };
+  ChecksumHeader header;
+  std::unique_ptr<XXH3_state_t, FreeHash> hash{XXH3_createState()};
+  std::uint64_t received_bytes = 0;
 };
 
-ChecksumVerifier::ChecksumVerifier(const ChecksumHeader& head) : state_(std::make_unique<State>()) {
-  state_->head = head;
-  state_->sum = XXH3_createState();
-  if (state_->sum == nullptr) throw std::bad_alloc();
-  XXH3_64bits_reset_withSeed(state_->sum, seed_of(head.format_version, head.length));
+ChecksumVerifier::ChecksumVerifier(const ChecksumHeader& header) : state_(std::make_unique<State>()) {
+  state_->header = header;
+  if (state_->hash == nullptr) throw std::bad_alloc();
+  XXH3_64bits_reset_withSeed(state_->hash.get(), seed_of(header.format_version, header.length));
 }
-ChecksumVerifier::~ChecksumVerifier() { XXH3_freeState(state_->sum); }
+
+ChecksumVerifier::~ChecksumVerifier() = default;
 
 void ChecksumVerifier::add(std::string_view piece) {
-  state_->length += piece.size();
-  XXH3_64bits_update(state_->sum, piece.data(), piece.size());
+  state_->received_bytes += piece.size();
+  XXH3_64bits_update(state_->hash.get(), piece.data(), piece.size());
 }
+
 bool ChecksumVerifier::is_valid() const {
-  return state_->length == state_->head.length && XXH3_64bits_digest(state_->sum) == state_->head.checksum;
+  return state_->received_bytes == state_->header.length &&
+         XXH3_64bits_digest(state_->hash.get()) == state_->header.checksum;
+}
+
+ChecksummedContent ChecksummedFile::read_generation(const std::string& name) {
+  const std::optional<std::string> bytes = file_system_.read(name, max_bytes_ + kChecksumHeaderBytes);
+  if (bytes) return verify_checksum(*bytes, format_version_);
+  ChecksummedContent unreadable;
+  unreadable.problem = file_system_.exists(name) ? ChecksumProblem::kCorrupt : ChecksumProblem::kMissing;
+  return unreadable;
 }
 
 ChecksummedFile::ReadResult ChecksummedFile::read() {
-  ReadResult found;
-  const auto look = [&](const std::string& name) {
-    const std::optional<std::string> bytes = files_.read(name, max_bytes_ + kHead);
-    if (bytes) return verify_checksum(*bytes, format_version_);
-    ChecksummedContent none;
-    none.problem = files_.exists(name) ? ChecksumProblem::kCorrupt : ChecksumProblem::kMissing;
-    return none;
-  };
-  found.content = look(name_);
-  if (found.content.problem == ChecksumProblem::kNone ||
-      found.content.problem == ChecksumProblem::kNewerFormat)
-    return found;
-  ChecksummedContent before = look(older());
-  if (before.problem != ChecksumProblem::kNone) return found;
-  found.content = std::move(before);
-  found.is_previous = true;
-  return found;
+  ReadResult result{read_generation(name_), false};
+  const ChecksumProblem problem = result.content.problem;
+  if (problem == ChecksumProblem::kNone || problem == ChecksumProblem::kNewerFormat) return result;
+  ChecksummedContent previous = read_generation(previous_name());
+  if (previous.problem != ChecksumProblem::kNone) return result;
+  return {std::move(previous), true};
 }
 
 bool ChecksummedFile::write(std::string_view content) {
   if (content.size() > max_bytes_) return false;
-  const std::string aside = name_ + ".new";
-  if (!files_.write(aside, add_checksum(format_version_, content)) || !files_.sync(aside)) return false;
-  const std::optional<std::string> there = files_.read(name_, max_bytes_ + kHead);
-  const ChecksumProblem was =
-      there ? verify_checksum(*there, format_version_).problem : ChecksumProblem::kMissing;
-  // Only what is sound becomes the one before: a torn file must not push out the last good one.
-  if (was == ChecksumProblem::kNone && !files_.rename(name_, older())) return false;
-  if (was == ChecksumProblem::kNewerFormat && !files_.exists(name_ + ".newer") &&
-      !files_.rename(name_, name_ + ".newer"))
+  const std::string temporary = name_ + ".new";
+  if (!file_system_.write(temporary, add_checksum(format_version_, content))) return false;
+  if (!file_system_.sync(temporary)) return false;
+
+  const std::optional<std::string> current = file_system_.read(name_, max_bytes_ + kChecksumHeaderBytes);
+  const ChecksumProblem problem =
+      current ? verify_checksum(*current, format_version_).problem : ChecksumProblem::kMissing;
+  // Only an intact file becomes the previous generation: a corrupt one must not replace the last good one.
+  if (problem == ChecksumProblem::kNone && !file_system_.rename(name_, previous_name())) return false;
+  const std::string newer = name_ + ".newer";
+  if (problem == ChecksumProblem::kNewerFormat && !file_system_.exists(newer) &&
+      !file_system_.rename(name_, newer))
     return false;
-  return files_.rename(aside, name_) && files_.sync_folder();
+  return file_system_.rename(temporary, name_) && file_system_.sync_folder();
 }
 
 void ChecksummedFile::remove() {
-  for (const std::string& name : {name_, older(), name_ + ".new"}) files_.remove(name);
-  files_.sync_folder();
+  for (const std::string& name : {name_, previous_name(), name_ + ".new"}) file_system_.remove(name);
+  file_system_.sync_folder();
 }
 
 }  // namespace damsonspoke::store
--- a/src/store/checksummed_file.h
+++ b/src/store/checksummed_file.h
@@ -1,8 +1,12 @@
-// A small file that is there whole or not at all: written aside, synced, renamed, its folder synced; with a
-// length and a checksum, so that a part of it is never taken for it; and the one before it kept beside.
+// A small file that is replaced atomically and verified by a checksum when it is read; the generation before
+// it is kept as a fallback.
 //
-// After "All File Systems Are Not Created Equal" (OSDI 2014): a rename may reach the disk before the bytes of
-// what was renamed, so bytes are synced first; names are not durable until their folder is.
+// The write sequence follows "All File Systems Are Not Created Equal" (Pillai et al., OSDI 2014): a rename
+// may reach the disk before the bytes of the renamed file, so the bytes are synced first; and a name is not
+// durable until its folder is synced.
+//
+// Layout: the magic "DSPKFILE", format version (4 bytes), content length (8), XXH3 checksum of both and of
+// the content (8), then the content. Numbers are little endian.
 #pragma once
 
 #include <cstdint>
@@ -15,65 +19,82 @@
 
 namespace damsonspoke::store {
 
-enum class ChecksumProblem { kNone, kMissing, kCorrupt, kUnrecognized, kNewerFormat };
+enum class ChecksumProblem : std::uint8_t {
+  kNone,
+  kMissing,       // there is no file
+  kCorrupt,       // truncated, or the checksum differs
+  kUnrecognized,  // it does not begin with our magic
+  kNewerFormat,   // intact, and written in a format version that this program does not know
+};
 std::string_view text_of(ChecksumProblem problem);
 
 struct ChecksummedContent {
   ChecksumProblem problem = ChecksumProblem::kMissing;
-  std::uint32_t format_version = 0;  // of the content, as its writer names it
-  std::string content;               // where there is no problem
+  std::uint32_t format_version = 0;  // of the content, as its writer numbers it
+  std::string content;               // empty where there is a problem
 };
 
+// The bytes of a file with this content: header and content.
 std::string add_checksum(std::uint32_t format_version, std::string_view content);
-// Forms above `known` are kNewerFormat: whole, and not for us.
+// Verifies the bytes of a file and gives its content. `known`: the latest format version that the caller
+// reads.
 ChecksummedContent verify_checksum(std::string_view bytes, std::uint32_t known);
 
-// The head of what is sealed, for who reads the content piece by piece.
+// The header of a file, for callers that read its content piece by piece.
 struct ChecksumHeader {
-  ChecksumProblem problem =
-      ChecksumProblem::kCorrupt;  // kCorrupt also where there are fewer bytes than a head has
+  ChecksumProblem problem = ChecksumProblem::kCorrupt;  // also where the header is incomplete
   std::uint32_t format_version = 0;
   std::uint64_t length = 0;  // bytes of content
   std::uint64_t checksum = 0;
 };
-constexpr std::size_t kChecksumHeaderBytes = 28;
+inline constexpr std::size_t kChecksumHeaderBytes = 28;
 ChecksumHeader read_checksum_header(std::string_view bytes, std::uint32_t known);
 
-// The checksum of content that is read piece by piece.
+// Computes the checksum of content that is read piece by piece.
 class ChecksumVerifier {
  public:
-  explicit ChecksumVerifier(const ChecksumHeader& head);
+  explicit ChecksumVerifier(const ChecksumHeader& header);  // throws std::bad_alloc
   ~ChecksumVerifier();
   ChecksumVerifier(const ChecksumVerifier&) = delete;
   ChecksumVerifier& operator=(const ChecksumVerifier&) = delete;
+
   void add(std::string_view piece);
-  bool is_valid() const;  // all of the content was added, and it is what was sealed
+  // Whether the pieces so far are the whole content that the header describes.
+  [[nodiscard]] bool is_valid() const;
 
  private:
   struct State;
   std::unique_ptr<State> state_;
 };
 
+// A checksummed file and its previous generation (NAME.1) in one folder.
 class ChecksummedFile {
  public:
-  // `max_bytes`: bytes of content.
-  ChecksummedFile(FileSystem& disk, std::string name, std::uint32_t format_version, std::size_t max_bytes)
-      : files_(disk), name_(std::move(name)), format_version_(format_version), max_bytes_(max_bytes) {}
+  // `format_version`: written, and the latest one that is read. `max_bytes`: of content.
+  ChecksummedFile(FileSystem& file_system, std::string name, std::uint32_t format_version,
+                  std::size_t max_bytes)
+      : file_system_(file_system),
+        name_(std::move(name)),
+        format_version_(format_version),
+        max_bytes_(max_bytes) {}
 
   struct ReadResult {
-    ChecksummedContent content;  // what is to be used, or why there is nothing
-    bool is_previous = false;    // it is the one before: the newest was of no use
+    ChecksummedContent content;
+    bool is_previous = false;  // the current generation was unusable, this is the one before it
   };
   ReadResult read();
-  // False where it could not be made durable; what was there is still there. A newer program's file is never
-  // overwritten: it is moved aside once, to NAME.newer.
-  bool write(std::string_view content);
-  void remove();  // both generations
+  // Replaces the file atomically and durably; the file that was there becomes the previous generation. False
+  // where that failed or the content is too long: then the file is as it was. A file of a newer format
+  // version is never overwritten: it is renamed to NAME.newer once.
+  [[nodiscard]] bool write(std::string_view content);
+  // Removes both generations.
+  void remove();
 
  private:
-  std::string older() const { return name_ + ".1"; }
+  std::string previous_name() const { return name_ + ".1"; }
+  ChecksummedContent read_generation(const std::string& name);
 
-  FileSystem& files_;
+  FileSystem& file_system_;
   const std::string name_;
   const std::uint32_t format_version_;
   const std::size_t max_bytes_;
--- a/src/store/persisted_file.cpp
+++ b/src/store/persisted_file.cpp
@@ -9,36 +9,38 @@
 #include "store/worker_thread.h"
 
 namespace damsonspoke::store {
+
 struct PersistedFile::Shared : WorkerThreadState {
-  std::optional<ChecksummedContent> found;
-  std::optional<std::string> to_write, trouble;
-  std::string last_trouble;
-  std::uint64_t written = 0;
+  std::optional<ChecksummedContent> initial_content;
+  std::optional<std::string> pending_content;
+  std::optional<std::string> unreported_error;
+  std::string last_error;
+  std::uint64_t write_count = 0;
 
-  void run(const FileSystemFactory& make_file_system, const std::string& name, std::uint32_t format_version,
-           std::size_t max_bytes) {
-    const std::unique_ptr<FileSystem> disk = make_file_system();
-    ChecksummedFile file(*disk, name, format_version, max_bytes);
-    ChecksummedContent read = file.read().content;
+  void run(FileSystem& file_system, ChecksummedFile file) {
+    ChecksummedContent content = file.read().content;
     std::unique_lock guard(mutex);
-    found = std::move(read);
+    initial_content = std::move(content);
     for (;;) {
       changed.notify_all();
-      changed.wait(guard, [this] { return closing || to_write; });
-      if (!to_write) return;  // closing, and nothing is left
-      const std::string content = *std::exchange(to_write, std::nullopt);
+      changed.wait(guard, [this] { return closing || pending_content; });
+      if (!pending_content) return;
+      const std::string pending = *std::exchange(pending_content, std::nullopt);
       guard.unlock();
-      const bool good = disk->try_lock() && file.write(content);
-      const std::string why = good ? std::string() : disk->last_error();
+      const bool is_written = file_system.try_lock() && file.write(pending);
+      const std::string error = is_written ? std::string() : text_of(file_system.last_error());
       guard.lock();
-      written += good;
-      if (why != last_trouble) trouble = last_trouble = why;
+      if (is_written) ++write_count;
+      if (error == last_error) continue;
+      last_error = error;
+      unreported_error = error;
     }
   }
-  void end(const char* why) {
+
+  void finish(const char* error) {
     const std::lock_guard guard(mutex);
     ended = true;
-    if (why != nullptr) trouble = why;
+    if (error != nullptr) unreported_error = error;
     changed.notify_all();
   }
 };
@@ -46,13 +48,14 @@
 PersistedFile::PersistedFile(FileSystemFactory make_file_system, std::string name,
                              std::uint32_t format_version, std::size_t max_bytes)
     : shared_(std::make_shared<Shared>()) {
-  thread_ = std::thread([shared = shared_, make = std::move(make_file_system), name = std::move(name),
-                         format_version, max_bytes] {
+  thread_ = std::thread([shared = shared_, make_file_system = std::move(make_file_system),
+                         name = std::move(name), format_version, max_bytes] {
     try {
-      shared->run(make, name, format_version, max_bytes);
-      shared->end(nullptr);
+      const std::unique_ptr<FileSystem> file_system = make_file_system();
+      shared->run(*file_system, ChecksummedFile(*file_system, name, format_version, max_bytes));
+      shared->finish(nullptr);
     } catch (const std::exception& error) {
-      shared->end(error.what());
+      shared->finish(error.what());
     }
   });
 }
@@ -62,23 +65,24 @@
 std::optional<ChecksummedContent> PersistedFile::read(double seconds) {
   std::unique_lock guard(shared_->mutex);
   shared_->changed.wait_for(guard, std::chrono::duration<double>(seconds),
-                            [this] { return shared_->found.has_value() || shared_->ended; });
-  return shared_->found;
+                            [this] { return shared_->initial_content.has_value() || shared_->ended; });
+  return shared_->initial_content;
 }
 
 void PersistedFile::write(std::string content) {
   const std::lock_guard guard(shared_->mutex);
-  shared_->to_write = std::move(content);
+  shared_->pending_content = std::move(content);
   shared_->changed.notify_all();
 }
 
 std::optional<std::string> PersistedFile::take_write_error() {
   const std::lock_guard guard(shared_->mutex);
-  return std::exchange(shared_->trouble, std::nullopt);
+  return std::exchange(shared_->unreported_error, std::nullopt);
 }
+
 std::uint64_t PersistedFile::write_count() const {
   const std::lock_guard guard(shared_->mutex);
-  return shared_->written;
+  return shared_->write_count;
 }
 
 }  // namespace damsonspoke::store
--- a/src/store/persisted_file.h
+++ b/src/store/persisted_file.h
@@ -1,6 +1,6 @@
-// One sealed file with a thread of its own: read once, then written as often as there is something new, the
-// newest wins. Guards against a folder that hangs: whoever holds this waits for nothing but the first
-// reading, and for that no longer than he says.
+// A checksummed file with a thread of its own: it is read once and then written whenever there is new
+// content. The thread isolates its owner from a folder that hangs: the owner waits only for the first read,
+// and for that no longer than it says.
 #pragma once
 
 #include <functional>
@@ -15,19 +15,25 @@
 
 class PersistedFile {
  public:
+  // Called on the thread, since opening a folder may hang too.
   using FileSystemFactory = std::function<std::unique_ptr<FileSystem>()>;
-  // `format_version`, `max_bytes`: as of SealedFile.
+
+  // Starts the thread, which reads the file. `format_version`, `max_bytes`: as of ChecksummedFile.
   PersistedFile(FileSystemFactory make_file_system, std::string name, std::uint32_t format_version,
                 std::size_t max_bytes);
-  ~PersistedFile();  // what waits to be written gets 0.2 s
+  // Waits briefly for a pending write; see stop_worker_thread().
+  ~PersistedFile();
   PersistedFile(const PersistedFile&) = delete;
   PersistedFile& operator=(const PersistedFile&) = delete;
 
-  // What is there; nothing where it could not be read within `seconds`.
+  // What the file held at the start; nothing where it could not be read within `seconds`.
   std::optional<ChecksummedContent> read(double seconds);
+  // Hands over content to be written. Content that is still pending is replaced.
   void write(std::string content);
-  // Why the last writing failed, once; the one before is still there.
+  // The error of the latest write, once after each change; an empty text where writing works again. While it
+  // fails, the file is as it was.
   std::optional<std::string> take_write_error();
+  // Successful writes.
   std::uint64_t write_count() const;
 
  private:
--- a/src/store/worker_thread.h
+++ b/src/store/worker_thread.h
@@ -1,5 +1,5 @@
-// A thread beside the reactor's that may hang in the system, on a folder that does not answer: how it is told
-// to end, and left behind where it does not.
+// How an owner stops a worker thread that may hang in a system call, for example on a folder that does not
+// answer: the thread gets a short time to finish and is detached after that.
 #pragma once
 
 #include <chrono>
@@ -9,24 +9,29 @@
 
 namespace damsonspoke::store {
 
-// What owner and thread share; it outlives whichever of them ends first.
+// State that owner and thread share, to be held by a std::shared_ptr in both: either may end first. Derived
+// classes add what is handed over; `mutex` guards that too.
 struct WorkerThreadState {
-  std::mutex mutex;  // of everything here, and of what is added to it
+  std::mutex mutex;
   std::condition_variable changed;
-  bool closing = false;  // the thread is to end
-  bool ended = false;    // it touches nothing of its owner any more
+  bool closing = false;  // the thread shall finish its pending work and end
+  bool ended = false;    // the thread no longer uses anything of its owner
 };
 
-// Waits for the thread for at most 0.2 s, for the work in hand. False: it was left behind.
+// Asks the thread to end and waits for it. Returns false where it did not end in time and was detached.
 inline bool stop_worker_thread(WorkerThreadState& state, std::thread& thread) {
-  constexpr auto kPatience = std::chrono::milliseconds(200);
+  constexpr auto kStopTimeout = std::chrono::milliseconds(200);
   std::unique_lock guard(state.mutex);
   state.closing = true;
   state.changed.notify_all();
-  const bool ended = state.changed.wait_for(guard, kPatience, [&] { return state.ended; });
+  const bool has_ended = state.changed.wait_for(guard, kStopTimeout, [&] { return state.ended; });
   guard.unlock();
-  ended ? thread.join() : thread.detach();
-  return ended;
+  if (has_ended) {
+    thread.join();
+  } else {
+    thread.detach();
+  }
+  return has_ended;
 }
 
 }  // namespace damsonspoke::store
--- a/tests/knowledge.cpp
+++ b/tests/statistics/learned_statistics.cpp
@@ -258,13 +258,13 @@
       "the newer one is kept: %s\n",
       newer.files().at("knowledge.newer") == store::add_checksum(kForm + 1, "what it knows") ? "yes" : "no");
 
-  folder.full = true;
+  folder.is_full = true;
   std::printf("on a full disk: %s\n", mine.write(good(3)) ? "written" : "not written");
   say("and then", folder);
-  folder.full = false;
-  folder.locked_elsewhere = true;
+  folder.is_full = false;
+  folder.is_locked_elsewhere = true;
   std::printf("while another has it: %s\n", mine.write(good(4)) ? "written" : "not written");
-  folder.locked_elsewhere = false;
+  folder.is_locked_elsewhere = false;
   mine.begins(1);
   say("a life begins with it", folder);
   mine.came_through();
