--- a/src/app/results_command.cpp
+++ b/src/app/results_command.cpp
@@ -46,25 +46,25 @@
 }
 
 int stat(Database& database, const std::string& path) {
-  const Database::Sums sums = database.sums();
+  const Database::Totals totals = database.totals();
   fmt::print(
       "store    {}\nform     {}\nin use   {}\nintents  {}\nresults  {}\nbytes    {} in results, {} in the "
       "file\n",
-      path, Database::kForm, in_use(path) ? "yes" : "no", sums.intents, sums.results, sums.result_bytes,
-      sums.file_bytes);
-  if (sums.intents + sums.results > 0)
-    fmt::print("windows  soonest {}, latest {}\n", left(sums.soonest_ms), left(sums.latest_ms));
+      path, Database::kSchemaVersion, in_use(path) ? "yes" : "no", totals.intents, totals.results,
+      totals.result_bytes, totals.file_bytes);
+  if (totals.intents + totals.results > 0)
+    fmt::print("windows  soonest {}, latest {}\n", left(totals.first_expiry_ms), left(totals.last_expiry_ms));
   return kDone;
 }
 
 int list(Database& database, std::size_t most) {
   std::size_t shown = 0, more = 0;
   fmt::print("{:<33}{:<17}{:<16}{:<8}{:>7}  {}\n", "key", "op", "op type", "state", "bytes", "window");
-  database.each([&](const Row& row) {
+  database.for_each([&](const Row& row) {
     if (shown >= most) return static_cast<void>(++more);
     ++shown;
-    fmt::print("{:<33}{:016x} {:<16}{:<8}{:>7}  {}\n", to_hex(row.key), row.request, row.type,
-               row.ended ? "result" : "intent", row.result_size, left(row.until_ms));
+    fmt::print("{:<33}{:016x} {:<16}{:<8}{:>7}  {}\n", to_hex(row.key), row.request_id, row.route,
+               row.has_result ? "result" : "intent", row.result_bytes, left(row.expires_at_ms));
   });
   if (more > 0) fmt::print("and {} more; --limit shows more\n", more);
   return kDone;
@@ -84,7 +84,7 @@
   if (flags.count("key") > 0) {
     Key key;
     const std::string text = flags["key"].as<std::string>();
-    if (!results::from_hex(text, key)) throw WrongUse(fmt::format("'{}' is no key of 32 hex digits", text));
+    if (!results::parse_key(text, key)) throw WrongUse(fmt::format("'{}' is no key of 32 hex digits", text));
     if (!database.fetch(key)) {
       fmt::print("{}: no such key\n", text);
       return kFailed;
@@ -92,15 +92,15 @@
     keys.push_back(key);
   } else if (expired || flags.count("all") > 0) {
     const std::int64_t now = now_ms();
-    database.each([&](const Row& row) {
-      if (!expired || row.until_ms <= now) keys.push_back(row.key);
+    database.for_each([&](const Row& row) {
+      if (!expired || row.expires_at_ms <= now) keys.push_back(row.key);
     });
   } else {
     throw WrongUse("results drop takes --key KEY, --expired or --all; a dropped key's op may run again");
   }
   const bool ask = in_use(path);
   database.begin();
-  for (const Key& key : keys) ask ? database.ask_to_drop(key) : database.erase(key);
+  for (const Key& key : keys) ask ? database.request_drop(key) : database.erase(key);
   database.commit();
   fmt::print("{} {}\n", keys.size(),
              ask ? "keys asked of the running program, which drops what has ended" : "keys dropped");
@@ -115,7 +115,7 @@
     throw WrongUse("results takes stat, list, verify or drop");
   const std::string path = store_path(flags);
   Database::Options how;
-  how.only_if_there = true;
+  how.must_exist = true;
   Database database(path, how);
   if (action == "stat") return stat(database, path);
   if (action == "list") return list(database, flags["limit"].as<std::size_t>());
--- a/src/results/database.cpp
+++ b/src/results/database.cpp
@@ -44,17 +44,17 @@
 }
 
 // Over all that an intent holds: a page that was changed under us must not become somebody's outcome.
-std::int64_t sum_of(const Row& row) {
+std::int64_t checksum_of(const Row& row) {
   XXH3_state_t state;
   XXH3_64bits_reset(&state);
-  const std::uint64_t fields[] = {row.key.high, row.key.low, row.request, row.fingerprint,
-                                  static_cast<std::uint64_t>(row.until_ms)};
+  const std::uint64_t fields[] = {row.key.high, row.key.low, row.request_id, row.fingerprint,
+                                  static_cast<std::uint64_t>(row.expires_at_ms)};
   XXH3_64bits_update(&state, fields, sizeof fields);
-  XXH3_64bits_update(&state, row.type.data(), row.type.size());
+  XXH3_64bits_update(&state, row.route.data(), row.route.size());
   return static_cast<std::int64_t>(XXH3_64bits_digest(&state));
 }
 // The key is part of it: one result is never another key's.
-std::int64_t sum_of(const Key& key, std::string_view result) {
+std::int64_t checksum_of(const Key& key, std::string_view result) {
   return static_cast<std::int64_t>(XXH3_64bits_withSeed(result.data(), result.size(), key.high ^ key.low));
 }
 
@@ -88,7 +88,7 @@
   bool step() {
     const int code = sqlite3_step(statement_);
     if (code == SQLITE_ROW) return true;
-    if (code != SQLITE_DONE) database_.raise(code, "cannot be read or written");
+    if (code != SQLITE_DONE) database_.throw_error(code, "cannot be read or written");
     return false;
   }
   std::int64_t number(int column) { return sqlite3_column_int64(statement_, column); }
@@ -105,31 +105,32 @@
   int bound_ = 0;
 };
 
-void Database::raise(int code, const std::string& doing) const {
+void Database::throw_error(int code, const std::string& doing) const {
   const int kind = code & 0xff;
-  DatabaseFault trouble = DatabaseFault::kUnavailable;
-  if (kind == SQLITE_FULL) trouble = DatabaseFault::kFull;
-  if (kind == SQLITE_CORRUPT) trouble = DatabaseFault::kDamaged;
-  if (kind == SQLITE_NOTADB) trouble = DatabaseFault::kForeign;
-  throw DatabaseError(trouble, fmt::format("store '{}': {}: {}", path_, doing, sqlite3_errstr(code)));
+  DatabaseFault fault = DatabaseFault::kUnavailable;
+  if (kind == SQLITE_FULL) fault = DatabaseFault::kFull;
+  if (kind == SQLITE_CORRUPT) fault = DatabaseFault::kDamaged;
+  if (kind == SQLITE_NOTADB) fault = DatabaseFault::kForeign;
+  throw DatabaseError(fault, fmt::format("store '{}': {}: {}", path_, doing, sqlite3_errstr(code)));
 }
 
 Database::Database(const std::string& path, const Options& options) : path_(path) {
   const int mode =
-      SQLITE_OPEN_READWRITE | SQLITE_OPEN_NOMUTEX | (options.only_if_there ? 0 : SQLITE_OPEN_CREATE);
+      SQLITE_OPEN_READWRITE | SQLITE_OPEN_NOMUTEX | (options.must_exist ? 0 : SQLITE_OPEN_CREATE);
   const int code = sqlite3_open_v2(path.c_str(), &db_, mode, options.vfs);
   if (code != SQLITE_OK) {
     sqlite3_close(db_);
-    raise(code, "cannot be opened");
+    throw_error(code, "cannot be opened");
   }
   try {
     sqlite3_extended_result_codes(db_, 1);
     sqlite3_busy_timeout(db_, kBusyMs);
     sqlite3_limit(db_, SQLITE_LIMIT_LENGTH, kLongestValue);
-    set_up(options.only_if_there);
-    run(options.power_safe ? "pragma synchronous=full" : "pragma synchronous=normal");
-    if (options.bytes > 0) {
-      run(fmt::format("pragma max_page_count={}", std::max<std::uint64_t>(16, options.bytes / kPageBytes))
+    initialize(options.must_exist);
+    run(options.sync_commits ? "pragma synchronous=full" : "pragma synchronous=normal");
+    if (options.max_file_bytes > 0) {
+      run(fmt::format("pragma max_page_count={}",
+                      std::max<std::uint64_t>(16, options.max_file_bytes / kPageBytes))
               .c_str());
     }
   } catch (...) {
@@ -144,7 +145,7 @@
   sqlite3_close(db_);
 }
 
-void Database::set_up(bool only_if_there) {
+void Database::initialize(bool must_exist) {
   run(fmt::format("pragma cache_size=-{}", kCacheKb).c_str());
   run("pragma temp_store=memory");
   // A file of somebody else's is told before anything is written to it, the mode of its log included.
@@ -152,12 +153,12 @@
   const std::int64_t tables = number("select count(*) from sqlite_schema");
   if (tables > 0 && id != kApplicationId)
     throw DatabaseError(DatabaseFault::kForeign, fmt::format("store '{}': is no store of results", path_));
-  if (form > kForm) {
-    throw DatabaseError(
-        DatabaseFault::kNewer,
-        fmt::format("store '{}': written by a newer program (form {}, known up to {})", path_, form, kForm));
+  if (form > kSchemaVersion) {
+    throw DatabaseError(DatabaseFault::kNewer,
+                        fmt::format("store '{}': written by a newer program (form {}, known up to {})", path_,
+                                    form, kSchemaVersion));
   }
-  if (tables == 0 && only_if_there)
+  if (tables == 0 && must_exist)
     throw DatabaseError(DatabaseFault::kForeign, fmt::format("store '{}': is empty", path_));
   run("pragma journal_mode=wal");
   run(fmt::format("pragma wal_autocheckpoint={}", kLogPages).c_str());
@@ -167,7 +168,7 @@
     const std::uint64_t seed = std::uint64_t{chance()} << 32 | chance();
     begin();
     run(fmt::format("pragma application_id={}", kApplicationId).c_str());
-    run(fmt::format("pragma user_version={}", kForm).c_str());
+    run(fmt::format("pragma user_version={}", kSchemaVersion).c_str());
     run("create table meta(name text primary key, value integer not null)");
     run("create table entries(key blob primary key not null, op integer not null, type blob not null,"
         " fingerprint integer not null, until_ms integer not null, sum integer not null, result blob,"
@@ -175,7 +176,7 @@
     run("create table drops(key blob primary key not null)");
     run(fmt::format("insert into meta values('seed', {})", static_cast<std::int64_t>(seed)).c_str());
     commit();
-    made_new_ = true;
+    is_new_ = true;
   } else {
     Statement check(*this, "pragma quick_check(1)");
     if (!check.step() || check.bytes(0) != "ok")
@@ -186,7 +187,7 @@
 
 void Database::run(const char* sql) {
   const int code = sqlite3_exec(db_, sql, nullptr, nullptr, nullptr);
-  if (code != SQLITE_OK) raise(code, "cannot be set up or written");
+  if (code != SQLITE_OK) throw_error(code, "cannot be set up or written");
 }
 
 std::int64_t Database::number(const char* sql) {
@@ -195,7 +196,7 @@
   if (code == SQLITE_OK) code = sqlite3_step(statement);
   const std::int64_t value = code == SQLITE_ROW ? sqlite3_column_int64(statement, 0) : 0;
   sqlite3_finalize(statement);
-  if (code != SQLITE_ROW && code != SQLITE_DONE) raise(code, "cannot be read");
+  if (code != SQLITE_ROW && code != SQLITE_DONE) throw_error(code, "cannot be read");
   return value;
 }
 
@@ -205,28 +206,28 @@
   }
   sqlite3_stmt* statement = nullptr;
   const int code = sqlite3_prepare_v3(db_, sql, -1, SQLITE_PREPARE_PERSISTENT, &statement, nullptr);
-  if (code != SQLITE_OK) raise(code, "cannot be read");
+  if (code != SQLITE_OK) throw_error(code, "cannot be read");
   statements_.emplace_back(sql, statement);
   return statement;
 }
 
 void Database::begin() { run("begin immediate"); }
 void Database::commit() { run("commit"); }
-void Database::roll_back() noexcept { sqlite3_exec(db_, "rollback", nullptr, nullptr, nullptr); }
+void Database::rollback() noexcept { sqlite3_exec(db_, "rollback", nullptr, nullptr, nullptr); }
 
 void Database::put_intent(const Row& row) {
   Statement put(
       *this,
       "insert or replace into entries(key, op, type, fingerprint, until_ms, sum, result, result_sum)"
       " values(?,?,?,?,?,?,null,null)");
-  put.bind(row.key).bind(static_cast<std::int64_t>(row.request)).bind(std::string_view(row.type));
-  put.bind(static_cast<std::int64_t>(row.fingerprint)).bind(row.until_ms).bind(sum_of(row));
+  put.bind(row.key).bind(static_cast<std::int64_t>(row.request_id)).bind(std::string_view(row.route));
+  put.bind(static_cast<std::int64_t>(row.fingerprint)).bind(row.expires_at_ms).bind(checksum_of(row));
   put.step();
 }
 
 bool Database::put_result(const Key& key, std::string_view result) {
   Statement put(*this, "update entries set result=?, result_sum=? where key=?");
-  put.bind(result).bind(sum_of(key, result)).bind(key);
+  put.bind(result).bind(checksum_of(key, result)).bind(key);
   put.step();
   return sqlite3_changes(db_) > 0;
 }
@@ -242,21 +243,22 @@
   if (!get.bind(key).step()) return std::nullopt;
   Row row;
   row.key = key;
-  row.request = static_cast<RequestId>(get.number(0));
-  row.type = get.bytes(1);
+  row.request_id = static_cast<RequestId>(get.number(0));
+  row.route = get.bytes(1);
   row.fingerprint = static_cast<Fingerprint>(get.number(2));
-  row.until_ms = get.number(3);
-  row.ended = !get.null(5);
-  if (row.ended) row.result = get.bytes(5);
-  row.result_size = row.result.size();
-  if (get.number(4) != sum_of(row) || (row.ended && get.number(6) != sum_of(key, row.result))) {
+  row.expires_at_ms = get.number(3);
+  row.has_result = !get.null(5);
+  if (row.has_result) row.result = get.bytes(5);
+  row.result_bytes = row.result.size();
+  if (get.number(4) != checksum_of(row) ||
+      (row.has_result && get.number(6) != checksum_of(key, row.result))) {
     throw DatabaseError(DatabaseFault::kDamaged,
                         fmt::format("store '{}': the entry {} is not what was written", path_, to_hex(key)));
   }
   return row;
 }
 
-void Database::each(const std::function<void(const Row&)>& take) {
+void Database::for_each(const std::function<void(const Row&)>& take) {
   Statement get(
       *this,
       "select key, op, type, fingerprint, until_ms, sum, length(result), result is null from entries"
@@ -265,13 +267,13 @@
     const std::string key = get.bytes(0);
     Row row;
     if (key.size() == kKeyBytes) row.key = read_key(key.data());
-    row.request = static_cast<RequestId>(get.number(1));
-    row.type = get.bytes(2);
+    row.request_id = static_cast<RequestId>(get.number(1));
+    row.route = get.bytes(2);
     row.fingerprint = static_cast<Fingerprint>(get.number(3));
-    row.until_ms = get.number(4);
-    row.ended = get.number(7) == 0;
-    row.result_size = static_cast<std::size_t>(get.number(6));
-    if (key.size() != kKeyBytes || get.number(5) != sum_of(row)) {
+    row.expires_at_ms = get.number(4);
+    row.has_result = get.number(7) == 0;
+    row.result_bytes = static_cast<std::size_t>(get.number(6));
+    if (key.size() != kKeyBytes || get.number(5) != checksum_of(row)) {
       throw DatabaseError(DatabaseFault::kDamaged,
                           fmt::format("store '{}': an entry is not what was written", path_));
     }
@@ -306,12 +308,12 @@
   return wrong;
 }
 
-void Database::ask_to_drop(const Key& key) {
+void Database::request_drop(const Key& key) {
   Statement put(*this, "insert or ignore into drops values(?)");
   put.bind(key).step();
 }
 
-std::vector<Key> Database::take_drops() {
+std::vector<Key> Database::take_drop_requests() {
   std::vector<Key> keys;
   {
     Statement all(*this, "select key from drops limit 1000");
@@ -329,24 +331,24 @@
   return keys;
 }
 
-void Database::tidy() {
+void Database::checkpoint() {
   sqlite3_wal_checkpoint_v2(db_, nullptr, SQLITE_CHECKPOINT_PASSIVE, nullptr, nullptr);
 }
 
-Database::Sums Database::sums() {
-  Sums sums;
+Database::Totals Database::totals() {
+  Totals totals;
   Statement all(*this,
                 "select count(*) - count(result), count(result), coalesce(sum(length(result)), 0),"
                 " coalesce(min(until_ms), 0), coalesce(max(until_ms), 0) from entries");
   if (all.step()) {
-    sums.intents = static_cast<std::uint64_t>(all.number(0));
-    sums.results = static_cast<std::uint64_t>(all.number(1));
-    sums.result_bytes = static_cast<std::uint64_t>(all.number(2));
-    sums.soonest_ms = all.number(3);
-    sums.latest_ms = all.number(4);
+    totals.intents = static_cast<std::uint64_t>(all.number(0));
+    totals.results = static_cast<std::uint64_t>(all.number(1));
+    totals.result_bytes = static_cast<std::uint64_t>(all.number(2));
+    totals.first_expiry_ms = all.number(3);
+    totals.last_expiry_ms = all.number(4);
   }
-  sums.file_bytes = static_cast<std::uint64_t>(number("pragma page_count") * kPageBytes);
-  return sums;
+  totals.file_bytes = static_cast<std::uint64_t>(number("pragma page_count") * kPageBytes);
+  return totals;
 }
 
 StoreLock::StoreLock(const std::string& path) {
--- a/src/results/database.h
+++ b/src/results/database.h
@@ -28,42 +28,43 @@
 };
 
 struct DatabaseError : std::runtime_error {
-  DatabaseError(DatabaseFault t, const std::string& text) : std::runtime_error(text), trouble(t) {}
-  DatabaseFault trouble;
+  DatabaseError(DatabaseFault f, const std::string& text) : std::runtime_error(text), fault(f) {}
+  DatabaseFault fault;
 };
 
 struct Row {
   Key key;
-  RequestId request = 0;
-  std::string type;
+  RequestId request_id = 0;
+  std::string route;
   Fingerprint fingerprint = 0;
-  std::int64_t until_ms = 0;  // Unix; when its window ends
-  bool ended = false;         // with the result; otherwise an intent alone
+  std::int64_t expires_at_ms = 0;  // Unix; when its window ends
+  bool has_result = false;         // with the result; otherwise an intent alone
   std::string result;
-  std::size_t result_size = 0;
+  std::size_t result_bytes = 0;
 };
 
 class Database {
  public:
-  static constexpr int kForm = 1;  // of the tables; one more where an older program could not read them
+  static constexpr int kSchemaVersion =
+      1;  // of the tables; one more where an older program could not read them
 
   struct Options {
-    bool power_safe = false;     // each commit is synced
-    std::uint64_t bytes = 0;     // most that the file may take; 0: as it is
-    bool only_if_there = false;  // no new file is made
-    const char* vfs = nullptr;   // another file layer, for tests
+    bool sync_commits = false;         // each commit is synced
+    std::uint64_t max_file_bytes = 0;  // most that the file may take; 0: as it is
+    bool must_exist = false;           // no new file is made
+    const char* vfs = nullptr;         // another file layer, for tests
   };
   Database(const std::string& path, const Options& options);
   ~Database();
   Database(const Database&) = delete;
   Database& operator=(const Database&) = delete;
 
-  bool made_new() const { return made_new_; }
+  bool is_new() const { return is_new_; }
   std::uint64_t seed() const { return seed_; }
 
   void begin();
   void commit();
-  void roll_back() noexcept;
+  void rollback() noexcept;
 
   void put_intent(const Row& row);
   // False where its intent is not there: nothing is written.
@@ -72,34 +73,34 @@
   // With its result; nothing where it is not there.
   std::optional<Row> fetch(const Key& key);
   // All of them without their results, soonest end first. Throws kDamaged at the first one that is not sound.
-  void each(const std::function<void(const Row&)>& take);
+  void for_each(const std::function<void(const Row&)>& take);
   // What is wrong with it, a line each, looking at every byte that counts.
   std::vector<std::string> verify();
 
   // Keys that an operator wants forgotten, for the program that has the store to take.
-  void ask_to_drop(const Key& key);
-  std::vector<Key> take_drops();
+  void request_drop(const Key& key);
+  std::vector<Key> take_drop_requests();
   // Writes back what waits in the log beside the file; cheap where little waits.
-  void tidy();
+  void checkpoint();
 
-  struct Sums {
+  struct Totals {
     std::uint64_t intents = 0, results = 0, result_bytes = 0, file_bytes = 0;
-    std::int64_t soonest_ms = 0, latest_ms = 0;  // Unix; 0: none
+    std::int64_t first_expiry_ms = 0, last_expiry_ms = 0;  // Unix; 0: none
   };
-  Sums sums();
+  Totals totals();
 
  private:
   class Statement;
   void run(const char* sql);
   std::int64_t number(const char* sql);
-  [[noreturn]] void raise(int code, const std::string& doing) const;
+  [[noreturn]] void throw_error(int code, const std::string& doing) const;
   sqlite3_stmt* prepared(const char* sql);
-  void set_up(bool only_if_there);
+  void initialize(bool must_exist);
 
   std::string path_;
   sqlite3* db_ = nullptr;
   std::vector<std::pair<const char*, sqlite3_stmt*>> statements_;
-  bool made_new_ = false;
+  bool is_new_ = false;
   std::uint64_t seed_ = 0;
 };
 
--- a/src/results/health.cpp
+++ b/src/results/health.cpp
@@ -15,59 +15,59 @@
 std::string_view name_of(StoreState state) {
   switch (state) {
     case StoreState::kOpening: return "opening";
-    case StoreState::kSound: return "sound";
+    case StoreState::kHealthy: return "sound";
     case StoreState::kFull: return "full";
-    case StoreState::kAway: return "away";
-    case StoreState::kRefused: return "refused";
+    case StoreState::kUnavailable: return "away";
+    case StoreState::kDisabled: return "refused";
   }
   return "";
 }
 
-bool StoreHealth::opened() {
-  const bool changed = state_ != StoreState::kSound;
-  state_ = StoreState::kSound;
+bool StoreHealth::on_opened() {
+  const bool changed = state_ != StoreState::kHealthy;
+  state_ = StoreState::kHealthy;
   return changed;
 }
 
-bool StoreHealth::wrote() {
-  pause_ = 0;
+bool StoreHealth::on_intent_written() {
+  backoff_ = 0;
   const bool changed = state_ == StoreState::kFull;
-  if (changed) state_ = StoreState::kSound;
+  if (changed) state_ = StoreState::kHealthy;
   return changed;
 }
 
-bool StoreHealth::failed(double now, DatabaseFault trouble) {
+bool StoreHealth::on_fault(double now, DatabaseFault fault) {
   const StoreState was = state_;
-  if (was == StoreState::kRefused) return false;
-  switch (trouble) {
+  if (was == StoreState::kDisabled) return false;
+  switch (fault) {
     case DatabaseFault::kFull:
       state_ = StoreState::kFull;
-      again_at_ = now + kFullPause;
+      retry_at_ = now + kFullPause;
       break;
     case DatabaseFault::kUnavailable:
-      state_ = StoreState::kAway;
-      pause_ = std::clamp(pause_ * 2, kAwayPause, kAwayMost);
-      again_at_ = now + pause_;
+      state_ = StoreState::kUnavailable;
+      backoff_ = std::clamp(backoff_ * 2, kAwayPause, kAwayMost);
+      retry_at_ = now + backoff_;
       break;
     case DatabaseFault::kDamaged:
     case DatabaseFault::kNewer:
-    case DatabaseFault::kForeign: state_ = StoreState::kRefused; break;
+    case DatabaseFault::kForeign: state_ = StoreState::kDisabled; break;
   }
   return state_ != was;
 }
 
-bool StoreHealth::takes_intents(double now) const {
-  return state_ == StoreState::kSound || (state_ == StoreState::kFull && now >= again_at_);
+bool StoreHealth::accepts_intents(double now) const {
+  return state_ == StoreState::kHealthy || (state_ == StoreState::kFull && now >= retry_at_);
 }
 bool StoreHealth::should_open(double now) const {
-  return state_ == StoreState::kOpening || (state_ == StoreState::kAway && now >= again_at_);
+  return state_ == StoreState::kOpening || (state_ == StoreState::kUnavailable && now >= retry_at_);
 }
 double StoreHealth::retry_after(double now) const {
   switch (state_) {
-    case StoreState::kSound: return 0;
+    case StoreState::kHealthy: return 0;
     case StoreState::kOpening: return kFullPause;
-    case StoreState::kRefused: return kRefusedAdvice;
-    default: return std::max(kFullPause, again_at_ - now);
+    case StoreState::kDisabled: return kRefusedAdvice;
+    default: return std::max(kFullPause, retry_at_ - now);
   }
 }
 
--- a/src/results/health.h
+++ b/src/results/health.h
@@ -15,26 +15,26 @@
 
 namespace damsonspoke::results {
 
-enum class StoreState { kOpening, kSound, kFull, kAway, kRefused };
+enum class StoreState { kOpening, kHealthy, kFull, kUnavailable, kDisabled };
 std::string_view name_of(StoreState state);
 
 class StoreHealth {
  public:
   StoreState state() const { return state_; }
   // Each returns whether the state has changed, which is then worth a line.
-  bool opened();
-  bool wrote();  // an intent became durable
-  bool failed(double now, DatabaseFault trouble);
+  bool on_opened();
+  bool on_intent_written();  // an intent became durable
+  bool on_fault(double now, DatabaseFault fault);
 
-  bool takes_intents(double now) const;
+  bool accepts_intents(double now) const;
   bool should_open(double now) const;  // it is not open, and it is time to try
   // s until a request that was refused for this may come back to something better.
   double retry_after(double now) const;
 
  private:
   StoreState state_ = StoreState::kOpening;
-  double again_at_ = 0;  // s; the next try of an intent (full) or of opening (away)
-  double pause_ = 0;     // s before that; grows while it does not get better
+  double retry_at_ = 0;  // s; the next try of an intent (full) or of opening (away)
+  double backoff_ = 0;   // s before that; grows while it does not get better
 };
 
 }  // namespace damsonspoke::results
--- a/src/results/idempotency_cache.cpp
+++ b/src/results/idempotency_cache.cpp
@@ -7,35 +7,35 @@
 // What has not ended is charged the longest result that it may come to, so that there is room for it then.
 std::size_t IdempotencyCache::size_of(const Entry& entry) {
   switch (entry.state) {
-    case State::kReserved:
-    case State::kRunning: return kEntryBytes + kMostResult;
-    case State::kEnded: return kEntryBytes + (entry.result ? entry.result->size() : 0);
-    case State::kUnknown: return kEntryBytes;
+    case EntryState::kReserved:
+    case EntryState::kRunning: return kEntryBytes + kMaxResultBytes;
+    case EntryState::kCompleted: return kEntryBytes + (entry.result ? entry.result->size() : 0);
+    case EntryState::kOutcomeUnknown: return kEntryBytes;
   }
   return kEntryBytes;
 }
 
-IdempotencyCache::Entry* IdempotencyCache::live(RequestId id) {
-  const auto found = live_.find(id);
-  return found == live_.end() ? nullptr : &entries_.at(found->second);
+IdempotencyCache::Entry* IdempotencyCache::find_active_mutable(RequestId id) {
+  const auto found = active_keys_.find(id);
+  return found == active_keys_.end() ? nullptr : &entries_.at(found->second);
 }
 
 const IdempotencyCache::Entry* IdempotencyCache::find(const Key& key) const {
   const auto found = entries_.find(key);
   return found == entries_.end() ? nullptr : &found->second;
 }
-const IdempotencyCache::Entry* IdempotencyCache::entry_of(RequestId id) const {
-  const auto found = live_.find(id);
-  return found == live_.end() ? nullptr : find(found->second);
+const IdempotencyCache::Entry* IdempotencyCache::find_active(RequestId id) const {
+  const auto found = active_keys_.find(id);
+  return found == active_keys_.end() ? nullptr : find(found->second);
 }
-const std::string* IdempotencyCache::result(const Key& key) const {
+const std::string* IdempotencyCache::result_in_memory(const Key& key) const {
   const Entry* entry = find(key);
-  return entry && entry->state == State::kEnded && entry->result ? &*entry->result : nullptr;
+  return entry && entry->state == EntryState::kCompleted && entry->result ? &*entry->result : nullptr;
 }
 
 // ---- Room.
 void IdempotencyCache::add(Entry entry) {
-  bytes_ += size_of(entry);
+  used_bytes_ += size_of(entry);
   const Key key = entry.key;
   entries_.emplace(key, std::move(entry));
 }
@@ -43,101 +43,103 @@
 void IdempotencyCache::erase(const Key& key) {
   const auto found = entries_.find(key);
   Entry& entry = found->second;
-  bytes_ -= size_of(entry);
-  ends_.erase({entry.until, key});
-  droppable_.erase({entry.touched, key});
-  const auto live = live_.find(entry.id);
-  if (live != live_.end() && live->second == key) live_.erase(live);
+  used_bytes_ -= size_of(entry);
+  expiries_.erase({entry.expires_at, key});
+  evictable_.erase({entry.recency, key});
+  const auto live = active_keys_.find(entry.id);
+  if (live != active_keys_.end() && live->second == key) active_keys_.erase(live);
   entries_.erase(found);
 }
 
-void IdempotencyCache::let_go_of_result(Entry& entry) {
-  bytes_ -= size_of(entry);
+void IdempotencyCache::evict_result(Entry& entry) {
+  used_bytes_ -= size_of(entry);
   entry.result.reset();
-  bytes_ += size_of(entry);
-  droppable_.erase({entry.touched, entry.key});
+  used_bytes_ += size_of(entry);
+  evictable_.erase({entry.recency, entry.key});
 }
 
 // The oldest of what need not be in memory: a read's answer goes whole, a stored result's bytes go. What must
 // be remembered is never among them.
-bool IdempotencyCache::give_up_one() {
-  if (droppable_.empty()) return false;
-  Entry& entry = entries_.at(droppable_.begin()->second);
-  ++evicted_;
-  if (entry.kind == Kind::kShared) {
+bool IdempotencyCache::evict_one() {
+  if (evictable_.empty()) return false;
+  Entry& entry = entries_.at(evictable_.begin()->second);
+  ++evicted_count_;
+  if (entry.kind == EntryKind::kSharedRead) {
     erase(entry.key);
   } else {
-    let_go_of_result(entry);
+    evict_result(entry);
   }
   return true;
 }
 
-bool IdempotencyCache::make_room(std::size_t bytes, std::size_t entries) {
-  while (bytes_ + bytes > bounds_.bytes || entries_.size() + entries > bounds_.entries) {
-    if (!give_up_one()) return false;
+bool IdempotencyCache::evict_until_fits(std::size_t bytes, std::size_t entries) {
+  while (used_bytes_ + bytes > limits_.max_bytes || entries_.size() + entries > limits_.max_entries) {
+    if (!evict_one()) return false;
   }
   return true;
 }
 
 // For one more that is open, in the place of what has that key and is over, if anything has.
-bool IdempotencyCache::make_room_for(const Key& key) {
-  constexpr std::size_t kOpen = kEntryBytes + kMostResult;
+bool IdempotencyCache::reserve_capacity_for(const Key& key) {
+  constexpr std::size_t kOpen = kEntryBytes + kMaxResultBytes;
   for (;;) {
     const auto found = entries_.find(key);
-    if (found == entries_.end()) return make_room(kOpen, 1);
+    if (found == entries_.end()) return evict_until_fits(kOpen, 1);
     const std::size_t old = size_of(found->second);
-    if (!make_room(kOpen - old, 0)) return false;
+    if (!evict_until_fits(kOpen - old, 0)) return false;
     // Room may have been made by giving up that very one.
     const auto still = entries_.find(key);
     if (still != entries_.end() && size_of(still->second) == old) return true;
   }
 }
 
-void IdempotencyCache::set_bounds(CacheLimits bounds) {
-  const bool stored = bounds_.stored;
-  bounds_ = bounds;
-  bounds_.stored = stored;  // of the life, not of a moment
-  make_room(0, 0);
+void IdempotencyCache::set_limits(CacheLimits limits) {
+  const bool stored = limits_.has_store;
+  limits_ = limits;
+  limits_.has_store = stored;  // of the life, not of a moment
+  evict_until_fits(0, 0);
 }
 
 // ---- Meeting and joining.
-Lookup IdempotencyCache::meet(double now, const Key& key, Fingerprint fingerprint, Kind kind) {
+Lookup IdempotencyCache::look_up(double now, const Key& key, Fingerprint fingerprint, EntryKind kind) {
   const auto found = entries_.find(key);
   if (found != entries_.end()) {
     const Entry& entry = found->second;
-    const bool over = entry.until <= now && entry.state != State::kReserved && entry.state != State::kRunning;
+    const bool over = entry.expires_at <= now && entry.state != EntryState::kReserved &&
+                      entry.state != EntryState::kRunning;
     if (!over) {
-      if (entry.fingerprint != fingerprint) return {LookupOutcome::kOtherBody, 0, 0};
-      if (entry.state == State::kUnknown) return {LookupOutcome::kUnknown, 0, 0};
-      return {LookupOutcome::kRepeat, entry.id, 0};
+      if (entry.fingerprint != fingerprint) return {LookupOutcome::kFingerprintMismatch, 0, 0};
+      if (entry.state == EntryState::kOutcomeUnknown) return {LookupOutcome::kOutcomeUnknown, 0, 0};
+      return {LookupOutcome::kDuplicate, entry.id, 0};
     }
   }
-  if (make_room_for(key) || kind == Kind::kShared) return {LookupOutcome::kNew, 0, 0};
-  return {LookupOutcome::kNoRoom, 0, ends_.empty() ? 0 : std::max(0.0, ends_.begin()->first - now)};
+  if (reserve_capacity_for(key) || kind == EntryKind::kSharedRead) return {LookupOutcome::kMiss, 0, 0};
+  return {LookupOutcome::kNoCapacity, 0,
+          expiries_.empty() ? 0 : std::max(0.0, expiries_.begin()->first - now)};
 }
 
-bool IdempotencyCache::reserve(double now, RequestId id, const Key& key, Fingerprint fingerprint, Kind kind,
-                               double until) {
+bool IdempotencyCache::reserve(double now, RequestId id, const Key& key, Fingerprint fingerprint,
+                               EntryKind kind, double until) {
   const auto found = entries_.find(key);
   if (found != entries_.end()) {
     const Entry& old = found->second;
-    if (live_.contains(old.id) || old.until > now) return false;  // it is a repeat of that
+    if (active_keys_.contains(old.id) || old.expires_at > now) return false;  // it is a repeat of that
     erase(key);
   }
-  if (live_.contains(id) || !make_room(kEntryBytes + kMostResult, 1)) return false;
+  if (active_keys_.contains(id) || !evict_until_fits(kEntryBytes + kMaxResultBytes, 1)) return false;
   Entry entry;
   entry.key = key;
   entry.fingerprint = fingerprint;
   entry.id = id;
   entry.kind = kind;
-  entry.until = until;
+  entry.expires_at = until;
   add(std::move(entry));
-  live_[id] = key;
+  active_keys_[id] = key;
   return true;
 }
 
-void IdempotencyCache::start(RequestId id) {
-  if (Entry* entry = live(id)) entry->state = State::kRunning;
+void IdempotencyCache::mark_running(RequestId id) {
+  if (Entry* entry = find_active_mutable(id)) entry->state = EntryState::kRunning;
 }
 
 JoinOutcome IdempotencyCache::join(RequestId repeat, const Key& key) {
@@ -145,137 +147,137 @@
   if (found == entries_.end()) return JoinOutcome::kNeverRan;
   Entry& entry = found->second;
   switch (entry.state) {
-    case State::kUnknown: return JoinOutcome::kUnknown;
-    case State::kEnded: return entry.result ? JoinOutcome::kHere : JoinOutcome::kStored;
+    case EntryState::kOutcomeUnknown: return JoinOutcome::kOutcomeUnknown;
+    case EntryState::kCompleted: return entry.result ? JoinOutcome::kInMemory : JoinOutcome::kInStore;
     default: break;
   }
-  entry.waiting.push_back(repeat);
-  originals_[repeat] = key;
-  return JoinOutcome::kWaits;
+  entry.waiters.push_back(repeat);
+  waiter_keys_[repeat] = key;
+  return JoinOutcome::kCoalesced;
 }
 
-void IdempotencyCache::leave(RequestId repeat) {
-  const auto found = originals_.find(repeat);
-  if (found == originals_.end()) return;
+void IdempotencyCache::remove_waiter(RequestId repeat) {
+  const auto found = waiter_keys_.find(repeat);
+  if (found == waiter_keys_.end()) return;
   const auto entry = entries_.find(found->second);
-  if (entry != entries_.end()) std::erase(entry->second.waiting, repeat);
-  originals_.erase(found);
+  if (entry != entries_.end()) std::erase(entry->second.waiters, repeat);
+  waiter_keys_.erase(found);
 }
 
-std::vector<RequestId> IdempotencyCache::no_longer_waiting(Entry& entry) {
-  for (const RequestId repeat : entry.waiting) originals_.erase(repeat);
-  return std::exchange(entry.waiting, {});
+std::vector<RequestId> IdempotencyCache::take_waiters(Entry& entry) {
+  for (const RequestId repeat : entry.waiters) waiter_keys_.erase(repeat);
+  return std::exchange(entry.waiters, {});
 }
 
 // ---- What becomes of an entry.
 std::vector<RequestId> IdempotencyCache::release(RequestId id) {
-  Entry* entry = live(id);
+  Entry* entry = find_active_mutable(id);
   if (entry == nullptr) return {};
-  std::vector<RequestId> waited = no_longer_waiting(*entry);
+  std::vector<RequestId> waiters = take_waiters(*entry);
   erase(entry->key);
-  return waited;
+  return waiters;
 }
 
 // From now on its window may end.
-void IdempotencyCache::settle(double now, Entry& entry) {
-  live_.erase(entry.id);
-  entry.until = std::max(entry.until, now);
-  ends_.insert({entry.until, entry.key});
+void IdempotencyCache::schedule_expiry(double now, Entry& entry) {
+  active_keys_.erase(entry.id);
+  entry.expires_at = std::max(entry.expires_at, now);
+  expiries_.insert({entry.expires_at, entry.key});
 }
 
-std::vector<RequestId> IdempotencyCache::end(double now, RequestId id, std::string result) {
-  Entry* entry = live(id);
+std::vector<RequestId> IdempotencyCache::complete(double now, RequestId id, std::string result) {
+  Entry* entry = find_active_mutable(id);
   if (entry == nullptr) return {};
-  std::vector<RequestId> waited = no_longer_waiting(*entry);
-  const bool shared = entry->kind == Kind::kShared;
-  const bool too_long = result.size() > kMostResult;
-  if (shared && (too_long || bounds_.fresh <= 0)) {
+  std::vector<RequestId> waiters = take_waiters(*entry);
+  const bool shared = entry->kind == EntryKind::kSharedRead;
+  const bool too_long = result.size() > kMaxResultBytes;
+  if (shared && (too_long || limits_.shared_ttl_seconds <= 0)) {
     erase(entry->key);
-    return waited;
+    return waiters;
   }
-  if (shared) entry->until = std::min(entry->until, now + bounds_.fresh);
-  bytes_ -= size_of(*entry);
-  entry->state = too_long && !bounds_.stored ? State::kUnknown : State::kEnded;
+  if (shared) entry->expires_at = std::min(entry->expires_at, now + limits_.shared_ttl_seconds);
+  used_bytes_ -= size_of(*entry);
+  entry->state = too_long && !limits_.has_store ? EntryState::kOutcomeUnknown : EntryState::kCompleted;
   if (!too_long) {
     entry->result = std::move(result);
-    if (shared || bounds_.stored) {
-      entry->touched = ++touches_;
-      droppable_.insert({entry->touched, entry->key});
+    if (shared || limits_.has_store) {
+      entry->recency = ++last_recency_;
+      evictable_.insert({entry->recency, entry->key});
     }
   }
-  bytes_ += size_of(*entry);
-  settle(now, *entry);
-  make_room(0, 0);  // bounds may have shrunk meanwhile
-  return waited;
+  used_bytes_ += size_of(*entry);
+  schedule_expiry(now, *entry);
+  evict_until_fits(0, 0);  // bounds may have shrunk meanwhile
+  return waiters;
 }
 
-std::vector<RequestId> IdempotencyCache::lose(double now, RequestId id) {
-  Entry* entry = live(id);
+std::vector<RequestId> IdempotencyCache::mark_outcome_unknown(double now, RequestId id) {
+  Entry* entry = find_active_mutable(id);
   if (entry == nullptr) return {};
-  std::vector<RequestId> waited = no_longer_waiting(*entry);
-  if (entry->kind == Kind::kShared) {  // a read may run again
+  std::vector<RequestId> waiters = take_waiters(*entry);
+  if (entry->kind == EntryKind::kSharedRead) {  // a read may run again
     erase(entry->key);
-    return waited;
+    return waiters;
   }
-  bytes_ -= size_of(*entry);
-  entry->state = State::kUnknown;
-  bytes_ += size_of(*entry);
-  settle(now, *entry);
-  return waited;
+  used_bytes_ -= size_of(*entry);
+  entry->state = EntryState::kOutcomeUnknown;
+  used_bytes_ += size_of(*entry);
+  schedule_expiry(now, *entry);
+  return waiters;
 }
 
-void IdempotencyCache::recover(RequestId id, const Key& key, Fingerprint fingerprint, bool ended,
+void IdempotencyCache::restore(RequestId id, const Key& key, Fingerprint fingerprint, bool ended,
                                double until) {
   if (entries_.contains(key)) return;
   Entry entry;
   entry.key = key;
   entry.fingerprint = fingerprint;
   entry.id = id;
-  entry.state = ended ? State::kEnded : State::kUnknown;
-  entry.until = until;
-  ends_.insert({until, key});
+  entry.state = ended ? EntryState::kCompleted : EntryState::kOutcomeUnknown;
+  entry.expires_at = until;
+  expiries_.insert({until, key});
   add(std::move(entry));
-  make_room(0, 0);  // it stays; what need not be remembered goes for it
+  evict_until_fits(0, 0);  // it stays; what need not be remembered goes for it
 }
 
 bool IdempotencyCache::drop(const Key& key) {
   const auto found = entries_.find(key);
   if (found == entries_.end()) return false;
-  const State state = found->second.state;
-  if (state == State::kReserved || state == State::kRunning) return false;
+  const EntryState state = found->second.state;
+  if (state == EntryState::kReserved || state == EntryState::kRunning) return false;
   erase(key);
   return true;
 }
 
-std::vector<Key> IdempotencyCache::age(double now, std::size_t most) {
+std::vector<Key> IdempotencyCache::expire(double now, std::size_t most) {
   std::vector<Key> gone;
-  for (std::size_t i = 0; i < most && !ends_.empty() && ends_.begin()->first <= now; ++i) {
-    const Key key = ends_.begin()->second;
-    if (entries_.at(key).kind == Kind::kKeyed) gone.push_back(key);
+  for (std::size_t i = 0; i < most && !expiries_.empty() && expiries_.begin()->first <= now; ++i) {
+    const Key key = expiries_.begin()->second;
+    if (entries_.at(key).kind == EntryKind::kKeyed) gone.push_back(key);
     erase(key);
   }
   return gone;
 }
 
-bool IdempotencyCache::consistent() const {
-  std::size_t bytes = 0, live = 0, ended = 0, waiting = 0, droppable = 0;
+bool IdempotencyCache::is_consistent() const {
+  std::size_t bytes = 0, live = 0, ended = 0, waiters = 0, droppable = 0;
   for (const auto& [key, entry] : entries_) {
     bytes += size_of(entry);
-    const bool open = entry.state == State::kReserved || entry.state == State::kRunning;
+    const bool open = entry.state == EntryState::kReserved || entry.state == EntryState::kRunning;
     (open ? live : ended) += 1;
-    if (open != (live_.contains(entry.id) && live_.at(entry.id) == key)) return false;
-    if (!open && !ends_.contains({entry.until, key})) return false;
-    if (!open && !entry.waiting.empty()) return false;
-    if (entry.result && entry.state != State::kEnded) return false;
-    if (droppable_.contains({entry.touched, key})) ++droppable;
-    waiting += entry.waiting.size();
-    for (const RequestId repeat : entry.waiting) {
-      const auto found = originals_.find(repeat);
-      if (found == originals_.end() || found->second != key) return false;
+    if (open != (active_keys_.contains(entry.id) && active_keys_.at(entry.id) == key)) return false;
+    if (!open && !expiries_.contains({entry.expires_at, key})) return false;
+    if (!open && !entry.waiters.empty()) return false;
+    if (entry.result && entry.state != EntryState::kCompleted) return false;
+    if (evictable_.contains({entry.recency, key})) ++droppable;
+    waiters += entry.waiters.size();
+    for (const RequestId repeat : entry.waiters) {
+      const auto found = waiter_keys_.find(repeat);
+      if (found == waiter_keys_.end() || found->second != key) return false;
     }
   }
-  return bytes == bytes_ && live == live_.size() && ended == ends_.size() && waiting == originals_.size() &&
-         droppable == droppable_.size();
+  return bytes == used_bytes_ && live == active_keys_.size() && ended == expiries_.size() &&
+         waiters == waiter_keys_.size() && droppable == evictable_.size();
 }
 
 }  // namespace damsonspoke::results
--- a/src/results/key.cpp
+++ b/src/results/key.cpp
@@ -38,13 +38,13 @@
 
 }  // namespace
 
-Key KeyDeriver::marked(std::string_view type, std::string_view mark) const {
+Key KeyDeriver::from_idempotency_key(std::string_view type, std::string_view mark) const {
   return Hasher(seed_, 'm').part(type).part(mark).key();
 }
-Key KeyDeriver::digest(std::string_view type, std::uint32_t caller, std::string_view body) const {
+Key KeyDeriver::from_body(std::string_view type, std::uint32_t caller, std::string_view body) const {
   return Hasher(seed_, 'd').part(type).part(std::uint64_t{caller}).part(body).key();
 }
-Key KeyDeriver::read(std::string_view type, std::uint64_t subject, std::string_view body) const {
+Key KeyDeriver::from_read(std::string_view type, std::uint64_t subject, std::string_view body) const {
   return Hasher(seed_, 'r').part(type).part(subject).part(body).key();
 }
 Fingerprint KeyDeriver::fingerprint(std::string_view body) const {
@@ -53,7 +53,7 @@
 
 std::string to_hex(const Key& key) { return fmt::format("{:016x}{:016x}", key.high, key.low); }
 
-bool from_hex(std::string_view text, Key& key) {
+bool parse_key(std::string_view text, Key& key) {
   if (text.size() != 32) return false;
   const auto read = [](std::string_view part, std::uint64_t& out) {
     const auto [stop, error] = std::from_chars(part.data(), part.data() + part.size(), out, 16);
--- a/src/results/key.h
+++ b/src/results/key.h
@@ -27,11 +27,11 @@
  public:
   explicit KeyDeriver(std::uint64_t seed = 0) : seed_(seed) {}
 
-  Key marked(std::string_view type, std::string_view mark) const;
+  Key from_idempotency_key(std::string_view type, std::string_view mark) const;
   // Without a mark: the same caller (0: any) saying the same again is taken to mean the same request.
-  Key digest(std::string_view type, std::uint32_t caller, std::string_view body) const;
+  Key from_body(std::string_view type, std::uint32_t caller, std::string_view body) const;
   // A read of a subject. The body belongs to the key: another question about it is another read.
-  Key read(std::string_view type, std::uint64_t subject, std::string_view body) const;
+  Key from_read(std::string_view type, std::uint64_t subject, std::string_view body) const;
   Fingerprint fingerprint(std::string_view body) const;
 
  private:
@@ -39,6 +39,6 @@
 };
 
 std::string to_hex(const Key& key);              // 32 digits
-bool from_hex(std::string_view text, Key& key);  // false where it is not that
+bool parse_key(std::string_view text, Key& key);  // false where it is not that
 
 }  // namespace damsonspoke::results
--- a/src/results/recovery.cpp
+++ b/src/results/recovery.cpp
@@ -16,10 +16,10 @@
   for (const auto& [type, window] : windows_) longest_ = std::max(longest_, window);
 }
 
-Recovered Recovery::read(const Row& row, std::int64_t now_unix_ms) const {
-  const double left = static_cast<double>(row.until_ms - now_unix_ms) * kSecondsPerMs;
+RecoveredEntry Recovery::assess(const Row& row, std::int64_t now_unix_ms) const {
+  const double left = static_cast<double>(row.expires_at_ms - now_unix_ms) * kSecondsPerMs;
   if (left <= 0) return {};
-  const auto found = windows_.find(row.type);
+  const auto found = windows_.find(row.route);
   const double most =
       found != windows_.end() && found->second > 0 ? found->second : std::max(longest_, kUnknownType);
   return {true, std::min(left, most)};
--- a/src/results/recovery.h
+++ b/src/results/recovery.h
@@ -9,9 +9,9 @@
 
 namespace damsonspoke::results {
 
-struct Recovered {
-  bool keep = false;  // its window is not over
-  double left = 0;    // s until it is
+struct RecoveredEntry {
+  bool is_live = false;          // its window is not over
+  double remaining_seconds = 0;  // s until it is
 };
 
 class Recovery {
@@ -22,7 +22,7 @@
   // Windows are written by the Unix clock, which may have been set since. One that was set back must not make
   // a window longer than its route's; one that was set forward ends windows early, which can't be told from
   // time that has passed.
-  Recovered read(const Row& row, std::int64_t now_unix_ms) const;
+  RecoveredEntry assess(const Row& row, std::int64_t now_unix_ms) const;
 
  private:
   std::unordered_map<std::string, double> windows_;  // s, by route
--- a/src/results/store.cpp
+++ b/src/results/store.cpp
@@ -87,14 +87,14 @@
 
 void Store::Shared::trouble(const std::shared_ptr<Shared>& self, const DatabaseError& error) {
   const double now = net::monotonic_now();
-  health.failed(now, error.trouble);
-  if (health.state() == StoreState::kAway || health.state() == StoreState::kRefused) {
+  health.on_fault(now, error.fault);
+  if (health.state() == StoreState::kUnavailable || health.state() == StoreState::kDisabled) {
     database.reset();
     file_lock.reset();
   }
-  tell(self, [trouble = error.trouble, why = std::string(error.what())](Store& store) {
+  tell(self, [fault = error.fault, why = std::string(error.what())](Store& store) {
     const StoreState before = store.health_.state();
-    store.health_.failed(net::monotonic_now(), trouble);
+    store.health_.on_fault(net::monotonic_now(), fault);
     store.report(before, why);
   });
 }
@@ -103,36 +103,36 @@
   try {
     file_lock = std::make_unique<StoreLock>(options.path);
     Database::Options how;
-    how.power_safe = options.power_safe;
-    how.bytes = options.bytes;
+    how.sync_commits = options.sync_commits;
+    how.max_file_bytes = options.max_file_bytes;
     database = std::make_unique<Database>(options.path, how);
     if (!told_rows) {
-      tell(self, [seed = database->seed(), made = database->made_new()](Store& store) {
-        store.events_.on_seed(seed, made);
+      tell(self, [seed = database->seed(), made = database->is_new()](Store& store) {
+        store.events_.on_key_seed(seed, made);
       });
     }
     std::vector<Row> piece;
     const auto hand_over = [&] {
-      tell(self, [rows = std::move(piece)](Store& store) { store.events_.on_recovered(rows); });
+      tell(self, [rows = std::move(piece)](Store& store) { store.events_.on_entries_recovered(rows); });
       piece.clear();
     };
     if (!told_rows) {
-      database->each([&](const Row& row) {
+      database->for_each([&](const Row& row) {
         piece.push_back(row);
         if (piece.size() >= kPiece) hand_over();
       });
       if (!piece.empty()) hand_over();
       told_rows = true;
     }
-    health.opened();
+    health.on_opened();
     tell(self, [](Store& store) {
       const StoreState before = store.health_.state();
-      store.health_.opened();
+      store.health_.on_opened();
       store.report(before, "");
     });
   } catch (const DatabaseError& error) {
     // A disk with no room for opening it is away like any other: "full" means that it is open.
-    const bool full = error.trouble == DatabaseFault::kFull;
+    const bool full = error.fault == DatabaseFault::kFull;
     trouble(self, full ? DatabaseError(DatabaseFault::kUnavailable, error.what()) : error);
   }
 }
@@ -148,7 +148,7 @@
       database->commit();
       return true;
     } catch (const DatabaseError& error) {
-      if (database) database->roll_back();
+      if (database) database->rollback();
       for (std::size_t i = first; i < end; ++i) group[i].good = false, group[i].found.reset();
       if (end - first == 1) trouble(self, error);
       return false;
@@ -166,10 +166,10 @@
     slowest = std::max(slowest, took);
   }
   if (!wrote_intent) return;
-  if (!health.wrote()) return;
+  if (!health.on_intent_written()) return;
   tell(self, [](Store& store) {
     const StoreState before = store.health_.state();
-    store.health_.wrote();
+    store.health_.on_intent_written();
     store.report(before, "");
   });
 }
@@ -177,8 +177,8 @@
 void Store::Shared::look_for_drops(const std::shared_ptr<Shared>& self) {
   if (!database || ++looks % kLooksPerDrop != 0) return;
   try {
-    std::vector<Key> keys = database->take_drops();
-    database->tidy();
+    std::vector<Key> keys = database->take_drop_requests();
+    database->checkpoint();
     if (keys.empty()) return;
     tell(self, [keys = std::move(keys)](Store& store) { store.events_.on_drop_requests(keys); });
   } catch (const DatabaseError& error) {
@@ -260,11 +260,11 @@
 }
 
 void Store::report(StoreState before, const std::string& why) {
-  if (before != health_.state()) events_.on_store_state(health_.state(), why);
+  if (before != health_.state()) events_.on_store_state_changed(health_.state(), why);
 }
 
-bool Store::intent(Row row, Done done) {
-  if (!takes_intents(net::monotonic_now())) return false;
+bool Store::write_intent(Row row, Done done) {
+  if (!accepts_intents(net::monotonic_now())) return false;
   Job job;
   job.row = std::move(row);
   job.done = std::move(done);
@@ -272,7 +272,7 @@
   return true;
 }
 
-void Store::result(const Key& key, std::string result, Done done) {
+void Store::write_result(const Key& key, std::string result, Done done) {
   Job job;
   job.what = Job::What::kResult;
   job.row.key = key;
@@ -290,7 +290,7 @@
 }
 
 bool Store::fetch(const Key& key, Fetched fetched) {
-  if (waiting() >= options_.queue) return false;
+  if (pending_jobs() >= options_.max_queued_jobs) return false;
   Job job;
   job.what = Job::What::kFetch;
   job.row.key = key;
@@ -299,11 +299,11 @@
   return true;
 }
 
-std::size_t Store::waiting() const {
+std::size_t Store::pending_jobs() const {
   const std::lock_guard guard(shared_->lock);
   return shared_->jobs.size() + shared_->in_hand;
 }
-double Store::slowest_commit() const {
+double Store::max_commit_seconds() const {
   const std::lock_guard guard(shared_->lock);
   return shared_->slowest;
 }
--- a/src/results/store.h
+++ b/src/results/store.h
@@ -18,9 +18,9 @@
  public:
   virtual ~StoreEvents() = default;
   // What earlier lives wrote, in pieces; then that it is open. After trouble it may be opened again.
-  virtual void on_seed(std::uint64_t seed, bool made_new) = 0;
-  virtual void on_recovered(const std::vector<Row>& rows) = 0;
-  virtual void on_store_state(StoreState state, const std::string& why) = 0;
+  virtual void on_key_seed(std::uint64_t seed, bool is_new) = 0;
+  virtual void on_entries_recovered(const std::vector<Row>& rows) = 0;
+  virtual void on_store_state_changed(StoreState state, const std::string& why) = 0;
   // Keys that an operator wants forgotten.
   virtual void on_drop_requests(const std::vector<Key>& keys) = 0;
 };
@@ -29,9 +29,9 @@
  public:
   struct Options {
     std::string path;
-    bool power_safe = false;
-    std::uint64_t bytes = 0;
-    std::size_t queue = 0;                // writes
+    bool sync_commits = false;
+    std::uint64_t max_file_bytes = 0;
+    std::size_t max_queued_jobs = 0;      // writes
     std::function<void()> before_commit;  // on the thread; tests make the disk slow with it
   };
   using Done = std::function<void(bool durable)>;
@@ -46,18 +46,22 @@
   Store& operator=(const Store&) = delete;
 
   // False at once, and nothing is written, where the store is in trouble or too much waits.
-  bool intent(Row row, Done done);
+  bool write_intent(Row row, Done done);
   // Always taken: there are no more of them than intents. Done(false) where it could not be written.
-  void result(const Key& key, std::string result, Done done);
+  void write_result(const Key& key, std::string result, Done done);
   void erase(std::vector<Key> keys);
   bool fetch(const Key& key, Fetched fetched);
 
-  bool takes_intents(double now) const { return health_.takes_intents(now) && waiting() < options_.queue; }
-  bool roomy() const { return waiting() < options_.queue / 2 + 1; }  // for what can wait
+  bool accepts_intents(double now) const {
+    return health_.accepts_intents(now) && pending_jobs() < options_.max_queued_jobs;
+  }
+  bool has_spare_capacity() const {
+    return pending_jobs() < options_.max_queued_jobs / 2 + 1;
+  }  // for what can wait
   double retry_after(double now) const { return health_.retry_after(now); }
   StoreState state() const { return health_.state(); }
-  std::size_t waiting() const;    // jobs
-  double slowest_commit() const;  // s so far
+  std::size_t pending_jobs() const;   // jobs
+  double max_commit_seconds() const;  // s so far
 
  private:
   struct Job;
--- a/src/stages/result_replay.cpp
+++ b/src/stages/result_replay.cpp
@@ -10,10 +10,10 @@
 namespace damsonspoke::stages {
 namespace {
 
+using results::EntryKind;
+using results::EntryState;
 using results::JoinOutcome;
-using results::Kind;
 using results::LookupOutcome;
-using results::State;
 
 constexpr double kLook = 0.05;            // s; between looks at what has aged
 constexpr std::size_t kAgedAtOnce = 500;  // entries a look: well under a millisecond, 10,000 a second
@@ -25,7 +25,7 @@
   return std::uint64_t{chance()} << 32 | chance();
 }
 
-results::CacheLimits bounds_of(const ResultsOptions& options, const StartSettings& site) {
+results::CacheLimits limits_of(const ResultsOptions& options, const StartSettings& site) {
   return {options.memory, options.entries, !options.store.empty(), site.admission.shared_answer_ttl};
 }
 
@@ -57,16 +57,16 @@
       counters_(counters),
       log_(log),
       keys_(options.enabled ? any_seed() : 0),
-      table_(bounds_of(options, site)),
+      cache_(limits_of(options, site)),
       recovery_(windows_of(catalog)),
       by_digest_(options.digest.begin(), options.digest.end()) {
   if (!on()) return;
   if (!options_.store.empty()) {
     results::Store::Options how;
     how.path = options_.store;
-    how.power_safe = options_.power_safe;
-    how.bytes = options_.disk;
-    how.queue = options_.queue;
+    how.sync_commits = options_.power_safe;
+    how.max_file_bytes = options_.disk;
+    how.max_queued_jobs = options_.queue;
     results::StoreEvents& events = *this;
     store_ = std::make_unique<results::Store>(reactor_, how, events);
   }
@@ -82,36 +82,37 @@
 }
 
 // ---- The store.
-void ResultReplay::on_seed(std::uint64_t seed, bool made_new) {
+void ResultReplay::on_key_seed(std::uint64_t seed, bool is_new) {
   keys_ = results::KeyDeriver(seed);
-  if (made_new) log_.event(Level::kInfo, "results", "new store", {{"path", options_.store}});
+  if (is_new) log_.event(Level::kInfo, "results", "new store", {{"path", options_.store}});
 }
 
-void ResultReplay::on_recovered(const std::vector<results::Row>& rows) {
+void ResultReplay::on_entries_recovered(const std::vector<results::Row>& rows) {
   const double now = net::monotonic_now();
   const std::int64_t now_ms = unix_ms();
   std::vector<results::Key> over;
   for (const results::Row& row : rows) {
-    const results::Recovered read = recovery_.read(row, now_ms);
-    if (!read.keep) {
+    const results::RecoveredEntry recovered = recovery_.assess(row, now_ms);
+    if (!recovered.is_live) {
       over.push_back(row.key);
       continue;
     }
-    table_.recover(row.request, row.key, row.fingerprint, row.ended, now + read.left);
+    cache_.restore(row.request_id, row.key, row.fingerprint, row.has_result,
+                   now + recovered.remaining_seconds);
     counters_.add(Count::kResultsRecovered);
   }
   store_->erase(std::move(over));
 }
 
-void ResultReplay::on_store_state(results::StoreState state, const std::string& why) {
-  const bool sound = state == results::StoreState::kSound;
+void ResultReplay::on_store_state_changed(results::StoreState state, const std::string& why) {
+  const bool sound = state == results::StoreState::kHealthy;
   if (sound) {
     log_.event(Level::kInfo, "results", "store open",
                {{"path", options_.store},
-                {"entries", table_.entries()},
+                {"entries", cache_.entry_count()},
                 {"safety", options_.power_safe ? "power" : "process"}});
   } else {
-    const char* then = state == results::StoreState::kRefused
+    const char* then = state == results::StoreState::kDisabled
                            ? "keyed ops are nacked until it is looked at and the program restarted"
                            : "keyed ops that are new are nacked until it is well";
     log_.event(Level::kError, "results", why + "; " + then, {{"state", name_of(state)}});
@@ -121,7 +122,7 @@
 void ResultReplay::on_drop_requests(const std::vector<results::Key>& keys) {
   std::vector<results::Key> dropped;
   for (const results::Key& key : keys) {
-    if (table_.drop(key)) dropped.push_back(key);
+    if (cache_.drop(key)) dropped.push_back(key);
   }
   log_.event(Level::kWarning, "results", "dropped as an operator asked",
              {{"asked", keys.size()}, {"dropped", dropped.size()}});
@@ -135,17 +136,17 @@
   const std::string& name = entered.route_name;
   out.id = request.id;
   if (settings.idempotency == Idempotency::kWithKey) {
-    out.kind = Kind::kKeyed;
+    out.kind = EntryKind::kKeyed;
     out.fingerprint = keys_.fingerprint(in.body);
     out.key = by_digest_.contains(name)
-                  ? keys_.digest(name, options_.digest_by_caller ? in.caller : 0, in.body)
-                  : keys_.marked(name, in.idempotency_key);
+                  ? keys_.from_body(name, options_.digest_by_caller ? in.caller : 0, in.body)
+                  : keys_.from_idempotency_key(name, in.idempotency_key);
     return true;
   }
   if (settings.idempotency == Idempotency::kIdempotent && site_.admission.shared_answer_ttl > 0 &&
       request.subject != 0 && !request.is_write) {
-    out.kind = Kind::kShared;
-    out.key = keys_.read(name, request.subject, in.body);
+    out.kind = EntryKind::kSharedRead;
+    out.key = keys_.from_read(name, request.subject, in.body);
     return true;
   }
   return false;
@@ -158,32 +159,32 @@
   const double now = net::monotonic_now();
   Candidate candidate;
   if (!identify(request, in, entered, candidate)) return false;
-  if (std::vector<results::Key> over = table_.age(now, kAgedOnArrival); store_)
+  if (std::vector<results::Key> over = cache_.expire(now, kAgedOnArrival); store_)
     store_->erase(std::move(over));
-  const results::Lookup met = table_.meet(now, candidate.key, candidate.fingerprint, candidate.kind);
-  switch (met.what) {
-    case LookupOutcome::kNew:
-      if (in.known_only) return not_known(entered, !store_ || store_->takes_intents(now), now), true;
+  const results::Lookup lookup = cache_.look_up(now, candidate.key, candidate.fingerprint, candidate.kind);
+  switch (lookup.outcome) {
+    case LookupOutcome::kMiss:
+      if (in.known_only) return not_known(entered, !store_ || store_->accepts_intents(now), now), true;
       // Before the store is open, too: nothing is known then of what earlier lives ran, it may be this one.
-      if (keyed && store_ && !store_->takes_intents(now)) {
+      if (keyed && store_ && !store_->accepts_intents(now)) {
         counters_.add(Count::kResultsNoStore);
         reject(entered, store_->retry_after(now));
         return true;
       }
       break;
-    case LookupOutcome::kRepeat: request.duplicate_of = met.original; break;
-    case LookupOutcome::kUnknown:
+    case LookupOutcome::kDuplicate: request.duplicate_of = lookup.original_id; break;
+    case LookupOutcome::kOutcomeUnknown:
       counters_.add(Count::kResultsUnknown);
       in_flight_.fail(entered, peers::FailureReason::kOutcomeUnknown);
       return true;
-    case LookupOutcome::kOtherBody:
+    case LookupOutcome::kFingerprintMismatch:
       counters_.add(Count::kResultsConflicts);
       in_flight_.fail(entered, peers::FailureReason::kKeyConflict);
       return true;
-    case LookupOutcome::kNoRoom:
+    case LookupOutcome::kNoCapacity:
       if (in.known_only) return not_known(entered, true, now), true;
       counters_.add(Count::kResultsNoRoom);
-      reject(entered, met.retry_after);
+      reject(entered, lookup.retry_after);
       return true;
   }
   candidate_ = candidate;
@@ -209,25 +210,25 @@
   if (!must_hold(candidate_.id == id, counters_)) return;
   const double now = net::monotonic_now();
   const bool kept =
-      table_.reserve(now, id, candidate_.key, candidate_.fingerprint, candidate_.kind, now + ttl);
+      cache_.reserve(now, id, candidate_.key, candidate_.fingerprint, candidate_.kind, now + ttl);
   if (kept) counters_.add(Count::kResultsKept);
   // There was room a moment ago for a keyed one; a read is worth remembering, no more.
-  must_hold(kept || candidate_.kind == Kind::kShared, counters_);
+  must_hold(kept || candidate_.kind == EntryKind::kSharedRead, counters_);
 }
 
-void ResultReplay::forget(RequestId id) { answer_repeats(table_.release(id), How::kNeverRan); }
+void ResultReplay::forget(RequestId id) { answer_repeats(cache_.release(id), How::kNeverRan); }
 
 void ResultReplay::join(RequestId id) {
   if (!must_hold(candidate_.id == id, counters_)) return;
   const results::Key key = candidate_.key;
   counters_.add(Count::kResultsJoined);
-  switch (table_.join(id, key)) {
-    case JoinOutcome::kWaits: return;
-    case JoinOutcome::kHere:
+  switch (cache_.join(id, key)) {
+    case JoinOutcome::kCoalesced: return;
+    case JoinOutcome::kInMemory:
       counters_.add(Count::kResultsFromMemory);
-      return answer_repeat(id, How::kSucceeded, *table_.result(key));
-    case JoinOutcome::kStored: return answer_from_store(id, key);
-    case JoinOutcome::kUnknown: return answer_repeat(id, How::kUnknown);
+      return answer_repeat(id, How::kSucceeded, *cache_.result_in_memory(key));
+    case JoinOutcome::kInStore: return answer_from_store(id, key);
+    case JoinOutcome::kOutcomeUnknown: return answer_repeat(id, How::kUnknown);
     case JoinOutcome::kNeverRan: return answer_repeat(id, How::kNeverRan);
   }
 }
@@ -235,7 +236,7 @@
 bool ResultReplay::hold_start(InFlightRequest& request) {
   if (!on()) return false;
   const RequestId id = request.id;
-  const results::IdempotencyCache::Entry* entry = table_.entry_of(id);
+  const results::IdempotencyCache::Entry* entry = cache_.find_active(id);
   const bool keyed = request.route_settings.idempotency == Idempotency::kWithKey;
   if (entry == nullptr) {
     // Guards against a keyed run that nobody would remember.
@@ -244,19 +245,20 @@
     return true;
   }
   if (!keyed || !store_) {
-    table_.start(id);
+    cache_.mark_running(id);
     return false;
   }
   const results::Key key = entry->key;
   results::Row row;
   row.key = key;
-  row.request = id;
-  row.type = request.route_name;
+  row.request_id = id;
+  row.route = request.route_name;
   row.fingerprint = entry->fingerprint;
-  row.until_ms = unix_ms() + static_cast<std::int64_t>((entry->until - net::monotonic_now()) * kMsPerSecond);
+  row.expires_at_ms =
+      unix_ms() + static_cast<std::int64_t>((entry->expires_at - net::monotonic_now()) * kMsPerSecond);
   request.run = RunStage::kRecordingKey;
   const bool taken =
-      store_->intent(std::move(row), [this, id, key](bool durable) { on_intent(id, key, durable); });
+      store_->write_intent(std::move(row), [this, id, key](bool durable) { on_intent(id, key, durable); });
   if (!taken) {
     reactor_.post([this, id, key] { on_intent(id, key, false); });
     return true;
@@ -274,12 +276,12 @@
     recording_.erase(timer);
   }
   InFlightRequest* request = in_flight_.find(id);
-  const results::IdempotencyCache::Entry* entry = table_.entry_of(id);
+  const results::IdempotencyCache::Entry* entry = cache_.find_active(id);
   if (request == nullptr || request->run != RunStage::kRecordingKey || entry == nullptr || entry->key != key)
     return;
   if (!durable) counters_.add(Count::kResultsNotDurable);
   if (!durable || request->answered) return not_started(id, key, store_->retry_after(net::monotonic_now()));
-  table_.start(id);
+  cache_.mark_running(id);
   sender_.start(*request);
 }
 
@@ -289,7 +291,7 @@
   if (request == nullptr) return;
   request->run = RunStage::kNone;
   reject(*request, retry_after);
-  answer_repeats(table_.release(id), How::kNeverRan);
+  answer_repeats(cache_.release(id), How::kNeverRan);
   if (store_) store_->erase({key});
   admission_.on_run_finished(id, Outcome::kObsolete, 0);
   if ((request = in_flight_.find(id)) != nullptr) in_flight_.release_if_over(*request);
@@ -299,14 +301,14 @@
 bool ResultReplay::on_run_ended(InFlightRequest& request, Outcome outcome, std::string_view result) {
   if (!on()) return false;
   const RequestId id = request.id;
-  const results::IdempotencyCache::Entry* entry = table_.entry_of(id);
-  if (entry == nullptr || entry->state != State::kRunning) return false;
+  const results::IdempotencyCache::Entry* entry = cache_.find_active(id);
+  if (entry == nullptr || entry->state != EntryState::kRunning) return false;
   const double now = net::monotonic_now();
   const results::Key key = entry->key;
   switch (outcome) {
     case Outcome::kOk: {
-      if (entry->kind == Kind::kShared || !store_) {
-        answer_repeats(table_.end(now, id, std::string(result)), How::kSucceeded, result);
+      if (entry->kind == EntryKind::kSharedRead || !store_) {
+        answer_repeats(cache_.complete(now, id, std::string(result)), How::kSucceeded, result);
         return false;
       }
       PendingWrite& pending = pending_[id];
@@ -320,11 +322,11 @@
             in_flight_.fail(*late);
             in_flight_.release_if_over(*late);
           });
-      store_->result(key, pending.result, [this, id](bool durable) { on_result_written(id, durable); });
+      store_->write_result(key, pending.result, [this, id](bool durable) { on_result_written(id, durable); });
       return true;
     }
     case Outcome::kObsolete: {  // nothing was started
-      answer_repeats(table_.release(id), How::kNeverRan);
+      answer_repeats(cache_.release(id), How::kNeverRan);
       if (store_) store_->erase({key});
       return false;
     }
@@ -332,7 +334,7 @@
       if (!request.answered && site_.admission.preemption == Preemption::kPause)
         return false;  // it goes on later
       [[fallthrough]];
-    default: answer_repeats(table_.lose(now, id), How::kUnknown); return false;
+    default: answer_repeats(cache_.mark_outcome_unknown(now, id), How::kUnknown); return false;
   }
 }
 
@@ -344,7 +346,7 @@
   PendingWrite& pending = found.mapped();
   reactor_.cancel(pending.due);
   if (!durable) counters_.add(Count::kResultsNotDurable);
-  const std::vector<RequestId> repeats = table_.end(net::monotonic_now(), id, pending.result);
+  const std::vector<RequestId> repeats = cache_.complete(net::monotonic_now(), id, pending.result);
   if (InFlightRequest* request = in_flight_.find(id)) {
     in_flight_.succeed(*request, pending.result);
     in_flight_.release_if_over(*request);
@@ -354,13 +356,13 @@
 
 void ResultReplay::on_closed(const InFlightRequest& request) {
   if (!on()) return;
-  table_.leave(request.id);
-  const results::IdempotencyCache::Entry* entry = table_.entry_of(request.id);
+  cache_.remove_waiter(request.id);
+  const results::IdempotencyCache::Entry* entry = cache_.find_active(request.id);
   if (entry == nullptr || pending_.contains(request.id)) return;
-  if (entry->state == State::kReserved) {
-    answer_repeats(table_.release(request.id), How::kNeverRan);
+  if (entry->state == EntryState::kReserved) {
+    answer_repeats(cache_.release(request.id), How::kNeverRan);
   } else {  // a paused run that is dropped
-    answer_repeats(table_.lose(net::monotonic_now(), request.id), How::kUnknown);
+    answer_repeats(cache_.mark_outcome_unknown(net::monotonic_now(), request.id), How::kUnknown);
   }
 }
 
@@ -368,7 +370,8 @@
 void ResultReplay::answer_from_store(RequestId id, const results::Key& key) {
   counters_.add(Count::kResultsFromStore);
   const bool asked = store_ && store_->fetch(key, [this, id](const std::optional<results::Row>& row) {
-    answer_repeat(id, row && row->ended ? How::kSucceeded : How::kUnknown, row ? row->result : std::string());
+    answer_repeat(id, row && row->has_result ? How::kSucceeded : How::kUnknown,
+                  row ? row->result : std::string());
   });
   if (!asked) answer_repeat(id, How::kUnknown);
 }
@@ -397,8 +400,8 @@
 
 // ---- Time passing.
 void ResultReplay::look() {
-  if (!store_ || store_->roomy()) {
-    std::vector<results::Key> over = table_.age(net::monotonic_now(), kAgedAtOnce);
+  if (!store_ || store_->has_spare_capacity()) {
+    std::vector<results::Key> over = cache_.expire(net::monotonic_now(), kAgedAtOnce);
     if (store_) store_->erase(std::move(over));
   }
   look_timer_ = reactor_.after(kLook, [this] { look(); });
@@ -417,18 +420,19 @@
   options_.memory = options.memory;
   options_.entries = options.entries;
   options_.patience = options.patience;
-  table_.set_bounds(bounds_of(options_, site_));
+  cache_.set_limits(limits_of(options_, site_));
   log_.event(Level::kInfo, "results", "new bounds",
-             {{"memory", options_.memory}, {"entries", options_.entries}, {"in_use", table_.bytes()}});
+             {{"memory", options_.memory}, {"entries", options_.entries}, {"in_use", cache_.used_bytes()}});
 }
 
 void ResultReplay::report() {
   if (!on()) return;
-  counters_.set(Count::kResultsEntries, table_.entries());
-  counters_.set(Count::kResultsBytes, table_.bytes());
-  counters_.set(Count::kResultsEvicted, table_.evicted());
+  counters_.set(Count::kResultsEntries, cache_.entry_count());
+  counters_.set(Count::kResultsBytes, cache_.used_bytes());
+  counters_.set(Count::kResultsEvicted, cache_.evicted_count());
   if (store_)
-    counters_.set(Count::kResultsCommitMostUs, static_cast<std::uint64_t>(store_->slowest_commit() * 1e6));
+    counters_.set(Count::kResultsCommitMostUs,
+                  static_cast<std::uint64_t>(store_->max_commit_seconds() * 1e6));
 }
 
 }  // namespace damsonspoke::stages
--- a/src/stages/result_replay.h
+++ b/src/stages/result_replay.h
@@ -61,7 +61,7 @@
     RequestId id = 0;
     results::Key key;
     results::Fingerprint fingerprint = 0;
-    results::Kind kind = results::Kind::kKeyed;
+    results::EntryKind kind = results::EntryKind::kKeyed;
   };
   // A result that is not durable yet; its run is over.
   struct PendingWrite {
@@ -70,9 +70,9 @@
     net::Reactor::TimerId due;
   };
 
-  void on_seed(std::uint64_t seed, bool made_new) override;
-  void on_recovered(const std::vector<results::Row>& rows) override;
-  void on_store_state(results::StoreState state, const std::string& why) override;
+  void on_key_seed(std::uint64_t seed, bool is_new) override;
+  void on_entries_recovered(const std::vector<results::Row>& rows) override;
+  void on_store_state_changed(results::StoreState state, const std::string& why) override;
   void on_drop_requests(const std::vector<results::Key>& keys) override;
 
   bool identify(const Request& request, const peers::IncomingRequest& in, const InFlightRequest& entered,
@@ -97,7 +97,7 @@
   Counters& counters_;
   Logger& log_;
   results::KeyDeriver keys_;
-  results::IdempotencyCache table_;
+  results::IdempotencyCache cache_;
   results::Recovery recovery_;
   const std::unordered_set<std::string> by_digest_;  // routes
   Candidate candidate_;                              // between meeting a request and the module's act on it
--- a/tests/compatibility/stored_files_test.cpp
+++ b/tests/compatibility/stored_files_test.cpp
@@ -43,25 +43,25 @@
 TEST_F(StoredFiles, ResultsDatabaseIsReadWhole) {
   using namespace results;
   Database database(path("results/results.db"), {false, 0, true, nullptr});
-  EXPECT_FALSE(database.made_new());
+  EXPECT_FALSE(database.is_new());
   EXPECT_EQ(database.seed(), 11420642726564356063u);
   EXPECT_TRUE(database.verify().empty());
 
   std::vector<Row> rows;
-  database.each([&](const Row& row) { rows.push_back(row); });
+  database.for_each([&](const Row& row) { rows.push_back(row); });
   ASSERT_EQ(rows.size(), 2u);
   EXPECT_EQ(rows[0].key, (Key{1, 2}));
-  EXPECT_EQ(rows[0].request, 3u);
-  EXPECT_EQ(rows[0].type, "rate-push");
+  EXPECT_EQ(rows[0].request_id, 3u);
+  EXPECT_EQ(rows[0].route, "rate-push");
   EXPECT_EQ(rows[0].fingerprint, 4u);
-  EXPECT_EQ(rows[0].until_ms, 4102444800000);
-  EXPECT_TRUE(rows[0].ended);
+  EXPECT_EQ(rows[0].expires_at_ms, 4102444800000);
+  EXPECT_TRUE(rows[0].has_result);
   EXPECT_EQ(rows[1].key, (Key{5, 0xffffffffffffffff}));
-  EXPECT_EQ(rows[1].request, 6u);
-  EXPECT_EQ(rows[1].type, "avail-read");
+  EXPECT_EQ(rows[1].request_id, 6u);
+  EXPECT_EQ(rows[1].route, "avail-read");
   EXPECT_EQ(rows[1].fingerprint, 0xfedcba9876543210u);
-  EXPECT_EQ(rows[1].until_ms, 4102444800001);
-  EXPECT_FALSE(rows[1].ended);
+  EXPECT_EQ(rows[1].expires_at_ms, 4102444800001);
+  EXPECT_FALSE(rows[1].has_result);
   const std::optional<Row> fetched = database.fetch({1, 2});
   ASSERT_TRUE(fetched.has_value());
   EXPECT_EQ(fetched->result, "a result");
--- a/tests/results/idempotency_cache_histories.cpp
+++ b/tests/results/idempotency_cache_histories.cpp
@@ -26,13 +26,13 @@
 
 struct Thing {
   RequestId id = 0;
-  Kind kind = Kind::kKeyed;
-  State state = State::kReserved;
+  EntryKind kind = EntryKind::kKeyed;
+  EntryState state = EntryState::kReserved;
   Fingerprint fingerprint = 0;
   double until = 0;
   std::string result;
   std::vector<RequestId> waiting;
-  bool open() const { return state == State::kReserved || state == State::kRunning; }
+  bool open() const { return state == EntryState::kReserved || state == EntryState::kRunning; }
 };
 
 constexpr double kFresh = 2, kWindow = 6;
@@ -40,7 +40,7 @@
 // Everything in plain lists; no room, no index, no order of eviction.
 class Play {
  public:
-  explicit Play(bool stored) : stored_(stored), bounds_{12 * kBig, 8, stored, kFresh}, table_(bounds_) {}
+  explicit Play(bool stored) : stored_(stored), limits_{12 * kBig, 8, stored, kFresh}, cache_(limits_) {}
 
   // What was broken, or nothing.
   std::string run(const std::vector<Step>& steps) {
@@ -54,7 +54,7 @@
   std::set<std::string> seen;  // that were met, so that a harness that tests nothing is noticed
 
  private:
-  static constexpr std::size_t kBig = IdempotencyCache::kEntryBytes + IdempotencyCache::kMostResult;
+  static constexpr std::size_t kBig = IdempotencyCache::kEntryBytes + IdempotencyCache::kMaxResultBytes;
 
   static Key key(unsigned n) { return {n, n * 7919ULL}; }
   void must(bool holds, const std::string& what) {
@@ -77,15 +77,15 @@
     std::size_t bytes = 0;
     for (const auto& [k, t] : things_) {
       if (t.open()) bytes += kBig;
-      if (t.state == State::kEnded && t.kind == Kind::kKeyed)
+      if (t.state == EntryState::kCompleted && t.kind == EntryKind::kKeyed)
         bytes += IdempotencyCache::kEntryBytes + (stored_ ? 0 : t.result.size());
-      if (t.state == State::kUnknown) bytes += IdempotencyCache::kEntryBytes;
+      if (t.state == EntryState::kOutcomeUnknown) bytes += IdempotencyCache::kEntryBytes;
     }
     return bytes;
   }
   std::size_t must_stay() const {
     std::size_t n = 0;
-    for (const auto& [k, t] : things_) n += t.open() || t.kind == Kind::kKeyed;
+    for (const auto& [k, t] : things_) n += t.open() || t.kind == EntryKind::kKeyed;
     return n;
   }
 
@@ -95,8 +95,8 @@
       case Act::kPass: return pass(s);
       case Act::kStart:
         if (Thing* t = nth_open(s.a)) {
-          table_.start(t->id);
-          t->state = State::kRunning;
+          cache_.mark_running(t->id);
+          t->state = EntryState::kRunning;
         }
         return;
       case Act::kEnd:
@@ -104,16 +104,17 @@
         return;
       case Act::kLose:
         if (Thing* t = nth_open(s.a)) {
-          must(table_.lose(now_, t->id) == t->waiting, "lose: other repeats than those that wait");
+          must(cache_.mark_outcome_unknown(now_, t->id) == t->waiting,
+               "lose: other repeats than those that wait");
           t->waiting.clear();
-          t->state = State::kUnknown;
+          t->state = EntryState::kOutcomeUnknown;
           t->until = std::max(t->until, now_);
-          if (t->kind == Kind::kShared) things_.erase(key_of(t));
+          if (t->kind == EntryKind::kSharedRead) things_.erase(key_of(t));
         }
         return;
       case Act::kRelease:
         if (Thing* t = nth_open(s.a)) {
-          must(table_.release(t->id) == t->waiting, "release: other repeats than those that wait");
+          must(cache_.release(t->id) == t->waiting, "release: other repeats than those that wait");
           things_.erase(key_of(t));
         }
         return;
@@ -121,7 +122,7 @@
         for (auto& [k, t] : things_) {
           if (t.waiting.empty()) continue;
           const std::size_t at = s.a % t.waiting.size();
-          table_.leave(t.waiting[at]);
+          cache_.remove_waiter(t.waiting[at]);
           t.waiting.erase(t.waiting.begin() + static_cast<std::ptrdiff_t>(at));
           seen.insert("a repeat left");
           return;
@@ -130,25 +131,25 @@
       case Act::kDrop: {
         const auto found = things_.find(s.a % 12);
         const bool there = found != things_.end() && !found->second.open();
-        const bool evictable = there && found->second.kind == Kind::kShared;
-        const bool dropped = table_.drop(key(s.a % 12));
+        const bool evictable = there && found->second.kind == EntryKind::kSharedRead;
+        const bool dropped = cache_.drop(key(s.a % 12));
         must(evictable || dropped == there, "drop: of what is open, or not of what has ended");
         if (dropped && there) things_.erase(found);
         return;
       }
       case Act::kBounds:
-        bounds_.entries = 3 + s.a % 8;
-        bounds_.bytes = (2 + s.b % 10) * kBig;
-        table_.set_bounds(bounds_);
+        limits_.max_entries = 3 + s.a % 8;
+        limits_.max_bytes = (2 + s.b % 10) * kBig;
+        cache_.set_limits(limits_);
         return;
       case Act::kRecover:
         if (stored_ && !things_.contains(s.a % 12)) {
           Thing t;
           t.id = ++last_id_;
           t.fingerprint = s.b % 2;
-          t.state = s.c % 2 ? State::kEnded : State::kUnknown;
+          t.state = s.c % 2 ? EntryState::kCompleted : EntryState::kOutcomeUnknown;
           t.until = now_ + 1 + s.c % 4;
-          table_.recover(t.id, key(s.a % 12), t.fingerprint, t.state == State::kEnded, t.until);
+          cache_.restore(t.id, key(s.a % 12), t.fingerprint, t.state == EntryState::kCompleted, t.until);
           recovered_.insert(s.a % 12);
           things_[s.a % 12] = t;
         }
@@ -158,69 +159,71 @@
 
   void arrive(const Step& s) {
     const unsigned k = s.a % 12;
-    const Kind kind = k < 9 ? Kind::kKeyed : Kind::kShared;
-    const Fingerprint print = kind == Kind::kKeyed ? s.b % 2 : 0;
-    const Lookup met = table_.meet(now_, key(k), print, kind);
+    const EntryKind kind = k < 9 ? EntryKind::kKeyed : EntryKind::kSharedRead;
+    const Fingerprint print = kind == EntryKind::kKeyed ? s.b % 2 : 0;
+    const Lookup lookup = cache_.look_up(now_, key(k), print, kind);
     const RequestId id = ++last_id_;
     const auto found = things_.find(k);
     const bool valid = found != things_.end() && (found->second.open() || found->second.until > now_);
-    if (valid && (kind == Kind::kKeyed || found->second.open())) {
+    if (valid && (kind == EntryKind::kKeyed || found->second.open())) {
       const Thing& t = found->second;
-      const LookupOutcome expected = t.fingerprint != print       ? LookupOutcome::kOtherBody
-                                     : t.state == State::kUnknown ? LookupOutcome::kUnknown
-                                                                  : LookupOutcome::kRepeat;
-      must(met.what == expected, "meet: what must be known was met otherwise");
-      if (met.what == LookupOutcome::kRepeat) must(met.original == t.id, "meet: another's original");
+      const LookupOutcome expected = t.fingerprint != print ? LookupOutcome::kFingerprintMismatch
+                                     : t.state == EntryState::kOutcomeUnknown ? LookupOutcome::kOutcomeUnknown
+                                                                              : LookupOutcome::kDuplicate;
+      must(lookup.outcome == expected, "meet: what must be known was met otherwise");
+      if (lookup.outcome == LookupOutcome::kDuplicate)
+        must(lookup.original_id == t.id, "meet: another's original");
     }
     if (!valid)
-      must(met.what == LookupOutcome::kNew || met.what == LookupOutcome::kNoRoom,
+      must(lookup.outcome == LookupOutcome::kMiss || lookup.outcome == LookupOutcome::kNoCapacity,
            "meet: something that is not there");
-    seen.insert("met " + std::to_string(static_cast<int>(met.what)));
-    if (met.what == LookupOutcome::kNoRoom) {
-      must(kind == Kind::kKeyed, "no room: for a read");
-      must(needed() + kBig > bounds_.bytes || must_stay() + 1 > bounds_.entries, "no room: though there is");
-    } else if (met.what == LookupOutcome::kRepeat) {
+    seen.insert("met " + std::to_string(static_cast<int>(lookup.outcome)));
+    if (lookup.outcome == LookupOutcome::kNoCapacity) {
+      must(kind == EntryKind::kKeyed, "no room: for a read");
+      must(needed() + kBig > limits_.max_bytes || must_stay() + 1 > limits_.max_entries,
+           "no room: though there is");
+    } else if (lookup.outcome == LookupOutcome::kDuplicate) {
       join(id, k);
-    } else if (met.what == LookupOutcome::kNew) {
+    } else if (lookup.outcome == LookupOutcome::kMiss) {
       if (found != things_.end() && !found->second.open()) things_.erase(found);  // evicted, or over
-      const bool kept = table_.reserve(now_, id, key(k), print, kind, now_ + kWindow);
-      must(kept || kind == Kind::kShared, "reserve: refused right after there was room");
+      const bool kept = cache_.reserve(now_, id, key(k), print, kind, now_ + kWindow);
+      must(kept || kind == EntryKind::kSharedRead, "reserve: refused right after there was room");
       recovered_.erase(k);
-      if (kept) things_[k] = {id, kind, State::kReserved, print, now_ + kWindow, {}, {}};
+      if (kept) things_[k] = {id, kind, EntryState::kReserved, print, now_ + kWindow, {}, {}};
     }
   }
 
   void join(RequestId id, unsigned k) {
     Thing& t = things_.at(k);
-    const JoinOutcome joined = table_.join(id, key(k));
+    const JoinOutcome joined = cache_.join(id, key(k));
     seen.insert("joined " + std::to_string(static_cast<int>(joined)));
     if (t.open()) {
-      must(joined == JoinOutcome::kWaits, "join: does not wait for what goes on");
+      must(joined == JoinOutcome::kCoalesced, "join: does not wait for what goes on");
       t.waiting.push_back(id);
       return;
     }
-    if (joined == JoinOutcome::kStored) {
-      must(stored_ && t.kind == Kind::kKeyed, "join: in a store that is not there");
+    if (joined == JoinOutcome::kInStore) {
+      must(stored_ && t.kind == EntryKind::kKeyed, "join: in a store that is not there");
       return;
     }
-    must(joined == JoinOutcome::kHere, "join: no result of what has ended");
-    const std::string* result = table_.result(key(k));
+    must(joined == JoinOutcome::kInMemory, "join: no result of what has ended");
+    const std::string* result = cache_.result_in_memory(key(k));
     must(result != nullptr && *result == t.result, "join: another result");
     must(!recovered_.contains(k), "join: a result in memory that was never there");
   }
 
   void end(Thing& t, const Step& s) {
     const bool too_long = s.b % 16 == 0;
-    std::string result(too_long ? IdempotencyCache::kMostResult + 1 : s.b % 3000,
+    std::string result(too_long ? IdempotencyCache::kMaxResultBytes + 1 : s.b % 3000,
                        static_cast<char>('a' + s.c % 26));
-    must(table_.end(now_, t.id, result) == t.waiting, "end: other repeats than those that wait");
+    must(cache_.complete(now_, t.id, result) == t.waiting, "end: other repeats than those that wait");
     t.waiting.clear();
     t.until = std::max(t.until, now_);
-    t.state = State::kEnded;
-    if (too_long && !stored_) t.state = State::kUnknown;
+    t.state = EntryState::kCompleted;
+    if (too_long && !stored_) t.state = EntryState::kOutcomeUnknown;
     if (too_long) seen.insert("too long");
     t.result = too_long ? std::string() : std::move(result);
-    if (t.kind == Kind::kShared) {
+    if (t.kind == EntryKind::kSharedRead) {
       t.until = std::min(t.until, now_ + kFresh);
       if (too_long) things_.erase(key_of(&t));
     }
@@ -228,12 +231,12 @@
 
   void pass(const Step& s) {
     now_ += 0.25 * (s.a % 8);
-    const std::vector<Key> gone = table_.age(now_, 100);
+    const std::vector<Key> gone = cache_.expire(now_, 100);
     std::set<Key> expected;
     for (auto it = things_.begin(); it != things_.end();) {
       const Thing& t = it->second;
       const bool over = !t.open() && t.until <= now_;
-      if (over && t.kind == Kind::kKeyed) expected.insert(key(it->first));
+      if (over && t.kind == EntryKind::kKeyed) expected.insert(key(it->first));
       it = over ? things_.erase(it) : std::next(it);
     }
     must(std::set<Key>(gone.begin(), gone.end()) == expected, "age: other keys than those that are over");
@@ -241,14 +244,14 @@
   }
 
   void check() {
-    must(table_.consistent(), "the sums do not hold");
-    must(table_.bytes() <= std::max(bounds_.bytes, needed()),
+    must(cache_.is_consistent(), "the sums do not hold");
+    must(cache_.used_bytes() <= std::max(limits_.max_bytes, needed()),
          "more bytes than the bound and than must be held");
-    must(table_.entries() <= std::max(bounds_.entries, must_stay()), "more entries than the bound");
-    if (table_.evicted() > 0) seen.insert("evicted");
+    must(cache_.entry_count() <= std::max(limits_.max_entries, must_stay()), "more entries than the bound");
+    if (cache_.evicted_count() > 0) seen.insert("evicted");
     for (const auto& [k, t] : things_) {
-      const IdempotencyCache::Entry* entry = table_.find(key(k));
-      if (t.kind == Kind::kKeyed || t.open()) {
+      const IdempotencyCache::Entry* entry = cache_.find(key(k));
+      if (t.kind == EntryKind::kKeyed || t.open()) {
         must(entry != nullptr, "forgotten: what must be remembered");
         if (entry) must(entry->state == t.state && entry->id == t.id, "an entry in another state");
       }
@@ -256,8 +259,8 @@
   }
 
   const bool stored_;
-  CacheLimits bounds_;
-  IdempotencyCache table_;
+  CacheLimits limits_;
+  IdempotencyCache cache_;
   std::map<unsigned, Thing> things_;
   std::set<unsigned> recovered_;
   double now_ = 0;
--- a/tests/results/results_store.cpp
+++ b/tests/results/results_store.cpp
@@ -31,10 +31,10 @@
 Row row_of(unsigned n, std::int64_t until_ms = 1'000'000) {
   Row row;
   row.key = {n, n * 31ULL};
-  row.request = n;
-  row.type = "push";
+  row.request_id = n;
+  row.route = "push";
   row.fingerprint = n * 7ULL;
-  row.until_ms = until_ms;
+  row.expires_at_ms = until_ms;
   return row;
 }
 std::string result_of(unsigned n) {
@@ -48,13 +48,14 @@
   Content content;
   bool spoilt = false;
   std::vector<Key> ended;
-  database.each([&](const Row& row) {
-    if (row.request != row_of(static_cast<unsigned>(row.request)).request || row.type != "push" ||
-        row.fingerprint != row.request * 7 || row.until_ms != 1'000'000 || row.key.high != row.request) {
+  database.for_each([&](const Row& row) {
+    if (row.request_id != row_of(static_cast<unsigned>(row.request_id)).request_id || row.route != "push" ||
+        row.fingerprint != row.request_id * 7 || row.expires_at_ms != 1'000'000 ||
+        row.key.high != row.request_id) {
       spoilt = true;
     }
     content[row.key] = "intent";
-    if (row.ended) ended.push_back(row.key);
+    if (row.has_result) ended.push_back(row.key);
   });
   for (const Key& key : ended) {
     const std::optional<Row> row = database.fetch(key);
@@ -96,7 +97,7 @@
       }
       database.commit();
       out.committed.emplace_back(disk.requests().size(), content);
-      if (group % 8 == 7) database.tidy();
+      if (group % 8 == 7) database.checkpoint();
     }
     out.requests = disk.requests();
   }
@@ -228,11 +229,13 @@
 // ---- The store and its thread.
 class Watch : public StoreEvents {
  public:
-  void on_seed(std::uint64_t, bool made_new) override {
-    std::printf("seed, %s file\n", made_new ? "a new" : "an old");
+  void on_key_seed(std::uint64_t, bool is_new) override {
+    std::printf("seed, %s file\n", is_new ? "a new" : "an old");
   }
-  void on_recovered(const std::vector<Row>& rows) override { std::printf("recovered %zu\n", rows.size()); }
-  void on_store_state(StoreState state, const std::string& why) override {
+  void on_entries_recovered(const std::vector<Row>& rows) override {
+    std::printf("recovered %zu\n", rows.size());
+  }
+  void on_store_state_changed(StoreState state, const std::string& why) override {
     const std::size_t colon = why.rfind(": ");
     std::printf("store: %s%s%s\n", std::string(name_of(state)).c_str(), why.empty() ? "" : ", ",
                 colon == std::string::npos ? "" : why.substr(colon + 2).c_str());
@@ -307,18 +310,18 @@
   Turning turning;
   Watch watch;
   Held store(turning, {folder.file(), false, 1 << 20, 1000, {}}, watch);
-  turning.go_on([&] { return watch.last == StoreState::kSound; });
+  turning.go_on([&] { return watch.last == StoreState::kHealthy; });
   unsigned written = 0, refused = 0;
   for (unsigned n = 1; n <= 400 && refused == 0; ++n) {
     bool over = false;
     turning.on([&] {
-      return store->intent(row_of(n), [&, n](bool durable) {
+      return store->write_intent(row_of(n), [&, n](bool durable) {
         if (!durable) {
           ++refused;
           over = true;
           return;
         }
-        store->result(row_of(n).key, std::string(4096, 'r'), [&](bool good) {
+        store->write_result(row_of(n).key, std::string(4096, 'r'), [&](bool good) {
           good ? ++written : ++refused;
           over = true;
         });
@@ -328,15 +331,15 @@
   }
   std::printf("written until full: %s\n",
               written > 150 && written < 256 ? "about what fits" : std::to_string(written).c_str());
-  std::printf(
-      "an intent right after: %s\n",
-      turning.on([&] { return store->intent(row_of(900), [](bool) {}); }) ? "taken" : "refused at once");
+  std::printf("an intent right after: %s\n",
+              turning.on([&] { return store->write_intent(row_of(900), [](bool) {}); }) ? "taken"
+                                                                                        : "refused at once");
   std::vector<Key> keys;
   for (unsigned n = 1; n <= 50; ++n) keys.push_back(row_of(n).key);
   turning.on([&] { return store->erase(keys), 0; });
   std::this_thread::sleep_for(std::chrono::milliseconds(400));
   bool durable = false;
-  turning.on([&] { return store->intent(row_of(901), [&](bool good) { durable = good; }); });
+  turning.on([&] { return store->write_intent(row_of(901), [&](bool good) { durable = good; }); });
   turning.go_on([&] { return durable; });
   std::printf("an intent after fifty went: %s\n", durable ? "durable" : "not durable");
   std::optional<Row> found;
@@ -354,14 +357,14 @@
   Held store(turning,
              {folder.file(), true, 0, 20, [] { std::this_thread::sleep_for(std::chrono::milliseconds(60)); }},
              watch);
-  turning.go_on([&] { return watch.last == StoreState::kSound; });
+  turning.go_on([&] { return watch.last == StoreState::kHealthy; });
   unsigned asked = 0, taken = 0, durable = 0;
   double longest = 0;
   while (asked < 200) {
     const double begin = net::monotonic_now();
     turning.on([&] {
       for (int i = 0; i < 4; ++i)
-        taken += store->intent(row_of(++asked), [&](bool good) { durable += good; });
+        taken += store->write_intent(row_of(++asked), [&](bool good) { durable += good; });
       return 0;
     });
     longest = std::max(longest, net::monotonic_now() - begin);
@@ -381,11 +384,11 @@
     Turning turning;
     Watch first, second;
     Held store(turning, {folder.file(), false, 0, 100, {}}, first);
-    turning.go_on([&] { return first.last == StoreState::kSound; });
+    turning.go_on([&] { return first.last == StoreState::kHealthy; });
     Held other(turning, {folder.file(), false, 0, 100, {}}, second);
     turning.go_on([&] { return second.last != StoreState::kOpening; });
     std::printf("takes intents: %s\n",
-                turning.on([&] { return other->takes_intents(net::monotonic_now()); }) ? "yes" : "no");
+                turning.on([&] { return other->accepts_intents(net::monotonic_now()); }) ? "yes" : "no");
   }
   const auto change = [&](const char* sql) {
     sqlite3* db = nullptr;
@@ -408,22 +411,22 @@
   StoreHealth health;
   const auto say = [&](const char* what, double now) {
     std::printf("%5.2f %-28s %-8s intents %-3s open %-3s come back in %.2f\n", now, what,
-                std::string(name_of(health.state())).c_str(), health.takes_intents(now) ? "yes" : "no",
+                std::string(name_of(health.state())).c_str(), health.accepts_intents(now) ? "yes" : "no",
                 health.should_open(now) ? "yes" : "no", health.retry_after(now));
   };
   say("at the start", 0);
-  health.failed(0, DatabaseFault::kUnavailable), say("unavailable", 0);
+  health.on_fault(0, DatabaseFault::kUnavailable), say("unavailable", 0);
   say("later", 0.5);
-  health.failed(0.5, DatabaseFault::kUnavailable), say("unavailable again", 0.5);
+  health.on_fault(0.5, DatabaseFault::kUnavailable), say("unavailable again", 0.5);
   say("later", 1.4);
-  for (int i = 0; i < 9; ++i) health.failed(2, DatabaseFault::kUnavailable);
+  for (int i = 0; i < 9; ++i) health.on_fault(2, DatabaseFault::kUnavailable);
   say("for long", 2);
-  health.opened(), say("opened", 12);
-  health.failed(13, DatabaseFault::kFull), say("full", 13);
+  health.on_opened(), say("opened", 12);
+  health.on_fault(13, DatabaseFault::kFull), say("full", 13);
   say("later", 13.3);
-  health.wrote(), say("an intent was written", 13.3);
-  health.failed(14, DatabaseFault::kDamaged), say("damaged", 14);
-  health.failed(15, DatabaseFault::kFull), say("full", 15);
+  health.on_intent_written(), say("an intent was written", 13.3);
+  health.on_fault(14, DatabaseFault::kDamaged), say("damaged", 14);
+  health.on_fault(15, DatabaseFault::kFull), say("full", 15);
   say("much later", 1000);
 }
 
@@ -432,14 +435,14 @@
   push.idempotency_window = 10;
   const Recovery recovery({{"push", push.idempotency_window}});
   const auto say = [&](const char* what, const Row& row, std::int64_t now_ms) {
-    const Recovered r = recovery.read(row, now_ms);
-    std::printf("%-34s %s, %.1f s left\n", what, r.keep ? "kept" : "over", r.left);
+    const RecoveredEntry r = recovery.assess(row, now_ms);
+    std::printf("%-34s %s, %.1f s left\n", what, r.is_live ? "kept" : "over", r.remaining_seconds);
   };
   say("four seconds on", row_of(1, 100'000), 94'000);
   say("its window is over", row_of(1, 100'000), 100'000);
   say("the clock went back an hour", row_of(1, 100'000 + 3'600'000), 94'000);
   Row other = row_of(1, 100'000 + 86'400'000);
-  other.type = "gone";
+  other.route = "gone";
   say("of a type that is no more", other, 94'000);
 }
 
--- a/tests/statistics/restarts.cpp
+++ b/tests/statistics/restarts.cpp
@@ -25,9 +25,9 @@
   for (int i = 0; i < keys; ++i) {
     results::Row row;
     row.key = {0x1234, static_cast<std::uint64_t>(i)};
-    row.request = 0x10000000u + static_cast<std::uint64_t>(i);
-    row.type = "push";
-    row.until_ms = std::chrono::duration_cast<std::chrono::milliseconds>(now).count() + 600'000;
+    row.request_id = 0x10000000u + static_cast<std::uint64_t>(i);
+    row.route = "push";
+    row.expires_at_ms = std::chrono::duration_cast<std::chrono::milliseconds>(now).count() + 600'000;
     store.put_intent(row);
     store.put_result(row.key, std::string(1024, 'r'));
   }
