--- a/bench/knowledge.cpp
+++ b/bench/knowledge.cpp
@@ -98,9 +98,9 @@
 }
 
 void leave_behind(const std::string& folder, statistics::StatisticsRecord record, bool bad_spell) {
-  record.written = unix_now();
-  record.troubled = bad_spell;
-  for (auto& type : record.types) {
+  record.written_at = unix_now();
+  record.under_pressure = bad_spell;
+  for (auto& type : record.routes) {
     if (!bad_spell) break;
     type.run.bins.assign(13, 0);
     type.run.bins[11] = 20, type.run.sum = 20 * 8;
@@ -251,7 +251,7 @@
     fleet.kill();
     const auto disk = store::open_folder(fleet.folder());
     const statistics::Reading read = statistics::StatisticsFolder(*disk).read();
-    garbage += !read.record && read.problem != "nothing is there";
+    garbage += !read.record && read.problem != statistics::ReadProblem::kMissing;
   }
   return garbage;
 }
--- a/fuzz/knowledge.cpp
+++ b/fuzz/knowledge.cpp
@@ -1,4 +1,4 @@
-// A record of knowledge, sealed and not: any bytes are refused or read, and what is believed of them is
+// A record of knowledge, sealed and not: any bytes are refused or read, and what is derived from them is
 // sensible.
 #include <cstdlib>
 
@@ -8,7 +8,7 @@
 extern "C" int LLVMFuzzerTestOneInput(const unsigned char* data, std::size_t size) {
   using namespace damsonspoke;
   const std::string_view bytes(reinterpret_cast<const char*>(data), size);
-  store::verify_checksum(bytes, statistics::kForm);
+  store::verify_checksum(bytes, statistics::kRecordFormatVersion);
   const std::optional<statistics::StatisticsRecord> record = statistics::decode(bytes);
   if (!record) return 0;
   StartSettings site;
@@ -17,10 +17,10 @@
   site.admission.routes = {type};
   site.admission.cores = record->cores;
   site.route_names = {"push"};
-  const statistics::Prior belief =
-      statistics::derive_prior(*record, site, record->written + 1, 0, {43200, 259200, 4});
-  for (const auto& times : belief.prior.routes) {
-    if (!times.run.bins.empty() && !statistics::sensible(times.run)) std::abort();
+  const statistics::Prior prior =
+      statistics::derive_prior(*record, site, record->written_at + 1, 0, {43200, 259200, 4});
+  for (const auto& times : prior.statistics.routes) {
+    if (!times.run.bins.empty() && !statistics::is_plausible(times.run)) std::abort();
   }
   return 0;
 }
--- a/src/app/backend.cpp
+++ b/src/app/backend.cpp
@@ -165,7 +165,7 @@
   const std::string host = config_.listen.substr(0, config_.listen.rfind(':'));
   log_.info("backend", "{} listens on {}:{}", config_.name, host, front_->port());
   if (ajp_ != nullptr) log_.info("backend", "takes AJP callers on port {}", ajp_->port());
-  statistics_.get_ready();
+  statistics_.wait_for_record();
   if (connection_admission_) connection_admission_->begin();
   membership_.begin(front_->port());
   reactor_.run();
@@ -174,7 +174,7 @@
 }
 
 void Backend::report() {
-  replay_.report();
+  replay_.update_counters();
   membership_.report();
   catalog_.report();
   log_.block(counters_.report());
@@ -217,7 +217,7 @@
   leaving_since_ = net::monotonic_now();
   log_.info("backend", "notice to leave, {} ops open, {} connections", in_flight_.unanswered(),
             front_->connections());
-  statistics_.leaving();
+  statistics_.on_drain();
   if (connection_admission_) connection_admission_->leaving();
   membership_.leave();
   sender_.drain();
--- a/src/app/knowledge_command.cpp
+++ b/src/app/knowledge_command.cpp
@@ -1,9 +1,10 @@
-// damsonspoke knowledge show|verify|forget: what a folder of knowledge holds, and what would be believed of
-// it.
+// damsonspoke knowledge show|verify|forget: the learned statistics in a folder, at rest or in use by a
+// running program.
 #include <fmt/format.h>
 
 #include <chrono>
 #include <cstdio>
+#include <numeric>
 
 #include "app/commands.h"
 #include "statistics/statistics_store.h"
@@ -11,7 +12,7 @@
 namespace damsonspoke {
 namespace {
 
-double now() {
+double unix_now() {
   return std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch()).count();
 }
 
@@ -24,26 +25,41 @@
   return folder;
 }
 
-std::string shown(const LearnedDurations& times) {
-  double count = 0;
-  for (const double n : times.bins) count += n;
-  return count > 0 ? fmt::format("{:.4f} s of {:.1f} values", times.sum / count, count) : "nothing";
+std::string mean_text(const LearnedDurations& durations) {
+  const double count = std::accumulate(durations.bins.begin(), durations.bins.end(), 0.0);
+  return count > 0 ? fmt::format("{:.4f} s of {:.1f} values", durations.sum / count, count) : "nothing";
 }
 
-int show(const statistics::Reading& read) {
-  if (!read.record) {
-    fmt::print("{}\n", read.problem);
+// The words of the output are part of the command's interface: operators' scripts read them.
+int show(const statistics::Reading& reading) {
+  if (!reading.record) {
+    fmt::print("{}\n", text_of(reading.problem));
     return kFailed;
   }
-  const statistics::StatisticsRecord& r = *read.record;
-  fmt::print("written   {:.0f} s ago by {}, which had lived {:.0f} s{}\n", now() - r.written, r.site, r.lived,
-             read.older ? " (the generation before)" : "");
-  fmt::print("cores     {}\nbad spell {}\nlives that began with it and did not last: {}\n", r.cores,
-             r.troubled ? "yes" : "no", read.starts);
+  const statistics::StatisticsRecord& record = *reading.record;
+  fmt::print("written   {:.0f} s ago by {}, which had lived {:.0f} s{}\n", unix_now() - record.written_at,
+             record.server_name, record.uptime_seconds,
+             reading.is_previous ? " (the generation before)" : "");
+  fmt::print("cores     {}\nbad spell {}\nlives that began with it and did not last: {}\n", record.cores,
+             record.under_pressure ? "yes" : "no", reading.failed_starts);
   fmt::print("{:<20}{:<36}{}\n", "op type", "runs, mean", "at calls, mean");
-  for (const statistics::RouteRecord& t : r.types)
-    fmt::print("{:<20}{:<36}{}\n", t.name, shown(t.run), shown(t.away));
-  fmt::print("calls     {}\nreturns   {:.2f}\n", shown(r.calls), r.returns);
+  for (const statistics::RouteRecord& route : record.routes)
+    fmt::print("{:<20}{:<36}{}\n", route.name, mean_text(route.run), mean_text(route.away));
+  fmt::print("calls     {}\nreturns   {:.2f}\n", mean_text(record.calls), record.returning_share);
+  return kDone;
+}
+
+int verify(const std::string& path, const statistics::Reading& reading) {
+  const bool is_intact = reading.problem == statistics::ReadProblem::kNone;
+  fmt::print("{}: {}{}\n", path, is_intact ? "sound" : text_of(reading.problem),
+             reading.is_previous ? ", the generation before is used" : "");
+  return is_intact && !reading.is_previous ? kDone : kFailed;
+}
+
+int forget(const std::string& path, store::FileSystem& file_system) {
+  if (!file_system.try_lock()) throw SettingsError(text_of(file_system.last_error()));
+  statistics::StatisticsFolder(file_system).remove();
+  fmt::print("{}: forgotten\n", path);
   return kDone;
 }
 
@@ -54,19 +70,10 @@
   if (action != "show" && action != "verify" && action != "forget")
     throw WrongUse("knowledge takes show, verify or forget");
   const std::string path = folder_of(flags);
-  const std::unique_ptr<store::FileSystem> disk = store::open_folder(path);
-  statistics::StatisticsFolder folder(*disk);
-  if (action == "forget") {
-    if (!disk->try_lock()) throw SettingsError(text_of(disk->last_error()));
-    folder.forget();
-    fmt::print("{}: forgotten\n", path);
-    return kDone;
-  }
-  const statistics::Reading read = folder.read();
-  if (action == "show") return show(read);
-  fmt::print("{}: {}{}\n", path, read.problem.empty() ? "sound" : read.problem,
-             read.older ? ", the generation before is used" : "");
-  return read.problem.empty() && !read.older ? kDone : kFailed;
+  const std::unique_ptr<store::FileSystem> file_system = store::open_folder(path);
+  if (action == "forget") return forget(path, *file_system);
+  const statistics::Reading reading = statistics::StatisticsFolder(*file_system).read();
+  return action == "show" ? show(reading) : verify(path, reading);
 }
 
 }  // namespace damsonspoke
--- a/src/results/database.h
+++ b/src/results/database.h
@@ -1,5 +1,9 @@
-// The file in which keys and results survive: one SQLite database, opened, checked, written and read by one
-// thread. Every error is a DatabaseError with one plain line.
+// The SQLite database in which idempotency keys and results survive a restart. Used by one thread at a time.
+//
+// Each keyed request writes an intent record before it runs and its result when it completes; an intent
+// without a result therefore means that the request may have run. Every record carries a checksum, so that a
+// page that was changed by a faulty disk never becomes somebody's result. Every error is thrown as a
+// DatabaseError.
 #pragma once
 
 #include <cstdint>
@@ -19,95 +23,125 @@
 
 namespace damsonspoke::results {
 
-enum class DatabaseFault {
-  kFull,         // the bound or the disk is reached; what is there is sound
-  kUnavailable,  // cannot be opened, read or written now
-  kDamaged,      // what it holds can't be trusted
-  kNewer,        // another version's form, left as it is
-  kForeign,      // no store of results
+enum class DatabaseFault : std::uint8_t {
+  kFull,          // the limit or the disk is reached; what is stored is intact
+  kUnavailable,   // cannot be opened, read or written now
+  kDamaged,       // what is stored can't be trusted
+  kNewerSchema,   // written by a newer program; left as it is
+  kUnrecognized,  // no results store; left as it is
 };
 
 struct DatabaseError : std::runtime_error {
-  DatabaseError(DatabaseFault f, const std::string& text) : std::runtime_error(text), fault(f) {}
+  DatabaseError(DatabaseFault kind, const std::string& text) : std::runtime_error(text), fault(kind) {}
   DatabaseFault fault;
 };
 
+// One entry of the store.
 struct Row {
   Key key;
   RequestId request_id = 0;
   std::string route;
   Fingerprint fingerprint = 0;
-  std::int64_t expires_at_ms = 0;  // Unix; when its window ends
-  bool has_result = false;         // with the result; otherwise an intent alone
+  std::int64_t expires_at_ms = 0;  // Unix time
+  bool has_result = false;         // otherwise an intent alone
   std::string result;
   std::size_t result_bytes = 0;
 };
 
 class Database {
  public:
-  static constexpr int kSchemaVersion =
-      1;  // of the tables; one more where an older program could not read them
+  // Raised where an older program could not read the tables.
+  static constexpr int kSchemaVersion = 1;
 
   struct Options {
-    bool sync_commits = false;         // each commit is synced
-    std::uint64_t max_file_bytes = 0;  // most that the file may take; 0: as it is
-    bool must_exist = false;           // no new file is made
-    const char* vfs = nullptr;         // another file layer, for tests
+    bool sync_commits = false;         // each commit survives a power cut; otherwise only the process's end
+    std::uint64_t max_file_bytes = 0;  // 0: the limit stays as it is
+    bool must_exist = false;           // never create a file
+    const char* vfs = nullptr;         // SQLite's name of another file layer, for tests
   };
+
+  // Opens and checks the file, and creates it where it is missing.
   Database(const std::string& path, const Options& options);
   ~Database();
   Database(const Database&) = delete;
   Database& operator=(const Database&) = delete;
 
-  bool is_new() const { return is_new_; }
-  std::uint64_t seed() const { return seed_; }
+  // Whether the file was created by this object.
+  [[nodiscard]] bool is_new() const { return is_new_; }
+  // Of the store's keys; see KeyDeriver.
+  [[nodiscard]] std::uint64_t seed() const { return seed_; }
 
+  // ---- Transactions.
   void begin();
   void commit();
   void rollback() noexcept;
 
+  // ---- Entries.
   void put_intent(const Row& row);
-  // False where its intent is not there: nothing is written.
+  // False, and nothing is written, where there is no intent with this key.
   bool put_result(const Key& key, std::string_view result);
   void erase(const Key& key);
-  // With its result; nothing where it is not there.
+  // The entry with its result; nothing where there is none.
   std::optional<Row> fetch(const Key& key);
-  // All of them without their results, soonest end first. Throws kDamaged at the first one that is not sound.
-  void for_each(const std::function<void(const Row&)>& take);
-  // What is wrong with it, a line each, looking at every byte that counts.
+  // Visits all entries without their results, the first to expire first. Throws kDamaged at the first one
+  // that is not intact.
+  void for_each(const std::function<void(const Row&)>& visit);
+  // Reads everything. Returns a line for each thing that is wrong.
   std::vector<std::string> verify();
 
-  // Keys that an operator wants forgotten, for the program that has the store to take.
+  // ---- Operators' requests to drop a key, which the program that has the store open takes.
   void request_drop(const Key& key);
   std::vector<Key> take_drop_requests();
-  // Writes back what waits in the log beside the file; cheap where little waits.
+
+  // Moves the write-ahead log into the file, as far as no reader is in the way.
   void checkpoint();
 
   struct Totals {
-    std::uint64_t intents = 0, results = 0, result_bytes = 0, file_bytes = 0;
-    std::int64_t first_expiry_ms = 0, last_expiry_ms = 0;  // Unix; 0: none
+    std::uint64_t intents = 0;
+    std::uint64_t results = 0;
+    std::uint64_t result_bytes = 0;
+    std::uint64_t file_bytes = 0;
+    std::int64_t first_expiry_ms = 0;  // Unix time; 0: no entries
+    std::int64_t last_expiry_ms = 0;
   };
   Totals totals();
 
  private:
   class Statement;
-  void run(const char* sql);
-  std::int64_t number(const char* sql);
-  [[noreturn]] void throw_error(int code, const std::string& doing) const;
+  struct CloseConnection {
+    void operator()(sqlite3* connection) const;
+  };
+  struct FinalizeStatement {
+    void operator()(sqlite3_stmt* statement) const;
+  };
+  using Connection = std::unique_ptr<sqlite3, CloseConnection>;
+  using StatementHandle = std::unique_ptr<sqlite3_stmt, FinalizeStatement>;
+
+  [[noreturn]] void throw_error(int code, std::string_view problem) const;
+  [[noreturn]] void throw_fault(DatabaseFault fault, std::string_view problem) const;
+  void run(const std::string& sql);
+  std::int64_t read_number(const char* sql);
+  // The statement for this text, which must be a literal; compiled once.
   sqlite3_stmt* prepared(const char* sql);
+  void open(const Options& options);
   void initialize(bool must_exist);
-
-  std::string path_;
-  sqlite3* db_ = nullptr;
-  std::vector<std::pair<const char*, sqlite3_stmt*>> statements_;
+  void check_schema(std::int64_t tables, bool must_exist);
+  void create_tables();
+  void check_integrity();
+  std::vector<std::string> stored_keys();
+
+  const std::string path_;
+  Connection connection_;
+  std::vector<std::pair<const char*, StatementHandle>> statements_;
   bool is_new_ = false;
   std::uint64_t seed_ = 0;
 };
 
-// Held while a program has the store, so that no second one does.
+// Held by the program that has the store open, so that no second one opens it.
 class StoreLock {
  public:
-  explicit StoreLock(const std::string& path);  // throws DatabaseError where another has it
+  // Throws DatabaseError (kUnavailable) where another process holds it.
+  explicit StoreLock(const std::string& path);
   ~StoreLock();
   StoreLock(const StoreLock&) = delete;
   StoreLock& operator=(const StoreLock&) = delete;
--- a/src/results/health.cpp
+++ b/src/results/health.cpp
@@ -5,69 +5,63 @@
 namespace damsonspoke::results {
 namespace {
 
-constexpr double kFullPause = 0.25;   // s; windows end all the time, and each makes room
-constexpr double kAwayPause = 0.5;    // s; the first: a moment's trouble
-constexpr double kAwayMost = 10;      // s; longer would leave a mended disk unused
-constexpr double kRefusedAdvice = 5;  // s; somebody has to come first
+constexpr double kFullRetrySeconds = 0.25;  // windows end all the time, and each frees space
+constexpr double kMinBackoffSeconds = 0.5;
+constexpr double kMaxBackoffSeconds = 10;  // bounds how long a repaired disk stays unused
+constexpr double kDisabledRetryAfterSeconds = 5;
 
 }  // namespace
 
 std::string_view name_of(StoreState state) {
   switch (state) {
     case StoreState::kOpening: return "opening";
-    case StoreState::kHealthy: return "sound";
+    case StoreState::kHealthy: return "healthy";
     case StoreState::kFull: return "full";
-    case StoreState::kUnavailable: return "away";
-    case StoreState::kDisabled: return "refused";
+    case StoreState::kUnavailable: return "unavailable";
+    case StoreState::kDisabled: return "disabled";
   }
   return "";
 }
 
-bool StoreHealth::on_opened() {
-  const bool changed = state_ != StoreState::kHealthy;
-  state_ = StoreState::kHealthy;
-  return changed;
-}
+void StoreHealth::on_opened() { state_ = StoreState::kHealthy; }
 
-bool StoreHealth::on_intent_written() {
-  backoff_ = 0;
-  const bool changed = state_ == StoreState::kFull;
-  if (changed) state_ = StoreState::kHealthy;
-  return changed;
+void StoreHealth::on_intent_written() {
+  backoff_seconds_ = 0;
+  if (state_ == StoreState::kFull) state_ = StoreState::kHealthy;
 }
 
-bool StoreHealth::on_fault(double now, DatabaseFault fault) {
-  const StoreState was = state_;
-  if (was == StoreState::kDisabled) return false;
+void StoreHealth::on_fault(double now, DatabaseFault fault) {
+  if (state_ == StoreState::kDisabled) return;
   switch (fault) {
     case DatabaseFault::kFull:
       state_ = StoreState::kFull;
-      retry_at_ = now + kFullPause;
+      retry_at_ = now + kFullRetrySeconds;
       break;
     case DatabaseFault::kUnavailable:
       state_ = StoreState::kUnavailable;
-      backoff_ = std::clamp(backoff_ * 2, kAwayPause, kAwayMost);
-      retry_at_ = now + backoff_;
+      backoff_seconds_ = std::clamp(backoff_seconds_ * 2, kMinBackoffSeconds, kMaxBackoffSeconds);
+      retry_at_ = now + backoff_seconds_;
       break;
     case DatabaseFault::kDamaged:
-    case DatabaseFault::kNewer:
-    case DatabaseFault::kForeign: state_ = StoreState::kDisabled; break;
+    case DatabaseFault::kNewerSchema:
+    case DatabaseFault::kUnrecognized: state_ = StoreState::kDisabled; break;
   }
-  return state_ != was;
 }
 
 bool StoreHealth::accepts_intents(double now) const {
   return state_ == StoreState::kHealthy || (state_ == StoreState::kFull && now >= retry_at_);
 }
+
 bool StoreHealth::should_open(double now) const {
   return state_ == StoreState::kOpening || (state_ == StoreState::kUnavailable && now >= retry_at_);
 }
+
 double StoreHealth::retry_after(double now) const {
   switch (state_) {
     case StoreState::kHealthy: return 0;
-    case StoreState::kOpening: return kFullPause;
-    case StoreState::kDisabled: return kRefusedAdvice;
-    default: return std::max(kFullPause, retry_at_ - now);
+    case StoreState::kOpening: return kFullRetrySeconds;
+    case StoreState::kDisabled: return kDisabledRetryAfterSeconds;
+    default: return std::max(kFullRetrySeconds, retry_at_ - now);
   }
 }
 
--- a/src/results/health.h
+++ b/src/results/health.h
@@ -1,40 +1,44 @@
-// What the program does when its store is in trouble, case by case. Pure policy: troubles and the time come
-// in, what may be tried and when comes out.
+// How the program reacts to faults of its store, as a state machine without I/O: faults and the time come in;
+// whether to write or to open, and when, comes out.
 //
-//   full         what is there is served on; intents are refused, and tried again after a pause
-//   unavailable  closed, and opened again after a pause; until then intents are refused
-//   damaged, newer, foreign  never touched again in this life: somebody has to look
+//   kFull         stored results are still served; new intents are refused, and one is tried after a pause
+//   kUnavailable  the store is closed and opened again after a backoff; until then intents are refused
+//   kDisabled     after a fault that needs an operator; the store is not touched again by this process
 //
-// A keyed request whose intent is refused is rejected, never run; everything else is served as if nothing
-// were wrong.
+// A request whose intent is refused is rejected and never runs. Requests without an idempotency key are not
+// affected.
 #pragma once
 
+#include <cstdint>
 #include <string_view>
 
 #include "results/database.h"
 
 namespace damsonspoke::results {
 
-enum class StoreState { kOpening, kHealthy, kFull, kUnavailable, kDisabled };
+enum class StoreState : std::uint8_t { kOpening, kHealthy, kFull, kUnavailable, kDisabled };
 std::string_view name_of(StoreState state);
 
+// Times are seconds of the monotonic clock.
 class StoreHealth {
  public:
   StoreState state() const { return state_; }
-  // Each returns whether the state has changed, which is then worth a line.
-  bool on_opened();
-  bool on_intent_written();  // an intent became durable
-  bool on_fault(double now, DatabaseFault fault);
 
-  bool accepts_intents(double now) const;
-  bool should_open(double now) const;  // it is not open, and it is time to try
-  // s until a request that was refused for this may come back to something better.
-  double retry_after(double now) const;
+  void on_opened();
+  // An intent became durable.
+  void on_intent_written();
+  void on_fault(double now, DatabaseFault fault);
+
+  [[nodiscard]] bool accepts_intents(double now) const;
+  // Whether the store is closed and it is time to open it.
+  [[nodiscard]] bool should_open(double now) const;
+  // The Retry-After of a request that was rejected for the store, in seconds; 0 while the store is healthy.
+  [[nodiscard]] double retry_after(double now) const;
 
  private:
   StoreState state_ = StoreState::kOpening;
-  double retry_at_ = 0;  // s; the next try of an intent (full) or of opening (away)
-  double backoff_ = 0;   // s before that; grows while it does not get better
+  double retry_at_ = 0;         // the next attempt: of an intent (kFull) or of opening (kUnavailable)
+  double backoff_seconds_ = 0;  // the latest one; doubles until an intent is written
 };
 
 }  // namespace damsonspoke::results
--- a/src/results/key.h
+++ b/src/results/key.h
@@ -1,44 +1,49 @@
-// How a repeat is known: by the mark that its caller gave it, or by a digest of what it says.
+// How duplicates of a request are recognised: by the idempotency key that its caller sent, or by a digest of
+// the request itself.
 #pragma once
 
 #include <compare>
 #include <cstdint>
+#include <optional>
 #include <string>
 #include <string_view>
 
 namespace damsonspoke::results {
 
-// 128 bits of XXH3 over what tells a request from all others. The seed is the store's own, so that nobody
-// outside can look for two marks that meet.
+// 128 bits of XXH3 over what tells a request from all others. The seed belongs to the store, so that no
+// client can search for two idempotency keys that collide.
 struct Key {
   std::uint64_t high = 0;
   std::uint64_t low = 0;
-  auto operator<=>(const Key&) const = default;
+  auto operator<=>(const Key&) const = default;  // NOLINT(modernize-use-nullptr): misread by the check
 };
 
 struct KeyHash {
   std::size_t operator()(const Key& key) const { return static_cast<std::size_t>(key.low); }
 };
 
-// Of the body, so that a mark that is used for two different requests is seen.
+// A hash of the body: tells two different requests that carry the same idempotency key.
 using Fingerprint = std::uint64_t;
 
 class KeyDeriver {
  public:
   explicit KeyDeriver(std::uint64_t seed = 0) : seed_(seed) {}
 
-  Key from_idempotency_key(std::string_view type, std::string_view mark) const;
-  // Without a mark: the same caller (0: any) saying the same again is taken to mean the same request.
-  Key from_body(std::string_view type, std::uint32_t caller, std::string_view body) const;
-  // A read of a subject. The body belongs to the key: another question about it is another read.
-  Key from_read(std::string_view type, std::uint64_t subject, std::string_view body) const;
+  Key from_idempotency_key(std::string_view route, std::string_view idempotency_key) const;
+  // For requests without an idempotency key: the same body from the same caller (0: any caller) counts as the
+  // same request.
+  Key from_body(std::string_view route, std::uint32_t caller, std::string_view body) const;
+  // For a read of a subject. The body belongs to the key: another question about the subject is another read.
+  Key from_read(std::string_view route, std::uint64_t subject, std::string_view body) const;
   Fingerprint fingerprint(std::string_view body) const;
 
  private:
   std::uint64_t seed_;
 };
 
-std::string to_hex(const Key& key);              // 32 digits
-bool parse_key(std::string_view text, Key& key);  // false where it is not that
+// 32 hexadecimal digits, as operators see and type a key.
+std::string to_hex(const Key& key);
+// Nothing where the text is not such a key.
+std::optional<Key> parse_key(std::string_view text);
 
 }  // namespace damsonspoke::results
--- a/src/results/recovery.cpp
+++ b/src/results/recovery.cpp
@@ -6,23 +6,23 @@
 namespace damsonspoke::results {
 namespace {
 
-constexpr double kSecondsPerMs = 0.001;
-constexpr double kUnknownType = 3600;  // s at most, for an route that the settings no longer have: nobody
-                                       // can send it now, and the type may come back with the next settings
+constexpr double kSecondsPerMillisecond = 0.001;
+// For a route that the settings no longer have. It may return with the next settings, so its rows are kept.
+constexpr double kUnknownRouteWindowSeconds = 3600;
 
 }  // namespace
 
 Recovery::Recovery(std::unordered_map<std::string, double> windows) : windows_(std::move(windows)) {
-  for (const auto& [type, window] : windows_) longest_ = std::max(longest_, window);
+  for (const auto& [route, window] : windows_) longest_window_ = std::max(longest_window_, window);
 }
 
-RecoveredEntry Recovery::assess(const Row& row, std::int64_t now_unix_ms) const {
-  const double left = static_cast<double>(row.expires_at_ms - now_unix_ms) * kSecondsPerMs;
-  if (left <= 0) return {};
+std::optional<double> Recovery::remaining_seconds(const Row& row, std::int64_t now_unix_ms) const {
+  const double remaining = static_cast<double>(row.expires_at_ms - now_unix_ms) * kSecondsPerMillisecond;
+  if (remaining <= 0) return std::nullopt;
   const auto found = windows_.find(row.route);
-  const double most =
-      found != windows_.end() && found->second > 0 ? found->second : std::max(longest_, kUnknownType);
-  return {true, std::min(left, most)};
+  const bool has_window = found != windows_.end() && found->second > 0;
+  const double window = has_window ? found->second : std::max(longest_window_, kUnknownRouteWindowSeconds);
+  return std::min(remaining, window);
 }
 
 }  // namespace damsonspoke::results
--- a/src/results/recovery.h
+++ b/src/results/recovery.h
@@ -1,32 +1,31 @@
-// What a new life believes of what an earlier one has written. Pure policy.
+// What remains of an entry's idempotency window when a new process reads it from the store. Pure policy: the
+// time is passed in.
 #pragma once
 
+#include <cstdint>
+#include <optional>
 #include <string>
 #include <unordered_map>
-#include <vector>
 
 #include "results/database.h"
 
 namespace damsonspoke::results {
 
-struct RecoveredEntry {
-  bool is_live = false;          // its window is not over
-  double remaining_seconds = 0;  // s until it is
-};
-
 class Recovery {
  public:
-  // `windows`: s in which repeats may come, by route; of those that are not there, none.
+  // `windows`: seconds in which duplicates may arrive, by route; a route that is missing has none.
   explicit Recovery(std::unordered_map<std::string, double> windows);
 
-  // Windows are written by the Unix clock, which may have been set since. One that was set back must not make
-  // a window longer than its route's; one that was set forward ends windows early, which can't be told from
-  // time that has passed.
-  RecoveredEntry assess(const Row& row, std::int64_t now_unix_ms) const;
+  // Seconds until the row expires; nothing where it has expired.
+  //
+  // Expiry times are stored by the Unix clock, which may have been set since. After it was set back, no
+  // window becomes longer than its route's. After it was set forward, windows end early: that can't be told
+  // from time that has passed.
+  std::optional<double> remaining_seconds(const Row& row, std::int64_t now_unix_ms) const;
 
  private:
-  std::unordered_map<std::string, double> windows_;  // s, by route
-  double longest_ = 0;
+  std::unordered_map<std::string, double> windows_;
+  double longest_window_ = 0;
 };
 
 }  // namespace damsonspoke::results
--- a/src/results/store.cpp
+++ b/src/results/store.cpp
@@ -2,310 +2,358 @@
 
 #include <algorithm>
 #include <chrono>
-#include <condition_variable>
 #include <cstdio>
 #include <deque>
 #include <mutex>
+#include <span>
+#include <utility>
+
+#include "store/worker_thread.h"
 
 namespace damsonspoke::results {
 namespace {
 
-constexpr std::size_t kGroup = 64;   // jobs in one transaction: a few ms of work, or one sync
-constexpr std::size_t kPiece = 256;  // recovered rows that are told at a time: under a millisecond
-constexpr double kLook = 0.25;    // s; between looks at whether it is time to open, or what is to be dropped
-constexpr int kLooksPerDrop = 4;  // and of these, one in so many asks the file for an operator's wishes
-constexpr auto kLastWords = std::chrono::milliseconds(400);  // at the end, for what waits
+constexpr std::size_t kMaxJobsPerTransaction = 64;   // bounds how long one transaction delays its first write
+constexpr std::size_t kRecoveredRowsPerEvent = 256;  // bounds a turn of the reactor
+constexpr std::chrono::milliseconds kPollInterval{250};
+constexpr int kPollsPerDropCheck = 4;
+constexpr std::chrono::milliseconds kStopTimeout{400};
 
 }  // namespace
 
 struct Store::Job {
-  enum class What { kIntent, kResult, kErase, kFetch } what = What::kIntent;
+  enum class Kind : std::uint8_t { kIntent, kResult, kErase, kFetch };
+
+  Kind kind = Kind::kIntent;
   Row row;
-  std::vector<Key> keys;
-  Done done;
-  Fetched fetched;
-  // What became of it.
-  bool good = false;
-  std::optional<Row> found;
+  std::vector<Key> keys;  // of kErase
+  WriteCallback on_written;
+  FetchCallback on_fetched;
+  // The outcome.
+  bool is_done = false;
+  std::optional<Row> fetched;
 };
 
-// What both threads hold. The thread may outlive the store when a disk hangs: then it talks to nobody any
-// more.
-struct Store::Shared {
-  std::mutex lock;
-  std::condition_variable changed;
+// The thread's side, held by both. The thread may outlive the store when a disk hangs; it then calls nobody.
+struct Store::Worker : store::WorkerThreadState, std::enable_shared_from_this<Store::Worker> {
+  Worker(Store& owner, net::Reactor& its_reactor, Options its_options)
+      : store(&owner), reactor(&its_reactor), options(std::move(its_options)) {}
+
+  // ---- Guarded by the mutex.
+  Store* store;  // null once it has been destroyed
+  net::Reactor* const reactor;
   std::deque<Job> jobs;
-  std::size_t in_hand = 0;
-  bool closing = false;
-  bool ended = false;
-  Store* store = nullptr;  // none once it has gone
-  net::Reactor* reactor = nullptr;
-  Options options;
-  double slowest = 0;
-
-  // ---- Of the thread alone.
+  std::size_t jobs_in_progress = 0;
+  double max_commit_seconds = 0;
+
+  // ---- Used by the thread alone.
+  const Options options;
   std::unique_ptr<StoreLock> file_lock;
   std::unique_ptr<Database> database;
   StoreHealth health;
-  int looks = 0;
-  bool told_rows = false;  // a later opening in the same life has nothing new
-
-  void tell(std::shared_ptr<Shared> self, std::function<void(Store&)> what) {
-    const std::lock_guard guard(lock);
-    if (store == nullptr) return;
-    reactor->post_from_elsewhere([self = std::move(self), what = std::move(what)] {
-      Store* there = nullptr;
-      {
-        const std::lock_guard inner(self->lock);
-        there = self->store;
-      }
-      if (there != nullptr) what(*there);
-    });
-  }
-  void run(const std::shared_ptr<Shared>& self);
-  void open(const std::shared_ptr<Shared>& self);
-  void trouble(const std::shared_ptr<Shared>& self, const DatabaseError& error);
-  void work(const std::shared_ptr<Shared>& self, std::vector<Job>& group);
-  void do_one(Job& job);
-  void look_for_drops(const std::shared_ptr<Shared>& self);
+  int polls = 0;
+  bool has_reported_rows = false;  // later openings by the same process have nothing new
+
+  void run();
+  void finish();
+
+ private:
+  void post_to_store(std::function<void(Store&)> action);
+  void open();
+  void open_database();
+  void report_rows();
+  void on_fault(const DatabaseError& error);
+  std::vector<Job> take_jobs();
+  void execute(std::vector<Job>& group);
+  bool commit(std::span<Job> group);
+  void execute(Job& job);
+  void report_intent_written();
+  void report_done(std::vector<Job> group);
+  void poll_drop_requests();
 };
 
-void Store::Shared::do_one(Job& job) {
-  switch (job.what) {
-    case Job::What::kIntent:
-      database->put_intent(job.row);
-      job.good = true;
-      break;
-    case Job::What::kResult: job.good = database->put_result(job.row.key, job.row.result); break;
-    case Job::What::kErase:
-      for (const Key& key : job.keys) database->erase(key);
-      job.good = true;
-      break;
-    case Job::What::kFetch: job.found = database->fetch(job.row.key); break;
+// Runs the action on the reactor's thread, unless the store has gone by then.
+void Store::Worker::post_to_store(std::function<void(Store&)> action) {
+  const std::lock_guard guard(mutex);
+  if (store == nullptr) return;
+  reactor->post_from_elsewhere([self = shared_from_this(), action = std::move(action)] {
+    Store* target = nullptr;
+    {
+      const std::lock_guard inner(self->mutex);
+      target = self->store;
+    }
+    if (target != nullptr) action(*target);
+  });
+}
+
+// ---- Opening and faults.
+
+void Store::Worker::open() {
+  try {
+    open_database();
+    if (!has_reported_rows) report_rows();
+    has_reported_rows = true;
+    health.on_opened();
+    post_to_store([](Store& target) { target.on_opened(); });
+  } catch (const DatabaseError& error) {
+    // kFull means that the store is open, so a disk that is too full to open it counts as unavailable.
+    const bool is_full = error.fault == DatabaseFault::kFull;
+    on_fault(is_full ? DatabaseError(DatabaseFault::kUnavailable, error.what()) : error);
   }
 }
 
-void Store::Shared::trouble(const std::shared_ptr<Shared>& self, const DatabaseError& error) {
-  const double now = net::monotonic_now();
-  health.on_fault(now, error.fault);
+void Store::Worker::open_database() {
+  file_lock = std::make_unique<StoreLock>(options.path);
+  Database::Options database_options;
+  database_options.sync_commits = options.sync_commits;
+  database_options.max_file_bytes = options.max_file_bytes;
+  database = std::make_unique<Database>(options.path, database_options);
+}
+
+void Store::Worker::report_rows() {
+  post_to_store([seed = database->seed(), is_new = database->is_new()](Store& target) {
+    target.events_.on_key_seed(seed, is_new);
+  });
+  std::vector<Row> batch;
+  const auto post_batch = [&] {
+    post_to_store(
+        [rows = std::exchange(batch, {})](Store& target) { target.events_.on_entries_recovered(rows); });
+  };
+  database->for_each([&](const Row& row) {
+    batch.push_back(row);
+    if (batch.size() >= kRecoveredRowsPerEvent) post_batch();
+  });
+  if (!batch.empty()) post_batch();
+}
+
+void Store::Worker::on_fault(const DatabaseError& error) {
+  health.on_fault(net::monotonic_now(), error.fault);
   if (health.state() == StoreState::kUnavailable || health.state() == StoreState::kDisabled) {
     database.reset();
     file_lock.reset();
   }
-  tell(self, [fault = error.fault, why = std::string(error.what())](Store& store) {
-    const StoreState before = store.health_.state();
-    store.health_.on_fault(net::monotonic_now(), fault);
-    store.report(before, why);
-  });
+  post_to_store(
+      [fault = error.fault, why = std::string(error.what())](Store& target) { target.on_fault(fault, why); });
+}
+
+// ---- Jobs.
+
+std::vector<Store::Job> Store::Worker::take_jobs() {
+  std::vector<Job> group;
+  while (!jobs.empty() && group.size() < kMaxJobsPerTransaction) {
+    group.push_back(std::move(jobs.front()));
+    jobs.pop_front();
+  }
+  jobs_in_progress = group.size();
+  return group;
+}
+
+void Store::Worker::execute(Job& job) {
+  switch (job.kind) {
+    case Job::Kind::kIntent:
+      database->put_intent(job.row);
+      job.is_done = true;
+      break;
+    case Job::Kind::kResult: job.is_done = database->put_result(job.row.key, job.row.result); break;
+    case Job::Kind::kErase:
+      for (const Key& key : job.keys) database->erase(key);
+      job.is_done = true;
+      break;
+    case Job::Kind::kFetch: job.fetched = database->fetch(job.row.key); break;
+  }
 }
 
-void Store::Shared::open(const std::shared_ptr<Shared>& self) {
+// All jobs in one transaction; false where that failed and none of them is done.
+bool Store::Worker::commit(std::span<Job> group) {
   try {
-    file_lock = std::make_unique<StoreLock>(options.path);
-    Database::Options how;
-    how.sync_commits = options.sync_commits;
-    how.max_file_bytes = options.max_file_bytes;
-    database = std::make_unique<Database>(options.path, how);
-    if (!told_rows) {
-      tell(self, [seed = database->seed(), made = database->is_new()](Store& store) {
-        store.events_.on_key_seed(seed, made);
-      });
-    }
-    std::vector<Row> piece;
-    const auto hand_over = [&] {
-      tell(self, [rows = std::move(piece)](Store& store) { store.events_.on_entries_recovered(rows); });
-      piece.clear();
-    };
-    if (!told_rows) {
-      database->for_each([&](const Row& row) {
-        piece.push_back(row);
-        if (piece.size() >= kPiece) hand_over();
-      });
-      if (!piece.empty()) hand_over();
-      told_rows = true;
-    }
-    health.on_opened();
-    tell(self, [](Store& store) {
-      const StoreState before = store.health_.state();
-      store.health_.on_opened();
-      store.report(before, "");
-    });
+    database->begin();
+    for (Job& job : group) execute(job);
+    if (options.before_commit) options.before_commit();
+    database->commit();
+    return true;
   } catch (const DatabaseError& error) {
-    // A disk with no room for opening it is away like any other: "full" means that it is open.
-    const bool full = error.fault == DatabaseFault::kFull;
-    trouble(self, full ? DatabaseError(DatabaseFault::kUnavailable, error.what()) : error);
+    database->rollback();
+    for (Job& job : group) {
+      job.is_done = false;
+      job.fetched.reset();
+    }
+    if (group.size() == 1) on_fault(error);
+    return false;
   }
 }
 
-// One transaction for all; where that fails, one for each, so that what can be written is.
-void Store::Shared::work(const std::shared_ptr<Shared>& self, std::vector<Job>& group) {
+// One transaction for all jobs; where that fails one for each, so that what can be written is written.
+void Store::Worker::execute(std::vector<Job>& group) {
   if (!database) return;
-  const auto attempt = [&](std::size_t first, std::size_t end) {
-    try {
-      database->begin();
-      for (std::size_t i = first; i < end; ++i) do_one(group[i]);
-      if (options.before_commit) options.before_commit();
-      database->commit();
-      return true;
-    } catch (const DatabaseError& error) {
-      if (database) database->rollback();
-      for (std::size_t i = first; i < end; ++i) group[i].good = false, group[i].found.reset();
-      if (end - first == 1) trouble(self, error);
-      return false;
-    }
-  };
-  const double begin = net::monotonic_now();
-  bool wrote_intent = false;
-  if (!attempt(0, group.size()) && group.size() > 1) {
-    for (std::size_t i = 0; i < group.size() && database; ++i) attempt(i, i + 1);
+  const double began = net::monotonic_now();
+  if (!commit(group) && group.size() > 1) {
+    for (std::size_t i = 0; i < group.size() && database; ++i) commit(std::span(group).subspan(i, 1));
   }
-  for (const Job& job : group) wrote_intent = wrote_intent || (job.what == Job::What::kIntent && job.good);
-  const double took = net::monotonic_now() - begin;
+  const double seconds = net::monotonic_now() - began;
   {
-    const std::lock_guard guard(lock);
-    slowest = std::max(slowest, took);
+    const std::lock_guard guard(mutex);
+    max_commit_seconds = std::max(max_commit_seconds, seconds);
   }
-  if (!wrote_intent) return;
-  if (!health.on_intent_written()) return;
-  tell(self, [](Store& store) {
-    const StoreState before = store.health_.state();
-    store.health_.on_intent_written();
-    store.report(before, "");
+  const bool has_written_intent = std::any_of(group.begin(), group.end(), [](const Job& job) {
+    return job.kind == Job::Kind::kIntent && job.is_done;
   });
+  if (has_written_intent) report_intent_written();
+}
+
+void Store::Worker::report_intent_written() {
+  const StoreState before = health.state();
+  health.on_intent_written();
+  if (health.state() == before) return;
+  post_to_store([](Store& target) { target.on_intent_written(); });
 }
 
-void Store::Shared::look_for_drops(const std::shared_ptr<Shared>& self) {
-  if (!database || ++looks % kLooksPerDrop != 0) return;
+void Store::Worker::report_done(std::vector<Job> group) {
+  post_to_store([done = std::make_shared<std::vector<Job>>(std::move(group))](Store&) {
+    for (const Job& job : *done) {
+      if (job.on_written) job.on_written(job.is_done);
+      if (job.on_fetched) job.on_fetched(job.fetched);
+    }
+  });
+}
+
+void Store::Worker::poll_drop_requests() {
+  if (!database || ++polls % kPollsPerDropCheck != 0) return;
   try {
     std::vector<Key> keys = database->take_drop_requests();
     database->checkpoint();
     if (keys.empty()) return;
-    tell(self, [keys = std::move(keys)](Store& store) { store.events_.on_drop_requests(keys); });
+    post_to_store([keys = std::move(keys)](Store& target) { target.events_.on_drop_requests(keys); });
   } catch (const DatabaseError& error) {
-    trouble(self, error);
+    on_fault(error);
   }
 }
 
-void Store::Shared::run(const std::shared_ptr<Shared>& self) {
-  std::unique_lock guard(lock);
+void Store::Worker::run() {
+  open();
+  std::unique_lock guard(mutex);
   for (;;) {
-    const bool come = changed.wait_for(guard, std::chrono::duration<double>(kLook),
-                                       [&] { return closing || !jobs.empty(); });
+    const bool is_awaited =
+        changed.wait_for(guard, kPollInterval, [this] { return closing || !jobs.empty(); });
     if (closing && jobs.empty()) break;
-    std::vector<Job> group;
-    while (!jobs.empty() && group.size() < kGroup) {
-      group.push_back(std::move(jobs.front()));
-      jobs.pop_front();
-    }
-    in_hand = group.size();
+    std::vector<Job> group = take_jobs();
     guard.unlock();
-    if (!database && health.should_open(net::monotonic_now())) open(self);
+    if (!database && health.should_open(net::monotonic_now())) open();
     if (!group.empty()) {
-      work(self, group);
-      tell(self, [done = std::make_shared<std::vector<Job>>(std::move(group))](Store&) {
-        for (Job& job : *done) {
-          if (job.done) job.done(job.good);
-          if (job.fetched) job.fetched(job.found);
-        }
-      });
+      execute(group);
+      report_done(std::move(group));
     }
-    if (!come) look_for_drops(self);
+    if (!is_awaited) poll_drop_requests();
     guard.lock();
-    in_hand = 0;
+    jobs_in_progress = 0;
   }
   guard.unlock();
   database.reset();
   file_lock.reset();
-  guard.lock();
+}
+
+void Store::Worker::finish() {
+  const std::lock_guard guard(mutex);
   ended = true;
   changed.notify_all();
 }
 
+// ---- The reactor's side.
+
 Store::Store(net::Reactor& reactor, Options options, StoreEvents& events)
-    : reactor_(reactor), options_(std::move(options)), events_(events), shared_(std::make_shared<Shared>()) {
-  shared_->store = this;
-  shared_->reactor = &reactor;
-  shared_->options = options_;
-  thread_ = std::thread([shared = shared_] {
+    : options_(std::move(options)),
+      events_(events),
+      worker_(std::make_shared<Worker>(*this, reactor, options_)) {
+  thread_ = std::thread([worker = worker_] {
     try {
-      shared->open(shared);
-      shared->run(shared);
-    } catch (const std::exception& error) {  // out of memory, say: what waits is told at its own patience
+      worker->run();
+    } catch (
+        const std::exception& error) {  // such as std::bad_alloc; pending requests run into their timeout
       std::fprintf(stderr, "damsonspoke: store: %s\n", error.what());
-      const std::lock_guard guard(shared->lock);
-      shared->ended = true;
-      shared->changed.notify_all();
     }
+    worker->finish();
   });
 }
 
 Store::~Store() {
-  std::unique_lock guard(shared_->lock);
-  shared_->closing = true;
-  shared_->store = nullptr;
-  shared_->changed.notify_all();
-  const bool ended = shared_->changed.wait_for(guard, kLastWords, [this] { return shared_->ended; });
-  guard.unlock();
-  if (ended) {
-    thread_.join();
-  } else {
-    thread_.detach();  // a disk that hangs must not keep the program from ending
+  {
+    const std::lock_guard guard(worker_->mutex);
+    worker_->store = nullptr;
   }
+  store::stop_worker_thread(*worker_, thread_, kStopTimeout);
 }
 
-void Store::put(Job job) {
-  const std::lock_guard guard(shared_->lock);
-  shared_->jobs.push_back(std::move(job));
-  shared_->changed.notify_one();
+void Store::enqueue(Job job) {
+  const std::lock_guard guard(worker_->mutex);
+  worker_->jobs.push_back(std::move(job));
+  worker_->changed.notify_one();
 }
 
-void Store::report(StoreState before, const std::string& why) {
-  if (before != health_.state()) events_.on_store_state_changed(health_.state(), why);
-}
-
-bool Store::write_intent(Row row, Done done) {
+bool Store::write_intent(Row row, WriteCallback on_written) {
   if (!accepts_intents(net::monotonic_now())) return false;
   Job job;
   job.row = std::move(row);
-  job.done = std::move(done);
-  put(std::move(job));
+  job.on_written = std::move(on_written);
+  enqueue(std::move(job));
   return true;
 }
 
-void Store::write_result(const Key& key, std::string result, Done done) {
+void Store::write_result(const Key& key, std::string result, WriteCallback on_written) {
   Job job;
-  job.what = Job::What::kResult;
+  job.kind = Job::Kind::kResult;
   job.row.key = key;
   job.row.result = std::move(result);
-  job.done = std::move(done);
-  put(std::move(job));
+  job.on_written = std::move(on_written);
+  enqueue(std::move(job));
 }
 
 void Store::erase(std::vector<Key> keys) {
   if (keys.empty()) return;
   Job job;
-  job.what = Job::What::kErase;
+  job.kind = Job::Kind::kErase;
   job.keys = std::move(keys);
-  put(std::move(job));
+  enqueue(std::move(job));
 }
 
-bool Store::fetch(const Key& key, Fetched fetched) {
+bool Store::fetch(const Key& key, FetchCallback on_fetched) {
   if (pending_jobs() >= options_.max_queued_jobs) return false;
   Job job;
-  job.what = Job::What::kFetch;
+  job.kind = Job::Kind::kFetch;
   job.row.key = key;
-  job.fetched = std::move(fetched);
-  put(std::move(job));
+  job.on_fetched = std::move(on_fetched);
+  enqueue(std::move(job));
   return true;
 }
 
+void Store::on_opened() {
+  const StoreState before = health_.state();
+  health_.on_opened();
+  report_change(before, "");
+}
+
+void Store::on_intent_written() {
+  const StoreState before = health_.state();
+  health_.on_intent_written();
+  report_change(before, "");
+}
+
+void Store::on_fault(DatabaseFault fault, const std::string& why) {
+  const StoreState before = health_.state();
+  health_.on_fault(net::monotonic_now(), fault);
+  report_change(before, why);
+}
+
+void Store::report_change(StoreState before, const std::string& why) {
+  if (before != health_.state()) events_.on_store_state_changed(health_.state(), why);
+}
+
 std::size_t Store::pending_jobs() const {
-  const std::lock_guard guard(shared_->lock);
-  return shared_->jobs.size() + shared_->in_hand;
+  const std::lock_guard guard(worker_->mutex);
+  return worker_->jobs.size() + worker_->jobs_in_progress;
 }
+
 double Store::max_commit_seconds() const {
-  const std::lock_guard guard(shared_->lock);
-  return shared_->slowest;
+  const std::lock_guard guard(worker_->mutex);
+  return worker_->max_commit_seconds;
 }
 
 }  // namespace damsonspoke::results
--- a/src/results/store.h
+++ b/src/results/store.h
@@ -1,9 +1,10 @@
-// The store as the reactor sees it: what is to be written goes through a bounded queue to a thread that has
-// the database; writes that wait together are one transaction. Nothing here waits for a disk.
+// The results store as the reactor sees it. Writes go through a bounded queue to a thread that owns the
+// database; writes that wait together become one transaction. Nothing here waits for a disk.
 #pragma once
 
 #include <functional>
 #include <memory>
+#include <optional>
 #include <string>
 #include <thread>
 #include <vector>
@@ -14,14 +15,20 @@
 
 namespace damsonspoke::results {
 
+// Called on the reactor's thread.
 class StoreEvents {
  public:
+  StoreEvents() = default;
   virtual ~StoreEvents() = default;
-  // What earlier lives wrote, in pieces; then that it is open. After trouble it may be opened again.
+  StoreEvents(const StoreEvents&) = delete;
+  StoreEvents& operator=(const StoreEvents&) = delete;
+
+  // When the store is opened first: the seed of its keys, then its rows in batches, then kHealthy.
   virtual void on_key_seed(std::uint64_t seed, bool is_new) = 0;
   virtual void on_entries_recovered(const std::vector<Row>& rows) = 0;
+  // `why`: the error in one line; empty where there is none.
   virtual void on_store_state_changed(StoreState state, const std::string& why) = 0;
-  // Keys that an operator wants forgotten.
+  // Keys that an operator wants dropped.
   virtual void on_drop_requests(const std::vector<Key>& keys) = 0;
 };
 
@@ -29,51 +36,57 @@
  public:
   struct Options {
     std::string path;
-    bool sync_commits = false;
-    std::uint64_t max_file_bytes = 0;
-    std::size_t max_queued_jobs = 0;      // writes
-    std::function<void()> before_commit;  // on the thread; tests make the disk slow with it
+    bool sync_commits = false;            // see Database::Options
+    std::uint64_t max_file_bytes = 0;     // see Database::Options
+    std::size_t max_queued_jobs = 0;      // more intents and fetches are refused
+    std::function<void()> before_commit;  // on the thread, for tests that make the disk slow
   };
-  using Done = std::function<void(bool durable)>;
-  using Fetched = std::function<void(const std::optional<Row>& row)>;
+  using WriteCallback = std::function<void(bool is_durable)>;
+  using FetchCallback = std::function<void(const std::optional<Row>& row)>;
 
-  // Callbacks come on the reactor's thread, on a later turn, in the order of what was asked. After the
-  // destructor none come.
+  // Callbacks and events come on the reactor's thread, on a later turn, in the order of the requests; none
+  // come after the destructor.
   Store(net::Reactor& reactor, Options options, StoreEvents& events);
-  // Gives what waits a short time to be written.
+  // Gives queued writes a short time; a thread that hangs on its disk is detached.
   ~Store();
   Store(const Store&) = delete;
   Store& operator=(const Store&) = delete;
 
-  // False at once, and nothing is written, where the store is in trouble or too much waits.
-  bool write_intent(Row row, Done done);
-  // Always taken: there are no more of them than intents. Done(false) where it could not be written.
-  void write_result(const Key& key, std::string result, Done done);
+  // False, and nothing is written, where the store does not accept intents now.
+  [[nodiscard]] bool write_intent(Row row, WriteCallback on_written);
+  // Always accepted: there is at most one for each intent.
+  void write_result(const Key& key, std::string result, WriteCallback on_written);
   void erase(std::vector<Key> keys);
-  bool fetch(const Key& key, Fetched fetched);
+  // False where the queue is full. The row is missing where it is not stored or can't be read.
+  [[nodiscard]] bool fetch(const Key& key, FetchCallback on_fetched);
 
-  bool accepts_intents(double now) const {
+  [[nodiscard]] bool accepts_intents(double now) const {
     return health_.accepts_intents(now) && pending_jobs() < options_.max_queued_jobs;
   }
-  bool has_spare_capacity() const {
-    return pending_jobs() < options_.max_queued_jobs / 2 + 1;
-  }  // for what can wait
+  // Whether the queue has capacity for work that can wait.
+  [[nodiscard]] bool has_spare_capacity() const { return pending_jobs() < options_.max_queued_jobs / 2 + 1; }
+  // Seconds until a request that was rejected for the store may come back.
   double retry_after(double now) const { return health_.retry_after(now); }
   StoreState state() const { return health_.state(); }
-  std::size_t pending_jobs() const;   // jobs
-  double max_commit_seconds() const;  // s so far
+  // Queued and in progress.
+  std::size_t pending_jobs() const;
+  // The longest transaction so far.
+  double max_commit_seconds() const;
 
  private:
   struct Job;
-  struct Shared;
-  void put(Job job);
-  void report(StoreState before, const std::string& why);
+  struct Worker;
+
+  void enqueue(Job job);
+  void on_opened();
+  void on_intent_written();
+  void on_fault(DatabaseFault fault, const std::string& why);
+  void report_change(StoreState before, const std::string& why);
 
-  net::Reactor& reactor_;
   const Options options_;
   StoreEvents& events_;
-  StoreHealth health_;  // of the reactor's thread
-  std::shared_ptr<Shared> shared_;
+  StoreHealth health_;  // as the reactor's thread knows it
+  std::shared_ptr<Worker> worker_;
   std::thread thread_;
 };
 
--- a/src/stages/admission_driver.cpp
+++ b/src/stages/admission_driver.cpp
@@ -32,7 +32,7 @@
   options_.slow_start = warming_up;
   const double started_at = net::monotonic_now() - (warming_up ? seconds_ago : 0);
   controller_ = std::make_unique<AdmissionController>(options_, seed_, executor_, started_at,
-                                                      statistics_.prior(), &catalog_);
+                                                      statistics_.take_prior(), &catalog_);
 }
 
 void AdmissionDriver::schedule_wakeup(double time, std::uint64_t token) {
--- a/src/stages/decision_executor.cpp
+++ b/src/stages/decision_executor.cpp
@@ -15,7 +15,7 @@
   InFlightRequest* request = find(id);
   if (request == nullptr) return;
   if (request->run == RunStage::kPaused) return sender_.resume(*request);
-  if (!replay_.hold_start(*request)) sender_.start(*request);
+  if (!replay_.defer_start(*request)) sender_.start(*request);
 }
 
 void DecisionExecutor::interrupt(RequestId id) {
@@ -56,15 +56,15 @@
 // Settings under which the controller would decide what nobody carries out are refused at the start
 // (unserved() in settings/config.h), so that none of these comes without its counterpart.
 void DecisionExecutor::remember(RequestId id, double ttl) {
-  if (must_hold(replay_.on(), counters_)) replay_.remember(id, ttl);
+  if (must_hold(replay_.is_enabled(), counters_)) replay_.remember_key(id, ttl);
 }
 
 void DecisionExecutor::forget(RequestId id) {
-  if (must_hold(replay_.on(), counters_)) replay_.forget(id);
+  if (must_hold(replay_.is_enabled(), counters_)) replay_.forget_key(id);
 }
 
 void DecisionExecutor::join(RequestId id) {
-  if (must_hold(replay_.on(), counters_)) replay_.join(id);
+  if (must_hold(replay_.is_enabled(), counters_)) replay_.join_original(id);
 }
 
 void DecisionExecutor::publish_load_feedback(double) { must_hold(false, counters_); }
--- a/src/stages/request_intake.cpp
+++ b/src/stages/request_intake.cpp
@@ -33,7 +33,7 @@
     stages_.in_flight.reject(entered, 0, false);
     return stages_.in_flight.release_if_over(entered);
   }
-  if (stages_.replay.meet(request, incoming, entered)) return stages_.in_flight.release_if_over(entered);
+  if (stages_.replay.answer_if_known(request, incoming, entered)) return stages_.in_flight.release_if_over(entered);
   if (incoming.known_only && request.duplicate_of == 0) {
     // Nothing is remembered here, so nobody can say whether the key is known: the request never runs.
     stages_.in_flight.reject(entered, 0, true);
@@ -77,7 +77,7 @@
   entry.version = catalog_.version();
   entry.reply_to = incoming.reply_to;
   // The replay of results still needs the body: its digest may tell duplicates.
-  entry.body = stages_.replay.on() ? incoming.body : std::move(incoming.body);
+  entry.body = stages_.replay.is_enabled() ? incoming.body : std::move(incoming.body);
   entry.deadline = now - age + (incoming.client_timeout > 0 ? incoming.client_timeout : route.timeout);
   return stages_.in_flight.enter(std::move(entry));
 }
--- a/src/stages/result_replay.cpp
+++ b/src/stages/result_replay.cpp
@@ -1,8 +1,8 @@
 #include "stages/result_replay.h"
 
 #include <algorithm>
-#include <cmath>
-#include <random>
+#include <unordered_map>
+#include <utility>
 
 #include "observability/invariants.h"
 #include "stages/admission_driver.h"
@@ -15,23 +15,19 @@
 using results::JoinOutcome;
 using results::LookupOutcome;
 
-constexpr double kLook = 0.05;            // s; between looks at what has aged
-constexpr std::size_t kAgedAtOnce = 500;  // entries a look: well under a millisecond, 10,000 a second
-constexpr std::size_t kAgedOnArrival = 4;
-constexpr double kMsPerSecond = 1000;
-
-std::uint64_t any_seed() {
-  std::random_device chance;
-  return std::uint64_t{chance()} << 32 | chance();
-}
+constexpr double kExpiryIntervalSeconds = 0.05;
+constexpr std::size_t kMaxExpiredPerInterval = 500;  // bounds a turn of the reactor
+constexpr std::size_t kMaxExpiredPerArrival = 4;
+constexpr double kMillisecondsPerSecond = 1000;
+constexpr double kMicrosecondsPerSecond = 1e6;
 
 results::CacheLimits limits_of(const ResultsOptions& options, const StartSettings& site) {
   return {options.memory, options.entries, !options.store.empty(), site.admission.shared_answer_ttl};
 }
 
-std::int64_t unix_ms() { return static_cast<std::int64_t>(net::unix_now() * kMsPerSecond); }
+std::int64_t unix_now_ms() { return static_cast<std::int64_t>(net::unix_now() * kMillisecondsPerSecond); }
 
-// How long repeats may come, by route.
+// Seconds in which duplicates may arrive, by route.
 std::unordered_map<std::string, double> windows_of(const catalog::Catalog& catalog) {
   std::unordered_map<std::string, double> windows;
   const catalog::NameIndex& names = catalog.route_names();
@@ -42,81 +38,91 @@
   return windows;
 }
 
+// Whether more has changed than what reconfigure() applies.
+bool needs_restart(const ResultsOptions& before, const ResultsOptions& after) {
+  return before.enabled != after.enabled || before.store != after.store ||
+         before.power_safe != after.power_safe || before.disk != after.disk || before.queue != after.queue ||
+         before.key_field != after.key_field || before.key_length != after.key_length ||
+         before.digest != after.digest || before.digest_by_caller != after.digest_by_caller;
+}
+
 }  // namespace
 
-ResultReplay::ResultReplay(net::Reactor& reactor, InFlightRequests& in_flight, CommandSender& send,
+ResultReplay::ResultReplay(net::Reactor& reactor, InFlightRequests& in_flight, CommandSender& sender,
                            AdmissionDriver& admission, const StartSettings& site,
                            const catalog::Catalog& catalog, const ResultsOptions& options, Counters& counters,
                            Logger& log)
     : reactor_(reactor),
       in_flight_(in_flight),
-      sender_(send),
+      sender_(sender),
       admission_(admission),
       site_(site),
       options_(options),
       counters_(counters),
       log_(log),
-      keys_(options.enabled ? any_seed() : 0),
+      identifier_(options, site),
+      replies_(reactor, in_flight, admission, site),
+      pending_writes_(reactor),
       cache_(limits_of(options, site)),
-      recovery_(windows_of(catalog)),
-      by_digest_(options.digest.begin(), options.digest.end()) {
-  if (!on()) return;
-  if (!options_.store.empty()) {
-    results::Store::Options how;
-    how.path = options_.store;
-    how.sync_commits = options_.power_safe;
-    how.max_file_bytes = options_.disk;
-    how.max_queued_jobs = options_.queue;
-    results::StoreEvents& events = *this;
-    store_ = std::make_unique<results::Store>(reactor_, how, events);
-  }
-  in_flight_.set_release_listener([this](const InFlightRequest& request) { on_closed(request); });
-  look();
+      recovery_(windows_of(catalog)) {
+  if (!is_enabled()) return;
+  if (!options_.store.empty()) open_store();
+  in_flight_.set_release_listener([this](const InFlightRequest& request) { on_request_released(request); });
+  expire_periodically();
 }
 
-ResultReplay::~ResultReplay() {
-  store_.reset();
-  reactor_.cancel(look_timer_);
-  for (auto& [id, timer] : recording_) reactor_.cancel(timer);
-  for (auto& [id, pending] : pending_) reactor_.cancel(pending.due);
-}
+ResultReplay::~ResultReplay() { reactor_.cancel(expiry_timer_); }
 
 // ---- The store.
+
+void ResultReplay::open_store() {
+  results::Store::Options options;
+  options.path = options_.store;
+  options.sync_commits = options_.power_safe;
+  options.max_file_bytes = options_.disk;
+  options.max_queued_jobs = options_.queue;
+  results::StoreEvents& events = *this;
+  store_ = std::make_unique<results::Store>(reactor_, options, events);
+}
+
+void ResultReplay::erase_from_store(std::vector<results::Key> keys) {
+  if (store_) store_->erase(std::move(keys));
+}
+
 void ResultReplay::on_key_seed(std::uint64_t seed, bool is_new) {
-  keys_ = results::KeyDeriver(seed);
+  identifier_.set_seed(seed);
   if (is_new) log_.event(Level::kInfo, "results", "new store", {{"path", options_.store}});
 }
 
 void ResultReplay::on_entries_recovered(const std::vector<results::Row>& rows) {
   const double now = net::monotonic_now();
-  const std::int64_t now_ms = unix_ms();
-  std::vector<results::Key> over;
+  const std::int64_t now_ms = unix_now_ms();
+  std::vector<results::Key> expired;
   for (const results::Row& row : rows) {
-    const results::RecoveredEntry recovered = recovery_.assess(row, now_ms);
-    if (!recovered.is_live) {
-      over.push_back(row.key);
+    const std::optional<double> remaining = recovery_.remaining_seconds(row, now_ms);
+    if (!remaining) {
+      expired.push_back(row.key);
       continue;
     }
-    cache_.restore(row.request_id, row.key, row.fingerprint, row.has_result,
-                   now + recovered.remaining_seconds);
+    cache_.restore(row.request_id, row.key, row.fingerprint, row.has_result, now + *remaining);
     counters_.add(Count::kResultsRecovered);
   }
-  store_->erase(std::move(over));
+  erase_from_store(std::move(expired));
 }
 
 void ResultReplay::on_store_state_changed(results::StoreState state, const std::string& why) {
-  const bool sound = state == results::StoreState::kHealthy;
-  if (sound) {
+  if (state == results::StoreState::kHealthy) {
     log_.event(Level::kInfo, "results", "store open",
                {{"path", options_.store},
                 {"entries", cache_.entry_count()},
                 {"safety", options_.power_safe ? "power" : "process"}});
-  } else {
-    const char* then = state == results::StoreState::kDisabled
-                           ? "keyed ops are nacked until it is looked at and the program restarted"
-                           : "keyed ops that are new are nacked until it is well";
-    log_.event(Level::kError, "results", why + "; " + then, {{"state", name_of(state)}});
+    return;
   }
+  const char* consequence =
+      state == results::StoreState::kDisabled
+          ? "requests with a key are rejected until the store is repaired and the program restarted"
+          : "new requests with a key are rejected until the store recovers";
+  log_.event(Level::kError, "results", why + "; " + consequence, {{"state", name_of(state)}});
 }
 
 void ResultReplay::on_drop_requests(const std::vector<results::Key>& keys) {
@@ -124,53 +130,25 @@
   for (const results::Key& key : keys) {
     if (cache_.drop(key)) dropped.push_back(key);
   }
-  log_.event(Level::kWarning, "results", "dropped as an operator asked",
-             {{"asked", keys.size()}, {"dropped", dropped.size()}});
-  store_->erase(std::move(dropped));
+  log_.event(Level::kWarning, "results", "dropped keys at an operator's request",
+             {{"requested", keys.size()}, {"dropped", dropped.size()}});
+  erase_from_store(std::move(dropped));
 }
 
-// ---- As requests come.
-bool ResultReplay::identify(const Request& request, const peers::IncomingRequest& in,
-                            const InFlightRequest& entered, Candidate& out) const {
-  const Route& settings = entered.route_settings;
-  const std::string& name = entered.route_name;
-  out.id = request.id;
-  if (settings.idempotency == Idempotency::kWithKey) {
-    out.kind = EntryKind::kKeyed;
-    out.fingerprint = keys_.fingerprint(in.body);
-    out.key = by_digest_.contains(name)
-                  ? keys_.from_body(name, options_.digest_by_caller ? in.caller : 0, in.body)
-                  : keys_.from_idempotency_key(name, in.idempotency_key);
-    return true;
-  }
-  if (settings.idempotency == Idempotency::kIdempotent && site_.admission.shared_answer_ttl > 0 &&
-      request.subject != 0 && !request.is_write) {
-    out.kind = EntryKind::kSharedRead;
-    out.key = keys_.from_read(name, request.subject, in.body);
-    return true;
-  }
-  return false;
-}
+// ---- Arriving requests.
 
-bool ResultReplay::meet(Request& request, const peers::IncomingRequest& in, InFlightRequest& entered) {
-  candidate_ = {};
-  if (!on()) return false;
-  const bool keyed = entered.route_settings.idempotency == Idempotency::kWithKey;
+bool ResultReplay::answer_if_known(Request& request, const peers::IncomingRequest& incoming,
+                                   InFlightRequest& entered) {
+  candidate_.reset();
+  if (!is_enabled()) return false;
+  const std::optional<RequestIdentity> identity = identifier_.identify(request, incoming, entered);
+  if (!identity) return false;
   const double now = net::monotonic_now();
-  Candidate candidate;
-  if (!identify(request, in, entered, candidate)) return false;
-  if (std::vector<results::Key> over = cache_.expire(now, kAgedOnArrival); store_)
-    store_->erase(std::move(over));
-  const results::Lookup lookup = cache_.look_up(now, candidate.key, candidate.fingerprint, candidate.kind);
+  erase_from_store(cache_.expire(now, kMaxExpiredPerArrival));
+  const results::Lookup lookup = cache_.look_up(now, identity->key, identity->fingerprint, identity->kind);
   switch (lookup.outcome) {
     case LookupOutcome::kMiss:
-      if (in.known_only) return not_known(entered, !store_ || store_->accepts_intents(now), now), true;
-      // Before the store is open, too: nothing is known then of what earlier lives ran, it may be this one.
-      if (keyed && store_ && !store_->accepts_intents(now)) {
-        counters_.add(Count::kResultsNoStore);
-        reject(entered, store_->retry_after(now));
-        return true;
-      }
+      if (answer_unknown_key(*identity, incoming.known_only, entered, now)) return true;
       break;
     case LookupOutcome::kDuplicate: request.duplicate_of = lookup.original_id; break;
     case LookupOutcome::kOutcomeUnknown:
@@ -182,257 +160,260 @@
       in_flight_.fail(entered, peers::FailureReason::kKeyConflict);
       return true;
     case LookupOutcome::kNoCapacity:
-      if (in.known_only) return not_known(entered, true, now), true;
+      if (incoming.known_only) {
+        fail_query(entered);
+        return true;
+      }
       counters_.add(Count::kResultsNoRoom);
-      reject(entered, lookup.retry_after);
+      replies_.reject(entered, lookup.retry_after);
       return true;
   }
-  candidate_ = candidate;
+  candidate_ = Candidate{request.id, *identity};
   return false;
 }
 
-// It was only asked about. Guards against a store that is not open, and so knows nothing yet: that is no
-// answer.
-void ResultReplay::not_known(InFlightRequest& request, bool certain, double now) {
-  if (!certain) return reject(request, store_->retry_after(now));
+// While the store is not open, an unknown key says nothing: an earlier process may have run the request.
+bool ResultReplay::answer_unknown_key(const RequestIdentity& identity, bool is_query,
+                                      InFlightRequest& request, double now) {
+  const bool is_store_ready = !store_ || store_->accepts_intents(now);
+  if (is_query) {
+    if (is_store_ready) {
+      fail_query(request);
+    } else {
+      replies_.reject(request, store_->retry_after(now));
+    }
+    return true;
+  }
+  if (identity.kind != EntryKind::kKeyed || is_store_ready) return false;
+  counters_.add(Count::kResultsNoStore);
+  replies_.reject(request, store_->retry_after(now));
+  return true;
+}
+
+// Answers a query about a key that is not known.
+void ResultReplay::fail_query(InFlightRequest& request) {
   counters_.add(Count::kResultsNotKnown);
   in_flight_.fail(request, peers::FailureReason::kNotKnown);
 }
 
-// Never ran: with a time to come back where the site's callers heed one.
-void ResultReplay::reject(InFlightRequest& request, double retry_after) {
-  const AdmissionOptions& s = site_.admission;
-  in_flight_.reject(request, s.sends_retry_after ? std::min(retry_after, s.max_retry_after) : 0, false);
-}
+// ---- Decisions of the admission controller.
 
-// ---- Acts of the module.
-void ResultReplay::remember(RequestId id, double ttl) {
-  if (!must_hold(candidate_.id == id, counters_)) return;
+void ResultReplay::remember_key(RequestId id, double ttl) {
+  if (!must_hold(candidate_ && candidate_->id == id, counters_)) return;
+  const RequestIdentity& identity = candidate_->identity;
   const double now = net::monotonic_now();
-  const bool kept =
-      cache_.reserve(now, id, candidate_.key, candidate_.fingerprint, candidate_.kind, now + ttl);
-  if (kept) counters_.add(Count::kResultsKept);
-  // There was room a moment ago for a keyed one; a read is worth remembering, no more.
-  must_hold(kept || candidate_.kind == EntryKind::kSharedRead, counters_);
+  const bool is_remembered =
+      cache_.reserve(now, id, identity.key, identity.fingerprint, identity.kind, now + ttl);
+  if (is_remembered) counters_.add(Count::kResultsKept);
+  // look_up() has just found capacity for a keyed request; a shared read need not be remembered.
+  must_hold(is_remembered || identity.kind == EntryKind::kSharedRead, counters_);
 }
 
-void ResultReplay::forget(RequestId id) { answer_repeats(cache_.release(id), How::kNeverRan); }
+void ResultReplay::forget_key(RequestId id) {
+  replies_.answer_all(cache_.release(id), OriginalOutcome::kNeverRan);
+}
 
-void ResultReplay::join(RequestId id) {
-  if (!must_hold(candidate_.id == id, counters_)) return;
-  const results::Key key = candidate_.key;
+void ResultReplay::join_original(RequestId id) {
+  if (!must_hold(candidate_ && candidate_->id == id, counters_)) return;
+  const results::Key key = candidate_->identity.key;
   counters_.add(Count::kResultsJoined);
   switch (cache_.join(id, key)) {
     case JoinOutcome::kCoalesced: return;
     case JoinOutcome::kInMemory:
       counters_.add(Count::kResultsFromMemory);
-      return answer_repeat(id, How::kSucceeded, *cache_.result_in_memory(key));
+      return replies_.answer(id, OriginalOutcome::kSucceeded, *cache_.result_in_memory(key));
     case JoinOutcome::kInStore: return answer_from_store(id, key);
-    case JoinOutcome::kOutcomeUnknown: return answer_repeat(id, How::kUnknown);
-    case JoinOutcome::kNeverRan: return answer_repeat(id, How::kNeverRan);
+    case JoinOutcome::kOutcomeUnknown: return replies_.answer(id, OriginalOutcome::kUnknown);
+    case JoinOutcome::kNeverRan: return replies_.answer(id, OriginalOutcome::kNeverRan);
   }
 }
 
-bool ResultReplay::hold_start(InFlightRequest& request) {
-  if (!on()) return false;
+void ResultReplay::answer_from_store(RequestId id, const results::Key& key) {
+  counters_.add(Count::kResultsFromStore);
+  const auto on_fetched = [this, id](const std::optional<results::Row>& row) {
+    if (row && row->has_result) {
+      replies_.answer(id, OriginalOutcome::kSucceeded, row->result);
+    } else {
+      replies_.answer(id, OriginalOutcome::kUnknown);
+    }
+  };
+  if (!store_ || !store_->fetch(key, on_fetched)) replies_.answer(id, OriginalOutcome::kUnknown);
+}
+
+// ---- Intents.
+
+bool ResultReplay::defer_start(InFlightRequest& request) {
+  if (!is_enabled()) return false;
   const RequestId id = request.id;
   const results::IdempotencyCache::Entry* entry = cache_.find_active(id);
-  const bool keyed = request.route_settings.idempotency == Idempotency::kWithKey;
+  const bool is_keyed = request.route_settings.idempotency == Idempotency::kWithKey;
   if (entry == nullptr) {
-    // Guards against a keyed run that nobody would remember.
-    if (must_hold(!keyed, counters_)) return false;
-    reactor_.post([this, id] { not_started(id, {}, 0); });
+    // A keyed request that is not remembered must not run: its duplicates would run again.
+    if (must_hold(!is_keyed, counters_)) return false;
+    reactor_.post([this, id] { reject_unstarted(id, {}, 0); });
     return true;
   }
-  if (!keyed || !store_) {
+  if (!is_keyed || !store_) {
     cache_.mark_running(id);
     return false;
   }
-  const results::Key key = entry->key;
+  write_intent(request, *entry);
+  return true;
+}
+
+void ResultReplay::write_intent(InFlightRequest& request, const results::IdempotencyCache::Entry& entry) {
+  const RequestId id = request.id;
+  const results::Key key = entry.key;
+  const double remaining = entry.expires_at - net::monotonic_now();
   results::Row row;
   row.key = key;
   row.request_id = id;
   row.route = request.route_name;
-  row.fingerprint = entry->fingerprint;
-  row.expires_at_ms =
-      unix_ms() + static_cast<std::int64_t>((entry->expires_at - net::monotonic_now()) * kMsPerSecond);
+  row.fingerprint = entry.fingerprint;
+  row.expires_at_ms = unix_now_ms() + static_cast<std::int64_t>(remaining * kMillisecondsPerSecond);
   request.run = RunStage::kRecordingKey;
-  const bool taken =
-      store_->write_intent(std::move(row), [this, id, key](bool durable) { on_intent(id, key, durable); });
-  if (!taken) {
-    reactor_.post([this, id, key] { on_intent(id, key, false); });
-    return true;
+  const bool is_accepted = store_->write_intent(
+      std::move(row), [this, id, key](bool is_durable) { on_intent_written(id, key, is_durable); });
+  if (!is_accepted) {
+    reactor_.post([this, id, key] { on_intent_written(id, key, false); });
+    return;
   }
   counters_.add(Count::kResultsIntents);
-  recording_[id] = reactor_.after(options_.patience, [this, id, key] { on_intent(id, key, false); });
-  return true;
+  pending_writes_.add_intent(id, options_.patience, [this, id, key] { on_intent_written(id, key, false); });
 }
 
-// Its intent is durable, or will not be in time. What comes after that is passed over.
-void ResultReplay::on_intent(RequestId id, const results::Key& key, bool durable) {
-  const auto timer = recording_.find(id);
-  if (timer != recording_.end()) {
-    reactor_.cancel(timer->second);
-    recording_.erase(timer);
-  }
+// The intent is durable, or will not be in time. Only the first of these reports counts.
+void ResultReplay::on_intent_written(RequestId id, const results::Key& key, bool is_durable) {
+  pending_writes_.remove_intent(id);
   InFlightRequest* request = in_flight_.find(id);
   const results::IdempotencyCache::Entry* entry = cache_.find_active(id);
-  if (request == nullptr || request->run != RunStage::kRecordingKey || entry == nullptr || entry->key != key)
-    return;
-  if (!durable) counters_.add(Count::kResultsNotDurable);
-  if (!durable || request->answered) return not_started(id, key, store_->retry_after(net::monotonic_now()));
+  const bool is_awaited =
+      request != nullptr && request->run == RunStage::kRecordingKey && entry != nullptr && entry->key == key;
+  if (!is_awaited) return;
+  if (!is_durable) counters_.add(Count::kResultsNotDurable);
+  if (!is_durable || request->answered)
+    return reject_unstarted(id, {key}, store_->retry_after(net::monotonic_now()));
   cache_.mark_running(id);
   sender_.start(*request);
 }
 
-// Nothing reached the runtime: the request is rejected, and so is who waits for it.
-void ResultReplay::not_started(RequestId id, const results::Key& key, double retry_after) {
+// The request never reached the runtime: it is rejected, and its duplicates with it.
+void ResultReplay::reject_unstarted(RequestId id, std::vector<results::Key> keys, double retry_after) {
   InFlightRequest* request = in_flight_.find(id);
   if (request == nullptr) return;
   request->run = RunStage::kNone;
-  reject(*request, retry_after);
-  answer_repeats(cache_.release(id), How::kNeverRan);
-  if (store_) store_->erase({key});
+  replies_.reject(*request, retry_after);
+  replies_.answer_all(cache_.release(id), OriginalOutcome::kNeverRan);
+  erase_from_store(std::move(keys));
   admission_.on_run_finished(id, Outcome::kObsolete, 0);
-  if ((request = in_flight_.find(id)) != nullptr) in_flight_.release_if_over(*request);
+  request = in_flight_.find(id);
+  if (request != nullptr) in_flight_.release_if_over(*request);
 }
 
 // ---- Ends of runs.
+
 bool ResultReplay::on_run_ended(InFlightRequest& request, Outcome outcome, std::string_view result) {
-  if (!on()) return false;
+  if (!is_enabled()) return false;
   const RequestId id = request.id;
   const results::IdempotencyCache::Entry* entry = cache_.find_active(id);
   if (entry == nullptr || entry->state != EntryState::kRunning) return false;
   const double now = net::monotonic_now();
   const results::Key key = entry->key;
+  const bool is_paused =
+      outcome == Outcome::kCancelled && !request.answered && site_.admission.preemption == Preemption::kPause;
+  if (is_paused) return false;
   switch (outcome) {
-    case Outcome::kOk: {
-      if (entry->kind == EntryKind::kSharedRead || !store_) {
-        answer_repeats(cache_.complete(now, id, std::string(result)), How::kSucceeded, result);
-        return false;
+    case Outcome::kOk:
+      if (entry->kind == EntryKind::kKeyed && store_) {
+        write_result(request, key, result);
+        return true;
       }
-      PendingWrite& pending = pending_[id];
-      pending.key = key;
-      pending.result = result;
-      const double left = std::max(0.0, request.deadline - net::unix_now());
-      pending.due =
-          reactor_.after(left, [this, id] {  // the answer is owed now; the result follows when it can
-            InFlightRequest* late = in_flight_.find(id);
-            if (late == nullptr) return;
-            in_flight_.fail(*late);
-            in_flight_.release_if_over(*late);
-          });
-      store_->write_result(key, pending.result, [this, id](bool durable) { on_result_written(id, durable); });
-      return true;
-    }
-    case Outcome::kObsolete: {  // nothing was started
-      answer_repeats(cache_.release(id), How::kNeverRan);
-      if (store_) store_->erase({key});
+      replies_.answer_all(cache_.complete(now, id, std::string(result)), OriginalOutcome::kSucceeded, result);
+      return false;
+    case Outcome::kObsolete:  // it never started
+      replies_.answer_all(cache_.release(id), OriginalOutcome::kNeverRan);
+      erase_from_store({key});
+      return false;
+    default:
+      replies_.answer_all(cache_.mark_outcome_unknown(now, id), OriginalOutcome::kUnknown);
       return false;
-    }
-    case Outcome::kCancelled:
-      if (!request.answered && site_.admission.preemption == Preemption::kPause)
-        return false;  // it goes on later
-      [[fallthrough]];
-    default: answer_repeats(cache_.mark_outcome_unknown(now, id), How::kUnknown); return false;
   }
 }
 
-// A result that could not be written is still the result: its callers get it, and a repeat after a restart is
+void ResultReplay::write_result(const InFlightRequest& request, const results::Key& key,
+                                std::string_view result) {
+  const RequestId id = request.id;
+  const double remaining = std::max(0.0, request.deadline - net::unix_now());
+  pending_writes_.add_result(id, std::string(result), remaining, [this, id] { on_answer_due(id); });
+  store_->write_result(key, std::string(result),
+                       [this, id](bool is_durable) { on_result_written(id, is_durable); });
+}
+
+// The request's deadline has passed before its result was durable: duplicates still get the result.
+void ResultReplay::on_answer_due(RequestId id) {
+  InFlightRequest* request = in_flight_.find(id);
+  if (request == nullptr) return;
+  in_flight_.fail(*request);
+  in_flight_.release_if_over(*request);
+}
+
+// A result that could not be written is still the result and is answered. After a restart, its duplicates are
 // told that the outcome is unknown.
-void ResultReplay::on_result_written(RequestId id, bool durable) {
-  auto found = pending_.extract(id);
-  if (found.empty()) return;
-  PendingWrite& pending = found.mapped();
-  reactor_.cancel(pending.due);
-  if (!durable) counters_.add(Count::kResultsNotDurable);
-  const std::vector<RequestId> repeats = cache_.complete(net::monotonic_now(), id, pending.result);
+void ResultReplay::on_result_written(RequestId id, bool is_durable) {
+  const std::optional<std::string> result = pending_writes_.take_result(id);
+  if (!result) return;
+  if (!is_durable) counters_.add(Count::kResultsNotDurable);
+  const std::vector<RequestId> duplicates = cache_.complete(net::monotonic_now(), id, *result);
   if (InFlightRequest* request = in_flight_.find(id)) {
-    in_flight_.succeed(*request, pending.result);
+    in_flight_.succeed(*request, *result);
     in_flight_.release_if_over(*request);
   }
-  answer_repeats(repeats, How::kSucceeded, pending.result);
+  replies_.answer_all(duplicates, OriginalOutcome::kSucceeded, *result);
 }
 
-void ResultReplay::on_closed(const InFlightRequest& request) {
-  if (!on()) return;
+void ResultReplay::on_request_released(const InFlightRequest& request) {
+  if (!is_enabled()) return;
   cache_.remove_waiter(request.id);
   const results::IdempotencyCache::Entry* entry = cache_.find_active(request.id);
-  if (entry == nullptr || pending_.contains(request.id)) return;
+  if (entry == nullptr || pending_writes_.has_result(request.id)) return;
   if (entry->state == EntryState::kReserved) {
-    answer_repeats(cache_.release(request.id), How::kNeverRan);
-  } else {  // a paused run that is dropped
-    answer_repeats(cache_.mark_outcome_unknown(net::monotonic_now(), request.id), How::kUnknown);
+    replies_.answer_all(cache_.release(request.id), OriginalOutcome::kNeverRan);
+  } else {  // a paused run that was discarded
+    replies_.answer_all(cache_.mark_outcome_unknown(net::monotonic_now(), request.id),
+                        OriginalOutcome::kUnknown);
   }
 }
 
-// ---- Repeats.
-void ResultReplay::answer_from_store(RequestId id, const results::Key& key) {
-  counters_.add(Count::kResultsFromStore);
-  const bool asked = store_ && store_->fetch(key, [this, id](const std::optional<results::Row>& row) {
-    answer_repeat(id, row && row->has_result ? How::kSucceeded : How::kUnknown,
-                  row ? row->result : std::string());
-  });
-  if (!asked) answer_repeat(id, How::kUnknown);
-}
-
-void ResultReplay::answer_repeats(const std::vector<RequestId>& repeats, How how, std::string_view result) {
-  for (const RequestId id : repeats) answer_repeat(id, how, result);
-}
+// ---- Expiry, configuration, counters.
 
-// Its answer leaves at once; the module hears of it on the next turn, since this may be inside one of its
-// acts.
-void ResultReplay::answer_repeat(RequestId id, How how, std::string_view result) {
-  InFlightRequest* request = in_flight_.find(id);
-  if (request == nullptr) return;
-  switch (how) {
-    case How::kSucceeded: in_flight_.succeed(*request, result); break;
-    case How::kUnknown: in_flight_.fail(*request, peers::FailureReason::kOutcomeUnknown); break;
-    case How::kNeverRan: reject(*request, 0); break;
-  }
-  reactor_.post([this, id, how] {
-    InFlightRequest* there = in_flight_.find(id);
-    if (there == nullptr) return;
-    admission_.on_run_finished(id, how == How::kSucceeded ? Outcome::kOk : Outcome::kObsolete, 0);
-    if ((there = in_flight_.find(id)) != nullptr) in_flight_.release_if_over(*there);
-  });
-}
-
-// ---- Time passing.
-void ResultReplay::look() {
-  if (!store_ || store_->has_spare_capacity()) {
-    std::vector<results::Key> over = cache_.expire(net::monotonic_now(), kAgedAtOnce);
-    if (store_) store_->erase(std::move(over));
-  }
-  look_timer_ = reactor_.after(kLook, [this] { look(); });
+void ResultReplay::expire_periodically() {
+  if (!store_ || store_->has_spare_capacity())
+    erase_from_store(cache_.expire(net::monotonic_now(), kMaxExpiredPerInterval));
+  expiry_timer_ = reactor_.after(kExpiryIntervalSeconds, [this] { expire_periodically(); });
 }
 
 void ResultReplay::reconfigure(const ResultsOptions& options) {
-  if (!on() && !options.enabled) return;
-  const bool same = options.enabled == options_.enabled && options.store == options_.store &&
-                    options.power_safe == options_.power_safe && options.disk == options_.disk &&
-                    options.queue == options_.queue && options.key_field == options_.key_field &&
-                    options.key_length == options_.key_length && options.digest == options_.digest &&
-                    options.digest_by_caller == options_.digest_by_caller;
-  if (!same) log_.warn("results", "only memory, entries and patience are taken without a restart");
-  // Guards against a file of another deployment, whose settings ask for no keys: ours stay remembered.
-  if (!on() || !options.enabled) return;
+  if (!is_enabled() && !options.enabled) return;
+  if (needs_restart(options_, options))
+    log_.warn("results", "only memory, entries and patience take effect without a restart");
+  // A configuration that turns results off must not forget keys within their windows.
+  if (!is_enabled() || !options.enabled) return;
   options_.memory = options.memory;
   options_.entries = options.entries;
   options_.patience = options.patience;
   cache_.set_limits(limits_of(options_, site_));
-  log_.event(Level::kInfo, "results", "new bounds",
+  log_.event(Level::kInfo, "results", "new limits",
              {{"memory", options_.memory}, {"entries", options_.entries}, {"in_use", cache_.used_bytes()}});
 }
 
-void ResultReplay::report() {
-  if (!on()) return;
+void ResultReplay::update_counters() {
+  if (!is_enabled()) return;
   counters_.set(Count::kResultsEntries, cache_.entry_count());
   counters_.set(Count::kResultsBytes, cache_.used_bytes());
   counters_.set(Count::kResultsEvicted, cache_.evicted_count());
-  if (store_)
-    counters_.set(Count::kResultsCommitMostUs,
-                  static_cast<std::uint64_t>(store_->max_commit_seconds() * 1e6));
+  if (!store_) return;
+  const double microseconds = store_->max_commit_seconds() * kMicrosecondsPerSecond;
+  counters_.set(Count::kResultsCommitMostUs, static_cast<std::uint64_t>(microseconds));
 }
 
 }  // namespace damsonspoke::stages
--- a/src/stages/result_replay.h
+++ b/src/stages/result_replay.h
@@ -1,13 +1,16 @@
-// Remembered results on the way of a request: asks the table, obeys it, and brings together the module, the
-// store and the book. With results off it does nothing.
+// Replays results to duplicates: asks the idempotency cache about each request, and connects the cache with
+// admission, the store and the requests in flight. Does nothing where results are off.
+//
+// With a store, an intent record is durable before a keyed request starts, and its result before it is
+// answered. A duplicate after a restart is therefore answered with the result, or told that the outcome is
+// unknown; it never runs a second time.
 #pragma once
 
+#include <cstddef>
 #include <memory>
 #include <optional>
 #include <string>
 #include <string_view>
-#include <unordered_map>
-#include <unordered_set>
 #include <vector>
 
 #include "catalog/catalog.h"
@@ -21,7 +24,10 @@
 #include "settings/operator_file.h"
 #include "settings/settings.h"
 #include "stages/command_sender.h"
+#include "stages/duplicate_replies.h"
 #include "stages/in_flight_requests.h"
+#include "stages/pending_writes.h"
+#include "stages/request_identity.h"
 
 namespace damsonspoke::stages {
 
@@ -29,64 +35,63 @@
 
 class ResultReplay : private results::StoreEvents {
  public:
-  ResultReplay(net::Reactor& reactor, InFlightRequests& in_flight, CommandSender& send,
+  ResultReplay(net::Reactor& reactor, InFlightRequests& in_flight, CommandSender& sender,
                AdmissionDriver& admission, const StartSettings& site, const catalog::Catalog& catalog,
                const ResultsOptions& options, Counters& counters, Logger& log);
   ~ResultReplay() override;
+  ResultReplay(const ResultReplay&) = delete;
+  ResultReplay& operator=(const ResultReplay&) = delete;
 
-  bool on() const { return options_.enabled; }
+  [[nodiscard]] bool is_enabled() const { return options_.enabled; }
 
-  // ---- As requests come. True where the request has been answered and must not come to the module;
-  // otherwise `request.original` says whether it is a repeat.
-  bool meet(Request& request, const peers::IncomingRequest& in, InFlightRequest& entered);
+  // For each request that was read. True where it was answered and must not come to admission; otherwise
+  // `request.duplicate_of` names its original, if there is one.
+  [[nodiscard]] bool answer_if_known(Request& request, const peers::IncomingRequest& incoming,
+                                     InFlightRequest& entered);
 
-  // ---- Acts of the module.
-  void remember(RequestId id, double ttl);
-  void forget(RequestId id);
-  void join(RequestId id);
-  // True where the run starts by itself once it may; otherwise the caller starts it now.
-  bool hold_start(InFlightRequest& request);
+  // ---- Decisions of the admission controller.
 
-  // ---- Ends of runs. True where the request's own answer follows by itself.
-  bool on_run_ended(InFlightRequest& request, Outcome outcome, std::string_view result);
-  // The book lets go of it.
-  void on_closed(const InFlightRequest& request);
+  // Remembers the request that answer_if_known() saw last, for `ttl` seconds.
+  void remember_key(RequestId id, double ttl);
+  void forget_key(RequestId id);
+  // The request that answer_if_known() saw last is answered as its original.
+  void join_original(RequestId id);
+  // True where the run starts by itself once its intent is durable; otherwise the caller starts it now.
+  [[nodiscard]] bool defer_start(InFlightRequest& request);
 
-  // New bounds; what else has changed is taken at the next start.
+  // The end of a run. True where the request's own answer follows once its result is durable.
+  [[nodiscard]] bool on_run_ended(InFlightRequest& request, Outcome outcome, std::string_view result);
+
+  // Applies the limits and timeouts of a changed configuration; the rest is taken at the next start.
   void reconfigure(const ResultsOptions& options);
-  void report();  // into the counters
+  void update_counters();
 
  private:
   struct Candidate {
     RequestId id = 0;
-    results::Key key;
-    results::Fingerprint fingerprint = 0;
-    results::EntryKind kind = results::EntryKind::kKeyed;
-  };
-  // A result that is not durable yet; its run is over.
-  struct PendingWrite {
-    results::Key key;
-    std::string result;
-    net::Reactor::TimerId due;
+    RequestIdentity identity;
   };
 
+  // ---- StoreEvents.
   void on_key_seed(std::uint64_t seed, bool is_new) override;
   void on_entries_recovered(const std::vector<results::Row>& rows) override;
   void on_store_state_changed(results::StoreState state, const std::string& why) override;
   void on_drop_requests(const std::vector<results::Key>& keys) override;
 
-  bool identify(const Request& request, const peers::IncomingRequest& in, const InFlightRequest& entered,
-                Candidate& out) const;
-  void reject(InFlightRequest& request, double retry_after);
-  void not_known(InFlightRequest& request, bool certain, double now);
-  void on_intent(RequestId id, const results::Key& key, bool durable);
-  void not_started(RequestId id, const results::Key& key, double retry_after);
-  void on_result_written(RequestId id, bool durable);
+  void open_store();
+  void erase_from_store(std::vector<results::Key> keys);
+  bool answer_unknown_key(const RequestIdentity& identity, bool is_query, InFlightRequest& request,
+                          double now);
+  void fail_query(InFlightRequest& request);
+  void write_intent(InFlightRequest& request, const results::IdempotencyCache::Entry& entry);
+  void on_intent_written(RequestId id, const results::Key& key, bool is_durable);
+  void reject_unstarted(RequestId id, std::vector<results::Key> keys, double retry_after);
+  void write_result(const InFlightRequest& request, const results::Key& key, std::string_view result);
+  void on_answer_due(RequestId id);
+  void on_result_written(RequestId id, bool is_durable);
+  void on_request_released(const InFlightRequest& request);
   void answer_from_store(RequestId id, const results::Key& key);
-  enum class How { kSucceeded, kUnknown, kNeverRan };
-  void answer_repeat(RequestId id, How how, std::string_view result = {});
-  void answer_repeats(const std::vector<RequestId>& repeats, How how, std::string_view result = {});
-  void look();
+  void expire_periodically();
 
   net::Reactor& reactor_;
   InFlightRequests& in_flight_;
@@ -96,15 +101,14 @@
   ResultsOptions options_;
   Counters& counters_;
   Logger& log_;
-  results::KeyDeriver keys_;
+  RequestIdentifier identifier_;
+  DuplicateReplies replies_;
+  PendingWrites pending_writes_;
   results::IdempotencyCache cache_;
-  results::Recovery recovery_;
-  const std::unordered_set<std::string> by_digest_;  // routes
-  Candidate candidate_;                              // between meeting a request and the module's act on it
-  std::unordered_map<RequestId, net::Reactor::TimerId> recording_;  // whose intent is on its way
-  std::unordered_map<RequestId, PendingWrite> pending_;
-  net::Reactor::TimerId look_timer_;
-  std::unique_ptr<results::Store> store_;  // last: its thread ends first
+  const results::Recovery recovery_;
+  std::optional<Candidate> candidate_;  // between answer_if_known() and the controller's decision on it
+  net::Reactor::TimerId expiry_timer_;
+  std::unique_ptr<results::Store> store_;  // the last member, so that its thread ends first
 };
 
 }  // namespace damsonspoke::stages
--- a/src/stages/statistics_persistence.cpp
+++ b/src/stages/statistics_persistence.cpp
@@ -1,87 +1,110 @@
 #include "stages/statistics_persistence.h"
 
+#include <utility>
+
 #include "stages/admission_driver.h"
 
 namespace damsonspoke::stages {
+namespace {
+
+constexpr double kReadTimeoutSeconds = 0.25;  // bounds what a folder that hangs costs the start
+constexpr double kMicrosecondsPerSecond = 1e6;
+
+}  // namespace
 
 StatisticsPersistence::StatisticsPersistence(net::Reactor& reactor, const AdmissionDriver& admission,
-                                             const StartSettings& site, std::string name,
+                                             const StartSettings& site, std::string server_name,
                                              const KnowledgeOptions& options, Counters& counters, Logger& log)
     : reactor_(reactor),
       admission_(admission),
       site_(site),
-      name_(std::move(name)),
+      server_name_(std::move(server_name)),
       options_(options),
       counters_(counters),
       log_(log) {
-  if (on())
-    keeper_ = std::make_unique<statistics::StatisticsStore>(
-        [path = options_.folder] { return store::open_folder(path); });
+  if (!is_enabled()) return;
+  store_ = std::make_unique<statistics::StatisticsStore>(
+      [path = options_.folder] { return store::open_folder(path); });
 }
 
 StatisticsPersistence::~StatisticsPersistence() { reactor_.cancel(timer_); }
 
-void StatisticsPersistence::get_ready() {
-  constexpr double kPatience = 0.25;  // s; a folder that hangs costs a start no more than this
-  if (on()) keeper_->wait_for_reading(kPatience);
+void StatisticsPersistence::wait_for_record() {
+  if (is_enabled()) store_->wait_for_reading(kReadTimeoutSeconds);
 }
 
-LearnedStatistics StatisticsPersistence::prior() {
-  if (!on()) return {};
-  began_ = net::monotonic_now();
-  timer_ = reactor_.after(options_.interval, [this] { look(); });
-  const std::optional<statistics::Reading> reading = keeper_->take_reading();
+LearnedStatistics StatisticsPersistence::take_prior() {
+  if (!is_enabled()) return {};
+  began_at_ = net::monotonic_now();
+  timer_ = reactor_.after(options_.interval, [this] { run_periodically(); });
+  const std::optional<statistics::Reading> reading = store_->take_reading();
   if (!reading) {
-    log_.warn("knowledge", "not read in time, starts without");
+    log_.warn("knowledge", "record not read in time, starting without learned statistics");
     return {};
   }
   if (!reading->record) {
-    log_.event(Level::kInfo, "knowledge", "starts without", {{"why", reading->problem}});
+    log_.event(Level::kInfo, "knowledge", "starting without learned statistics",
+               {{"why", text_of(reading->problem)}});
     return {};
   }
-  const statistics::PriorOptions terms{options_.half_life, options_.most_age, options_.weight};
-  statistics::Prior belief = derive_prior(*reading->record, site_, net::unix_now(), reading->starts, terms);
-  for (const std::string& reason : belief.reasons)
-    log_.event(Level::kInfo, "knowledge", "not believed", {{"why", reason}});
-  if (!belief.any) return {};
-  keeper_->begins(reading->starts + 1);
+  statistics::Prior prior = derive_prior(*reading);
+  if (!prior.is_usable) return {};
+  store_->begin_trial(reading->failed_starts + 1);
   counters_.add(Count::kKnowledgeUsed);
-  log_.event(Level::kInfo, "knowledge", "starts with what was learned",
-             {{"age_s", net::unix_now() - reading->record->written},
-              {"share", belief.share},
-              {"generation", reading->older ? "the one before" : "newest"}});
-  return std::move(belief.prior);
+  log_.event(Level::kInfo, "knowledge", "starting with learned statistics",
+             {{"age_s", net::unix_now() - reading->record->written_at},
+              {"share", prior.weight_share},
+              {"generation", reading->is_previous ? "previous" : "newest"}});
+  return std::move(prior.statistics);
+}
+
+statistics::Prior StatisticsPersistence::derive_prior(const statistics::Reading& reading) {
+  const statistics::PriorOptions options{options_.half_life, options_.most_age, options_.weight};
+  statistics::Prior prior =
+      statistics::derive_prior(*reading.record, site_, net::unix_now(), reading.failed_starts, options);
+  for (const statistics::RejectedPart& rejected : prior.rejected)
+    log_.event(Level::kInfo, "knowledge", "learned statistics rejected", {{"why", text_of(rejected)}});
+  return prior;
+}
+
+void StatisticsPersistence::run_periodically() {
+  write_record();
+  report_write_error();
+  timer_ = reactor_.after(options_.interval, [this] { run_periodically(); });
 }
 
-void StatisticsPersistence::look() {
-  write();
-  if (std::optional<std::string> trouble = keeper_->take_write_error()) {
-    trouble->empty() ? log_.info("knowledge", "written again")
-                     : log_.event(Level::kWarning, "knowledge", "not written", {{"why", *trouble}});
+void StatisticsPersistence::report_write_error() {
+  const std::optional<std::string> error = store_->take_write_error();
+  if (!error) return;
+  if (error->empty()) {
+    log_.info("knowledge", "record written again");
+  } else {
+    log_.event(Level::kWarning, "knowledge", "record not written", {{"why", *error}});
   }
-  timer_ = reactor_.after(options_.interval, [this] { look(); });
 }
 
-// What is learned in a bad spell does not push out what was learned before it. A life that has lasted an
-// interval, or is told to leave, has not died of what it began with.
-void StatisticsPersistence::write() {
-  if (left_ || !admission_.begun()) return;
-  const double begin = net::monotonic_now();
+// What is learned under pressure does not replace an earlier record. A server that has lasted an interval, or
+// is asked to shut down, has not failed because of its prior.
+void StatisticsPersistence::write_record() {
+  if (is_draining_ || !admission_.begun()) return;
+  const double began = net::monotonic_now();
   const LearnedStatistics learned = admission_.learned();
-  keeper_->came_through();
+  store_->end_trial();
   if (learned.under_pressure) {
     counters_.add(Count::kKnowledgeSkipped);
   } else {
-    keeper_->write(encode(statistics::record_of(learned, site_, name_, net::unix_now(), begin - began_)));
+    store_->write(
+        encode(statistics::make_record(learned, site_, server_name_, net::unix_now(), began - began_at_)));
     counters_.add(Count::kKnowledgeWrites);
   }
-  counters_.most(Count::kKnowledgeMostUs, static_cast<std::uint64_t>((net::monotonic_now() - begin) * 1e6));
+  const double microseconds = (net::monotonic_now() - began) * kMicrosecondsPerSecond;
+  counters_.most(Count::kKnowledgeMostUs, static_cast<std::uint64_t>(microseconds));
 }
 
-void StatisticsPersistence::leaving() {
-  if (!on()) return;
-  write();
-  left_ = true;
+void StatisticsPersistence::on_drain() {
+  if (!is_enabled()) return;
+  write_record();
+  is_draining_ = true;
 }
 
 }  // namespace damsonspoke::stages
--- a/src/stages/statistics_persistence.h
+++ b/src/stages/statistics_persistence.h
@@ -1,5 +1,5 @@
-// What is learned goes to a successor: the prior at the start, a record now and then, the last one at the
-// notice to leave. With knowledge off it does nothing.
+// Hands learned statistics to this server's successor: a prior at the start, a record at each interval, and
+// the last one when graceful shutdown begins. Does nothing where it is off.
 #pragma once
 
 #include <memory>
@@ -21,32 +21,38 @@
 class StatisticsPersistence {
  public:
   StatisticsPersistence(net::Reactor& reactor, const AdmissionDriver& admission, const StartSettings& site,
-                        std::string name, const KnowledgeOptions& options, Counters& counters, Logger& log);
+                        std::string server_name, const KnowledgeOptions& options, Counters& counters,
+                        Logger& log);
   ~StatisticsPersistence();
-
-  bool on() const { return options_.enabled; }
-  // Before the reactor turns: a short time for the folder to be read.
-  void get_ready();
-  // As the module's life begins: what it may start with. Never waits: what has not been read by then is not
-  // used.
-  LearnedStatistics prior();
-  void leaving();  // a last record, and nothing after it
+  StatisticsPersistence(const StatisticsPersistence&) = delete;
+  StatisticsPersistence& operator=(const StatisticsPersistence&) = delete;
+
+  [[nodiscard]] bool is_enabled() const { return options_.enabled; }
+  // Before the reactor runs: waits a short time for the record to be read.
+  void wait_for_record();
+  // As the controller begins: the prior with which it starts; empty where there is none. Never waits: a
+  // record that has not been read by then is not used.
+  LearnedStatistics take_prior();
+  // Graceful shutdown begins: writes the last record.
+  void on_drain();
 
  private:
-  void look();
-  void write();
+  statistics::Prior derive_prior(const statistics::Reading& reading);
+  void run_periodically();
+  void write_record();
+  void report_write_error();
 
   net::Reactor& reactor_;
   const AdmissionDriver& admission_;
   const StartSettings& site_;
-  const std::string name_;
+  const std::string server_name_;
   const KnowledgeOptions options_;
   Counters& counters_;
   Logger& log_;
-  double began_ = -1;  // monotonic s
-  bool left_ = false;
+  double began_at_ = -1;  // monotonic seconds
+  bool is_draining_ = false;
   net::Reactor::TimerId timer_;
-  std::unique_ptr<statistics::StatisticsStore> keeper_;
+  std::unique_ptr<statistics::StatisticsStore> store_;  // null where it is off
 };
 
 }  // namespace damsonspoke::stages
--- a/src/statistics/prior.cpp
+++ b/src/statistics/prior.cpp
@@ -4,120 +4,170 @@
 
 #include <algorithm>
 #include <cmath>
+#include <numeric>
+#include <optional>
 
 namespace damsonspoke::statistics {
 namespace {
 
-constexpr std::size_t kBins = 13;     // of the module's histogram
-constexpr double kFirstBin = 0.005;   // s; its upper end, each next twice as wide
-constexpr double kMostCount = 64;     // values; the module halves its histogram there
-constexpr double kClockSlack = 5;     // s that clocks of two lives on one machine may differ by
-constexpr double kLeastShare = 0.05;  // of the weight; less would be forgotten with the first value
-constexpr int kMostStarts = 2;        // lives that a record may be the death of
-constexpr double kSameTime = 0.01;    // share by which two settings may differ and be the same
-constexpr double kLeastValues = 3;    // that a histogram must have seen to say anything
+// Of the controller's histogram.
+constexpr std::size_t kBins = 13;
+constexpr double kFirstBinEndSeconds = 0.005;  // each next bin ends at twice the time
+constexpr double kLastBinEndSeconds = 3600;    // the last bin is open; no run takes longer
+constexpr double kMaxCount = 64;
 
-bool same(double a, double b) { return std::abs(a - b) <= kSameTime * std::max(std::abs(a), std::abs(b)); }
+constexpr double kSumSlackSeconds = 1e-6;  // rounding of sums that were halved many times
+constexpr double kSumSlackShare = 1e-6;
+constexpr double kMaxClockDifferenceSeconds = 5;
+constexpr double kMinWeightShare = 0.05;
+constexpr int kMaxFailedStarts = 2;
+constexpr double kEqualSettingsShare = 0.01;  // two settings that differ by less are equal
+constexpr double kMinValues = 3;
 
-double count_of(const LearnedDurations& times) {
-  double count = 0;
-  for (const double n : times.bins) count += n;
-  return count;
+bool are_equal(double a, double b) {
+  return std::abs(a - b) <= kEqualSettingsShare * std::max(std::abs(a), std::abs(b));
+}
+
+double count_of(const LearnedDurations& durations) {
+  return std::accumulate(durations.bins.begin(), durations.bins.end(), 0.0);
 }
 
-// As many values as are believed, never more than there were.
-LearnedDurations weakened(const LearnedDurations& times, double values) {
-  const double count = count_of(times);
-  const double scale = std::min(1.0, values / count);
-  LearnedDurations out = times;
-  for (double& n : out.bins) n *= scale;
+// Scales the values down to a weight; never up.
+LearnedDurations scaled_to(const LearnedDurations& durations, double weight) {
+  const double scale = std::min(1.0, weight / count_of(durations));
+  LearnedDurations out = durations;
+  for (double& count : out.bins) count *= scale;
   out.sum *= scale;
   return out;
 }
 
-}  // namespace
+// Why the record as a whole is not used.
+std::optional<RejectedPart> reject_whole(const StatisticsRecord& record, const StartSettings& site,
+                                         double age_seconds, int failed_starts, const PriorOptions& options) {
+  if (!std::isfinite(record.written_at) || record.written_at <= 0)
+    return RejectedPart{PriorProblem::kNoTime, {}, 0};
+  if (age_seconds < -kMaxClockDifferenceSeconds) return RejectedPart{PriorProblem::kFromTheFuture, {}, 0};
+  if (age_seconds > options.max_age_seconds) return RejectedPart{PriorProblem::kTooOld, {}, age_seconds};
+  if (record.under_pressure) return RejectedPart{PriorProblem::kUnderPressure, {}, 0};
+  if (failed_starts >= kMaxFailedStarts)
+    return RejectedPart{PriorProblem::kFailedStarts, {}, static_cast<double>(failed_starts)};
+  if (record.cores != site.admission.cores)
+    return RejectedPart{PriorProblem::kOtherCores, {}, static_cast<double>(record.cores)};
+  return std::nullopt;
+}
 
-bool sensible(const LearnedDurations& times) {
-  if (times.bins.size() != kBins || !std::isfinite(times.sum) || times.sum < 0) return false;
-  double count = 0, least = 0, most = 0;
-  for (std::size_t i = 0; i < kBins; ++i) {
-    const double n = times.bins[i];
-    if (!std::isfinite(n) || n < 0 || n > kMostCount) return false;
-    count += n;
-    const double end = kFirstBin * std::exp2(static_cast<double>(i));
-    if (i > 0) least += n * end / 2;
-    most += n * (i + 1 == kBins ? 3600 : end);  // the last bin has no end; nobody runs for an hour
-  }
-  constexpr double kDrift = 1e-6;  // s; of sums that were halved many times
-  return count <= kMostCount && times.sum >= least * (1 - 1e-6) - kDrift &&
-         times.sum <= most * (1 + 1e-6) + kDrift;
+// Why a route's values are not used. Under changed settings the route may do something else now.
+std::optional<PriorProblem> reject_route(const RouteRecord& record, const Route& route) {
+  const bool has_same_settings = are_equal(record.latency_objective, route.latency_objective) &&
+                                 are_equal(record.timeout, route.timeout) &&
+                                 record.calls_dependency == route.calls_dependency;
+  if (!has_same_settings) return PriorProblem::kChangedSettings;
+  if (!is_plausible(record.run) || !is_plausible(record.away)) return PriorProblem::kImplausibleValues;
+  if (count_of(record.run) < kMinValues) return PriorProblem::kTooFewValues;
+  return std::nullopt;
 }
 
-Prior derive_prior(const StatisticsRecord& record, const StartSettings& site, double now_unix, int starts,
-                   const PriorOptions& terms) {
-  Prior out;
-  const auto none = [&](std::string why) {
-    out.reasons.push_back(std::move(why));
-    return out;
-  };
-  const double age = now_unix - record.written;
-  if (!std::isfinite(record.written) || record.written <= 0)
-    return none("it does not say when it was written");
-  if (age < -kClockSlack) return none("it was written in the future: a clock was set back");
-  if (age > terms.most_age) return none(fmt::format("it is {:.0f} s old", age));
-  if (record.troubled) return none("it was learned in a bad spell");
-  if (starts >= kMostStarts) return none(fmt::format("{} lives began with it and did not last", starts));
-  if (record.cores != site.admission.cores)
-    return none(fmt::format("it was learned on {} cores", record.cores));
-  out.share = std::exp2(-std::max(0.0, age) / terms.half_life);
-  if (out.share < kLeastShare) return none(fmt::format("it is {:.0f} s old", age));
-  const double values = out.share * terms.weight;
-  const AdmissionOptions& s = site.admission;
-  const bool same_below = record.dependency == static_cast<int>(s.dependency);
-  if (!same_below) out.reasons.push_back("calls: the layer below is another kind");
-
-  out.prior.routes.resize(s.routes.size());
-  for (std::size_t i = 0; i < s.routes.size(); ++i) {
+void derive_routes(const StatisticsRecord& record, const StartSettings& site, double weight,
+                   bool has_same_dependency, Prior& prior) {
+  const std::vector<Route>& routes = site.admission.routes;
+  prior.statistics.routes.resize(routes.size());
+  for (std::size_t i = 0; i < routes.size(); ++i) {
     const std::string& name = site.route_names[i];
-    const auto found = std::find_if(record.types.begin(), record.types.end(),
-                                    [&](const RouteRecord& t) { return t.name == name; });
-    const auto skip = [&](const char* why) { out.reasons.push_back(fmt::format("{}: {}", name, why)); };
-    if (found == record.types.end()) {
-      skip("is new");
-      continue;
-    }
-    const Route& type = s.routes[i];
-    // Other targets or calls: the type may well do something else now.
-    if (!same(found->target, type.latency_objective) || !same(found->timeout, type.timeout) ||
-        found->calls != type.calls_dependency) {
-      skip("its settings have changed");
-      continue;
-    }
-    if (!sensible(found->run) || !sensible(found->away)) {
-      skip("its values make no sense");
+    const auto found = std::find_if(record.routes.begin(), record.routes.end(),
+                                    [&](const RouteRecord& route) { return route.name == name; });
+    if (found == record.routes.end()) {
+      prior.rejected.push_back({PriorProblem::kNewRoute, name, 0});
       continue;
     }
-    if (count_of(found->run) < kLeastValues) {
-      skip("too little was learned");
+    if (const std::optional<PriorProblem> problem = reject_route(*found, routes[i])) {
+      prior.rejected.push_back({*problem, name, 0});
       continue;
     }
-    if (type.calls_dependency && !same_below) continue;
-    out.prior.routes[i].run = weakened(found->run, values);
-    if (count_of(found->away) > 0) out.prior.routes[i].away = weakened(found->away, values);
-    out.any = true;
+    if (routes[i].calls_dependency && !has_same_dependency) continue;
+    prior.statistics.routes[i].run = scaled_to(found->run, weight);
+    if (count_of(found->away) > 0) prior.statistics.routes[i].away = scaled_to(found->away, weight);
+    prior.is_usable = true;
+  }
+}
+
+void derive_calls(const StatisticsRecord& record, double weight, Prior& prior) {
+  if (!is_plausible(record.calls)) {
+    prior.rejected.push_back({PriorProblem::kImplausibleValues, "calls", 0});
+  } else if (count_of(record.calls) >= kMinValues) {
+    prior.statistics.calls = scaled_to(record.calls, weight);
   }
-  if (same_below && s.dependency != DependencyKind::kOff) {
-    if (!sensible(record.calls)) {
-      out.reasons.push_back("calls: values make no sense");
-    } else if (count_of(record.calls) >= kLeastValues) {
-      out.prior.calls = weakened(record.calls, values);
+}
+
+}  // namespace
+
+std::string text_of(const RejectedPart& rejected) {
+  const auto describe = [&]() -> std::string {
+    switch (rejected.problem) {
+      case PriorProblem::kNoTime: return "it has no time of writing";
+      case PriorProblem::kFromTheFuture: return "it was written in the future: a clock was set back";
+      case PriorProblem::kTooOld: return fmt::format("it is {:.0f} s old", rejected.value);
+      case PriorProblem::kUnderPressure: return "it was learned under pressure";
+      case PriorProblem::kFailedStarts:
+        return fmt::format("{:.0f} starts with it did not last", rejected.value);
+      case PriorProblem::kOtherCores: return fmt::format("it was learned on {:.0f} cores", rejected.value);
+      case PriorProblem::kOtherDependency: return "the dependency is of another kind";
+      case PriorProblem::kNewRoute: return "is new";
+      case PriorProblem::kChangedSettings: return "its settings have changed";
+      case PriorProblem::kImplausibleValues: return "its values are implausible";
+      case PriorProblem::kTooFewValues: return "it has too few values";
     }
+    return {};
+  };
+  return rejected.part.empty() ? describe() : fmt::format("{}: {}", rejected.part, describe());
+}
+
+bool is_plausible(const LearnedDurations& durations) {
+  if (durations.bins.size() != kBins || !std::isfinite(durations.sum) || durations.sum < 0) return false;
+  double count = 0;
+  double min_sum = 0;
+  double max_sum = 0;
+  for (std::size_t i = 0; i < kBins; ++i) {
+    const double bin = durations.bins[i];
+    if (!std::isfinite(bin) || bin < 0 || bin > kMaxCount) return false;
+    count += bin;
+    const double bin_end = kFirstBinEndSeconds * std::exp2(static_cast<double>(i));
+    const bool is_last = i + 1 == kBins;
+    if (i > 0) min_sum += bin * bin_end / 2;
+    max_sum += bin * (is_last ? kLastBinEndSeconds : bin_end);
   }
-  const bool sane_returns = std::isfinite(record.returns) && record.returns >= 0 && record.returns <= 1;
-  // Callers' habits change within the hour: believed half-way between what was and what one begins with.
-  if (sane_returns && same(record.caller_idle_timeout, s.caller_idle_timeout))
-    out.prior.returning_share = 1 + (record.returns - 1) * out.share;
-  return out;
+  return count <= kMaxCount && durations.sum >= min_sum * (1 - kSumSlackShare) - kSumSlackSeconds &&
+         durations.sum <= max_sum * (1 + kSumSlackShare) + kSumSlackSeconds;
+}
+
+Prior derive_prior(const StatisticsRecord& record, const StartSettings& site, double now_unix,
+                   int failed_starts, const PriorOptions& options) {
+  Prior prior;
+  const double age_seconds = now_unix - record.written_at;
+  if (std::optional<RejectedPart> rejected =
+          reject_whole(record, site, age_seconds, failed_starts, options)) {
+    prior.rejected.push_back(std::move(*rejected));
+    return prior;
+  }
+  prior.weight_share = std::exp2(-std::max(0.0, age_seconds) / options.half_life_seconds);
+  if (prior.weight_share < kMinWeightShare) {
+    prior.rejected.push_back({PriorProblem::kTooOld, {}, age_seconds});
+    return prior;
+  }
+  const double weight = prior.weight_share * options.max_weight;
+  const AdmissionOptions& admission = site.admission;
+  const bool has_same_dependency = record.dependency == static_cast<int>(admission.dependency);
+  if (!has_same_dependency) prior.rejected.push_back({PriorProblem::kOtherDependency, "calls", 0});
+
+  derive_routes(record, site, weight, has_same_dependency, prior);
+  if (has_same_dependency && admission.dependency != DependencyKind::kOff)
+    derive_calls(record, weight, prior);
+
+  // Callers' habits change within an hour: between the recorded share and 1, with which a server starts.
+  const bool is_share =
+      std::isfinite(record.returning_share) && record.returning_share >= 0 && record.returning_share <= 1;
+  if (is_share && are_equal(record.caller_idle_timeout, admission.caller_idle_timeout))
+    prior.statistics.returning_share = 1 + (record.returning_share - 1) * prior.weight_share;
+  return prior;
 }
 
 }  // namespace damsonspoke::statistics
--- a/src/statistics/prior.h
+++ b/src/statistics/prior.h
@@ -1,8 +1,10 @@
-// How far what an earlier life learned is believed, part by part. Pure policy: the record, the settings and
-// the time come in, a prior for the module and the reasons come out. Never stronger than the evidence; never
-// stronger for being older.
+// Derives the prior with which a server starts from the record of an earlier one, part by part. Pure policy:
+// the record, the settings and the time come in; the prior and the rejected parts come out.
+//
+// The weight of a prior halves with each half-life of the record's age, and never exceeds the evidence.
 #pragma once
 
+#include <cstdint>
 #include <string>
 #include <vector>
 
@@ -11,24 +13,47 @@
 namespace damsonspoke::statistics {
 
 struct PriorOptions {
-  double half_life = 0;  // s in which belief halves
-  double most_age = 0;   // s; older says nothing
-  double weight = 0;     // values that a fresh record weighs as, a type: a few new ones outweigh it
+  double half_life_seconds = 0;
+  double max_age_seconds = 0;  // older records are rejected
+  double max_weight = 0;       // of a fresh record, in values a route: a few new values outweigh it
 };
 
+enum class PriorProblem : std::uint8_t {
+  kNoTime,             // it has no time of writing
+  kFromTheFuture,      // beyond what clocks may differ by
+  kTooOld,             // `value`: its age in seconds
+  kUnderPressure,      // it was learned under pressure
+  kFailedStarts,       // `value`: starts with it that did not last
+  kOtherCores,         // `value`: cores of the server that wrote it
+  kOtherDependency,    // calls: the dependency is of another kind
+  kNewRoute,           // it has no such route
+  kChangedSettings,    // of the route
+  kImplausibleValues,  // see is_plausible()
+  kTooFewValues,
+};
+
+// Why the record, or one part of it, is not used.
+struct RejectedPart {
+  PriorProblem problem = PriorProblem::kNoTime;
+  std::string part;  // a route's name or "calls"; empty: the whole record
+  double value = 0;
+};
+// One line for the log.
+std::string text_of(const RejectedPart& rejected);
+
 struct Prior {
-  LearnedStatistics prior;  // empty parts where nothing is believed
-  bool any = false;
-  double share = 0;                  // of a fresh record's weight, 0 to 1
-  std::vector<std::string> reasons;  // why the whole, or a part, is not believed; plain words
+  LearnedStatistics statistics;  // parts that are not used are empty
+  bool is_usable = false;        // at least one route has a prior
+  double weight_share = 0;       // of a fresh record's weight, 0 to 1
+  std::vector<RejectedPart> rejected;
 };
 
-// `starts`: lives that began with this record and did not come through their first time.
-Prior derive_prior(const StatisticsRecord& record, const StartSettings& site, double now_unix, int starts,
-                   const PriorOptions& terms);
+// `failed_starts`: starts with this record that did not last. `now_unix`: seconds.
+Prior derive_prior(const StatisticsRecord& record, const StartSettings& site, double now_unix,
+                   int failed_starts, const PriorOptions& options);
 
-// Whether values could come out of the module's histogram: right bins, finite, none negative, and a sum that
-// its counts allow.
-bool sensible(const LearnedDurations& times);
+// Whether the controller's histogram could hold these values: as many bins, finite counts within its limit,
+// and a sum that the bins allow.
+[[nodiscard]] bool is_plausible(const LearnedDurations& durations);
 
 }  // namespace damsonspoke::statistics
--- a/src/statistics/record.cpp
+++ b/src/statistics/record.cpp
@@ -1,5 +1,6 @@
 #include "statistics/record.h"
 
+#include <algorithm>
 #include <nlohmann/json.hpp>
 
 namespace damsonspoke::statistics {
@@ -7,104 +8,119 @@
 
 using Json = nlohmann::json;
 
-Json json_of(const LearnedDurations& times) { return {{"bins", times.bins}, {"sum", times.sum}}; }
+constexpr std::size_t kMaxBins = 64;
+constexpr double kMaxInteger = 1e6;
 
-// What is of another kind than expected reads as nothing: the policy then finds it senseless.
-double number(const Json& from, const char* key, double otherwise) {
-  const auto at = from.find(key);
-  return at != from.end() && at->is_number() ? at->get<double>() : otherwise;
+Json to_json(const LearnedDurations& durations) { return {{"bins", durations.bins}, {"sum", durations.sum}}; }
+
+Json to_json(const RouteRecord& route) {
+  return {{"name", route.name},        {"target", route.latency_objective},
+          {"timeout", route.timeout},  {"calls", route.calls_dependency},
+          {"run", to_json(route.run)}, {"away", to_json(route.away)}};
 }
-std::string text(const Json& from, const char* key) {
-  const auto at = from.find(key);
-  return at != from.end() && at->is_string() ? at->get<std::string>() : std::string();
+
+double number_or(const Json& object, const char* key, double fallback) {
+  const auto member = object.find(key);
+  return member != object.end() && member->is_number() ? member->get<double>() : fallback;
 }
-bool flag(const Json& from, const char* key, bool otherwise) {
-  const auto at = from.find(key);
-  return at != from.end() && at->is_boolean() ? at->get<bool>() : otherwise;
+
+std::string text_or_empty(const Json& object, const char* key) {
+  const auto member = object.find(key);
+  return member != object.end() && member->is_string() ? member->get<std::string>() : std::string();
 }
-LearnedDurations times(const Json& from, const char* key) {
-  LearnedDurations out;
-  const auto at = from.find(key);
-  if (at == from.end() || !at->is_object()) return out;
-  out.sum = number(*at, "sum", -1);
-  const auto bins = at->find("bins");
-  if (bins == at->end() || !bins->is_array() || bins->size() > 64) return out;
-  for (const Json& bin : *bins) out.bins.push_back(bin.is_number() ? bin.get<double>() : -1);
-  return out;
+
+bool flag_or(const Json& object, const char* key, bool fallback) {
+  const auto member = object.find(key);
+  return member != object.end() && member->is_boolean() ? member->get<bool>() : fallback;
 }
-int whole(const Json& from, const char* key) {
-  const double value = number(from, key, -1);
-  return value >= 0 && value <= 1e6 ? static_cast<int>(value) : -1;
+
+// -1 where the member is missing or out of range.
+int integer_of(const Json& object, const char* key) {
+  const double value = number_or(object, key, -1);
+  return value >= 0 && value <= kMaxInteger ? static_cast<int>(value) : -1;
 }
 
-}  // namespace
+LearnedDurations durations_of(const Json& object, const char* key) {
+  LearnedDurations durations;
+  const auto member = object.find(key);
+  if (member == object.end() || !member->is_object()) return durations;
+  durations.sum = number_or(*member, "sum", -1);
+  const auto bins = member->find("bins");
+  if (bins == member->end() || !bins->is_array() || bins->size() > kMaxBins) return durations;
+  for (const Json& bin : *bins) durations.bins.push_back(bin.is_number() ? bin.get<double>() : -1);
+  return durations;
+}
+
+RouteRecord route_of(const Json& object) {
+  return {text_or_empty(object, "name"),   number_or(object, "target", -1), number_or(object, "timeout", -1),
+          flag_or(object, "calls", false), durations_of(object, "run"),     durations_of(object, "away")};
+}
 
-StatisticsRecord record_of(const LearnedStatistics& learned, const StartSettings& site,
-                           const std::string& name, double written, double lived) {
-  StatisticsRecord out;
-  out.written = written;
-  out.lived = lived;
-  out.site = name;
-  out.cores = site.admission.cores;
-  out.dependency = static_cast<int>(site.admission.dependency);
-  out.caller_idle_timeout = site.admission.caller_idle_timeout;
-  out.troubled = learned.under_pressure;
-  out.calls = learned.calls;
-  out.returns = learned.returning_share;
-  for (std::size_t i = 0; i < learned.routes.size() && i < kMostTypes; ++i) {
-    const Route& type = site.admission.routes[i];
-    out.types.push_back({site.route_names[i], type.latency_objective, type.timeout, type.calls_dependency,
-                         learned.routes[i].run, learned.routes[i].away});
+std::optional<Json> parse(std::string_view bytes) {
+  if (bytes.size() > kMaxRecordBytes) return std::nullopt;
+  try {
+    return Json::from_cbor(bytes, true, false);
+  } catch (const Json::exception&) {  // for a length beyond any memory, although exceptions are turned off
+    return std::nullopt;
   }
-  return out;
 }
 
-std::string encode(const StatisticsRecord& r) {
-  Json types = Json::array();
-  for (const RouteRecord& t : r.types) {
-    types.push_back({{"name", t.name},
-                     {"target", t.target},
-                     {"timeout", t.timeout},
-                     {"calls", t.calls},
-                     {"run", json_of(t.run)},
-                     {"away", json_of(t.away)}});
+}  // namespace
+
+StatisticsRecord make_record(const LearnedStatistics& learned, const StartSettings& site,
+                             const std::string& server_name, double written_at, double uptime_seconds) {
+  StatisticsRecord record;
+  record.written_at = written_at;
+  record.uptime_seconds = uptime_seconds;
+  record.server_name = server_name;
+  record.cores = site.admission.cores;
+  record.dependency = static_cast<int>(site.admission.dependency);
+  record.caller_idle_timeout = site.admission.caller_idle_timeout;
+  record.under_pressure = learned.under_pressure;
+  record.calls = learned.calls;
+  record.returning_share = learned.returning_share;
+  const std::size_t count = std::min(learned.routes.size(), kMaxRoutes);
+  for (std::size_t i = 0; i < count; ++i) {
+    const Route& route = site.admission.routes[i];
+    record.routes.push_back({site.route_names[i], route.latency_objective, route.timeout,
+                             route.calls_dependency, learned.routes[i].run, learned.routes[i].away});
   }
-  const Json top = {
-      {"written", r.written},   {"lived", r.lived},          {"site", r.site},
-      {"cores", r.cores},       {"below", r.dependency},     {"caller_idle", r.caller_idle_timeout},
-      {"troubled", r.troubled}, {"types", std::move(types)}, {"calls", json_of(r.calls)},
-      {"returns", r.returns}};
-  const std::vector<std::uint8_t> bytes = Json::to_cbor(top);
+  return record;
+}
+
+// The member names are part of the stored format.
+std::string encode(const StatisticsRecord& record) {
+  Json routes = Json::array();
+  for (const RouteRecord& route : record.routes) routes.push_back(to_json(route));
+  const Json object = {{"written", record.written_at},      {"lived", record.uptime_seconds},
+                       {"site", record.server_name},        {"cores", record.cores},
+                       {"below", record.dependency},        {"caller_idle", record.caller_idle_timeout},
+                       {"troubled", record.under_pressure}, {"types", std::move(routes)},
+                       {"calls", to_json(record.calls)},    {"returns", record.returning_share}};
+  const std::vector<std::uint8_t> bytes = Json::to_cbor(object);
   return {bytes.begin(), bytes.end()};
 }
 
 std::optional<StatisticsRecord> decode(std::string_view bytes) {
-  if (bytes.size() > kMostBytes) return std::nullopt;
-  Json top;
-  try {
-    top = Json::from_cbor(bytes, true, false);
-  } catch (const Json::exception&) {  // a length that no memory holds is thrown whatever is asked for
-    return std::nullopt;
-  }
-  if (!top.is_object()) return std::nullopt;
-  StatisticsRecord r;
-  r.written = number(top, "written", -1);
-  r.lived = number(top, "lived", 0);
-  r.site = text(top, "site");
-  r.cores = whole(top, "cores");
-  r.dependency = whole(top, "below");
-  r.caller_idle_timeout = number(top, "caller_idle", -1);
-  r.troubled = flag(top, "troubled", true);
-  r.calls = times(top, "calls");
-  r.returns = number(top, "returns", -1);
-  const auto types = top.find("types");
-  if (types == top.end() || !types->is_array() || types->size() > kMostTypes) return std::nullopt;
-  for (const Json& t : *types) {
-    if (!t.is_object()) return std::nullopt;
-    r.types.push_back({text(t, "name"), number(t, "target", -1), number(t, "timeout", -1),
-                       flag(t, "calls", false), times(t, "run"), times(t, "away")});
+  const std::optional<Json> object = parse(bytes);
+  if (!object || !object->is_object()) return std::nullopt;
+  StatisticsRecord record;
+  record.written_at = number_or(*object, "written", -1);
+  record.uptime_seconds = number_or(*object, "lived", 0);
+  record.server_name = text_or_empty(*object, "site");
+  record.cores = integer_of(*object, "cores");
+  record.dependency = integer_of(*object, "below");
+  record.caller_idle_timeout = number_or(*object, "caller_idle", -1);
+  record.under_pressure = flag_or(*object, "troubled", true);
+  record.calls = durations_of(*object, "calls");
+  record.returning_share = number_or(*object, "returns", -1);
+  const auto routes = object->find("types");
+  if (routes == object->end() || !routes->is_array() || routes->size() > kMaxRoutes) return std::nullopt;
+  for (const Json& route : *routes) {
+    if (!route.is_object()) return std::nullopt;
+    record.routes.push_back(route_of(route));
   }
-  return r;
+  return record;
 }
 
 }  // namespace damsonspoke::statistics
--- a/src/statistics/record.h
+++ b/src/statistics/record.h
@@ -1,5 +1,6 @@
-// What is written for a successor: what was learned, under which settings, when. As CBOR that describes
-// itself, so that a later version reads what it understands of an earlier one's.
+// The record of learned statistics that a server leaves for its successor: what was learned, under which
+// settings, and when. Encoded as self-describing CBOR (RFC 8949), so that a later version reads the members
+// that it knows.
 #pragma once
 
 #include <cstdint>
@@ -13,35 +14,41 @@
 
 namespace damsonspoke::statistics {
 
-// One more where an older program would misread it. Members that are added need no new form.
-constexpr std::uint32_t kForm = 1;
-constexpr std::size_t kMostBytes = 64 * 1024;
-constexpr std::size_t kMostTypes = 256;
+// Raised where an older program would misread the record; members that are only added need no new version.
+inline constexpr std::uint32_t kRecordFormatVersion = 1;
+inline constexpr std::size_t kMaxRecordBytes = std::size_t{64} * 1024;
+inline constexpr std::size_t kMaxRoutes = 256;
 
+// What was learned of one route, and its settings then. Times are seconds.
 struct RouteRecord {
   std::string name;
-  double target = 0, timeout = 0;  // s
-  bool calls = false;
-  LearnedDurations run, away;
+  double latency_objective = 0;
+  double timeout = 0;
+  bool calls_dependency = false;
+  LearnedDurations run;
+  LearnedDurations away;
 };
 
 struct StatisticsRecord {
-  double written = 0;  // Unix s
-  double lived = 0;    // s, of the life that wrote it
-  std::string site;    // the backend's name
+  double written_at = 0;      // Unix seconds
+  double uptime_seconds = 0;  // of the server that wrote it
+  std::string server_name;
   int cores = 0;
-  int dependency = 0;              // as the settings name it
-  double caller_idle_timeout = 0;  // s
-  bool troubled = false;
-  std::vector<RouteRecord> types;
+  int dependency = 0;              // DependencyKind as a number
+  double caller_idle_timeout = 0;  // seconds
+  bool under_pressure = false;     // not typical: must not become a prior
+  std::vector<RouteRecord> routes;
   LearnedDurations calls;
-  double returns = -1;
+  double returning_share = -1;  // 0 to 1; negative: not known
 };
 
-StatisticsRecord record_of(const LearnedStatistics& learned, const StartSettings& site,
-                           const std::string& name, double written, double lived);
+// `written_at`: Unix seconds. `uptime_seconds`: of this server.
+StatisticsRecord make_record(const LearnedStatistics& learned, const StartSettings& site,
+                             const std::string& server_name, double written_at, double uptime_seconds);
+
 std::string encode(const StatisticsRecord& record);
-// Nothing where it is no such record; what values mean is the policy's business.
+// Nothing where the bytes are no such record. A member that is missing or of another type gets a value that
+// derive_prior() rejects.
 std::optional<StatisticsRecord> decode(std::string_view bytes);
 
 }  // namespace damsonspoke::statistics
--- a/src/statistics/statistics_store.cpp
+++ b/src/statistics/statistics_store.cpp
@@ -12,96 +12,141 @@
 namespace damsonspoke::statistics {
 namespace {
 
-constexpr const char* kTrial = "knowledge.trial";  // how many lives began with it and have not come through
+constexpr const char* kTrialFile = "knowledge.trial";
+constexpr std::size_t kMaxTrialBytes = 16;
+constexpr int kMaxFailedStarts = 1000;
+
+ReadProblem read_problem_of(store::ChecksumProblem problem) {
+  switch (problem) {
+    case store::ChecksumProblem::kNone: return ReadProblem::kNone;
+    case store::ChecksumProblem::kMissing: return ReadProblem::kMissing;
+    case store::ChecksumProblem::kCorrupt: return ReadProblem::kCorrupt;
+    case store::ChecksumProblem::kUnrecognized: return ReadProblem::kUnrecognized;
+    case store::ChecksumProblem::kNewerFormat: return ReadProblem::kNewerFormat;
+  }
+  return ReadProblem::kCorrupt;
+}
+
+// A trial that can't be read counts as one failed start.
+int parse_failed_starts(const std::string& text) {
+  int failed_starts = 0;
+  const auto [stop, error] = std::from_chars(text.data(), text.data() + text.size(), failed_starts);
+  const bool is_valid = error == std::errc() && failed_starts >= 0 && failed_starts <= kMaxFailedStarts;
+  return is_valid ? failed_starts : 1;
+}
 
 }  // namespace
 
+std::string_view text_of(ReadProblem problem) {
+  switch (problem) {
+    case ReadProblem::kNone: return "";
+    case ReadProblem::kMissing: return "there is no record";
+    case ReadProblem::kCorrupt: return text_of(store::ChecksumProblem::kCorrupt);
+    case ReadProblem::kUnrecognized: return text_of(store::ChecksumProblem::kUnrecognized);
+    case ReadProblem::kNewerFormat: return text_of(store::ChecksumProblem::kNewerFormat);
+    case ReadProblem::kNoRecord: return "intact, but no record of statistics";
+  }
+  return "";
+}
+
 // ---- The files.
+
 Reading StatisticsFolder::read() {
-  Reading out;
-  store::ChecksummedFile::ReadResult found = file_.read();
-  out.older = found.is_previous;
-  if (found.content.problem == store::ChecksumProblem::kMissing) return out.problem = "nothing is there", out;
-  if (found.content.problem != store::ChecksumProblem::kNone)
-    return out.problem = store::text_of(found.content.problem), out;
-  out.record = decode(found.content.content);
-  if (!out.record) out.problem = "whole, but no knowledge";
-  if (const std::optional<std::string> trial = disk_.read(kTrial, 16)) {
-    // What can't be read counts as one life lost: no reason to believe more.
-    const auto [stop, error] = std::from_chars(trial->data(), trial->data() + trial->size(), out.starts);
-    if (error != std::errc() || out.starts < 0 || out.starts > 1000) out.starts = 1;
-  }
-  return out;
+  Reading reading;
+  const store::ChecksummedFile::ReadResult result = file_.read();
+  reading.is_previous = result.is_previous;
+  reading.problem = read_problem_of(result.content.problem);
+  if (reading.problem != ReadProblem::kNone) return reading;
+  reading.record = decode(result.content.content);
+  if (!reading.record) reading.problem = ReadProblem::kNoRecord;
+  const std::optional<std::string> trial = file_system_.read(kTrialFile, kMaxTrialBytes);
+  if (trial) reading.failed_starts = parse_failed_starts(*trial);
+  return reading;
 }
 
-void StatisticsFolder::begins(int starts) {
-  const std::string aside = std::string(kTrial) + ".new";
-  if (disk_.write(aside, std::to_string(starts)) && disk_.sync(aside) && disk_.rename(aside, kTrial))
-    disk_.sync_folder();
+void StatisticsFolder::begin_trial(int failed_starts) {
+  const std::string temporary = std::string(kTrialFile) + ".new";
+  const bool is_renamed = file_system_.write(temporary, std::to_string(failed_starts)) &&
+                          file_system_.sync(temporary) && file_system_.rename(temporary, kTrialFile);
+  if (is_renamed) file_system_.sync_folder();
 }
-void StatisticsFolder::came_through() {
-  if (disk_.exists(kTrial) && disk_.remove(kTrial)) disk_.sync_folder();
+
+void StatisticsFolder::end_trial() {
+  if (file_system_.exists(kTrialFile) && file_system_.remove(kTrialFile)) file_system_.sync_folder();
 }
-bool StatisticsFolder::write(const StatisticsRecord& record) { return write_bytes(encode(record)); }
-bool StatisticsFolder::write_bytes(std::string_view encoded) {
-  return disk_.try_lock() && file_.write(encoded);
+
+bool StatisticsFolder::write(const StatisticsRecord& record) { return write_encoded(encode(record)); }
+
+bool StatisticsFolder::write_encoded(std::string_view encoded) {
+  return file_system_.try_lock() && file_.write(encoded);
 }
-void StatisticsFolder::forget() {
+
+void StatisticsFolder::remove() {
   file_.remove();
-  came_through();
+  end_trial();
 }
 
 // ---- The thread.
+
 struct StatisticsStore::Shared : store::WorkerThreadState {
+  // What is handed over; guarded by the mutex.
+  struct Pending {
+    std::optional<int> trial_to_begin;
+    bool ends_trial = false;
+    std::optional<std::string> record;
+
+    [[nodiscard]] bool is_empty() const { return !trial_to_begin && !ends_trial && !record; }
+  };
+
   std::optional<Reading> reading;
-  std::optional<std::string> to_write;
-  std::optional<int> to_begin;
-  bool to_come_through = false;
-  bool busy = true;
-  std::optional<std::string> trouble;  // not told yet
-  std::string last_trouble;
-  std::uint64_t written = 0;
-
-  void run(const FileSystemFactory& make_file_system) {
-    const std::unique_ptr<store::FileSystem> disk = make_file_system();
-    StatisticsFolder folder(*disk);
-    Reading read = folder.read();
+  Pending pending;
+  std::optional<std::string> unreported_error;
+  std::string last_error;
+  std::uint64_t write_count = 0;
+
+  void run(store::FileSystem& file_system) {
+    StatisticsFolder folder(file_system);
+    Reading first = folder.read();
     std::unique_lock guard(mutex);
-    reading = std::move(read);
+    reading = std::move(first);
     for (;;) {
-      busy = false;
       changed.notify_all();
-      changed.wait(guard, [this] { return closing || to_write || to_begin || to_come_through; });
-      if (!to_write && !to_begin && !to_come_through) break;  // closing, and nothing is left
-      const std::optional<std::string> bytes = std::exchange(to_write, std::nullopt);
-      const std::optional<int> starts = std::exchange(to_begin, std::nullopt);
-      const bool through = std::exchange(to_come_through, false);
-      busy = true;
+      changed.wait(guard, [this] { return closing || !pending.is_empty(); });
+      if (pending.is_empty()) return;
+      const Pending work = std::exchange(pending, {});
       guard.unlock();
-      if (starts) folder.begins(*starts);
-      if (through) folder.came_through();
-      const bool good = !bytes || folder.write_bytes(*bytes);
-      const std::string now_trouble = good ? std::string() : text_of(disk->last_error());
+      if (work.trial_to_begin) folder.begin_trial(*work.trial_to_begin);
+      if (work.ends_trial) folder.end_trial();
+      const bool is_written = work.record && folder.write_encoded(*work.record);
+      const std::string error =
+          work.record && !is_written ? text_of(file_system.last_error()) : std::string();
       guard.lock();
-      if (!bytes) continue;
-      if (good) ++written;
-      if (now_trouble != last_trouble) trouble = last_trouble = now_trouble;
+      if (work.record) report_write(is_written, error);
     }
+  }
+
+  void report_write(bool is_written, const std::string& error) {
+    if (is_written) ++write_count;
+    if (error == last_error) return;
+    last_error = error;
+    unreported_error = error;
+  }
+
+  void finish() {
+    const std::lock_guard guard(mutex);
     ended = true;
     changed.notify_all();
   }
 };
 
 StatisticsStore::StatisticsStore(FileSystemFactory make_file_system) : shared_(std::make_shared<Shared>()) {
-  thread_ = std::thread([shared = shared_, make = std::move(make_file_system)] {
+  thread_ = std::thread([shared = shared_, make_file_system = std::move(make_file_system)] {
     try {
-      shared->run(make);
+      shared->run(*make_file_system());
     } catch (const std::exception& error) {
       std::fprintf(stderr, "damsonspoke: knowledge: %s\n", error.what());
-      const std::lock_guard guard(shared->mutex);
-      shared->ended = true;
-      shared->changed.notify_all();
     }
+    shared->finish();
   });
 }
 
@@ -112,32 +157,38 @@
   shared_->changed.wait_for(guard, std::chrono::duration<double>(seconds),
                             [this] { return shared_->reading.has_value() || shared_->ended; });
 }
+
 std::optional<Reading> StatisticsStore::take_reading() {
   const std::lock_guard guard(shared_->mutex);
   return std::exchange(shared_->reading, std::nullopt);
 }
+
 void StatisticsStore::write(std::string encoded) {
   const std::lock_guard guard(shared_->mutex);
-  shared_->to_write = std::move(encoded);
+  shared_->pending.record = std::move(encoded);
   shared_->changed.notify_all();
 }
-void StatisticsStore::begins(int starts) {
+
+void StatisticsStore::begin_trial(int failed_starts) {
   const std::lock_guard guard(shared_->mutex);
-  shared_->to_begin = starts;
+  shared_->pending.trial_to_begin = failed_starts;
   shared_->changed.notify_all();
 }
-void StatisticsStore::came_through() {
+
+void StatisticsStore::end_trial() {
   const std::lock_guard guard(shared_->mutex);
-  shared_->to_come_through = true;
+  shared_->pending.ends_trial = true;
   shared_->changed.notify_all();
 }
+
 std::optional<std::string> StatisticsStore::take_write_error() {
   const std::lock_guard guard(shared_->mutex);
-  return std::exchange(shared_->trouble, std::nullopt);
+  return std::exchange(shared_->unreported_error, std::nullopt);
 }
+
 std::uint64_t StatisticsStore::write_count() const {
   const std::lock_guard guard(shared_->mutex);
-  return shared_->written;
+  return shared_->write_count;
 }
 
 }  // namespace damsonspoke::statistics
--- a/src/statistics/statistics_store.h
+++ b/src/statistics/statistics_store.h
@@ -1,11 +1,16 @@
-// Reads what an earlier life has left, once, and writes what this one learns: on a thread of its own, since a
-// folder may hang. The reactor's thread only hands over bytes and looks whether something has been read.
+// Learned statistics on disk: the record that an earlier server has left is read once, and this server's is
+// written from time to time.
+//
+// A start with a record is on trial until it has lasted: the number of starts that did not is stored beside
+// the record, so that a record which makes servers fail is given up.
 #pragma once
 
+#include <cstdint>
 #include <functional>
 #include <memory>
 #include <optional>
 #include <string>
+#include <string_view>
 #include <thread>
 
 #include "statistics/record.h"
@@ -14,51 +19,67 @@
 
 namespace damsonspoke::statistics {
 
+enum class ReadProblem : std::uint8_t {
+  kNone,
+  kMissing,
+  kCorrupt,
+  kUnrecognized,
+  kNewerFormat,
+  kNoRecord,  // intact, but no record of statistics
+};
+std::string_view text_of(ReadProblem problem);
+
 struct Reading {
   std::optional<StatisticsRecord> record;
-  int starts = 0;       // lives that began with it and did not come through
-  std::string problem;  // in plain words; empty: none
-  bool older = false;   // the generation before: the newest was of no use
+  int failed_starts = 0;  // with this record
+  ReadProblem problem = ReadProblem::kNone;
+  bool is_previous = false;  // the current generation was unusable, this is the one before it
 };
 
-// The way of the files, without a thread: what a keeper does, for tests and for the command line.
+// The files in their folder, without a thread: for StatisticsStore, commands and tests.
 class StatisticsFolder {
  public:
-  explicit StatisticsFolder(store::FileSystem& disk)
-      : disk_(disk), file_(disk, "knowledge", kForm, kMostBytes) {}
+  explicit StatisticsFolder(store::FileSystem& file_system)
+      : file_system_(file_system), file_(file_system, "knowledge", kRecordFormatVersion, kMaxRecordBytes) {}
+
   Reading read();
-  // A life begins with what was read: until it has come through, this counts against it.
-  void begins(int starts);
-  void came_through();
-  // False where it could not be written, or another process has the folder.
+  // A start with the record: until end_trial(), `failed_starts` are counted against it.
+  void begin_trial(int failed_starts);
+  void end_trial();
+  // False where it could not be written or another process holds the folder's lock.
   bool write(const StatisticsRecord& record);
-  bool write_bytes(std::string_view encoded);
-  void forget();
+  bool write_encoded(std::string_view encoded);
+  // Removes the record, its previous generation and the trial.
+  void remove();
 
  private:
-  store::FileSystem& disk_;
+  store::FileSystem& file_system_;
   store::ChecksummedFile file_;
 };
 
+// The files behind a thread of their own, since a folder may hang. Only wait_for_reading() waits.
 class StatisticsStore {
  public:
-  // Makes the disk on the thread: even that may hang.
+  // Called on the thread, since opening a folder may hang too.
   using FileSystemFactory = std::function<std::unique_ptr<store::FileSystem>()>;
+
   explicit StatisticsStore(FileSystemFactory make_file_system);
-  // Waits a short time for what is being written; a folder that hangs is left behind.
+  // Waits briefly for a pending write; see store::stop_worker_thread().
   ~StatisticsStore();
   StatisticsStore(const StatisticsStore&) = delete;
   StatisticsStore& operator=(const StatisticsStore&) = delete;
 
-  // Until it has been read, or so long; before there is anything else to do.
+  // Waits until the record has been read, at most so many seconds.
   void wait_for_reading(double seconds);
-  // What was read; nothing while it is being read. Whoever asks first takes it.
+  // What was read, once; nothing before it has been read.
   std::optional<Reading> take_reading();
-  void write(std::string encoded);  // the newest one wins
-  void begins(int starts);
-  void came_through();
-  // The last write's trouble, told once a change; empty: it went well.
+  // Hands over a record to be written. One that is still pending is replaced.
+  void write(std::string encoded);
+  void begin_trial(int failed_starts);
+  void end_trial();
+  // The error of the latest write, once after each change; an empty text where writing works again.
   std::optional<std::string> take_write_error();
+  // Successful writes.
   std::uint64_t write_count() const;
 
  private:
--- a/src/store/worker_thread.h
+++ b/src/store/worker_thread.h
@@ -18,13 +18,15 @@
   bool ended = false;    // the thread no longer uses anything of its owner
 };
 
+inline constexpr std::chrono::milliseconds kWorkerStopTimeout{200};
+
 // Asks the thread to end and waits for it. Returns false where it did not end in time and was detached.
-inline bool stop_worker_thread(WorkerThreadState& state, std::thread& thread) {
-  constexpr auto kStopTimeout = std::chrono::milliseconds(200);
+inline bool stop_worker_thread(WorkerThreadState& state, std::thread& thread,
+                               std::chrono::milliseconds timeout = kWorkerStopTimeout) {
   std::unique_lock guard(state.mutex);
   state.closing = true;
   state.changed.notify_all();
-  const bool has_ended = state.changed.wait_for(guard, kStopTimeout, [&] { return state.ended; });
+  const bool has_ended = state.changed.wait_for(guard, timeout, [&] { return state.ended; });
   guard.unlock();
   if (has_ended) {
     thread.join();
--- a/tests/results/idempotency_cache_histories.cpp
+++ b/tests/results/idempotency_cache_histories.cpp
@@ -1,5 +1,8 @@
-// The table of results against a naive model, over thousands of seeded histories. A history that breaks what
-// must hold is cut down to the shortest that still does, and printed. usage: results_table [SEEDS]
+// The idempotency cache against a naive model, over thousands of seeded histories. A history that breaks an
+// invariant is shrunk to a minimal one and printed. CTest compares with tests/traces/results_table.txt.
+// usage: idempotency_cache_histories [SEEDS]
+#include <algorithm>
+#include <array>
 #include <cstdio>
 #include <cstdlib>
 #include <map>
@@ -15,318 +18,394 @@
 
 namespace {
 
-enum class Act { kArrive, kStart, kEnd, kLose, kRelease, kLeave, kPass, kDrop, kBounds, kRecover };
-const char* const kActs[] = {"arrive", "start", "end",  "lose",   "release",
-                             "leave",  "pass",  "drop", "bounds", "recover"};
+enum class Action : std::uint8_t {
+  kArrive,
+  kStart,
+  kComplete,
+  kLoseOutcome,
+  kRelease,
+  kDisconnect,
+  kPassTime,
+  kDrop,
+  kSetLimits,
+  kRestore
+};
+constexpr std::array<const char*, 10> kActionNames = {"arrive",     "start",      "complete",  "lose outcome",
+                                                      "release",    "disconnect", "pass time", "drop",
+                                                      "set limits", "restore"};
 
 struct Step {
-  Act act = Act::kPass;
-  unsigned a = 0, b = 0, c = 0;
+  Action action = Action::kPassTime;
+  // Random numbers, whose meaning depends on the action.
+  unsigned a = 0;
+  unsigned b = 0;
+  unsigned c = 0;
 };
 
-struct Thing {
+struct ModelEntry {
   RequestId id = 0;
   EntryKind kind = EntryKind::kKeyed;
   EntryState state = EntryState::kReserved;
   Fingerprint fingerprint = 0;
-  double until = 0;
+  double expires_at = 0;
   std::string result;
-  std::vector<RequestId> waiting;
-  bool open() const { return state == EntryState::kReserved || state == EntryState::kRunning; }
+  std::vector<RequestId> waiters;
+
+  bool is_active() const { return state == EntryState::kReserved || state == EntryState::kRunning; }
 };
 
-constexpr double kFresh = 2, kWindow = 6;
+constexpr double kSharedTtlSeconds = 2;
+constexpr double kWindowSeconds = 6;
+constexpr unsigned kKeys = 12;
+constexpr unsigned kKeyedKeys = 9;  // the other keys are of shared reads
+constexpr std::size_t kActiveEntryBytes = IdempotencyCache::kEntryBytes + IdempotencyCache::kMaxResultBytes;
 
-// Everything in plain lists; no room, no index, no order of eviction.
-class Play {
+// Plays a history on the cache and on a model without limits, indices and eviction.
+class ModelCheck {
  public:
-  explicit Play(bool stored) : stored_(stored), limits_{12 * kBig, 8, stored, kFresh}, cache_(limits_) {}
+  explicit ModelCheck(bool has_store)
+      : has_store_(has_store),
+        limits_{12 * kActiveEntryBytes, 8, has_store, kSharedTtlSeconds},
+        cache_(limits_) {}
 
-  // What was broken, or nothing.
+  // The first invariant that was broken, or nothing.
   std::string run(const std::vector<Step>& steps) {
     for (const Step& step : steps) {
-      act(step);
-      if (wrong_.empty()) check();
-      if (!wrong_.empty()) return wrong_;
+      apply(step);
+      if (failure_.empty()) check_invariants();
+      if (!failure_.empty()) return failure_;
     }
     return {};
   }
-  std::set<std::string> seen;  // that were met, so that a harness that tests nothing is noticed
+
+  // The cases that the history has reached, so that a harness which tests nothing is noticed.
+  const std::set<std::string>& reached() const { return reached_; }
 
  private:
-  static constexpr std::size_t kBig = IdempotencyCache::kEntryBytes + IdempotencyCache::kMaxResultBytes;
+  static Key key(unsigned number) { return {number, number * 7919ULL}; }
 
-  static Key key(unsigned n) { return {n, n * 7919ULL}; }
-  void must(bool holds, const std::string& what) {
-    if (!holds && wrong_.empty()) wrong_ = what;
+  void expect(bool holds, const std::string& failure) {
+    if (!holds && failure_.empty()) failure_ = failure;
   }
-  Thing* nth_open(unsigned n) {
-    std::vector<Thing*> open;
-    for (auto& [k, thing] : things_) {
-      if (thing.open()) open.push_back(&thing);
+
+  ModelEntry* nth_active(unsigned n) {
+    std::vector<ModelEntry*> active;
+    for (auto& [number, entry] : model_) {
+      if (entry.is_active()) active.push_back(&entry);
     }
-    return open.empty() ? nullptr : open[n % open.size()];
+    return active.empty() ? nullptr : active[n % active.size()];
   }
-  unsigned key_of(const Thing* thing) {
-    for (auto& [k, t] : things_) {
-      if (&t == thing) return k;
+
+  unsigned number_of(const ModelEntry& entry) const {
+    for (const auto& [number, other] : model_) {
+      if (&other == &entry) return number;
     }
     return 0;
   }
-  std::size_t needed() const {  // bytes that must be held
+
+  // What can't be evicted.
+  std::size_t required_bytes() const {
     std::size_t bytes = 0;
-    for (const auto& [k, t] : things_) {
-      if (t.open()) bytes += kBig;
-      if (t.state == EntryState::kCompleted && t.kind == EntryKind::kKeyed)
-        bytes += IdempotencyCache::kEntryBytes + (stored_ ? 0 : t.result.size());
-      if (t.state == EntryState::kOutcomeUnknown) bytes += IdempotencyCache::kEntryBytes;
+    for (const auto& [number, entry] : model_) {
+      if (entry.is_active()) bytes += kActiveEntryBytes;
+      if (entry.state == EntryState::kCompleted && entry.kind == EntryKind::kKeyed)
+        bytes += IdempotencyCache::kEntryBytes + (has_store_ ? 0 : entry.result.size());
+      if (entry.state == EntryState::kOutcomeUnknown) bytes += IdempotencyCache::kEntryBytes;
     }
     return bytes;
   }
-  std::size_t must_stay() const {
-    std::size_t n = 0;
-    for (const auto& [k, t] : things_) n += t.open() || t.kind == EntryKind::kKeyed;
-    return n;
+  std::size_t required_entries() const {
+    return static_cast<std::size_t>(std::count_if(model_.begin(), model_.end(), [](const auto& item) {
+      return item.second.is_active() || item.second.kind == EntryKind::kKeyed;
+    }));
   }
 
-  void act(const Step& s) {
-    switch (s.act) {
-      case Act::kArrive: return arrive(s);
-      case Act::kPass: return pass(s);
-      case Act::kStart:
-        if (Thing* t = nth_open(s.a)) {
-          cache_.mark_running(t->id);
-          t->state = EntryState::kRunning;
-        }
-        return;
-      case Act::kEnd:
-        if (Thing* t = nth_open(s.a)) end(*t, s);
-        return;
-      case Act::kLose:
-        if (Thing* t = nth_open(s.a)) {
-          must(cache_.mark_outcome_unknown(now_, t->id) == t->waiting,
-               "lose: other repeats than those that wait");
-          t->waiting.clear();
-          t->state = EntryState::kOutcomeUnknown;
-          t->until = std::max(t->until, now_);
-          if (t->kind == EntryKind::kSharedRead) things_.erase(key_of(t));
-        }
-        return;
-      case Act::kRelease:
-        if (Thing* t = nth_open(s.a)) {
-          must(cache_.release(t->id) == t->waiting, "release: other repeats than those that wait");
-          things_.erase(key_of(t));
-        }
-        return;
-      case Act::kLeave:
-        for (auto& [k, t] : things_) {
-          if (t.waiting.empty()) continue;
-          const std::size_t at = s.a % t.waiting.size();
-          cache_.remove_waiter(t.waiting[at]);
-          t.waiting.erase(t.waiting.begin() + static_cast<std::ptrdiff_t>(at));
-          seen.insert("a repeat left");
-          return;
-        }
-        return;
-      case Act::kDrop: {
-        const auto found = things_.find(s.a % 12);
-        const bool there = found != things_.end() && !found->second.open();
-        const bool evictable = there && found->second.kind == EntryKind::kSharedRead;
-        const bool dropped = cache_.drop(key(s.a % 12));
-        must(evictable || dropped == there, "drop: of what is open, or not of what has ended");
-        if (dropped && there) things_.erase(found);
-        return;
-      }
-      case Act::kBounds:
-        limits_.max_entries = 3 + s.a % 8;
-        limits_.max_bytes = (2 + s.b % 10) * kBig;
-        cache_.set_limits(limits_);
-        return;
-      case Act::kRecover:
-        if (stored_ && !things_.contains(s.a % 12)) {
-          Thing t;
-          t.id = ++last_id_;
-          t.fingerprint = s.b % 2;
-          t.state = s.c % 2 ? EntryState::kCompleted : EntryState::kOutcomeUnknown;
-          t.until = now_ + 1 + s.c % 4;
-          cache_.restore(t.id, key(s.a % 12), t.fingerprint, t.state == EntryState::kCompleted, t.until);
-          recovered_.insert(s.a % 12);
-          things_[s.a % 12] = t;
-        }
-        return;
+  void apply(const Step& step) {
+    switch (step.action) {
+      case Action::kArrive: return arrive(step);
+      case Action::kPassTime: return pass_time(step);
+      case Action::kDisconnect: return disconnect(step);
+      case Action::kDrop: return drop(step);
+      case Action::kSetLimits: return set_limits(step);
+      case Action::kRestore: return restore(step);
+      default: break;
+    }
+    ModelEntry* entry = nth_active(step.a);
+    if (entry == nullptr) return;
+    switch (step.action) {
+      case Action::kStart: return start(*entry);
+      case Action::kComplete: return complete(*entry, step);
+      case Action::kLoseOutcome: return lose_outcome(*entry);
+      case Action::kRelease: return release(*entry);
+      default: break;
     }
   }
 
-  void arrive(const Step& s) {
-    const unsigned k = s.a % 12;
-    const EntryKind kind = k < 9 ? EntryKind::kKeyed : EntryKind::kSharedRead;
-    const Fingerprint print = kind == EntryKind::kKeyed ? s.b % 2 : 0;
-    const Lookup lookup = cache_.look_up(now_, key(k), print, kind);
+  // ---- Arriving requests.
+
+  void arrive(const Step& step) {
+    const unsigned number = step.a % kKeys;
+    const EntryKind kind = number < kKeyedKeys ? EntryKind::kKeyed : EntryKind::kSharedRead;
+    const Fingerprint fingerprint = kind == EntryKind::kKeyed ? step.b % 2 : 0;
+    const Lookup lookup = cache_.look_up(now_, key(number), fingerprint, kind);
     const RequestId id = ++last_id_;
-    const auto found = things_.find(k);
-    const bool valid = found != things_.end() && (found->second.open() || found->second.until > now_);
-    if (valid && (kind == EntryKind::kKeyed || found->second.open())) {
-      const Thing& t = found->second;
-      const LookupOutcome expected = t.fingerprint != print ? LookupOutcome::kFingerprintMismatch
-                                     : t.state == EntryState::kOutcomeUnknown ? LookupOutcome::kOutcomeUnknown
-                                                                              : LookupOutcome::kDuplicate;
-      must(lookup.outcome == expected, "meet: what must be known was met otherwise");
-      if (lookup.outcome == LookupOutcome::kDuplicate)
-        must(lookup.original_id == t.id, "meet: another's original");
-    }
-    if (!valid)
-      must(lookup.outcome == LookupOutcome::kMiss || lookup.outcome == LookupOutcome::kNoCapacity,
-           "meet: something that is not there");
-    seen.insert("met " + std::to_string(static_cast<int>(lookup.outcome)));
+    check_lookup(lookup, number, fingerprint, kind);
+    reached_.insert("met " + std::to_string(static_cast<int>(lookup.outcome)));
     if (lookup.outcome == LookupOutcome::kNoCapacity) {
-      must(kind == EntryKind::kKeyed, "no room: for a read");
-      must(needed() + kBig > limits_.max_bytes || must_stay() + 1 > limits_.max_entries,
-           "no room: though there is");
+      expect(kind == EntryKind::kKeyed, "no capacity: for a read");
+      expect(required_bytes() + kActiveEntryBytes > limits_.max_bytes ||
+                 required_entries() + 1 > limits_.max_entries,
+             "no capacity: though there is");
     } else if (lookup.outcome == LookupOutcome::kDuplicate) {
-      join(id, k);
+      join(id, number);
     } else if (lookup.outcome == LookupOutcome::kMiss) {
-      if (found != things_.end() && !found->second.open()) things_.erase(found);  // evicted, or over
-      const bool kept = cache_.reserve(now_, id, key(k), print, kind, now_ + kWindow);
-      must(kept || kind == EntryKind::kSharedRead, "reserve: refused right after there was room");
-      recovered_.erase(k);
-      if (kept) things_[k] = {id, kind, EntryState::kReserved, print, now_ + kWindow, {}, {}};
+      reserve(id, number, fingerprint, kind);
     }
   }
 
-  void join(RequestId id, unsigned k) {
-    Thing& t = things_.at(k);
-    const JoinOutcome joined = cache_.join(id, key(k));
-    seen.insert("joined " + std::to_string(static_cast<int>(joined)));
-    if (t.open()) {
-      must(joined == JoinOutcome::kCoalesced, "join: does not wait for what goes on");
-      t.waiting.push_back(id);
+  void check_lookup(const Lookup& lookup, unsigned number, Fingerprint fingerprint, EntryKind kind) {
+    const auto found = model_.find(number);
+    const bool is_valid =
+        found != model_.end() && (found->second.is_active() || found->second.expires_at > now_);
+    if (!is_valid) {
+      expect(lookup.outcome == LookupOutcome::kMiss || lookup.outcome == LookupOutcome::kNoCapacity,
+             "look_up: found an entry that is not there");
       return;
     }
-    if (joined == JoinOutcome::kInStore) {
-      must(stored_ && t.kind == EntryKind::kKeyed, "join: in a store that is not there");
+    const ModelEntry& entry = found->second;
+    if (kind != EntryKind::kKeyed && !entry.is_active()) return;  // it may have been evicted
+    LookupOutcome expected = LookupOutcome::kDuplicate;
+    if (entry.state == EntryState::kOutcomeUnknown) expected = LookupOutcome::kOutcomeUnknown;
+    if (entry.fingerprint != fingerprint) expected = LookupOutcome::kFingerprintMismatch;
+    expect(lookup.outcome == expected, "look_up: another outcome than that of the entry");
+    if (lookup.outcome == LookupOutcome::kDuplicate)
+      expect(lookup.original_id == entry.id, "look_up: another original");
+  }
+
+  void reserve(RequestId id, unsigned number, Fingerprint fingerprint, EntryKind kind) {
+    const auto found = model_.find(number);
+    if (found != model_.end() && !found->second.is_active()) model_.erase(found);  // evicted, or expired
+    const double expires_at = now_ + kWindowSeconds;
+    const bool is_reserved = cache_.reserve(now_, id, key(number), fingerprint, kind, expires_at);
+    expect(is_reserved || kind == EntryKind::kSharedRead, "reserve: refused right after there was capacity");
+    restored_.erase(number);
+    if (is_reserved) model_[number] = {id, kind, EntryState::kReserved, fingerprint, expires_at, {}, {}};
+  }
+
+  void join(RequestId id, unsigned number) {
+    ModelEntry& entry = model_.at(number);
+    const JoinOutcome outcome = cache_.join(id, key(number));
+    reached_.insert("joined " + std::to_string(static_cast<int>(outcome)));
+    if (entry.is_active()) {
+      expect(outcome == JoinOutcome::kCoalesced, "join: not coalesced with an active entry");
+      entry.waiters.push_back(id);
       return;
     }
-    must(joined == JoinOutcome::kInMemory, "join: no result of what has ended");
-    const std::string* result = cache_.result_in_memory(key(k));
-    must(result != nullptr && *result == t.result, "join: another result");
-    must(!recovered_.contains(k), "join: a result in memory that was never there");
+    if (outcome == JoinOutcome::kInStore) {
+      expect(has_store_ && entry.kind == EntryKind::kKeyed, "join: in a store that is not there");
+      return;
+    }
+    expect(outcome == JoinOutcome::kInMemory, "join: no result of a completed entry");
+    const std::string* result = cache_.result_in_memory(key(number));
+    expect(result != nullptr && *result == entry.result, "join: another result");
+    expect(!restored_.contains(number), "join: a result in memory that was never there");
   }
 
-  void end(Thing& t, const Step& s) {
-    const bool too_long = s.b % 16 == 0;
-    std::string result(too_long ? IdempotencyCache::kMaxResultBytes + 1 : s.b % 3000,
-                       static_cast<char>('a' + s.c % 26));
-    must(cache_.complete(now_, t.id, result) == t.waiting, "end: other repeats than those that wait");
-    t.waiting.clear();
-    t.until = std::max(t.until, now_);
-    t.state = EntryState::kCompleted;
-    if (too_long && !stored_) t.state = EntryState::kOutcomeUnknown;
-    if (too_long) seen.insert("too long");
-    t.result = too_long ? std::string() : std::move(result);
-    if (t.kind == EntryKind::kSharedRead) {
-      t.until = std::min(t.until, now_ + kFresh);
-      if (too_long) things_.erase(key_of(&t));
+  void disconnect(const Step& step) {
+    for (auto& [number, entry] : model_) {
+      if (entry.waiters.empty()) continue;
+      const std::size_t position = step.a % entry.waiters.size();
+      cache_.remove_waiter(entry.waiters[position]);
+      entry.waiters.erase(entry.waiters.begin() + static_cast<std::ptrdiff_t>(position));
+      reached_.insert("a repeat left");
+      return;
     }
   }
 
-  void pass(const Step& s) {
-    now_ += 0.25 * (s.a % 8);
-    const std::vector<Key> gone = cache_.expire(now_, 100);
+  // ---- Active entries.
+
+  void start(ModelEntry& entry) {
+    cache_.mark_running(entry.id);
+    entry.state = EntryState::kRunning;
+  }
+
+  void complete(ModelEntry& entry, const Step& step) {
+    const bool is_too_long = step.b % 16 == 0;
+    std::string result(is_too_long ? IdempotencyCache::kMaxResultBytes + 1 : step.b % 3000,
+                       static_cast<char>('a' + step.c % 26));
+    expect(cache_.complete(now_, entry.id, result) == entry.waiters,
+           "complete: other duplicates than those that wait");
+    entry.waiters.clear();
+    entry.expires_at = std::max(entry.expires_at, now_);
+    entry.state = is_too_long && !has_store_ ? EntryState::kOutcomeUnknown : EntryState::kCompleted;
+    if (is_too_long) reached_.insert("too long");
+    entry.result = is_too_long ? std::string() : std::move(result);
+    if (entry.kind != EntryKind::kSharedRead) return;
+    entry.expires_at = std::min(entry.expires_at, now_ + kSharedTtlSeconds);
+    if (is_too_long) model_.erase(number_of(entry));
+  }
+
+  void lose_outcome(ModelEntry& entry) {
+    expect(cache_.mark_outcome_unknown(now_, entry.id) == entry.waiters,
+           "mark_outcome_unknown: other duplicates than those that wait");
+    entry.waiters.clear();
+    entry.state = EntryState::kOutcomeUnknown;
+    entry.expires_at = std::max(entry.expires_at, now_);
+    if (entry.kind == EntryKind::kSharedRead) model_.erase(number_of(entry));
+  }
+
+  void release(ModelEntry& entry) {
+    expect(cache_.release(entry.id) == entry.waiters, "release: other duplicates than those that wait");
+    model_.erase(number_of(entry));
+  }
+
+  // ---- The rest.
+
+  void drop(const Step& step) {
+    const unsigned number = step.a % kKeys;
+    const auto found = model_.find(number);
+    const bool is_droppable = found != model_.end() && !found->second.is_active();
+    const bool is_evictable = is_droppable && found->second.kind == EntryKind::kSharedRead;
+    const bool is_dropped = cache_.drop(key(number));
+    expect(is_evictable || is_dropped == is_droppable, "drop: of an active entry, or not of a completed one");
+    if (is_dropped && is_droppable) model_.erase(found);
+  }
+
+  void set_limits(const Step& step) {
+    limits_.max_entries = 3 + step.a % 8;
+    limits_.max_bytes = (2 + step.b % 10) * kActiveEntryBytes;
+    cache_.set_limits(limits_);
+  }
+
+  void restore(const Step& step) {
+    const unsigned number = step.a % kKeys;
+    if (!has_store_ || model_.contains(number)) return;
+    ModelEntry entry;
+    entry.id = ++last_id_;
+    entry.fingerprint = step.b % 2;
+    entry.state = step.c % 2 == 1 ? EntryState::kCompleted : EntryState::kOutcomeUnknown;
+    entry.expires_at = now_ + 1 + step.c % 4;
+    cache_.restore(entry.id, key(number), entry.fingerprint, entry.state == EntryState::kCompleted,
+                   entry.expires_at);
+    restored_.insert(number);
+    model_[number] = entry;
+  }
+
+  void pass_time(const Step& step) {
+    now_ += 0.25 * (step.a % 8);
+    const std::vector<Key> expired = cache_.expire(now_, 100);
     std::set<Key> expected;
-    for (auto it = things_.begin(); it != things_.end();) {
-      const Thing& t = it->second;
-      const bool over = !t.open() && t.until <= now_;
-      if (over && t.kind == EntryKind::kKeyed) expected.insert(key(it->first));
-      it = over ? things_.erase(it) : std::next(it);
+    for (auto it = model_.begin(); it != model_.end();) {
+      const ModelEntry& entry = it->second;
+      const bool is_expired = !entry.is_active() && entry.expires_at <= now_;
+      if (is_expired && entry.kind == EntryKind::kKeyed) expected.insert(key(it->first));
+      it = is_expired ? model_.erase(it) : std::next(it);
     }
-    must(std::set<Key>(gone.begin(), gone.end()) == expected, "age: other keys than those that are over");
-    if (!gone.empty()) seen.insert("aged");
+    expect(std::set<Key>(expired.begin(), expired.end()) == expected,
+           "expire: other keys than those that have expired");
+    if (!expired.empty()) reached_.insert("aged");
   }
 
-  void check() {
-    must(cache_.is_consistent(), "the sums do not hold");
-    must(cache_.used_bytes() <= std::max(limits_.max_bytes, needed()),
-         "more bytes than the bound and than must be held");
-    must(cache_.entry_count() <= std::max(limits_.max_entries, must_stay()), "more entries than the bound");
-    if (cache_.evicted_count() > 0) seen.insert("evicted");
-    for (const auto& [k, t] : things_) {
-      const IdempotencyCache::Entry* entry = cache_.find(key(k));
-      if (t.kind == EntryKind::kKeyed || t.open()) {
-        must(entry != nullptr, "forgotten: what must be remembered");
-        if (entry) must(entry->state == t.state && entry->id == t.id, "an entry in another state");
-      }
+  void check_invariants() {
+    expect(cache_.is_consistent(), "sums or indices do not agree with the entries");
+    expect(cache_.used_bytes() <= std::max(limits_.max_bytes, required_bytes()),
+           "more bytes than the limit and than are required");
+    expect(cache_.entry_count() <= std::max(limits_.max_entries, required_entries()),
+           "more entries than the limit and than are required");
+    if (cache_.evicted_count() > 0) reached_.insert("evicted");
+    for (const auto& [number, entry] : model_) {
+      if (entry.kind != EntryKind::kKeyed && !entry.is_active()) continue;
+      const IdempotencyCache::Entry* cached = cache_.find(key(number));
+      expect(cached != nullptr, "an entry is missing that must be remembered");
+      if (cached != nullptr)
+        expect(cached->state == entry.state && cached->id == entry.id, "an entry in another state");
     }
   }
 
-  const bool stored_;
+  const bool has_store_;
   CacheLimits limits_;
   IdempotencyCache cache_;
-  std::map<unsigned, Thing> things_;
-  std::set<unsigned> recovered_;
+  std::map<unsigned, ModelEntry> model_;  // by the number of the key
+  std::set<unsigned> restored_;
+  std::set<std::string> reached_;
   double now_ = 0;
   RequestId last_id_ = 0;
-  std::string wrong_;
+  std::string failure_;
 };
 
-std::vector<Step> history(std::uint64_t seed) {
+Action random_action(unsigned number, int position) {
+  if (number < 9) return Action::kArrive;
+  if (number < 11) return Action::kStart;
+  if (number < 13) return Action::kComplete;
+  if (number < 14) return Action::kLoseOutcome;
+  if (number < 15) return Action::kRelease;
+  if (number < 16) return Action::kDisconnect;
+  if (number < 18) return Action::kPassTime;
+  if (number < 19) return Action::kDrop;
+  return position % 2 == 1 ? Action::kSetLimits : Action::kRestore;
+}
+
+std::vector<Step> random_history(std::uint64_t seed) {
+  constexpr int kSteps = 120;
   pcg32 random(seed);
   std::vector<Step> steps;
-  for (int i = 0; i < 120; ++i) {
-    const unsigned what = random() % 20;
-    Step s;
-    s.act = what < 9    ? Act::kArrive
-            : what < 11 ? Act::kStart
-            : what < 13 ? Act::kEnd
-            : what < 14 ? Act::kLose
-            : what < 15 ? Act::kRelease
-            : what < 16 ? Act::kLeave
-            : what < 18 ? Act::kPass
-            : what < 19 ? Act::kDrop
-            : i % 2     ? Act::kBounds
-                        : Act::kRecover;
-    s.a = random(), s.b = random(), s.c = random();
-    steps.push_back(s);
+  for (int i = 0; i < kSteps; ++i) {
+    Step step;
+    step.action = random_action(random() % 20, i);
+    step.a = random();
+    step.b = random();
+    step.c = random();
+    steps.push_back(step);
   }
   return steps;
 }
 
-std::vector<Step> shortest(std::vector<Step> steps, bool stored) {
-  for (bool shorter = true; shorter;) {
-    shorter = false;
+// Removes steps for as long as the rest still fails.
+std::vector<Step> shrink(std::vector<Step> steps, bool has_store) {
+  for (bool is_shorter = true; is_shorter;) {
+    is_shorter = false;
     for (std::size_t i = steps.size(); i-- > 0;) {
-      std::vector<Step> less = steps;
-      less.erase(less.begin() + static_cast<std::ptrdiff_t>(i));
-      if (Play(stored).run(less).empty()) continue;
-      steps = std::move(less);
-      shorter = true;
+      std::vector<Step> fewer = steps;
+      fewer.erase(fewer.begin() + static_cast<std::ptrdiff_t>(i));
+      if (ModelCheck(has_store).run(fewer).empty()) continue;
+      steps = std::move(fewer);
+      is_shorter = true;
     }
   }
   return steps;
 }
 
+void print_failure(std::uint64_t seed, const std::vector<Step>& history, bool has_store) {
+  const std::vector<Step> steps = shrink(history, has_store);
+  std::printf("seed %llu, %s: %s\n", static_cast<unsigned long long>(seed),
+              has_store ? "stored" : "in memory", ModelCheck(has_store).run(steps).c_str());
+  for (const Step& step : steps) {
+    std::printf("  %s %u %u %u\n", kActionNames.at(static_cast<std::size_t>(step.action)), step.a % kKeys,
+                step.b % 16, step.c % 4);
+  }
+}
+
+bool check_histories(std::uint64_t seeds, bool has_store) {
+  std::set<std::string> reached;
+  for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
+    const std::vector<Step> history = random_history(seed);
+    ModelCheck check(has_store);
+    const std::string failure = check.run(history);
+    reached.insert(check.reached().begin(), check.reached().end());
+    if (failure.empty()) continue;
+    print_failure(seed, history, has_store);
+    return false;
+  }
+  std::printf("%s: %llu histories hold; seen:", has_store ? "stored" : "in memory",
+              static_cast<unsigned long long>(seeds));
+  for (const std::string& one : reached) std::printf(" %s,", one.c_str());
+  std::printf("\n");
+  return true;
+}
+
 }  // namespace
 
 int main(int argc, char** argv) {
   const std::uint64_t seeds = argc > 1 ? std::strtoull(argv[1], nullptr, 10) : 3000;
-  for (const bool stored : {false, true}) {
-    std::set<std::string> seen;
-    for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-      const std::vector<Step> steps = history(seed);
-      Play play(stored);
-      const std::string wrong = play.run(steps);
-      seen.insert(play.seen.begin(), play.seen.end());
-      if (wrong.empty()) continue;
-      const std::vector<Step> least = shortest(steps, stored);
-      std::printf("seed %llu, %s: %s\n", static_cast<unsigned long long>(seed),
-                  stored ? "stored" : "in memory", Play(stored).run(least).c_str());
-      for (const Step& s : least)
-        std::printf("  %s %u %u %u\n", kActs[static_cast<int>(s.act)], s.a % 12, s.b % 16, s.c % 4);
-      return 1;
-    }
-    std::printf("%s: %llu histories hold; seen:", stored ? "stored" : "in memory",
-                static_cast<unsigned long long>(seeds));
-    for (const std::string& one : seen) std::printf(" %s,", one.c_str());
-    std::printf("\n");
-  }
-  return 0;
+  return check_histories(seeds, false) && check_histories(seeds, true) ? 0 : 1;
 }
--- a/tests/results/recording_disk.cpp
+++ b/tests/results/recording_disk.cpp
@@ -29,7 +29,7 @@
 
 void RecordingDisk::begin_with(DiskState state) {
   state_ = std::move(state);
-  requests_.clear();
+  operations_.clear();
   shared_.clear();
 }
 
@@ -45,7 +45,10 @@
     m.xFileSize = size;
     m.xLock = [](sqlite3_file*, int) { return SQLITE_OK; };
     m.xUnlock = [](sqlite3_file*, int) { return SQLITE_OK; };
-    m.xCheckReservedLock = [](sqlite3_file*, int* held) { return *held = 0, SQLITE_OK; };
+    m.xCheckReservedLock = [](sqlite3_file*, int* is_reserved) {
+      *is_reserved = 0;
+      return SQLITE_OK;
+    };
     m.xFileControl = [](sqlite3_file*, int, void*) { return SQLITE_NOTFOUND; };
     m.xSectorSize = [](sqlite3_file*) { return 512; };
     m.xDeviceCharacteristics = [](sqlite3_file*) { return 0; };
@@ -68,7 +71,7 @@
 int RecordingDisk::remove(sqlite3_vfs* vfs, const char* name, int) {
   auto* disk = static_cast<RecordingDisk*>(vfs->pAppData);
   disk->state_.erase(name);
-  disk->requests_.push_back({DiskOp::What::kDelete, name, 0, {}});
+  disk->operations_.push_back({DiskOperation::Kind::kDelete, name, 0, {}});
   return SQLITE_OK;
 }
 int RecordingDisk::access(sqlite3_vfs* vfs, const char* name, int, int* out) {
@@ -84,43 +87,45 @@
 
 int RecordingDisk::read(sqlite3_file* f, void* out, int count, sqlite3_int64 at) {
   const std::string& bytes = file(f)->disk->state_[file(f)->name];
-  const auto from = static_cast<std::size_t>(at), wanted = static_cast<std::size_t>(count);
+  const auto from = static_cast<std::size_t>(at);
+  const auto wanted = static_cast<std::size_t>(count);
   const std::size_t got = from < bytes.size() ? std::min(wanted, bytes.size() - from) : 0;
   if (got > 0) std::memcpy(out, bytes.data() + from, got);
   std::memset(static_cast<char*>(out) + got, 0, wanted - got);
   return got == wanted ? SQLITE_OK : SQLITE_IOERR_SHORT_READ;
 }
 
-void RecordingDisk::apply(DiskState& state, const DiskOp& request, std::size_t bytes) {
-  switch (request.what) {
-    case DiskOp::What::kWrite: {
-      std::string& content = state[request.file];
-      if (content.size() < request.at + bytes) content.resize(request.at + bytes, '\0');
-      content.replace(request.at, bytes, request.bytes, 0, bytes);
+void RecordingDisk::apply(DiskState& state, const DiskOperation& operation, std::size_t bytes) {
+  switch (operation.kind) {
+    case DiskOperation::Kind::kWrite: {
+      std::string& content = state[operation.file];
+      if (content.size() < operation.offset + bytes) content.resize(operation.offset + bytes, '\0');
+      content.replace(operation.offset, bytes, operation.bytes, 0, bytes);
       return;
     }
-    case DiskOp::What::kTruncate: state[request.file].resize(request.at); return;
-    case DiskOp::What::kSync: state[request.file]; return;
-    case DiskOp::What::kDelete: state.erase(request.file); return;
+    case DiskOperation::Kind::kTruncate: state[operation.file].resize(operation.offset); return;
+    case DiskOperation::Kind::kSync: state[operation.file]; return;
+    case DiskOperation::Kind::kDelete: state.erase(operation.file); return;
   }
 }
 
 int RecordingDisk::write(sqlite3_file* f, const void* bytes, int count, sqlite3_int64 at) {
   RecordingDisk* disk = file(f)->disk;
-  DiskOp request{DiskOp::What::kWrite, file(f)->name, static_cast<std::uint64_t>(at),
-                 std::string(static_cast<const char*>(bytes), static_cast<std::size_t>(count))};
-  apply(disk->state_, request, request.bytes.size());
-  disk->requests_.push_back(std::move(request));
+  DiskOperation operation{DiskOperation::Kind::kWrite, file(f)->name, static_cast<std::uint64_t>(at),
+                          std::string(static_cast<const char*>(bytes), static_cast<std::size_t>(count))};
+  apply(disk->state_, operation, operation.bytes.size());
+  disk->operations_.push_back(std::move(operation));
   return SQLITE_OK;
 }
 int RecordingDisk::truncate(sqlite3_file* f, sqlite3_int64 size) {
   RecordingDisk* disk = file(f)->disk;
-  disk->requests_.push_back({DiskOp::What::kTruncate, file(f)->name, static_cast<std::uint64_t>(size), {}});
-  apply(disk->state_, disk->requests_.back(), 0);
+  disk->operations_.push_back(
+      {DiskOperation::Kind::kTruncate, file(f)->name, static_cast<std::uint64_t>(size), {}});
+  apply(disk->state_, disk->operations_.back(), 0);
   return SQLITE_OK;
 }
 int RecordingDisk::sync(sqlite3_file* f, int) {
-  file(f)->disk->requests_.push_back({DiskOp::What::kSync, file(f)->name, 0, {}});
+  file(f)->disk->operations_.push_back({DiskOperation::Kind::kSync, file(f)->name, 0, {}});
   return SQLITE_OK;
 }
 int RecordingDisk::size(sqlite3_file* f, sqlite3_int64* out) {
@@ -129,38 +134,43 @@
 }
 int RecordingDisk::map_shared(sqlite3_file* f, int region, int bytes, int extend, void volatile** out) {
   auto& regions = file(f)->disk->shared_;
-  if (!regions.contains(region) && !extend) return *out = nullptr, SQLITE_OK;
+  if (!regions.contains(region) && extend == 0) {
+    *out = nullptr;
+    return SQLITE_OK;
+  }
   std::vector<char>& memory = regions[region];
   if (memory.empty()) memory.resize(static_cast<std::size_t>(bytes));
   *out = memory.data();
   return SQLITE_OK;
 }
 
-DiskState RecordingDisk::after_kill(const std::vector<DiskOp>& requests, std::size_t count, bool torn) {
+DiskState RecordingDisk::after_kill(const std::vector<DiskOperation>& operations, std::size_t count,
+                                    bool torn) {
   DiskState state;
   for (std::size_t i = 0; i < count; ++i) {
     const bool last = i + 1 == count;
-    apply(state, requests[i], torn && last ? requests[i].bytes.size() / 2 : requests[i].bytes.size());
+    apply(state, operations[i], torn && last ? operations[i].bytes.size() / 2 : operations[i].bytes.size());
   }
   return state;
 }
 
-DiskState RecordingDisk::after_power_cut(const std::vector<DiskOp>& requests, std::size_t count,
+DiskState RecordingDisk::after_power_cut(const std::vector<DiskOperation>& operations, std::size_t count,
                                          std::uint64_t seed) {
   std::map<std::string, std::size_t> synced;  // operations before this index are there
   for (std::size_t i = 0; i < count; ++i) {
-    if (requests[i].what == DiskOp::What::kSync) synced[requests[i].file] = i;
+    if (operations[i].kind == DiskOperation::Kind::kSync) synced[operations[i].file] = i;
   }
   pcg32 random(seed);
   const unsigned kept = random() % 4;  // of four quarters: none, some, more of them
   DiskState state;
   for (std::size_t i = 0; i < count; ++i) {
-    const DiskOp& request = requests[i];
-    const auto found = synced.find(request.file);
-    const bool safe = (found != synced.end() && i <= found->second) || request.what == DiskOp::What::kDelete;
+    const DiskOperation& operation = operations[i];
+    const auto found = synced.find(operation.file);
+    const bool safe =
+        (found != synced.end() && i <= found->second) || operation.kind == DiskOperation::Kind::kDelete;
     if (!safe && random() % 4 >= kept) continue;
     const bool torn = !safe && random() % 4 == 0;
-    apply(state, request, torn ? random() % (request.bytes.size() + 1) : request.bytes.size());
+    apply(state, operation, torn ? random() % (operation.bytes.size() + 1) : operation.bytes.size());
   }
   return state;
 }
--- a/tests/results/recording_disk.h
+++ b/tests/results/recording_disk.h
@@ -1,5 +1,5 @@
-// A file layer for SQLite that keeps files in memory and records every write, truncation and sync, so that a
-// crash after any of them can be played: with all that was written, or without what was not synced.
+// A SQLite file layer (VFS) in memory that records each write, truncation and sync, so that a crash after any
+// of them can be replayed: with all that was written, or without what was not synced.
 #pragma once
 
 #include <sqlite3.h>
@@ -12,10 +12,12 @@
 
 namespace damsonspoke::testing {
 
-struct DiskOp {
-  enum class What { kWrite, kTruncate, kSync, kDelete } what = What::kWrite;
+struct DiskOperation {
+  enum class Kind : std::uint8_t { kWrite, kTruncate, kSync, kDelete };
+
+  Kind kind = Kind::kWrite;
   std::string file;
-  std::uint64_t at = 0;  // of a write; the size of a truncation
+  std::uint64_t offset = 0;  // of a write; the size of a truncation
   std::string bytes;
 };
 
@@ -29,13 +31,13 @@
   RecordingDisk(const RecordingDisk&) = delete;
   RecordingDisk& operator=(const RecordingDisk&) = delete;
 
-  void begin_with(DiskState state);  // and nothing recorded
-  const std::vector<DiskOp>& requests() const { return requests_; }
+  void begin_with(DiskState state);  // with nothing recorded
+  const std::vector<DiskOperation>& operations() const { return operations_; }
 
   // What is there after a crash behind the first `count` operations: the process was killed...
-  static DiskState after_kill(const std::vector<DiskOp>& requests, std::size_t count, bool torn);
+  static DiskState after_kill(const std::vector<DiskOperation>& operations, std::size_t count, bool torn);
   // ... or the power was cut: of each file's writes behind its last sync any part is there, or torn.
-  static DiskState after_power_cut(const std::vector<DiskOp>& requests, std::size_t count,
+  static DiskState after_power_cut(const std::vector<DiskOperation>& operations, std::size_t count,
                                    std::uint64_t seed);
 
  private:
@@ -52,11 +54,11 @@
   static int sync(sqlite3_file* file, int flags);
   static int size(sqlite3_file* file, sqlite3_int64* out);
   static int map_shared(sqlite3_file* file, int region, int bytes, int extend, void volatile** out);
-  static void apply(DiskState& state, const DiskOp& request, std::size_t bytes);
+  static void apply(DiskState& state, const DiskOperation& operation, std::size_t bytes);
 
   sqlite3_vfs vfs_{};
   DiskState state_;
-  std::vector<DiskOp> requests_;
+  std::vector<DiskOperation> operations_;
   std::map<int, std::vector<char>> shared_;  // regions of the log's index, gone in a crash
 };
 
--- a/tests/results/results_program.cpp
+++ b/tests/results/results_program.cpp
@@ -252,8 +252,8 @@
   site.signal(SIGHUP);
   line = site.expect_log("only memory");
   std::printf("log: %s\n", line.substr(line.find("only")).c_str());
-  line = site.expect_log("new bounds");
-  std::printf("log: %s\n", line.substr(line.find("new bounds"), 35).c_str());
+  line = site.expect_log("new limits");
+  std::printf("log: %s\n", line.substr(line.find("new limits"), 35).c_str());
   site.send_request(caller, 2, "push", kA);
   site.caller_hears(caller);
   site.counters({"results.entries", "runs.started"});
@@ -304,7 +304,7 @@
     std::ofstream(site.store_path(), std::ios::binary) << noise;
     std::remove((site.store_path() + "-wal").c_str());
     site.kill_and_start();
-    const std::string line = site.expect_log("nacked until");
+    const std::string line = site.expect_log("rejected until");
     std::printf("log: %s\n", line.empty() ? "(nothing)" : line.substr(line.find("; ") + 2).c_str());
     site.comes_up();
     caller = site.connect();
@@ -324,7 +324,7 @@
 void mended() {
   Site site("", "", keyed("results\n    enabled on\n    store STORE.d/file\n"));
   const std::string folder = site.store_path() + ".d";
-  const std::string line = site.expect_log("nacked until");
+  const std::string line = site.expect_log("rejected until");
   std::printf("log: %s\n", line.empty() ? "(nothing)" : line.substr(line.find("; ") + 2).c_str());
   site.comes_up();
   const int caller = site.connect();
@@ -382,8 +382,8 @@
       binary + " results drop --operator " + site.operators_path() + " --key " + key + " 2>&1";
   std::fflush(stdout);
   if (std::system(line.c_str()) != 0) std::printf("(failed)\n");
-  const std::string log = site.expect_log("dropped as");
-  std::printf("log: %s\n", log.empty() ? "(nothing)" : log.substr(log.find("dropped as")).c_str());
+  const std::string log = site.expect_log("dropped keys");
+  std::printf("log: %s\n", log.empty() ? "(nothing)" : log.substr(log.find("dropped keys")).c_str());
   site.send_request(caller, 2, "push", kA);
   site.runtime_hears(2);
   site.runtime_says("end 2 " + kId2 + " complete 20 6\r\nsecond");
@@ -414,7 +414,7 @@
   sqlite3_exec(db, "begin immediate", nullptr, nullptr, nullptr);
   site.runtime_says("end 1 " + kId1 + " complete 20 6\r\nresult");  // can't be written: answered all the same
   site.caller_hears(caller);
-  const std::string line = site.expect_log("nacked until");
+  const std::string line = site.expect_log("rejected until");
   std::printf("log: %s\n", line.empty() ? "(nothing)" : line.substr(line.find("; ") + 2).c_str());
   site.send_request(caller, 2, "push", R"("ram":10,"limit":3000,"key":"b")");
   const std::string answer = site.heard(caller);
