--- a/tests/results/results_store.cpp
+++ b/tests/results/results_store.cpp
@@ -3,6 +3,7 @@
 #include <sys/stat.h>
 #include <unistd.h>
 
+#include <algorithm>
 #include <cstdio>
 #include <cstdlib>
 #include <cstring>
@@ -22,7 +23,7 @@
 
 using namespace damsonspoke;
 using namespace damsonspoke::results;
-using testing::DiskOp;
+using testing::DiskOperation;
 using testing::DiskState;
 using testing::RecordingDisk;
 
@@ -46,39 +47,39 @@
 
 Content content_of(Database& database) {
   Content content;
-  bool spoilt = false;
-  std::vector<Key> ended;
+  bool has_unknown_entry = false;
+  std::vector<Key> completed;
   database.for_each([&](const Row& row) {
     if (row.request_id != row_of(static_cast<unsigned>(row.request_id)).request_id || row.route != "push" ||
         row.fingerprint != row.request_id * 7 || row.expires_at_ms != 1'000'000 ||
         row.key.high != row.request_id) {
-      spoilt = true;
+      has_unknown_entry = true;
     }
     content[row.key] = "intent";
-    if (row.has_result) ended.push_back(row.key);
+    if (row.has_result) completed.push_back(row.key);
   });
-  for (const Key& key : ended) {
+  for (const Key& key : completed) {
     const std::optional<Row> row = database.fetch(key);
     if (!row) throw DatabaseError(DatabaseFault::kDamaged, "an entry is not found by its key");
     content[key] = row->result;
   }
-  if (spoilt) content[{}] = "an entry that nobody wrote";
+  if (has_unknown_entry) content[{}] = "an entry that nobody wrote";
   return content;
 }
 
 struct Recorded {
-  std::vector<DiskOp> requests;
+  std::vector<DiskOperation> operations;
   std::vector<std::pair<std::size_t, Content>>
       committed;  // operations so far, and what is there from then on
 };
 
-Recorded record(RecordingDisk& disk, bool power_safe) {
+Recorded record(RecordingDisk& disk, bool sync_commits) {
   Recorded out;
   disk.begin_with({});
   Content content;
   {
-    Database database("crash", {power_safe, 0, false, "recording"});
-    out.committed.emplace_back(disk.requests().size(), content);
+    Database database("crash", {sync_commits, 0, false, "recording"});
+    out.committed.emplace_back(disk.operations().size(), content);
     unsigned next = 0;
     for (unsigned group = 0; group < 40; ++group) {
       database.begin();
@@ -96,138 +97,170 @@
         }
       }
       database.commit();
-      out.committed.emplace_back(disk.requests().size(), content);
+      out.committed.emplace_back(disk.operations().size(), content);
       if (group % 8 == 7) database.checkpoint();
     }
-    out.requests = disk.requests();
+    out.operations = disk.operations();
   }
   return out;
 }
 
-struct Found {
-  int crashes = 0, unopened = 0, lost = 0, foreign = 0;
-  std::string first;
+struct CrashReport {
+  int crashes = 0;
+  int unopened = 0;
+  int lost = 0;       // a state older than what was acknowledged
+  int corrupted = 0;  // a state that never was
+  std::string first_failure;
+
+  void add_failure(int& count, std::size_t operations, const std::string& what) {
+    ++count;
+    if (first_failure.empty()) first_failure = "after " + std::to_string(operations) + " operations: " + what;
+  }
 };
 
-// What is there after a crash behind `count` operations must be what was committed by then, or with the
-// transaction that was on its way; older: something acknowledged is lost; anything else: garbage.
-void look(RecordingDisk& disk, const Recorded& recorded, std::size_t count, DiskState state, Found& found) {
-  ++found.crashes;
-  std::size_t succeeded = 0;
-  bool made = false;
+// After a crash behind `count` operations, the store must hold what was committed by then, or that and the
+// transaction that was on its way.
+void check_after_crash(RecordingDisk& disk, const Recorded& recorded, std::size_t count, DiskState state,
+                       CrashReport& report) {
+  ++report.crashes;
+  std::size_t last = 0;
+  bool is_created = false;
   for (std::size_t i = 0; i < recorded.committed.size(); ++i) {
-    if (recorded.committed[i].first <= count) succeeded = i, made = true;
+    if (recorded.committed[i].first > count) continue;
+    last = i;
+    is_created = true;
   }
   disk.begin_with(std::move(state));
-  const auto told = [&](const std::string& what) {
-    if (found.first.empty()) found.first = "after " + std::to_string(count) + " operations: " + what;
-  };
   try {
     Database database("crash", {true, 0, false, "recording"});
     const Content content = content_of(database);
-    if (!made) {  // it was being made: new again, or just made
-      if (!content.empty()) ++found.foreign, told("entries that nobody wrote");
+    if (!is_created) {  // it was being created: created again, or just created
+      if (!content.empty()) report.add_failure(report.corrupted, count, "entries that nobody wrote");
       return;
     }
-    const bool next =
-        succeeded + 1 < recorded.committed.size() && content == recorded.committed[succeeded + 1].second;
-    if (content == recorded.committed[succeeded].second || next) return;
-    for (std::size_t i = 0; i < succeeded; ++i) {
-      if (content == recorded.committed[i].second)
-        return ++found.lost, told("older than what was acknowledged");
+    const bool has_next = last + 1 < recorded.committed.size();
+    if (content == recorded.committed[last].second) return;
+    if (has_next && content == recorded.committed[last + 1].second) return;
+    const auto acknowledged = recorded.committed.begin() + static_cast<std::ptrdiff_t>(last);
+    const bool is_older = std::any_of(recorded.committed.begin(), acknowledged,
+                                      [&](const auto& committed) { return committed.second == content; });
+    if (is_older) {
+      report.add_failure(report.lost, count, "older than what was acknowledged");
+    } else {
+      report.add_failure(report.corrupted, count, "a state that never was");
     }
-    ++found.foreign;
-    told("a state that never was");
   } catch (const DatabaseError& error) {
-    ++found.unopened;
-    told(error.what());
+    report.add_failure(report.unopened, count, error.what());
   }
 }
 
-void told(const char* name, const Found& found, bool losses_expected) {
-  std::printf("%s: does not open %d, never was %d, ", name, found.unopened, found.foreign);
-  if (losses_expected) {
-    std::printf("acknowledged and lost: %s\n", found.lost > 0 ? "some, as it should without syncs" : "none");
+void print(const char* name, const CrashReport& report, bool are_losses_expected) {
+  std::printf("%s: does not open %d, never was %d, ", name, report.unopened, report.corrupted);
+  if (are_losses_expected) {
+    std::printf("acknowledged and lost: %s\n", report.lost > 0 ? "some, as it should without syncs" : "none");
   } else {
-    std::printf("acknowledged and lost %d\n", found.lost);
+    std::printf("acknowledged and lost %d\n", report.lost);
   }
-  if (found.unopened + found.foreign + (losses_expected ? 0 : found.lost) > 0)
-    std::printf("  %s\n", found.first.c_str());
+  if (report.unopened + report.corrupted + (are_losses_expected ? 0 : report.lost) > 0)
+    std::printf("  %s\n", report.first_failure.c_str());
 }
 
 void crash() {
   RecordingDisk disk("recording");
-  const Recorded fast = record(disk, false), safe = record(disk, true);
-  Found killed, torn, cut, unsynced;
-  for (std::size_t count = 0; count <= fast.requests.size(); ++count) {
-    look(disk, fast, count, RecordingDisk::after_kill(fast.requests, count, false), killed);
-    // The write in the middle of which it was killed never returned.
-    if (count > 0) look(disk, fast, count - 1, RecordingDisk::after_kill(fast.requests, count, true), torn);
-    for (std::uint64_t seed = 1; seed <= 3; ++seed)
-      look(disk, fast, count, RecordingDisk::after_power_cut(fast.requests, count, seed * 1000 + count),
-           unsynced);
+  const Recorded fast = record(disk, false);
+  const Recorded synced = record(disk, true);
+  CrashReport killed;
+  CrashReport torn;
+  CrashReport power_cut;
+  CrashReport unsynced;
+  for (std::size_t count = 0; count <= fast.operations.size(); ++count) {
+    const std::vector<DiskOperation>& operations = fast.operations;
+    check_after_crash(disk, fast, count, RecordingDisk::after_kill(operations, count, false), killed);
+    // A write in the middle of which the process was killed has not returned.
+    if (count > 0)
+      check_after_crash(disk, fast, count - 1, RecordingDisk::after_kill(operations, count, true), torn);
+    for (std::uint64_t seed = 1; seed <= 3; ++seed) {
+      check_after_crash(disk, fast, count,
+                        RecordingDisk::after_power_cut(operations, count, seed * 1000 + count), unsynced);
+    }
   }
-  for (std::size_t count = 0; count <= safe.requests.size(); ++count) {
-    for (std::uint64_t seed = 1; seed <= 6; ++seed)
-      look(disk, safe, count, RecordingDisk::after_power_cut(safe.requests, count, seed * 1000 + count), cut);
+  for (std::size_t count = 0; count <= synced.operations.size(); ++count) {
+    for (std::uint64_t seed = 1; seed <= 6; ++seed) {
+      check_after_crash(disk, synced, count,
+                        RecordingDisk::after_power_cut(synced.operations, count, seed * 1000 + count),
+                        power_cut);
+    }
+  }
+  std::printf("enough crashes: %s\n", killed.crashes > 200 && power_cut.crashes > 1200 ? "yes" : "no");
+  print("killed, process-safe", killed, false);
+  print("killed in the middle of a write, process-safe", torn, false);
+  print("power cut, power-safe", power_cut, false);
+  print("power cut, process-safe", unsynced, true);
+}
+
+// The offsets of the intent records' headers: a changed byte there is found by their checksums alone.
+std::vector<std::size_t> intent_offsets(const Content& content, const std::string& file) {
+  constexpr std::size_t kHeaderBytes = 60;
+  std::vector<std::size_t> offsets;
+  for (const auto& [key, result] : content) {
+    if (result != "intent") continue;
+    std::string bytes;
+    for (const std::uint64_t half : {key.high, key.low}) {
+      for (int shift = 56; shift >= 0; shift -= 8) bytes += static_cast<char>(half >> shift);
+    }
+    for (std::size_t at = 0; (at = file.find(bytes, at)) != std::string::npos; ++at) {
+      for (std::size_t i = 0; i < kHeaderBytes && at + i < file.size(); ++i) offsets.push_back(at + i);
+    }
   }
-  std::printf("enough crashes: %s\n", killed.crashes > 200 && cut.crashes > 1200 ? "yes" : "no");
-  told("killed, process-safe", killed, false);
-  told("killed in the middle of a write, process-safe", torn, false);
-  told("power cut, power-safe", cut, false);
-  told("power cut, process-safe", unsynced, true);
+  return offsets;
 }
 
-// A byte that was changed under us is found out before anybody is told what it says: anywhere, and in each
-// byte of the heads of the intents, which nothing else would miss.
+// Whether each entry is one that record() has written.
+bool is_as_written(const Content& content) {
+  return std::all_of(content.begin(), content.end(), [](const auto& item) {
+    const auto& [key, result] = item;
+    const auto number = static_cast<unsigned>(key.high);
+    return key == row_of(number).key && (result == "intent" || result == result_of(number));
+  });
+}
+
+// A changed byte is detected before anybody is answered with it: anywhere, and in each byte of the intents'
+// headers.
 void flipped() {
   RecordingDisk disk("recording");
   const Recorded recorded = record(disk, true);
-  DiskState whole = RecordingDisk::after_kill(recorded.requests, recorded.requests.size(), false);
-  std::string& file = whole["crash"];
-  whole.erase("crash-wal");  // what was not written back from the log is gone
+  DiskState whole = RecordingDisk::after_kill(recorded.operations, recorded.operations.size(), false);
+  const std::string& file = whole["crash"];
+  whole.erase("crash-wal");  // without what was not checkpointed
   disk.begin_with(whole);
   const Content content = [&] {
     Database database("crash", {true, 0, true, "recording"});
     return content_of(database);
   }();
-  std::vector<std::size_t> places;
-  for (const auto& [key, what] : content) {
-    if (what != "intent") continue;
-    std::string bytes;
-    for (const std::uint64_t half : {key.high, key.low}) {
-      for (int shift = 56; shift >= 0; shift -= 8) bytes += static_cast<char>(half >> shift);
-    }
-    for (std::size_t at = 0; (at = file.find(bytes, at)) != std::string::npos; ++at) {
-      for (std::size_t i = 0; i < 60 && at + i < file.size(); ++i) places.push_back(at + i);
-    }
-  }
-  std::printf("heads of intents in the file: %s\n", places.empty() ? "none" : "some");
+  std::vector<std::size_t> offsets = intent_offsets(content, file);
+  std::printf("heads of intents in the file: %s\n", offsets.empty() ? "none" : "some");
   pcg32 random(5);
-  for (int i = 0; i < 400; ++i) places.push_back(random() % file.size());
-  int wrong = 0, refused = 0, harmless = 0;
-  for (const std::size_t at : places) {
+  for (int i = 0; i < 400; ++i) offsets.push_back(random() % file.size());
+  int wrong = 0;
+  int detected = 0;
+  int harmless = 0;
+  for (const std::size_t offset : offsets) {
     DiskState state = whole;
-    state["crash"][at] = static_cast<char>(file[at] ^ (1 + random() % 255));
+    state["crash"][offset] = static_cast<char>(file[offset] ^ (1 + random() % 255));
     disk.begin_with(std::move(state));
     try {
       Database database("crash", {true, 0, true, "recording"});
-      bool same = true;
-      for (const auto& [key, what] : content_of(database)) {
-        const auto n = static_cast<unsigned>(key.high);
-        same = same && key == row_of(n).key && (what == "intent" || what == result_of(n));
-      }
-      same ? ++harmless : ++wrong;
+      ++(is_as_written(content_of(database)) ? harmless : wrong);
     } catch (const DatabaseError&) {
-      ++refused;
+      ++detected;
     }
   }
   std::printf("told as somebody's: %d; found out: %s; where nothing stands: %s\n", wrong,
-              refused > 100 ? "many" : "few", harmless > 0 ? "some" : "none");
+              detected > 100 ? "many" : "few", harmless > 0 ? "some" : "none");
 }
 
 // ---- The store and its thread.
-class Watch : public StoreEvents {
+class PrintedEvents : public StoreEvents {
  public:
   void on_key_seed(std::uint64_t, bool is_new) override {
     std::printf("seed, %s file\n", is_new ? "a new" : "an old");
@@ -263,114 +296,132 @@
 };
 
 // A reactor that turns on a thread of its own; everything about a store happens on it.
-class Turning {
+class ReactorThread {
  public:
-  template <typename What>
-  auto on(What what) {
-    std::promise<decltype(what())> promise;
-    reactor.post_from_elsewhere([&] { promise.set_value(what()); });
-    return promise.get_future().get();
+  // Calls the function on the reactor's thread and gives its result.
+  template <typename Function>
+  auto run(Function function) {
+    // Shared, because the reactor may still be in the task's call when the result arrives here.
+    const auto task = std::make_shared<std::packaged_task<decltype(function())()>>(std::move(function));
+    auto result = task->get_future();
+    reactor_.post_from_elsewhere([task] { (*task)(); });
+    return result.get();
   }
-  Turning() : thread_([this] { reactor.run(); }) {}
-  ~Turning() {
-    on([this] { return reactor.stop(), 0; });
+
+  ReactorThread() : thread_([this] { reactor_.run(); }) {}
+  ~ReactorThread() {
+    run([this] { reactor_.stop(); });
     thread_.join();
   }
-  // Until it is enough, or ten seconds are over.
-  void go_on(const std::function<bool()>& enough) {
+  ReactorThread(const ReactorThread&) = delete;
+  ReactorThread& operator=(const ReactorThread&) = delete;
+
+  // Until the condition holds on the reactor's thread, or ten seconds have passed.
+  void wait_until(const std::function<bool()>& condition) {
     const double until = net::monotonic_now() + 10;
-    while (!on(enough) && net::monotonic_now() < until)
+    while (!run(condition) && net::monotonic_now() < until)
       std::this_thread::sleep_for(std::chrono::milliseconds(1));
   }
-  net::Reactor reactor;
+  net::Reactor& reactor() { return reactor_; }
 
  private:
+  net::Reactor reactor_;
   std::thread thread_;
 };
 
-// A store that is made and ends on its reactor's thread.
-class Held {
+// A store that is created and destroyed on its reactor's thread.
+class StoreOnReactor {
  public:
-  Held(Turning& turning, Store::Options options, StoreEvents& events) : turning_(turning) {
-    turning_.on([&] { return store_ = std::make_unique<Store>(turning_.reactor, options, events), 0; });
+  StoreOnReactor(ReactorThread& reactor, const Store::Options& options, StoreEvents& events)
+      : reactor_(reactor) {
+    reactor_.run([&] { store_ = std::make_unique<Store>(reactor_.reactor(), options, events); });
   }
-  ~Held() {
-    turning_.on([&] { return store_.reset(), 0; });
+  ~StoreOnReactor() {
+    reactor_.run([this] { store_.reset(); });
   }
+  StoreOnReactor(const StoreOnReactor&) = delete;
+  StoreOnReactor& operator=(const StoreOnReactor&) = delete;
   Store* operator->() { return store_.get(); }
 
  private:
-  Turning& turning_;
+  ReactorThread& reactor_;
   std::unique_ptr<Store> store_;
 };
 
 // The bound of the disk, and what is given up makes room again.
 void full() {
   Folder folder;
-  Turning turning;
-  Watch watch;
-  Held store(turning, {folder.file(), false, 1 << 20, 1000, {}}, watch);
-  turning.go_on([&] { return watch.last == StoreState::kHealthy; });
-  unsigned written = 0, refused = 0;
+  ReactorThread reactor;
+  PrintedEvents events;
+  StoreOnReactor store(reactor, {folder.file(), false, 1 << 20, 1000, {}}, events);
+  reactor.wait_until([&] { return events.last == StoreState::kHealthy; });
+  unsigned written = 0;
+  unsigned refused = 0;
   for (unsigned n = 1; n <= 400 && refused == 0; ++n) {
-    bool over = false;
-    turning.on([&] {
+    bool is_over = false;
+    reactor.run([&] {
       return store->write_intent(row_of(n), [&, n](bool durable) {
         if (!durable) {
           ++refused;
-          over = true;
+          is_over = true;
           return;
         }
-        store->write_result(row_of(n).key, std::string(4096, 'r'), [&](bool good) {
-          good ? ++written : ++refused;
-          over = true;
+        store->write_result(row_of(n).key, std::string(4096, 'r'), [&](bool is_durable) {
+          ++(is_durable ? written : refused);
+          is_over = true;
         });
       });
     });
-    turning.go_on([&] { return over; });
+    reactor.wait_until([&] { return is_over; });
   }
   std::printf("written until full: %s\n",
               written > 150 && written < 256 ? "about what fits" : std::to_string(written).c_str());
   std::printf("an intent right after: %s\n",
-              turning.on([&] { return store->write_intent(row_of(900), [](bool) {}); }) ? "taken"
-                                                                                        : "refused at once");
+              reactor.run([&] { return store->write_intent(row_of(900), [](bool) {}); }) ? "taken"
+                                                                                         : "refused at once");
   std::vector<Key> keys;
   for (unsigned n = 1; n <= 50; ++n) keys.push_back(row_of(n).key);
-  turning.on([&] { return store->erase(keys), 0; });
+  reactor.run([&] { store->erase(keys); });
   std::this_thread::sleep_for(std::chrono::milliseconds(400));
   bool durable = false;
-  turning.on([&] { return store->write_intent(row_of(901), [&](bool good) { durable = good; }); });
-  turning.go_on([&] { return durable; });
+  reactor.run(
+      [&] { return store->write_intent(row_of(901), [&](bool is_durable) { durable = is_durable; }); });
+  reactor.wait_until([&] { return durable; });
   std::printf("an intent after fifty went: %s\n", durable ? "durable" : "not durable");
   std::optional<Row> found;
-  turning.on(
+  reactor.run(
       [&] { return store->fetch(row_of(60).key, [&](const std::optional<Row>& row) { found = row; }); });
-  turning.go_on([&] { return found.has_value(); });
+  reactor.wait_until([&] { return found.has_value(); });
   std::printf("what was there: %s\n", found && found->result == std::string(4096, 'r') ? "as it was" : "not");
 }
 
 // A disk that takes 60 ms a commit: what waits is bounded, and the reactor does not.
 void slow() {
   Folder folder;
-  Turning turning;
-  Watch watch;
-  Held store(turning,
-             {folder.file(), true, 0, 20, [] { std::this_thread::sleep_for(std::chrono::milliseconds(60)); }},
-             watch);
-  turning.go_on([&] { return watch.last == StoreState::kHealthy; });
-  unsigned asked = 0, taken = 0, durable = 0;
+  ReactorThread reactor;
+  PrintedEvents events;
+  StoreOnReactor store(
+      reactor,
+      {folder.file(), true, 0, 20, [] { std::this_thread::sleep_for(std::chrono::milliseconds(60)); }},
+      events);
+  reactor.wait_until([&] { return events.last == StoreState::kHealthy; });
+  unsigned asked = 0;
+  unsigned taken = 0;
+  unsigned durable = 0;
   double longest = 0;
   while (asked < 200) {
     const double begin = net::monotonic_now();
-    turning.on([&] {
-      for (int i = 0; i < 4; ++i)
-        taken += store->write_intent(row_of(++asked), [&](bool good) { durable += good; });
-      return 0;
+    reactor.run([&] {
+      for (int i = 0; i < 4; ++i) {
+        const bool is_accepted =
+            store->write_intent(row_of(++asked), [&](bool is_durable) { durable += is_durable ? 1 : 0; });
+        if (is_accepted) ++taken;
+      }
     });
     longest = std::max(longest, net::monotonic_now() - begin);
     std::this_thread::sleep_for(std::chrono::milliseconds(2));
   }
-  turning.go_on([&] { return durable == taken; });
+  reactor.wait_until([&] { return durable == taken; });
   std::printf("of 200 intents: taken %s, all taken are durable: %s\n",
               taken > 20 && taken < 200 ? "some" : std::to_string(taken).c_str(),
               durable == taken ? "yes" : "no");
@@ -381,14 +432,15 @@
 void refused() {
   Folder folder;
   {
-    Turning turning;
-    Watch first, second;
-    Held store(turning, {folder.file(), false, 0, 100, {}}, first);
-    turning.go_on([&] { return first.last == StoreState::kHealthy; });
-    Held other(turning, {folder.file(), false, 0, 100, {}}, second);
-    turning.go_on([&] { return second.last != StoreState::kOpening; });
+    ReactorThread reactor;
+    PrintedEvents first;
+    PrintedEvents second;
+    StoreOnReactor store(reactor, {folder.file(), false, 0, 100, {}}, first);
+    reactor.wait_until([&] { return first.last == StoreState::kHealthy; });
+    StoreOnReactor other(reactor, {folder.file(), false, 0, 100, {}}, second);
+    reactor.wait_until([&] { return second.last != StoreState::kOpening; });
     std::printf("takes intents: %s\n",
-                turning.on([&] { return other->accepts_intents(net::monotonic_now()); }) ? "yes" : "no");
+                reactor.run([&] { return other->accepts_intents(net::monotonic_now()); }) ? "yes" : "no");
   }
   const auto change = [&](const char* sql) {
     sqlite3* db = nullptr;
@@ -399,10 +451,10 @@
   for (const char* sql : {"pragma user_version=99", "pragma user_version=1; pragma application_id=5"}) {
     change(sql);
     std::printf("-- %s\n", sql);
-    Turning turning;
-    Watch watch;
-    Held store(turning, {folder.file(), false, 0, 100, {}}, watch);
-    turning.go_on([&] { return watch.last != StoreState::kOpening; });
+    ReactorThread reactor;
+    PrintedEvents events;
+    StoreOnReactor store(reactor, {folder.file(), false, 0, 100, {}}, events);
+    reactor.wait_until([&] { return events.last != StoreState::kOpening; });
   }
 }
 
@@ -415,18 +467,25 @@
                 health.should_open(now) ? "yes" : "no", health.retry_after(now));
   };
   say("at the start", 0);
-  health.on_fault(0, DatabaseFault::kUnavailable), say("unavailable", 0);
+  health.on_fault(0, DatabaseFault::kUnavailable);
+  say("unavailable", 0);
   say("later", 0.5);
-  health.on_fault(0.5, DatabaseFault::kUnavailable), say("unavailable again", 0.5);
+  health.on_fault(0.5, DatabaseFault::kUnavailable);
+  say("unavailable again", 0.5);
   say("later", 1.4);
   for (int i = 0; i < 9; ++i) health.on_fault(2, DatabaseFault::kUnavailable);
   say("for long", 2);
-  health.on_opened(), say("opened", 12);
-  health.on_fault(13, DatabaseFault::kFull), say("full", 13);
+  health.on_opened();
+  say("opened", 12);
+  health.on_fault(13, DatabaseFault::kFull);
+  say("full", 13);
   say("later", 13.3);
-  health.on_intent_written(), say("an intent was written", 13.3);
-  health.on_fault(14, DatabaseFault::kDamaged), say("damaged", 14);
-  health.on_fault(15, DatabaseFault::kFull), say("full", 15);
+  health.on_intent_written();
+  say("an intent was written", 13.3);
+  health.on_fault(14, DatabaseFault::kDamaged);
+  say("damaged", 14);
+  health.on_fault(15, DatabaseFault::kFull);
+  say("full", 15);
   say("much later", 1000);
 }
 
@@ -435,8 +494,8 @@
   push.idempotency_window = 10;
   const Recovery recovery({{"push", push.idempotency_window}});
   const auto say = [&](const char* what, const Row& row, std::int64_t now_ms) {
-    const RecoveredEntry r = recovery.assess(row, now_ms);
-    std::printf("%-34s %s, %.1f s left\n", what, r.is_live ? "kept" : "over", r.remaining_seconds);
+    const std::optional<double> remaining = recovery.remaining_seconds(row, now_ms);
+    std::printf("%-34s %s, %.1f s left\n", what, remaining ? "kept" : "over", remaining.value_or(0));
   };
   say("four seconds on", row_of(1, 100'000), 94'000);
   say("its window is over", row_of(1, 100'000), 100'000);
@@ -449,12 +508,15 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  const std::pair<const char*, void (*)()> kScenarios[] = {
+  const std::pair<const char*, void (*)()> scenarios[] = {
       {"crash", crash},     {"flipped", flipped}, {"full", full},    {"slow", slow},
       {"refused", refused}, {"health", health},   {"clocks", clocks}};
   std::setvbuf(stdout, nullptr, _IOLBF, 0);
-  for (const auto& [name, play] : kScenarios) {
-    if (argc == 2 && std::strcmp(argv[1], name) == 0) return play(), 0;
+  for (const auto& [name, play] : scenarios) {
+    if (argc == 2 && std::strcmp(argv[1], name) == 0) {
+      play();
+      return 0;
+    }
   }
   std::fprintf(stderr, "usage: results_store SCENARIO\n");
   return 2;
--- a/tests/statistics/learned_statistics.cpp
+++ b/tests/statistics/learned_statistics.cpp
@@ -46,10 +46,10 @@
   learned.routes[1].away.sum = 0;
   learned.calls = times(3, 20);
   learned.returning_share = 0.4;
-  return record_of(learned, site(), "n1", written, 60);
+  return make_record(learned, site(), "n1", written, 60);
 }
 
-constexpr PriorOptions kTerms{43200, 259200, 4};
+constexpr PriorOptions kOptions{43200, 259200, 4};
 
 double count_of(const LearnedDurations& t) {
   double n = 0;
@@ -63,8 +63,8 @@
   StatisticsFolder files(folder);
   std::vector<std::pair<std::size_t, double>> succeeded;  // steps so far, and what was written last
   for (int i = 1; i <= 40; ++i) {
-    if (i % 7 == 0) files.begins(1);
-    if (i % 7 == 2) files.came_through();
+    if (i % 7 == 0) files.begin_trial(1);
+    if (i % 7 == 2) files.end_trial();
     if (files.write(good(i))) succeeded.emplace_back(folder.steps().size(), i);
   }
   int points = 0, garbage = 0, older = 0, none = 0;
@@ -78,13 +78,13 @@
     RecordingFolder after(std::move(state));
     StatisticsFolder there(after);
     const Reading read = there.read();
-    const double found = read.record ? read.record->written : 0;
+    const double found = read.record ? read.record->written_at : 0;
     const bool whole = !read.record || encode(*read.record) == encode(good(found));
     if (!whole || found > last + 1) ++garbage;
     if (whole && found < last) ++(found == 0 ? none : older);
     if ((!whole || found > last + 1 || found < last) && first.empty())
       first = "behind step " + std::to_string(count) + ": " + std::to_string(found) + " where " +
-              std::to_string(last) + " was acknowledged, " + read.problem;
+              std::to_string(last) + " was acknowledged, " + std::string(text_of(read.problem));
   };
   const auto& steps = folder.steps();
   pcg32 random(3);
@@ -105,12 +105,12 @@
 // ---- Belief.
 void cases() {
   const auto say = [](const char* what, const StatisticsRecord& record, double now, int starts = 0,
-                      const StartSettings& with = site(), const PriorOptions& terms = kTerms) {
-    const Prior b = derive_prior(record, with, now, starts, terms);
-    std::printf("%-28s believed %-3s share %.2f", what, b.any ? "yes" : "no", b.share);
-    for (const auto& t : b.prior.routes) std::printf(", run %.2f values", count_of(t.run));
-    if (b.prior.returning_share >= 0) std::printf(", returns %.2f", b.prior.returning_share);
-    for (const std::string& why : b.reasons) std::printf("\n  %s", why.c_str());
+                      const StartSettings& with = site(), const PriorOptions& options = kOptions) {
+    const Prior b = derive_prior(record, with, now, starts, options);
+    std::printf("%-28s believed %-3s share %.2f", what, b.is_usable ? "yes" : "no", b.weight_share);
+    for (const auto& t : b.statistics.routes) std::printf(", run %.2f values", count_of(t.run));
+    if (b.statistics.returning_share >= 0) std::printf(", returns %.2f", b.statistics.returning_share);
+    for (const RejectedPart& rejected : b.rejected) std::printf("\n  %s", text_of(rejected).c_str());
     std::printf("\n");
   };
   say("just now", good(), 1000);
@@ -121,7 +121,7 @@
   say("from the future", good(), 900);
   say("clocks a little apart", good(), 997);
   StatisticsRecord r = good();
-  r.troubled = true;
+  r.under_pressure = true;
   say("a bad spell", r, 1000);
   say("one life lost with it", good(), 1000, 1);
   say("two lives lost with it", good(), 1000, 2);
@@ -141,23 +141,23 @@
   for (const auto& [what, value] : {std::pair{"a count that is no number", nan},
                                     std::pair{"a negative count", -1.0}, std::pair{"a huge count", 1e18}}) {
     r = good();
-    r.types[0].run.bins[2] = value;
+    r.routes[0].run.bins[2] = value;
     say(what, r, 1000);
   }
   r = good();
-  r.types[0].run = times(5, 2);
+  r.routes[0].run = times(5, 2);
   say("two values only", r, 1000);
   r = good();
-  r.types[0].run.sum = 1e9;
+  r.routes[0].run.sum = 1e9;
   say("a sum that can't be", r, 1000);
   r = good();
-  r.types[0].run.sum = 0;
+  r.routes[0].run.sum = 0;
   say("a sum that is too small", r, 1000);
   r = good();
-  r.types[1].run.bins.resize(5);
+  r.routes[1].run.bins.resize(5);
   say("too few bins", r, 1000);
   r = good();
-  r.written = nan;
+  r.written_at = nan;
   say("no time of writing", r, 1000);
 }
 
@@ -169,13 +169,13 @@
   int grows = 0, outweighs = 0, senseless = 0, lost = 0, believed = 0, refused = 0;
   for (int i = 0; i < 4000; ++i) {
     StatisticsRecord r = good(1000);
-    for (RouteRecord& t : r.types) {
+    for (RouteRecord& t : r.routes) {
       t.run = times(random() % 13, chance() * 63);
       t.away = times(random() % 13, chance() * 20);
     }
     for (int spoil = static_cast<int>(random() % 3); spoil > 0; --spoil) {
-      LearnedDurations& t = random() % 2   ? r.types[random() % 2].run
-                            : random() % 2 ? r.types[random() % 2].away
+      LearnedDurations& t = random() % 2   ? r.routes[random() % 2].run
+                            : random() % 2 ? r.routes[random() % 2].away
                                            : r.calls;
       const double values[] = {-chance(),
                                chance() * 1e12,
@@ -186,28 +186,28 @@
       const double value = values[random() % 6];
       random() % 3 ? t.bins[random() % t.bins.size()] = value : t.sum = value;
     }
-    r.returns = chance() * 3 - 1;
+    r.returning_share = chance() * 3 - 1;
     const std::optional<StatisticsRecord> back = decode(encode(r));
     if (!back || encode(*back) != encode(r)) ++lost;
     double last = 1e9;
     for (const double age : {0.0, 100.0, 3600.0, 40000.0, 100000.0, 250000.0, 400000.0}) {
-      const Prior b = derive_prior(r, site(), 1000 + age, 0, kTerms);
+      const Prior b = derive_prior(r, site(), 1000 + age, 0, kOptions);
       double weight = 0;
-      for (std::size_t k = 0; k < b.prior.routes.size(); ++k) {
-        const auto& t = b.prior.routes[k];
+      for (std::size_t k = 0; k < b.statistics.routes.size(); ++k) {
+        const auto& t = b.statistics.routes[k];
         for (const auto& [prior, seen] :
-             {std::pair{&t.run, &r.types[k].run}, std::pair{&t.away, &r.types[k].away}}) {
+             {std::pair{&t.run, &r.routes[k].run}, std::pair{&t.away, &r.routes[k].away}}) {
           if (prior->bins.empty()) continue;
           weight += count_of(*prior);
-          if (!sensible(*prior)) ++senseless;
-          if (count_of(*prior) > std::min(kTerms.weight, count_of(*seen)) + 1e-9) ++outweighs;
+          if (!is_plausible(*prior)) ++senseless;
+          if (count_of(*prior) > std::min(kOptions.max_weight, count_of(*seen)) + 1e-9) ++outweighs;
         }
       }
-      if (!b.prior.calls.bins.empty() && !sensible(b.prior.calls)) ++senseless;
-      if (b.prior.returning_share > 1) ++senseless;
+      if (!b.statistics.calls.bins.empty() && !is_plausible(b.statistics.calls)) ++senseless;
+      if (b.statistics.returning_share > 1) ++senseless;
       if (weight > last + 1e-9) ++grows;
       last = weight;
-      ++(b.any ? believed : refused);
+      ++(b.is_usable ? believed : refused);
     }
   }
   std::printf(
@@ -222,9 +222,10 @@
     StatisticsFolder there(folder);
     const Reading read = there.read();
     std::printf("%-34s %s%s%s", what, read.record ? "record of " : "nothing",
-                read.record ? std::to_string(static_cast<int>(read.record->written)).c_str() : "",
-                read.older ? ", the one before" : "");
-    std::printf("%s%s, lives lost %d\n", read.problem.empty() ? "" : ": ", read.problem.c_str(), read.starts);
+                read.record ? std::to_string(static_cast<int>(read.record->written_at)).c_str() : "",
+                read.is_previous ? ", the one before" : "");
+    const std::string problem(text_of(read.problem));
+    std::printf("%s%s, lives lost %d\n", problem.empty() ? "" : ": ", problem.c_str(), read.failed_starts);
   };
   RecordingFolder folder;
   StatisticsFolder mine(folder);
@@ -244,19 +245,23 @@
   with("both are cut short", [](auto& f) { f["knowledge"].resize(20), f["knowledge.1"].resize(9); });
   with("somebody else's file", [](auto& f) { f["knowledge"] = "#!/bin/sh\n", f.erase("knowledge.1"); });
   with("a megabyte", [](auto& f) { f["knowledge"].assign(1 << 20, 'x'), f.erase("knowledge.1"); });
-  with("sealed, and no record", [](auto& f) { f["knowledge"] = store::add_checksum(kForm, "hello"); });
-  with("a newer form", [](auto& f) { f["knowledge"] = store::add_checksum(kForm + 1, "what it knows"); });
+  with("sealed, and no record",
+       [](auto& f) { f["knowledge"] = store::add_checksum(kRecordFormatVersion, "hello"); });
+  with("a newer form",
+       [](auto& f) { f["knowledge"] = store::add_checksum(kRecordFormatVersion + 1, "what it knows"); });
   with("a trial that can't be read", [](auto& f) { f["knowledge.trial"] = "many"; });
   with("two lives lost", [](auto& f) { f["knowledge.trial"] = "2"; });
 
-  RecordingFolder newer({{"knowledge", store::add_checksum(kForm + 1, "what it knows")}});
+  RecordingFolder newer({{"knowledge", store::add_checksum(kRecordFormatVersion + 1, "what it knows")}});
   StatisticsFolder over(newer);
   over.write(good(5));
   over.write(good(6));
   say("written over a newer form", newer);
   std::printf(
       "the newer one is kept: %s\n",
-      newer.files().at("knowledge.newer") == store::add_checksum(kForm + 1, "what it knows") ? "yes" : "no");
+      newer.files().at("knowledge.newer") == store::add_checksum(kRecordFormatVersion + 1, "what it knows")
+          ? "yes"
+          : "no");
 
   folder.is_full = true;
   std::printf("on a full disk: %s\n", mine.write(good(3)) ? "written" : "not written");
@@ -265,17 +270,17 @@
   folder.is_locked_elsewhere = true;
   std::printf("while another has it: %s\n", mine.write(good(4)) ? "written" : "not written");
   folder.is_locked_elsewhere = false;
-  mine.begins(1);
+  mine.begin_trial(1);
   say("a life begins with it", folder);
-  mine.came_through();
+  mine.end_trial();
   say("and comes through", folder);
-  mine.forget();
+  mine.remove();
   say("forgotten", folder);
 }
 
 // A bounded run of what the fuzz target does: bytes of a record, spoilt anywhere, as a file and as a record.
 void bytes() {
-  const std::string record = encode(good()), sealed = store::add_checksum(kForm, record);
+  const std::string record = encode(good()), sealed = store::add_checksum(kRecordFormatVersion, record);
   pcg32 random(17);
   int passed = 0, read = 0, senseless = 0;
   const auto spoilt = [&](std::string text) {
@@ -293,14 +298,15 @@
   };
   for (int i = 0; i < 20000; ++i) {
     const std::string file = spoilt(sealed);
-    passed += file != sealed && store::verify_checksum(file, kForm).problem == store::ChecksumProblem::kNone;
+    passed += file != sealed &&
+              store::verify_checksum(file, kRecordFormatVersion).problem == store::ChecksumProblem::kNone;
     const std::optional<StatisticsRecord> back = decode(spoilt(record));  // as if the sum were right
     if (!back) continue;
     ++read;
-    const Prior b = derive_prior(*back, site(), 1000, 0, kTerms);
-    for (const auto& t : b.prior.routes) {
+    const Prior b = derive_prior(*back, site(), 1000, 0, kOptions);
+    for (const auto& t : b.statistics.routes) {
       for (const LearnedDurations* times : {&t.run, &t.away})
-        senseless += !times->bins.empty() && !sensible(*times);
+        senseless += !times->bins.empty() && !is_plausible(*times);
     }
   }
   std::printf(
--- a/tests/statistics/statistics_program.cpp
+++ b/tests/statistics/statistics_program.cpp
@@ -36,31 +36,31 @@
 void handed_on() {
   Site site("", "", {"", "knowledge\n    enabled on\n    folder FOLDER\n"});
   site.comes_up();
-  line(site, "starts without");
+  line(site, "starting without");
   run_some(site, 1, 1);
   site.signal(SIGTERM);
   site.ends();
   site.kill_and_start();
   site.comes_up();
-  line(site, "starts with what");
+  line(site, "starting with learned");
   site.pause(0.3);        // that a life began with it is written by then
   site.kill_and_start();  // it may have died of what it knew
   site.comes_up();
-  line(site, "starts with what");
+  line(site, "starting with learned");
   site.pause(0.3);
   site.kill_and_start();
   site.comes_up();
-  line(site, "not believed");
+  line(site, "learned statistics rejected");
   run_some(site, 11, 1);
   site.signal(SIGTERM);
   site.ends();
   site.kill_and_start();
   site.comes_up();
-  line(site, "starts with what");
+  line(site, "starting with learned");
   site.write_operators("knowledge\n    enabled on\n    folder /nowhere/at/all\n");
   site.kill_and_start();
   site.comes_up();
-  line(site, "starts without");
+  line(site, "starting without");
   run_some(site, 21, 1);
   site.signal(SIGTERM);
   site.ends();
@@ -71,7 +71,7 @@
   Site site("", "", {"", "knowledge\n    enabled on\n    folder FOLDER\n    interval 1s\n"});
   ::mkfifo((site.folder() + "/knowledge.new").c_str(), 0644);
   site.comes_up();
-  line(site, "starts without");
+  line(site, "starting without");
   run_some(site, 1, 1);
   site.pause(1.2);  // the first record hangs by now
   run_some(site, 11, 5);
