--- a/src/app/backend.cpp
+++ b/src/app/backend.cpp
@@ -109,7 +109,7 @@
       catalog_(reactor_, choice, counters_, log),
       in_flight_(ports_, counters_),
       sender_(ports_, config_.site, counters_),
-      replay_(reactor_, in_flight_, sender_, admission_, config_.site, catalog_.catalog(), options_.results,
+      replay_(reactor_, {in_flight_, sender_, admission_}, config_.site, catalog_.catalog(), options_.results,
               counters_, log_),
       statistics_(reactor_, admission_, config_.site, config_.name, options_.knowledge, counters_, log_),
       executor_(in_flight_, sender_, replay_, counters_, log_),
--- a/src/stages/result_replay.cpp
+++ b/src/stages/result_replay.cpp
@@ -48,20 +48,19 @@
 
 }  // namespace
 
-ResultReplay::ResultReplay(net::Reactor& reactor, InFlightRequests& in_flight, CommandSender& sender,
-                           AdmissionDriver& admission, const StartSettings& site,
+ResultReplay::ResultReplay(net::Reactor& reactor, const Stages& stages, const StartSettings& site,
                            const catalog::Catalog& catalog, const ResultsOptions& options, Counters& counters,
                            Logger& log)
     : reactor_(reactor),
-      in_flight_(in_flight),
-      sender_(sender),
-      admission_(admission),
+      in_flight_(stages.in_flight),
+      sender_(stages.sender),
+      admission_(stages.admission),
       site_(site),
       options_(options),
       counters_(counters),
       log_(log),
       identifier_(options, site),
-      replies_(reactor, in_flight, admission, site),
+      replies_(reactor, stages.in_flight, stages.admission, site),
       pending_writes_(reactor),
       cache_(limits_of(options, site)),
       recovery_(windows_of(catalog)) {
--- a/src/stages/result_replay.h
+++ b/src/stages/result_replay.h
@@ -35,9 +35,16 @@
 
 class ResultReplay : private results::StoreEvents {
  public:
-  ResultReplay(net::Reactor& reactor, InFlightRequests& in_flight, CommandSender& sender,
-               AdmissionDriver& admission, const StartSettings& site, const catalog::Catalog& catalog,
-               const ResultsOptions& options, Counters& counters, Logger& log);
+  // The stages that it connects.
+  struct Stages {
+    InFlightRequests& in_flight;
+    CommandSender& sender;
+    AdmissionDriver& admission;
+  };
+
+  ResultReplay(net::Reactor& reactor, const Stages& stages, const StartSettings& site,
+               const catalog::Catalog& catalog, const ResultsOptions& options, Counters& counters,
+               Logger& log);
   ~ResultReplay() override;
   ResultReplay(const ResultReplay&) = delete;
   ResultReplay& operator=(const ResultReplay&) = delete;
--- a/tests/stages.cpp
+++ b/tests/stages.cpp
@@ -157,8 +157,8 @@
   Counters counters;
   stages::InFlightRequests in_flight{ports_, counters};
   stages::CommandSender send{ports_, site_, counters};
-  stages::ResultReplay replay{reactor_,  in_flight, send,     admission, site_,
-                              *catalog_, options_,  counters, log_};
+  stages::ResultReplay replay{reactor_, {in_flight, send, admission}, site_, *catalog_, options_, counters,
+                              log_};
   stages::StatisticsPersistence statistics{reactor_, admission, site_, "n1", knowledge_, counters, log_};
   stages::DecisionExecutor executor{in_flight, send, replay, counters, log_};
   stages::AdmissionDriver admission{reactor_, site_, *catalog_, 7, executor, statistics, ports_, counters};
