--- a/tests/statistics/learned_statistics.cpp
+++ b/tests/statistics/learned_statistics.cpp
@@ -1,5 +1,7 @@
-// Learning that survives: crashes while it is written, how far it is believed, and what is made of files that
-// are not what they should be. CTest compares with tests/traces/knowledge_NAME.txt. usage: knowledge SCENARIO
+// Learned statistics on disk: crashes while a record is written, the prior that a record gives, and corrupt
+// or foreign files. CTest compares with tests/traces/knowledge_NAME.txt. usage: learned_statistics SCENARIO
+#include <algorithm>
+#include <array>
 #include <chrono>
 #include <cmath>
 #include <cstdio>
@@ -29,9 +31,13 @@
 
 StartSettings site() {
   StartSettings s;
-  Route push, pull;
-  push.latency_objective = 1, push.timeout = 2, push.calls_dependency = true;
-  pull.latency_objective = 0.5, pull.timeout = 2;
+  Route push;
+  push.latency_objective = 1;
+  push.timeout = 2;
+  push.calls_dependency = true;
+  Route pull;
+  pull.latency_objective = 0.5;
+  pull.timeout = 2;
   s.admission.routes = {push, pull};
   s.admission.cores = 2;
   s.admission.dependency = DependencyKind::kShared;
@@ -58,51 +64,83 @@
 }
 
 // ---- Crashes.
-void crash() {
+
+struct Recorded {
+  std::vector<RecordingFolder::Step> steps;
+  std::vector<std::pair<std::size_t, double>> acknowledged;  // steps so far, and the record written last
+};
+
+Recorded write_records() {
   RecordingFolder folder;
   StatisticsFolder files(folder);
-  std::vector<std::pair<std::size_t, double>> succeeded;  // steps so far, and what was written last
+  Recorded out;
   for (int i = 1; i <= 40; ++i) {
     if (i % 7 == 0) files.begin_trial(1);
     if (i % 7 == 2) files.end_trial();
-    if (files.write(good(i))) succeeded.emplace_back(folder.steps().size(), i);
+    if (files.write(good(i))) out.acknowledged.emplace_back(folder.steps().size(), i);
   }
-  int points = 0, garbage = 0, older = 0, none = 0;
-  std::string first;
-  const auto look = [&](std::size_t count, std::size_t returned, RecordingFolder::Files state) {
-    ++points;
+  out.steps = folder.steps();
+  return out;
+}
+
+class CrashReport {
+ public:
+  explicit CrashReport(const Recorded& recorded) : recorded_(recorded) {}
+
+  // Checks the files after a crash behind `count` steps, of which `returned` had returned to their caller.
+  void check(std::size_t count, std::size_t returned, RecordingFolder::Files files) {
+    ++crashes_;
     double last = 0;
-    for (const auto& [steps, written] : succeeded) {
-      if (steps <= returned) last = written;
+    for (const auto& [steps, written_at] : recorded_.acknowledged) {
+      if (steps <= returned) last = written_at;
     }
-    RecordingFolder after(std::move(state));
-    StatisticsFolder there(after);
-    const Reading read = there.read();
-    const double found = read.record ? read.record->written_at : 0;
-    const bool whole = !read.record || encode(*read.record) == encode(good(found));
-    if (!whole || found > last + 1) ++garbage;
-    if (whole && found < last) ++(found == 0 ? none : older);
-    if ((!whole || found > last + 1 || found < last) && first.empty())
-      first = "behind step " + std::to_string(count) + ": " + std::to_string(found) + " where " +
-              std::to_string(last) + " was acknowledged, " + std::string(text_of(read.problem));
-  };
-  const auto& steps = folder.steps();
+    RecordingFolder folder(std::move(files));
+    const Reading reading = StatisticsFolder(folder).read();
+    const double found = reading.record ? reading.record->written_at : 0;
+    const bool is_whole = !reading.record || encode(*reading.record) == encode(good(found));
+    if (!is_whole || found > last + 1) ++garbage_;
+    if (is_whole && found < last) ++(found == 0 ? none_ : older_);
+    const bool is_failure = !is_whole || found > last + 1 || found < last;
+    if (!is_failure || !first_failure_.empty()) return;
+    first_failure_ = "behind step " + std::to_string(count) + ": " + std::to_string(found) + " where " +
+                     std::to_string(last) + " was acknowledged, " + std::string(text_of(reading.problem));
+  }
+
+  void print() const {
+    std::printf("crash points over 10000: %s\n", crashes_ > 10000 ? "yes" : "no");
+    std::printf("garbage %d, acknowledged and an older one found %d, acknowledged and nothing found %d\n",
+                garbage_, older_, none_);
+    if (!first_failure_.empty()) std::printf("  %s\n", first_failure_.c_str());
+  }
+
+ private:
+  const Recorded& recorded_;
+  int crashes_ = 0;
+  int garbage_ = 0;
+  int older_ = 0;
+  int none_ = 0;
+  std::string first_failure_;
+};
+
+void crash() {
+  const Recorded recorded = write_records();
+  const std::vector<RecordingFolder::Step>& steps = recorded.steps;
+  CrashReport report(recorded);
   pcg32 random(3);
   for (std::size_t count = 0; count <= steps.size(); ++count) {
-    look(count, count, RecordingFolder::after_kill(steps, count, std::string::npos));
-    for (int i = 0; i < 8 && count > 0; ++i)
-      look(count, count - 1,
-           RecordingFolder::after_kill(steps, count, random() % (steps[count - 1].bytes.size() + 1)));
+    report.check(count, count, RecordingFolder::after_kill(steps, count, std::string::npos));
+    for (int i = 0; i < 8 && count > 0; ++i) {
+      const std::size_t bytes = random() % (steps[count - 1].bytes.size() + 1);
+      report.check(count, count - 1, RecordingFolder::after_kill(steps, count, bytes));
+    }
     for (std::uint64_t seed = 1; seed <= 48; ++seed)
-      look(count, count, RecordingFolder::after_power_cut(steps, count, seed * 100000 + count));
+      report.check(count, count, RecordingFolder::after_power_cut(steps, count, seed * 100000 + count));
   }
-  std::printf("crash points over 10000: %s\n", points > 10000 ? "yes" : "no");
-  std::printf("garbage %d, acknowledged and an older one found %d, acknowledged and nothing found %d\n",
-              garbage, older, none);
-  if (!first.empty()) std::printf("  %s\n", first.c_str());
+  report.print();
 }
 
-// ---- Belief.
+// ---- Priors.
+
 void cases() {
   const auto say = [](const char* what, const StatisticsRecord& record, double now, int starts = 0,
                       const StartSettings& with = site(), const PriorOptions& options = kOptions) {
@@ -161,62 +199,111 @@
   say("no time of writing", r, 1000);
 }
 
-// Seeded records, sound and spoilt: belief never grows with age, never outweighs what was seen, and nothing
-// senseless comes through.
-void properties() {
-  pcg32 random(11);
-  const auto chance = [&] { return random() / 4294967296.0; };
-  int grows = 0, outweighs = 0, senseless = 0, lost = 0, believed = 0, refused = 0;
-  for (int i = 0; i < 4000; ++i) {
-    StatisticsRecord r = good(1000);
-    for (RouteRecord& t : r.routes) {
-      t.run = times(random() % 13, chance() * 63);
-      t.away = times(random() % 13, chance() * 20);
+// Random records, intact and corrupted.
+class RandomRecords {
+ public:
+  explicit RandomRecords(std::uint64_t seed) : random_(seed) {}
+
+  StatisticsRecord next() {
+    StatisticsRecord record = good(1000);
+    for (RouteRecord& route : record.routes) {
+      route.run = times(random_() % 13, uniform() * 63);
+      route.away = times(random_() % 13, uniform() * 20);
     }
-    for (int spoil = static_cast<int>(random() % 3); spoil > 0; --spoil) {
-      LearnedDurations& t = random() % 2   ? r.routes[random() % 2].run
-                            : random() % 2 ? r.routes[random() % 2].away
-                                           : r.calls;
-      const double values[] = {-chance(),
-                               chance() * 1e12,
-                               std::numeric_limits<double>::infinity(),
-                               std::numeric_limits<double>::quiet_NaN(),
-                               0,
-                               chance() * 64};
-      const double value = values[random() % 6];
-      random() % 3 ? t.bins[random() % t.bins.size()] = value : t.sum = value;
+    for (int corruptions = static_cast<int>(random_() % 3); corruptions > 0; --corruptions)
+      corrupt(durations_of(record));
+    record.returning_share = uniform() * 3 - 1;
+    return record;
+  }
+
+ private:
+  double uniform() { return random_() / 4294967296.0; }
+
+  LearnedDurations& durations_of(StatisticsRecord& record) {
+    if (random_() % 2 == 1) return record.routes[random_() % 2].run;
+    if (random_() % 2 == 1) return record.routes[random_() % 2].away;
+    return record.calls;
+  }
+
+  void corrupt(LearnedDurations& durations) {
+    const double negative = -uniform();
+    const double huge = uniform() * 1e12;
+    const double plausible = uniform() * 64;
+    const std::array<double, 6> values = {
+        negative, huge,     std::numeric_limits<double>::infinity(), std::numeric_limits<double>::quiet_NaN(),
+        0,        plausible};
+    const double value = values.at(random_() % values.size());
+    if (random_() % 3 == 0) {
+      durations.sum = value;
+    } else {
+      durations.bins[random_() % durations.bins.size()] = value;
     }
-    r.returning_share = chance() * 3 - 1;
-    const std::optional<StatisticsRecord> back = decode(encode(r));
-    if (!back || encode(*back) != encode(r)) ++lost;
-    double last = 1e9;
+  }
+
+  pcg32 random_;
+};
+
+// The weight of a prior never grows with age and never exceeds the evidence, and no implausible value passes.
+class PriorProperties {
+ public:
+  void check(const StatisticsRecord& record) {
+    const std::optional<StatisticsRecord> decoded = decode(encode(record));
+    if (!decoded || encode(*decoded) != encode(record)) ++lost_;
+    double last_weight = 1e9;
     for (const double age : {0.0, 100.0, 3600.0, 40000.0, 100000.0, 250000.0, 400000.0}) {
-      const Prior b = derive_prior(r, site(), 1000 + age, 0, kOptions);
-      double weight = 0;
-      for (std::size_t k = 0; k < b.statistics.routes.size(); ++k) {
-        const auto& t = b.statistics.routes[k];
-        for (const auto& [prior, seen] :
-             {std::pair{&t.run, &r.routes[k].run}, std::pair{&t.away, &r.routes[k].away}}) {
-          if (prior->bins.empty()) continue;
-          weight += count_of(*prior);
-          if (!is_plausible(*prior)) ++senseless;
-          if (count_of(*prior) > std::min(kOptions.max_weight, count_of(*seen)) + 1e-9) ++outweighs;
-        }
-      }
-      if (!b.statistics.calls.bins.empty() && !is_plausible(b.statistics.calls)) ++senseless;
-      if (b.statistics.returning_share > 1) ++senseless;
-      if (weight > last + 1e-9) ++grows;
-      last = weight;
-      ++(b.is_usable ? believed : refused);
+      const Prior prior = derive_prior(record, site(), 1000 + age, 0, kOptions);
+      const double weight = check(prior, record);
+      if (weight > last_weight + 1e-9) ++grows_;
+      last_weight = weight;
     }
   }
-  std::printf(
-      "grows with age %d, outweighs what was seen %d, senseless %d, lost on the way through CBOR %d\n", grows,
-      outweighs, senseless, lost);
-  std::printf("believed and refused often: %s\n", believed > 5000 && refused > 5000 ? "yes" : "no");
+
+  void print() const {
+    std::printf(
+        "grows with age %d, outweighs what was seen %d, senseless %d, lost on the way through CBOR %d\n",
+        grows_, outweighs_, implausible_, lost_);
+    std::printf("believed and refused often: %s\n", used_ > 5000 && rejected_ > 5000 ? "yes" : "no");
+  }
+
+ private:
+  // Returns the weight of all routes.
+  double check(const Prior& prior, const StatisticsRecord& record) {
+    double weight = 0;
+    for (std::size_t i = 0; i < prior.statistics.routes.size(); ++i) {
+      weight += check(prior.statistics.routes[i].run, record.routes[i].run);
+      weight += check(prior.statistics.routes[i].away, record.routes[i].away);
+    }
+    const LearnedDurations& calls = prior.statistics.calls;
+    if (!calls.bins.empty() && !is_plausible(calls)) ++implausible_;
+    if (prior.statistics.returning_share > 1) ++implausible_;
+    ++(prior.is_usable ? used_ : rejected_);
+    return weight;
+  }
+
+  double check(const LearnedDurations& prior, const LearnedDurations& evidence) {
+    if (prior.bins.empty()) return 0;
+    if (!is_plausible(prior)) ++implausible_;
+    if (count_of(prior) > std::min(kOptions.max_weight, count_of(evidence)) + 1e-9) ++outweighs_;
+    return count_of(prior);
+  }
+
+  int grows_ = 0;
+  int outweighs_ = 0;
+  int implausible_ = 0;
+  int lost_ = 0;
+  int used_ = 0;
+  int rejected_ = 0;
+};
+
+void properties() {
+  RandomRecords records(11);
+  PriorProperties result;
+  for (int i = 0; i < 4000; ++i) result.check(records.next());
+  result.print();
 }
 
-// ---- Files that are not what they should be.
+// ---- Corrupt and foreign files.
+
 void files() {
   const auto say = [](const char* what, RecordingFolder& folder) {
     StatisticsFolder there(folder);
@@ -242,9 +329,18 @@
   };
   with("the newest is cut short", [](auto& f) { f["knowledge"].resize(100); });
   with("one bit of the newest", [](auto& f) { f["knowledge"][60] ^= 4; });
-  with("both are cut short", [](auto& f) { f["knowledge"].resize(20), f["knowledge.1"].resize(9); });
-  with("somebody else's file", [](auto& f) { f["knowledge"] = "#!/bin/sh\n", f.erase("knowledge.1"); });
-  with("a megabyte", [](auto& f) { f["knowledge"].assign(1 << 20, 'x'), f.erase("knowledge.1"); });
+  with("both are cut short", [](auto& f) {
+    f["knowledge"].resize(20);
+    f["knowledge.1"].resize(9);
+  });
+  with("somebody else's file", [](auto& f) {
+    f["knowledge"] = "#!/bin/sh\n";
+    f.erase("knowledge.1");
+  });
+  with("a megabyte", [](auto& f) {
+    f["knowledge"].assign(1 << 20, 'x');
+    f.erase("knowledge.1");
+  });
   with("sealed, and no record",
        [](auto& f) { f["knowledge"] = store::add_checksum(kRecordFormatVersion, "hello"); });
   with("a newer form",
@@ -278,41 +374,52 @@
   say("forgotten", folder);
 }
 
-// A bounded run of what the fuzz target does: bytes of a record, spoilt anywhere, as a file and as a record.
+std::string corrupted(std::string text, pcg32& random) {
+  for (unsigned n = 1 + random() % 3; n > 0; --n) {
+    const std::size_t position = random() % text.size();
+    switch (random() % 4) {
+      case 0: text[position] = static_cast<char>(text[position] ^ (1 << random() % 8)); break;
+      case 1: text[position] = static_cast<char>(random()); break;
+      case 2: text.erase(position, 1 + random() % 8); break;
+      default: text.insert(position, 1 + random() % 8, static_cast<char>(random()));
+    }
+    if (text.empty()) text.assign(1, 'x');
+  }
+  return text;
+}
+
+int implausible_parts(const Prior& prior) {
+  int count = 0;
+  for (const auto& route : prior.statistics.routes) {
+    for (const LearnedDurations* durations : {&route.run, &route.away}) {
+      if (!durations->bins.empty() && !is_plausible(*durations)) ++count;
+    }
+  }
+  return count;
+}
+
+// A bounded run of the fuzz target: the bytes of a record, corrupted anywhere, as a file and as a record.
 void bytes() {
-  const std::string record = encode(good()), sealed = store::add_checksum(kRecordFormatVersion, record);
+  const std::string record = encode(good());
+  const std::string whole_file = store::add_checksum(kRecordFormatVersion, record);
   pcg32 random(17);
-  int passed = 0, read = 0, senseless = 0;
-  const auto spoilt = [&](std::string text) {
-    for (unsigned n = 1 + random() % 3; n > 0; --n) {
-      const std::size_t at = random() % text.size();
-      switch (random() % 4) {
-        case 0: text[at] = static_cast<char>(text[at] ^ (1 << random() % 8)); break;
-        case 1: text[at] = static_cast<char>(random()); break;
-        case 2: text.erase(at, 1 + random() % 8); break;
-        default: text.insert(at, 1 + random() % 8, static_cast<char>(random()));
-      }
-      if (text.empty()) text.assign(1, 'x');
-    }
-    return text;
-  };
+  int passed = 0;
+  int decoded = 0;
+  int implausible = 0;
   for (int i = 0; i < 20000; ++i) {
-    const std::string file = spoilt(sealed);
-    passed += file != sealed &&
-              store::verify_checksum(file, kRecordFormatVersion).problem == store::ChecksumProblem::kNone;
-    const std::optional<StatisticsRecord> back = decode(spoilt(record));  // as if the sum were right
-    if (!back) continue;
-    ++read;
-    const Prior b = derive_prior(*back, site(), 1000, 0, kOptions);
-    for (const auto& t : b.statistics.routes) {
-      for (const LearnedDurations* times : {&t.run, &t.away})
-        senseless += !times->bins.empty() && !is_plausible(*times);
-    }
+    const std::string file = corrupted(whole_file, random);
+    const store::ChecksumProblem problem = store::verify_checksum(file, kRecordFormatVersion).problem;
+    if (file != whole_file && problem == store::ChecksumProblem::kNone) ++passed;
+    const std::optional<StatisticsRecord> found =
+        decode(corrupted(record, random));  // as if the checksum matched
+    if (!found) continue;
+    ++decoded;
+    implausible += implausible_parts(derive_prior(*found, site(), 1000, 0, kOptions));
   }
   std::printf(
       "of 20000 spoilt files taken for whole: %d; spoilt records read all the same: %s, senseless believed: "
       "%d\n",
-      passed, read > 1000 ? "many" : "few", senseless);
+      passed, decoded > 1000 ? "many" : "few", implausible);
 }
 
 // A folder whose reads hang: the start waits its quarter of a second, has nothing, and the end waits its
@@ -328,17 +435,17 @@
     return std::chrono::duration<double>(Clock::now() - from).count();
   };
   const auto began = Clock::now();
-  auto keeper = std::make_unique<StatisticsStore>([] { return std::make_unique<Hung>(); });
-  keeper->wait_for_reading(0.25);
+  auto statistics_store = std::make_unique<StatisticsStore>([] { return std::make_unique<Hung>(); });
+  statistics_store->wait_for_reading(0.25);
   std::printf("the start waited a quarter of a second: %s\n",
               since(began) >= 0.25 && since(began) < 1 ? "yes" : "no");
-  std::printf("something was read: %s\n", keeper->take_reading() ? "yes" : "no");
+  std::printf("something was read: %s\n", statistics_store->take_reading() ? "yes" : "no");
   const std::string bytes = encode(good());
   const auto asked = Clock::now();
-  for (int i = 0; i < 1000; ++i) keeper->write(bytes);
+  for (int i = 0; i < 1000; ++i) statistics_store->write(bytes);
   std::printf("a thousand records handed over, none waited for: %s\n", since(asked) < 0.2 ? "yes" : "no");
   const auto ending = Clock::now();
-  keeper.reset();
+  statistics_store.reset();
   std::printf("the end waited a fifth of a second: %s\n",
               since(ending) >= 0.2 && since(ending) < 1 ? "yes" : "no");
   std::fflush(stdout);
@@ -348,12 +455,15 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  const std::pair<const char*, void (*)()> kScenarios[] = {{"crash", crash},           {"cases", cases},
-                                                           {"properties", properties}, {"files", files},
-                                                           {"bytes", bytes},           {"hangs", hangs}};
-  for (const auto& [name, play] : kScenarios) {
-    if (argc == 2 && std::strcmp(argv[1], name) == 0) return play(), 0;
+  const std::pair<const char*, void (*)()> scenarios[] = {{"crash", crash},           {"cases", cases},
+                                                          {"properties", properties}, {"files", files},
+                                                          {"bytes", bytes},           {"hangs", hangs}};
+  for (const auto& [name, play] : scenarios) {
+    if (argc == 2 && std::strcmp(argv[1], name) == 0) {
+      play();
+      return 0;
+    }
   }
-  std::fprintf(stderr, "usage: knowledge SCENARIO\n");
+  std::fprintf(stderr, "usage: learned_statistics SCENARIO\n");
   return 2;
 }
