--- a/src/results/health.cpp
+++ b/src/results/health.cpp
@@ -5,69 +5,63 @@
 namespace damsonspoke::results {
 namespace {
 
-constexpr double kFullPause = 0.25;   // s; windows end all the time, and each makes room
-constexpr double kAwayPause = 0.5;    // s; the first: a moment's trouble
-constexpr double kAwayMost = 10;      // s; longer would leave a mended disk unused
-constexpr double kRefusedAdvice = 5;  // s; somebody has to come first
+constexpr double kFullRetrySeconds = 0.25;  // windows end all the time, and each frees space
+constexpr double kMinBackoffSeconds = 0.5;
+constexpr double kMaxBackoffSeconds = 10;  // bounds how long a repaired disk stays unused
+constexpr double kDisabledRetryAfterSeconds = 5;
 
 }  // namespace
 
 std::string_view name_of(StoreState state) {
   switch (state) {
     case StoreState::kOpening: return "opening";
-    case StoreState::kSound: return "sound";
+    case StoreState::kHealthy: return "healthy";
     case StoreState::kFull: return "full";
-    case StoreState::kAway: return "away";
-    case StoreState::kRefused: return "refused";
+    case StoreState::kUnavailable: return "unavailable";
+    case StoreState::kDisabled: return "disabled";
   }
   return "";
 }
 
-bool StoreHealth::opened() {
-  const bool changed = state_ != StoreState::kSound;
-  state_ = StoreState::kSound;
-  return changed;
-}
+void StoreHealth::on_opened() { state_ = StoreState::kHealthy; }
 
-bool StoreHealth::wrote() {
-  pause_ = 0;
-  const bool changed = state_ == StoreState::kFull;
-  if (changed) state_ = StoreState::kSound;
-  return changed;
+void StoreHealth::on_intent_written() {
+  backoff_seconds_ = 0;
+  if (state_ == StoreState::kFull) state_ = StoreState::kHealthy;
 }
 
-bool StoreHealth::failed(double now, DatabaseFault trouble) {
-  const StoreState was = state_;
-  if (was == StoreState::kRefused) return false;
-  switch (trouble) {
+void StoreHealth::on_fault(double now, DatabaseFault fault) {
+  if (state_ == StoreState::kDisabled) return;
+  switch (fault) {
     case DatabaseFault::kFull:
       state_ = StoreState::kFull;
-      again_at_ = now + kFullPause;
+      retry_at_ = now + kFullRetrySeconds;
       break;
     case DatabaseFault::kUnavailable:
-      state_ = StoreState::kAway;
-      pause_ = std::clamp(pause_ * 2, kAwayPause, kAwayMost);
-      again_at_ = now + pause_;
+      state_ = StoreState::kUnavailable;
+      backoff_seconds_ = std::clamp(backoff_seconds_ * 2, kMinBackoffSeconds, kMaxBackoffSeconds);
+      retry_at_ = now + backoff_seconds_;
       break;
     case DatabaseFault::kDamaged:
-    case DatabaseFault::kNewer:
-    case DatabaseFault::kForeign: state_ = StoreState::kRefused; break;
+    case DatabaseFault::kNewerSchema:
+    case DatabaseFault::kUnrecognized: state_ = StoreState::kDisabled; break;
   }
-  return state_ != was;
 }
 
-bool StoreHealth::takes_intents(double now) const {
-  return state_ == StoreState::kSound || (state_ == StoreState::kFull && now >= again_at_);
+bool StoreHealth::accepts_intents(double now) const {
+  return state_ == StoreState::kHealthy || (state_ == StoreState::kFull && now >= retry_at_);
 }
+
 bool StoreHealth::should_open(double now) const {
-  return state_ == StoreState::kOpening || (state_ == StoreState::kAway && now >= again_at_);
+  return state_ == StoreState::kOpening || (state_ == StoreState::kUnavailable && now >= retry_at_);
 }
+
 double StoreHealth::retry_after(double now) const {
   switch (state_) {
-    case StoreState::kSound: return 0;
-    case StoreState::kOpening: return kFullPause;
-    case StoreState::kRefused: return kRefusedAdvice;
-    default: return std::max(kFullPause, again_at_ - now);
+    case StoreState::kHealthy: return 0;
+    case StoreState::kOpening: return kFullRetrySeconds;
+    case StoreState::kDisabled: return kDisabledRetryAfterSeconds;
+    default: return std::max(kFullRetrySeconds, retry_at_ - now);
   }
 }
 
--- a/src/results/idempotency_cache.cpp
+++ b/src/results/idempotency_cache.cpp
@@ -3,279 +3,291 @@
 #include <algorithm>
 
 namespace damsonspoke::results {
+namespace {
 
-// What has not ended is charged the longest result that it may come to, so that there is room for it then.
-std::size_t IdempotencyCache::size_of(const Entry& entry) {
-  switch (entry.state) {
-    case State::kReserved:
-    case State::kRunning: return kEntryBytes + kMostResult;
-    case State::kEnded: return kEntryBytes + (entry.result ? entry.result->size() : 0);
-    case State::kUnknown: return kEntryBytes;
-  }
-  return kEntryBytes;
+// An active entry is charged the longest result, so that there is capacity for whatever it comes to.
+constexpr std::size_t kActiveEntryBytes = IdempotencyCache::kEntryBytes + IdempotencyCache::kMaxResultBytes;
+
+}  // namespace
+
+std::size_t IdempotencyCache::charge_of(const Entry& entry) {
+  if (entry.is_active()) return kActiveEntryBytes;
+  return kEntryBytes + (entry.result ? entry.result->size() : 0);
 }
 
-IdempotencyCache::Entry* IdempotencyCache::live(RequestId id) {
-  const auto found = live_.find(id);
-  return found == live_.end() ? nullptr : &entries_.at(found->second);
+IdempotencyCache::Entry* IdempotencyCache::active_entry(RequestId id) {
+  const auto found = active_keys_.find(id);
+  return found == active_keys_.end() ? nullptr : &entries_.at(found->second);
+}
+
+const IdempotencyCache::Entry* IdempotencyCache::find_active(RequestId id) const {
+  const auto found = active_keys_.find(id);
+  return found == active_keys_.end() ? nullptr : &entries_.at(found->second);
 }
 
 const IdempotencyCache::Entry* IdempotencyCache::find(const Key& key) const {
   const auto found = entries_.find(key);
   return found == entries_.end() ? nullptr : &found->second;
 }
-const IdempotencyCache::Entry* IdempotencyCache::entry_of(RequestId id) const {
-  const auto found = live_.find(id);
-  return found == live_.end() ? nullptr : find(found->second);
-}
-const std::string* IdempotencyCache::result(const Key& key) const {
+
+const std::string* IdempotencyCache::result_in_memory(const Key& key) const {
   const Entry* entry = find(key);
-  return entry && entry->state == State::kEnded && entry->result ? &*entry->result : nullptr;
+  return entry && entry->state == EntryState::kCompleted && entry->result ? &*entry->result : nullptr;
 }
 
-// ---- Room.
+// ---- Capacity and eviction.
+
 void IdempotencyCache::add(Entry entry) {
-  bytes_ += size_of(entry);
+  used_bytes_ += charge_of(entry);
   const Key key = entry.key;
   entries_.emplace(key, std::move(entry));
 }
 
-void IdempotencyCache::erase(const Key& key) {
+void IdempotencyCache::erase(Key key) {
   const auto found = entries_.find(key);
-  Entry& entry = found->second;
-  bytes_ -= size_of(entry);
-  ends_.erase({entry.until, key});
-  droppable_.erase({entry.touched, key});
-  const auto live = live_.find(entry.id);
-  if (live != live_.end() && live->second == key) live_.erase(live);
+  const Entry& entry = found->second;
+  used_bytes_ -= charge_of(entry);
+  expiries_.erase({entry.expires_at, key});
+  evictable_.erase({entry.recency, key});
+  const auto active = active_keys_.find(entry.id);
+  if (active != active_keys_.end() && active->second == key) active_keys_.erase(active);
   entries_.erase(found);
 }
 
-void IdempotencyCache::let_go_of_result(Entry& entry) {
-  bytes_ -= size_of(entry);
+void IdempotencyCache::evict_result(Entry& entry) {
+  used_bytes_ -= charge_of(entry);
   entry.result.reset();
-  bytes_ += size_of(entry);
-  droppable_.erase({entry.touched, entry.key});
+  used_bytes_ += charge_of(entry);
+  evictable_.erase({entry.recency, entry.key});
 }
 
-// The oldest of what need not be in memory: a read's answer goes whole, a stored result's bytes go. What must
-// be remembered is never among them.
-bool IdempotencyCache::give_up_one() {
-  if (droppable_.empty()) return false;
-  Entry& entry = entries_.at(droppable_.begin()->second);
-  ++evicted_;
-  if (entry.kind == Kind::kShared) {
+// A shared read is evicted whole; of a keyed entry whose result is in the store, only the result in memory.
+bool IdempotencyCache::evict_one() {
+  if (evictable_.empty()) return false;
+  Entry& entry = entries_.at(evictable_.begin()->second);
+  ++evicted_count_;
+  if (entry.kind == EntryKind::kSharedRead) {
     erase(entry.key);
   } else {
-    let_go_of_result(entry);
+    evict_result(entry);
   }
   return true;
 }
 
-bool IdempotencyCache::make_room(std::size_t bytes, std::size_t entries) {
-  while (bytes_ + bytes > bounds_.bytes || entries_.size() + entries > bounds_.entries) {
-    if (!give_up_one()) return false;
+bool IdempotencyCache::evict_until_fits(std::size_t bytes, std::size_t entries) {
+  while (used_bytes_ + bytes > limits_.max_bytes || entries_.size() + entries > limits_.max_entries) {
+    if (!evict_one()) return false;
   }
   return true;
 }
 
-// For one more that is open, in the place of what has that key and is over, if anything has.
-bool IdempotencyCache::make_room_for(const Key& key) {
-  constexpr std::size_t kOpen = kEntryBytes + kMostResult;
+bool IdempotencyCache::evict_until_key_fits(const Key& key) {
   for (;;) {
     const auto found = entries_.find(key);
-    if (found == entries_.end()) return make_room(kOpen, 1);
-    const std::size_t old = size_of(found->second);
-    if (!make_room(kOpen - old, 0)) return false;
-    // Room may have been made by giving up that very one.
+    if (found == entries_.end()) return evict_until_fits(kActiveEntryBytes, 1);
+    const std::size_t old_charge = charge_of(found->second);
+    if (!evict_until_fits(kActiveEntryBytes - old_charge, 0)) return false;
+    // The entry to be replaced may itself have been evicted, so its charge no longer counts.
     const auto still = entries_.find(key);
-    if (still != entries_.end() && size_of(still->second) == old) return true;
+    if (still != entries_.end() && charge_of(still->second) == old_charge) return true;
   }
 }
 
-void IdempotencyCache::set_bounds(CacheLimits bounds) {
-  const bool stored = bounds_.stored;
-  bounds_ = bounds;
-  bounds_.stored = stored;  // of the life, not of a moment
-  make_room(0, 0);
+void IdempotencyCache::set_limits(CacheLimits limits) {
+  const bool has_store = limits_.has_store;
+  limits_ = limits;
+  limits_.has_store = has_store;
+  evict_until_fits(0, 0);
 }
 
-// ---- Meeting and joining.
-Lookup IdempotencyCache::meet(double now, const Key& key, Fingerprint fingerprint, Kind kind) {
-  const auto found = entries_.find(key);
-  if (found != entries_.end()) {
-    const Entry& entry = found->second;
-    const bool over = entry.until <= now && entry.state != State::kReserved && entry.state != State::kRunning;
-    if (!over) {
-      if (entry.fingerprint != fingerprint) return {LookupOutcome::kOtherBody, 0, 0};
-      if (entry.state == State::kUnknown) return {LookupOutcome::kUnknown, 0, 0};
-      return {LookupOutcome::kRepeat, entry.id, 0};
-    }
+// ---- Arriving requests and duplicates.
+
+Lookup IdempotencyCache::look_up(double now, const Key& key, Fingerprint fingerprint, EntryKind kind) {
+  const Entry* entry = find(key);
+  if (entry != nullptr && (entry->is_active() || entry->expires_at > now)) {
+    if (entry->fingerprint != fingerprint) return {LookupOutcome::kFingerprintMismatch, 0, 0};
+    if (entry->state == EntryState::kOutcomeUnknown) return {LookupOutcome::kOutcomeUnknown, 0, 0};
+    return {LookupOutcome::kDuplicate, entry->id, 0};
   }
-  if (make_room_for(key) || kind == Kind::kShared) return {LookupOutcome::kNew, 0, 0};
-  return {LookupOutcome::kNoRoom, 0, ends_.empty() ? 0 : std::max(0.0, ends_.begin()->first - now)};
+  // A read that can't be remembered may run all the same.
+  if (evict_until_key_fits(key) || kind == EntryKind::kSharedRead) return {LookupOutcome::kMiss, 0, 0};
+  const double first_expiry = expiries_.empty() ? now : expiries_.begin()->first;
+  return {LookupOutcome::kNoCapacity, 0, std::max(0.0, first_expiry - now)};
 }
 
-bool IdempotencyCache::reserve(double now, RequestId id, const Key& key, Fingerprint fingerprint, Kind kind,
-                               double until) {
+bool IdempotencyCache::reserve(double now, RequestId id, const Key& key, Fingerprint fingerprint,
+                               EntryKind kind, double expires_at) {
   const auto found = entries_.find(key);
   if (found != entries_.end()) {
     const Entry& old = found->second;
-    if (live_.contains(old.id) || old.until > now) return false;  // it is a repeat of that
+    if (active_keys_.contains(old.id) || old.expires_at > now) return false;
     erase(key);
   }
-  if (live_.contains(id) || !make_room(kEntryBytes + kMostResult, 1)) return false;
+  if (active_keys_.contains(id) || !evict_until_fits(kActiveEntryBytes, 1)) return false;
   Entry entry;
   entry.key = key;
   entry.fingerprint = fingerprint;
   entry.id = id;
   entry.kind = kind;
-  entry.until = until;
+  entry.expires_at = expires_at;
   add(std::move(entry));
-  live_[id] = key;
+  active_keys_[id] = key;
   return true;
 }
 
-void IdempotencyCache::start(RequestId id) {
-  if (Entry* entry = live(id)) entry->state = State::kRunning;
+void IdempotencyCache::mark_running(RequestId id) {
+  if (Entry* entry = active_entry(id)) entry->state = EntryState::kRunning;
 }
 
-JoinOutcome IdempotencyCache::join(RequestId repeat, const Key& key) {
+JoinOutcome IdempotencyCache::join(RequestId duplicate, const Key& key) {
   const auto found = entries_.find(key);
   if (found == entries_.end()) return JoinOutcome::kNeverRan;
   Entry& entry = found->second;
   switch (entry.state) {
-    case State::kUnknown: return JoinOutcome::kUnknown;
-    case State::kEnded: return entry.result ? JoinOutcome::kHere : JoinOutcome::kStored;
-    default: break;
+    case EntryState::kOutcomeUnknown: return JoinOutcome::kOutcomeUnknown;
+    case EntryState::kCompleted: return entry.result ? JoinOutcome::kInMemory : JoinOutcome::kInStore;
+    case EntryState::kReserved:
+    case EntryState::kRunning: break;
   }
-  entry.waiting.push_back(repeat);
-  originals_[repeat] = key;
-  return JoinOutcome::kWaits;
+  entry.waiters.push_back(duplicate);
+  waiter_keys_[duplicate] = key;
+  return JoinOutcome::kCoalesced;
 }
 
-void IdempotencyCache::leave(RequestId repeat) {
-  const auto found = originals_.find(repeat);
-  if (found == originals_.end()) return;
+void IdempotencyCache::remove_waiter(RequestId duplicate) {
+  const auto found = waiter_keys_.find(duplicate);
+  if (found == waiter_keys_.end()) return;
   const auto entry = entries_.find(found->second);
-  if (entry != entries_.end()) std::erase(entry->second.waiting, repeat);
-  originals_.erase(found);
+  if (entry != entries_.end()) std::erase(entry->second.waiters, duplicate);
+  waiter_keys_.erase(found);
+}
+
+std::vector<RequestId> IdempotencyCache::take_waiters(Entry& entry) {
+  for (const RequestId duplicate : entry.waiters) waiter_keys_.erase(duplicate);
+  return std::exchange(entry.waiters, {});
 }
 
-std::vector<RequestId> IdempotencyCache::no_longer_waiting(Entry& entry) {
-  for (const RequestId repeat : entry.waiting) originals_.erase(repeat);
-  return std::exchange(entry.waiting, {});
+// ---- The ends of an active entry.
+
+// The window of an entry never ends before the entry does.
+void IdempotencyCache::schedule_expiry(double now, Entry& entry) {
+  active_keys_.erase(entry.id);
+  entry.expires_at = std::max(entry.expires_at, now);
+  expiries_.insert({entry.expires_at, entry.key});
 }
 
-// ---- What becomes of an entry.
 std::vector<RequestId> IdempotencyCache::release(RequestId id) {
-  Entry* entry = live(id);
+  Entry* entry = active_entry(id);
   if (entry == nullptr) return {};
-  std::vector<RequestId> waited = no_longer_waiting(*entry);
+  std::vector<RequestId> waiters = take_waiters(*entry);
   erase(entry->key);
-  return waited;
+  return waiters;
 }
 
-// From now on its window may end.
-void IdempotencyCache::settle(double now, Entry& entry) {
-  live_.erase(entry.id);
-  entry.until = std::max(entry.until, now);
-  ends_.insert({entry.until, entry.key});
-}
-
-std::vector<RequestId> IdempotencyCache::end(double now, RequestId id, std::string result) {
-  Entry* entry = live(id);
+std::vector<RequestId> IdempotencyCache::complete(double now, RequestId id, std::string result) {
+  Entry* entry = active_entry(id);
   if (entry == nullptr) return {};
-  std::vector<RequestId> waited = no_longer_waiting(*entry);
-  const bool shared = entry->kind == Kind::kShared;
-  const bool too_long = result.size() > kMostResult;
-  if (shared && (too_long || bounds_.fresh <= 0)) {
+  std::vector<RequestId> waiters = take_waiters(*entry);
+  const bool is_shared = entry->kind == EntryKind::kSharedRead;
+  const bool is_too_long = result.size() > kMaxResultBytes;
+  if (is_shared && (is_too_long || limits_.shared_ttl_seconds <= 0)) {
     erase(entry->key);
-    return waited;
+    return waiters;
   }
-  if (shared) entry->until = std::min(entry->until, now + bounds_.fresh);
-  bytes_ -= size_of(*entry);
-  entry->state = too_long && !bounds_.stored ? State::kUnknown : State::kEnded;
-  if (!too_long) {
+  if (is_shared) entry->expires_at = std::min(entry->expires_at, now + limits_.shared_ttl_seconds);
+  used_bytes_ -= charge_of(*entry);
+  entry->state = is_too_long && !limits_.has_store ? EntryState::kOutcomeUnknown : EntryState::kCompleted;
+  if (!is_too_long) {
     entry->result = std::move(result);
-    if (shared || bounds_.stored) {
-      entry->touched = ++touches_;
-      droppable_.insert({entry->touched, entry->key});
+    if (is_shared || limits_.has_store) {
+      entry->recency = ++last_recency_;
+      evictable_.insert({entry->recency, entry->key});
     }
   }
-  bytes_ += size_of(*entry);
-  settle(now, *entry);
-  make_room(0, 0);  // bounds may have shrunk meanwhile
-  return waited;
+  used_bytes_ += charge_of(*entry);
+  schedule_expiry(now, *entry);
+  evict_until_fits(0, 0);  // the limits may have been lowered while it ran
+  return waiters;
 }
 
-std::vector<RequestId> IdempotencyCache::lose(double now, RequestId id) {
-  Entry* entry = live(id);
+std::vector<RequestId> IdempotencyCache::mark_outcome_unknown(double now, RequestId id) {
+  Entry* entry = active_entry(id);
   if (entry == nullptr) return {};
-  std::vector<RequestId> waited = no_longer_waiting(*entry);
-  if (entry->kind == Kind::kShared) {  // a read may run again
+  std::vector<RequestId> waiters = take_waiters(*entry);
+  if (entry->kind == EntryKind::kSharedRead) {  // a read may run again
     erase(entry->key);
-    return waited;
+    return waiters;
   }
-  bytes_ -= size_of(*entry);
-  entry->state = State::kUnknown;
-  bytes_ += size_of(*entry);
-  settle(now, *entry);
-  return waited;
+  used_bytes_ -= charge_of(*entry);
+  entry->state = EntryState::kOutcomeUnknown;
+  used_bytes_ += charge_of(*entry);
+  schedule_expiry(now, *entry);
+  return waiters;
 }
 
-void IdempotencyCache::recover(RequestId id, const Key& key, Fingerprint fingerprint, bool ended,
-                               double until) {
+// ---- Entries from the store, operators' requests, expiry.
+
+void IdempotencyCache::restore(RequestId id, const Key& key, Fingerprint fingerprint, bool is_completed,
+                               double expires_at) {
   if (entries_.contains(key)) return;
   Entry entry;
   entry.key = key;
   entry.fingerprint = fingerprint;
   entry.id = id;
-  entry.state = ended ? State::kEnded : State::kUnknown;
-  entry.until = until;
-  ends_.insert({until, key});
+  entry.state = is_completed ? EntryState::kCompleted : EntryState::kOutcomeUnknown;
+  entry.expires_at = expires_at;
+  expiries_.insert({expires_at, key});
   add(std::move(entry));
-  make_room(0, 0);  // it stays; what need not be remembered goes for it
+  evict_until_fits(0, 0);
 }
 
 bool IdempotencyCache::drop(const Key& key) {
-  const auto found = entries_.find(key);
-  if (found == entries_.end()) return false;
-  const State state = found->second.state;
-  if (state == State::kReserved || state == State::kRunning) return false;
+  const Entry* entry = find(key);
+  if (entry == nullptr || entry->is_active()) return false;
   erase(key);
   return true;
 }
 
-std::vector<Key> IdempotencyCache::age(double now, std::size_t most) {
-  std::vector<Key> gone;
-  for (std::size_t i = 0; i < most && !ends_.empty() && ends_.begin()->first <= now; ++i) {
-    const Key key = ends_.begin()->second;
-    if (entries_.at(key).kind == Kind::kKeyed) gone.push_back(key);
+std::vector<Key> IdempotencyCache::expire(double now, std::size_t max_entries) {
+  std::vector<Key> expired;
+  for (std::size_t i = 0; i < max_entries && !expiries_.empty() && expiries_.begin()->first <= now; ++i) {
+    const Key key = expiries_.begin()->second;
+    if (entries_.at(key).kind == EntryKind::kKeyed) expired.push_back(key);
     erase(key);
   }
-  return gone;
+  return expired;
+}
+
+// ---- Invariants.
+
+bool IdempotencyCache::has_consistent_indices(const Entry& entry) const {
+  const auto active = active_keys_.find(entry.id);
+  const bool is_indexed_active = active != active_keys_.end() && active->second == entry.key;
+  if (entry.is_active() != is_indexed_active) return false;
+  if (!entry.is_active() && !expiries_.contains({entry.expires_at, entry.key})) return false;
+  if (!entry.is_active() && !entry.waiters.empty()) return false;
+  if (entry.result && entry.state != EntryState::kCompleted) return false;
+  return std::all_of(entry.waiters.begin(), entry.waiters.end(), [&](RequestId duplicate) {
+    const auto found = waiter_keys_.find(duplicate);
+    return found != waiter_keys_.end() && found->second == entry.key;
+  });
 }
 
-bool IdempotencyCache::consistent() const {
-  std::size_t bytes = 0, live = 0, ended = 0, waiting = 0, droppable = 0;
+bool IdempotencyCache::is_consistent() const {
+  std::size_t bytes = 0;
+  std::size_t active = 0;
+  std::size_t waiters = 0;
+  std::size_t evictable = 0;
   for (const auto& [key, entry] : entries_) {
-    bytes += size_of(entry);
-    const bool open = entry.state == State::kReserved || entry.state == State::kRunning;
-    (open ? live : ended) += 1;
-    if (open != (live_.contains(entry.id) && live_.at(entry.id) == key)) return false;
-    if (!open && !ends_.contains({entry.until, key})) return false;
-    if (!open && !entry.waiting.empty()) return false;
-    if (entry.result && entry.state != State::kEnded) return false;
-    if (droppable_.contains({entry.touched, key})) ++droppable;
-    waiting += entry.waiting.size();
-    for (const RequestId repeat : entry.waiting) {
-      const auto found = originals_.find(repeat);
-      if (found == originals_.end() || found->second != key) return false;
-    }
+    if (!has_consistent_indices(entry)) return false;
+    bytes += charge_of(entry);
+    active += entry.is_active() ? 1 : 0;
+    waiters += entry.waiters.size();
+    evictable += evictable_.contains({entry.recency, key}) ? 1 : 0;
   }
-  return bytes == bytes_ && live == live_.size() && ended == ends_.size() && waiting == originals_.size() &&
-         droppable == droppable_.size();
+  return bytes == used_bytes_ && active == active_keys_.size() &&
+         entries_.size() - active == expiries_.size() && waiters == waiter_keys_.size() &&
+         evictable == evictable_.size();
 }
 
 }  // namespace damsonspoke::results
--- a/tests/compatibility/stored_files_test.cpp
+++ b/tests/compatibility/stored_files_test.cpp
@@ -34,7 +34,7 @@
   store::ChecksummedContent read_sealed(const std::string& folder, const std::string& name,
                                         std::uint32_t form, std::size_t most_bytes) {
     const std::unique_ptr<store::FileSystem> disk = store::open_folder(path(folder));
-    return store::ChecksummedFile(*disk, name, form, most_bytes).read().newest;
+    return store::ChecksummedFile(*disk, name, form, most_bytes).read().content;
   }
 
   std::filesystem::path folder_;
@@ -43,25 +43,25 @@
 TEST_F(StoredFiles, ResultsDatabaseIsReadWhole) {
   using namespace results;
   Database database(path("results/results.db"), {false, 0, true, nullptr});
-  EXPECT_FALSE(database.made_new());
+  EXPECT_FALSE(database.is_new());
   EXPECT_EQ(database.seed(), 11420642726564356063u);
   EXPECT_TRUE(database.verify().empty());
 
   std::vector<Row> rows;
-  database.each([&](const Row& row) { rows.push_back(row); });
+  database.for_each([&](const Row& row) { rows.push_back(row); });
   ASSERT_EQ(rows.size(), 2u);
   EXPECT_EQ(rows[0].key, (Key{1, 2}));
-  EXPECT_EQ(rows[0].request, 3u);
-  EXPECT_EQ(rows[0].type, "rate-push");
+  EXPECT_EQ(rows[0].request_id, 3u);
+  EXPECT_EQ(rows[0].route, "rate-push");
   EXPECT_EQ(rows[0].fingerprint, 4u);
-  EXPECT_EQ(rows[0].until_ms, 4102444800000);
-  EXPECT_TRUE(rows[0].ended);
+  EXPECT_EQ(rows[0].expires_at_ms, 4102444800000);
+  EXPECT_TRUE(rows[0].has_result);
   EXPECT_EQ(rows[1].key, (Key{5, 0xffffffffffffffff}));
-  EXPECT_EQ(rows[1].request, 6u);
-  EXPECT_EQ(rows[1].type, "avail-read");
+  EXPECT_EQ(rows[1].request_id, 6u);
+  EXPECT_EQ(rows[1].route, "avail-read");
   EXPECT_EQ(rows[1].fingerprint, 0xfedcba9876543210u);
-  EXPECT_EQ(rows[1].until_ms, 4102444800001);
-  EXPECT_FALSE(rows[1].ended);
+  EXPECT_EQ(rows[1].expires_at_ms, 4102444800001);
+  EXPECT_FALSE(rows[1].has_result);
   const std::optional<Row> fetched = database.fetch({1, 2});
   ASSERT_TRUE(fetched.has_value());
   EXPECT_EQ(fetched->result, "a result");
@@ -70,30 +70,30 @@
 TEST_F(StoredFiles, LearnedStatisticsAreReadWhole) {
   const std::unique_ptr<store::FileSystem> disk = store::open_folder(path("knowledge"));
   const statistics::Reading reading = statistics::StatisticsFolder(*disk).read();
-  EXPECT_EQ(reading.problem, "");
-  EXPECT_EQ(reading.starts, 0);
-  EXPECT_FALSE(reading.older);
+  EXPECT_EQ(reading.problem, statistics::ReadProblem::kNone);
+  EXPECT_EQ(reading.failed_starts, 0);
+  EXPECT_FALSE(reading.is_previous);
   ASSERT_TRUE(reading.record.has_value());
   const statistics::StatisticsRecord& record = *reading.record;
-  EXPECT_EQ(record.written, 1764700000.25);
-  EXPECT_EQ(record.lived, 3600.5);
-  EXPECT_EQ(record.site, "relay-1");
+  EXPECT_EQ(record.written_at, 1764700000.25);
+  EXPECT_EQ(record.uptime_seconds, 3600.5);
+  EXPECT_EQ(record.server_name, "relay-1");
   EXPECT_EQ(record.cores, 4);
   EXPECT_EQ(record.dependency, 1);
   EXPECT_EQ(record.caller_idle_timeout, 30);
-  EXPECT_TRUE(record.troubled);
-  EXPECT_EQ(record.returns, 0.75);
-  ASSERT_EQ(record.types.size(), 2u);
-  EXPECT_EQ(record.types[0].name, "avail-read");
-  EXPECT_EQ(record.types[0].target, 0.2);
-  EXPECT_EQ(record.types[0].timeout, 0.9);
-  EXPECT_TRUE(record.types[0].calls);
-  EXPECT_EQ(record.types[0].run.bins, (std::vector<double>{0, 1, 2.5, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0}));
-  EXPECT_EQ(record.types[0].run.sum, 0.04);
-  EXPECT_EQ(record.types[0].away.bins, (std::vector<double>{0, 0, 0, 3, 0, 0, 0, 0, 0, 0, 0, 0, 0}));
-  EXPECT_EQ(record.types[0].away.sum, 0.1);
-  EXPECT_EQ(record.types[1].name, "rate-push");
-  EXPECT_FALSE(record.types[1].calls);
+  EXPECT_TRUE(record.under_pressure);
+  EXPECT_EQ(record.returning_share, 0.75);
+  ASSERT_EQ(record.routes.size(), 2u);
+  EXPECT_EQ(record.routes[0].name, "avail-read");
+  EXPECT_EQ(record.routes[0].latency_objective, 0.2);
+  EXPECT_EQ(record.routes[0].timeout, 0.9);
+  EXPECT_TRUE(record.routes[0].calls_dependency);
+  EXPECT_EQ(record.routes[0].run.bins, (std::vector<double>{0, 1, 2.5, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0}));
+  EXPECT_EQ(record.routes[0].run.sum, 0.04);
+  EXPECT_EQ(record.routes[0].away.bins, (std::vector<double>{0, 0, 0, 3, 0, 0, 0, 0, 0, 0, 0, 0, 0}));
+  EXPECT_EQ(record.routes[0].away.sum, 0.1);
+  EXPECT_EQ(record.routes[1].name, "rate-push");
+  EXPECT_FALSE(record.routes[1].calls_dependency);
   EXPECT_EQ(record.calls.bins, (std::vector<double>{4, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 1}));
   EXPECT_EQ(record.calls.sum, 22.5);
 }
