--- a/bench/scale_backend.cpp
+++ b/bench/scale_backend.cpp
@@ -8,7 +8,7 @@
 #include <csignal>
 #include <fstream>
 
-#include "catalog/files.h"
+#include "catalog/folder.h"
 #include "fleet.h"
 #include "scale.h"
 #include "synthetic_site.h"
@@ -40,7 +40,7 @@
     for (std::size_t i = 0; i < size_.tenants; ++i)
       lines +=
           encode_change(catalog::PutTenant{tenant_name(i), {factor * synthetic_quota(size_.tenants), 0}});
-    history_ = catalog::extend(history_, lines);
+    history_ = catalog::extend_history(history_, lines);
     catalog::write_snapshot(folder_, {1, ++sequence_}, history_, lines);
   }
   // Behind the changes so far; returns the number of the last one.
--- a/bench/scale_catalog.cpp
+++ b/bench/scale_catalog.cpp
@@ -4,7 +4,7 @@
 #include <filesystem>
 #include <fstream>
 
-#include "catalog/files.h"
+#include "catalog/folder.h"
 #include "decision_load.h"
 #include "fleet.h"
 #include "scale.h"
@@ -24,7 +24,7 @@
 double us_per_request(const ScaleOptions& options, SiteSize size) {
   std::vector<double> plays;
   const StartSettings site = synthetic_site(size);
-  const auto catalog = catalog::Catalog::of_settings(site, {}, options.seed);
+  const auto catalog = catalog::Catalog::from_settings(site, {}, options.seed);
   for (int i = 0; i < options.rounds; ++i) {
     DecisionLoadOptions load;
     load.requests = kRequests;
@@ -53,7 +53,7 @@
 Read read_snapshot(const std::string& folder, SiteSize size) {
   catalog::write_snapshot(folder, {1, 1}, 1, entries_of(size));
   const double begin = thread_processor_time();
-  const catalog::Loaded loaded = catalog::load_folder(folder, kLimits);
+  const catalog::LoadedFolder loaded = catalog::load_folder(folder, kLimits);
   return {thread_processor_time() - begin, static_cast<double>(loaded.catalog->bytes())};
 }
 
@@ -67,7 +67,7 @@
   catalog::Catalog catalog(kLimits, 1);
   catalog::FolderSource source(folder);
   catalog::Follower follower(catalog, source, [] { return thread_processor_time(); });
-  follower.follow();
+  follower.poll();
   double longest = 0, snapshot_longest = 0, spent = 0;
   for (auto state = catalog::Follower::State::kWorking; state != catalog::Follower::State::kIdle;) {
     const bool of_changes = follower.counts().snapshots > 0;
--- a/fuzz/catalog.cpp
+++ b/fuzz/catalog.cpp
@@ -40,8 +40,8 @@
 void read_headers(std::string_view line) {
   try {
     const BatchHeader header = decode_batch_header(line);
-    if (header.first == 0 || header.last < header.first) std::abort();
-    if (decode_batch_header(without_end(encode_header(header))).after != header.after) std::abort();
+    if (header.first_sequence == 0 || header.last_sequence < header.first_sequence) std::abort();
+    if (decode_batch_header(without_end(encode_header(header))).history_after != header.history_after) std::abort();
   } catch (const CodecError&) {
   }
   try {
--- a/src/app/backend.cpp
+++ b/src/app/backend.cpp
@@ -183,7 +183,7 @@
 // Addresses of peers move while everything goes on; each peer moves its own links. Guards against a file that
 // is missing, cut short or wrong when it is read: then the old configuration stays, whole.
 void Backend::reload() {
-  catalog_.follow();
+  catalog_.poll();
   Choice choice;
   try {
     choice = reread_();
--- a/src/app/catalog_command.cpp
+++ b/src/app/catalog_command.cpp
@@ -6,7 +6,7 @@
 #include <cstdlib>
 
 #include "app/commands.h"
-#include "catalog/files.h"
+#include "catalog/folder.h"
 #include "control/server.h"
 
 namespace damsonspoke {
@@ -14,8 +14,8 @@
 
 namespace cat = catalog;
 
-constexpr double kPatience = 2;                                    // s
-constexpr std::size_t kMostTold = 20;                              // differences
+constexpr double kControlTimeoutSeconds = 2;                       // s
+constexpr std::size_t kMaxDifferencesShown = 20;                   // differences
 constexpr cat::CatalogLimits kToolLimits{1000000, 4000000, true};  // what a directive may allow at most
 
 std::string folder_of(const cxxopts::ParseResult& flags) {
@@ -28,7 +28,7 @@
 }
 
 int check(const std::string& folder) {
-  const cat::Loaded loaded = cat::load_folder(folder, kToolLimits);
+  const cat::LoadedFolder loaded = cat::load_folder(folder, kToolLimits);
   for (const cat::FollowerMessage& message : loaded.messages)
     if (message.is_error) fmt::print("{}\n", message.text);
   const cat::Version version = loaded.catalog->version();
@@ -39,7 +39,7 @@
 
 // Of the entries of a file, or of what the folder holds now: then the changes so far can go.
 int snapshot(const std::string& folder, const cxxopts::ParseResult& flags) {
-  const cat::Loaded loaded = cat::load_folder(folder, kToolLimits);
+  const cat::LoadedFolder loaded = cat::load_folder(folder, kToolLimits);
   const cat::Version now = loaded.catalog->version();
   cat::Version version = now;
   cat::HistoryDigest history = loaded.catalog->history();
@@ -48,10 +48,10 @@
     lines = cat::read_lines(flags["entries"].as<std::string>());
     version = {flags["epoch"].as<std::uint64_t>(), now.sequence + 1};
     if (version.epoch < now.epoch)
-      throw cat::FilesError(fmt::format("epoch {} is lower than {}", version.epoch, now.epoch));
-    history = cat::extend(history, lines);
+      throw cat::CatalogFileError(fmt::format("epoch {} is lower than {}", version.epoch, now.epoch));
+    history = cat::extend_history(history, lines);
   } else {
-    lines = cat::lines_of(*loaded.catalog);
+    lines = cat::encode_entries(*loaded.catalog);
   }
   cat::write_snapshot(folder, version, history, lines);
   fmt::print("version {}.{}, {} bytes\n", version.epoch, version.sequence, lines.size());
@@ -70,9 +70,9 @@
 
 int compare(const std::string& folder, const cxxopts::ParseResult& flags) {
   if (flags.count("other") == 0) throw WrongUse("nothing to compare with: give --other FOLDER");
-  const cat::Loaded one = cat::load_folder(folder, kToolLimits);
-  const cat::Loaded other = cat::load_folder(flags["other"].as<std::string>(), kToolLimits);
-  const std::string a = cat::lines_of(*one.catalog), b = cat::lines_of(*other.catalog);
+  const cat::LoadedFolder one = cat::load_folder(folder, kToolLimits);
+  const cat::LoadedFolder other = cat::load_folder(flags["other"].as<std::string>(), kToolLimits);
+  const std::string a = cat::encode_entries(*one.catalog), b = cat::encode_entries(*other.catalog);
   std::size_t differences = 0, at_a = 0, at_b = 0;
   const auto line_at = [](const std::string& text, std::size_t at) {
     return text.substr(at, text.find('\n', at) - at);
@@ -82,7 +82,7 @@
     const std::string y = at_b < b.size() ? line_at(b, at_b) : std::string();
     const bool only_a = at_b >= b.size() || (at_a < a.size() && x < y);
     const bool only_b = at_a >= a.size() || (at_b < b.size() && y < x);
-    if ((only_a || only_b) && ++differences <= kMostTold)
+    if ((only_a || only_b) && ++differences <= kMaxDifferencesShown)
       fmt::print("{} {}\n", only_a ? "-" : "+", only_a ? x : y);
     if (!only_b) at_a += x.size() + 1;
     if (!only_a) at_b += y.size() + 1;
@@ -99,7 +99,7 @@
 int catalog_command(const cxxopts::ParseResult& flags) {
   const std::string action = flags.count("action") > 0 ? flags["action"].as<std::string>() : "";
   if (action == "show") {
-    fmt::print("{}", control::ask(control_folder(flags), {"catalog"}, kPatience));
+    fmt::print("{}", control::ask(control_folder(flags), {"catalog"}, kControlTimeoutSeconds));
     return kDone;
   }
   if (action == "check") return check(folder_of(flags));
--- a/src/app/catalog_watch.cpp
+++ b/src/app/catalog_watch.cpp
@@ -8,10 +8,10 @@
 namespace damsonspoke {
 namespace {
 
-constexpr double kStep = 0.0005;       // s that the reactor is held at once
-constexpr double kRest = 0.0005;       // s between two steps: half of the time is for everything else
-constexpr double kStartStep = 0.1;     // s; nothing else waits then
-constexpr double kFolderPatience = 2;  // s; a start does not wait longer for a piece of a file
+constexpr double kStepSeconds = 0.0005;      // s that the reactor is held at once
+constexpr double kPauseSeconds = 0.0005;     // s between two steps: half of the time is for everything else
+constexpr double kStartStepSeconds = 0.1;    // s; nothing else waits then
+constexpr double kFolderTimeoutSeconds = 2;  // s; a start does not wait longer for a piece of a file
 
 std::uint64_t draw_key() {
   std::random_device device;
@@ -27,8 +27,8 @@
     limits.routes = choice.options.catalog.routes;
     limits.tenants = choice.options.catalog.tenants;
   }
-  limits.keyed_routes = choice.options.results.enabled;
-  catalog_ = catalog::Catalog::of_settings(choice.config.site, limits, draw_key());
+  limits.allows_keyed_routes = choice.options.results.enabled;
+  catalog_ = catalog::Catalog::from_settings(choice.config.site, limits, draw_key());
   if (folder_.empty()) return;
   source_ =
       std::make_unique<catalog::ThreadedSource>(std::make_unique<catalog::FolderSource>(folder_),
@@ -44,10 +44,10 @@
 
 void CatalogWatch::load() {
   const double begin = net::monotonic_now();
-  follower_->follow();
+  follower_->poll();
   while (follower_->state() != catalog::Follower::State::kIdle) {
-    if (follower_->step(kStartStep) != catalog::Follower::State::kWaiting) continue;
-    if (source_->wait(kFolderPatience)) continue;
+    if (follower_->step(kStartStepSeconds) != catalog::Follower::State::kWaiting) continue;
+    if (source_->wait(kFolderTimeoutSeconds)) continue;
     log_.error("catalog", "'{}' hangs: starts with what it has", folder_);
     break;
   }
@@ -57,25 +57,25 @@
             net::monotonic_now() - begin);
 }
 
-void CatalogWatch::follow() {
+void CatalogWatch::poll() {
   if (follower_ == nullptr) return;
-  if (asked_at_ < 0) asked_at_ = net::monotonic_now();
+  if (polled_at_ < 0) polled_at_ = net::monotonic_now();
   const bool idle = follower_->state() == catalog::Follower::State::kIdle;
-  follower_->follow();
+  follower_->poll();
   if (idle) step();
 }
 
 void CatalogWatch::step() {
   const double begin = net::monotonic_now();
-  const catalog::Follower::State state = follower_->step(kStep);
+  const catalog::Follower::State state = follower_->step(kStepSeconds);
   counters_.most(Count::kCatalogMostUs, static_cast<std::uint64_t>((net::monotonic_now() - begin) * 1e6));
   tell();
   reactor_.cancel(timer_);
-  if (state == catalog::Follower::State::kWorking) timer_ = reactor_.after(kRest, [this] { step(); });
-  if (state != catalog::Follower::State::kIdle || asked_at_ < 0) return;
+  if (state == catalog::Follower::State::kWorking) timer_ = reactor_.after(kPauseSeconds, [this] { step(); });
+  if (state != catalog::Follower::State::kIdle || polled_at_ < 0) return;
   log_.info("catalog", "version {}.{} in force {:.3f} s after it was asked for", catalog_->version().epoch,
-            catalog_->version().sequence, net::monotonic_now() - asked_at_);
-  asked_at_ = -1;
+            catalog_->version().sequence, net::monotonic_now() - polled_at_);
+  polled_at_ = -1;
 }
 
 void CatalogWatch::tell() {
@@ -90,9 +90,9 @@
   counters_.set(Count::kCatalogSequence, catalog_->version().sequence);
   counters_.set(Count::kCatalogRoutes, catalog_->route_count());
   counters_.set(Count::kCatalogTenants, catalog_->tenant_count());
-  counters_.set(Count::kCatalogBytes, catalog_->bytes());
+  counters_.set(Count::kCatalogBytes, catalog_->memory_bytes());
   counters_.set(Count::kCatalogApplied, counts.applied);
-  counters_.set(Count::kCatalogRefused, counts.refused);
+  counters_.set(Count::kCatalogRefused, counts.rejected);
   counters_.set(Count::kCatalogSnapshots, counts.snapshots);
 }
 
@@ -110,12 +110,12 @@
   std::string out = fmt::format(
       "version {}.{}, in force for {:.1f} s\n{} routes, {} tenants, {} bytes\n"
       "{} changes and {} snapshots taken, {} refused; {} bytes of changes read\n",
-      version.epoch, version.sequence, net::monotonic_now() - follower_->in_force_since(),
-      catalog_->route_count(), catalog_->tenant_count(), catalog_->bytes(), counts.applied, counts.snapshots,
-      counts.refused, follower_->changes_offset());
+      version.epoch, version.sequence, net::monotonic_now() - follower_->active_since(),
+      catalog_->route_count(), catalog_->tenant_count(), catalog_->memory_bytes(), counts.applied,
+      counts.snapshots, counts.rejected, follower_->changes_offset());
   if (follower_->state() != catalog::Follower::State::kIdle) out += "reading now\n";
-  for (const catalog::RejectedChange& refusal : follower_->rejected_changes())
-    out += fmt::format("refused: {}: {}\n", refusal.what, refusal.why);
+  for (const catalog::RejectedChange& rejected : follower_->rejected_changes())
+    out += fmt::format("refused: {}: {}\n", rejected.what, rejected.reason);
   return out;
 }
 
--- a/src/app/catalog_watch.h
+++ b/src/app/catalog_watch.h
@@ -23,7 +23,7 @@
   ~CatalogWatch();
 
   const catalog::Catalog& catalog() const { return *catalog_; }
-  void follow();  // what has come since; returns at once
+  void poll();  // what has come since; returns at once
   void answer_questions(control::Server& control);
   void report();  // the counters
 
@@ -41,7 +41,7 @@
   std::unique_ptr<catalog::ThreadedSource> source_;
   std::unique_ptr<catalog::Follower> follower_;
   net::Reactor::TimerId timer_;
-  double asked_at_ = -1;  // s; when follow() was called, until all of it is read
+  double polled_at_ = -1;  // s; when poll() was called, until all of it is read
 };
 
 }  // namespace damsonspoke
--- a/src/app/forwarder.cpp
+++ b/src/app/forwarder.cpp
@@ -35,7 +35,7 @@
       options_(choice.options),
       reread_(std::move(reread)),
       log_(log),
-      catalog_(catalog::Catalog::of_settings(config_.site, {}, draw_epoch())),
+      catalog_(catalog::Catalog::from_settings(config_.site, {}, draw_epoch())),
       forward_(reactor_, ports_, config_.site, options_.forward, options_.results,
                part(config_.limits, kBodyShare), draw_epoch(), counters_, log_),
       callers_(reactor_, config_.listen, *catalog_, marks(options_.results),
--- a/src/catalog/catalog.h
+++ b/src/catalog/catalog.h
@@ -8,10 +8,10 @@
 #include <string>
 #include <string_view>
 
+#include "admission/route_directory.h"
 #include "catalog/change.h"
-#include "catalog/table.h"
+#include "catalog/entry_table.h"
 #include "catalog/version.h"
-#include "admission/route_directory.h"
 #include "settings/settings.h"
 
 namespace damsonspoke::catalog {
@@ -19,7 +19,7 @@
 struct CatalogLimits {
   std::size_t routes = 0;
   std::size_t tenants = 0;
-  bool keyed_routes = true;  // whether keys can be remembered here
+  bool allows_keyed_routes = true;  // whether keys can be remembered here
 };
 
 class Catalog final : public RouteDirectory {
@@ -28,8 +28,8 @@
   Catalog(const CatalogLimits& limits, std::uint64_t key, HashFunction hash = keyed_hash);
   // What the platform's settings name, at version 0. Positions are those of the settings. The limits are at
   // least what it takes.
-  static std::unique_ptr<Catalog> of_settings(const StartSettings& site, CatalogLimits limits,
-                                              std::uint64_t key);
+  static std::unique_ptr<Catalog> from_settings(const StartSettings& site, CatalogLimits limits,
+                                                std::uint64_t key);
 
   // ---- Look-ups.
   int find_route(std::string_view name) const { return routes_.find(name); }  // position; -1: unknown
@@ -39,15 +39,15 @@
   Tenant tenant(int position) const override { return tenants_.at(position); }
   std::size_t route_count() const override { return routes_.size(); }
   std::size_t tenant_count() const override { return tenants_.size(); }
-  std::size_t tenant_positions() const override { return tenants_.most_positions(); }
+  std::size_t tenant_positions() const override { return tenants_.max_positions(); }
   double total_quota_per_second() const override { return total_quota_per_second_; }
   double highest_priority_weight() const override {
-    return importance_.empty() ? 0 : importance_.rbegin()->first;
+    return routes_by_weight_.empty() ? 0 : routes_by_weight_.rbegin()->first;
   }
 
   Version version() const { return version_; }
   HistoryDigest history() const { return history_; }
-  std::size_t bytes() const { return routes_.bytes() + tenants_.bytes(); }
+  std::size_t memory_bytes() const { return routes_.memory_bytes() + tenants_.memory_bytes(); }
   const NameIndex& route_names() const { return routes_.names(); }
   const NameIndex& tenant_names() const { return tenants_.names(); }
   const CatalogLimits& limits() const { return limits_; }
@@ -84,7 +84,7 @@
   Table<Route> routes_;
   Table<Tenant> tenants_;
   double total_quota_per_second_ = 0;
-  std::map<double, std::size_t> importance_;  // how many routes have it
+  std::map<double, std::size_t> routes_by_weight_;  // how many routes have it
   Version version_;
   HistoryDigest history_ = 0;
 };
--- a/src/catalog/change.h
+++ b/src/catalog/change.h
@@ -10,11 +10,11 @@
 
 struct PutRoute {
   std::string name;
-  Route type;
+  Route settings;
 };
 struct PutTenant {
   std::string name;
-  Tenant tenant;
+  Tenant settings;
 };
 struct RemoveRoute {
   std::string name;
--- a/src/catalog/codec.cpp
+++ b/src/catalog/codec.cpp
@@ -86,7 +86,7 @@
 
 struct Encoder {
   std::string operator()(const PutRoute& route) const {
-    const Route& type = route.type;
+    const Route& type = route.settings;
     Json object = {{"route", route.name},
                    {"target", type.latency_objective * kMsPerSecond},
                    {"give-up", type.timeout * kMsPerSecond},
@@ -99,7 +99,7 @@
     return object.dump() + "\n";
   }
   std::string operator()(const PutTenant& tenant) const {
-    return Json{{"tenant", tenant.name}, {"quota-per-s", tenant.tenant.quota_per_second}}.dump() + "\n";
+    return Json{{"tenant", tenant.name}, {"quota-per-s", tenant.settings.quota_per_second}}.dump() + "\n";
   }
   std::string operator()(const RemoveRoute& route) const {
     return Json{{"remove-route", route.name}}.dump() + "\n";
@@ -112,7 +112,7 @@
 }  // namespace
 
 Change decode_change(std::string_view line) {
-  if (line.size() > kLongestLine) throw CodecError(fmt::format("it has more than {} bytes", kLongestLine));
+  if (line.size() > kMaxLineBytes) throw CodecError(fmt::format("it has more than {} bytes", kMaxLineBytes));
   const Json object = object_in(line);
   if (std::string name = name_in(object, "tenant"); !name.empty()) {
     const Tenant tenant = settings_of("tenant", name, [&] { return read_tenant(object); });
@@ -136,7 +136,7 @@
       [&](const auto& one) { return fmt::format("{} '{}'", route ? "route" : "tenant", one.name); }, change);
 }
 
-HistoryDigest extend(HistoryDigest history, std::string_view line) {
+HistoryDigest extend_history(HistoryDigest history, std::string_view line) {
   return XXH3_64bits_withSeed(line.data(), line.size(), history);
 }
 
@@ -152,7 +152,8 @@
   const Json object = object_in(line);
   BatchHeader header{number_in(object, "epoch"), number_in(object, "first"), number_in(object, "last"),
                      digest_in(object, "before"), digest_in(object, "after")};
-  if (header.first == 0 || header.last < header.first) throw CodecError("its numbers are out of order");
+  if (header.first_sequence == 0 || header.last_sequence < header.first_sequence)
+    throw CodecError("its numbers are out of order");
   return header;
 }
 
@@ -168,10 +169,10 @@
 
 std::string encode_header(const BatchHeader& header) {
   return Json{{"epoch", header.epoch},
-              {"first", header.first},
-              {"last", header.last},
-              {"before", fmt::format("{:x}", header.before)},
-              {"after", fmt::format("{:x}", header.after)}}
+              {"first", header.first_sequence},
+              {"last", header.last_sequence},
+              {"before", fmt::format("{:x}", header.history_before)},
+              {"after", fmt::format("{:x}", header.history_after)}}
              .dump() +
          "\n";
 }
@@ -181,12 +182,13 @@
   BatchHeader header{epoch, first, first - 1, history, history};
   for (std::size_t from = 0; from < lines.size();) {
     const std::size_t end = lines.find('\n', from);
-    header.after = extend(header.after, std::string_view(lines).substr(from, end - from));
-    ++header.last;
+    header.history_after =
+        extend_history(header.history_after, std::string_view(lines).substr(from, end - from));
+    ++header.last_sequence;
     from = end + 1;
   }
-  history = header.after;
-  return store::add_checksum(kBatchForm, encode_header(header) + lines);
+  history = header.history_after;
+  return store::add_checksum(kBatchFormat, encode_header(header) + lines);
 }
 
 }  // namespace damsonspoke::catalog
--- a/src/catalog/codec.h
+++ b/src/catalog/codec.h
@@ -24,7 +24,7 @@
   using std::runtime_error::runtime_error;
 };
 
-constexpr std::size_t kLongestLine = 4096;  // bytes
+constexpr std::size_t kMaxLineBytes = 4096;  // bytes
 
 Change decode_change(std::string_view line);
 std::string encode_change(const Change& change);  // with its line feed
@@ -32,7 +32,7 @@
 std::string describe(const Change& change);
 
 // The history after one more change, which stood so in its line.
-HistoryDigest extend(HistoryDigest history, std::string_view line);
+HistoryDigest extend_history(HistoryDigest history, std::string_view line);
 
 // The first line of a snapshot; entries follow, a line each.
 struct SnapshotHeader {
@@ -42,8 +42,8 @@
 };
 // The first line of a span of changes; the changes follow, a line each, with the numbers `first` to `last`.
 struct BatchHeader {
-  std::uint64_t epoch = 0, first = 0, last = 0;
-  HistoryDigest before = 0, after = 0;
+  std::uint64_t epoch = 0, first_sequence = 0, last_sequence = 0;
+  HistoryDigest history_before = 0, history_after = 0;
 };
 SnapshotHeader decode_snapshot_header(std::string_view line);
 BatchHeader decode_batch_header(std::string_view line);
@@ -51,9 +51,9 @@
 std::string encode_header(const BatchHeader& header);
 
 // ---- Files. Content is sealed (store/sealed_file.h); a file of changes is sealed spans, one after another.
-constexpr std::uint32_t kSnapshotForm = 1, kBatchForm = 2;
+constexpr std::uint32_t kSnapshotFormat = 1, kBatchFormat = 2;
 constexpr const char* kSnapshotFile = "catalog.snapshot";
-constexpr const char* kOlderSnapshotFile =
+constexpr const char* kPreviousSnapshotFile =
     "catalog.snapshot.1";  // the one before, as store/sealed_file keeps it
 constexpr const char* kChangesFile = "catalog.changes";
 constexpr std::size_t kMaxSnapshotBytes = std::size_t{256} << 20;  // bytes: four times the size in two years
--- a/src/catalog/table.h
+++ b/src/catalog/entry_table.h
@@ -7,7 +7,7 @@
 #include <string_view>
 #include <vector>
 
-#include "catalog/names.h"
+#include "catalog/name_index.h"
 
 namespace damsonspoke::catalog {
 
@@ -28,8 +28,10 @@
   }
   std::size_t size() const { return names_.size(); }
   bool full() const { return names_.size() >= names_.most(); }
-  std::size_t most_positions() const { return 2 * names_.most(); }
-  std::size_t bytes() const { return names_.bytes() + slots_.bytes() + free_.capacity() * sizeof(int); }
+  std::size_t max_positions() const { return 2 * names_.most(); }
+  std::size_t memory_bytes() const {
+    return names_.memory_bytes() + slots_.memory_bytes() + free_.capacity() * sizeof(int);
+  }
   const NameIndex& names() const { return names_; }
 
   // Adds an entry, or gives one that is there another value. A new one must find room (see full()). Where
@@ -62,15 +64,16 @@
   }
 
   // Of a successor, before its first entry: the lives that its predecessor has given are not given again.
-  void begin_after(const Table& predecessor) { last_generation_ = predecessor.last_generation_; }
+  void continue_generations_of(const Table& predecessor) { last_generation_ = predecessor.last_generation_; }
   // Of a successor that is complete: looks at `count` more positions for those that nobody has. False when
   // all are known.
-  bool note_free(std::size_t count) {
-    const std::size_t end = std::min(positions_, free_noted_ + count);
-    for (; free_noted_ < end; ++free_noted_) {
-      if (slots_[free_noted_].value.generation == 0) free_.push_back(static_cast<int>(free_noted_));
+  bool collect_free_positions(std::size_t count) {
+    const std::size_t end = std::min(positions_, free_scan_position_ + count);
+    for (; free_scan_position_ < end; ++free_scan_position_) {
+      if (slots_[free_scan_position_].value.generation == 0)
+        free_.push_back(static_cast<int>(free_scan_position_));
     }
-    return free_noted_ < positions_;
+    return free_scan_position_ < positions_;
   }
 
   // For one that is no longer looked at: gives back at most so many pages. False when none are left.
@@ -97,7 +100,7 @@
   std::size_t positions_ = 0;  // so many were ever in use
   std::vector<int> free_;      // of them
   std::size_t taken_ = 0;      // of the free positions of a predecessor
-  std::size_t free_noted_ = 0;
+  std::size_t free_scan_position_ = 0;
   std::uint32_t last_generation_ = 0;
 };
 
--- a/src/catalog/files.cpp
+++ b/src/catalog/folder.cpp
@@ -1,4 +1,4 @@
-#include "catalog/files.h"
+#include "catalog/folder.h"
 
 #include <fcntl.h>
 #include <fmt/format.h>
@@ -19,20 +19,20 @@
 constexpr double kNoEnd = 1e9;  // s; a tool waits until all is read
 
 [[noreturn]] void fail(const std::string& doing, const std::string& path) {
-  throw FilesError(fmt::format("cannot {} '{}': {}", doing, path, std::strerror(errno)));
+  throw CatalogFileError(fmt::format("cannot {} '{}': {}", doing, path, std::strerror(errno)));
 }
 
-// The lines of `text` in pieces that fit into a span each.
-std::vector<std::string> pieces_of(const std::string& text) {
-  constexpr std::size_t kMost = kMaxBatchBytes - kLongestLine;
-  std::vector<std::string> pieces;
+// The lines of `text` in batches that fit into a span each.
+std::vector<std::string> split_into_batches(const std::string& text) {
+  constexpr std::size_t kMost = kMaxBatchBytes - kMaxLineBytes;
+  std::vector<std::string> batches;
   for (std::size_t from = 0; from < text.size();) {
     std::size_t end = std::min(text.size(), from + kMost);
     if (end < text.size()) end = text.rfind('\n', end - 1) + 1;
-    pieces.push_back(text.substr(from, end - from));
+    batches.push_back(text.substr(from, end - from));
     from = end;
   }
-  return pieces;
+  return batches;
 }
 
 // One write behind `offset`, then synced: a crash leaves whole spans, and at most one torn one at the end.
@@ -51,12 +51,12 @@
 
 }  // namespace
 
-Loaded load_folder(const std::string& folder, const CatalogLimits& limits) {
-  Loaded loaded;
+LoadedFolder load_folder(const std::string& folder, const CatalogLimits& limits) {
+  LoadedFolder loaded;
   loaded.catalog = std::make_unique<Catalog>(limits, 1);
   FolderSource source(folder);
   Follower follower(*loaded.catalog, source, [] { return 0.0; });
-  follower.follow();
+  follower.poll();
   while (follower.step(kNoEnd) != Follower::State::kIdle) continue;
   loaded.rejected_changes.assign(follower.rejected_changes().begin(), follower.rejected_changes().end());
   loaded.messages = follower.take_messages();
@@ -73,7 +73,7 @@
     try {
       decode_change(line);
     } catch (const CodecError& error) {
-      throw FilesError(fmt::format("{}:{}: {}", path, number, error.what()));
+      throw CatalogFileError(fmt::format("{}:{}: {}", path, number, error.what()));
     }
     lines += line + "\n";
   }
@@ -89,11 +89,11 @@
     if (std::holds_alternative<PutTenant>(change)) ++header.tenants;
   }
   const std::unique_ptr<store::FileSystem> disk = store::open_folder(folder);
-  store::ChecksummedFile file(*disk, kSnapshotFile, kSnapshotForm, kMaxSnapshotBytes);
-  if (!file.write(encode_header(header) + lines)) throw FilesError(disk->why());
+  store::ChecksummedFile file(*disk, kSnapshotFile, kSnapshotFormat, kMaxSnapshotBytes);
+  if (!file.write(encode_header(header) + lines)) throw CatalogFileError(disk->why());
 }
 
-std::string lines_of(const Catalog& catalog) {
+std::string encode_entries(const Catalog& catalog) {
   std::vector<std::string> lines;
   const NameIndex& routes = catalog.route_names();
   routes.visit(0, routes.cells(), [&](std::string_view name, int position) {
@@ -111,20 +111,20 @@
 
 Version append_changes(const std::string& folder, std::uint64_t epoch, const std::string& lines,
                        const CatalogLimits& limits) {
-  const Loaded loaded = load_folder(folder, limits);
-  for (const RejectedChange& refusal : loaded.rejected_changes) {
-    const bool entry = refusal.version != Version{};  // a change that was refused alone keeps its number
-    if (!entry) throw FilesError(fmt::format("{}: {}", refusal.what, refusal.why));
+  const LoadedFolder loaded = load_folder(folder, limits);
+  for (const RejectedChange& rejected : loaded.rejected_changes) {
+    const bool entry = rejected.version != Version{};  // a change that was refused alone keeps its number
+    if (!entry) throw CatalogFileError(fmt::format("{}: {}", rejected.what, rejected.reason));
   }
   Version version = loaded.catalog->version();
   if (epoch < version.epoch)
-    throw FilesError(fmt::format("epoch {} is lower than {}, in force", epoch, version.epoch));
+    throw CatalogFileError(fmt::format("epoch {} is lower than {}, in force", epoch, version.epoch));
   HistoryDigest history = loaded.catalog->history();
   std::string batches;
-  for (const std::string& piece : pieces_of(lines)) {
-    batches += encode_batch(epoch, version.sequence + 1, history, piece);
+  for (const std::string& batch : split_into_batches(lines)) {
+    batches += encode_batch(epoch, version.sequence + 1, history, batch);
     version = {epoch,
-               version.sequence + static_cast<std::uint64_t>(std::count(piece.begin(), piece.end(), '\n'))};
+               version.sequence + static_cast<std::uint64_t>(std::count(batch.begin(), batch.end(), '\n'))};
   }
   append_at(folder + "/" + kChangesFile, loaded.changes_bytes, batches);
   return version;
--- a/src/catalog/files.h
+++ b/src/catalog/folder.h
@@ -13,30 +13,30 @@
 namespace damsonspoke::catalog {
 
 // Thrown with one plain line.
-struct FilesError : std::runtime_error {
+struct CatalogFileError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
 // What a backend would have in force that starts with this folder.
-struct Loaded {
+struct LoadedFolder {
   std::unique_ptr<Catalog> catalog;
   std::vector<RejectedChange> rejected_changes;
   std::vector<FollowerMessage> messages;
   std::uint64_t changes_bytes = 0;  // of the file of changes, in whole spans that were taken
 };
-Loaded load_folder(const std::string& folder, const CatalogLimits& limits);
+LoadedFolder load_folder(const std::string& folder, const CatalogLimits& limits);
 
-// The lines of a file of entries or changes, each checked. Throws FilesError with its line number.
+// The lines of a file of entries or changes, each checked. Throws CatalogFileError with its line number.
 std::string read_lines(const std::string& path);
 
-// Writes a snapshot with these entries; the one before is kept as NAME.1. Throws FilesError.
+// Writes a snapshot with these entries; the one before is kept as NAME.1. Throws CatalogFileError.
 void write_snapshot(const std::string& folder, Version version, HistoryDigest history,
                     const std::string& lines);
 // All entries of a catalog as lines, by name.
-std::string lines_of(const Catalog& catalog);
+std::string encode_entries(const Catalog& catalog);
 
 // Appends spans with these changes behind the last whole span; a torn one behind it goes. Returns the version
-// of the last change. Throws FilesError where the folder does not load without a refusal, or can't be
+// of the last change. Throws CatalogFileError where the folder does not load without a refusal, or can't be
 // written.
 Version append_changes(const std::string& folder, std::uint64_t epoch, const std::string& lines,
                        const CatalogLimits& limits);
--- a/src/catalog/follower.cpp
+++ b/src/catalog/follower.cpp
@@ -7,13 +7,13 @@
 namespace damsonspoke::catalog {
 namespace {
 
-constexpr std::size_t kHeadBytes = 4 * 1024;    // of a snapshot, to know whether it is new
-constexpr std::size_t kPieceBytes = 64 * 1024;  // of a file at once
-constexpr int kEntriesBetweenLooks = 16;        // at the clock
-constexpr std::size_t kPositionsAtOnce = 4096;  // of a successor that is prepared
-constexpr std::size_t kMostRefusals = 32;       // that are kept to be told
-constexpr std::size_t kMostMessages = 64;       // between two calls that take them
-constexpr std::size_t kMostHistories = 256;     // spans whose ends are known
+constexpr std::size_t kSnapshotHeadBytes = 4 * 1024;  // of a snapshot, to know whether it is new
+constexpr std::size_t kChunkBytes = 64 * 1024;        // of a file at once
+constexpr int kEntriesPerClockCheck = 16;             // at the clock
+constexpr std::size_t kPositionsPerStep = 4096;       // of a successor that is prepared
+constexpr std::size_t kMaxRejectedChanges = 32;       // that are kept to be told
+constexpr std::size_t kMaxMessages = 64;              // between two calls that take them
+constexpr std::size_t kMaxKnownHistories = 256;       // spans whose ends are known
 
 std::string text_of(Version version) { return fmt::format("{}.{}", version.epoch, version.sequence); }
 
@@ -29,16 +29,16 @@
 }  // namespace
 
 Follower::Follower(Catalog& catalog, Source& source, Clock clock)
-    : catalog_(catalog), source_(source), clock_(std::move(clock)), in_force_since_(clock_()) {}
+    : catalog_(catalog), source_(source), clock_(std::move(clock)), active_since_(clock_()) {}
 
-void Follower::follow() {
+void Follower::poll() {
   if (stage_ != Stage::kIdle) {
-    again_ = true;
+    poll_again_ = true;
     return;
   }
-  again_ = false;
+  poll_again_ = false;
   from_start_ = offset_ == 0;
-  look_at(kSnapshotFile);
+  open_snapshot(kSnapshotFile);
 }
 
 Follower::State Follower::state() const {
@@ -55,26 +55,26 @@
   return state();
 }
 
-// A little of what is to be done; false where it waits for a piece.
+// A little of what is to be done; false where it waits for a chunk.
 bool Follower::work() {
   if (waiting_) {
-    std::optional<FileChunk> piece = source_.take();
-    if (!piece) return false;
+    std::optional<FileChunk> chunk = source_.take();
+    if (!chunk) return false;
     waiting_ = false;
-    on_chunk(*piece);
+    on_chunk(*chunk);
     return true;
   }
-  for (int i = 0; i < kEntriesBetweenLooks && !waiting_; ++i) {
+  for (int i = 0; i < kEntriesPerClockCheck && !waiting_; ++i) {
     if (stage_ == Stage::kSnapshotEntries) {
-      take_snapshot_entry();
+      add_snapshot_entry();
     } else if (stage_ == Stage::kPrepare) {
-      if (!successor_->prepare(kPositionsAtOnce)) end_snapshot();
+      if (!successor_->prepare(kPositionsPerStep)) activate_snapshot();
       return true;
     } else if (stage_ == Stage::kRelease) {
       release();
       return true;
     } else if (stage_ == Stage::kBatch) {
-      take_change();
+      apply_next_change();
     } else {
       return true;
     }
@@ -82,40 +82,40 @@
   return true;
 }
 
-void Follower::ask(Stage stage, const std::string& file, std::uint64_t offset, std::size_t most) {
+void Follower::request_chunk(Stage stage, const std::string& file, std::uint64_t offset, std::size_t most) {
   stage_ = stage;
   waiting_ = true;
   source_.request(file, offset, most);
 }
 
-void Follower::on_chunk(const FileChunk& piece) {
+void Follower::on_chunk(const FileChunk& chunk) {
   switch (stage_) {
-    case Stage::kSnapshotHead: return on_snapshot_head(piece);
-    case Stage::kSnapshotEntries: return on_snapshot_chunk(piece);
-    case Stage::kChanges: return on_changes(piece);
+    case Stage::kSnapshotHead: return on_snapshot_head(chunk);
+    case Stage::kSnapshotEntries: return on_snapshot_chunk(chunk);
+    case Stage::kChanges: return on_changes(chunk);
     default: return;
   }
 }
 
 void Follower::end() {
   stage_ = Stage::kIdle;
-  if (again_) follow();
+  if (poll_again_) poll();
 }
 
 void Follower::in_force(Version version, HistoryDigest history) {
   catalog_.set_version(version, history);
-  in_force_since_ = clock_();
+  active_since_ = clock_();
 }
 
 void Follower::say(bool is_error, std::string text) {
-  if (messages_.size() < kMostMessages) messages_.push_back({is_error, std::move(text)});
+  if (messages_.size() < kMaxMessages) messages_.push_back({is_error, std::move(text)});
 }
 
 void Follower::refuse(Version version, std::string what, std::string why) {
-  ++counts_.refused;
+  ++counts_.rejected;
   say(true, fmt::format("{} refused, {} stays in force: {}", what, text_of(catalog_.version()), why));
   rejected_changes_.push_back({version, std::move(what), std::move(why)});
-  if (rejected_changes_.size() > kMostRefusals) rejected_changes_.pop_front();
+  if (rejected_changes_.size() > kMaxRejectedChanges) rejected_changes_.pop_front();
 }
 
 // ---- The snapshot.
@@ -132,28 +132,29 @@
   if (successor_ != nullptr && successor_->release()) return;
   successor_.reset();
   // Who has nothing in force yet takes the snapshot before a damaged one: better older than none.
-  if (catalog_.version() == Version{} && snapshot_name_ == kSnapshotFile) return look_at(kOlderSnapshotFile);
+  if (catalog_.version() == Version{} && snapshot_name_ == kSnapshotFile)
+    return open_snapshot(kPreviousSnapshotFile);
   read_changes();
 }
 
-void Follower::look_at(const char* snapshot) {
+void Follower::open_snapshot(const char* snapshot) {
   snapshot_name_ = snapshot;
-  ask(Stage::kSnapshotHead, snapshot_name_, 0, kHeadBytes);
+  request_chunk(Stage::kSnapshotHead, snapshot_name_, 0, kSnapshotHeadBytes);
 }
 
-void Follower::on_snapshot_head(const FileChunk& piece) {
-  if (!piece.there && piece.why.empty()) return release();
-  if (!piece.there) return reject_snapshot(piece.why);
-  const store::ChecksumHeader head = store::read_checksum_header(piece.bytes, kSnapshotForm);
+void Follower::on_snapshot_head(const FileChunk& chunk) {
+  if (!chunk.exists && chunk.error.empty()) return release();
+  if (!chunk.exists) return reject_snapshot(chunk.error);
+  const store::ChecksumHeader head = store::read_checksum_header(chunk.bytes, kSnapshotFormat);
   if (head.problem != store::ChecksumProblem::kNone)
     return reject_snapshot(std::string(text_of(head.problem)));
-  if (head.form != kSnapshotForm) return reject_snapshot("it is no snapshot");
+  if (head.form != kSnapshotFormat) return reject_snapshot("it is no snapshot");
   if (head.length > kMaxSnapshotBytes)
     return reject_snapshot(fmt::format("it holds {} bytes, {} at most", head.length, kMaxSnapshotBytes));
-  if (piece.size != head.length + store::kChecksumHeaderBytes)
-    return reject_snapshot(fmt::format("it has {} bytes and should have {}: torn or damaged", piece.size,
+  if (chunk.file_size != head.length + store::kChecksumHeaderBytes)
+    return reject_snapshot(fmt::format("it has {} bytes and should have {}: torn or damaged", chunk.file_size,
                                        head.length + store::kChecksumHeaderBytes));
-  text_ = piece.bytes.substr(store::kChecksumHeaderBytes);
+  text_ = chunk.bytes.substr(store::kChecksumHeaderBytes);
   used_ = 0;
   std::string_view line;
   if (!next_line(text_, used_, line)) return reject_snapshot("it has no header");
@@ -175,30 +176,31 @@
   successor_ = catalog_.successor();
   check_ = std::make_unique<store::ChecksumVerifier>(head);
   check_->add(text_);
-  snapshot_file_ = piece.file;
-  snapshot_end_ = piece.size;
-  snapshot_offset_ = piece.bytes.size();
+  snapshot_file_id_ = chunk.file_id;
+  snapshot_file_size_ = chunk.file_size;
+  snapshot_offset_ = chunk.bytes.size();
   line_ = 1;
   stage_ = Stage::kSnapshotEntries;
 }
 
-void Follower::on_snapshot_chunk(const FileChunk& piece) {
-  if (!piece.there || piece.file != snapshot_file_ || piece.size != snapshot_end_ || piece.bytes.empty())
+void Follower::on_snapshot_chunk(const FileChunk& chunk) {
+  if (!chunk.exists || chunk.file_id != snapshot_file_id_ || chunk.file_size != snapshot_file_size_ ||
+      chunk.bytes.empty())
     return reject_snapshot("it was replaced while it was read");
-  check_->add(piece.bytes);
-  snapshot_offset_ += piece.bytes.size();
+  check_->add(chunk.bytes);
+  snapshot_offset_ += chunk.bytes.size();
   text_.erase(0, used_);
   used_ = 0;
-  text_ += piece.bytes;
+  text_ += chunk.bytes;
   if (text_.find('\n') == std::string::npos)
     reject_snapshot(fmt::format("line {}: it has more than {} bytes", line_ + 1, text_.size()));
 }
 
-void Follower::take_snapshot_entry() {
+void Follower::add_snapshot_entry() {
   std::string_view line;
   if (!next_line(text_, used_, line)) {
-    if (snapshot_offset_ < snapshot_end_)
-      return ask(Stage::kSnapshotEntries, snapshot_name_, snapshot_offset_, kPieceBytes);
+    if (snapshot_offset_ < snapshot_file_size_)
+      return request_chunk(Stage::kSnapshotEntries, snapshot_name_, snapshot_offset_, kChunkBytes);
     if (used_ != text_.size() || !check_->sound()) return reject_snapshot("torn or damaged");
     if (successor_->route_count() != snapshot_.routes || successor_->tenant_count() != snapshot_.tenants)
       return reject_snapshot(fmt::format("its header tells {} routes and {} tenants, it has {} and {}",
@@ -218,7 +220,7 @@
   }
 }
 
-void Follower::end_snapshot() {
+void Follower::activate_snapshot() {
   catalog_.take_over(*successor_);
   in_force(snapshot_.version, snapshot_.history);
   histories_.clear();
@@ -232,38 +234,38 @@
 
 // ---- Changes.
 
-void Follower::read_changes() { ask(Stage::kChanges, kChangesFile, offset_, kPieceBytes); }
+void Follower::read_changes() { request_chunk(Stage::kChanges, kChangesFile, offset_, kChunkBytes); }
 
-void Follower::on_changes(const FileChunk& piece) {
-  if (!piece.there) {
-    if (!piece.why.empty()) refuse({}, kChangesFile, piece.why);
+void Follower::on_changes(const FileChunk& chunk) {
+  if (!chunk.exists) {
+    if (!chunk.error.empty()) refuse({}, kChangesFile, chunk.error);
     offset_ = 0;
     return end();
   }
-  if (piece.file != changes_file_ ||
-      piece.size < offset_) {  // another file: what is known of it is passed over
+  if (chunk.file_id != changes_file_id_ ||
+      chunk.file_size < offset_) {  // another file: what is known of it is passed over
     const bool from_start = offset_ == 0;
-    changes_file_ = piece.file;
+    changes_file_id_ = chunk.file_id;
     offset_ = 0;
     if (!from_start) return read_changes();
   }
-  if (piece.bytes.empty()) return end();
-  const store::ChecksumHeader head = store::read_checksum_header(piece.bytes, kBatchForm);
+  if (chunk.bytes.empty()) return end();
+  const store::ChecksumHeader head = store::read_checksum_header(chunk.bytes, kBatchFormat);
   const std::uint64_t whole = store::kChecksumHeaderBytes + head.length;
   const bool known = head.problem == store::ChecksumProblem::kNone;
-  if (head.problem == store::ChecksumProblem::kTorn || (known && offset_ + whole > piece.size)) {
+  if (head.problem == store::ChecksumProblem::kTorn || (known && offset_ + whole > chunk.file_size)) {
     say(true, fmt::format("{}: the last span is not whole, {} bytes at {}", kChangesFile,
-                          piece.size - offset_, offset_));
+                          chunk.file_size - offset_, offset_));
     return end();
   }
   if (!known) return reject_bytes(head.problem);
-  if (head.form != kBatchForm) return reject_batch("it is no span of changes");
+  if (head.form != kBatchFormat) return reject_batch("it is no span of changes");
   if (head.length > kMaxBatchBytes)
     return reject_batch(fmt::format("it holds {} bytes, {} at most", head.length, kMaxBatchBytes));
-  if (piece.bytes.size() < whole)
-    return ask(Stage::kChanges, kChangesFile, offset_, static_cast<std::size_t>(whole));
+  if (chunk.bytes.size() < whole)
+    return request_chunk(Stage::kChanges, kChangesFile, offset_, static_cast<std::size_t>(whole));
   const store::ChecksummedContent span = store::verify_checksum(
-      std::string_view(piece.bytes).substr(0, static_cast<std::size_t>(whole)), kBatchForm);
+      std::string_view(chunk.bytes).substr(0, static_cast<std::size_t>(whole)), kBatchFormat);
   if (span.problem != store::ChecksumProblem::kNone) return reject_bytes(span.problem);
   batch_bytes_ = whole;
   begin_batch(span.content);
@@ -299,7 +301,7 @@
   const std::string why = check_batch(batch_, changes_);
   if (!why.empty()) return reject_batch(why);
   const std::uint64_t now = catalog_.version().sequence;
-  next_change_ = static_cast<std::size_t>(now >= batch_.first ? now - batch_.first + 1 : 0);
+  next_change_ = static_cast<std::size_t>(now >= batch_.first_sequence ? now - batch_.first_sequence + 1 : 0);
   if (next_change_ >= changes_.size()) {  // all of it is in force already
     offset_ += batch_bytes_;
     return read_changes();
@@ -309,16 +311,17 @@
 
 std::string Follower::check_batch(const BatchHeader& header, const std::vector<std::string>& lines) {
   const Version now = catalog_.version();
-  if (lines.size() != header.last - header.first + 1)
-    return fmt::format("it has {} changes for the numbers {} to {}", lines.size(), header.first, header.last);
-  if (header.last > now.sequence && header.epoch < now.epoch)
+  if (lines.size() != header.last_sequence - header.first_sequence + 1)
+    return fmt::format("it has {} changes for the numbers {} to {}", lines.size(), header.first_sequence,
+                       header.last_sequence);
+  if (header.last_sequence > now.sequence && header.epoch < now.epoch)
     return fmt::format("its epoch is {}", header.epoch);
-  if (header.first > now.sequence + 1)
-    return fmt::format("a gap: it begins with {}, {} is next", header.first, now.sequence + 1);
+  if (header.first_sequence > now.sequence + 1)
+    return fmt::format("a gap: it begins with {}, {} is next", header.first_sequence, now.sequence + 1);
   return check_history(header, lines);
 }
 
-bool Follower::known_otherwise(std::uint64_t sequence, HistoryDigest history) const {
+bool Follower::contradicts_history(std::uint64_t sequence, HistoryDigest history) const {
   if (sequence == catalog_.version().sequence) return history != catalog_.history();
   const auto known = histories_.find(sequence);
   return known != histories_.end() && known->second != history;
@@ -326,23 +329,23 @@
 
 // Its history must be ours wherever we know ours, and what its header says that it is.
 std::string Follower::check_history(const BatchHeader& header, const std::vector<std::string>& lines) const {
-  HistoryDigest history = header.before;
-  std::uint64_t sequence = header.first - 1;
-  bool differs = known_otherwise(sequence, history);
+  HistoryDigest history = header.history_before;
+  std::uint64_t sequence = header.first_sequence - 1;
+  bool differs = contradicts_history(sequence, history);
   for (const std::string& line : lines) {
     if (differs) break;
-    history = extend(history, line);
+    history = extend_history(history, line);
     ++sequence;
-    const bool looked_at = sequence == catalog_.version().sequence || sequence == header.last;
-    differs = looked_at && known_otherwise(sequence, history);
+    const bool looked_at = sequence == catalog_.version().sequence || sequence == header.last_sequence;
+    differs = looked_at && contradicts_history(sequence, history);
   }
   if (differs) return fmt::format("change {} has another history here", sequence);
-  return history == header.after ? "" : "its changes are not those that its header tells";
+  return history == header.history_after ? "" : "its changes are not those that its header tells";
 }
 
-void Follower::take_change() {
+void Follower::apply_next_change() {
   const std::string& line = changes_[next_change_];
-  const Version version{batch_.epoch, batch_.first + next_change_};
+  const Version version{batch_.epoch, batch_.first_sequence + next_change_};
   try {
     const Change change = decode_change(line);
     const std::string why = catalog_.apply(change);
@@ -354,11 +357,11 @@
   } catch (const CodecError& error) {
     refuse(version, fmt::format("change {}", text_of(version)), error.what());
   }
-  in_force(version, extend(catalog_.history(), line));
+  in_force(version, extend_history(catalog_.history(), line));
   if (++next_change_ < changes_.size()) return;
   ++counts_.batches;
   histories_[version.sequence] = catalog_.history();
-  if (histories_.size() > kMostHistories) histories_.erase(histories_.begin());
+  if (histories_.size() > kMaxKnownHistories) histories_.erase(histories_.begin());
   offset_ += batch_bytes_;
   changes_.clear();
   read_changes();
--- a/src/catalog/names.cpp
+++ b/src/catalog/name_index.cpp
@@ -1,4 +1,4 @@
-#include "catalog/names.h"
+#include "catalog/name_index.h"
 
 #include <xxhash.h>
 
@@ -48,7 +48,7 @@
   return {from + kLengthBytes, length};
 }
 
-std::size_t NameArena::bytes() const { return blocks_.size() * kBlockBytes; }
+std::size_t NameArena::memory_bytes() const { return blocks_.size() * kBlockBytes; }
 
 bool NameArena::release(std::size_t blocks) {
   for (; blocks > 0 && !blocks_.empty(); --blocks) blocks_.pop_back();
--- a/src/catalog/names.h
+++ b/src/catalog/name_index.h
@@ -21,12 +21,12 @@
 class NameArena {
  public:
   using Reference = std::uint32_t;
-  static constexpr std::size_t kLongestName = 1024;  // bytes
+  static constexpr std::size_t kMaxNameBytes = 1024;  // bytes
 
   Reference add(std::string_view name);
   void remove(Reference reference);
   std::string_view at(Reference reference) const;
-  std::size_t bytes() const;
+  std::size_t memory_bytes() const;
   bool release(std::size_t blocks);  // at most so many; false when none are left
 
  private:
@@ -52,7 +52,7 @@
 
   std::size_t size() const { return size_; }
   std::size_t most() const { return most_; }
-  std::size_t bytes() const { return table_.bytes() + arena_.bytes(); }
+  std::size_t memory_bytes() const { return table_.memory_bytes() + arena_.memory_bytes(); }
   // Calls `visit` with the name and the position of each cell in use, from cell `from` on, at most `count`
   // cells; returns the next cell, or cells() at the end.
   template <typename Visit>
--- a/src/catalog/paged_array.h
+++ b/src/catalog/paged_array.h
@@ -31,7 +31,9 @@
     }
     return page[at % kPageLength];
   }
-  std::size_t bytes() const { return in_use_ * kPageLength * sizeof(Value) + pages_.size() * sizeof(Page); }
+  std::size_t memory_bytes() const {
+    return in_use_ * kPageLength * sizeof(Value) + pages_.size() * sizeof(Page);
+  }
   // Gives back at most `count` pages, the last ones first, and the length with them. False when none are
   // left.
   bool release(std::size_t count) {
--- a/src/catalog/source.cpp
+++ b/src/catalog/source.cpp
@@ -12,43 +12,43 @@
 namespace damsonspoke::catalog {
 namespace {
 
-FileChunk read_piece(const std::string& path, std::uint64_t offset, std::size_t most) {
-  FileChunk piece;
+FileChunk read_chunk(const std::string& path, std::uint64_t offset, std::size_t most) {
+  FileChunk chunk;
   // Not held up by what is no file: a pipe without a writer would be waited for.
   const int fd = ::open(path.c_str(), O_RDONLY | O_CLOEXEC | O_NONBLOCK);
   if (fd < 0) {
-    if (errno != ENOENT) piece.why = fmt::format("cannot read '{}': {}", path, std::strerror(errno));
-    return piece;
+    if (errno != ENOENT) chunk.error = fmt::format("cannot read '{}': {}", path, std::strerror(errno));
+    return chunk;
   }
   struct stat status {};
   if (::fstat(fd, &status) != 0 || !S_ISREG(status.st_mode)) {
-    piece.why = fmt::format("'{}' is no file", path);
+    chunk.error = fmt::format("'{}' is no file", path);
     ::close(fd);
-    return piece;
+    return chunk;
   }
-  piece.file = static_cast<std::uint64_t>(status.st_ino);
-  piece.size = static_cast<std::uint64_t>(status.st_size);
-  const std::uint64_t left = piece.size > offset ? piece.size - offset : 0;
-  piece.bytes.resize(static_cast<std::size_t>(std::min<std::uint64_t>(left, most)));
+  chunk.file_id = static_cast<std::uint64_t>(status.st_ino);
+  chunk.file_size = static_cast<std::uint64_t>(status.st_size);
+  const std::uint64_t left = chunk.file_size > offset ? chunk.file_size - offset : 0;
+  chunk.bytes.resize(static_cast<std::size_t>(std::min<std::uint64_t>(left, most)));
   std::size_t have = 0;
-  while (have < piece.bytes.size()) {
+  while (have < chunk.bytes.size()) {
     const ssize_t got =
-        ::pread(fd, piece.bytes.data() + have, piece.bytes.size() - have, static_cast<off_t>(offset + have));
+        ::pread(fd, chunk.bytes.data() + have, chunk.bytes.size() - have, static_cast<off_t>(offset + have));
     if (got < 0 && errno == EINTR) continue;
-    if (got < 0) piece.why = fmt::format("cannot read '{}': {}", path, std::strerror(errno));
+    if (got < 0) chunk.error = fmt::format("cannot read '{}': {}", path, std::strerror(errno));
     if (got <= 0) break;
     have += static_cast<std::size_t>(got);
   }
-  piece.bytes.resize(have);
-  piece.there = piece.why.empty();
+  chunk.bytes.resize(have);
+  chunk.exists = chunk.error.empty();
   ::close(fd);
-  return piece;
+  return chunk;
 }
 
 }  // namespace
 
 void FolderSource::request(const std::string& name, std::uint64_t offset, std::size_t most) {
-  piece_ = read_piece(folder_ + "/" + name, offset, most);
+  chunk_ = read_chunk(folder_ + "/" + name, offset, most);
 }
 
 }  // namespace damsonspoke::catalog
--- a/src/catalog/source.h
+++ b/src/catalog/source.h
@@ -1,4 +1,4 @@
-// Where the catalog's files are read from, piece by piece. What waits for a file does so without blocking.
+// Where the catalog's files are read from, chunk by chunk. What waits for a file does so without blocking.
 #pragma once
 
 #include <cstdint>
@@ -8,11 +8,11 @@
 namespace damsonspoke::catalog {
 
 struct FileChunk {
-  bool there = false;      // there is such a file, and it could be read
-  std::string why;         // else why not; empty: there is no such file
-  std::uint64_t file = 0;  // changes when another file takes its name
-  std::uint64_t size = 0;  // bytes of the whole file
-  std::string bytes;       // fewer than asked for where the file ends
+  bool exists = false;          // there is such a file, and it could be read
+  std::string error;            // else why not; empty: there is no such file
+  std::uint64_t file_id = 0;    // changes when another file takes its name
+  std::uint64_t file_size = 0;  // bytes of the whole file
+  std::string bytes;            // fewer than asked for where the file ends
 };
 
 class Source {
@@ -29,11 +29,11 @@
  public:
   explicit FolderSource(std::string folder) : folder_(std::move(folder)) {}
   void request(const std::string& name, std::uint64_t offset, std::size_t most) override;
-  std::optional<FileChunk> take() override { return std::move(piece_); }
+  std::optional<FileChunk> take() override { return std::move(chunk_); }
 
  private:
   const std::string folder_;
-  std::optional<FileChunk> piece_;
+  std::optional<FileChunk> chunk_;
 };
 
 }  // namespace damsonspoke::catalog
--- a/src/catalog/threaded_source.cpp
+++ b/src/catalog/threaded_source.cpp
@@ -22,7 +22,7 @@
   std::unique_ptr<Source> source;
   std::function<void()> on_ready;
   std::optional<Request> request;
-  std::optional<FileChunk> piece;
+  std::optional<FileChunk> chunk;
 
   void run() {
     std::unique_lock guard(lock);
@@ -34,7 +34,7 @@
       source->request(wanted.name, wanted.offset, wanted.most);
       std::optional<FileChunk> read = source->take();
       guard.lock();
-      piece = std::move(read);
+      chunk = std::move(read);
       changed.notify_all();
       if (!closing) on_ready();
     }
@@ -54,20 +54,20 @@
 
 void ThreadedSource::request(const std::string& name, std::uint64_t offset, std::size_t most) {
   const std::lock_guard guard(shared_->lock);
-  shared_->piece.reset();
+  shared_->chunk.reset();
   shared_->request = Request{name, offset, most};
   shared_->changed.notify_all();
 }
 
 std::optional<FileChunk> ThreadedSource::take() {
   const std::lock_guard guard(shared_->lock);
-  return std::exchange(shared_->piece, std::nullopt);
+  return std::exchange(shared_->chunk, std::nullopt);
 }
 
 bool ThreadedSource::wait(double seconds) {
   std::unique_lock guard(shared_->lock);
   return shared_->changed.wait_for(guard, std::chrono::duration<double>(seconds),
-                                   [this] { return shared_->piece.has_value(); });
+                                   [this] { return shared_->chunk.has_value(); });
 }
 
 }  // namespace damsonspoke::catalog
--- a/tests/catalog.cpp
+++ b/tests/catalog.cpp
@@ -18,7 +18,7 @@
 
 #include "admission/controller.h"
 #include "admission/tenant_quotas.h"
-#include "catalog/files.h"
+#include "catalog/folder.h"
 #include "catalog/follower.h"
 #include "decision_load.h"
 #include "scenarios.h"
@@ -42,14 +42,14 @@
 
 PutRoute route(const std::string& name, double timeout = 0.4, double priority_weight = 1) {
   PutRoute put{name, {}};
-  put.type.latency_objective = timeout / 2;
-  put.type.timeout = timeout;
-  put.type.priority_weight = priority_weight;
+  put.settings.latency_objective = timeout / 2;
+  put.settings.timeout = timeout;
+  put.settings.priority_weight = priority_weight;
   return put;
 }
 PutTenant tenant(const std::string& name, double quota) { return {name, {quota, 0}}; }
 
-std::string lines_of_changes(std::initializer_list<Change> changes) {
+std::string encode_changes(std::initializer_list<Change> changes) {
   std::string lines;
   for (const Change& change : changes) lines += encode_change(change);
   return lines;
@@ -63,38 +63,38 @@
     std::string bytes;
   };
   std::map<std::string, File> files;
-  std::size_t most_asked = 0, read = 0;  // bytes
-  std::function<void()> at_second;       // before the second piece of a file
+  std::size_t max_requested = 0, read = 0;    // bytes
+  std::function<void()> before_second_chunk;  // before the second piece of a file
 
   void request(const std::string& name, std::uint64_t offset, std::size_t most) override {
-    FileChunk piece;
-    if (offset > 0 && at_second) std::exchange(at_second, nullptr)();
-    most_asked = std::max(most_asked, most);
+    FileChunk chunk;
+    if (offset > 0 && before_second_chunk) std::exchange(before_second_chunk, nullptr)();
+    max_requested = std::max(max_requested, most);
     const auto found = files.find(name);
     if (found != files.end()) {
-      piece.there = true;
-      piece.file = found->second.number;
-      piece.size = found->second.bytes.size();
-      if (offset < piece.size) piece.bytes = found->second.bytes.substr(offset, most);
-      read += piece.bytes.size();
+      chunk.exists = true;
+      chunk.file_id = found->second.number;
+      chunk.file_size = found->second.bytes.size();
+      if (offset < chunk.file_size) chunk.bytes = found->second.bytes.substr(offset, most);
+      read += chunk.bytes.size();
     }
-    piece_ = std::move(piece);
+    chunk_ = std::move(chunk);
   }
-  std::optional<FileChunk> take() override { return std::exchange(piece_, std::nullopt); }
+  std::optional<FileChunk> take() override { return std::exchange(chunk_, std::nullopt); }
 
  private:
-  std::optional<FileChunk> piece_;
+  std::optional<FileChunk> chunk_;
 };
 
 std::string snapshot_of(Version version, HistoryDigest history, const std::string& lines,
                         std::uint64_t routes, std::uint64_t tenants) {
-  return store::add_checksum(kSnapshotForm,
+  return store::add_checksum(kSnapshotFormat,
                              encode_header(SnapshotHeader{version, history, routes, tenants}) + lines);
 }
 
 // A backend's catalog, and the files that it follows.
-struct Following {
-  explicit Following(CatalogLimits limits = {100, 100, true}) : catalog(limits, 7) {}
+struct FollowedCatalog {
+  explicit FollowedCatalog(CatalogLimits limits = {100, 100, true}) : catalog(limits, 7) {}
 
   Catalog catalog;
   MemorySource source;
@@ -108,7 +108,7 @@
     written += static_cast<std::uint64_t>(std::count(lines.begin(), lines.end(), '\n'));
   }
   void read() {
-    follower.follow();
+    follower.poll();
     while (follower.step(1) != Follower::State::kIdle) continue;
   }
   void tell(const char* what) {
@@ -122,11 +122,11 @@
   }
 };
 
-std::uint64_t same_hash(std::string_view, std::uint64_t) { return 42; }
+std::uint64_t constant_hash(std::string_view, std::uint64_t) { return 42; }
 
 // Names are found again among any others, also where all of them hash alike, and after any removals.
 void names() {
-  for (const HashFunction hash : {keyed_hash, same_hash}) {
+  for (const HashFunction hash : {keyed_hash, constant_hash}) {
     const std::size_t most = hash == keyed_hash ? 5000 : 300;
     NameIndex index(most, 3, hash);
     std::map<std::string, int> expected;
@@ -151,15 +151,15 @@
   }
   NameIndex index(1000, 3);
   for (int i = 0; i < 500; ++i) index.add(numbered("name-", i), i);
-  const std::size_t before = index.bytes();
+  const std::size_t before = index.memory_bytes();
   int known = 0;
   for (int i = 0; i < 1000000; ++i) known += index.find(numbered("unknown-", i)) >= 0;
-  say("a million unknown names are none, and take no memory", known == 0 && index.bytes() == before);
+  say("a million unknown names are none, and take no memory", known == 0 && index.memory_bytes() == before);
   for (int i = 0; i < 100000; ++i) {
     index.remove(numbered("name-", i % 500));
     index.add(numbered("name-", i % 500), i);
   }
-  say("names that come and go take no more memory", index.bytes() == before);
+  say("names that come and go take no more memory", index.memory_bytes() == before);
 }
 
 // An entry keeps its position and life, one that takes its place has another life, and the sums follow.
@@ -202,7 +202,7 @@
   std::printf("of one that is there: '%s'\n", catalog.apply(tenant("t1", 2)).c_str());
   Catalog unkeyed({10, 10, false}, 1);
   PutRoute keyed = route("k");
-  keyed.type.idempotency = Idempotency::kWithKey;
+  keyed.settings.idempotency = Idempotency::kWithKey;
   std::printf("keyed: %s\n", unkeyed.apply(keyed).c_str());
 }
 
@@ -240,11 +240,11 @@
 
 void lines() {
   PutRoute full = route("svc/r", 0.4, 2.5);
-  full.type.idempotency_window = 5;
-  full.type.late_value = 0.25;
-  full.type.value_without_call = 0.5;
-  full.type.calls_dependency = true;
-  full.type.idempotency = Idempotency::kNonIdempotent;
+  full.settings.idempotency_window = 5;
+  full.settings.late_value = 0.25;
+  full.settings.value_without_call = 0.5;
+  full.settings.calls_dependency = true;
+  full.settings.idempotency = Idempotency::kNonIdempotent;
   for (const Change& change : std::initializer_list<Change>{full, tenant("acme", 12.5), RemoveRoute{"svc/r"},
                                                             RemoveTenant{"acme"}}) {
     std::string line = encode_change(change);
@@ -271,23 +271,23 @@
 
 // Changes come in force one after another; a bad one is refused alone.
 void changes() {
-  Following f;
+  FollowedCatalog f;
   f.tell("no files");
-  f.append(lines_of_changes({route("r"), tenant("a", 10), tenant("b", 5)}));
+  f.append(encode_changes({route("r"), tenant("a", 10), tenant("b", 5)}));
   f.tell("three changes");
   f.tell("nothing new");
-  f.append(lines_of_changes({tenant("a", 11), RemoveTenant{"none"}}) +
-           "{\"tenant\":\"c\",\"quota-per-s\":-1}\n" + lines_of_changes({tenant("d", 1)}));
+  f.append(encode_changes({tenant("a", 11), RemoveTenant{"none"}}) +
+           "{\"tenant\":\"c\",\"quota-per-s\":-1}\n" + encode_changes({tenant("d", 1)}));
   f.tell("a good one, two bad ones, a good one");
-  f.append(lines_of_changes({RemoveTenant{"b"}, tenant("b", 6)}), 2);
+  f.append(encode_changes({RemoveTenant{"b"}, tenant("b", 6)}), 2);
   f.tell("a higher epoch goes on");
   f.source.files[kChangesFile].number = 2;  // the same content in another file
   f.tell("another file with the same history");
-  f.append(lines_of_changes({tenant("e", 1)}), 2);
+  f.append(encode_changes({tenant("e", 1)}), 2);
   f.tell("read on in it");
   // Another file under the same number: one long span that tells the same history, then a new change.
   HistoryDigest history = 0;
-  std::string all = lines_of_changes({route("r"), tenant("a", 10), tenant("b", 5)});
+  std::string all = encode_changes({route("r"), tenant("a", 10), tenant("b", 5)});
   MemorySource::File& file = f.source.files[kChangesFile];
   const std::size_t before = file.bytes.size();
   file.bytes = encode_batch(1, 1, history, all);
@@ -303,54 +303,54 @@
   f.history = known;
   f.tell("changes that begin before the place where it was");
   say("every change was taken or refused, none twice",
-      f.follower.counts().applied + 2 == f.written && f.follower.counts().refused == 2);
+      f.follower.counts().applied + 2 == f.written && f.follower.counts().rejected == 2);
 }
 
 // What does not fit to what is in force is refused, and nothing of it is taken.
 void refused() {
-  const std::string first = lines_of_changes({route("r"), tenant("a", 10)});
+  const std::string first = encode_changes({route("r"), tenant("a", 10)});
   const auto begun = [&] {
-    auto f = std::make_unique<Following>();
+    auto f = std::make_unique<FollowedCatalog>();
     f->append(first);
     f->read();
     return f;
   };
   auto f = begun();
   f->written += 1;
-  f->append(lines_of_changes({tenant("b", 1)}));
+  f->append(encode_changes({tenant("b", 1)}));
   f->tell("a gap");
   f->tell("it is told again when asked again");
   f = begun();
-  f->append(lines_of_changes({tenant("b", 1)}), 3);
+  f->append(encode_changes({tenant("b", 1)}), 3);
   f->read();
-  f->append(lines_of_changes({tenant("c", 1)}), 2);
+  f->append(encode_changes({tenant("c", 1)}), 2);
   f->tell("a lower epoch");
   f = begun();
   f->history ^= 1;
-  f->append(lines_of_changes({tenant("b", 1)}));
+  f->append(encode_changes({tenant("b", 1)}));
   f->tell("another history before it");
   f = begun();
-  f->append(lines_of_changes({tenant("b", 1)}));
+  f->append(encode_changes({tenant("b", 1)}));
   f->read();
   f->source.files[kChangesFile] = {2, ""};
   f->written = 0;
   f->history = 0;
   f->append(first);
-  f->append(lines_of_changes({tenant("b", 2)}));
-  f->append(lines_of_changes({tenant("c", 2)}));
+  f->append(encode_changes({tenant("b", 2)}));
+  f->append(encode_changes({tenant("c", 2)}));
   f->tell("one version with two histories");
   f = begun();
-  f->append(lines_of_changes({tenant("b", 1)}));
-  f->append(lines_of_changes({tenant("c", 1)}));
+  f->append(encode_changes({tenant("b", 1)}));
+  f->append(encode_changes({tenant("c", 1)}));
   f->read();
   f->source.files[kChangesFile] = {2, ""};
   f->written = 0;
   f->history = 0;
   f->append(first);
-  f->append(lines_of_changes({tenant("b", 2)}));
+  f->append(encode_changes({tenant("b", 2)}));
   f->tell("an earlier version with two histories");
   f = begun();
-  f->append(lines_of_changes({tenant("b", 1)}));
+  f->append(encode_changes({tenant("b", 1)}));
   std::string& bytes = f->source.files[kChangesFile].bytes;
   const std::string whole = bytes;
   bytes.pop_back();
@@ -360,15 +360,15 @@
   bytes = whole + "nonsense that is no span of ours at all";
   f->tell("nonsense behind");
   f = begun();
-  f->append(lines_of_changes({tenant("b", 1)}));
+  f->append(encode_changes({tenant("b", 1)}));
   f->source.files[kChangesFile].bytes.back() ^= 1;
   f->tell("a flipped bit");
   f = begun();
-  f->source.files[kChangesFile].bytes += store::add_checksum(kBatchForm + 1, "x");
+  f->source.files[kChangesFile].bytes += store::add_checksum(kBatchFormat + 1, "x");
   f->tell("a newer form");
   f = begun();
   f->source.files[kChangesFile].bytes +=
-      store::add_checksum(kBatchForm, std::string(kMaxBatchBytes + 1, 'x'));
+      store::add_checksum(kBatchFormat, std::string(kMaxBatchBytes + 1, 'x'));
   f->tell("too long");
   for (const char* content : {"", "x\n", R"({"epoch":1,"first":3,"last":2,"before":"0","after":"0"}
 )",
@@ -376,32 +376,32 @@
 {}
 )"}) {
     f = begun();
-    f->source.files[kChangesFile].bytes += store::add_checksum(kBatchForm, content);
+    f->source.files[kChangesFile].bytes += store::add_checksum(kBatchFormat, content);
     f->tell("a bad span");
   }
   f = begun();
   HistoryDigest next = f->history;
-  const std::string whole_span = encode_batch(1, 3, next, lines_of_changes({tenant("b", 1)}));
+  const std::string whole_span = encode_batch(1, 3, next, encode_changes({tenant("b", 1)}));
   f->source.files[kChangesFile].bytes +=
-      store::add_checksum(kBatchForm, whole_span.substr(store::kChecksumHeaderBytes) + "{");
+      store::add_checksum(kBatchFormat, whole_span.substr(store::kChecksumHeaderBytes) + "{");
   f->tell("a line without end");
   f = begun();
-  std::string changed = encode_batch(1, 3, f->history, lines_of_changes({tenant("b", 1)}));
+  std::string changed = encode_batch(1, 3, f->history, encode_changes({tenant("b", 1)}));
   changed = changed.substr(store::kChecksumHeaderBytes);
   const std::size_t at = changed.find("\"b\"");
   changed[at + 1] = 'z';
-  f->source.files[kChangesFile].bytes += store::add_checksum(kBatchForm, changed);
+  f->source.files[kChangesFile].bytes += store::add_checksum(kBatchFormat, changed);
   f->tell("changes that are not those of the header");
 }
 
 void snapshots() {
-  Following f;
-  f.append(lines_of_changes({route("r"), tenant("a", 10), tenant("b", 5)}));
+  FollowedCatalog f;
+  f.append(encode_changes({route("r"), tenant("a", 10), tenant("b", 5)}));
   f.tell("three changes");
   const int a = f.catalog.find_tenant("a"), b = f.catalog.find_tenant("b");
   const std::uint32_t generation = f.catalog.tenant(a).generation, life_b = f.catalog.tenant(b).generation;
   const std::string entries =
-      lines_of_changes({route("r", 0.4, 3), route("s"), tenant("a", 1), tenant("c", 2)});
+      encode_changes({route("r", 0.4, 3), route("s"), tenant("a", 1), tenant("c", 2)});
   f.source.files[kSnapshotFile].bytes = snapshot_of({1, 9}, 99, entries, 2, 2);
   f.tell("a snapshot");
   say("who stayed has his position and life",
@@ -433,39 +433,39 @@
   given("an entry twice", snapshot_of({1, 20}, 5, entries + entries, 4, 4));
   given("a tenant twice", snapshot_of({1, 20}, 5, entries + encode_change(tenant("a", 3)), 2, 3));
   given("a bad entry", snapshot_of({1, 20}, 5, entries + "{\"tenant\":\"x\",\"quota-per-s\":-1}\n", 2, 3));
-  given("a removal", snapshot_of({1, 20}, 5, entries + lines_of_changes({RemoveTenant{"a"}}), 2, 2));
-  given("no route", snapshot_of({1, 20}, 5, lines_of_changes({tenant("a", 1)}), 0, 1));
+  given("a removal", snapshot_of({1, 20}, 5, entries + encode_changes({RemoveTenant{"a"}}), 2, 2));
+  given("no route", snapshot_of({1, 20}, 5, encode_changes({tenant("a", 1)}), 0, 1));
   given("no end", snapshot_of({1, 20}, 5, entries + "{", 2, 2));
   given("a line without end",
-        store::add_checksum(kSnapshotForm, encode_header(SnapshotHeader{{1, 20}, 5, 2, 2}) + entries +
-                                               std::string(200000, 'x')));
-  // Replaced between two pieces: by another file, or by one of another size.
+        store::add_checksum(kSnapshotFormat, encode_header(SnapshotHeader{{1, 20}, 5, 2, 2}) + entries +
+                                                 std::string(200000, 'x')));
+  // Replaced between two chunks: by another file, or by one of another size.
   std::string many = entries;
   for (int i = 0; i < 90; ++i) many += encode_change(tenant(numbered("t", i) + std::string(900, 'x'), 1));
   const std::string long_one = snapshot_of({1, 20}, 5, many, 2, 92);
   for (const bool other : {true, false}) {
     f.source.files[kSnapshotFile].bytes = long_one;
-    f.source.at_second = [&] {
+    f.source.before_second_chunk = [&] {
       MemorySource::File& file = f.source.files[kSnapshotFile];
       other ? void(++file.number) : file.bytes.push_back('x');
     };
     f.tell(other ? "replaced while it is read" : "longer while it is read");
   }
-  given("no header", store::add_checksum(kSnapshotForm, "x\n"));
-  given("a span in its place", store::add_checksum(kBatchForm, "x\n"));
+  given("no header", store::add_checksum(kSnapshotFormat, "x\n"));
+  given("a span in its place", store::add_checksum(kBatchFormat, "x\n"));
   given("nothing", "");
   given("sound at last", newer);
   f.source.files.erase(kChangesFile);
   f.written = 20;
   f.history = 5;
-  f.append(lines_of_changes({tenant("e", 1)}));
+  f.append(encode_changes({tenant("e", 1)}));
   f.tell("changes behind it");
 }
 
 // A whole that is replaced again and again by other names stays within its memory and its positions.
 void replaced() {
   constexpr int kTenants = 3000;
-  Following f({10, kTenants, true});
+  FollowedCatalog f({10, kTenants, true});
   std::size_t bytes = 0;
   bool within = true, found = true, alone = true;
   for (int round = 1; round <= 12; ++round) {
@@ -483,12 +483,12 @@
     });
     alone = alone && positions.size() == static_cast<std::size_t>(kTenants);
     found = found && f.catalog.version().sequence == static_cast<std::uint64_t>(round);
-    if (round == 4) bytes = f.catalog.bytes();
+    if (round == 4) bytes = f.catalog.memory_bytes();
   }
   say("twelve snapshots in force", found);
   say("positions within their bound", within);
   say("each entry alone at its position", alone);
-  say("no more memory than after four", f.catalog.bytes() <= bytes * 11 / 10);
+  say("no more memory than after four", f.catalog.memory_bytes() <= bytes * 11 / 10);
 }
 
 // Steps end in time, whatever is read; the clock here moves a millisecond each time it is looked at.
@@ -501,7 +501,7 @@
   std::string entries = encode_change(route("r"));
   for (int i = 0; i < 20000; ++i) entries += encode_change(tenant(numbered("tenant-", i), 1));
   source.files[kSnapshotFile].bytes = snapshot_of({1, 1}, 1, entries, 1, 20000);
-  follower.follow();
+  follower.poll();
   int steps = 0;
   std::size_t most = 0, before = 0;
   bool whole_or_nothing = true;
@@ -515,19 +515,19 @@
   std::string lines;
   for (int i = 0; i < 1000; ++i) lines += encode_change(tenant(numbered("tenant-", i), 2));
   source.files[kChangesFile].bytes = encode_batch(1, 2, history, lines);
-  follower.follow();
+  follower.poll();
   while (follower.step(0.002) != Follower::State::kIdle) {
     most = std::max<std::size_t>(most, follower.counts().applied - before);
     before = follower.counts().applied;
   }
   say("a thousand changes, few in a step", follower.counts().applied == 1000 && most <= 64);
-  follower.follow();
+  follower.poll();
   follower.step(0);  // the end of the file is on its way, as it was
   source.files[kChangesFile].bytes += encode_batch(1, 1002, history, encode_change(tenant("tenant-1", 3)));
-  follower.follow();
+  follower.poll();
   while (follower.step(1) != Follower::State::kIdle) continue;
   say("asked again while it reads: once more afterwards", follower.counts().applied == 1001);
-  say("pieces of files are small", source.most_asked <= kMaxBatchBytes + store::kChecksumHeaderBytes);
+  say("pieces of files are small", source.max_requested <= kMaxBatchBytes + store::kChecksumHeaderBytes);
 }
 
 // A host that only notes how each request was answered.
@@ -552,7 +552,7 @@
   StartSettings site = standins::synthetic_site({2, 0}, 1);
   Catalog catalog({10, 10, true}, 1);
   PutRoute fragile = route("r", 1);
-  fragile.type.idempotency = Idempotency::kNonIdempotent;
+  fragile.settings.idempotency = Idempotency::kNonIdempotent;
   catalog.apply(route("other", 1));
   catalog.apply(fragile);
   NotingHost host;
@@ -644,14 +644,14 @@
 void costs() {
   for (const standins::SiteSize size : {standins::SiteSize{3, 100}, standins::SiteSize{4400, 96000}}) {
     const StartSettings site = standins::synthetic_site(size);
-    const auto catalog = Catalog::of_settings(site, {}, 1);
+    const auto catalog = Catalog::from_settings(site, {}, 1);
     const CountingDirectory directory(*catalog);
     standins::DecisionLoadOptions load;
     load.requests = 3000;
     load.directory = &directory;
     standins::play_decisions(site.admission, load);
     const std::uint64_t each = directory.looks / load.requests;
-    Following f({5000, 100000, true});
+    FollowedCatalog f({5000, 100000, true});
     std::string entries;
     for (std::size_t i = 0; i < size.routes; ++i)
       entries += encode_change(PutRoute{standins::route_name(i), standins::synthetic_route(i)});
@@ -681,10 +681,9 @@
   if (::mkdtemp(path) == nullptr) std::abort();
   const std::string folder = path;
   const CatalogLimits limits{100, 100, true};
-  write_snapshot(folder, {1, 1}, 11, lines_of_changes({route("r"), tenant("a", 1)}));
-  append_changes(folder, 1, lines_of_changes({tenant("b", 1)}), limits);
-  const Version version =
-      append_changes(folder, 1, lines_of_changes({tenant("c", 1), tenant("d", 1)}), limits);
+  write_snapshot(folder, {1, 1}, 11, encode_changes({route("r"), tenant("a", 1)}));
+  append_changes(folder, 1, encode_changes({tenant("b", 1)}), limits);
+  const Version version = append_changes(folder, 1, encode_changes({tenant("c", 1), tenant("d", 1)}), limits);
   say("a snapshot and three changes", version == Version{1, 4});
   const std::string file = folder + "/" + kChangesFile;
   std::ifstream in(file, std::ios::binary);
@@ -692,27 +691,28 @@
   bool prefixes = true, goes_on = true;
   for (std::size_t size = 0; size < whole.size(); ++size) {
     std::ofstream(file, std::ios::binary) << whole.substr(0, size);
-    const Loaded loaded = load_folder(folder, limits);
+    const LoadedFolder loaded = load_folder(folder, limits);
     const std::uint64_t sequence = loaded.catalog->version().sequence;
     prefixes = prefixes && loaded.rejected_changes.empty() && (sequence == 1 || sequence == 2);
     if (size % 16 != 0) continue;
-    append_changes(folder, 1, lines_of_changes({tenant("e", 1)}), limits);
-    const Loaded next = load_folder(folder, limits);
+    append_changes(folder, 1, encode_changes({tenant("e", 1)}), limits);
+    const LoadedFolder next = load_folder(folder, limits);
     goes_on = goes_on && next.rejected_changes.empty() && next.catalog->version().sequence == sequence + 1;
   }
   say("cut at any byte: the whole spans are in force, nothing is refused", prefixes);
   say("and the next one goes on behind them", goes_on);
   std::ofstream(file, std::ios::binary) << whole;
-  const Loaded loaded = load_folder(folder, limits);
-  write_snapshot(folder, loaded.catalog->version(), loaded.catalog->history(), lines_of(*loaded.catalog));
-  const Loaded again = load_folder(folder, limits);
-  say("a snapshot of what is there is the same", lines_of(*again.catalog) == lines_of(*loaded.catalog) &&
-                                                     again.catalog->version() == loaded.catalog->version() &&
-                                                     again.rejected_changes.empty());
+  const LoadedFolder loaded = load_folder(folder, limits);
+  write_snapshot(folder, loaded.catalog->version(), loaded.catalog->history(),
+                 encode_entries(*loaded.catalog));
+  const LoadedFolder again = load_folder(folder, limits);
+  say("a snapshot of what is there is the same",
+      encode_entries(*again.catalog) == encode_entries(*loaded.catalog) &&
+          again.catalog->version() == loaded.catalog->version() && again.rejected_changes.empty());
   try {
-    append_changes(folder, 0, lines_of_changes({tenant("x", 1)}), limits);
+    append_changes(folder, 0, encode_changes({tenant("x", 1)}), limits);
     std::printf("NO\n");
-  } catch (const FilesError& error) {
+  } catch (const CatalogFileError& error) {
     std::printf("a lower epoch: %s\n", error.what());
   }
   std::filesystem::remove_all(folder);
--- a/tests/catalog_program.cpp
+++ b/tests/catalog_program.cpp
@@ -1,6 +1,6 @@
 // Routes and tenants that change while one process serves; CTest compares with
 // tests/traces/catalog_program_NAME.txt. usage: catalog_program BINARY SCENARIO
-#include "catalog/files.h"
+#include "catalog/folder.h"
 #include "scenarios.h"
 #include "scripted_site.h"
 
@@ -21,12 +21,12 @@
 
 PutRoute route(const std::string& name, double timeout) {
   PutRoute put{name, {}};
-  put.type.latency_objective = timeout / 2;
-  put.type.timeout = timeout;
+  put.settings.latency_objective = timeout / 2;
+  put.settings.timeout = timeout;
   return put;
 }
 
-std::string lines_of_changes(std::initializer_list<Change> changes) {
+std::string encode_changes(std::initializer_list<Change> changes) {
   std::string lines;
   for (const Change& change : changes) lines += encode_change(change);
   return lines;
@@ -44,7 +44,7 @@
     std::printf("log: %s\n", line.substr(at, line.find(" in force") - at).c_str());
   }
   void change(std::initializer_list<Change> changes) {
-    write(lines_of_changes(changes));
+    write(encode_changes(changes));
     follow();
   }
   // Prints so many refusals, then waits until all of this reading is done: a signal that comes while files
@@ -133,18 +133,18 @@
   CatalogSite site;
   site.comes_up();
   const int caller = site.connect();
-  site.write(lines_of_changes({route("one", 3)}) + "{\"route\":\"two\",\"target\":1}\n" +
-             lines_of_changes({route("three", 3), RemoveTenant{"nobody"}}));
+  site.write(encode_changes({route("one", 3)}) + "{\"route\":\"two\",\"target\":1}\n" +
+             encode_changes({route("three", 3), RemoveTenant{"nobody"}}));
   site.follow_with_refusals(2);
   site.send_request(caller, 1, "three");
   site.runtime_hears(2);
   PutRoute keyed = route("keyed", 3);
-  keyed.type.idempotency = Idempotency::kWithKey;
-  site.write(lines_of_changes({keyed}));
+  keyed.settings.idempotency = Idempotency::kWithKey;
+  site.write(encode_changes({keyed}));
   site.follow_with_refusals(1);
   HistoryDigest history = 1;
   std::ofstream(site.folder() + "/" + kChangesFile, std::ios::app)
-      << encode_batch(1, 90, history, lines_of_changes({route("four", 3)}));
+      << encode_batch(1, 90, history, encode_changes({route("four", 3)}));
   site.follow_with_refusals(1);
   std::ofstream(site.folder() + "/" + kSnapshotFile) << "DSPKFILE and then nothing of use";
   site.follow_with_refusals(2);  // and the gap once more
@@ -168,7 +168,7 @@
   for (int i = 0; i < 5000; ++i) lines += encode_change(PutTenant{"tenant-" + std::to_string(i), {1, 0}});
   site.write(lines);
   for (int round = 0; round < 20; ++round) {
-    site.write(lines_of_changes({PutTenant{"late-" + std::to_string(round), {1, 0}}}));
+    site.write(encode_changes({PutTenant{"late-" + std::to_string(round), {1, 0}}}));
     site.signal(SIGHUP);
     site.pause(0.005);
   }
@@ -265,11 +265,11 @@
 void begins() {
   CatalogSite site;
   site.comes_up();
-  write_snapshot(site.folder(), {1, 7}, 3, lines_of_changes({route("push", 3), route("extra", 3)}));
+  write_snapshot(site.folder(), {1, 7}, 3, encode_changes({route("push", 3), route("extra", 3)}));
   site.start_again();
   site.comes_up();
   site.counters({"catalog.epoch", "catalog.sequence", "catalog.routes", "catalog.rejected"});
-  write_snapshot(site.folder(), {1, 9}, 4, lines_of_changes({route("push", 3), route("more", 3)}));
+  write_snapshot(site.folder(), {1, 9}, 4, encode_changes({route("push", 3), route("more", 3)}));
   const std::string file = site.folder() + "/" + kSnapshotFile;
   std::filesystem::resize_file(file, std::filesystem::file_size(file) - 1);
   site.start_again();
--- a/tests/compatibility/stored_files_test.cpp
+++ b/tests/compatibility/stored_files_test.cpp
@@ -7,7 +7,7 @@
 #include <fstream>
 #include <sstream>
 
-#include "catalog/files.h"
+#include "catalog/folder.h"
 #include "conns/known_clients_record.h"
 #include "results/database.h"
 #include "statistics/statistics_store.h"
@@ -128,12 +128,12 @@
 }
 
 TEST_F(StoredFiles, CatalogSnapshotAndChangesAreReadWhole) {
-  const catalog::Loaded loaded = catalog::load_folder(path("catalog"), {64, 64, true});
+  const catalog::LoadedFolder loaded = catalog::load_folder(path("catalog"), {64, 64, true});
   EXPECT_TRUE(loaded.rejected_changes.empty());
   EXPECT_EQ(loaded.catalog->version(), (catalog::Version{3, 12}));
   EXPECT_EQ(loaded.catalog->history(), 0x809ad23af1326f82u);
   EXPECT_EQ(
-      catalog::lines_of(*loaded.catalog),
+      catalog::encode_entries(*loaded.catalog),
       R"({"calls":true,"give-up":900.0,"route":"pay","semantics":"fragile","target":300.0,"worth":4.0,"worth-without":0.5}
 {"give-up":250.0,"late-worth":0.25,"route":"avail-read","semantics":"retryable","target":100.0,"worth":1.0}
 {"give-up":250.0,"route":"hold","semantics":"dedup","target":100.0,"window":2000.0,"worth":1.5}
--- a/tests/stages.cpp
+++ b/tests/stages.cpp
@@ -142,7 +142,7 @@
 
  private:
   StartSettings site_;
-  const std::unique_ptr<catalog::Catalog> catalog_ = catalog::Catalog::of_settings(site_, {}, 1);
+  const std::unique_ptr<catalog::Catalog> catalog_ = catalog::Catalog::from_settings(site_, {}, 1);
   ResultsOptions options_;
   KnowledgeOptions knowledge_;
   Logger log_{Level::kError};
