--- a/bench/scale_catalog.cpp
+++ b/bench/scale_catalog.cpp
@@ -54,7 +54,7 @@
   catalog::write_snapshot(folder, {1, 1}, 1, entries_of(size));
   const double begin = thread_processor_time();
   const catalog::LoadedFolder loaded = catalog::load_folder(folder, kLimits);
-  return {thread_processor_time() - begin, static_cast<double>(loaded.catalog->bytes())};
+  return {thread_processor_time() - begin, static_cast<double>(loaded.catalog->memory_bytes())};
 }
 
 // Changes at the whole size, followed in steps as a backend does it.
--- a/fuzz/catalog.cpp
+++ b/fuzz/catalog.cpp
@@ -19,11 +19,12 @@
     const Change change = decode_change(line);
     const std::string again = encode_change(change);
     if (describe(decode_change(without_end(again))) != describe(change)) std::abort();
-    catalog.apply(change);
+    static_cast<void>(catalog.apply(change));  // either result leaves the sums right
   } catch (const CodecError&) {
     return;
   }
-  double quotas = 0, priority_weight = 0;
+  double quotas = 0;
+  double priority_weight = 0;
   catalog.tenant_names().visit(0, catalog.tenant_names().cells(), [&](std::string_view name, int position) {
     if (catalog.find_tenant(name) != position) std::abort();
     quotas += catalog.tenant(position).quota_per_second;
@@ -41,7 +42,8 @@
   try {
     const BatchHeader header = decode_batch_header(line);
     if (header.first_sequence == 0 || header.last_sequence < header.first_sequence) std::abort();
-    if (decode_batch_header(without_end(encode_header(header))).history_after != header.history_after) std::abort();
+    if (decode_batch_header(without_end(encode_header(header))).history_after != header.history_after)
+      std::abort();
   } catch (const CodecError&) {
   }
   try {
--- a/src/app/catalog_command.cpp
+++ b/src/app/catalog_command.cpp
@@ -1,12 +1,16 @@
-// damsonspoke catalog show|check|snapshot|append|compare: what a running backend has in force, and the files
+// `damsonspoke catalog show|check|snapshot|append|compare`: what a running backend has active, and the files
 // that backends follow.
 #include <fmt/format.h>
 
 #include <cstdio>
 #include <cstdlib>
+#include <optional>
+#include <string>
+#include <string_view>
 
 #include "app/commands.h"
 #include "catalog/folder.h"
+#include "catalog/line_reader.h"
 #include "control/server.h"
 
 namespace damsonspoke {
@@ -14,11 +18,11 @@
 
 namespace cat = catalog;
 
-constexpr double kControlTimeoutSeconds = 2;                       // s
-constexpr std::size_t kMaxDifferencesShown = 20;                   // differences
-constexpr cat::CatalogLimits kToolLimits{1000000, 4000000, true};  // what a directive may allow at most
+constexpr double kControlTimeoutSeconds = 2;
+constexpr std::size_t kMaxDifferencesShown = 20;
+constexpr cat::CatalogLimits kToolLimits{1000000, 4000000, true};  // the most that the directives allow
 
-std::string folder_of(const cxxopts::ParseResult& flags) {
+std::string choose_folder(const cxxopts::ParseResult& flags) {
   if (flags.count("folder") > 0) return flags["folder"].as<std::string>();
   const std::string path = operator_path(flags);
   if (path.empty()) throw WrongUse("no folder: give --folder FOLDER, or an operators' file that names one");
@@ -37,7 +41,7 @@
   return loaded.rejected_changes.empty() ? kDone : kFailed;
 }
 
-// Of the entries of a file, or of what the folder holds now: then the changes so far can go.
+// Writes a snapshot of the entries of a file, or of what the folder holds; then its changes are redundant.
 int snapshot(const std::string& folder, const cxxopts::ParseResult& flags) {
   const cat::LoadedFolder loaded = cat::load_folder(folder, kToolLimits);
   const cat::Version now = loaded.catalog->version();
@@ -68,30 +72,39 @@
   return kDone;
 }
 
-int compare(const std::string& folder, const cxxopts::ParseResult& flags) {
-  if (flags.count("other") == 0) throw WrongUse("nothing to compare with: give --other FOLDER");
-  const cat::LoadedFolder one = cat::load_folder(folder, kToolLimits);
-  const cat::LoadedFolder other = cat::load_folder(flags["other"].as<std::string>(), kToolLimits);
-  const std::string a = cat::encode_entries(*one.catalog), b = cat::encode_entries(*other.catalog);
-  std::size_t differences = 0, at_a = 0, at_b = 0;
-  const auto line_at = [](const std::string& text, std::size_t at) {
-    return text.substr(at, text.find('\n', at) - at);
+// Prints the first lines that only one of two sorted texts has. Returns how many there are.
+std::size_t print_differences(const std::string& left, const std::string& right) {
+  std::size_t differences = 0;
+  const auto print = [&](char side, std::string_view line) {
+    if (++differences <= kMaxDifferencesShown) fmt::print("{} {}\n", side, line);
   };
-  while (at_a < a.size() || at_b < b.size()) {
-    const std::string x = at_a < a.size() ? line_at(a, at_a) : std::string();
-    const std::string y = at_b < b.size() ? line_at(b, at_b) : std::string();
-    const bool only_a = at_b >= b.size() || (at_a < a.size() && x < y);
-    const bool only_b = at_a >= a.size() || (at_b < b.size() && y < x);
-    if ((only_a || only_b) && ++differences <= kMaxDifferencesShown)
-      fmt::print("{} {}\n", only_a ? "-" : "+", only_a ? x : y);
-    if (!only_b) at_a += x.size() + 1;
-    if (!only_a) at_b += y.size() + 1;
+  std::size_t left_offset = 0;
+  std::size_t right_offset = 0;
+  std::optional<std::string_view> left_line = cat::next_line(left, left_offset);
+  std::optional<std::string_view> right_line = cat::next_line(right, right_offset);
+  while (left_line || right_line) {
+    const bool is_only_left = left_line && (!right_line || *left_line < *right_line);
+    const bool is_only_right = right_line && (!left_line || *right_line < *left_line);
+    if (is_only_left) print('-', *left_line);
+    if (is_only_right) print('+', *right_line);
+    if (!is_only_right) left_line = cat::next_line(left, left_offset);
+    if (!is_only_left) right_line = cat::next_line(right, right_offset);
   }
-  const cat::Version v = one.catalog->version(), w = other.catalog->version();
-  const bool same_history = one.catalog->history() == other.catalog->history();
-  fmt::print("versions {}.{} and {}.{}, histories {}, {} entries differ\n", v.epoch, v.sequence, w.epoch,
-             w.sequence, same_history ? "the same" : "differ", differences);
-  return differences == 0 && v == w && same_history ? kDone : kFailed;
+  return differences;
+}
+
+int compare(const std::string& folder, const cxxopts::ParseResult& flags) {
+  if (flags.count("other") == 0) throw WrongUse("nothing to compare with: give --other FOLDER");
+  const cat::LoadedFolder left = cat::load_folder(folder, kToolLimits);
+  const cat::LoadedFolder right = cat::load_folder(flags["other"].as<std::string>(), kToolLimits);
+  const std::size_t differences =
+      print_differences(cat::encode_entries(*left.catalog), cat::encode_entries(*right.catalog));
+  const cat::Version left_version = left.catalog->version();
+  const cat::Version right_version = right.catalog->version();
+  const bool same_history = left.catalog->history() == right.catalog->history();
+  fmt::print("versions {} and {}, histories {}, {} entries differ\n", cat::to_string(left_version),
+             cat::to_string(right_version), same_history ? "the same" : "differ", differences);
+  return differences == 0 && left_version == right_version && same_history ? kDone : kFailed;
 }
 
 }  // namespace
@@ -102,10 +115,10 @@
     fmt::print("{}", control::ask(control_folder(flags), {"catalog"}, kControlTimeoutSeconds));
     return kDone;
   }
-  if (action == "check") return check(folder_of(flags));
-  if (action == "snapshot") return snapshot(folder_of(flags), flags);
-  if (action == "append") return append(folder_of(flags), flags);
-  if (action == "compare") return compare(folder_of(flags), flags);
+  if (action == "check") return check(choose_folder(flags));
+  if (action == "snapshot") return snapshot(choose_folder(flags), flags);
+  if (action == "append") return append(choose_folder(flags), flags);
+  if (action == "compare") return compare(choose_folder(flags), flags);
   throw WrongUse("catalog takes show, check, snapshot, append or compare");
 }
 
--- a/src/app/catalog_watch.cpp
+++ b/src/app/catalog_watch.cpp
@@ -8,12 +8,13 @@
 namespace damsonspoke {
 namespace {
 
-constexpr double kStepSeconds = 0.0005;      // s that the reactor is held at once
-constexpr double kPauseSeconds = 0.0005;     // s between two steps: half of the time is for everything else
-constexpr double kStartStepSeconds = 0.1;    // s; nothing else waits then
-constexpr double kFolderTimeoutSeconds = 2;  // s; a start does not wait longer for a piece of a file
+constexpr double kStepSeconds = 0.0005;   // bounds how long a step holds the reactor
+constexpr double kPauseSeconds = 0.0005;  // between two steps: half of the time is left to other work
+constexpr double kStartStepSeconds = 0.1;
+constexpr double kChunkTimeoutSeconds = 2;  // a start does not wait longer for a chunk
+constexpr double kMicrosecondsPerSecond = 1e6;
 
-std::uint64_t draw_key() {
+std::uint64_t random_key() {
   std::random_device device;
   return static_cast<std::uint64_t>(device()) << 32 | device();
 }
@@ -28,30 +29,30 @@
     limits.tenants = choice.options.catalog.tenants;
   }
   limits.allows_keyed_routes = choice.options.results.enabled;
-  catalog_ = catalog::Catalog::from_settings(choice.config.site, limits, draw_key());
+  catalog_ = catalog::Catalog::from_settings(choice.config.site, limits, random_key());
   if (folder_.empty()) return;
   source_ =
       std::make_unique<catalog::ThreadedSource>(std::make_unique<catalog::FolderSource>(folder_),
                                                 [this] { reactor_.post_from_elsewhere([this] { step(); }); });
   follower_ = std::make_unique<catalog::Follower>(*catalog_, *source_, net::monotonic_now);
-  load();
+  load_at_start();
 }
 
 CatalogWatch::~CatalogWatch() {
-  source_.reset();  // its thread tells the reactor nothing more
+  source_.reset();  // afterwards its thread posts nothing to the reactor
   reactor_.cancel(timer_);
 }
 
-void CatalogWatch::load() {
+void CatalogWatch::load_at_start() {
   const double begin = net::monotonic_now();
   follower_->poll();
   while (follower_->state() != catalog::Follower::State::kIdle) {
     if (follower_->step(kStartStepSeconds) != catalog::Follower::State::kWaiting) continue;
-    if (source_->wait(kFolderTimeoutSeconds)) continue;
-    log_.error("catalog", "'{}' hangs: starts with what it has", folder_);
+    if (source_->wait(kChunkTimeoutSeconds)) continue;
+    log_.error("catalog", "'{}' does not respond: starts with what was read", folder_);
     break;
   }
-  tell();
+  log_messages();
   log_.info("catalog", "version {}.{}, {} routes, {} tenants, read in {:.3f} s", catalog_->version().epoch,
             catalog_->version().sequence, catalog_->route_count(), catalog_->tenant_count(),
             net::monotonic_now() - begin);
@@ -59,28 +60,34 @@
 
 void CatalogWatch::poll() {
   if (follower_ == nullptr) return;
-  if (polled_at_ < 0) polled_at_ = net::monotonic_now();
-  const bool idle = follower_->state() == catalog::Follower::State::kIdle;
+  if (!poll_requested_at_) poll_requested_at_ = net::monotonic_now();
+  const bool was_idle = follower_->state() == catalog::Follower::State::kIdle;
   follower_->poll();
-  if (idle) step();
+  if (was_idle) step();
 }
 
 void CatalogWatch::step() {
   const double begin = net::monotonic_now();
   const catalog::Follower::State state = follower_->step(kStepSeconds);
-  counters_.most(Count::kCatalogMostUs, static_cast<std::uint64_t>((net::monotonic_now() - begin) * 1e6));
-  tell();
+  counters_.most(Count::kCatalogMostUs,
+                 static_cast<std::uint64_t>((net::monotonic_now() - begin) * kMicrosecondsPerSecond));
+  log_messages();
   reactor_.cancel(timer_);
   if (state == catalog::Follower::State::kWorking) timer_ = reactor_.after(kPauseSeconds, [this] { step(); });
-  if (state != catalog::Follower::State::kIdle || polled_at_ < 0) return;
-  log_.info("catalog", "version {}.{} in force {:.3f} s after it was asked for", catalog_->version().epoch,
-            catalog_->version().sequence, net::monotonic_now() - polled_at_);
-  polled_at_ = -1;
+  if (state != catalog::Follower::State::kIdle || !poll_requested_at_) return;
+  log_.info("catalog", "version {}.{} in force {:.3f} s after the reload request", catalog_->version().epoch,
+            catalog_->version().sequence, net::monotonic_now() - *poll_requested_at_);
+  poll_requested_at_.reset();
 }
 
-void CatalogWatch::tell() {
-  for (const catalog::FollowerMessage& message : follower_->take_messages())
-    message.is_error ? log_.warn("catalog", "{}", message.text) : log_.info("catalog", "{}", message.text);
+void CatalogWatch::log_messages() {
+  for (const catalog::FollowerMessage& message : follower_->take_messages()) {
+    if (message.is_error) {
+      log_.warn("catalog", "{}", message.text);
+    } else {
+      log_.info("catalog", "{}", message.text);
+    }
+  }
 }
 
 void CatalogWatch::report() {
@@ -100,23 +107,23 @@
   control.add("catalog", [this](const std::vector<std::string>&) {
     if (follower_ == nullptr)
       throw std::runtime_error("the catalog is off: no section 'catalog' with 'folder'");
-    return described();
+    return describe_status();
   });
 }
 
-std::string CatalogWatch::described() const {
+std::string CatalogWatch::describe_status() const {
   const catalog::Version version = catalog_->version();
   const catalog::FollowerCounts& counts = follower_->counts();
-  std::string out = fmt::format(
+  std::string text = fmt::format(
       "version {}.{}, in force for {:.1f} s\n{} routes, {} tenants, {} bytes\n"
       "{} changes and {} snapshots taken, {} refused; {} bytes of changes read\n",
       version.epoch, version.sequence, net::monotonic_now() - follower_->active_since(),
       catalog_->route_count(), catalog_->tenant_count(), catalog_->memory_bytes(), counts.applied,
       counts.snapshots, counts.rejected, follower_->changes_offset());
-  if (follower_->state() != catalog::Follower::State::kIdle) out += "reading now\n";
+  if (follower_->state() != catalog::Follower::State::kIdle) text += "reading now\n";
   for (const catalog::RejectedChange& rejected : follower_->rejected_changes())
-    out += fmt::format("refused: {}: {}\n", rejected.what, rejected.reason);
-  return out;
+    text += fmt::format("refused: {}: {}\n", rejected.what, rejected.reason);
+  return text;
 }
 
 }  // namespace damsonspoke
--- a/src/app/catalog_watch.h
+++ b/src/app/catalog_watch.h
@@ -1,8 +1,9 @@
-// Keeps a backend's catalog up with its files: whole before the first request is read, then on each SIGHUP in
-// steps beside everything else. Off without a folder.
+// Keeps a backend's catalog up to date with its files: complete before the first request is read, then after
+// each SIGHUP in steps beside all other work. Without a folder the catalog is that of the settings.
 #pragma once
 
 #include <memory>
+#include <optional>
 #include <string>
 
 #include "catalog/catalog.h"
@@ -18,30 +19,35 @@
 
 class CatalogWatch {
  public:
-  // Reads the files; holds the caller until they are read, or the folder hangs.
+  // Reads the files; blocks until they are read or the folder does not respond.
   CatalogWatch(net::Reactor& reactor, const Choice& choice, Counters& counters, Logger& log);
   ~CatalogWatch();
+  CatalogWatch(const CatalogWatch&) = delete;
+  CatalogWatch& operator=(const CatalogWatch&) = delete;
 
-  const catalog::Catalog& catalog() const { return *catalog_; }
-  void poll();  // what has come since; returns at once
+  [[nodiscard]] const catalog::Catalog& catalog() const { return *catalog_; }
+  // Starts to read what is new in the files; returns at once.
+  void poll();
+  // Registers the control command `catalog`.
   void answer_questions(control::Server& control);
-  void report();  // the counters
+  // Sets the counters of the catalog.
+  void report();
 
  private:
-  void load();
+  void load_at_start();
   void step();
-  void tell();
-  std::string described() const;
+  void log_messages();
+  [[nodiscard]] std::string describe_status() const;
 
   net::Reactor& reactor_;
   Counters& counters_;
   Logger& log_;
-  const std::string folder_;  // empty: off
+  const std::string folder_;  // empty: there are no files to follow
   std::unique_ptr<catalog::Catalog> catalog_;
-  std::unique_ptr<catalog::ThreadedSource> source_;
-  std::unique_ptr<catalog::Follower> follower_;
+  std::unique_ptr<catalog::ThreadedSource> source_;  // null without a folder
+  std::unique_ptr<catalog::Follower> follower_;      // null without a folder
   net::Reactor::TimerId timer_;
-  double polled_at_ = -1;  // s; when poll() was called, until all of it is read
+  std::optional<double> poll_requested_at_;  // seconds; set until the files are read
 };
 
 }  // namespace damsonspoke
--- a/src/app/serve_command.cpp
+++ b/src/app/serve_command.cpp
@@ -9,6 +9,7 @@
 #include "app/forwarder.h"
 #include "net/address.h"
 #include "observability/logger.h"
+#include "settings/config_validation.h"
 #include "wire/rpc.h"
 
 namespace damsonspoke {
@@ -39,7 +40,7 @@
 
 OperatorOptions options_of(const Chosen& chosen) {
   OperatorOptions options = chosen.operators ? chosen.operators->options : OperatorOptions{};
-  serve_settings(chosen.config, std::string(wire::kMarkParam), options);
+  enable_required_results(chosen.config, std::string(wire::kMarkParam), options);
   return options;
 }
 
@@ -48,8 +49,8 @@
   const std::string path = operator_path(flags);
   if (!path.empty()) chosen.operators = read_operator_file(path);
   const OperatorOptions options = options_of(chosen);
-  const std::string lacking = unserved(chosen.config, options);
-  if (!lacking.empty()) throw SettingsError(lacking);
+  if (const auto unsupported = find_unsupported(chosen.config, options))
+    throw SettingsError(to_string(*unsupported));
   if (options.results.enabled && wire::is_param(options.results.key_field)) {
     throw SettingsError(
         fmt::format("results: key-field '{}' is the protocol's own", options.results.key_field));
--- a/src/catalog/catalog.cpp
+++ b/src/catalog/catalog.cpp
@@ -1,44 +1,42 @@
 #include "catalog/catalog.h"
 
-#include <fmt/format.h>
-
 #include <algorithm>
 #include <cmath>
+#include <string>
 #include <utility>
 
+#include "catalog/overloaded.h"
+
 namespace damsonspoke::catalog {
 namespace {
 
-constexpr double kMaxTimeoutSeconds = 3600;  // s
-constexpr std::size_t kPagesPerStep = 8;     // given back; some microseconds
-constexpr double kMaxQuotaPerSecond = 1e9;   // requests a second
+using Code = ChangeErrorCode;
 
-std::string unusable_name(const std::string& name) {
-  if (name.empty()) return "its name is empty";
+constexpr double kMaxTimeoutSeconds = 3600;
+constexpr double kMaxQuotaPerSecond = 1e9;
+constexpr std::size_t kPagesPerRelease = 8;  // some microseconds
+
+std::optional<ChangeError> validate_name(const std::string& name) {
+  if (name.empty()) return ChangeError{Code::kEmptyName};
   if (name.size() > NameArena::kMaxNameBytes)
-    return fmt::format("its name has {} bytes, {} at most", name.size(), NameArena::kMaxNameBytes);
-  const auto unfit = [](char c) { return static_cast<unsigned char>(c) <= ' ' || c == '\x7f'; };
-  if (std::any_of(name.begin(), name.end(), unfit)) return "its name is not one word";
-  return {};
-}
-
-std::string unusable(const Route& type, const CatalogLimits& limits) {
-  if (!(type.timeout > 0 && type.timeout <= kMaxTimeoutSeconds)) return "its timeout is out of range";
-  if (!(type.latency_objective >= 0 && type.latency_objective <= kMaxTimeoutSeconds))
-    return "its target is out of range";
-  if (!(type.priority_weight >= 0) || !std::isfinite(type.priority_weight))
-    return "its importance is out of range";
-  if (type.idempotency == Idempotency::kWithKey && !limits.allows_keyed_routes)
-    return "it is keyed, and keys are not remembered here";
-  return {};
-}
-
-template <class... Visitors>
-struct Overloaded : Visitors... {
-  using Visitors::operator()...;
-};
-template <class... Visitors>
-Overloaded(Visitors...) -> Overloaded<Visitors...>;
+    return ChangeError{Code::kNameTooLong, name.size(), NameArena::kMaxNameBytes};
+  const auto is_blank = [](char c) { return static_cast<unsigned char>(c) <= ' ' || c == '\x7f'; };
+  if (std::any_of(name.begin(), name.end(), is_blank)) return ChangeError{Code::kNameNotOneWord};
+  return std::nullopt;
+}
+
+// The comparisons are written so that NaN fails them.
+std::optional<ChangeError> validate_settings(const Route& route, const CatalogLimits& limits) {
+  if (!(route.timeout > 0 && route.timeout <= kMaxTimeoutSeconds))
+    return ChangeError{Code::kTimeoutOutOfRange};
+  if (!(route.latency_objective >= 0 && route.latency_objective <= kMaxTimeoutSeconds))
+    return ChangeError{Code::kLatencyObjectiveOutOfRange};
+  if (!(route.priority_weight >= 0) || !std::isfinite(route.priority_weight))
+    return ChangeError{Code::kPriorityWeightOutOfRange};
+  if (route.idempotency == Idempotency::kWithKey && !limits.allows_keyed_routes)
+    return ChangeError{Code::kKeysNotSupported};
+  return std::nullopt;
+}
 
 }  // namespace
 
@@ -61,104 +59,112 @@
   return catalog;
 }
 
-std::string Catalog::refusal(const Change& change) const {
-  return std::visit(
-      Overloaded{[&](const PutRoute& route) {
-                   std::string why = unusable_name(route.name);
-                   if (why.empty()) why = unusable(route.settings, limits_);
-                   if (why.empty() && routes_.full() && routes_.find(route.name) < 0)
-                     why = fmt::format("there are {} routes already", routes_.size());
-                   return why;
-                 },
-                 [&](const PutTenant& tenant) {
-                   std::string why = unusable_name(tenant.name);
-                   const double quota = tenant.settings.quota_per_second;
-                   if (why.empty() && !(quota >= 0 && quota <= kMaxQuotaPerSecond))
-                     why = "its quota is out of range";
-                   if (why.empty() && tenants_.full() && tenants_.find(tenant.name) < 0)
-                     why = fmt::format("there are {} tenants already", tenants_.size());
-                   return why;
-                 },
-                 [&](const RemoveRoute& route) {
-                   if (routes_.find(route.name) < 0) return std::string("there is no such route");
-                   return routes_.size() > 1 ? std::string() : std::string("it is the last route");
-                 },
-                 [&](const RemoveTenant& tenant) {
-                   return tenants_.find(tenant.name) >= 0 ? std::string()
-                                                          : std::string("there is no such tenant");
-                 }},
-      change);
-}
-
-std::string Catalog::apply(const Change& change) {
-  std::string why = refusal(change);
-  if (!why.empty()) return why;
+void Catalog::set_version(Version version, HistoryDigest history) {
+  version_ = version;
+  history_ = history;
+}
+
+std::optional<ChangeError> Catalog::validate_route(const PutRoute& route) const {
+  if (const auto error = validate_name(route.name)) return error;
+  if (const auto error = validate_settings(route.settings, limits_)) return error;
+  if (routes_.is_full() && routes_.find(route.name) < 0)
+    return ChangeError{Code::kTooManyRoutes, 0, routes_.size()};
+  return std::nullopt;
+}
+
+std::optional<ChangeError> Catalog::validate_tenant(const PutTenant& tenant) const {
+  if (const auto error = validate_name(tenant.name)) return error;
+  const double quota = tenant.settings.quota_per_second;
+  if (!(quota >= 0 && quota <= kMaxQuotaPerSecond)) return ChangeError{Code::kQuotaOutOfRange};
+  if (tenants_.is_full() && tenants_.find(tenant.name) < 0)
+    return ChangeError{Code::kTooManyTenants, 0, tenants_.size()};
+  return std::nullopt;
+}
+
+std::optional<ChangeError> Catalog::validate(const Change& change) const {
+  using Result = std::optional<ChangeError>;
+  return std::visit(Overloaded{[&](const PutRoute& route) { return validate_route(route); },
+                               [&](const PutTenant& tenant) { return validate_tenant(tenant); },
+                               [&](const RemoveRoute& route) -> Result {
+                                 if (routes_.find(route.name) < 0) return ChangeError{Code::kUnknownRoute};
+                                 if (routes_.size() == 1) return ChangeError{Code::kLastRoute};
+                                 return std::nullopt;
+                               },
+                               [&](const RemoveTenant& tenant) -> Result {
+                                 if (tenants_.find(tenant.name) < 0) return ChangeError{Code::kUnknownTenant};
+                                 return std::nullopt;
+                               }},
+                    change);
+}
+
+std::optional<ChangeError> Catalog::apply(const Change& change) {
+  if (const auto error = validate(change)) return error;
   std::visit(Overloaded{[&](const PutRoute& route) { put(route, nullptr); },
                         [&](const PutTenant& tenant) { put(tenant, nullptr); },
                         [&](const RemoveRoute& route) { remove(route); },
                         [&](const RemoveTenant& tenant) { remove(tenant); }},
              change);
-  return {};
+  return std::nullopt;
 }
 
-void Catalog::count(double priority_weight, int by) {
-  std::size_t& routes = routes_by_weight_[priority_weight];
-  routes += static_cast<std::size_t>(by);
-  if (routes == 0) routes_by_weight_.erase(priority_weight);
+void Catalog::count_weight(double priority_weight) { ++routes_by_weight_[priority_weight]; }
+
+void Catalog::uncount_weight(double priority_weight) {
+  const auto found = routes_by_weight_.find(priority_weight);
+  if (--found->second == 0) routes_by_weight_.erase(found);
 }
 
 void Catalog::put(const PutRoute& route, const Catalog* predecessor) {
-  const int before = routes_.find(route.name);
-  if (before >= 0) count(routes_.at(before).priority_weight, -1);
+  const int existing = routes_.find(route.name);
+  if (existing >= 0) uncount_weight(routes_.at(existing).priority_weight);
   routes_.put(route.name, route.settings, predecessor != nullptr ? &predecessor->routes_ : nullptr);
-  count(route.settings.priority_weight, 1);
+  count_weight(route.settings.priority_weight);
 }
 
 void Catalog::put(const PutTenant& tenant, const Catalog* predecessor) {
-  const int before = tenants_.find(tenant.name);
-  if (before >= 0) total_quota_per_second_ -= tenants_.at(before).quota_per_second;
+  const int existing = tenants_.find(tenant.name);
+  if (existing >= 0) total_quota_per_second_ -= tenants_.at(existing).quota_per_second;
   tenants_.put(tenant.name, tenant.settings, predecessor != nullptr ? &predecessor->tenants_ : nullptr);
   total_quota_per_second_ += tenant.settings.quota_per_second;
 }
 
 void Catalog::remove(const RemoveRoute& route) {
-  count(routes_.at(routes_.find(route.name)).priority_weight, -1);
+  uncount_weight(routes_.at(routes_.find(route.name)).priority_weight);
   routes_.remove(route.name);
 }
 
 void Catalog::remove(const RemoveTenant& tenant) {
   total_quota_per_second_ -= tenants_.at(tenants_.find(tenant.name)).quota_per_second;
   tenants_.remove(tenant.name);
-  if (tenants_.size() == 0) total_quota_per_second_ = 0;  // no drift of sums
+  if (tenants_.size() == 0) total_quota_per_second_ = 0;  // discards accumulated rounding errors
 }
 
-std::unique_ptr<Catalog> Catalog::successor() const {
-  auto next = std::make_unique<Catalog>(limits_, key_, hash_);
-  next->routes_.continue_generations_of(routes_);
-  next->tenants_.continue_generations_of(tenants_);
-  return next;
+std::unique_ptr<Catalog> Catalog::create_successor() const {
+  auto successor = std::make_unique<Catalog>(limits_, key_, hash_);
+  successor->routes_.continue_generations_of(routes_);
+  successor->tenants_.continue_generations_of(tenants_);
+  return successor;
 }
 
-std::string Catalog::add(const Change& entry, const Catalog& predecessor) {
-  std::string why = refusal(entry);
-  if (!why.empty()) return why;
+std::optional<ChangeError> Catalog::add_entry(const Change& entry, const Catalog& predecessor) {
+  if (const auto error = validate(entry)) return error;
   if (const auto* route = std::get_if<PutRoute>(&entry)) {
-    if (routes_.find(route->name) >= 0) return "this route stands twice";
+    if (routes_.find(route->name) >= 0) return ChangeError{Code::kDuplicateRoute};
     put(*route, &predecessor);
   } else if (const auto* tenant = std::get_if<PutTenant>(&entry)) {
-    if (tenants_.find(tenant->name) >= 0) return "this tenant stands twice";
+    if (tenants_.find(tenant->name) >= 0) return ChangeError{Code::kDuplicateTenant};
     put(*tenant, &predecessor);
   } else {
-    return "a snapshot removes nothing";
+    return ChangeError{Code::kRemovalInSnapshot};
   }
-  return {};
+  return std::nullopt;
 }
 
-bool Catalog::prepare(std::size_t positions) {
-  return routes_.collect_free_positions(positions) || tenants_.collect_free_positions(positions);
+bool Catalog::prepare_positions(std::size_t count) {
+  return routes_.collect_free_positions(count) || tenants_.collect_free_positions(count);
 }
 
-void Catalog::take_over(Catalog& successor) {
+void Catalog::replace_with(Catalog& successor) {
   std::swap(routes_, successor.routes_);
   std::swap(tenants_, successor.tenants_);
   std::swap(total_quota_per_second_, successor.total_quota_per_second_);
@@ -167,6 +173,8 @@
   history_ = successor.history_;
 }
 
-bool Catalog::release() { return routes_.release(kPagesPerStep) || tenants_.release(kPagesPerStep); }
+bool Catalog::release_memory() {
+  return routes_.release_pages(kPagesPerRelease) || tenants_.release_pages(kPagesPerRelease);
+}
 
 }  // namespace damsonspoke::catalog
--- a/src/catalog/codec.cpp
+++ b/src/catalog/codec.cpp
@@ -3,10 +3,11 @@
 #include <fmt/format.h>
 #include <xxhash.h>
 
-#include <algorithm>
 #include <charconv>
 #include <nlohmann/json.hpp>
+#include <optional>
 
+#include "catalog/line_reader.h"
 #include "settings/settings.h"
 #include "store/checksummed_file.h"
 
@@ -17,57 +18,58 @@
 
 constexpr double kMsPerSecond = 1000;
 
-Json object_in(std::string_view line) {
+Json parse_object(std::string_view line) {
   Json object = Json::parse(line, nullptr, false);
   if (!object.is_object()) throw CodecError("it is no JSON object");
   return object;
 }
 
-// The name in that member; empty: there is no such member.
-std::string name_in(const Json& object, const char* member) {
-  const auto at = object.find(member);
-  if (at == object.end()) return {};
-  if (!at->is_string() || at->get_ref<const std::string&>().empty())
+// The name in a member; empty when there is no such member.
+std::string read_name(const Json& object, const char* member) {
+  const auto found = object.find(member);
+  if (found == object.end()) return {};
+  if (!found->is_string() || found->get_ref<const std::string&>().empty())
     throw CodecError(fmt::format("'{}' is no name", member));
-  return at->get<std::string>();
+  return found->get<std::string>();
 }
 
-std::uint64_t number_in(const Json& object, const char* member) {
-  const auto at = object.find(member);
-  if (at == object.end() || !at->is_number_unsigned())
+std::uint64_t read_number(const Json& object, const char* member) {
+  const auto found = object.find(member);
+  if (found == object.end() || !found->is_number_unsigned())
     throw CodecError(fmt::format("'{}' is no whole number", member));
-  return at->get<std::uint64_t>();
+  return found->get<std::uint64_t>();
 }
 
-HistoryDigest digest_in(const Json& object, const char* member) {
-  const auto at = object.find(member);
+HistoryDigest read_digest(const Json& object, const char* member) {
+  const auto found = object.find(member);
   HistoryDigest digest = 0;
-  if (at == object.end() || !at->is_string()) throw CodecError(fmt::format("'{}' is no digest", member));
-  const auto& text = at->get_ref<const std::string&>();
+  if (found == object.end() || !found->is_string())
+    throw CodecError(fmt::format("'{}' is no digest", member));
+  const auto& text = found->get_ref<const std::string&>();
   const auto [stop, error] = std::from_chars(text.data(), text.data() + text.size(), digest, 16);
   if (error != std::errc() || stop != text.data() + text.size())
     throw CodecError(fmt::format("'{}' is no digest", member));
   return digest;
 }
 
-Route route_in(const Json& object) {
-  Route type = read_route(object);
+Route read_catalog_route(const Json& object) {
+  Route route = read_route(object);
   if (const auto calls = object.find("calls"); calls != object.end()) {
     if (!calls->is_boolean()) throw CodecError("bad value of 'calls'");
-    type.calls_dependency = calls->get<bool>();
+    route.calls_dependency = calls->get<bool>();
   }
   if (const auto without = object.find("worth-without"); without != object.end()) {
     if (!without->is_number()) throw CodecError("bad value of 'worth-without'");
-    type.value_without_call = without->get<double>();
-    if (!(type.value_without_call >= 0 && type.value_without_call <= 1))
+    route.value_without_call = without->get<double>();
+    if (!(route.value_without_call >= 0 && route.value_without_call <= 1))
       throw CodecError("bad value of 'worth-without'");
   }
-  return type;
+  return route;
 }
 
-// What `read` reads; an error names the entry too.
+// Calls `read`; a CodecError for what it throws names the entry too.
 template <typename Read>
-auto settings_of(const char* kind, const std::string& name, Read&& read) {
+auto read_settings_of(const char* kind, const std::string& name, const Read& read) {
   try {
     return read();
   } catch (const std::runtime_error& error) {
@@ -75,7 +77,7 @@
   }
 }
 
-const char* text_of(Idempotency idempotency) {
+const char* encode_idempotency(Idempotency idempotency) {
   switch (idempotency) {
     case Idempotency::kIdempotent: return "retryable";
     case Idempotency::kWithKey: return "dedup";
@@ -86,16 +88,16 @@
 
 struct Encoder {
   std::string operator()(const PutRoute& route) const {
-    const Route& type = route.settings;
+    const Route& settings = route.settings;
     Json object = {{"route", route.name},
-                   {"target", type.latency_objective * kMsPerSecond},
-                   {"give-up", type.timeout * kMsPerSecond},
-                   {"worth", type.priority_weight},
-                   {"semantics", text_of(type.idempotency)}};
-    if (type.idempotency_window > 0) object["window"] = type.idempotency_window * kMsPerSecond;
-    if (type.late_value > 0) object["late-worth"] = type.late_value;
-    if (type.calls_dependency) object["calls"] = true;
-    if (type.value_without_call > 0) object["worth-without"] = type.value_without_call;
+                   {"target", settings.latency_objective * kMsPerSecond},
+                   {"give-up", settings.timeout * kMsPerSecond},
+                   {"worth", settings.priority_weight},
+                   {"semantics", encode_idempotency(settings.idempotency)}};
+    if (settings.idempotency_window > 0) object["window"] = settings.idempotency_window * kMsPerSecond;
+    if (settings.late_value > 0) object["late-worth"] = settings.late_value;
+    if (settings.calls_dependency) object["calls"] = true;
+    if (settings.value_without_call > 0) object["worth-without"] = settings.value_without_call;
     return object.dump() + "\n";
   }
   std::string operator()(const PutTenant& tenant) const {
@@ -113,27 +115,30 @@
 
 Change decode_change(std::string_view line) {
   if (line.size() > kMaxLineBytes) throw CodecError(fmt::format("it has more than {} bytes", kMaxLineBytes));
-  const Json object = object_in(line);
-  if (std::string name = name_in(object, "tenant"); !name.empty()) {
-    const Tenant tenant = settings_of("tenant", name, [&] { return read_tenant(object); });
-    return PutTenant{std::move(name), tenant};
+  const Json object = parse_object(line);
+  if (std::string name = read_name(object, "tenant"); !name.empty()) {
+    const Tenant settings = read_settings_of("tenant", name, [&] { return read_tenant(object); });
+    return PutTenant{std::move(name), settings};
   }
-  if (std::string name = name_in(object, "route"); !name.empty()) {
-    const Route type = settings_of("route", name, [&] { return route_in(object); });
-    return PutRoute{std::move(name), type};
+  if (std::string name = read_name(object, "route"); !name.empty()) {
+    const Route settings = read_settings_of("route", name, [&] { return read_catalog_route(object); });
+    return PutRoute{std::move(name), settings};
   }
-  if (std::string name = name_in(object, "remove-tenant"); !name.empty())
+  if (std::string name = read_name(object, "remove-tenant"); !name.empty())
     return RemoveTenant{std::move(name)};
-  if (std::string name = name_in(object, "remove-route"); !name.empty()) return RemoveRoute{std::move(name)};
+  if (std::string name = read_name(object, "remove-route"); !name.empty())
+    return RemoveRoute{std::move(name)};
   throw CodecError("it names neither a route nor a tenant");
 }
 
 std::string encode_change(const Change& change) { return std::visit(Encoder{}, change); }
 
 std::string describe(const Change& change) {
-  const bool route = std::holds_alternative<PutRoute>(change) || std::holds_alternative<RemoveRoute>(change);
+  const bool is_route =
+      std::holds_alternative<PutRoute>(change) || std::holds_alternative<RemoveRoute>(change);
   return std::visit(
-      [&](const auto& one) { return fmt::format("{} '{}'", route ? "route" : "tenant", one.name); }, change);
+      [&](const auto& entry) { return fmt::format("{} '{}'", is_route ? "route" : "tenant", entry.name); },
+      change);
 }
 
 HistoryDigest extend_history(HistoryDigest history, std::string_view line) {
@@ -141,17 +146,17 @@
 }
 
 SnapshotHeader decode_snapshot_header(std::string_view line) {
-  const Json object = object_in(line);
-  return {{number_in(object, "epoch"), number_in(object, "sequence")},
-          digest_in(object, "history"),
-          number_in(object, "routes"),
-          number_in(object, "tenants")};
+  const Json object = parse_object(line);
+  return {{read_number(object, "epoch"), read_number(object, "sequence")},
+          read_digest(object, "history"),
+          read_number(object, "routes"),
+          read_number(object, "tenants")};
 }
 
 BatchHeader decode_batch_header(std::string_view line) {
-  const Json object = object_in(line);
-  BatchHeader header{number_in(object, "epoch"), number_in(object, "first"), number_in(object, "last"),
-                     digest_in(object, "before"), digest_in(object, "after")};
+  const Json object = parse_object(line);
+  BatchHeader header{read_number(object, "epoch"), read_number(object, "first"), read_number(object, "last"),
+                     read_digest(object, "before"), read_digest(object, "after")};
   if (header.first_sequence == 0 || header.last_sequence < header.first_sequence)
     throw CodecError("its numbers are out of order");
   return header;
@@ -177,15 +182,13 @@
          "\n";
 }
 
-std::string encode_batch(std::uint64_t epoch, std::uint64_t first, HistoryDigest& history,
+std::string encode_batch(std::uint64_t epoch, std::uint64_t first_sequence, HistoryDigest& history,
                          const std::string& lines) {
-  BatchHeader header{epoch, first, first - 1, history, history};
-  for (std::size_t from = 0; from < lines.size();) {
-    const std::size_t end = lines.find('\n', from);
-    header.history_after =
-        extend_history(header.history_after, std::string_view(lines).substr(from, end - from));
+  BatchHeader header{epoch, first_sequence, first_sequence - 1, history, history};
+  std::size_t offset = 0;
+  while (const std::optional<std::string_view> line = next_line(lines, offset)) {
+    header.history_after = extend_history(header.history_after, *line);
     ++header.last_sequence;
-    from = end + 1;
   }
   history = header.history_after;
   return store::add_checksum(kBatchFormat, encode_header(header) + lines);
--- a/src/catalog/codec.h
+++ b/src/catalog/codec.h
@@ -1,12 +1,12 @@
 // The text form of the catalog: one JSON object a line, with the names that the platform's settings use. A
 // codec: bytes to typed values and back.
 //
-//   {"route":"NAME","target":200,"give-up":400,"worth":2,...}     adds a route, or gives it other settings
-//   {"tenant":"NAME","quota-per-s":12.5}                          the same of a tenant
+//   {"route":"NAME","target":200,"give-up":400,"worth":2,...}     adds a route, or replaces its settings
+//   {"tenant":"NAME","quota-per-s":12.5}                          adds a tenant, or replaces its settings
 //   {"remove-route":"NAME"}   {"remove-tenant":"NAME"}
 //
-// Times are milliseconds. Of a route, "target" and "give-up" are needed; "calls" and "worth-without" stand
-// with it. Members that are not known are ignored.
+// Times are milliseconds. A route needs "target" and "give-up"; "calls" and "worth-without", which the
+// platform's settings hold in lists of their own, are members of the route here. Unknown members are ignored.
 #pragma once
 
 #include <cstdint>
@@ -19,48 +19,59 @@
 
 namespace damsonspoke::catalog {
 
-// Thrown with what is wrong, in plain words without the place.
+// A line that can't be decoded. what() tells the reason without the place.
 struct CodecError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-constexpr std::size_t kMaxLineBytes = 4096;  // bytes
+constexpr std::size_t kMaxLineBytes = 4096;
 
+// Decodes a line without its line feed. Throws CodecError.
 Change decode_change(std::string_view line);
-std::string encode_change(const Change& change);  // with its line feed
+// The line of a change with its line feed.
+std::string encode_change(const Change& change);
 // "route 'NAME'" or "tenant 'NAME'".
 std::string describe(const Change& change);
 
-// The history after one more change, which stood so in its line.
+// The digest of a history that is longer by one change; `line`: as it stands in its file.
 HistoryDigest extend_history(HistoryDigest history, std::string_view line);
 
-// The first line of a snapshot; entries follow, a line each.
+// The first line of a snapshot; its entries follow, a line each.
 struct SnapshotHeader {
   Version version;
   HistoryDigest history = 0;
-  std::uint64_t routes = 0, tenants = 0;
+  std::uint64_t routes = 0;   // number of entries
+  std::uint64_t tenants = 0;  // number of entries
 };
-// The first line of a span of changes; the changes follow, a line each, with the numbers `first` to `last`.
+
+// The first line of a batch of changes; the changes follow, a line each, with consecutive sequence numbers.
 struct BatchHeader {
-  std::uint64_t epoch = 0, first_sequence = 0, last_sequence = 0;
-  HistoryDigest history_before = 0, history_after = 0;
+  std::uint64_t epoch = 0;
+  std::uint64_t first_sequence = 0;
+  std::uint64_t last_sequence = 0;
+  HistoryDigest history_before = 0;  // before its first change
+  HistoryDigest history_after = 0;   // after its last change
 };
+
+// Throw CodecError.
 SnapshotHeader decode_snapshot_header(std::string_view line);
 BatchHeader decode_batch_header(std::string_view line);
 std::string encode_header(const SnapshotHeader& header);
 std::string encode_header(const BatchHeader& header);
 
-// ---- Files. Content is sealed (store/sealed_file.h); a file of changes is sealed spans, one after another.
-constexpr std::uint32_t kSnapshotFormat = 1, kBatchFormat = 2;
+// ---- Files. Their content is framed with a checksum (store/checksummed_file.h). The file of changes is a
+// log of such frames, one a batch, which is only appended to.
+constexpr std::uint32_t kSnapshotFormat = 1;
+constexpr std::uint32_t kBatchFormat = 2;
 constexpr const char* kSnapshotFile = "catalog.snapshot";
-constexpr const char* kPreviousSnapshotFile =
-    "catalog.snapshot.1";  // the one before, as store/sealed_file keeps it
+constexpr const char* kPreviousSnapshotFile = "catalog.snapshot.1";  // as store::ChecksummedFile keeps it
 constexpr const char* kChangesFile = "catalog.changes";
-constexpr std::size_t kMaxSnapshotBytes = std::size_t{256} << 20;  // bytes: four times the size in two years
-constexpr std::size_t kMaxBatchBytes = std::size_t{256} << 10;     // bytes of one span: some 2,500 changes
+constexpr std::size_t kMaxSnapshotBytes = std::size_t{256} << 20;
+constexpr std::size_t kMaxBatchBytes = std::size_t{256} << 10;  // about 2,500 changes
 
-// A sealed span of changes; `lines` as encode_change makes them. The history is moved on.
-std::string encode_batch(std::uint64_t epoch, std::uint64_t first, HistoryDigest& history,
+// A framed batch of the changes in `lines`, which are as encode_change() makes them. Extends `history` by
+// them.
+std::string encode_batch(std::uint64_t epoch, std::uint64_t first_sequence, HistoryDigest& history,
                          const std::string& lines);
 
 }  // namespace damsonspoke::catalog
--- a/src/catalog/entry_table.h
+++ b/src/catalog/entry_table.h
@@ -1,5 +1,5 @@
-// Named entries at stable positions. An entry keeps its position while it exists, also over the change to a
-// successor of the table; a position that another entry takes later is told apart by the entry's life.
+// Named entries at stable positions. An entry keeps its position while it exists, also when a successor of
+// the table takes over. Generations tell apart entries that have one position after each other.
 #pragma once
 
 #include <algorithm>
@@ -11,95 +11,103 @@
 
 namespace damsonspoke::catalog {
 
-// Value: a plain type with a member `std::uint32_t life`; 0, as in memory that is all zero, marks a position
-// that nobody has.
+// Value: a trivially copyable type with a member `std::uint32_t generation`; 0 marks a free position.
 template <typename Value>
-class Table {
+class EntryTable {
  public:
-  // At most `most` entries. Two generations may have names of their own, hence twice as many positions.
-  Table(std::size_t most, std::uint64_t key, HashFunction hash = keyed_hash)
-      : names_(most, key, hash), slots_(2 * most + 1) {}
+  // At most `capacity` entries. A table and its successor may have no name in common, hence there are twice
+  // as many positions.
+  EntryTable(std::size_t capacity, std::uint64_t key, HashFunction hash = keyed_hash)
+      : names_(capacity, key, hash), slots_(2 * capacity + 1) {}
 
+  // The position of an entry; -1 when the name is unknown.
   int find(std::string_view name) const { return names_.find(name); }
   const Value& at(int position) const { return slots_[static_cast<std::size_t>(position)].value; }
-  // Of an entry that is there.
+  // Precondition: there is an entry at this position.
   std::string_view name_of(int position) const {
     return names_.name(slots_[static_cast<std::size_t>(position)].name);
   }
   std::size_t size() const { return names_.size(); }
-  bool full() const { return names_.size() >= names_.most(); }
-  std::size_t max_positions() const { return 2 * names_.most(); }
+  bool is_full() const { return names_.size() >= names_.capacity(); }
+  std::size_t max_positions() const { return 2 * names_.capacity(); }
   std::size_t memory_bytes() const {
-    return names_.memory_bytes() + slots_.memory_bytes() + free_.capacity() * sizeof(int);
+    return names_.memory_bytes() + slots_.memory_bytes() + free_positions_.capacity() * sizeof(int);
   }
   const NameIndex& names() const { return names_; }
 
-  // Adds an entry, or gives one that is there another value. A new one must find room (see full()). Where
-  // this table is to succeed another one, an entry of the same name there has its position and life.
-  int put(std::string_view name, Value value, const Table* predecessor = nullptr) {
-    int position = names_.find(name);
-    if (position >= 0) {
+  // Adds an entry, or replaces the value of an existing one. Returns its position. Precondition for a new
+  // entry: the table is not full. Where this table is to succeed another one, an entry with the same name
+  // there passes on its position and generation.
+  int put(std::string_view name, Value value, const EntryTable* predecessor = nullptr) {
+    if (const int position = names_.find(name); position >= 0) {
       value.generation = at(position).generation;
       slots_.writable(static_cast<std::size_t>(position)).value = value;
       return position;
     }
-    if (const int before = predecessor != nullptr ? predecessor->find(name) : -1; before >= 0) {
-      position = before;
-      value.generation = predecessor->at(before).generation;
+    int position = predecessor != nullptr ? predecessor->find(name) : -1;
+    if (position >= 0) {
+      value.generation = predecessor->at(position).generation;
     } else {
-      position = new_position(predecessor);
+      position = allocate_position(predecessor);
       value.generation = ++last_generation_;
     }
-    positions_ = std::max(positions_, static_cast<std::size_t>(position) + 1);
+    position_count_ = std::max(position_count_, static_cast<std::size_t>(position) + 1);
     slots_.writable(static_cast<std::size_t>(position)) = {value, names_.add(name, position)};
     return position;
   }
 
+  // Does nothing when the name is unknown.
   void remove(std::string_view name) {
     const int position = names_.find(name);
     if (position < 0) return;
     names_.remove(name);
     slots_.writable(static_cast<std::size_t>(position)).value.generation = 0;
-    free_.push_back(position);
+    free_positions_.push_back(position);
   }
 
-  // Of a successor, before its first entry: the lives that its predecessor has given are not given again.
-  void continue_generations_of(const Table& predecessor) { last_generation_ = predecessor.last_generation_; }
-  // Of a successor that is complete: looks at `count` more positions for those that nobody has. False when
-  // all are known.
+  // To be called on a successor before its first entry: its new entries get generations that the predecessor
+  // has not given.
+  void continue_generations_of(const EntryTable& predecessor) {
+    last_generation_ = predecessor.last_generation_;
+  }
+  // To be called on a successor that has all its entries: collects the free ones among the next `count`
+  // positions. False when all positions were looked at.
   bool collect_free_positions(std::size_t count) {
-    const std::size_t end = std::min(positions_, free_scan_position_ + count);
+    const std::size_t end = std::min(position_count_, free_scan_position_ + count);
     for (; free_scan_position_ < end; ++free_scan_position_) {
       if (slots_[free_scan_position_].value.generation == 0)
-        free_.push_back(static_cast<int>(free_scan_position_));
+        free_positions_.push_back(static_cast<int>(free_scan_position_));
     }
-    return free_scan_position_ < positions_;
+    return free_scan_position_ < position_count_;
   }
 
-  // For one that is no longer looked at: gives back at most so many pages. False when none are left.
-  bool release(std::size_t pages) { return slots_.release(pages) || names_.release(pages); }
+  // Frees at most `count` pages of a table that is no longer used. False when none are left.
+  bool release_pages(std::size_t count) { return slots_.release_pages(count) || names_.release_pages(count); }
 
  private:
   struct Slot {
     Value value;
     NameArena::Reference name;
   };
-  // While a predecessor is in force, positions that it uses are left alone.
-  int new_position(const Table* predecessor) {
-    const std::vector<int>& free = predecessor != nullptr ? predecessor->free_ : free_;
-    if (predecessor != nullptr && taken_ < free.size()) return free[taken_++];
-    if (predecessor != nullptr) return static_cast<int>(std::max(positions_, predecessor->positions_));
-    if (free.empty()) return static_cast<int>(positions_);
-    const int position = free_.back();
-    free_.pop_back();
+
+  // A successor leaves alone the positions that its predecessor uses.
+  int allocate_position(const EntryTable* predecessor) {
+    if (predecessor != nullptr) {
+      const std::vector<int>& free = predecessor->free_positions_;
+      if (predecessor_positions_reused_ < free.size()) return free[predecessor_positions_reused_++];
+      return static_cast<int>(std::max(position_count_, predecessor->position_count_));
+    }
+    if (free_positions_.empty()) return static_cast<int>(position_count_);
+    const int position = free_positions_.back();
+    free_positions_.pop_back();
     return position;
   }
 
   NameIndex names_;
-  PagedArray<Slot> slots_;     // by position
-  std::size_t positions_ = 0;  // so many were ever in use
-  std::vector<int> free_;      // of them
-  std::size_t taken_ = 0;      // of the free positions of a predecessor
+  PagedArray<Slot> slots_;          // by position
+  std::size_t position_count_ = 0;  // positions that were ever used; all lie below it
+  std::vector<int> free_positions_;
+  std::size_t predecessor_positions_reused_ = 0;  // how many of the predecessor's free positions are used
   std::size_t free_scan_position_ = 0;
   std::uint32_t last_generation_ = 0;
 };
--- a/src/catalog/paged_array.h
+++ b/src/catalog/paged_array.h
@@ -1,6 +1,6 @@
-// An array of fixed length whose memory comes page by page as it is written to, and goes page by page. What
-// was never written is zero. Guards against holding a caller up for as long as it takes to get, or to give
-// back, tens of megabytes at once.
+// An array of fixed length whose memory is allocated page by page as it is written to, and freed page by
+// page. Elements that were never written are zero. It bounds the time that one call takes: to allocate or to
+// free tens of megabytes at once would hold the caller up for milliseconds.
 #pragma once
 
 #include <cstdlib>
@@ -18,42 +18,53 @@
  public:
   explicit PagedArray(std::size_t length) : pages_((length + kPageLength - 1) / kPageLength) {}
 
-  const Value& operator[](std::size_t at) const {
-    const Value* page = pages_[at / kPageLength].get();
-    return page != nullptr ? page[at % kPageLength] : zero();
+  const Value& operator[](std::size_t index) const {
+    const Value* page = pages_[index / kPageLength].get();
+    return page != nullptr ? page[index % kPageLength] : zero();
   }
-  Value& writable(std::size_t at) {
-    Page& page = pages_[at / kPageLength];
+
+  // The element for writing; allocates its page. Throws std::bad_alloc.
+  Value& writable(std::size_t index) {
+    Page& page = pages_[index / kPageLength];
     if (page == nullptr) {
-      page.reset(static_cast<Value*>(std::calloc(kPageLength, sizeof(Value))));
-      if (page == nullptr) throw std::bad_alloc();
-      ++in_use_;
+      page = allocate_page();
+      ++allocated_pages_;
     }
-    return page[at % kPageLength];
+    return page[index % kPageLength];
   }
+
   std::size_t memory_bytes() const {
-    return in_use_ * kPageLength * sizeof(Value) + pages_.size() * sizeof(Page);
+    return allocated_pages_ * kPageLength * sizeof(Value) + pages_.size() * sizeof(Page);
   }
-  // Gives back at most `count` pages, the last ones first, and the length with them. False when none are
-  // left.
-  bool release(std::size_t count) {
+
+  // Frees at most `count` pages from the end and shortens the array by them. False when none are left.
+  bool release_pages(std::size_t count) {
     for (; count > 0 && !pages_.empty(); --count) pages_.pop_back();
     return !pages_.empty();
   }
 
  private:
-  static constexpr std::size_t kPageLength = 1024;
+  static constexpr std::size_t kPageLength = 1024;  // elements
+
+  // Pages come from calloc, which hands out zeroed memory without touching it.
   struct Free {
-    void operator()(Value* page) const { std::free(page); }
+    void operator()(Value* page) const { std::free(page); }  // NOLINT(cppcoreguidelines-no-malloc)
   };
   using Page = std::unique_ptr<Value[], Free>;
+
+  static Page allocate_page() {
+    // NOLINTNEXTLINE(cppcoreguidelines-no-malloc)
+    Page page(static_cast<Value*>(std::calloc(kPageLength, sizeof(Value))));
+    if (page == nullptr) throw std::bad_alloc();
+    return page;
+  }
   static const Value& zero() {
     alignas(Value) static const unsigned char bytes[sizeof(Value)] = {};
     return *reinterpret_cast<const Value*>(bytes);
   }
 
   std::vector<Page> pages_;
-  std::size_t in_use_ = 0;
+  std::size_t allocated_pages_ = 0;
 };
 
 }  // namespace damsonspoke::catalog
--- a/src/catalog/source.h
+++ b/src/catalog/source.h
@@ -1,35 +1,39 @@
-// Where the catalog's files are read from, chunk by chunk. What waits for a file does so without blocking.
+// Where the catalog's files are read from, chunk by chunk and without blocking the reader.
 #pragma once
 
 #include <cstdint>
 #include <optional>
 #include <string>
+#include <utility>
 
 namespace damsonspoke::catalog {
 
 struct FileChunk {
-  bool exists = false;          // there is such a file, and it could be read
-  std::string error;            // else why not; empty: there is no such file
-  std::uint64_t file_id = 0;    // changes when another file takes its name
-  std::uint64_t file_size = 0;  // bytes of the whole file
-  std::string bytes;            // fewer than asked for where the file ends
+  bool exists = false;          // the file exists and was read
+  std::string error;            // why it could not be read; empty when there is no such file
+  std::uint64_t file_id = 0;    // changes when another file takes the name
+  std::uint64_t file_size = 0;  // bytes
+  std::string bytes;            // shorter than requested at the end of the file
 };
 
 class Source {
  public:
+  Source() = default;
+  Source(const Source&) = delete;
+  Source& operator=(const Source&) = delete;
   virtual ~Source() = default;
-  // Asks for at most `most` bytes from `offset` on. One request at a time.
-  virtual void request(const std::string& name, std::uint64_t offset, std::size_t most) = 0;
-  // What was asked for; nothing as long as it has not come.
+  // Requests at most `max_bytes` of a file from `offset` on. One request at a time.
+  virtual void request(const std::string& name, std::uint64_t offset, std::size_t max_bytes) = 0;
+  // The requested chunk, once; nothing until it has been read.
   virtual std::optional<FileChunk> take() = 0;
 };
 
-// Reads from a folder at once, on the caller's thread.
+// Reads files of a folder within request(), on the caller's thread.
 class FolderSource final : public Source {
  public:
   explicit FolderSource(std::string folder) : folder_(std::move(folder)) {}
-  void request(const std::string& name, std::uint64_t offset, std::size_t most) override;
-  std::optional<FileChunk> take() override { return std::move(chunk_); }
+  void request(const std::string& name, std::uint64_t offset, std::size_t max_bytes) override;
+  std::optional<FileChunk> take() override { return std::exchange(chunk_, std::nullopt); }
 
  private:
   const std::string folder_;
--- a/src/catalog/threaded_source.cpp
+++ b/src/catalog/threaded_source.cpp
@@ -13,11 +13,12 @@
 struct Request {
   std::string name;
   std::uint64_t offset = 0;
-  std::size_t most = 0;
+  std::size_t max_bytes = 0;
 };
 
 }  // namespace
 
+// Owned by both threads: the reading one may outlive the source.
 struct ThreadedSource::Shared : store::WorkerThreadState {
   std::unique_ptr<Source> source;
   std::function<void()> on_ready;
@@ -29,12 +30,12 @@
     for (;;) {
       changed.wait(guard, [this] { return closing || request; });
       if (closing) break;
-      const Request wanted = *std::exchange(request, std::nullopt);
+      const Request current = *std::exchange(request, std::nullopt);
       guard.unlock();
-      source->request(wanted.name, wanted.offset, wanted.most);
-      std::optional<FileChunk> read = source->take();
+      source->request(current.name, current.offset, current.max_bytes);
+      std::optional<FileChunk> result = source->take();
       guard.lock();
-      chunk = std::move(read);
+      chunk = std::move(result);
       changed.notify_all();
       if (!closing) on_ready();
     }
@@ -52,10 +53,10 @@
 
 ThreadedSource::~ThreadedSource() { store::stop_worker_thread(*shared_, thread_); }
 
-void ThreadedSource::request(const std::string& name, std::uint64_t offset, std::size_t most) {
+void ThreadedSource::request(const std::string& name, std::uint64_t offset, std::size_t max_bytes) {
   const std::lock_guard guard(shared_->lock);
   shared_->chunk.reset();
-  shared_->request = Request{name, offset, most};
+  shared_->request = Request{name, offset, max_bytes};
   shared_->changed.notify_all();
 }
 
--- a/src/catalog/threaded_source.h
+++ b/src/catalog/threaded_source.h
@@ -1,5 +1,4 @@
-// A source whose reading is done by a thread of its own. Guards against a folder that hangs: whoever serves
-// meanwhile waits for nothing.
+// A source that reads on a thread of its own, so that a folder that does not respond blocks nobody.
 #pragma once
 
 #include <functional>
@@ -13,17 +12,17 @@
 
 class ThreadedSource final : public Source {
  public:
-  // `on_ready`: called on that thread when a piece has come, never after this one's end.
+  // `on_ready`: called on the thread when a chunk was read, never after the destructor.
   ThreadedSource(std::unique_ptr<Source> source, std::function<void()> on_ready);
-  // A thread that hangs is left behind after 0.2 s.
+  // Detaches a thread that does not end (store::stop_worker_thread).
   ~ThreadedSource() override;
   ThreadedSource(const ThreadedSource&) = delete;
   ThreadedSource& operator=(const ThreadedSource&) = delete;
 
-  void request(const std::string& name, std::uint64_t offset, std::size_t most) override;
+  void request(const std::string& name, std::uint64_t offset, std::size_t max_bytes) override;
   std::optional<FileChunk> take() override;
-  // For who has nothing else to do: false where no piece comes within `seconds`.
-  bool wait(double seconds);
+  // Blocks until a chunk was read; false when none is there after `seconds`.
+  [[nodiscard]] bool wait(double seconds);
 
  private:
   struct Shared;
--- a/src/catalog/version.h
+++ b/src/catalog/version.h
@@ -1,4 +1,4 @@
-// Which state of the catalog is in force.
+// Identifies a state of the catalog.
 #pragma once
 
 #include <compare>
@@ -6,16 +6,16 @@
 
 namespace damsonspoke::catalog {
 
-// The number of the last change, and the epoch of the source that wrote it. A source that takes over from
-// another one has a higher epoch; sequence numbers go on.
+// The sequence number of the latest change, and the epoch of the writer that made it. A writer that takes
+// over has a higher epoch (a fencing token); sequence numbers continue without gaps.
 struct Version {
   std::uint64_t epoch = 0;
   std::uint64_t sequence = 0;
   auto operator<=>(const Version&) const = default;
 };
 
-// A digest of a whole history: of every change up to a version, in order. Two histories that differ anywhere
-// differ in it from there on.
+// A chained digest of every change up to a version, in order. Two histories that differ in any change have
+// different digests from that change on.
 using HistoryDigest = std::uint64_t;
 
 }  // namespace damsonspoke::catalog
--- a/src/peers/ajp/server.cpp
+++ b/src/peers/ajp/server.cpp
@@ -73,8 +73,8 @@
         return query_field(query->value, source.name);
       break;
     case AjpSource::From::kPath:
-      if (static_cast<std::size_t>(source.star) <= stars.size())
-        return stars[static_cast<std::size_t>(source.star) - 1];
+      if (static_cast<std::size_t>(source.wildcard) <= stars.size())
+        return stars[static_cast<std::size_t>(source.wildcard) - 1];
       break;
   }
   return std::nullopt;
@@ -303,7 +303,7 @@
     return refuse(caller, *none == AjpNoMatch::kPath ? 404 : *none == AjpNoMatch::kMethod ? 405 : 400, body);
   }
   const AjpMatch& matched = std::get<AjpMatch>(found);
-  if (!fill(caller, *matched.route, matched.stars, request)) {
+  if (!fill(caller, *matched.route, matched.wildcards, request)) {
     counters_.add(Count::kBadParams);
     return refuse(caller, 400, body);
   }
--- a/src/settings/ajp_routes.cpp
+++ b/src/settings/ajp_routes.cpp
@@ -1,7 +1,7 @@
 #include "settings/ajp_routes.h"
 
 #include <algorithm>
-#include <cstdlib>
+#include <string>
 #include <tao/pegtl.hpp>
 
 namespace damsonspoke {
@@ -9,8 +9,10 @@
 
 namespace p = tao::pegtl;
 
-constexpr std::size_t kMostSegments = 32;
-constexpr double kMaxSizeKb = 2000;  // as callers of the other front may ask for
+constexpr std::size_t kMaxSegments = 32;
+constexpr double kMinSizeKb = 1;
+constexpr double kMaxSizeKb = 2000;  // exclusive; as for requests by JSON-RPC
+constexpr std::size_t kMinWords = 3;
 
 // ---- Grammar.
 struct token_char : p::sor<p::alnum, p::one<'!', '$', '&', '\'', '+', '-', '.', '^', '_', '`', '|', '~'>> {};
@@ -29,10 +31,10 @@
 
 struct header_name : token {};
 struct query_name : token {};
-struct star_number : p::seq<p::range<'1', '9'>, p::opt<p::digit>> {};
+struct wildcard_number : p::seq<p::range<'1', '9'>, p::opt<p::digit>> {};
 struct header_source : p::seq<p::string<'h', 'e', 'a', 'd', 'e', 'r', ':'>, header_name> {};
 struct query_source : p::seq<p::string<'q', 'u', 'e', 'r', 'y', ':'>, query_name> {};
-struct path_source : p::seq<p::string<'p', 'a', 't', 'h', ':'>, star_number> {};
+struct path_source : p::seq<p::string<'p', 'a', 't', 'h', ':'>, wildcard_number> {};
 struct source_word : p::seq<p::sor<header_source, query_source, path_source>, p::eof> {};
 
 struct number_word : p::seq<p::rep_min_max<1, 4, p::digit>, p::eof> {};
@@ -52,10 +54,10 @@
 };
 template <>
 struct PatternAction<any_rest> {
-  static void apply0(AjpRoute& route) { route.open_end = true; }
+  static void apply0(AjpRoute& route) { route.matches_rest = true; }
 };
 
-std::string lower(std::string text) {
+std::string to_lower(std::string text) {
   for (char& c : text) {
     if (c >= 'A' && c <= 'Z') c = static_cast<char>(c - 'A' + 'a');
   }
@@ -69,7 +71,7 @@
   template <typename Input>
   static void apply(const Input& in, AjpSource& source) {
     source.from = AjpSource::From::kHeader;
-    source.name = lower(in.string());
+    source.name = to_lower(in.string());
   }
 };
 template <>
@@ -81,11 +83,11 @@
   }
 };
 template <>
-struct SourceAction<star_number> {
+struct SourceAction<wildcard_number> {
   template <typename Input>
   static void apply(const Input& in, AjpSource& source) {
     source.from = AjpSource::From::kPath;
-    source.star = std::atoi(in.string().c_str());
+    source.wildcard = std::stoi(in.string());
   }
 };
 
@@ -100,33 +102,48 @@
   return p::parse<Rule>(in);
 }
 
-// One `name=value`; what is wrong with it, or nothing.
-std::string read_option(const std::string& word, AjpRoute& route) {
-  const std::size_t equals = word.find('=');
-  if (equals == std::string::npos) return "'" + word + "' is no name=value";
-  const std::string name = word.substr(0, equals), value = word.substr(equals + 1);
-  if (name == "held") {
-    if (!parses<number_word>(value) || std::atof(value.c_str()) < 1 || std::atof(value.c_str()) >= kMaxSizeKb)
-      return "'held' expects kilobytes from 1 to 1999";
-    route.size_kb = std::atof(value.c_str());
-    return {};
+std::string quoted_name(const std::string& name) { return "'" + name + "'"; }
+
+// Reads `held=KB`. Returns the text of an error.
+std::optional<std::string> read_held(const std::string& value, AjpRoute& route) {
+  if (parses<number_word>(value)) {
+    const double size_kb = std::stod(value);
+    if (size_kb >= kMinSizeKb && size_kb < kMaxSizeKb) {
+      route.size_kb = size_kb;
+      return std::nullopt;
+    }
   }
-  AjpSource* source = name == "key"       ? &route.key
-                      : name == "caller"  ? &route.caller
-                      : name == "subject" ? &route.subject
-                      : name == "wait"    ? &route.wait
-                                          : nullptr;
-  if (source == nullptr) return "'" + name + "' is none of key, caller, subject, wait, held";
-  if (source->given()) return "'" + name + "' stands twice";
+  return "'held' expects kilobytes from 1 to 1999";
+}
+
+AjpSource* find_source(AjpRoute& route, std::string_view name) {
+  if (name == "key") return &route.key;
+  if (name == "caller") return &route.caller;
+  if (name == "subject") return &route.subject;
+  if (name == "wait") return &route.wait;
+  return nullptr;
+}
+
+// Reads one `name=value`. Returns the text of an error.
+std::optional<std::string> read_option(const std::string& word, AjpRoute& route) {
+  const std::size_t equals = word.find('=');
+  if (equals == std::string::npos) return quoted_name(word) + " is no name=value";
+  const std::string name = word.substr(0, equals);
+  const std::string value = word.substr(equals + 1);
+  if (name == "held") return read_held(value, route);
+  AjpSource* source = find_source(route, name);
+  if (source == nullptr) return quoted_name(name) + " is none of key, caller, subject, wait, held";
+  if (source->is_set()) return quoted_name(name) + " stands twice";
   if (!parses<source_word, SourceAction>(value, *source))
-    return "'" + name + "' expects header:NAME, query:NAME or path:N";
-  const auto stars = std::count(route.segments.begin(), route.segments.end(), "*");
-  if (source->from == AjpSource::From::kPath && source->star > stars)
-    return "'" + name + "' names a * that the pattern does not have";
-  return {};
+    return quoted_name(name) + " expects header:NAME, query:NAME or path:N";
+  const auto wildcards = std::count(route.segments.begin(), route.segments.end(), "*");
+  if (source->from == AjpSource::From::kPath && source->wildcard > wildcards)
+    return quoted_name(name) + " names a * that the pattern does not have";
+  return std::nullopt;
 }
 
-bool escaped_or_odd(std::string_view segment) {
+// Whether two readers might read the segment differently.
+bool is_ambiguous(std::string_view segment) {
   return segment.empty() || segment == "." || segment == ".." ||
          std::any_of(segment.begin(), segment.end(), [](char c) {
            const auto byte = static_cast<unsigned char>(c);
@@ -134,14 +151,14 @@
          });
 }
 
-bool fits(const AjpRoute& route, const std::vector<std::string_view>& path,
-          std::vector<std::string_view>& stars) {
-  if (route.open_end ? path.size() < route.segments.size() : path.size() != route.segments.size())
+bool matches(const AjpRoute& route, const std::vector<std::string_view>& path,
+             std::vector<std::string_view>& wildcards) {
+  if (route.matches_rest ? path.size() < route.segments.size() : path.size() != route.segments.size())
     return false;
-  stars.clear();
+  wildcards.clear();
   for (std::size_t i = 0; i < route.segments.size(); ++i) {
     if (route.segments[i] == "*") {
-      stars.push_back(path[i]);
+      wildcards.push_back(path[i]);
     } else if (route.segments[i] != path[i]) {
       return false;
     }
@@ -153,32 +170,31 @@
 
 std::variant<AjpRoute, AjpRouteError> read_ajp_route(const std::vector<std::string>& words) {
   AjpRoute route;
-  if (words.size() < 3) return AjpRouteError{0, "'map' expects a method, a pattern and an op type"};
+  if (words.size() < kMinWords) return AjpRouteError{0, "'map' expects a method, a pattern and an op type"};
   if (!parses<method_word>(words[0])) return AjpRouteError{0, "'" + words[0] + "' is no method"};
   route.method = words[0];
-  if (!parses<pattern_word, PatternAction>(words[1], route) || route.segments.size() > kMostSegments)
+  if (!parses<pattern_word, PatternAction>(words[1], route) || route.segments.size() > kMaxSegments)
     return AjpRouteError{1, "'" + words[1] + "' is no pattern of paths"};
   if (std::any_of(route.segments.begin(), route.segments.end(),
-                  [](const std::string& one) { return one == "." || one == ".."; }))
+                  [](const std::string& segment) { return segment == "." || segment == ".."; }))
     return AjpRouteError{1, "'" + words[1] + "' has a segment that no path may have"};
   route.route = words[2];
-  for (std::size_t i = 3; i < words.size(); ++i) {
-    const std::string wrong = read_option(words[i], route);
-    if (!wrong.empty()) return AjpRouteError{i, wrong};
+  for (std::size_t i = kMinWords; i < words.size(); ++i) {
+    if (const auto error = read_option(words[i], route)) return AjpRouteError{i, *error};
   }
   return route;
 }
 
 std::optional<std::vector<std::string_view>> path_segments(std::string_view path) {
-  std::vector<std::string_view> out;
+  std::vector<std::string_view> segments;
   if (path.empty() || path[0] != '/') return std::nullopt;
   path.remove_prefix(1);
-  if (path.empty()) return out;
+  if (path.empty()) return segments;
   for (;;) {
     const std::size_t slash = path.find('/');
-    out.push_back(path.substr(0, slash));
-    if (escaped_or_odd(out.back()) || out.size() > kMostSegments) return std::nullopt;
-    if (slash == std::string_view::npos) return out;
+    segments.push_back(path.substr(0, slash));
+    if (is_ambiguous(segments.back()) || segments.size() > kMaxSegments) return std::nullopt;
+    if (slash == std::string_view::npos) return segments;
     path.remove_prefix(slash + 1);
   }
 }
@@ -187,16 +203,16 @@
                                          std::string_view path) {
   const auto segments = path_segments(path);
   if (!segments) return AjpNoMatch::kBadPath;
-  AjpMatch out;
-  bool there = false;
+  AjpMatch found;
+  bool path_matches = false;
   for (const AjpRoute& route : routes) {
-    if (!fits(route, *segments, out.stars)) continue;
-    there = true;
+    if (!matches(route, *segments, found.wildcards)) continue;
+    path_matches = true;
     if (route.method != method) continue;
-    out.route = &route;
-    return out;
+    found.route = &route;
+    return found;
   }
-  return there ? AjpNoMatch::kMethod : AjpNoMatch::kPath;
+  return path_matches ? AjpNoMatch::kMethod : AjpNoMatch::kPath;
 }
 
 std::optional<std::string_view> query_field(std::string_view query, std::string_view name) {
--- a/src/settings/config.h
+++ b/src/settings/config.h
@@ -1,4 +1,5 @@
-// What one backend process is told at its start: addresses, limits and the settings of its site.
+// The configuration that the platform gives a backend process at its start: addresses, resource limits and
+// the settings of its site.
 #pragma once
 
 #include <cstdint>
@@ -9,37 +10,31 @@
 
 namespace damsonspoke {
 
+// What the process may use.
 struct Limits {
   double cores = 1;
   double memory_mb = 192;
   int sockets = 1024;
 };
 
+// Addresses are numeric, as address:port.
 struct Config {
   std::string name;
-  std::string listen;      // address:port, as all of these
-  std::string runtime;     // what does the work, on the same machine
-  std::string dependency;  // the layer below; may be absent where nothing calls it
+  std::string listen;
+  std::string runtime;     // runs the requests, on the same machine
+  std::string dependency;  // may be empty when no route calls it
   std::string registry;
   std::uint64_t seed = 0;
-  double stop_after = 0;  // s from the notice to leave to the kill
+  double stop_after = 0;  // seconds from the signal to shut down until the process is killed
   Limits limits;
   StartSettings site;
 };
 
-// Throws SettingsError with one plain line that names the file or the key.
+// Throw SettingsError with one line that names the file or the key.
 Config read_config(const std::string& path);
 Config parse_config(const std::string& text);
 
-// Fills in what the settings ask for where operators have chosen nothing: keys are kept in memory, told by
-// the protocol's own member of that name.
-void serve_settings(const Config& config, const std::string& key_field, OperatorOptions& options);
-
-// What this program does not serve with these options, in plain words; empty when it serves all that is
-// asked.
-std::string unserved(const Config& config, const OperatorOptions& options);
-
-// All that one process goes by; read anew on SIGHUP.
+// Everything that configures one process; read again on SIGHUP.
 struct Choice {
   Config config;
   OperatorOptions options;
--- a/src/settings/operator_file.cpp
+++ b/src/settings/operator_file.cpp
@@ -4,367 +4,233 @@
 
 #include <algorithm>
 #include <fstream>
+#include <optional>
 #include <sstream>
 
+#include "settings/operator_schema.h"
+#include "settings/operator_values.h"
 #include "settings/settings.h"
 
 namespace damsonspoke {
 namespace {
 
 using Type = DirectiveType;
-using Values = std::map<std::pair<std::string, std::string>, OperatorFile::Value>;
 
-constexpr std::size_t kMostBytes = 1 << 20;  // a longer file is none of ours
-constexpr double kInputGrace = 0.5;          // s that a request may begin slowly: one lost packet sent again
-constexpr double kOutputGrace = 1;           // s that answers may wait: some lost packets, or a short pause
-constexpr std::size_t kMostErrors = 50;      // told of one file
+constexpr std::size_t kMaxFileBytes = 1 << 20;
+constexpr std::size_t kMaxErrorsShown = 50;
 
-std::vector<std::string> split(std::string_view text) {
-  std::vector<std::string> out;
-  std::istringstream in{std::string(text)};
-  for (std::string one; in >> one;) out.push_back(one);
-  return out;
+bool is_within(const Directive& directive, double value) {
+  return value >= directive.minimum && value <= directive.maximum;
 }
 
-// The number that a word stands for under a directive of that type.
-bool read_number(Type type, std::string_view word, double& out) {
-  switch (type) {
-    case Type::kSize: return read_size(word, out);
-    case Type::kDuration: return read_duration(word, out);
-    case Type::kPercentage: return read_percentage(word, out);
-    case Type::kCount: return read_count(word, out);
-    default: return false;
-  }
-}
-
-bool fits(const Directive& d, const std::vector<std::string>& words) {
-  if (d.type == Type::kWords || d.type == Type::kLines) {
-    return static_cast<double>(words.size()) >= d.least && static_cast<double>(words.size()) <= d.most;
-  }
+// Whether the words have the form and the range that the directive expects.
+bool fits(const Directive& directive, const std::vector<std::string>& words) {
+  if (directive.type == Type::kWords || directive.type == Type::kLines)
+    return is_within(directive, static_cast<double>(words.size()));
   if (words.size() != 1) return false;
   const std::string& word = words.front();
-  double number = 0;
-  switch (d.type) {
+  switch (directive.type) {
     case Type::kFlag: return word == "on" || word == "off";
     case Type::kChoice: {
-      const std::vector<std::string> choices = split(d.choices);
+      const std::vector<std::string> choices = split_words(directive.choices);
       return std::find(choices.begin(), choices.end(), word) != choices.end();
     }
-    case Type::kText:
-      return static_cast<double>(word.size()) >= d.least && static_cast<double>(word.size()) <= d.most;
-    default: return read_number(d.type, word, number) && number >= d.least && number <= d.most;
+    case Type::kText: return is_within(directive, static_cast<double>(word.size()));
+    default: {
+      const std::optional<double> number = read_number(directive.type, word);
+      return number && is_within(directive, *number);
+    }
   }
 }
 
-struct GateGroupError {
-  std::size_t word = 0;
-  std::string text;
-};
-std::variant<conns::GateGroup, GateGroupError> read_gate_group(const std::vector<std::string>& words) {
-  conns::GateGroup out;
-  out.name = words[0];
-  if (!read_percentage(words[1], out.share) || out.share < 0.01 || out.share > 1)
-    return GateGroupError{1, fmt::format("'{}' is no percentage from 1% to 100%", words[1])};
-  for (std::size_t i = 2; i < words.size(); ++i) {
-    const std::optional<conns::Prefix> prefix = conns::parse_prefix(words[i]);
-    if (!prefix) return GateGroupError{i, fmt::format("'{}' is no address or network", words[i])};
-    out.prefixes.push_back(*prefix);
-  }
-  return out;
+// Whether all words of the directive have to be addresses or networks.
+bool expects_prefixes(const Directive& directive) {
+  return (directive.section == "gate" && directive.name == "known") ||
+         (directive.section == "members" && directive.name == "peers");
 }
 
+// Adds the values of a file, line by line, or their errors.
 class Checker {
  public:
-  explicit Checker(OperatorFile& out) : out_(out) {}
+  explicit Checker(OperatorFile& file) : file_(file) {}
 
-  void take(const OperatorLine& line) {
-    const OperatorWord& first = line.words.front();
-    if (line.section) return take_section(line);
+  void add(const OperatorLine& line) {
+    if (line.is_section) {
+      add_section(line);
+    } else {
+      add_directive(line);
+    }
+  }
+
+ private:
+  void add_section(const OperatorLine& line) {
+    const OperatorWord& name = line.words.front();
+    section_.clear();
+    is_section_invalid_ = true;  // errors that follow from an invalid section are not reported
+    if (!is_section(name.text))
+      return add_error(line, name,
+                       fmt::format("'{}' is no section{}", name.text, hint(nearest_section(name.text))));
+    if (line.words.size() > 1)
+      return add_error(line, line.words[1], fmt::format("section '{}' takes no more words", name.text));
+    section_ = name.text;
+    is_section_invalid_ = false;
+  }
+
+  void add_directive(const OperatorLine& line) {
+    const OperatorWord& name = line.words.front();
     if (section_.empty()) {
-      if (!section_wrong_) error(line, first, fmt::format("'{}' stands in no section", first.text));
+      if (!is_section_invalid_) add_error(line, name, fmt::format("'{}' stands in no section", name.text));
       return;
     }
-    const Directive* d = find_directive(section_, first.text);
-    if (d == nullptr) {
-      const std::string near = nearest_directive(section_, first.text);
-      return error(line, first,
-                   fmt::format("'{}' is no directive of section '{}'{}", first.text, section_, hint(near)));
-    }
+    const Directive* directive = find_directive(section_, name.text);
+    if (directive == nullptr)
+      return add_error(line, name,
+                       fmt::format("'{}' is no directive of section '{}'{}", name.text, section_,
+                                   hint(nearest_directive(section_, name.text))));
     std::vector<std::string> words;
     for (std::size_t i = 1; i < line.words.size(); ++i) words.push_back(line.words[i].text);
-    if (!fits(*d, words)) {
-      const OperatorWord& at = line.words.size() > 1 ? line.words[1] : first;
-      return error(line, at, fmt::format("'{}' expects {}", d->name, expected(*d)));
+    if (!fits(*directive, words)) {
+      const OperatorWord& place = line.words.size() > 1 ? line.words[1] : name;
+      return add_error(line, place,
+                       fmt::format("'{}' expects {}", directive->name, describe_expected(*directive)));
     }
-    if (d->type == Type::kLines) return take_one_of_many(line, first.text, std::move(words));
-    if ((section_ == "gate" && first.text == "known") || (section_ == "members" && first.text == "peers")) {
-      for (std::size_t i = 0; i < words.size(); ++i) {
-        if (conns::parse_prefix(words[i])) continue;
-        return error(line, line.words[i + 1], fmt::format("'{}' is no address or network", words[i]));
-      }
-    }
-    auto [place, fresh] = out_.given.try_emplace({section_, first.text});
-    if (!fresh) {
-      return error(line, first,
-                   fmt::format("'{}' stands twice, first on line {}", first.text, place->second.line));
+    if (directive->type == Type::kLines) return add_table_line(line, name.text, std::move(words));
+    if (expects_prefixes(*directive) && !check_prefixes(line, words)) return;
+    add_value(line, std::move(words));
+  }
+
+  bool check_prefixes(const OperatorLine& line, const std::vector<std::string>& words) {
+    for (std::size_t i = 0; i < words.size(); ++i) {
+      if (conns::parse_prefix(words[i])) continue;
+      add_error(line, line.words[i + 1], fmt::format("'{}' is no address or network", words[i]));
+      return false;
     }
-    place->second = {std::move(words), line.line, {}};
+    return true;
   }
 
- private:
-  // A line of a table: each has to be sound by itself.
-  void take_one_of_many(const OperatorLine& line, const std::string& name, std::vector<std::string> words) {
+  void add_value(const OperatorLine& line, std::vector<std::string> words) {
+    const OperatorWord& name = line.words.front();
+    const auto [value, is_new] = file_.given.try_emplace({section_, name.text});
+    if (!is_new)
+      return add_error(line, name,
+                       fmt::format("'{}' stands twice, first on line {}", name.text, value->second.line));
+    value->second = {std::move(words), line.line, {}};
+  }
+
+  // A line of a table; each is checked by itself.
+  void add_table_line(const OperatorLine& line, const std::string& name, std::vector<std::string> words) {
     if (section_ == "gate") {
-      const auto read = read_gate_group(words);
-      if (const auto* wrong = std::get_if<GateGroupError>(&read))
-        return error(line, line.words[wrong->word + 1], wrong->text);
+      const auto group = read_gate_group(words);
+      if (const auto* error = std::get_if<GateGroupError>(&group))
+        return add_error(line, line.words[error->word + 1], error->text);
     } else {
-      const auto read = read_ajp_route(words);
-      if (const auto* wrong = std::get_if<AjpRouteError>(&read))
-        return error(line, line.words[wrong->word + 1], wrong->text);
+      const auto route = read_ajp_route(words);
+      if (const auto* error = std::get_if<AjpRouteError>(&route))
+        return add_error(line, line.words[error->word + 1], error->text);
     }
-    OperatorFile::Value& value = out_.given[{section_, name}];
+    OperatorValue& value = file_.given[{section_, name}];
     if (value.lines.empty()) value.line = line.line;
     value.lines.push_back(std::move(words));
   }
-  void take_section(const OperatorLine& line) {
-    const OperatorWord& first = line.words.front();
-    section_.clear();
-    section_wrong_ = true;  // what follows is not told as well
-    if (!is_section(first.text)) {
-      return error(line, first,
-                   fmt::format("'{}' is no section{}", first.text, hint(nearest_section(first.text))));
-    }
-    if (line.words.size() > 1) {
-      return error(line, line.words[1], fmt::format("section '{}' takes no more words", first.text));
-    }
-    section_ = first.text;
-    section_wrong_ = false;
-  }
-  static std::string hint(const std::string& near) {
-    return near.empty() ? "" : fmt::format("; is '{}' meant?", near);
+
+  static std::string hint(const std::string& nearest) {
+    return nearest.empty() ? "" : fmt::format("; is '{}' meant?", nearest);
   }
-  void error(const OperatorLine& line, const OperatorWord& at, std::string text) {
-    out_.errors.push_back({line.line, at.column, std::move(text)});
+  void add_error(const OperatorLine& line, const OperatorWord& place, std::string text) {
+    file_.errors.push_back({line.line, place.column, std::move(text)});
   }
 
-  OperatorFile& out_;
+  OperatorFile& file_;
   std::string section_;
-  bool section_wrong_ = false;
+  bool is_section_invalid_ = false;
 };
 
-// Values by type, the default where nothing was given.
-class Reader {
- public:
-  explicit Reader(const Values& given) : given_(given) {}
-  std::vector<std::string> words(const char* section, const char* name) const {
-    const auto found = given_.find({section, name});
-    return found != given_.end() ? found->second.words : split(find_directive(section, name)->otherwise);
-  }
-  std::string text(const char* section, const char* name) const {
-    const std::vector<std::string> all = words(section, name);
-    return all.empty() ? std::string() : all.front();
-  }
-  std::vector<std::vector<std::string>> lines(const char* section, const char* name) const {
-    const auto found = given_.find({section, name});
-    return found != given_.end() ? found->second.lines : std::vector<std::vector<std::string>>();
-  }
-  bool flag(const char* section, const char* name) const { return text(section, name) == "on"; }
-  double number(const char* section, const char* name) const {
-    double out = 0;
-    read_number(find_directive(section, name)->type, text(section, name), out);
-    return out;
-  }
-  std::size_t whole(const char* section, const char* name) const {
-    return static_cast<std::size_t>(number(section, name));
+std::string format_errors(const std::string& path, const std::vector<OperatorError>& errors) {
+  std::string text;
+  const std::size_t shown = std::min(errors.size(), kMaxErrorsShown);
+  for (std::size_t i = 0; i < shown; ++i) {
+    const OperatorError& error = errors[i];
+    if (!text.empty()) text += '\n';
+    text += fmt::format("{}:{}:{}: {}", path, error.line, error.column, error.text);
   }
+  if (errors.size() > shown) text += fmt::format("\n{}: {} more", path, errors.size() - shown);
+  return text;
+}
 
- private:
-  const Values& given_;
-};
-
-OperatorOptions options_of(const Values& given) {
-  const Reader read(given);
-  OperatorOptions o;
-  ResultsOptions& r = o.results;
-  r.enabled = read.flag("results", "enabled");
-  r.memory = read.whole("results", "memory");
-  r.entries = read.whole("results", "entries");
-  r.store = read.text("results", "store");
-  r.power_safe = read.text("results", "safety") == "power";
-  r.disk = read.whole("results", "disk");
-  r.queue = read.whole("results", "queue");
-  r.patience = read.number("results", "patience");
-  r.key_field = read.text("results", "key-field");
-  r.key_length = read.whole("results", "key-length");
-  r.digest = read.words("results", "digest");
-  r.digest_by_caller = read.text("results", "digest-by") == "caller";
-  KnowledgeOptions& k = o.knowledge;
-  k.enabled = read.flag("knowledge", "enabled");
-  k.folder = read.text("knowledge", "folder");
-  k.interval = read.number("knowledge", "interval");
-  k.half_life = read.number("knowledge", "half-life");
-  k.most_age = read.number("knowledge", "most-age");
-  k.weight = read.number("knowledge", "weight");
-  ForwardOptions& f = o.forward;
-  f.planners = read.words("forward", "planners");
-  f.from_members = read.text("forward", "planners-from") == "members";
-  f.reload_spread = read.number("forward", "reload-spread");
-  f.folder = read.text("forward", "folder");
-  f.by_subject = read.flag("forward", "by-subject");
-  f.retry_share = read.number("forward", "retry-share");
-  f.link_patience = read.number("forward", "link-patience");
-  f.line = read.whole("forward", "line");
-  f.line_memory = read.whole("forward", "line-memory");
-  AjpOptions& a = o.ajp;
-  a.listen = read.text("ajp", "listen");
-  a.secret = read.text("ajp", "secret");
-  a.attributes = read.words("ajp", "attributes");
-  a.packet = read.whole("ajp", "packet");
-  a.body = read.whole("ajp", "body");
-  a.share = read.number("ajp", "share");
-  a.idle = read.number("ajp", "idle");
-  a.dependency = read.text("ajp", "below");
-  a.below_uri = read.text("ajp", "below-path");
-  a.below_secret = read.text("ajp", "below-secret");
-  a.below_refuses = read.flag("ajp", "below-refuses");
-  for (const std::vector<std::string>& line : read.lines("ajp", "map")) {
-    const auto route = read_ajp_route(line);  // refused lines are not among them
-    if (const auto* good = std::get_if<AjpRoute>(&route)) a.routes.push_back(*good);
-  }
-  GateOptions& g = o.gate;
-  g.enabled = read.flag("gate", "enabled");
-  g.connections = read.whole("gate", "connections");
-  g.terms.reserve = read.number("gate", "reserve");
-  g.terms.address_share = read.number("gate", "client-share");
-  g.terms.known_share = read.number("gate", "known-share");
-  g.terms.network_share = read.number("gate", "network-share");
-  g.terms.address_rate = read.number("gate", "client-rate");
-  g.terms.address_burst = read.number("gate", "client-burst");
-  g.terms.network_rate = read.number("gate", "network-rate");
-  g.terms.network_burst = read.number("gate", "network-burst");
-  g.terms.strangers_rate = read.number("gate", "strangers-rate");
-  g.terms.strangers_burst = read.number("gate", "strangers-burst");
-  g.terms.wasteful = read.number("gate", "wasteful");
-  g.terms.waste_half_life = read.number("gate", "waste-half-life");
-  g.terms.keep_idle = read.number("gate", "keep-idle");
-  g.client_output = read.number("gate", "client-output");
-  g.input = {kInputGrace, read.number("gate", "input-rate")};
-  g.output = {kOutputGrace, read.number("gate", "output-rate")};
-  g.known.lasts = read.number("gate", "known-for");
-  g.known.needed = read.number("gate", "known-after");
-  g.known_folder = read.text("gate", "known-folder");
-  g.known_interval = read.number("gate", "known-interval");
-  for (const std::string& word : read.words("gate", "known")) {
-    if (const auto prefix = conns::parse_prefix(word)) g.terms.listed.push_back(*prefix);
+// A word as it is written in the file, with quotes where they are needed.
+std::string quote_word(const std::string& word) {
+  const bool needs_quotes = word.empty() || word.find_first_of(" \t\"#\\") != std::string::npos;
+  if (!needs_quotes) return word;
+  std::string quoted(1, '"');
+  for (const char c : word) {
+    if (c == '"' || c == '\\') quoted += '\\';
+    quoted += c;
   }
-  for (const std::vector<std::string>& line : read.lines("gate", "group")) {
-    const auto group = read_gate_group(line);
-    if (const auto* good = std::get_if<conns::GateGroup>(&group)) g.terms.groups.push_back(*good);
-  }
-  o.catalog.folder = read.text("catalog", "folder");
-  o.catalog.routes = read.whole("catalog", "routes");
-  o.catalog.tenants = read.whole("catalog", "tenants");
-  MembersOptions& m = o.members;
-  m.bind = read.text("members", "bind");
-  m.face = read.text("members", "face");
-  if (m.face.empty()) m.face = m.bind;
-  m.cluster = read.text("members", "cluster");
-  m.seeds = read.words("members", "seeds");
-  for (const std::string& word : read.words("members", "peers")) {
-    if (const auto prefix = conns::parse_prefix(word)) m.peers.push_back(*prefix);
+  return quoted + '"';
+}
+
+std::string join_words(const std::vector<std::string>& words) {
+  std::string text;
+  for (const std::string& word : words) {
+    if (!text.empty()) text += ' ';
+    text += quote_word(word);
   }
-  m.zone = read.text("members", "zone");
-  m.serves = read.text("members", "serves");
-  m.interval = read.number("members", "interval");
-  m.suspicion = read.number("members", "suspicion");
-  m.remember = read.number("members", "remember");
-  o.control.folder = read.text("control", "folder");
-  return o;
+  return text;
+}
+
+// The lines of one directive in the output of `config show`.
+std::string format_directive(const Directive& directive, const OperatorValue* given) {
+  const std::string origin = given != nullptr ? fmt::format("line {}", given->line) : "default";
+  if (given != nullptr && !given->lines.empty()) {
+    std::string text;
+    for (const std::vector<std::string>& line : given->lines)
+      text += fmt::format("    {:<14} {:<20} # from {} on\n", directive.name, join_words(line), origin);
+    return text;
+  }
+  const std::string value =
+      join_words(given != nullptr ? given->words : split_words(directive.default_value));
+  // A directive without a value can't be written; the comment keeps the output a valid file.
+  if (value.empty()) return fmt::format("    # {} is not set ({})\n", directive.name, origin);
+  return fmt::format("    {:<14} {:<20} # {}\n", directive.name, value, origin);
 }
 
 }  // namespace
 
 OperatorFile parse_operator_file(std::string_view text) {
-  OperatorFile out;
+  OperatorFile file;
   OperatorLines lines = read_operator_lines(text);
-  out.errors = std::move(lines.errors);
-  Checker checker(out);
-  for (const OperatorLine& line : lines.lines) checker.take(line);
-  std::stable_sort(out.errors.begin(), out.errors.end(),
+  file.errors = std::move(lines.errors);
+  Checker checker(file);
+  for (const OperatorLine& line : lines.lines) checker.add(line);
+  std::stable_sort(file.errors.begin(), file.errors.end(),
                    [](const OperatorError& a, const OperatorError& b) { return a.line < b.line; });
-  out.options = options_of(out.given);
-  return out;
-}
-
-std::string told(const std::string& path, const std::vector<OperatorError>& errors) {
-  std::string text;
-  for (std::size_t i = 0; i < errors.size() && i < kMostErrors; ++i) {
-    const OperatorError& e = errors[i];
-    if (!text.empty()) text += '\n';
-    text += fmt::format("{}:{}:{}: {}", path, e.line, e.column, e.text);
-  }
-  if (errors.size() > kMostErrors) text += fmt::format("\n{}: {} more", path, errors.size() - kMostErrors);
-  return text;
+  file.options = convert_to_options(file.given);
+  return file;
 }
 
 OperatorFile read_operator_file(const std::string& path) {
-  std::ifstream file(path, std::ios::binary);
-  std::ostringstream all;
-  if (file) all << file.rdbuf();
-  if (!file || file.bad() || all.str().size() > kMostBytes)
+  std::ifstream in(path, std::ios::binary);
+  std::ostringstream text;
+  if (in) text << in.rdbuf();
+  if (!in || in.bad() || text.str().size() > kMaxFileBytes)
     throw SettingsError("operators' file: cannot read '" + path + "'");
-  OperatorFile read = parse_operator_file(all.str());
-  if (!read.errors.empty()) throw SettingsError(told(path, read.errors));
-  return read;
-}
-
-namespace {
-
-// Words as they would stand in the file.
-std::string written(const std::vector<std::string>& words) {
-  std::string value;
-  for (const std::string& word : words) {
-    const bool bare = !word.empty() && word.find_first_of(" \t\"#\\") == std::string::npos;
-    std::string shown = word;
-    if (!bare) {
-      shown.assign(1, '"');
-      for (const char c : word) {
-        if (c == '"' || c == '\\') shown += '\\';
-        shown += c;
-      }
-      shown += '"';
-    }
-    value += fmt::format("{}{}", value.empty() ? "" : " ", shown);
-  }
-  return value;
+  OperatorFile file = parse_operator_file(text.str());
+  if (!file.errors.empty()) throw SettingsError(format_errors(path, file.errors));
+  return file;
 }
 
-}  // namespace
-
 std::string OperatorFile::effective() const {
-  std::string out;
+  std::string text;
   std::string_view section;
-  for (const Directive& d : directives()) {
-    if (d.section != section) {
-      section = d.section;
-      out += fmt::format("{}\n", section);
-    }
-    const auto found = given.find({std::string(d.section), std::string(d.name)});
-    const std::string from = found != given.end() ? fmt::format("line {}", found->second.line) : "default";
-    if (found != given.end() && !found->second.lines.empty()) {
-      for (const std::vector<std::string>& line : found->second.lines)
-        out += fmt::format("    {:<14} {:<20} # from {} on\n", d.name, written(line), from);
-      continue;
-    }
-    const std::string value = written(found != given.end() ? found->second.words : split(d.otherwise));
-    if (value.empty()) {  // nothing to write: a comment, so that the output is itself such a file
-      out += fmt::format("    # {} is not set ({})\n", d.name, from);
-    } else {
-      out += fmt::format("    {:<14} {:<20} # {}\n", d.name, value, from);
+  for (const Directive& directive : directives()) {
+    if (directive.section != section) {
+      section = directive.section;
+      text += fmt::format("{}\n", section);
     }
+    const auto found = given.find({std::string(directive.section), std::string(directive.name)});
+    text += format_directive(directive, found != given.end() ? &found->second : nullptr);
   }
-  return out;
+  return text;
 }
 
 }  // namespace damsonspoke
--- a/src/settings/operator_lines.cpp
+++ b/src/settings/operator_lines.cpp
@@ -28,18 +28,18 @@
 struct one_line : p::seq<p::not_at<p::eof>, p::sor<good_line, bad_line>, p::eolf> {};
 struct whole_file : p::must<p::star<one_line>, p::eof> {};
 
-struct Reading {
-  OperatorLines out;
-  std::vector<OperatorWord> words;
+struct ParseState {
+  OperatorLines result;
+  std::vector<OperatorWord> words;  // of the line that is parsed
 };
 
-std::string unescaped(std::string_view text) {
-  std::string plain_text;
+std::string unescape(std::string_view text) {
+  std::string unescaped;
   for (std::size_t i = 0; i < text.size(); ++i) {
     if (text[i] == '\\' && i + 1 < text.size()) ++i;
-    plain_text += text[i];
+    unescaped += text[i];
   }
-  return plain_text;
+  return unescaped;
 }
 
 template <typename Rule>
@@ -47,54 +47,54 @@
 template <>
 struct Action<plain> {
   template <typename Input>
-  static void apply(const Input& in, Reading& r) {
-    r.words.push_back({in.string(), in.position().column});
+  static void apply(const Input& in, ParseState& state) {
+    state.words.push_back({in.string(), in.position().column});
   }
 };
 template <>
 struct Action<quoted_text> {
   template <typename Input>
-  static void apply(const Input& in, Reading& r) {
-    r.words.push_back({unescaped(in.string()), in.position().column});
+  static void apply(const Input& in, ParseState& state) {
+    state.words.push_back({unescape(in.string()), in.position().column});
   }
 };
 
-void keep(Reading& r, bool section, std::size_t line) {
-  r.out.lines.push_back({section, line, std::move(r.words)});
-  r.words.clear();
+void add_line(ParseState& state, bool is_section, std::size_t line) {
+  state.result.lines.push_back({is_section, line, std::move(state.words)});
+  state.words.clear();
 }
 template <>
 struct Action<directive_line> {
   template <typename Input>
-  static void apply(const Input& in, Reading& r) {
-    keep(r, false, in.position().line);
+  static void apply(const Input& in, ParseState& state) {
+    add_line(state, false, in.position().line);
   }
 };
 template <>
 struct Action<section_line> {
   template <typename Input>
-  static void apply(const Input& in, Reading& r) {
-    keep(r, true, in.position().line);
+  static void apply(const Input& in, ParseState& state) {
+    add_line(state, true, in.position().line);
   }
 };
-// The grammar goes back over what a failed alternative had collected.
+// A failed alternative of the grammar may have left words.
 template <>
 struct Action<indent> {
-  static void apply0(Reading& r) { r.words.clear(); }
+  static void apply0(ParseState& state) { state.words.clear(); }
 };
 template <>
 struct Action<bad_line> {
   template <typename Input>
-  static void apply(const Input& in, Reading& r) {
+  static void apply(const Input& in, ParseState& state) {
     const std::string text = in.string();
     const std::size_t quote = text.find('"');
     const std::size_t column = quote == std::string::npos ? 1 : quote + 1;
-    const bool open = quote != std::string::npos && text.find('"', quote + 1) == std::string::npos;
-    r.out.errors.push_back(
+    const bool is_unclosed = quote != std::string::npos && text.find('"', quote + 1) == std::string::npos;
+    state.result.errors.push_back(
         {in.position().line, column,
-         open ? "a quote that is not closed on its line"
-              : "cannot be read: words are separated by blanks, quotes stand around whole words"});
-    r.words.clear();
+         is_unclosed ? "a quote that is not closed on its line"
+                     : "cannot be read: words are separated by blanks, quotes stand around whole words"});
+    state.words.clear();
   }
 };
 
@@ -116,72 +116,79 @@
 template <>
 struct ValueAction<number_text> {
   template <typename Input>
-  static void apply(const Input& in, Value& v) {
-    v.number = std::strtod(in.string().c_str(), nullptr);
+  static void apply(const Input& in, Value& value) {
+    value.number = std::strtod(in.string().c_str(), nullptr);
   }
 };
-struct KeepUnit {
+struct StoreUnit {
   template <typename Input>
-  static void apply(const Input& in, Value& v) {
-    v.unit = in.string();
+  static void apply(const Input& in, Value& value) {
+    value.unit = in.string();
   }
 };
 template <>
-struct ValueAction<size_unit> : KeepUnit {};
+struct ValueAction<size_unit> : StoreUnit {};
 template <>
-struct ValueAction<time_unit> : KeepUnit {};
+struct ValueAction<time_unit> : StoreUnit {};
 
 template <typename Unit>
-bool read_value(std::string_view text, Value& v) {
+std::optional<Value> read_value(std::string_view text) {
+  Value value;
   p::memory_input in(text.data(), text.size(), "");
-  return p::parse<with_unit<Unit>, ValueAction>(in, v);
+  if (!p::parse<with_unit<Unit>, ValueAction>(in, value)) return std::nullopt;
+  return value;
+}
+
+constexpr double kKilobyte = 1024;
+constexpr std::size_t kMaxCountDigits = 12;
+
+double bytes_per(std::string_view unit) {
+  if (unit == "K") return kKilobyte;
+  if (unit == "M") return kKilobyte * kKilobyte;
+  if (unit == "G") return kKilobyte * kKilobyte * kKilobyte;
+  return 1;
+}
+
+double seconds_per(std::string_view unit) {
+  if (unit == "us") return 1e-6;
+  if (unit == "ms") return 1e-3;
+  if (unit == "m") return 60;
+  if (unit == "h") return 3600;
+  if (unit == "d") return 86400;
+  return 1;
 }
 
 }  // namespace
 
 OperatorLines read_operator_lines(std::string_view text) {
-  Reading reading;
+  ParseState state;
   p::memory_input in(text.data(), text.size(), "");
-  p::parse<whole_file, Action>(in, reading);
-  return std::move(reading.out);
+  p::parse<whole_file, Action>(in, state);
+  return std::move(state.result);
 }
 
-bool read_size(std::string_view word, double& bytes) {
-  Value v;
-  if (!read_value<size_unit>(word, v)) return false;
-  const double scale = v.unit == "K"   ? 1024
-                       : v.unit == "M" ? 1024.0 * 1024
-                       : v.unit == "G" ? 1073741824.0
-                                       : 1;
-  bytes = v.number * scale;
-  return true;
+std::optional<double> read_size(std::string_view word) {
+  const auto value = read_value<size_unit>(word);
+  if (!value) return std::nullopt;
+  return value->number * bytes_per(value->unit);
 }
 
-bool read_duration(std::string_view word, double& seconds) {
-  Value v;
-  if (!read_value<time_unit>(word, v)) return false;
-  const double scale = v.unit == "us"   ? 1e-6
-                       : v.unit == "ms" ? 1e-3
-                       : v.unit == "s"  ? 1
-                       : v.unit == "m"  ? 60
-                       : v.unit == "h"  ? 3600
-                                        : 86400;
-  seconds = v.number * scale;
-  return true;
+std::optional<double> read_duration(std::string_view word) {
+  const auto value = read_value<time_unit>(word);
+  if (!value) return std::nullopt;
+  return value->number * seconds_per(value->unit);
 }
 
-bool read_percentage(std::string_view word, double& share) {
-  Value v;
-  if (!read_value<percent_sign>(word, v)) return false;
-  share = v.number / 100;
-  return true;
+std::optional<double> read_percentage(std::string_view word) {
+  const auto value = read_value<percent_sign>(word);
+  if (!value) return std::nullopt;
+  return value->number / 100;
 }
 
-bool read_count(std::string_view word, double& count) {
+std::optional<double> read_count(std::string_view word) {
   p::memory_input in(word.data(), word.size(), "");
-  if (!p::parse<p::seq<whole_text, p::eof>>(in) || word.size() > 12) return false;
-  count = std::strtod(std::string(word).c_str(), nullptr);
-  return true;
+  if (!p::parse<p::seq<whole_text, p::eof>>(in) || word.size() > kMaxCountDigits) return std::nullopt;
+  return std::strtod(std::string(word).c_str(), nullptr);
 }
 
 }  // namespace damsonspoke
--- a/src/settings/operator_lines.h
+++ b/src/settings/operator_lines.h
@@ -1,43 +1,48 @@
-// The operators' file as lines: sections at the margin, one directive an indented line, words separated by
-// blanks, `#` to the end of the line, quotes around words that hold blanks. What the words mean is the
-// schema's business. Grammar: PEGTL.
+// The lexical structure of the operators' file: a section's name at the margin, one directive an indented
+// line, words separated by blanks, `#` begins a comment, quotes stand around words that hold blanks. The
+// meaning of the words is in operator_schema.h. Grammar: PEGTL.
 #pragma once
 
+#include <optional>
 #include <string>
 #include <string_view>
 #include <vector>
 
 namespace damsonspoke {
 
+// An error with its place, for operators.
 struct OperatorError {
-  std::size_t line = 0;    // from 1; 0: of the file as a whole
+  std::size_t line = 0;    // from 1; 0: the file as a whole
   std::size_t column = 0;  // bytes, from 1
   std::string text;
 };
 
 struct OperatorWord {
-  std::string text;
-  std::size_t column = 0;
+  std::string text;        // without quotes and escapes
+  std::size_t column = 0;  // bytes, from 1
 };
 
 struct OperatorLine {
-  bool section = false;
-  std::size_t line = 0;
-  std::vector<OperatorWord> words;  // never empty
+  bool is_section = false;
+  std::size_t line = 0;             // from 1
+  std::vector<OperatorWord> words;  // at least one
 };
 
 struct OperatorLines {
-  std::vector<OperatorLine> lines;
-  std::vector<OperatorError> errors;  // of lines that can't be read; the others are there
+  std::vector<OperatorLine> lines;    // without those that have an error
+  std::vector<OperatorError> errors;  // of lines that can't be read
 };
 
 OperatorLines read_operator_lines(std::string_view text);
 
-// The values that words stand for; false where the word is none. Sizes in bytes (K, M, G: powers of 1024),
-// durations in seconds (us, ms, s, m, h, d), percentages as a share of 1.
-bool read_size(std::string_view word, double& bytes);
-bool read_duration(std::string_view word, double& seconds);
-bool read_percentage(std::string_view word, double& share);
-bool read_count(std::string_view word, double& count);
+// The values of words; nothing when the word does not have the form.
+// Bytes; the units K, M and G are powers of 1024.
+[[nodiscard]] std::optional<double> read_size(std::string_view word);
+// Seconds; the units are us, ms, s, m, h and d.
+[[nodiscard]] std::optional<double> read_duration(std::string_view word);
+// A share: 1 for 100%.
+[[nodiscard]] std::optional<double> read_percentage(std::string_view word);
+// An integer of at most 12 digits.
+[[nodiscard]] std::optional<double> read_count(std::string_view word);
 
 }  // namespace damsonspoke
--- /dev/null
+++ b/src/settings/operator_options.h
@@ -0,0 +1,121 @@
+// The options that operators choose beside the platform's configuration, by section of their file. Durations
+// are seconds, sizes bytes, shares from 0 to 1.
+#pragma once
+
+#include <string>
+#include <vector>
+
+#include "conns/connection_limiter.h"
+#include "conns/minimum_byte_rate.h"
+#include "conns/prefix.h"
+#include "settings/ajp_routes.h"
+
+namespace damsonspoke {
+
+// Section `results`: the idempotency cache and its store; see src/results.
+struct ResultsOptions {
+  bool enabled = false;
+  std::size_t memory = 0;   // bytes
+  std::size_t entries = 0;  // keys
+  std::string store;        // a path; empty: in memory only
+  bool power_safe = false;  // the store survives a power cut, not only the end of the process
+  std::size_t disk = 0;     // bytes of the store
+  std::size_t queue = 0;    // writes that may wait for the store
+  double patience = 0;      // seconds that a request waits for the store
+  std::string key_field;
+  std::size_t key_length = 0;       // bytes at most
+  std::vector<std::string> digest;  // routes whose requests are identified by a digest instead of a key
+  bool digest_by_caller = true;     // the caller's number is part of the digest
+};
+
+// Section `knowledge`: learned statistics that survive a restart; see src/statistics.
+struct KnowledgeOptions {
+  bool enabled = false;
+  std::string folder;
+  double interval = 0;   // seconds between two records
+  double half_life = 0;  // seconds
+  double most_age = 0;   // seconds
+  double weight = 0;     // of a fresh record, in values
+};
+
+// Section `forward`: a forwarder in front of planners; see src/tier.
+struct ForwardOptions {
+  std::vector<std::string> planners;  // addresses
+  bool from_members = false;          // planners are discovered from the members too
+  double reload_spread = 0;           // seconds in which all forwarders get a new list
+  std::string folder;                 // for the history of lists; empty: not stored
+  bool by_subject = false;            // requests of one subject go to one planner
+  double retry_share = 0;             // retries as a share of first attempts
+  double link_patience = 0;           // seconds that a connection to a planner may be lost
+  std::size_t line = 0;               // requests that may wait
+  std::size_t line_memory = 0;        // bytes that they may take
+};
+
+// Section `ajp`: callers and a dependency that speak AJP 1.3; see src/peers/ajp.
+struct AjpOptions {
+  std::string listen;  // an address; empty: off
+  std::string secret;
+  std::vector<std::string> attributes;  // accepted request attributes
+  std::size_t packet = 0;               // bytes at most
+  std::size_t body = 0;                 // bytes of a request at most
+  double share = 0;                     // of the connections
+  double idle = 0;                      // seconds until an idle connection is closed
+  std::vector<AjpRoute> routes;
+  std::string dependency;  // an address; empty: the dependency speaks the platform's protocol
+  std::string below_uri;   // the path that calls are posted to
+  std::string below_secret;
+  bool below_refuses = false;  // its status 503 proves that the call did not run
+};
+
+// Section `gate`: admission of connections; see src/conns and src/peers/connection_admission.h.
+struct GateOptions {
+  bool enabled = false;
+  std::size_t connections = 0;  // 0: as many as the process can have
+  conns::ConnectionLimiterOptions terms;
+  conns::KnownClientsOptions known;
+  std::string known_folder;   // empty: known clients are not stored
+  double known_interval = 0;  // seconds between two records
+  double client_output = 0;   // share of the memory for answers that one client may have
+  conns::MinimumByteRateOptions input;
+  conns::MinimumByteRateOptions output;
+};
+
+// Section `control`: the socket for operators' commands; see src/control.
+struct ControlOptions {
+  std::string folder;  // empty: off
+};
+
+// Section `members`: membership of the fleet; see src/members and src/peers/members.
+struct MembersOptions {
+  std::string bind;  // an address; empty: off
+  std::string face;  // the address that others reach it by
+  std::string cluster;
+  std::vector<std::string> seeds;
+  std::vector<conns::Prefix> peers;  // networks whose members are accepted
+  std::string zone;
+  std::string serves;    // the address that others reach its service by; empty: as it listens
+  double interval = 0;   // seconds between two health checks
+  double suspicion = 0;  // seconds until a suspected member is declared dead, at least
+  double remember = 0;   // seconds that dead members are remembered
+  [[nodiscard]] bool enabled() const { return !bind.empty(); }
+};
+
+// Section `catalog`: routes and tenants that change at run time; see src/catalog.
+struct CatalogOptions {
+  std::string folder;       // of the snapshot and the changes; empty: off
+  std::size_t routes = 0;   // at most
+  std::size_t tenants = 0;  // at most
+};
+
+struct OperatorOptions {
+  CatalogOptions catalog;
+  MembersOptions members;
+  GateOptions gate;
+  ControlOptions control;
+  ResultsOptions results;
+  KnowledgeOptions knowledge;
+  ForwardOptions forward;
+  AjpOptions ajp;
+};
+
+}  // namespace damsonspoke
--- a/src/settings/operator_schema.cpp
+++ b/src/settings/operator_schema.cpp
@@ -4,6 +4,7 @@
 
 #include <algorithm>
 #include <array>
+#include <numeric>
 #include <vector>
 
 namespace damsonspoke {
@@ -11,7 +12,10 @@
 
 using Type = DirectiveType;
 
-constexpr double kKilo = 1024, kMega = 1024 * kKilo, kGiga = 1024 * kMega;
+constexpr double kKilo = 1024;
+constexpr double kMega = 1024 * kKilo;
+constexpr double kGiga = 1024 * kMega;
+constexpr std::size_t kMaxComparedBytes = 64;  // of a wrong name
 
 constexpr auto kDirectives = std::to_array<Directive>({
     {"results", "enabled", Type::kFlag, "off", 0, 0, "",
@@ -53,12 +57,10 @@
      "Whether planners are those of the list alone, or also those that members of the fleet tell."},
     {"forward", "reload-spread", Type::kDuration, "10s", 0.05, 3600, "",
      "Time in which all forwarders are given a new list of planners; until then keys that it moves run "
-     "nowhere "
-     "new."},
+     "nowhere new."},
     {"forward", "folder", Type::kText, "", 0, 4096, "",
      "A folder, one a forwarder, for the lists of planners that it has gone by: a restart with another list "
-     "then "
-     "moves keys as a reload does."},
+     "then moves keys as a reload does."},
     {"forward", "by-subject", Type::kFlag, "off", 0, 0, "",
      "Sends ops of one subject to one planner as long as that has its share of room for them."},
     {"forward", "retry-share", Type::kPercentage, "10%", 0, 1, "",
@@ -113,13 +115,11 @@
     {"gate", "strangers-burst", Type::kCount, "400", 1, 100000, "", "And at once."},
     {"gate", "wasteful", Type::kCount, "8", 1, 1000, "",
      "Points from which a stranger waits outside: 1 for a silent or reset connection, 2 for half a request, "
-     "4 for "
-     "what is no request, a broken frame or a reader too slow."},
+     "4 for what is no request, a broken frame or a reader too slow."},
     {"gate", "waste-half-life", Type::kDuration, "30s", 1, 3600, "", "Time in which points fade to half."},
     {"gate", "keep-idle", Type::kDuration, "300ms", 0.05, 60, "",
      "How long a connection keeps its place in a full table after it was of use; each importance that was "
-     "acked on "
-     "it adds half a second, up to half a minute."},
+     "acked on it adds half a second, up to half a minute."},
     {"gate", "client-output", Type::kPercentage, "50%", 0.01, 1, "",
      "Of the memory for answers that callers do not take, the most that one client has."},
     {"gate", "input-rate", Type::kSize, "4K", 16, 1 << 20, "",
@@ -136,8 +136,7 @@
      "Addresses, or networks as address/bits, that are known by your word."},
     {"gate", "group", Type::kLines, "", 3, 34, "",
      "A name, a percentage and addresses or networks: the most connections that they have together; the caps "
-     "of "
-     "client and network do not hold for them. Any number of lines."},
+     "of client and network do not hold for them. Any number of lines."},
     {"catalog", "folder", Type::kText, "", 0, 4096, "",
      "The folder with a snapshot of all routes and tenants and the changes since, read at the start and on "
      "SIGHUP; none: those of the settings."},
@@ -168,7 +167,8 @@
      "off."},
 });
 
-std::string shown(Type type, double value) {
+// A value as it is written in the file.
+std::string format_value(Type type, double value) {
   switch (type) {
     case Type::kSize:
       return value >= kGiga   ? fmt::format("{:g}G", value / kGiga)
@@ -181,29 +181,33 @@
   }
 }
 
-std::size_t distance(std::string_view a, std::string_view b) {
+// The Levenshtein distance.
+std::size_t edit_distance(std::string_view a, std::string_view b) {
   std::vector<std::size_t> row(b.size() + 1);
-  for (std::size_t j = 0; j <= b.size(); ++j) row[j] = j;
+  std::iota(row.begin(), row.end(), std::size_t{0});
   for (std::size_t i = 1; i <= a.size(); ++i) {
     std::size_t diagonal = row[0];
     row[0] = i;
     for (std::size_t j = 1; j <= b.size(); ++j) {
-      const std::size_t kept = row[j];
+      const std::size_t above = row[j];
       row[j] = std::min({row[j] + 1, row[j - 1] + 1, diagonal + (a[i - 1] == b[j - 1] ? 0 : 1)});
-      diagonal = kept;
+      diagonal = above;
     }
   }
   return row[b.size()];
 }
 
-std::string nearest(std::string_view name, const std::vector<std::string_view>& known) {
-  std::string best;
-  std::size_t least = name.size() / 2 + 1;  // half of it wrong: no slip of the hand any more
-  for (const std::string_view one : known) {
-    const std::size_t d = distance(name.substr(0, 64), one);
-    if (d < least) least = d, best = one;
+// The known name with the smallest distance; empty when more than half of the name would have to change.
+std::string find_nearest(std::string_view name, const std::vector<std::string_view>& known_names) {
+  std::string nearest;
+  std::size_t smallest = name.size() / 2 + 1;
+  for (const std::string_view known : known_names) {
+    const std::size_t distance = edit_distance(name.substr(0, kMaxComparedBytes), known);
+    if (distance >= smallest) continue;
+    smallest = distance;
+    nearest = known;
   }
-  return best;
+  return nearest;
 }
 
 std::string_view type_name(Type type) {
@@ -226,46 +230,49 @@
 std::span<const Directive> directives() { return kDirectives; }
 
 const Directive* find_directive(std::string_view section, std::string_view name) {
-  for (const Directive& one : kDirectives) {
-    if (one.section == section && one.name == name) return &one;
+  for (const Directive& directive : kDirectives) {
+    if (directive.section == section && directive.name == name) return &directive;
   }
   return nullptr;
 }
 
 bool is_section(std::string_view name) {
   return std::any_of(kDirectives.begin(), kDirectives.end(),
-                     [&](const Directive& one) { return one.section == name; });
+                     [&](const Directive& directive) { return directive.section == name; });
 }
 
-std::string expected(const Directive& d) {
-  switch (d.type) {
+std::string describe_expected(const Directive& directive) {
+  switch (directive.type) {
     case Type::kFlag: return "on or off";
     case Type::kChoice: {
-      std::string choices(d.choices);
+      std::string choices(directive.choices);
       std::replace(choices.begin(), choices.end(), ' ', '|');
       return "one of " + choices;
     }
-    case Type::kText: return fmt::format("one word of {:.0f} to {:.0f} bytes", d.least, d.most);
-    case Type::kWords: return fmt::format("{:.0f} to {:.0f} words", d.least, d.most);
-    case Type::kLines: return fmt::format("lines of {:.0f} to {:.0f} words", d.least, d.most);
+    case Type::kText:
+      return fmt::format("one word of {:.0f} to {:.0f} bytes", directive.minimum, directive.maximum);
+    case Type::kWords: return fmt::format("{:.0f} to {:.0f} words", directive.minimum, directive.maximum);
+    case Type::kLines:
+      return fmt::format("lines of {:.0f} to {:.0f} words", directive.minimum, directive.maximum);
     default:
-      return fmt::format("a {} from {} to {}", type_name(d.type), shown(d.type, d.least),
-                         shown(d.type, d.most));
+      return fmt::format("a {} from {} to {}", type_name(directive.type),
+                         format_value(directive.type, directive.minimum),
+                         format_value(directive.type, directive.maximum));
   }
 }
 
 std::string nearest_section(std::string_view name) {
-  std::vector<std::string_view> known;
-  known.reserve(kDirectives.size());
-  for (const Directive& one : kDirectives) known.push_back(one.section);
-  return nearest(name, known);
+  std::vector<std::string_view> known_names;
+  known_names.reserve(kDirectives.size());
+  for (const Directive& directive : kDirectives) known_names.push_back(directive.section);
+  return find_nearest(name, known_names);
 }
 std::string nearest_directive(std::string_view section, std::string_view name) {
-  std::vector<std::string_view> known;
-  for (const Directive& one : kDirectives) {
-    if (one.section == section) known.push_back(one.name);
+  std::vector<std::string_view> known_names;
+  for (const Directive& directive : kDirectives) {
+    if (directive.section == section) known_names.push_back(directive.name);
   }
-  return nearest(name, known);
+  return find_nearest(name, known_names);
 }
 
 std::string directive_reference() {
@@ -273,16 +280,18 @@
       "# Directives of the operators' file\n\nGenerated by `damsonspoke config reference`; the table in\n"
       "`src/settings/operator_schema.cpp` is what the reader itself goes by.\n";
   std::string_view section;
-  for (const Directive& d : kDirectives) {
-    if (d.section != section) {
-      section = d.section;
+  for (const Directive& directive : kDirectives) {
+    if (directive.section != section) {
+      section = directive.section;
       page += fmt::format(
           "\n## {}\n\n| directive | expects | default | meaning |\n| --- | --- | --- | --- |\n", section);
     }
-    std::string expects = expected(d);
+    std::string expects = describe_expected(directive);
     std::replace(expects.begin(), expects.end(), '|', '/');
-    page += fmt::format("| `{}` | {} | {} | {} |\n", d.name, expects,
-                        d.otherwise.empty() ? "none" : fmt::format("`{}`", d.otherwise), d.meaning);
+    page +=
+        fmt::format("| `{}` | {} | {} | {} |\n", directive.name, expects,
+                    directive.default_value.empty() ? "none" : fmt::format("`{}`", directive.default_value),
+                    directive.meaning);
   }
   return page;
 }
--- a/src/settings/operator_schema.h
+++ b/src/settings/operator_schema.h
@@ -1,5 +1,5 @@
-// Every directive of the operators' file, once: the reader, `config check`, `config show` and the reference
-// page are all driven by this table.
+// The table of every directive of the operators' file. The reader, `config check`, `config show` and the
+// reference page are all driven by it.
 #pragma once
 
 #include <span>
@@ -8,30 +8,41 @@
 
 namespace damsonspoke {
 
-enum class DirectiveType { kFlag, kSize, kDuration, kPercentage, kCount, kChoice, kText, kWords, kLines };
+enum class DirectiveType {
+  kFlag,  // on or off
+  kSize,
+  kDuration,
+  kPercentage,
+  kCount,
+  kChoice,  // one of some words
+  kText,    // one word
+  kWords,   // any number of words
+  kLines    // may be repeated; each line is an entry of a table
+};
 
 struct Directive {
   std::string_view section;
   std::string_view name;
   DirectiveType type;
-  std::string_view otherwise;  // the default, as it would stand in the file; empty: nothing
-  double least = 0;            // in bytes, seconds, shares, counts, bytes of text, or words (of a line)
-  double most = 0;
-  std::string_view choices;  // of kChoice, separated by blanks
+  std::string_view default_value;  // as it would be written in the file; empty: none
+  double minimum = 0;              // bytes, seconds, a share, a count, bytes of text, or words (of a line)
+  double maximum = 0;              // in the same unit
+  std::string_view choices;        // with kChoice, separated by blanks
   std::string_view meaning;
 };
 
 std::span<const Directive> directives();
+// Null when there is no such directive.
 const Directive* find_directive(std::string_view section, std::string_view name);
 bool is_section(std::string_view name);
 
-// What may stand there, in words: "a duration from 1ms to 10s".
-std::string expected(const Directive& directive);
-// The known name nearest to a wrong one, or nothing where none is near.
+// What the directive expects, for error messages: "a duration from 1ms to 10s".
+std::string describe_expected(const Directive& directive);
+// The known name that is most similar to a wrong one; empty when none is similar.
 std::string nearest_section(std::string_view name);
 std::string nearest_directive(std::string_view section, std::string_view name);
 
-// The reference of all directives, as a page in Markdown.
+// The reference of all directives, a page in Markdown.
 std::string directive_reference();
 
 }  // namespace damsonspoke
--- /dev/null
+++ b/src/settings/operator_values.cpp
@@ -0,0 +1,228 @@
+#include "settings/operator_values.h"
+
+#include <fmt/format.h>
+
+#include <sstream>
+
+#include "settings/operator_lines.h"
+
+namespace damsonspoke {
+namespace {
+
+constexpr double kMinGroupShare = 0.01;
+constexpr double kMaxGroupShare = 1;
+constexpr double kInputGraceSeconds = 0.5;  // for one retransmitted packet at the start of a request
+constexpr double kOutputGraceSeconds = 1;   // for some lost packets, or a short pause of the reader
+
+// The values of one section by type; the default where a directive is not given.
+class SectionReader {
+ public:
+  SectionReader(const OperatorValues& given, const char* section) : given_(given), section_(section) {}
+
+  [[nodiscard]] std::vector<std::string> words(const char* name) const {
+    const auto found = given_.find({section_, name});
+    return found != given_.end() ? found->second.words
+                                 : split_words(find_directive(section_, name)->default_value);
+  }
+  [[nodiscard]] std::string text(const char* name) const {
+    const std::vector<std::string> all = words(name);
+    return all.empty() ? std::string() : all.front();
+  }
+  [[nodiscard]] std::vector<std::vector<std::string>> lines(const char* name) const {
+    const auto found = given_.find({section_, name});
+    return found != given_.end() ? found->second.lines : std::vector<std::vector<std::string>>();
+  }
+  [[nodiscard]] bool flag(const char* name) const { return text(name) == "on"; }
+  [[nodiscard]] double number(const char* name) const {
+    return read_number(find_directive(section_, name)->type, text(name)).value_or(0);
+  }
+  [[nodiscard]] std::size_t integer(const char* name) const { return static_cast<std::size_t>(number(name)); }
+  // The words that are addresses or networks.
+  [[nodiscard]] std::vector<conns::Prefix> prefixes(const char* name) const {
+    std::vector<conns::Prefix> prefixes;
+    for (const std::string& word : words(name)) {
+      if (const auto prefix = conns::parse_prefix(word)) prefixes.push_back(*prefix);
+    }
+    return prefixes;
+  }
+
+ private:
+  const OperatorValues& given_;
+  const char* section_;
+};
+
+ResultsOptions read_results(const OperatorValues& given) {
+  const SectionReader section(given, "results");
+  ResultsOptions results;
+  results.enabled = section.flag("enabled");
+  results.memory = section.integer("memory");
+  results.entries = section.integer("entries");
+  results.store = section.text("store");
+  results.power_safe = section.text("safety") == "power";
+  results.disk = section.integer("disk");
+  results.queue = section.integer("queue");
+  results.patience = section.number("patience");
+  results.key_field = section.text("key-field");
+  results.key_length = section.integer("key-length");
+  results.digest = section.words("digest");
+  results.digest_by_caller = section.text("digest-by") == "caller";
+  return results;
+}
+
+KnowledgeOptions read_knowledge(const OperatorValues& given) {
+  const SectionReader section(given, "knowledge");
+  KnowledgeOptions knowledge;
+  knowledge.enabled = section.flag("enabled");
+  knowledge.folder = section.text("folder");
+  knowledge.interval = section.number("interval");
+  knowledge.half_life = section.number("half-life");
+  knowledge.most_age = section.number("most-age");
+  knowledge.weight = section.number("weight");
+  return knowledge;
+}
+
+ForwardOptions read_forward(const OperatorValues& given) {
+  const SectionReader section(given, "forward");
+  ForwardOptions forward;
+  forward.planners = section.words("planners");
+  forward.from_members = section.text("planners-from") == "members";
+  forward.reload_spread = section.number("reload-spread");
+  forward.folder = section.text("folder");
+  forward.by_subject = section.flag("by-subject");
+  forward.retry_share = section.number("retry-share");
+  forward.link_patience = section.number("link-patience");
+  forward.line = section.integer("line");
+  forward.line_memory = section.integer("line-memory");
+  return forward;
+}
+
+AjpOptions read_ajp(const OperatorValues& given) {
+  const SectionReader section(given, "ajp");
+  AjpOptions ajp;
+  ajp.listen = section.text("listen");
+  ajp.secret = section.text("secret");
+  ajp.attributes = section.words("attributes");
+  ajp.packet = section.integer("packet");
+  ajp.body = section.integer("body");
+  ajp.share = section.number("share");
+  ajp.idle = section.number("idle");
+  ajp.dependency = section.text("below");
+  ajp.below_uri = section.text("below-path");
+  ajp.below_secret = section.text("below-secret");
+  ajp.below_refuses = section.flag("below-refuses");
+  for (const std::vector<std::string>& line : section.lines("map")) {
+    const auto route = read_ajp_route(line);  // lines with an error are not among them
+    if (const auto* valid = std::get_if<AjpRoute>(&route)) ajp.routes.push_back(*valid);
+  }
+  return ajp;
+}
+
+conns::ConnectionLimiterOptions read_limiter(const SectionReader& section) {
+  conns::ConnectionLimiterOptions limiter;
+  limiter.reserve = section.number("reserve");
+  limiter.address_share = section.number("client-share");
+  limiter.known_share = section.number("known-share");
+  limiter.network_share = section.number("network-share");
+  limiter.address_rate = section.number("client-rate");
+  limiter.address_burst = section.number("client-burst");
+  limiter.network_rate = section.number("network-rate");
+  limiter.network_burst = section.number("network-burst");
+  limiter.strangers_rate = section.number("strangers-rate");
+  limiter.strangers_burst = section.number("strangers-burst");
+  limiter.wasteful = section.number("wasteful");
+  limiter.waste_half_life = section.number("waste-half-life");
+  limiter.keep_idle = section.number("keep-idle");
+  limiter.listed = section.prefixes("known");
+  for (const std::vector<std::string>& line : section.lines("group")) {
+    const auto group = read_gate_group(line);  // lines with an error are not among them
+    if (const auto* valid = std::get_if<conns::GateGroup>(&group)) limiter.groups.push_back(*valid);
+  }
+  return limiter;
+}
+
+GateOptions read_gate(const OperatorValues& given) {
+  const SectionReader section(given, "gate");
+  GateOptions gate;
+  gate.enabled = section.flag("enabled");
+  gate.connections = section.integer("connections");
+  gate.terms = read_limiter(section);
+  gate.client_output = section.number("client-output");
+  gate.input = {kInputGraceSeconds, section.number("input-rate")};
+  gate.output = {kOutputGraceSeconds, section.number("output-rate")};
+  gate.known.lasts = section.number("known-for");
+  gate.known.needed = section.number("known-after");
+  gate.known_folder = section.text("known-folder");
+  gate.known_interval = section.number("known-interval");
+  return gate;
+}
+
+CatalogOptions read_catalog(const OperatorValues& given) {
+  const SectionReader section(given, "catalog");
+  return {section.text("folder"), section.integer("routes"), section.integer("tenants")};
+}
+
+MembersOptions read_members(const OperatorValues& given) {
+  const SectionReader section(given, "members");
+  MembersOptions members;
+  members.bind = section.text("bind");
+  members.face = section.text("face");
+  if (members.face.empty()) members.face = members.bind;
+  members.cluster = section.text("cluster");
+  members.seeds = section.words("seeds");
+  members.peers = section.prefixes("peers");
+  members.zone = section.text("zone");
+  members.serves = section.text("serves");
+  members.interval = section.number("interval");
+  members.suspicion = section.number("suspicion");
+  members.remember = section.number("remember");
+  return members;
+}
+
+}  // namespace
+
+std::vector<std::string> split_words(std::string_view text) {
+  std::vector<std::string> words;
+  std::istringstream in{std::string(text)};
+  for (std::string word; in >> word;) words.push_back(word);
+  return words;
+}
+
+std::optional<double> read_number(DirectiveType type, std::string_view word) {
+  switch (type) {
+    case DirectiveType::kSize: return read_size(word);
+    case DirectiveType::kDuration: return read_duration(word);
+    case DirectiveType::kPercentage: return read_percentage(word);
+    case DirectiveType::kCount: return read_count(word);
+    default: return std::nullopt;
+  }
+}
+
+std::variant<conns::GateGroup, GateGroupError> read_gate_group(const std::vector<std::string>& words) {
+  conns::GateGroup group;
+  group.name = words[0];
+  const std::optional<double> share = read_percentage(words[1]);
+  if (!share || *share < kMinGroupShare || *share > kMaxGroupShare)
+    return GateGroupError{1, fmt::format("'{}' is no percentage from 1% to 100%", words[1])};
+  group.share = *share;
+  for (std::size_t i = 2; i < words.size(); ++i) {
+    const std::optional<conns::Prefix> prefix = conns::parse_prefix(words[i]);
+    if (!prefix) return GateGroupError{i, fmt::format("'{}' is no address or network", words[i])};
+    group.prefixes.push_back(*prefix);
+  }
+  return group;
+}
+
+OperatorOptions convert_to_options(const OperatorValues& given) {
+  OperatorOptions options;
+  options.results = read_results(given);
+  options.knowledge = read_knowledge(given);
+  options.forward = read_forward(given);
+  options.ajp = read_ajp(given);
+  options.gate = read_gate(given);
+  options.catalog = read_catalog(given);
+  options.members = read_members(given);
+  options.control.folder = SectionReader(given, "control").text("folder");
+  return options;
+}
+
+}  // namespace damsonspoke
--- /dev/null
+++ b/src/settings/operator_values.h
@@ -0,0 +1,34 @@
+// Converts the checked values of the operators' file to options.
+#pragma once
+
+#include <optional>
+#include <string>
+#include <string_view>
+#include <variant>
+#include <vector>
+
+#include "conns/connection_limiter.h"
+#include "settings/operator_file.h"
+#include "settings/operator_options.h"
+#include "settings/operator_schema.h"
+
+namespace damsonspoke {
+
+// The words of a text without quotes.
+std::vector<std::string> split_words(std::string_view text);
+
+// The number that a word stands for under a directive of this type; nothing when it has another form.
+[[nodiscard]] std::optional<double> read_number(DirectiveType type, std::string_view word);
+
+struct GateGroupError {
+  std::size_t word = 0;  // the position of the word with the error, from 0
+  std::string text;
+};
+// Reads the words of a line after `group`: a name, a percentage, addresses or networks.
+[[nodiscard]] std::variant<conns::GateGroup, GateGroupError> read_gate_group(
+    const std::vector<std::string>& words);
+
+// The options that these values stand for, with the defaults of all others.
+OperatorOptions convert_to_options(const OperatorValues& given);
+
+}  // namespace damsonspoke
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -1,4 +1,4 @@
-#include "settings.h"
+#include "settings/settings.h"
 
 #include <cmath>
 #include <nlohmann/json.hpp>
@@ -10,92 +10,205 @@
 using Json = nlohmann::json;
 
 constexpr double kSecondsPerMs = 0.001;
+constexpr double kMaxInteger = 1e6;
 
-[[noreturn]] void bad(const std::string& key) { throw SettingsError("settings: bad value of '" + key + "'"); }
+[[noreturn]] void throw_bad_value(const std::string& key) {
+  throw SettingsError("settings: bad value of '" + key + "'");
+}
 
-// The value of a key, or null where it is absent.
+// The value of a key; null when it is absent.
 const Json& find(const Json& from, const char* key) {
   static const Json absent;
   if (!from.is_object())
     throw SettingsError(std::string("settings: '") + key + "' is looked for in no object");
-  const auto at = from.find(key);
-  return at == from.end() ? absent : *at;
+  const auto found = from.find(key);
+  return found == from.end() ? absent : *found;
 }
 
-double number(const Json& from, const char* key, double otherwise) {
+double read_number(const Json& from, const char* key, double default_value) {
   const Json& value = find(from, key);
-  if (value.is_null()) return otherwise;
-  if (!value.is_number() || !std::isfinite(value.get<double>()) || value.get<double>() < 0) bad(key);
+  if (value.is_null()) return default_value;
+  if (!value.is_number() || !std::isfinite(value.get<double>()) || value.get<double>() < 0)
+    throw_bad_value(key);
   return value.get<double>();
 }
 
-// A number that has no default: without it the decisions would rest on one of ours.
-double needed(const Json& from, const char* key, double at_least) {
+// A number without a default, because the decisions depend on it.
+double read_required_number(const Json& from, const char* key, double minimum) {
   if (find(from, key).is_null()) throw SettingsError(std::string("settings: no '") + key + "'");
-  const double value = number(from, key, 0);
-  if (value < at_least) bad(key);
+  const double value = read_number(from, key, 0);
+  if (value < minimum) throw_bad_value(key);
   return value;
 }
 
-double share(const Json& from, const char* key, double otherwise) {
-  const double value = number(from, key, otherwise);
-  if (value > 1) bad(key);
+// A share from 0 to 1.
+double read_share(const Json& from, const char* key, double default_value) {
+  const double value = read_number(from, key, default_value);
+  if (value > 1) throw_bad_value(key);
   return value;
 }
 
-double seconds(const Json& from, const char* key) { return number(from, key, 0) * kSecondsPerMs; }
+// Seconds of a value in milliseconds.
+double read_seconds(const Json& from, const char* key) { return read_number(from, key, 0) * kSecondsPerMs; }
 
-int whole(const Json& from, const char* key, int at_least) {
-  const double value = number(from, key, at_least);
-  if (value > 1e6 || value < at_least) bad(key);
+// An integer; the minimum is the default.
+int read_integer(const Json& from, const char* key, int minimum) {
+  const double value = read_number(from, key, minimum);
+  if (value > kMaxInteger || value < minimum) throw_bad_value(key);
   return static_cast<int>(value);
 }
 
-bool flag(const Json& from, const char* key) {
+bool read_flag(const Json& from, const char* key) {
   const Json& value = find(from, key);
   if (value.is_null()) return false;
-  if (!value.is_boolean()) bad(key);
+  if (!value.is_boolean()) throw_bad_value(key);
   return value.get<bool>();
 }
 
+// One of some words; the first is the default.
 template <typename T>
-T word(const Json& from, const char* key, std::initializer_list<std::pair<const char*, T>> words) {
+T read_choice(const Json& from, const char* key, std::initializer_list<std::pair<const char*, T>> choices) {
   const Json& value = find(from, key);
-  if (value.is_null()) return words.begin()->second;
-  for (const auto& [text, meaning] : words) {
+  if (value.is_null()) return choices.begin()->second;
+  for (const auto& [text, meaning] : choices) {
     if (value == text) return meaning;
   }
-  bad(key);
+  throw_bad_value(key);
 }
 
-const Json& array(const Json& from, const char* key) {
+// An array; empty when the key is absent.
+const Json& find_array(const Json& from, const char* key) {
   static const Json none = Json::array();
   const Json& value = find(from, key);
   if (value.is_null()) return none;
-  if (!value.is_array()) bad(key);
+  if (!value.is_array()) throw_bad_value(key);
   return value;
 }
 
+// An object; empty when the key is absent or has another value.
+const Json& find_object(const Json& from, const char* key) {
+  static const Json empty = Json::object();
+  const Json& value = find(from, key);
+  return value.is_object() ? value : empty;
+}
+
+std::string read_name(const Json& entry) {
+  const Json& name = find(entry, "name");
+  if (name.is_null()) return {};
+  if (!name.is_string()) throw_bad_value("name");
+  return name.get<std::string>();
+}
+
+// "calls-by-class" and "worth-without" are arrays beside "request-classes", by position; they may be shorter.
+void read_dependency_use(const Json& calls, const Json& values_without_call, std::size_t position,
+                         Route& route) {
+  if (position < calls.size()) {
+    if (!calls[position].is_boolean()) throw_bad_value("calls-by-class");
+    route.calls_dependency = calls[position].get<bool>();
+  }
+  if (position < values_without_call.size()) {
+    const Json& value = values_without_call[position];
+    if (!value.is_number()) throw_bad_value("worth-without");
+    route.value_without_call = value.get<double>();
+    if (!(route.value_without_call >= 0 && route.value_without_call <= 1)) throw_bad_value("worth-without");
+  }
+}
+
+void read_routes(const Json& top, const Json& family, StartSettings& start) {
+  std::vector<Route>& routes = start.admission.routes;
+  const Json& calls = find_array(family, "calls-by-class");
+  const Json& values_without_call = find_array(family, "worth-without");
+  for (const Json& entry : find_array(top, "request-classes")) {
+    Route route = read_route(entry);
+    read_dependency_use(calls, values_without_call, routes.size(), route);
+    start.route_names.push_back(read_name(entry));
+    routes.push_back(route);
+  }
+  if (routes.empty()) throw_bad_value("request-classes");
+}
+
+void read_tenants(const Json& top, StartSettings& start) {
+  for (const Json& entry : find_array(top, "customers")) {
+    start.admission.tenants.push_back(read_tenant(entry));
+    start.tenant_names.push_back(read_name(entry));
+  }
+}
+
+void read_resources(const Json& top, const Json& family, AdmissionOptions& admission) {
+  admission.servers = read_integer(top, "servers", 0);
+  admission.callers = read_integer(family, "callers", 0);
+  read_required_number(family, "cores", 1);
+  admission.cores = read_integer(family, "cores", 1);
+  admission.memory_kb = read_required_number(family, "memory-kb", 0);
+  if (admission.memory_kb <= 0) throw_bad_value("memory-kb");
+  admission.running_size_factor = read_number(family, "run-factor", 1);
+  admission.idempotency_key_kb = read_number(family, "key-kb", 0);
+  admission.shared_answer_ttl = read_seconds(family, "fresh");
+}
+
+void read_request_counting(const Json& top, StartSettings& start) {
+  start.counted_by_work = read_choice<bool>(top, "counted-by", {{"request", false}, {"work", true}});
+  // Requests that are counted by their work carry hints unless the settings say otherwise.
+  start.has_work_hints =
+      find(top, "hints").is_null()
+          ? start.counted_by_work
+          : read_choice<bool>(top, "hints", {{"none", false}, {"good", true}, {"rough", true}});
+}
+
+void read_dependency(const Json& family, AdmissionOptions& admission) {
+  admission.dependency = read_choice<DependencyKind>(
+      family, "below",
+      {{"off", DependencyKind::kOff}, {"shared", DependencyKind::kShared}, {"tier", DependencyKind::kTier}});
+  admission.dependency_share = read_number(family, "dep-share", 0);
+  admission.dependency_share_window = read_seconds(family, "calls-over");
+  if (admission.dependency == DependencyKind::kShared) {  // a share of 0 is valid, an absent one is not
+    read_required_number(family, "dep-share", 0);
+    read_required_number(family, "calls-over", 0);
+  }
+  admission.abandoned_call_time = read_seconds(family, "linger");
+}
+
+void read_rules(const Json& top, const Json& family, AdmissionOptions& admission) {
+  const Json& rules = find_object(top, "rules");
+  const Json& allowed = find_object(top, "allowed");
+  admission.slow_start = read_flag(family, "cold");
+  admission.slow_start_speed = read_share(rules, "cold-from", 1);
+  admission.slow_start_time = read_seconds(rules, "cold");
+  admission.max_concurrency_factor = read_required_number(rules, "fall-multiple", 1);
+  admission.drain_grace = read_seconds(rules, "stop-sending-within");
+  admission.sends_retry_after = read_flag(allowed, "retry-after");
+  admission.max_retry_after = read_seconds(allowed, "max-retry-after");
+  admission.timer_resolution = read_seconds(top, "resolution");
+}
+
+Gauge read_gauge(const Json& name) {
+  if (name == "cpu_busy") return Gauge::kCpuBusy;
+  if (name == "runnable") return Gauge::kRunnable;
+  if (name == "mem_used") return Gauge::kMemoryUsed;
+  if (name == "sockets") return Gauge::kConnections;
+  return Gauge::kOther;
+}
+
 }  // namespace
 
 Route read_route(const Json& entry) {
-  Route type;
-  type.latency_objective = needed(entry, "target", 0) * kSecondsPerMs;
-  type.timeout = needed(entry, "give-up", 0) * kSecondsPerMs;
-  if (type.timeout <= 0) bad("give-up");
-  type.idempotency_window = seconds(entry, "window");
-  type.priority_weight = number(entry, "worth", 1);
-  type.late_value = share(entry, "late-worth", 0);
-  type.idempotency = word<Idempotency>(entry, "semantics",
-                                       {{"retryable", Idempotency::kIdempotent},
-                                        {"dedup", Idempotency::kWithKey},
-                                        {"fragile", Idempotency::kNonIdempotent}});
-  return type;
+  Route route;
+  route.latency_objective = read_required_number(entry, "target", 0) * kSecondsPerMs;
+  route.timeout = read_required_number(entry, "give-up", 0) * kSecondsPerMs;
+  if (route.timeout <= 0) throw_bad_value("give-up");
+  route.idempotency_window = read_seconds(entry, "window");
+  route.priority_weight = read_number(entry, "worth", 1);
+  route.late_value = read_share(entry, "late-worth", 0);
+  route.idempotency = read_choice<Idempotency>(entry, "semantics",
+                                               {{"retryable", Idempotency::kIdempotent},
+                                                {"dedup", Idempotency::kWithKey},
+                                                {"fragile", Idempotency::kNonIdempotent}});
+  return route;
 }
 
 Tenant read_tenant(const Json& entry) {
   Tenant tenant;
-  tenant.quota_per_second = number(entry, "quota-per-s", 0);
+  tenant.quota_per_second = read_number(entry, "quota-per-s", 0);
   return tenant;
 }
 
@@ -106,89 +219,27 @@
 StartSettings read_settings(const Json& top) {
   if (!top.is_object()) throw SettingsError("settings: not a JSON object");
   const Json& family = find(top, "family-info");
-  if (!family.is_object()) bad("family-info");
-  static const Json empty = Json::object();
-  const Json& rules = find(top, "rules").is_object() ? find(top, "rules") : empty;
-  const Json& allowed = find(top, "allowed").is_object() ? find(top, "allowed") : empty;
-
+  if (!family.is_object()) throw_bad_value("family-info");
   StartSettings start;
-  AdmissionOptions& s = start.admission;
-  const Json& calls = array(family, "calls-by-class");
-  const Json& without = array(family, "worth-without");
-  for (const Json& entry : array(top, "request-classes")) {
-    Route type = read_route(entry);
-    const std::size_t at = s.routes.size();
-    if (at < calls.size()) {
-      if (!calls[at].is_boolean()) bad("calls-by-class");
-      type.calls_dependency = calls[at].get<bool>();
-    }
-    if (at < without.size()) {
-      if (!without[at].is_number()) bad("worth-without");
-      type.value_without_call = without[at].get<double>();
-      if (!(type.value_without_call >= 0 && type.value_without_call <= 1)) bad("worth-without");
-    }
-    const Json& name = find(entry, "name");
-    if (!name.is_null() && !name.is_string()) bad("name");
-    start.route_names.push_back(name.is_null() ? std::string() : name.get<std::string>());
-    s.routes.push_back(type);
-  }
-  if (s.routes.empty()) bad("request-classes");
-  for (const Json& entry : array(top, "customers")) {
-    s.tenants.push_back(read_tenant(entry));
-    const Json& name = find(entry, "name");
-    if (!name.is_null() && !name.is_string()) bad("name");
-    start.tenant_names.push_back(name.is_null() ? std::string() : name.get<std::string>());
-  }
-  s.servers = whole(top, "servers", 0);
-  s.callers = whole(family, "callers", 0);
-  needed(family, "cores", 1);
-  s.cores = whole(family, "cores", 1);
-  s.memory_kb = needed(family, "memory-kb", 0);
-  if (s.memory_kb <= 0) bad("memory-kb");
-  s.running_size_factor = number(family, "run-factor", 1);
-  s.idempotency_key_kb = number(family, "key-kb", 0);
-  s.shared_answer_ttl = seconds(family, "fresh");
-  s.preemption = word<Preemption>(
+  AdmissionOptions& admission = start.admission;
+  read_routes(top, family, start);
+  read_tenants(top, start);
+  read_resources(top, family, admission);
+  admission.preemption = read_choice<Preemption>(
       family, "halt",
       {{"off", Preemption::kOff}, {"drop", Preemption::kDrop}, {"pause", Preemption::kPause}});
-  s.load_feedback = word<LoadFeedback>(family, "say",
-                                       {{"off", LoadFeedback::kOff},
-                                        {"level", LoadFeedback::kLevel},
-                                        {"credit", LoadFeedback::kCredit},
-                                        {"weight", LoadFeedback::kWeight}});
-  s.deep_checks = flag(family, "deep-checks");
-  start.registry_follows_health = flag(family, "list-follows");
-  start.counted_by_work = word<bool>(top, "counted-by", {{"request", false}, {"work", true}});
-  // A platform that counts by work has its requests tell theirs, and need not say so.
-  start.has_work_hints = find(top, "hints").is_null()
-                             ? start.counted_by_work
-                             : word<bool>(top, "hints", {{"none", false}, {"good", true}, {"rough", true}});
-  s.caller_idle_timeout = seconds(family, "caller-idle");
-  s.dependency = word<DependencyKind>(
-      family, "below",
-      {{"off", DependencyKind::kOff}, {"shared", DependencyKind::kShared}, {"tier", DependencyKind::kTier}});
-  s.dependency_share = number(family, "dep-share", 0);
-  s.dependency_share_window = seconds(family, "calls-over");
-  if (s.dependency == DependencyKind::kShared) {  // a part of nothing is a part; an untold one is not
-    needed(family, "dep-share", 0);
-    needed(family, "calls-over", 0);
-  }
-  s.abandoned_call_time = seconds(family, "linger");
-  s.slow_start = flag(family, "cold");
-  s.slow_start_speed = share(rules, "cold-from", 1);
-  s.slow_start_time = seconds(rules, "cold");
-  s.max_concurrency_factor = needed(rules, "fall-multiple", 1);
-  s.drain_grace = seconds(rules, "stop-sending-within");
-  s.sends_retry_after = flag(allowed, "retry-after");
-  s.max_retry_after = seconds(allowed, "max-retry-after");
-  s.timer_resolution = seconds(top, "resolution");
-  for (const Json& name : array(family, "gauges")) {
-    start.gauges.push_back(name == "cpu_busy"   ? Gauge::kCpuBusy
-                           : name == "runnable" ? Gauge::kRunnable
-                           : name == "mem_used" ? Gauge::kMemoryUsed
-                           : name == "sockets"  ? Gauge::kConnections
-                                                : Gauge::kOther);
-  }
+  admission.load_feedback = read_choice<LoadFeedback>(family, "say",
+                                                      {{"off", LoadFeedback::kOff},
+                                                       {"level", LoadFeedback::kLevel},
+                                                       {"credit", LoadFeedback::kCredit},
+                                                       {"weight", LoadFeedback::kWeight}});
+  admission.deep_checks = read_flag(family, "deep-checks");
+  start.registry_follows_health = read_flag(family, "list-follows");
+  read_request_counting(top, start);
+  admission.caller_idle_timeout = read_seconds(family, "caller-idle");
+  read_dependency(family, admission);
+  read_rules(top, family, admission);
+  for (const Json& name : find_array(family, "gauges")) start.gauges.push_back(read_gauge(name));
   return start;
 }
 
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -1,5 +1,5 @@
-// Reads the settings that a backend is given, as JSON, into plain values; both fronts use it. Unknown keys
-// are ignored.
+// Reads the platform's settings of a backend from JSON into plain values. Unknown keys are ignored. The keys
+// are the platform's; they are mapped to the field's terms here and nowhere else.
 #pragma once
 
 #include <nlohmann/json_fwd.hpp>
@@ -12,28 +12,31 @@
 
 namespace damsonspoke {
 
+// A value that the runtime reports with each wake-up.
 enum class Gauge { kOther, kCpuBusy, kRunnable, kMemoryUsed, kConnections };
 
+// Settings that are missing or invalid. what() is one line for operators that names the key or the file.
 struct SettingsError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
 struct StartSettings {
   AdmissionOptions admission;
-  std::vector<std::string> route_names;   // by position, as the routes
-  std::vector<std::string> tenant_names;  // by position, as the tenants
-  bool registry_follows_health = false;   // the list of backends follows health
-  bool has_work_hints =
-      false;  // "hints": "good" or "rough": requests tell their work (ms); "none"; absent: as by_work
-  bool counted_by_work =
-      false;  // "counted-by": "work": worth is counted by the unit of work, not by the request
-  std::vector<Gauge> gauges;  // in the order in which a wake conveys them
+  std::vector<std::string> route_names;   // by position, as admission.routes
+  std::vector<std::string> tenant_names;  // by position, as admission.tenants
+  bool registry_follows_health = false;   // an unhealthy backend is taken off the list of backends
+  bool has_work_hints = false;            // requests carry an estimate of their work, ms
+  bool counted_by_work = false;  // the platform values requests by their work instead of their number
+  std::vector<Gauge> gauges;     // in the order in which a wake-up reports them
 };
 
-// One route as the platform writes it (an entry of "request-classes"), but for its name and its calls.
+// Reads an entry of "request-classes", without its name and what "calls-by-class" and "worth-without" tell.
+// Throws SettingsError.
 Route read_route(const nlohmann::json& entry);
+// Reads an entry of "customers", without its name. Throws SettingsError.
 Tenant read_tenant(const nlohmann::json& entry);
 
+// Throw SettingsError.
 StartSettings read_settings(std::string_view text);
 StartSettings read_settings(const nlohmann::json& top);
 
--- a/standins/rehearsal_script.cpp
+++ b/standins/rehearsal_script.cpp
@@ -3,6 +3,7 @@
 #include <fmt/format.h>
 
 #include <algorithm>
+#include <optional>
 #include <stdexcept>
 
 #include "settings/operator_lines.h"
@@ -23,22 +24,22 @@
     return line_.words[at_++].text;
   }
   double time(const char* what) {
-    double out = 0;
     const std::string word = next(what);
-    if (!read_duration(word, out)) wrong(line_, fmt::format("'{}' is no duration", word));
-    return out;
+    const std::optional<double> value = read_duration(word);
+    if (!value) wrong(line_, fmt::format("'{}' is no duration", word));
+    return *value;
   }
   double share(const char* what) {
-    double out = 0;
     const std::string word = next(what);
-    if (!read_percentage(word, out)) wrong(line_, fmt::format("'{}' is no percentage", word));
-    return out;
+    const std::optional<double> value = read_percentage(word);
+    if (!value) wrong(line_, fmt::format("'{}' is no percentage", word));
+    return *value;
   }
   double count(const char* what) {
-    double out = 0;
     const std::string word = next(what);
-    if (!read_count(word, out)) wrong(line_, fmt::format("'{}' is no count", word));
-    return out;
+    const std::optional<double> value = read_count(word);
+    if (!value) wrong(line_, fmt::format("'{}' is no count", word));
+    return *value;
   }
   bool flag(const char* what) {
     const std::string word = next(what);
@@ -168,7 +169,7 @@
   std::string section;
   for (const OperatorLine& line : lines.lines) {
     const std::string& first = line.words.front().text;
-    if (line.section) {
+    if (line.is_section) {
       section = first;
       const bool known = first == "rehearsal" || first == "fleet" || first == "load" || first == "faults";
       if (!known) wrong(line, fmt::format("'{}' is no section", first));
--- a/tests/ajp.cpp
+++ b/tests/ajp.cpp
@@ -211,7 +211,7 @@
       return AjpRoute{};
     }
     const auto& good = std::get<AjpRoute>(route);
-    fmt::print("{}-> {} segments{}, {} kB\n", line, good.segments.size(), good.open_end ? " and more" : "",
+    fmt::print("{}-> {} segments{}, {} kB\n", line, good.segments.size(), good.matches_rest ? " and more" : "",
                good.size_kb);
     return good;
   };
@@ -249,7 +249,7 @@
     }
     const auto& matched = std::get<AjpMatch>(found);
     fmt::print("{} {}: {}", method, path, matched.route->route);
-    for (const std::string_view star : matched.stars) fmt::print(" *={}", star);
+    for (const std::string_view star : matched.wildcards) fmt::print(" *={}", star);
     fmt::print("\n");
   };
   for (const char* path :
--- a/tests/catalog_program.cpp
+++ b/tests/catalog/program.cpp
@@ -1,68 +1,57 @@
-// Routes and tenants that change while one process serves; CTest compares with
+// One backend process whose routes and tenants change while it serves. CTest compares with
 // tests/traces/catalog_program_NAME.txt. usage: catalog_program BINARY SCENARIO
 #include "catalog/folder.h"
+#include "catalog_fixtures.h"
 #include "scenarios.h"
 #include "scripted_site.h"
 
 using namespace damsonspoke;
 using namespace damsonspoke::catalog;
+using namespace damsonspoke::catalog::testing;
 using namespace damsonspoke::standins::scripted;
 
 namespace {
 
 constexpr CatalogLimits kLimits{1000, 10000, true};
-const char* const kOperators = "catalog\n    folder FOLDER\n";
+const char* const kOperatorFile = "catalog\n    folder FOLDER\n";
 
-std::string txn(int id) {
+std::string transaction_id(int id) {
   char text[20];
   std::snprintf(text, sizeof text, "%016x", id);
   return text;
 }
 
-PutRoute route(const std::string& name, double timeout) {
-  PutRoute put{name, {}};
-  put.settings.latency_objective = timeout / 2;
-  put.settings.timeout = timeout;
-  return put;
-}
-
-std::string encode_changes(std::initializer_list<Change> changes) {
-  std::string lines;
-  for (const Change& change : changes) lines += encode_change(change);
-  return lines;
-}
-
-// A site whose source writes to its folder.
+// A site with a catalog folder that the test writes to.
 struct CatalogSite : Site {
-  CatalogSite() : Site("", "", {"", kOperators}) {}
+  CatalogSite() : Site("", "", {"", kOperatorFile}) {}
 
   void write(const std::string& lines) { append_changes(folder(), 1, lines, kLimits); }
-  void follow() {
+  void reload() {
     signal(SIGHUP);
-    const std::string line = expect_log("after it was asked for");
+    const std::string line = expect_log("after the reload request");
     const std::size_t at = line.find("version");
     std::printf("log: %s\n", line.substr(at, line.find(" in force") - at).c_str());
   }
   void change(std::initializer_list<Change> changes) {
     write(encode_changes(changes));
-    follow();
+    reload();
   }
-  // Prints so many refusals, then waits until all of this reading is done: a signal that comes while files
-  // are read has them read once more, and their refusals told once more.
-  void follow_with_refusals(int rejected_changes) {
+  // Prints the log lines of so many rejections, then waits until the files are read: a signal that comes
+  // earlier would have them read once more, and the rejections logged once more.
+  void reload_with_rejections(int rejections) {
     signal(SIGHUP);
-    for (int i = 0; i < rejected_changes; ++i) {
+    for (int i = 0; i < rejections; ++i) {
       const std::string line = expect_log("catalog: ");
       std::printf("log: %s\n", line.substr(std::min(line.size(), line.find("catalog: "))).c_str());
     }
     const std::string line = expect_log("catalog: ");
-    const bool over = line.find("after it was asked for") != std::string::npos;
+    const bool over = line.find("after the reload request") != std::string::npos;
     if (!over) std::printf("NO: it went on with: %s\n", line.c_str());
   }
   void run_ends(int id) {
-    runtime_says("end " + std::to_string(++notices_) + " " + txn(id) + " complete 20 6\r\nresult");
+    runtime_says("end " + std::to_string(++notices_) + " " + transaction_id(id) + " complete 20 6\r\nresult");
   }
-  void start_again() {
+  void restart_killed() {
     kill_and_start();
     notices_ = 0;
   }
@@ -99,8 +88,8 @@
                  "catalog.rejected"});
 }
 
-// Open requests end under what they began with: a timeout that shrinks, a route that goes, a name that comes
-// back as something else.
+// Open requests keep the settings they began with when a timeout shrinks, a route is removed, or its name is
+// used for another route.
 void open() {
   CatalogSite site;
   site.comes_up();
@@ -128,31 +117,31 @@
       {"requests.read", "requests.succeeded", "requests.rejected", "requests.failed", "requests.overdue"});
 }
 
-// A bad change amid good ones, a gap and a torn file: told in one line each; who serves notices nothing.
+// An invalid change among valid ones, a gap and a torn file are logged in one line each; requests are served.
 void refused() {
   CatalogSite site;
   site.comes_up();
   const int caller = site.connect();
   site.write(encode_changes({route("one", 3)}) + "{\"route\":\"two\",\"target\":1}\n" +
              encode_changes({route("three", 3), RemoveTenant{"nobody"}}));
-  site.follow_with_refusals(2);
+  site.reload_with_rejections(2);
   site.send_request(caller, 1, "three");
   site.runtime_hears(2);
   PutRoute keyed = route("keyed", 3);
   keyed.settings.idempotency = Idempotency::kWithKey;
   site.write(encode_changes({keyed}));
-  site.follow_with_refusals(1);
+  site.reload_with_rejections(1);
   HistoryDigest history = 1;
   std::ofstream(site.folder() + "/" + kChangesFile, std::ios::app)
       << encode_batch(1, 90, history, encode_changes({route("four", 3)}));
-  site.follow_with_refusals(1);
+  site.reload_with_rejections(1);
   std::ofstream(site.folder() + "/" + kSnapshotFile) << "DSPKFILE and then nothing of use";
-  site.follow_with_refusals(2);  // and the gap once more
+  site.reload_with_rejections(2);  // and the gap once more
   site.run_ends(1);
   site.caller_hears(caller);
   site.send_request(caller, 2, "four");
   site.caller_hears(caller);
-  site.start_again();
+  site.restart_killed();
   site.comes_up();
   site.counters({"catalog.epoch", "catalog.sequence", "catalog.routes", "catalog.rejected"});
   const int again = site.connect();
@@ -160,7 +149,7 @@
   site.runtime_hears(2);
 }
 
-// Asked again while it reads; everything written before the last asking is in force in the end.
+// Signals while it reads: everything that was written before the last one is active in the end.
 void asked_again() {
   CatalogSite site;
   site.comes_up();
@@ -178,7 +167,7 @@
   site.counters({"catalog.sequence", "catalog.tenants", "catalog.applied", "catalog.rejected"});
 }
 
-// Thousands of changes are read while it leaves: what it has read is answered, and it ends in time.
+// Thousands of changes are read during a graceful shutdown: what was read is answered, and it ends in time.
 void drained() {
   CatalogSite site;
   site.comes_up();
@@ -199,12 +188,12 @@
 }
 
 // Killed at some moment of each reading, from the signal on; every other time the writer had died within its
-// last span as well. After each start all whole spans are in force, nothing is refused, and requests are
+// last batch as well. After each start all complete batches are active, nothing is refused, and requests are
 // served.
 void kills() {
   constexpr int kKills = 16;
-  constexpr int kChanges = 200;      // of a span
-  constexpr double kLater = 0.0004;  // s; each kill comes so much later after its signal than the one before
+  constexpr int kChanges = 200;              // of a batch
+  constexpr double kKillDelayStep = 0.0004;  // seconds by which each kill comes later after its signal
   CatalogSite site;
   site.comes_up();
   const std::string file = site.folder() + "/" + kChangesFile;
@@ -223,14 +212,14 @@
     else
       whole += kChanges;
     site.signal(SIGHUP);
-    site.pause(kill * kLater);
+    site.pause(kill * kKillDelayStep);
     site.restart();
     std::map<std::string, std::string> counters = site.counter_values();
     all_in_force = all_in_force && counters["catalog.sequence"] == std::to_string(whole) &&
                    counters["catalog.rejected"] == "0" && counters["invariants.broken"] == "0";
     if (torn) std::filesystem::resize_file(file, before);  // as the next writer does
   }
-  say("all whole spans in force after each of 16 kills, nothing refused", all_in_force);
+  say("all whole batches in force after each of 16 kills, nothing refused", all_in_force);
   site.comes_up();
   const int caller = site.connect();
   site.send_request(caller, 1, "push", R"("ram":10,"limit":3000,"team":"tenant-2900")");
@@ -239,7 +228,7 @@
   site.caller_hears(caller);
 }
 
-// Each answer's line tells the version that it was decided by.
+// The log line of each answer names the version that decided it.
 void versions() {
   debug_log = true;
   CatalogSite site;
@@ -248,7 +237,7 @@
   const auto answered = [&](int id) {
     site.run_ends(id);
     site.caller_hears(caller);
-    const std::string line = site.expect_log("request: " + txn(id));
+    const std::string line = site.expect_log("request: " + transaction_id(id));
     std::printf("log: %s\n", line.substr(std::min(line.size(), line.find("request: "))).c_str());
   };
   site.send_request(caller, 1, "push");
@@ -266,17 +255,17 @@
   CatalogSite site;
   site.comes_up();
   write_snapshot(site.folder(), {1, 7}, 3, encode_changes({route("push", 3), route("extra", 3)}));
-  site.start_again();
+  site.restart_killed();
   site.comes_up();
   site.counters({"catalog.epoch", "catalog.sequence", "catalog.routes", "catalog.rejected"});
   write_snapshot(site.folder(), {1, 9}, 4, encode_changes({route("push", 3), route("more", 3)}));
   const std::string file = site.folder() + "/" + kSnapshotFile;
   std::filesystem::resize_file(file, std::filesystem::file_size(file) - 1);
-  site.start_again();
+  site.restart_killed();
   site.comes_up();
   site.counters({"catalog.epoch", "catalog.sequence", "catalog.routes", "catalog.rejected"});
   std::filesystem::remove(file + ".1");
-  site.start_again();
+  site.restart_killed();
   site.comes_up();
   site.counters({"catalog.epoch", "catalog.sequence", "catalog.routes", "catalog.rejected"});
   const int caller = site.connect();
--- a/tests/settings_shape.cpp
+++ b/tests/settings/supported_shapes.cpp
@@ -1,9 +1,10 @@
-// One build serves the old shape and the new: which one follows from the settings, and a mix is refused
-// with one line that names the key.
+// Which shapes of the settings are supported: an invalid one is rejected with one line that names the key.
+// CTest compares with tests/traces/settings_shape.txt.
 #include <cstdio>
 #include <string>
 
 #include "settings/config.h"
+#include "settings/config_validation.h"
 
 namespace {
 
@@ -22,9 +23,9 @@
 void show(const char* name, const std::string& extra) {
   try {
     const Config config = parse_config(config_with(extra));
-    const std::string lacking = unserved(config, OperatorOptions{});
+    const auto unsupported = find_unsupported(config, OperatorOptions{});
     std::printf("%-22s hints %d, by work %d: %s\n", name, config.site.has_work_hints,
-                config.site.counted_by_work, lacking.empty() ? "served" : lacking.c_str());
+                config.site.counted_by_work, unsupported ? to_string(*unsupported).c_str() : "served");
   } catch (const SettingsError& error) {
     std::printf("%-22s refused: %s\n", name, error.what());
   }
