--- a/src/catalog/folder.cpp
+++ b/src/catalog/folder.cpp
@@ -20,6 +20,7 @@
 constexpr double kUnlimitedSeconds = 1e9;  // a tool reads everything in one step
 constexpr std::uint64_t kToolHashKey =
     1;  // tools read files of operators, who need no guard against collisions
+constexpr std::size_t kMaxPartBytes = kMaxBatchBytes - kMaxLineBytes;  // the rest is for the header
 
 [[noreturn]] void throw_errno(const std::string& action, const std::string& path) {
   throw CatalogFileError(fmt::format("cannot {} '{}': {}", action, path, std::strerror(errno)));
@@ -27,7 +28,6 @@
 
 // The lines of `text` in parts that fit into a batch each.
 std::vector<std::string> split_into_batches(const std::string& text) {
-  constexpr std::size_t kMaxPartBytes = kMaxBatchBytes - kMaxLineBytes;  // the rest is for the header
   std::vector<std::string> parts;
   for (std::size_t begin = 0; begin < text.size();) {
     std::size_t end = std::min(text.size(), begin + kMaxPartBytes);
--- a/src/catalog/paged_array.h
+++ b/src/catalog/paged_array.h
@@ -48,7 +48,8 @@
 
   // Pages come from calloc, which hands out zeroed memory without touching it.
   struct Free {
-    void operator()(Value* page) const { std::free(page); }  // NOLINT(cppcoreguidelines-no-malloc)
+    // NOLINTNEXTLINE(cppcoreguidelines-no-malloc,cppcoreguidelines-owning-memory)
+    void operator()(Value* page) const { std::free(page); }
   };
   using Page = std::unique_ptr<Value[], Free>;
 
@@ -59,8 +60,8 @@
     return page;
   }
   static const Value& zero() {
-    alignas(Value) static const unsigned char bytes[sizeof(Value)] = {};
-    return *reinterpret_cast<const Value*>(bytes);
+    alignas(Value) static const unsigned char kZeroBytes[sizeof(Value)] = {};
+    return *reinterpret_cast<const Value*>(kZeroBytes);
   }
 
   std::vector<Page> pages_;
--- a/src/catalog/version.h
+++ b/src/catalog/version.h
@@ -11,7 +11,7 @@
 struct Version {
   std::uint64_t epoch = 0;
   std::uint64_t sequence = 0;
-  auto operator<=>(const Version&) const = default;
+  auto operator<=>(const Version&) const = default;  // NOLINT(modernize-use-nullptr): a false alarm
 };
 
 // A chained digest of every change up to a version, in order. Two histories that differ in any change have
--- a/src/settings/ajp_routes.cpp
+++ b/src/settings/ajp_routes.cpp
@@ -15,45 +15,45 @@
 constexpr std::size_t kMinWords = 3;
 
 // ---- Grammar.
-struct token_char : p::sor<p::alnum, p::one<'!', '$', '&', '\'', '+', '-', '.', '^', '_', '`', '|', '~'>> {};
-struct token : p::plus<token_char> {};
-struct method : p::plus<p::sor<p::upper, p::one<'-', '_'>>> {};
-struct method_word : p::seq<method, p::eof> {};
+struct TokenChar : p::sor<p::alnum, p::one<'!', '$', '&', '\'', '+', '-', '.', '^', '_', '`', '|', '~'>> {};
+struct Token : p::plus<TokenChar> {};
+struct Method : p::plus<p::sor<p::upper, p::one<'-', '_'>>> {};
+struct MethodWord : p::seq<Method, p::eof> {};
 
-struct segment_char
+struct SegmentChar
     : p::sor<p::alnum, p::one<'-', '.', '_', '~', '!', '$', '&', '\'', '(', ')', '+', ',', ':', '@', '='>> {};
-struct literal : p::plus<segment_char> {};
-struct any_rest : p::seq<p::string<'*', '*'>, p::at<p::eof>> {};
-struct any_one : p::seq<p::one<'*'>, p::at<p::sor<p::one<'/'>, p::eof>>> {};
-struct segment : p::sor<any_rest, any_one, literal> {};
-struct root : p::seq<p::one<'/'>, p::eof> {};
-struct pattern_word : p::sor<root, p::seq<p::plus<p::one<'/'>, segment>, p::eof>> {};
-
-struct header_name : token {};
-struct query_name : token {};
-struct wildcard_number : p::seq<p::range<'1', '9'>, p::opt<p::digit>> {};
-struct header_source : p::seq<p::string<'h', 'e', 'a', 'd', 'e', 'r', ':'>, header_name> {};
-struct query_source : p::seq<p::string<'q', 'u', 'e', 'r', 'y', ':'>, query_name> {};
-struct path_source : p::seq<p::string<'p', 'a', 't', 'h', ':'>, wildcard_number> {};
-struct source_word : p::seq<p::sor<header_source, query_source, path_source>, p::eof> {};
-
-struct number_word : p::seq<p::rep_min_max<1, 4, p::digit>, p::eof> {};
+struct Literal : p::plus<SegmentChar> {};
+struct AnyRest : p::seq<p::string<'*', '*'>, p::at<p::eof>> {};
+struct AnyOne : p::seq<p::one<'*'>, p::at<p::sor<p::one<'/'>, p::eof>>> {};
+struct Segment : p::sor<AnyRest, AnyOne, Literal> {};
+struct Root : p::seq<p::one<'/'>, p::eof> {};
+struct PatternWord : p::sor<Root, p::seq<p::plus<p::one<'/'>, Segment>, p::eof>> {};
+
+struct HeaderName : Token {};
+struct QueryName : Token {};
+struct WildcardNumber : p::seq<p::range<'1', '9'>, p::opt<p::digit>> {};
+struct HeaderSource : p::seq<p::string<'h', 'e', 'a', 'd', 'e', 'r', ':'>, HeaderName> {};
+struct QuerySource : p::seq<p::string<'q', 'u', 'e', 'r', 'y', ':'>, QueryName> {};
+struct PathSource : p::seq<p::string<'p', 'a', 't', 'h', ':'>, WildcardNumber> {};
+struct SourceWord : p::seq<p::sor<HeaderSource, QuerySource, PathSource>, p::eof> {};
+
+struct NumberWord : p::seq<p::rep_min_max<1, 4, p::digit>, p::eof> {};
 
 template <typename Rule>
 struct PatternAction {};
 template <>
-struct PatternAction<literal> {
+struct PatternAction<Literal> {
   template <typename Input>
   static void apply(const Input& in, AjpRoute& route) {
     route.segments.push_back(in.string());
   }
 };
 template <>
-struct PatternAction<any_one> {
+struct PatternAction<AnyOne> {
   static void apply0(AjpRoute& route) { route.segments.emplace_back("*"); }
 };
 template <>
-struct PatternAction<any_rest> {
+struct PatternAction<AnyRest> {
   static void apply0(AjpRoute& route) { route.matches_rest = true; }
 };
 
@@ -67,7 +67,7 @@
 template <typename Rule>
 struct SourceAction {};
 template <>
-struct SourceAction<header_name> {
+struct SourceAction<HeaderName> {
   template <typename Input>
   static void apply(const Input& in, AjpSource& source) {
     source.from = AjpSource::From::kHeader;
@@ -75,7 +75,7 @@
   }
 };
 template <>
-struct SourceAction<query_name> {
+struct SourceAction<QueryName> {
   template <typename Input>
   static void apply(const Input& in, AjpSource& source) {
     source.from = AjpSource::From::kQuery;
@@ -83,7 +83,7 @@
   }
 };
 template <>
-struct SourceAction<wildcard_number> {
+struct SourceAction<WildcardNumber> {
   template <typename Input>
   static void apply(const Input& in, AjpSource& source) {
     source.from = AjpSource::From::kPath;
@@ -106,7 +106,7 @@
 
 // Reads `held=KB`. Returns the text of an error.
 std::optional<std::string> read_held(const std::string& value, AjpRoute& route) {
-  if (parses<number_word>(value)) {
+  if (parses<NumberWord>(value)) {
     const double size_kb = std::stod(value);
     if (size_kb >= kMinSizeKb && size_kb < kMaxSizeKb) {
       route.size_kb = size_kb;
@@ -134,7 +134,7 @@
   AjpSource* source = find_source(route, name);
   if (source == nullptr) return quoted_name(name) + " is none of key, caller, subject, wait, held";
   if (source->is_set()) return quoted_name(name) + " stands twice";
-  if (!parses<source_word, SourceAction>(value, *source))
+  if (!parses<SourceWord, SourceAction>(value, *source))
     return quoted_name(name) + " expects header:NAME, query:NAME or path:N";
   const auto wildcards = std::count(route.segments.begin(), route.segments.end(), "*");
   if (source->from == AjpSource::From::kPath && source->wildcard > wildcards)
@@ -171,9 +171,9 @@
 std::variant<AjpRoute, AjpRouteError> read_ajp_route(const std::vector<std::string>& words) {
   AjpRoute route;
   if (words.size() < kMinWords) return AjpRouteError{0, "'map' expects a method, a pattern and an op type"};
-  if (!parses<method_word>(words[0])) return AjpRouteError{0, "'" + words[0] + "' is no method"};
+  if (!parses<MethodWord>(words[0])) return AjpRouteError{0, "'" + words[0] + "' is no method"};
   route.method = words[0];
-  if (!parses<pattern_word, PatternAction>(words[1], route) || route.segments.size() > kMaxSegments)
+  if (!parses<PatternWord, PatternAction>(words[1], route) || route.segments.size() > kMaxSegments)
     return AjpRouteError{1, "'" + words[1] + "' is no pattern of paths"};
   if (std::any_of(route.segments.begin(), route.segments.end(),
                   [](const std::string& segment) { return segment == "." || segment == ".."; }))
--- a/src/settings/operator_lines.cpp
+++ b/src/settings/operator_lines.cpp
@@ -9,24 +9,24 @@
 namespace p = tao::pegtl;
 
 // ---- The lines.
-struct blanks : p::plus<p::blank> {};
-struct comment : p::seq<p::one<'#'>, p::until<p::at<p::eolf>>> {};
-struct plain_char : p::not_one<' ', '\t', '\r', '\n', '"', '#', '\0'> {};
-struct plain : p::plus<plain_char> {};
-struct escaped : p::seq<p::one<'\\'>, p::one<'"', '\\'>> {};
-struct quoted_text : p::star<p::sor<escaped, p::not_one<'"', '\\', '\r', '\n', '\0'>>> {};
-struct quoted : p::seq<p::one<'"'>, quoted_text, p::one<'"'>> {};
-struct word : p::sor<quoted, plain> {};
-struct words : p::list<word, blanks> {};
-struct indent : blanks {};
-struct line_end : p::seq<p::opt<blanks>, p::opt<comment>, p::at<p::eolf>> {};
-struct empty_line : line_end {};
-struct directive_line : p::seq<indent, words, line_end> {};
-struct section_line : p::seq<words, line_end> {};
-struct good_line : p::sor<empty_line, directive_line, section_line> {};
-struct bad_line : p::until<p::at<p::eolf>> {};
-struct one_line : p::seq<p::not_at<p::eof>, p::sor<good_line, bad_line>, p::eolf> {};
-struct whole_file : p::must<p::star<one_line>, p::eof> {};
+struct Blanks : p::plus<p::blank> {};
+struct Comment : p::seq<p::one<'#'>, p::until<p::at<p::eolf>>> {};
+struct PlainChar : p::not_one<' ', '\t', '\r', '\n', '"', '#', '\0'> {};
+struct Plain : p::plus<PlainChar> {};
+struct Escaped : p::seq<p::one<'\\'>, p::one<'"', '\\'>> {};
+struct QuotedText : p::star<p::sor<Escaped, p::not_one<'"', '\\', '\r', '\n', '\0'>>> {};
+struct Quoted : p::seq<p::one<'"'>, QuotedText, p::one<'"'>> {};
+struct Word : p::sor<Quoted, Plain> {};
+struct Words : p::list<Word, Blanks> {};
+struct Indent : Blanks {};
+struct LineEnd : p::seq<p::opt<Blanks>, p::opt<Comment>, p::at<p::eolf>> {};
+struct EmptyLine : LineEnd {};
+struct DirectiveLine : p::seq<Indent, Words, LineEnd> {};
+struct SectionLine : p::seq<Words, LineEnd> {};
+struct GoodLine : p::sor<EmptyLine, DirectiveLine, SectionLine> {};
+struct BadLine : p::until<p::at<p::eolf>> {};
+struct OneLine : p::seq<p::not_at<p::eof>, p::sor<GoodLine, BadLine>, p::eolf> {};
+struct WholeFile : p::must<p::star<OneLine>, p::eof> {};
 
 struct ParseState {
   OperatorLines result;
@@ -45,14 +45,14 @@
 template <typename Rule>
 struct Action {};
 template <>
-struct Action<plain> {
+struct Action<Plain> {
   template <typename Input>
   static void apply(const Input& in, ParseState& state) {
     state.words.push_back({in.string(), in.position().column});
   }
 };
 template <>
-struct Action<quoted_text> {
+struct Action<QuotedText> {
   template <typename Input>
   static void apply(const Input& in, ParseState& state) {
     state.words.push_back({unescape(in.string()), in.position().column});
@@ -64,14 +64,14 @@
   state.words.clear();
 }
 template <>
-struct Action<directive_line> {
+struct Action<DirectiveLine> {
   template <typename Input>
   static void apply(const Input& in, ParseState& state) {
     add_line(state, false, in.position().line);
   }
 };
 template <>
-struct Action<section_line> {
+struct Action<SectionLine> {
   template <typename Input>
   static void apply(const Input& in, ParseState& state) {
     add_line(state, true, in.position().line);
@@ -79,11 +79,11 @@
 };
 // A failed alternative of the grammar may have left words.
 template <>
-struct Action<indent> {
+struct Action<Indent> {
   static void apply0(ParseState& state) { state.words.clear(); }
 };
 template <>
-struct Action<bad_line> {
+struct Action<BadLine> {
   template <typename Input>
   static void apply(const Input& in, ParseState& state) {
     const std::string text = in.string();
@@ -99,13 +99,13 @@
 };
 
 // ---- The values.
-struct number_text : p::seq<p::plus<p::digit>, p::opt<p::one<'.'>, p::plus<p::digit>>> {};
-struct whole_text : p::plus<p::digit> {};
+struct NumberText : p::seq<p::plus<p::digit>, p::opt<p::one<'.'>, p::plus<p::digit>>> {};
+struct WholeText : p::plus<p::digit> {};
 template <typename Unit>
-struct with_unit : p::seq<number_text, Unit, p::eof> {};
-struct size_unit : p::opt<p::one<'K', 'M', 'G'>> {};
-struct time_unit : p::sor<p::string<'u', 's'>, p::string<'m', 's'>, p::one<'s', 'm', 'h', 'd'>> {};
-struct percent_sign : p::one<'%'> {};
+struct WithUnit : p::seq<NumberText, Unit, p::eof> {};
+struct SizeUnit : p::opt<p::one<'K', 'M', 'G'>> {};
+struct TimeUnit : p::sor<p::string<'u', 's'>, p::string<'m', 's'>, p::one<'s', 'm', 'h', 'd'>> {};
+struct PercentSign : p::one<'%'> {};
 
 struct Value {
   double number = 0;
@@ -114,7 +114,7 @@
 template <typename Rule>
 struct ValueAction {};
 template <>
-struct ValueAction<number_text> {
+struct ValueAction<NumberText> {
   template <typename Input>
   static void apply(const Input& in, Value& value) {
     value.number = std::strtod(in.string().c_str(), nullptr);
@@ -127,15 +127,15 @@
   }
 };
 template <>
-struct ValueAction<size_unit> : StoreUnit {};
+struct ValueAction<SizeUnit> : StoreUnit {};
 template <>
-struct ValueAction<time_unit> : StoreUnit {};
+struct ValueAction<TimeUnit> : StoreUnit {};
 
 template <typename Unit>
 std::optional<Value> read_value(std::string_view text) {
   Value value;
   p::memory_input in(text.data(), text.size(), "");
-  if (!p::parse<with_unit<Unit>, ValueAction>(in, value)) return std::nullopt;
+  if (!p::parse<WithUnit<Unit>, ValueAction>(in, value)) return std::nullopt;
   return value;
 }
 
@@ -163,31 +163,31 @@
 OperatorLines read_operator_lines(std::string_view text) {
   ParseState state;
   p::memory_input in(text.data(), text.size(), "");
-  p::parse<whole_file, Action>(in, state);
+  p::parse<WholeFile, Action>(in, state);
   return std::move(state.result);
 }
 
 std::optional<double> read_size(std::string_view word) {
-  const auto value = read_value<size_unit>(word);
+  const auto value = read_value<SizeUnit>(word);
   if (!value) return std::nullopt;
   return value->number * bytes_per(value->unit);
 }
 
 std::optional<double> read_duration(std::string_view word) {
-  const auto value = read_value<time_unit>(word);
+  const auto value = read_value<TimeUnit>(word);
   if (!value) return std::nullopt;
   return value->number * seconds_per(value->unit);
 }
 
 std::optional<double> read_percentage(std::string_view word) {
-  const auto value = read_value<percent_sign>(word);
+  const auto value = read_value<PercentSign>(word);
   if (!value) return std::nullopt;
   return value->number / 100;
 }
 
 std::optional<double> read_count(std::string_view word) {
   p::memory_input in(word.data(), word.size(), "");
-  if (!p::parse<p::seq<whole_text, p::eof>>(in) || word.size() > kMaxCountDigits) return std::nullopt;
+  if (!p::parse<p::seq<WholeText, p::eof>>(in) || word.size() > kMaxCountDigits) return std::nullopt;
   return std::strtod(std::string(word).c_str(), nullptr);
 }
 
