--- a/tests/statistics/learned_statistics.cpp
+++ b/tests/statistics/learned_statistics.cpp
@@ -141,62 +141,71 @@
 
 // ---- Priors.
 
-void cases() {
-  const auto say = [](const char* what, const StatisticsRecord& record, double now, int starts = 0,
-                      const StartSettings& with = site(), const PriorOptions& options = kOptions) {
-    const Prior b = derive_prior(record, with, now, starts, options);
-    std::printf("%-28s believed %-3s share %.2f", what, b.is_usable ? "yes" : "no", b.weight_share);
-    for (const auto& t : b.statistics.routes) std::printf(", run %.2f values", count_of(t.run));
-    if (b.statistics.returning_share >= 0) std::printf(", returns %.2f", b.statistics.returning_share);
-    for (const RejectedPart& rejected : b.rejected) std::printf("\n  %s", text_of(rejected).c_str());
-    std::printf("\n");
-  };
-  say("just now", good(), 1000);
-  say("half a day old", good(), 1000 + 43200);
-  say("last week", good(), 1000 + 7 * 86400.0);
-  say("last week, slowly believed less", good(), 1000 + 7 * 86400.0, 0, site(), {1e9, 259200, 4});
-  say("last week, and no bound", good(), 1000 + 7 * 86400.0, 0, site(), {43200, 1e9, 4});
-  say("from the future", good(), 900);
-  say("clocks a little apart", good(), 997);
-  StatisticsRecord r = good();
-  r.under_pressure = true;
-  say("a bad spell", r, 1000);
-  say("one life lost with it", good(), 1000, 1);
-  say("two lives lost with it", good(), 1000, 2);
+void print_prior(const char* name, const StatisticsRecord& record, double now, int failed_starts = 0,
+                 const StartSettings& settings = site(), const PriorOptions& options = kOptions) {
+  const Prior prior = derive_prior(record, settings, now, failed_starts, options);
+  std::printf("%-28s believed %-3s share %.2f", name, prior.is_usable ? "yes" : "no", prior.weight_share);
+  for (const auto& route : prior.statistics.routes) std::printf(", run %.2f values", count_of(route.run));
+  if (prior.statistics.returning_share >= 0) std::printf(", returns %.2f", prior.statistics.returning_share);
+  for (const RejectedPart& rejected : prior.rejected) std::printf("\n  %s", text_of(rejected).c_str());
+  std::printf("\n");
+}
+
+void print_age_and_settings_cases() {
+  print_prior("just now", good(), 1000);
+  print_prior("half a day old", good(), 1000 + 43200);
+  print_prior("last week", good(), 1000 + 7 * 86400.0);
+  print_prior("last week, slowly believed less", good(), 1000 + 7 * 86400.0, 0, site(), {1e9, 259200, 4});
+  print_prior("last week, and no bound", good(), 1000 + 7 * 86400.0, 0, site(), {43200, 1e9, 4});
+  print_prior("from the future", good(), 900);
+  print_prior("clocks a little apart", good(), 997);
+  StatisticsRecord record = good();
+  record.under_pressure = true;
+  print_prior("a bad spell", record, 1000);
+  print_prior("one life lost with it", good(), 1000, 1);
+  print_prior("two lives lost with it", good(), 1000, 2);
   StartSettings other = site();
   other.admission.cores = 8;
-  say("another machine", good(), 1000, 0, other);
+  print_prior("another machine", good(), 1000, 0, other);
   other = site();
   other.admission.routes[0].latency_objective = 3;
-  say("one type's target changed", good(), 1000, 0, other);
+  print_prior("one type's target changed", good(), 1000, 0, other);
   other = site();
   other.route_names[1] = "poll";
-  say("another site's types", good(), 1000, 0, other);
+  print_prior("another site's types", good(), 1000, 0, other);
   other = site();
   other.admission.dependency = DependencyKind::kOff;
-  say("no layer below any more", good(), 1000, 0, other);
+  print_prior("no layer below any more", good(), 1000, 0, other);
+}
+
+void print_implausible_cases() {
   const double nan = std::numeric_limits<double>::quiet_NaN();
   for (const auto& [what, value] : {std::pair{"a count that is no number", nan},
                                     std::pair{"a negative count", -1.0}, std::pair{"a huge count", 1e18}}) {
-    r = good();
-    r.routes[0].run.bins[2] = value;
-    say(what, r, 1000);
+    StatisticsRecord record = good();
+    record.routes[0].run.bins[2] = value;
+    print_prior(what, record, 1000);
   }
-  r = good();
-  r.routes[0].run = times(5, 2);
-  say("two values only", r, 1000);
-  r = good();
-  r.routes[0].run.sum = 1e9;
-  say("a sum that can't be", r, 1000);
-  r = good();
-  r.routes[0].run.sum = 0;
-  say("a sum that is too small", r, 1000);
-  r = good();
-  r.routes[1].run.bins.resize(5);
-  say("too few bins", r, 1000);
-  r = good();
-  r.written_at = nan;
-  say("no time of writing", r, 1000);
+  StatisticsRecord record = good();
+  record.routes[0].run = times(5, 2);
+  print_prior("two values only", record, 1000);
+  record = good();
+  record.routes[0].run.sum = 1e9;
+  print_prior("a sum that can't be", record, 1000);
+  record = good();
+  record.routes[0].run.sum = 0;
+  print_prior("a sum that is too small", record, 1000);
+  record = good();
+  record.routes[1].run.bins.resize(5);
+  print_prior("too few bins", record, 1000);
+  record = good();
+  record.written_at = nan;
+  print_prior("no time of writing", record, 1000);
+}
+
+void cases() {
+  print_age_and_settings_cases();
+  print_implausible_cases();
 }
 
 // Random records, intact and corrupted.
@@ -304,74 +313,81 @@
 
 // ---- Corrupt and foreign files.
 
-void files() {
-  const auto say = [](const char* what, RecordingFolder& folder) {
-    StatisticsFolder there(folder);
-    const Reading read = there.read();
-    std::printf("%-34s %s%s%s", what, read.record ? "record of " : "nothing",
-                read.record ? std::to_string(static_cast<int>(read.record->written_at)).c_str() : "",
-                read.is_previous ? ", the one before" : "");
-    const std::string problem(text_of(read.problem));
-    std::printf("%s%s, lives lost %d\n", problem.empty() ? "" : ": ", problem.c_str(), read.failed_starts);
-  };
-  RecordingFolder folder;
-  StatisticsFolder mine(folder);
-  say("an empty folder", folder);
-  mine.write(good(1));
-  mine.write(good(2));
-  say("two records", folder);
-  RecordingFolder::Files kept = folder.files();
-  const auto with = [&](const char* what, const std::function<void(RecordingFolder::Files&)>& change) {
-    RecordingFolder::Files files = kept;
+void print_reading(const char* name, RecordingFolder& folder) {
+  const Reading reading = StatisticsFolder(folder).read();
+  const std::string problem(text_of(reading.problem));
+  std::printf("%-34s %s%s%s", name, reading.record ? "record of " : "nothing",
+              reading.record ? std::to_string(static_cast<int>(reading.record->written_at)).c_str() : "",
+              reading.is_previous ? ", the one before" : "");
+  std::printf("%s%s, lives lost %d\n", problem.empty() ? "" : ": ", problem.c_str(), reading.failed_starts);
+}
+
+void print_corrupt_files(const RecordingFolder::Files& intact) {
+  const auto print_changed = [&](const char* name,
+                                 const std::function<void(RecordingFolder::Files&)>& change) {
+    RecordingFolder::Files files = intact;
     change(files);
-    RecordingFolder changed(files);
-    say(what, changed);
+    RecordingFolder folder(files);
+    print_reading(name, folder);
   };
-  with("the newest is cut short", [](auto& f) { f["knowledge"].resize(100); });
-  with("one bit of the newest", [](auto& f) { f["knowledge"][60] ^= 4; });
-  with("both are cut short", [](auto& f) {
+  print_changed("the newest is cut short", [](auto& f) { f["knowledge"].resize(100); });
+  print_changed("one bit of the newest", [](auto& f) { f["knowledge"][60] ^= 4; });
+  print_changed("both are cut short", [](auto& f) {
     f["knowledge"].resize(20);
     f["knowledge.1"].resize(9);
   });
-  with("somebody else's file", [](auto& f) {
+  print_changed("somebody else's file", [](auto& f) {
     f["knowledge"] = "#!/bin/sh\n";
     f.erase("knowledge.1");
   });
-  with("a megabyte", [](auto& f) {
+  print_changed("a megabyte", [](auto& f) {
     f["knowledge"].assign(1 << 20, 'x');
     f.erase("knowledge.1");
   });
-  with("sealed, and no record",
-       [](auto& f) { f["knowledge"] = store::add_checksum(kRecordFormatVersion, "hello"); });
-  with("a newer form",
-       [](auto& f) { f["knowledge"] = store::add_checksum(kRecordFormatVersion + 1, "what it knows"); });
-  with("a trial that can't be read", [](auto& f) { f["knowledge.trial"] = "many"; });
-  with("two lives lost", [](auto& f) { f["knowledge.trial"] = "2"; });
+  print_changed("sealed, and no record",
+                [](auto& f) { f["knowledge"] = store::add_checksum(kRecordFormatVersion, "hello"); });
+  print_changed("a newer form", [](auto& f) {
+    f["knowledge"] = store::add_checksum(kRecordFormatVersion + 1, "what it knows");
+  });
+  print_changed("a trial that can't be read", [](auto& f) { f["knowledge.trial"] = "many"; });
+  print_changed("two lives lost", [](auto& f) { f["knowledge.trial"] = "2"; });
+}
 
+void print_newer_format() {
   RecordingFolder newer({{"knowledge", store::add_checksum(kRecordFormatVersion + 1, "what it knows")}});
   StatisticsFolder over(newer);
   over.write(good(5));
   over.write(good(6));
-  say("written over a newer form", newer);
+  print_reading("written over a newer form", newer);
   std::printf(
       "the newer one is kept: %s\n",
       newer.files().at("knowledge.newer") == store::add_checksum(kRecordFormatVersion + 1, "what it knows")
           ? "yes"
           : "no");
+}
 
+void files() {
+  RecordingFolder folder;
+  StatisticsFolder mine(folder);
+  print_reading("an empty folder", folder);
+  mine.write(good(1));
+  mine.write(good(2));
+  print_reading("two records", folder);
+  print_corrupt_files(folder.files());
+  print_newer_format();
   folder.is_full = true;
   std::printf("on a full disk: %s\n", mine.write(good(3)) ? "written" : "not written");
-  say("and then", folder);
+  print_reading("and then", folder);
   folder.is_full = false;
   folder.is_locked_elsewhere = true;
   std::printf("while another has it: %s\n", mine.write(good(4)) ? "written" : "not written");
   folder.is_locked_elsewhere = false;
   mine.begin_trial(1);
-  say("a life begins with it", folder);
+  print_reading("a life begins with it", folder);
   mine.end_trial();
-  say("and comes through", folder);
+  print_reading("and comes through", folder);
   mine.remove();
-  say("forgotten", folder);
+  print_reading("forgotten", folder);
 }
 
 std::string corrupted(std::string text, pcg32& random) {
