--- a/tests/results/idempotency_cache_histories.cpp
+++ b/tests/results/idempotency_cache_histories.cpp
@@ -56,6 +56,7 @@
 
 constexpr double kSharedTtlSeconds = 2;
 constexpr double kWindowSeconds = 6;
+constexpr int kSteps = 120;  // of a history
 constexpr unsigned kKeys = 12;
 constexpr unsigned kKeyedKeys = 9;  // the other keys are of shared reads
 constexpr std::size_t kActiveEntryBytes = IdempotencyCache::kEntryBytes + IdempotencyCache::kMaxResultBytes;
@@ -346,7 +347,6 @@
 }
 
 std::vector<Step> random_history(std::uint64_t seed) {
-  constexpr int kSteps = 120;
   pcg32 random(seed);
   std::vector<Step> steps;
   for (int i = 0; i < kSteps; ++i) {
--- a/tests/results/results_fleet.cpp
+++ b/tests/results/results_fleet.cpp
@@ -140,12 +140,15 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  const std::pair<const char*, void (*)()> kScenarios[] = {
+  const std::pair<const char*, void (*)()> scenarios[] = {
       {"surge", surge}, {"drain", drain}, {"full_disk", full_disk}, {"bounds", bounds}, {"large", large}};
   std::setvbuf(stdout, nullptr, _IOLBF, 0);
   if (argc == 3) binary = argv[1];
-  for (const auto& [name, play] : kScenarios) {
-    if (argc == 3 && std::strcmp(argv[2], name) == 0) return play(), 0;
+  for (const auto& [name, play] : scenarios) {
+    if (argc == 3 && std::strcmp(argv[2], name) == 0) {
+      play();
+      return 0;
+    }
   }
   std::fprintf(stderr, "usage: results_fleet BINARY SCENARIO\n");
   return 2;
--- a/tests/results/results_program.cpp
+++ b/tests/results/results_program.cpp
@@ -158,18 +158,18 @@
   Site site(R"(,"fresh":300)", "", {"", kInMemory});
   site.comes_up();
   const int caller = site.connect();
-  constexpr const char* kItem = R"("ram":10,"limit":3000,"item":"00000000000000aa")";
-  site.send_request(caller, 1, "push", kItem);
+  constexpr const char* item = R"("ram":10,"limit":3000,"item":"00000000000000aa")";
+  site.send_request(caller, 1, "push", item);
   site.runtime_hears(2);
-  site.send_request(caller, 2, "push", kItem);
+  site.send_request(caller, 2, "push", item);
   site.pause(0.05);
   site.runtime_says("end 1 " + kId1 + " complete 20 3\r\none");
   site.caller_hears(caller);
   site.caller_hears(caller);
-  site.send_request(caller, 3, "push", kItem);
+  site.send_request(caller, 3, "push", item);
   site.caller_hears(caller);
   site.pause(0.5);
-  site.send_request(caller, 4, "push", kItem);
+  site.send_request(caller, 4, "push", item);
   site.runtime_hears(2);
   site.counters({"runs.started", "results.coalesced"});
 }
@@ -432,7 +432,7 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  const std::pair<const char*, void (*)()> kScenarios[] = {
+  const std::pair<const char*, void (*)()> scenarios[] = {
       {"repeats", repeats},     {"due_times", due_times}, {"first_gone", first_gone}, {"failing", failing},
       {"given_up", given_up},   {"unmarked", unmarked},   {"shared", shared},         {"restart", restart},
       {"full", full},           {"shrink", shrink},       {"drain", drain},           {"damaged", damaged},
@@ -440,8 +440,11 @@
   std::setvbuf(stdout, nullptr, _IOLBF, 0);
   std::signal(SIGPIPE, SIG_IGN);
   if (argc == 3) binary = argv[1];
-  for (const auto& [name, play] : kScenarios) {
-    if (argc == 3 && std::strcmp(argv[2], name) == 0) return play(), 0;
+  for (const auto& [name, play] : scenarios) {
+    if (argc == 3 && std::strcmp(argv[2], name) == 0) {
+      play();
+      return 0;
+    }
   }
   std::fprintf(stderr, "usage: results_program BINARY SCENARIO\n");
   return 2;
--- a/tests/results/results_store.cpp
+++ b/tests/results/results_store.cpp
@@ -198,9 +198,10 @@
   print("power cut, process-safe", unsynced, true);
 }
 
+constexpr std::size_t kHeaderBytes = 60;  // of an intent record
+
 // The offsets of the intent records' headers: a changed byte there is found by their checksums alone.
 std::vector<std::size_t> intent_offsets(const Content& content, const std::string& file) {
-  constexpr std::size_t kHeaderBytes = 60;
   std::vector<std::size_t> offsets;
   for (const auto& [key, result] : content) {
     if (result != "intent") continue;
@@ -289,6 +290,8 @@
     std::error_code ignored;
     std::filesystem::remove_all(name_, ignored);
   }
+  Folder(const Folder&) = delete;
+  Folder& operator=(const Folder&) = delete;
   std::string file() const { return std::string(name_) + "/results"; }
 
  private:
