--- a/tests/results/results_kills.cpp
+++ b/tests/results/results_kills.cpp
@@ -36,13 +36,20 @@
   Fleet fleet(argv[1], site, work, load);
   pcg64 random(seed);
   for (int i = 0; i < kills; ++i) {
-    if (!fleet.start()) return std::printf("the program does not start in life %d\n", i), 1;
+    if (!fleet.start()) {
+      std::printf("the program does not start in life %d\n", i);
+      return 1;
+    }
     fleet.loop.run_for(0.06 + static_cast<double>(random() % 1000) / 1000 * 0.2);
     fleet.kill();
   }
-  if (!fleet.start()) return std::printf("the program does not start again\n"), 1;
+  if (!fleet.start()) {
+    std::printf("the program does not start again\n");
+    return 1;
+  }
   fleet.loop.run_for(0.3);
-  const bool settled = fleet.settle(15), left = fleet.leave();
+  const bool settled = fleet.settle(15);
+  const bool left = fleet.leave();
   const Verdict verdict = check_rules(fleet.journal, fleet.limits());
   for (const std::string& line : verdict.broken) std::printf("%s\n", line.c_str());
   std::map<AnswerKind, int> answers;
--- a/tests/results/results_program.cpp
+++ b/tests/results/results_program.cpp
@@ -74,7 +74,8 @@
 void first_gone() {
   Site site("", "", keyed(kInMemory));
   site.comes_up();
-  const int first = site.connect(), second = site.connect();
+  const int first = site.connect();
+  const int second = site.connect();
   site.send_request(first, 1, "push", kA);
   site.runtime_hears(2);
   site.send_request(second, 2, "push", kA);
--- a/tests/statistics/statistics_program.cpp
+++ b/tests/statistics/statistics_program.cpp
@@ -1,6 +1,6 @@
-// Learning over lives of the program: handed on at the notice to leave, given up after lives that did not
-// last, a folder that is not there, and one whose writes hang. CTest compares with tests/traces/NAME.txt.
-// usage: knowledge_program BINARY handed_on|hung_folder
+// Learned statistics over several runs of the program: handed on at graceful shutdown, given up after starts
+// that did not last, a folder that is missing, and one whose writes hang. CTest compares with
+// tests/traces/NAME.txt. usage: statistics_program BINARY handed_on|hung_folder
 #include <sys/stat.h>
 
 #include <cstring>
@@ -27,7 +27,8 @@
 
 void line(Site& site, const char* part) {
   const std::string found = site.expect_log(part);
-  const std::size_t at = found.find(part), end = found.find(" age_s");
+  const std::size_t at = found.find(part);
+  const std::size_t end = found.find(" age_s");
   std::printf("log: %s\n", found.empty()
                                ? "(nothing)"
                                : found.substr(at, end == std::string::npos ? end : end - at).c_str());
