--- a/tests/results/results_kills.cpp
+++ b/tests/results/results_kills.cpp
@@ -8,16 +8,16 @@
 
 using namespace damsonspoke::standins;
 
-int main(int argc, char** argv) {
-  if (argc < 3) {
-    std::fprintf(stderr, "usage: results_kills BINARY KILLS [SEED]\n");
-    return 2;
-  }
-  const int kills = std::atoi(argv[2]);
-  const std::uint64_t seed = argc > 3 ? std::strtoull(argv[3], nullptr, 10) : 1;
+namespace {
+
+SiteSpec killed_site() {
   SiteSpec site;
   site.types = {{"push", "dedup", 1, 2, 60, 1}, {"pull", "dedup", 1, 2, 60, 1}};
   site.operators = "results\n    enabled on\n    memory 4M\n    store STORE\n    digest pull\n";
+  return site;
+}
+
+Callers::Options load_of_callers(std::uint64_t seed) {
   Callers::Options load;
   Flow push{"push", 60, 1};
   push.marked = true;
@@ -29,11 +29,27 @@
   pull.marked = false;
   load.flows = {push, pull};
   load.seed = seed;
+  return load;
+}
+
+Runtime::Options runtime_options() {
   Runtime::Options work;
   work.cores = 4;
   work.work = 0.012;
   work.fails = 0.01;
-  Fleet fleet(argv[1], site, work, load);
+  return work;
+}
+
+}  // namespace
+
+int main(int argc, char** argv) {
+  if (argc < 3) {
+    std::fprintf(stderr, "usage: results_kills BINARY KILLS [SEED]\n");
+    return 2;
+  }
+  const int kills = std::atoi(argv[2]);
+  const std::uint64_t seed = argc > 3 ? std::strtoull(argv[3], nullptr, 10) : 1;
+  Fleet fleet(argv[1], killed_site(), runtime_options(), load_of_callers(seed));
   pcg64 random(seed);
   for (int i = 0; i < kills; ++i) {
     if (!fleet.start()) {
