--- a/standins/hollow.cpp
+++ b/standins/hollow.cpp
@@ -63,9 +63,11 @@
 }
 
 std::vector<std::string> HollowMembers::seed_addresses() const {
-  std::vector<std::string> out;
-  for (int i = 0; i < std::min(kSeedMembers, options_.count); ++i) out.push_back(address(options_.seed, i));
-  return out;
+  const int count = std::min(kSeedMembers, options_.count);
+  std::vector<std::string> addresses;
+  addresses.reserve(static_cast<std::size_t>(count));
+  for (int i = 0; i < count; ++i) addresses.push_back(address(options_.seed, i));
+  return addresses;
 }
 
 void HollowMembers::start() {
--- a/standins/members_sim.cpp
+++ b/standins/members_sim.cpp
@@ -104,6 +104,7 @@
   for (int i = 0; i < options_.count; ++i) start(i);
   if (!know_one_another) return;
   std::vector<Record> records;
+  records.reserve(nodes_.size());
   for (const auto& one : nodes_) records.push_back(one->view->self_record(now_));
   for (const auto& one : nodes_) one->view->on_push_pull(records, now_);
 }
@@ -112,6 +113,7 @@
   Node& started = node(number);
   if (started.is_up) return;
   std::vector<std::string> seeds;
+  seeds.reserve(kSeeds);
   for (int i = 0; i < kSeeds; ++i) seeds.push_back(node(i * kSeedStride % options_.count).address);
   started.is_up = true;
   ++started.process;
--- a/tests/fleet/health_check_budget.cpp
+++ b/tests/fleet/health_check_budget.cpp
@@ -199,6 +199,7 @@
   for (int i = 0; i < 29; ++i) is_early |= started.try_check("ledger", i * kTickSeconds);
   say("one that has just come up probes nothing yet", !is_early);
   std::vector<std::string> others;
+  others.reserve(30);
   for (int i = 0; i < 30; ++i) others.push_back(instance_name(i));
   HealthCheckBudget successor(HealthCheckBudgetOptions(), "n30");
   successor.set_usable(others, 0);
--- a/tests/members/codec.cpp
+++ b/tests/members/codec.cpp
@@ -122,6 +122,7 @@
 
 std::vector<Record> many_records(int count) {
   std::vector<Record> records;
+  records.reserve(static_cast<std::size_t>(count));
   for (int i = 0; i < count; ++i) records.push_back(full_record(fmt::format("member-{}", i)));
   return records;
 }
--- a/tests/members/single_view.h
+++ b/tests/members/single_view.h
@@ -23,6 +23,7 @@
              *this) {
     view.start(0);
     std::vector<Record> records;
+    records.reserve(static_cast<std::size_t>(others));
     for (int i = 0; i < others; ++i) records.push_back(record("m" + std::to_string(i)));
     if (others > 0) view.on_push_pull(records, 0);
   }
