--- a/src/app/forwarder.cpp
+++ b/src/app/forwarder.cpp
@@ -49,7 +49,7 @@
           reactor_, choice, "forwarder",
           [this] {
             return Membership::Now{static_cast<double>(forward_.open()),
-                                   static_cast<double>(options_.forward.line)};
+                                   static_cast<double>(options_.forward.queue_length)};
           },
           counters_, log_),
       roll_call_({}),
--- a/src/app/membership.cpp
+++ b/src/app/membership.cpp
@@ -51,7 +51,8 @@
   told_.zone = options_.zone;
   told_.build = DAMSONSPOKE_VERSION;
   told_.generation = 1;
-  told_.serves = options_.serves.empty() ? fmt::format("{}:{}", listen_host_, port) : options_.serves;
+  told_.serves =
+      options_.service_address.empty() ? fmt::format("{}:{}", listen_host_, port) : options_.service_address;
   members_->begin();
   tell();
 }
--- a/src/peers/ajp/dependency_client.cpp
+++ b/src/peers/ajp/dependency_client.cpp
@@ -42,9 +42,9 @@
 void AjpDependencyClient::move_to(const AjpOptions& options) {
   const bool elsewhere = options.dependency != options_.dependency;
   options_.dependency = options.dependency;
-  options_.below_uri = options.below_uri;
-  options_.below_secret = options.below_secret;
-  options_.below_refuses = options.below_refuses;
+  options_.dependency_path = options.dependency_path;
+  options_.dependency_secret = options.dependency_secret;
+  options_.dependency_refusal_is_proof = options.dependency_refusal_is_proof;
   if (!elsewhere) return;
   for (auto& [tag, link] : links_) {
     link.spent = true;
@@ -117,13 +117,13 @@
   wa::ForwardRequest request;
   request.method = "POST";
   request.protocol = "HTTP/1.1";
-  request.uri = options_.below_uri;
+  request.uri = options_.dependency_path;
   request.remote_address = request.server_name = "localhost";
   request.server_port = 80;
   request.headers = {{"content-length", std::to_string(call.body.size())},
                      {"x-wait-ms", std::to_string(static_cast<long>(std::ceil(left * kMsPerSecond)))}};
-  if (!options_.below_secret.empty())
-    request.attributes.push_back({wa::Attribute::kSecret, "", options_.below_secret, 0});
+  if (!options_.dependency_secret.empty())
+    request.attributes.push_back({wa::Attribute::kSecret, "", options_.dependency_secret, 0});
   link.state = State::kCalling;
   link.headed = false;
   link.status = 0;
@@ -274,7 +274,7 @@
     link.spent = true;
     link.connection->close();
   }
-  const bool turned_away = status == 503 && options_.below_refuses;
+  const bool turned_away = status == 503 && options_.dependency_refusal_is_proof;
   end(id,
       status == 200 ? Outcome::kOk
       : turned_away ? Outcome::kRefused
--- a/src/peers/connection_admission.cpp
+++ b/src/peers/connection_admission.cpp
@@ -63,7 +63,7 @@
       log_(log),
       share_(allowed(options, connections), floors),
       known_(options.known),
-      gate_(options.terms, share_, known_),
+      gate_(options.limiter, share_, known_),
       fronts_(floors.size()),
       words_(1, kWordsRate, kWordsBurst) {
   look_over();
@@ -118,7 +118,7 @@
   options_.enabled = true;
   share_.resize(allowed(options, most_connections_));
   known_.reconfigure(options.known);
-  gate_.reconfigure(options.terms, net::monotonic_now());
+  gate_.reconfigure(options.limiter, net::monotonic_now());
 }
 
 // ---- Newcomers.
--- a/src/peers/members/transport.cpp
+++ b/src/peers/members/transport.cpp
@@ -40,10 +40,10 @@
       options_(options),
       counters_(counters),
       log_(log),
-      view_({options.interval, options.suspicion, 3, 60, options.remember, 10, 30},
-            {name, options.face, epoch}, options.seeds, seed, *this) {
+      view_({options.probe_interval, options.suspicion_timeout, 3, 60, options.dead_retention, 10, 30},
+            {name, options.advertised_address, epoch}, options.seeds, seed, *this) {
   const Poco::Net::SocketAddress at = net::parse_address(options.bind);
-  net::parse_address(options.face);
+  net::parse_address(options.advertised_address);
   for (const std::string& one : options.seeds) net::parse_address(one);
   try {
     socket_ = Poco::Net::DatagramSocket(at, false);
@@ -67,8 +67,8 @@
   begun_ = true;
   listener_->pause(false);
   view_.begin(net::monotonic_now());
-  log_.info("members", "{} of cluster {} at {}, {} seeds", view_.self().name, options_.cluster, options_.face,
-            options_.seeds.size());
+  log_.info("members", "{} of cluster {} at {}, {} seeds", view_.self().name, options_.cluster,
+            options_.advertised_address, options_.seeds.size());
   timer_ = reactor_.at(view_.wake(), [this] { tick(); });
 }
 
--- a/src/settings/config_validation.cpp
+++ b/src/settings/config_validation.cpp
@@ -52,8 +52,9 @@
 }
 
 Unsupported check_ajp(const Config& config, const AjpOptions& ajp) {
-  if (!ajp.dependency.empty() && ajp.below_uri.front() != '/')
-    return UnsupportedConfig{"ajp", fmt::format("below-path '{}' does not begin with /", ajp.below_uri)};
+  if (!ajp.dependency.empty() && ajp.dependency_path.front() != '/')
+    return UnsupportedConfig{"ajp",
+                             fmt::format("below-path '{}' does not begin with /", ajp.dependency_path)};
   if (ajp.listen.empty()) return std::nullopt;
   if (!config.site.admission.tenants.empty())
     return UnsupportedConfig{
@@ -105,7 +106,7 @@
   results.enabled = true;
   results.memory = static_cast<std::size_t>(std::min(max_results_bytes(config), kMaxDefaultResultsBytes));
   results.entries = results.memory / kDefaultEntryBytes;
-  results.patience = kDefaultStoreTimeoutSeconds;
+  results.store_timeout = kDefaultStoreTimeoutSeconds;
   results.key_field = key_field;
   results.key_length = kDefaultMaxKeyBytes;
   return results;
--- a/src/settings/operator_options.h
+++ b/src/settings/operator_options.h
@@ -15,13 +15,13 @@
 // Section `results`: the idempotency cache and its store; see src/results.
 struct ResultsOptions {
   bool enabled = false;
-  std::size_t memory = 0;   // bytes
-  std::size_t entries = 0;  // keys
-  std::string store;        // a path; empty: in memory only
-  bool power_safe = false;  // the store survives a power cut, not only the end of the process
-  std::size_t disk = 0;     // bytes of the store
-  std::size_t queue = 0;    // writes that may wait for the store
-  double patience = 0;      // seconds that a request waits for the store
+  std::size_t memory = 0;    // bytes
+  std::size_t entries = 0;   // keys
+  std::string store;         // a path; empty: in memory only
+  bool power_safe = false;   // the store survives a power cut, not only the end of the process
+  std::size_t disk = 0;      // bytes of the store
+  std::size_t queue = 0;     // writes that may wait for the store
+  double store_timeout = 0;  // seconds that a request waits for the store
   std::string key_field;
   std::size_t key_length = 0;       // bytes at most
   std::vector<std::string> digest;  // routes whose requests are identified by a digest instead of a key
@@ -34,7 +34,7 @@
   std::string folder;
   double interval = 0;   // seconds between two records
   double half_life = 0;  // seconds
-  double most_age = 0;   // seconds
+  double max_age = 0;    // seconds
   double weight = 0;     // of a fresh record, in values
 };
 
@@ -46,9 +46,9 @@
   std::string folder;                 // for the history of lists; empty: not stored
   bool by_subject = false;            // requests of one subject go to one planner
   double retry_share = 0;             // retries as a share of first attempts
-  double link_patience = 0;           // seconds that a connection to a planner may be lost
-  std::size_t line = 0;               // requests that may wait
-  std::size_t line_memory = 0;        // bytes that they may take
+  double link_timeout = 0;            // seconds that a connection to a planner may be lost
+  std::size_t queue_length = 0;       // requests that may wait
+  std::size_t queue_bytes = 0;        // bytes that they may take
 };
 
 // Section `ajp`: callers and a dependency that speak AJP 1.3; see src/peers/ajp.
@@ -61,17 +61,17 @@
   double share = 0;                     // of the connections
   double idle = 0;                      // seconds until an idle connection is closed
   std::vector<AjpRoute> routes;
-  std::string dependency;  // an address; empty: the dependency speaks the platform's protocol
-  std::string below_uri;   // the path that calls are posted to
-  std::string below_secret;
-  bool below_refuses = false;  // its status 503 proves that the call did not run
+  std::string dependency;       // an address; empty: the dependency speaks the platform's protocol
+  std::string dependency_path;  // the path that calls are posted to
+  std::string dependency_secret;
+  bool dependency_refusal_is_proof = false;  // its status 503 proves that the call did not run
 };
 
 // Section `gate`: admission of connections; see src/conns and src/peers/connection_admission.h.
 struct GateOptions {
   bool enabled = false;
   std::size_t connections = 0;  // 0: as many as the process can have
-  conns::ConnectionLimiterOptions terms;
+  conns::ConnectionLimiterOptions limiter;
   conns::KnownClientsOptions known;
   std::string known_folder;   // empty: known clients are not stored
   double known_interval = 0;  // seconds between two records
@@ -87,16 +87,16 @@
 
 // Section `members`: membership of the fleet; see src/members and src/peers/members.
 struct MembersOptions {
-  std::string bind;  // an address; empty: off
-  std::string face;  // the address that others reach it by
+  std::string bind;                // an address; empty: off
+  std::string advertised_address;  // the address that others reach it by
   std::string cluster;
   std::vector<std::string> seeds;
   std::vector<conns::Prefix> peers;  // networks whose members are accepted
   std::string zone;
-  std::string serves;    // the address that others reach its service by; empty: as it listens
-  double interval = 0;   // seconds between two health checks
-  double suspicion = 0;  // seconds until a suspected member is declared dead, at least
-  double remember = 0;   // seconds that dead members are remembered
+  std::string service_address;   // the address that others reach its service by; empty: as it listens
+  double probe_interval = 0;     // seconds between two health checks
+  double suspicion_timeout = 0;  // seconds until a suspected member is declared dead, at least
+  double dead_retention = 0;     // seconds that dead members are remembered
   [[nodiscard]] bool enabled() const { return !bind.empty(); }
 };
 
--- a/src/settings/operator_values.cpp
+++ b/src/settings/operator_values.cpp
@@ -61,7 +61,7 @@
   results.power_safe = section.text("safety") == "power";
   results.disk = section.integer("disk");
   results.queue = section.integer("queue");
-  results.patience = section.number("patience");
+  results.store_timeout = section.number("patience");
   results.key_field = section.text("key-field");
   results.key_length = section.integer("key-length");
   results.digest = section.words("digest");
@@ -76,7 +76,7 @@
   knowledge.folder = section.text("folder");
   knowledge.interval = section.number("interval");
   knowledge.half_life = section.number("half-life");
-  knowledge.most_age = section.number("most-age");
+  knowledge.max_age = section.number("most-age");
   knowledge.weight = section.number("weight");
   return knowledge;
 }
@@ -90,9 +90,9 @@
   forward.folder = section.text("folder");
   forward.by_subject = section.flag("by-subject");
   forward.retry_share = section.number("retry-share");
-  forward.link_patience = section.number("link-patience");
-  forward.line = section.integer("line");
-  forward.line_memory = section.integer("line-memory");
+  forward.link_timeout = section.number("link-patience");
+  forward.queue_length = section.integer("line");
+  forward.queue_bytes = section.integer("line-memory");
   return forward;
 }
 
@@ -107,9 +107,9 @@
   ajp.share = section.number("share");
   ajp.idle = section.number("idle");
   ajp.dependency = section.text("below");
-  ajp.below_uri = section.text("below-path");
-  ajp.below_secret = section.text("below-secret");
-  ajp.below_refuses = section.flag("below-refuses");
+  ajp.dependency_path = section.text("below-path");
+  ajp.dependency_secret = section.text("below-secret");
+  ajp.dependency_refusal_is_proof = section.flag("below-refuses");
   for (const std::vector<std::string>& line : section.lines("map")) {
     const auto route = read_ajp_route(line);  // lines with an error are not among them
     if (const auto* valid = std::get_if<AjpRoute>(&route)) ajp.routes.push_back(*valid);
@@ -145,7 +145,7 @@
   GateOptions gate;
   gate.enabled = section.flag("enabled");
   gate.connections = section.integer("connections");
-  gate.terms = read_limiter(section);
+  gate.limiter = read_limiter(section);
   gate.client_output = section.number("client-output");
   gate.input = {kInputGraceSeconds, section.number("input-rate")};
   gate.output = {kOutputGraceSeconds, section.number("output-rate")};
@@ -165,16 +165,16 @@
   const SectionReader section(given, "members");
   MembersOptions members;
   members.bind = section.text("bind");
-  members.face = section.text("face");
-  if (members.face.empty()) members.face = members.bind;
+  members.advertised_address = section.text("face");
+  if (members.advertised_address.empty()) members.advertised_address = members.bind;
   members.cluster = section.text("cluster");
   members.seeds = section.words("seeds");
   members.peers = section.prefixes("peers");
   members.zone = section.text("zone");
-  members.serves = section.text("serves");
-  members.interval = section.number("interval");
-  members.suspicion = section.number("suspicion");
-  members.remember = section.number("remember");
+  members.service_address = section.text("serves");
+  members.probe_interval = section.number("interval");
+  members.suspicion_timeout = section.number("suspicion");
+  members.dead_retention = section.number("remember");
   return members;
 }
 
--- a/src/stages/request_forwarder.cpp
+++ b/src/stages/request_forwarder.cpp
@@ -58,9 +58,9 @@
   terms.picker.rejection_rest = kRejectionRest;
   terms.homes = homes_of(options, site);
   terms.retry_share = options.retry_share;
-  terms.link_patience = options.link_patience;
-  terms.queue_requests = options.line;
-  terms.line_bytes = options.line_memory;
+  terms.link_patience = options.link_timeout;
+  terms.queue_requests = options.queue_length;
+  terms.line_bytes = options.queue_bytes;
   terms.by_key = options.by_subject;
   terms.number_steps = kNumberSteps;
   if (site.admission.sends_retry_after && site.admission.max_retry_after > 0)
--- a/src/stages/result_replay.cpp
+++ b/src/stages/result_replay.cpp
@@ -262,7 +262,7 @@
     return true;
   }
   counters_.add(Count::kResultsIntents);
-  recording_[id] = reactor_.after(options_.patience, [this, id, key] { on_intent(id, key, false); });
+  recording_[id] = reactor_.after(options_.store_timeout, [this, id, key] { on_intent(id, key, false); });
   return true;
 }
 
@@ -416,7 +416,7 @@
   if (!on() || !options.enabled) return;
   options_.memory = options.memory;
   options_.entries = options.entries;
-  options_.patience = options.patience;
+  options_.store_timeout = options.store_timeout;
   table_.set_bounds(bounds_of(options_, site_));
   log_.event(Level::kInfo, "results", "new bounds",
              {{"memory", options_.memory}, {"entries", options_.entries}, {"in_use", table_.bytes()}});
--- a/src/stages/statistics_persistence.cpp
+++ b/src/stages/statistics_persistence.cpp
@@ -39,7 +39,7 @@
     log_.event(Level::kInfo, "knowledge", "starts without", {{"why", reading->problem}});
     return {};
   }
-  const statistics::PriorOptions terms{options_.half_life, options_.most_age, options_.weight};
+  const statistics::PriorOptions terms{options_.half_life, options_.max_age, options_.weight};
   statistics::Prior belief = derive_prior(*reading->record, site_, net::unix_now(), reading->starts, terms);
   for (const std::string& reason : belief.reasons)
     log_.event(Level::kInfo, "knowledge", "not believed", {{"why", reason}});
--- a/standins/hollow.cpp
+++ b/standins/hollow.cpp
@@ -71,11 +71,12 @@
     lane->reactor.post_from_elsewhere([this, lane, i, seeds] {
       lane->reactor.after(i / options_.joins_per_s, [this, lane, i, seeds] {
         MembersOptions member;
-        member.bind = member.face = address(options_.seed, i);
+        member.bind = member.advertised_address = address(options_.seed, i);
         member.cluster = options_.cluster;
         member.seeds = seeds;
         member.peers = {*conns::parse_prefix("127.0.0.0/8")};
-        member.interval = kInterval, member.suspicion = kSuspicion, member.remember = kRemember;
+        member.probe_interval = kInterval, member.suspicion_timeout = kSuspicion,
+        member.dead_retention = kRemember;
         auto one = std::make_unique<peers::MembershipTransport>(
             lane->reactor, member, fmt::format("hollow-{:04}", i), 1000 + static_cast<std::uint64_t>(i),
             options_.seed * 100003 + static_cast<std::uint64_t>(i), lane->counters, lane->log);
--- a/tests/ajp_below.cpp
+++ b/tests/ajp_below.cpp
@@ -37,8 +37,8 @@
     AjpOptions options;
     options.packet = 8192;
     options.dependency = fmt::format("127.0.0.1:{}", server.port);
-    options.below_uri = "/call";
-    options.below_refuses = true;
+    options.dependency_path = "/call";
+    options.dependency_refusal_is_proof = true;
     dependency =
         std::make_unique<peers::AjpDependencyClient>(stepped.reactor, options, links, *this, counters, log);
   }
--- a/tests/settings/operator_file.cpp
+++ b/tests/settings/operator_file.cpp
@@ -19,7 +19,7 @@
   const ResultsOptions& results = file.options.results;
   std::printf("enabled %d, memory %zu, entries %zu, store '%s', power %d, patience %g, digest %zu\n",
               results.enabled, results.memory, results.entries, results.store.c_str(), results.power_safe,
-              results.patience, results.digest.size());
+              results.store_timeout, results.digest.size());
 }
 
 void errors() {
