--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -18,11 +18,11 @@
 
 // The value of a key; null when it is absent.
 const Json& find(const Json& from, const char* key) {
-  static const Json absent;
+  static const Json kAbsent;
   if (!from.is_object())
     throw SettingsError(std::string("settings: '") + key + "' is looked for in no object");
   const auto found = from.find(key);
-  return found == from.end() ? absent : *found;
+  return found == from.end() ? kAbsent : *found;
 }
 
 double read_number(const Json& from, const char* key, double default_value) {
@@ -78,18 +78,18 @@
 
 // An array; empty when the key is absent.
 const Json& find_array(const Json& from, const char* key) {
-  static const Json none = Json::array();
+  static const Json kNone = Json::array();
   const Json& value = find(from, key);
-  if (value.is_null()) return none;
+  if (value.is_null()) return kNone;
   if (!value.is_array()) throw_bad_value(key);
   return value;
 }
 
 // An object; empty when the key is absent or has another value.
 const Json& find_object(const Json& from, const char* key) {
-  static const Json empty = Json::object();
+  static const Json kEmpty = Json::object();
   const Json& value = find(from, key);
-  return value.is_object() ? value : empty;
+  return value.is_object() ? value : kEmpty;
 }
 
 std::string read_name(const Json& entry) {
--- a/tests/catalog/follower.cpp
+++ b/tests/catalog/follower.cpp
@@ -55,8 +55,8 @@
 
 // A catalog that has read a batch of a route and a tenant.
 const std::string& first_batch() {
-  static const std::string lines = encode_changes({route("r"), tenant("a", 10)});
-  return lines;
+  static const std::string kLines = encode_changes({route("r"), tenant("a", 10)});
+  return kLines;
 }
 std::unique_ptr<FollowedCatalog> after_first_batch() {
   auto followed = std::make_unique<FollowedCatalog>();
@@ -168,9 +168,9 @@
 }
 
 const std::string& snapshot_entries() {
-  static const std::string lines =
+  static const std::string kLines =
       encode_changes({route("r", 0.4, 3), route("s"), tenant("a", 1), tenant("c", 2)});
-  return lines;
+  return kLines;
 }
 // A snapshot that is newer than what the catalog has.
 std::string newer_snapshot(const std::string& entries, std::uint64_t routes = 2, std::uint64_t tenants = 2) {
@@ -265,19 +265,19 @@
 
 // A catalog that is replaced again and again by other names stays within its memory and its positions.
 void replaced() {
-  constexpr int kTenants = 3000;
-  FollowedCatalog followed({10, kTenants, true});
+  constexpr int tenant_count = 3000;
+  FollowedCatalog followed({10, tenant_count, true});
   std::size_t bytes = 0;
   bool within = true;
   bool found = true;
   bool alone = true;
   for (int round = 1; round <= 12; ++round) {
     std::string entries = encode_change(route("r"));
-    for (int i = 0; i < kTenants; ++i)
+    for (int i = 0; i < tenant_count; ++i)
       entries +=
-          encode_change(tenant(numbered("tenant-", round * (round % 3 == 0 ? 0 : 7) * kTenants + i), i));
+          encode_change(tenant(numbered("tenant-", round * (round % 3 == 0 ? 0 : 7) * tenant_count + i), i));
     followed.source.files[kSnapshotFile].bytes =
-        encode_snapshot({1, static_cast<std::uint64_t>(round)}, 1, entries, 1, kTenants);
+        encode_snapshot({1, static_cast<std::uint64_t>(round)}, 1, entries, 1, tenant_count);
     followed.read();
     std::set<int> positions;
     followed.catalog.tenant_names().visit(
@@ -285,7 +285,7 @@
           positions.insert(position);
           within = within && static_cast<std::size_t>(position) < followed.catalog.tenant_positions();
         });
-    alone = alone && positions.size() == static_cast<std::size_t>(kTenants);
+    alone = alone && positions.size() == static_cast<std::size_t>(tenant_count);
     found = found && followed.catalog.version().sequence == static_cast<std::uint64_t>(round);
     if (round == 4) bytes = followed.catalog.memory_bytes();
   }
--- a/tests/catalog/program.cpp
+++ b/tests/catalog/program.cpp
@@ -191,28 +191,28 @@
 // last batch as well. After each start all complete batches are active, nothing is refused, and requests are
 // served.
 void kills() {
-  constexpr int kKills = 16;
-  constexpr int kChanges = 200;              // of a batch
-  constexpr double kKillDelayStep = 0.0004;  // seconds by which each kill comes later after its signal
+  constexpr int kill_count = 16;
+  constexpr int changes_per_batch = 200;      // of a batch
+  constexpr double kill_delay_step = 0.0004;  // seconds by which each kill comes later after its signal
   CatalogSite site;
   site.comes_up();
   const std::string file = site.folder() + "/" + kChangesFile;
   std::uint64_t whole = 0;
   bool all_in_force = true;
-  for (int kill = 0; kill < kKills; ++kill) {
+  for (int kill = 0; kill < kill_count; ++kill) {
     std::string lines;
-    for (int i = 0; i < kChanges; ++i)
-      lines += encode_change(PutTenant{"tenant-" + std::to_string(kill * kChanges + i), {1, 0}});
+    for (int i = 0; i < changes_per_batch; ++i)
+      lines += encode_change(PutTenant{"tenant-" + std::to_string(kill * changes_per_batch + i), {1, 0}});
     const std::uintmax_t before = kill == 0 ? 0 : std::filesystem::file_size(file);
     site.write(lines);
     const bool torn = kill % 2 == 1;
     if (torn)
       std::filesystem::resize_file(file,
-                                   before + (std::filesystem::file_size(file) - before) * kill / kKills);
+                                   before + (std::filesystem::file_size(file) - before) * kill / kill_count);
     else
-      whole += kChanges;
+      whole += changes_per_batch;
     site.signal(SIGHUP);
-    site.pause(kill * kKillDelayStep);
+    site.pause(kill * kill_delay_step);
     site.restart();
     std::map<std::string, std::string> counters = site.counter_values();
     all_in_force = all_in_force && counters["catalog.sequence"] == std::to_string(whole) &&
--- a/tests/settings/operator_file.cpp
+++ b/tests/settings/operator_file.cpp
@@ -56,8 +56,8 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  const std::pair<const char*, void (*)()> kScenarios[] = {{"errors", errors}, {"values", values}};
-  for (const auto& [name, run] : kScenarios) {
+  const std::pair<const char*, void (*)()> scenarios[] = {{"errors", errors}, {"values", values}};
+  for (const auto& [name, run] : scenarios) {
     if (argc != 2 || std::strcmp(argv[1], name) != 0) continue;
     run();
     return 0;
