--- a/src/app/membership.cpp
+++ b/src/app/membership.cpp
@@ -64,7 +64,7 @@
   load_report_.build = DAMSONSPOKE_VERSION;
   load_report_.config_generation = 1;
   load_report_.service_address =
-      options_.serves.empty() ? fmt::format("{}:{}", listen_host_, service_port) : options_.serves;
+      options_.service_address.empty() ? fmt::format("{}:{}", listen_host_, service_port) : options_.service_address;
   transport_->start();
   publish_load_report();
 }
--- a/src/peers/members/transport.cpp
+++ b/src/peers/members/transport.cpp
@@ -30,9 +30,9 @@
 
 members::MembershipOptions membership_options(const MembersOptions& options) {
   members::MembershipOptions membership;
-  membership.probe_interval = options.interval;
-  membership.min_suspicion_timeout = options.suspicion;
-  membership.dead_retention = options.remember;
+  membership.probe_interval = options.probe_interval;
+  membership.min_suspicion_timeout = options.suspicion_timeout;
+  membership.dead_retention = options.dead_retention;
   return membership;
 }
 
@@ -50,9 +50,9 @@
       options_(options),
       counters_(counters),
       log_(log),
-      view_(membership_options(options), {name, options.face, epoch}, options.seeds, random_seed, *this) {
+      view_(membership_options(options), {name, options.advertised_address, epoch}, options.seeds, random_seed, *this) {
   const Poco::Net::SocketAddress bind_address = net::parse_address(options.bind);
-  net::parse_address(options.face);
+  net::parse_address(options.advertised_address);
   for (const std::string& seed : options.seeds) net::parse_address(seed);
   try {
     socket_ = Poco::Net::DatagramSocket(bind_address, false);
@@ -77,7 +77,7 @@
   is_started_ = true;
   listener_->pause(false);
   view_.start(net::monotonic_now());
-  log_.info("members", "{} of cluster {} at {}, {} seeds", view_.self().name, options_.cluster, options_.face,
+  log_.info("members", "{} of cluster {} at {}, {} seeds", view_.self().name, options_.cluster, options_.advertised_address,
             options_.seeds.size());
   schedule_timer();
 }
--- a/src/stages/result_replay.cpp
+++ b/src/stages/result_replay.cpp
@@ -278,7 +278,7 @@
     return;
   }
   counters_.add(Count::kResultsIntents);
-  pending_writes_.add_intent(id, options_.patience, [this, id, key] { on_intent_written(id, key, false); });
+  pending_writes_.add_intent(id, options_.store_timeout, [this, id, key] { on_intent_written(id, key, false); });
 }
 
 // The intent is durable, or will not be in time. Only the first of these reports counts.
@@ -399,7 +399,7 @@
   if (!is_enabled() || !options.enabled) return;
   options_.memory = options.memory;
   options_.entries = options.entries;
-  options_.patience = options.patience;
+  options_.store_timeout = options.store_timeout;
   cache_.set_limits(limits_of(options_, site_));
   log_.event(Level::kInfo, "results", "new limits",
              {{"memory", options_.memory}, {"entries", options_.entries}, {"in_use", cache_.used_bytes()}});
--- a/src/stages/statistics_persistence.cpp
+++ b/src/stages/statistics_persistence.cpp
@@ -59,7 +59,7 @@
 }
 
 statistics::Prior StatisticsPersistence::derive_prior(const statistics::Reading& reading) {
-  const statistics::PriorOptions options{options_.half_life, options_.most_age, options_.weight};
+  const statistics::PriorOptions options{options_.half_life, options_.max_age, options_.weight};
   statistics::Prior prior =
       statistics::derive_prior(*reading.record, site_, net::unix_now(), reading.failed_starts, options);
   for (const statistics::RejectedPart& rejected : prior.rejected)
--- a/tests/settings/operator_file.cpp
+++ b/tests/settings/operator_file.cpp
@@ -19,7 +19,7 @@
   const ResultsOptions& results = file.options.results;
   std::printf("enabled %d, memory %zu, entries %zu, store '%s', power %d, patience %g, digest %zu\n",
               results.enabled, results.memory, results.entries, results.store.c_str(), results.power_safe,
-              results.patience, results.digest.size());
+              results.store_timeout, results.digest.size());
 }
 
 void errors() {
@@ -56,8 +56,8 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  const std::pair<const char*, void (*)()> kScenarios[] = {{"errors", errors}, {"values", values}};
-  for (const auto& [name, run] : kScenarios) {
+  const std::pair<const char*, void (*)()> scenarios[] = {{"errors", errors}, {"values", values}};
+  for (const auto& [name, run] : scenarios) {
     if (argc != 2 || std::strcmp(argv[1], name) != 0) continue;
     run();
     return 0;
