--- a/bench/tier_shapes.cpp
+++ b/bench/tier_shapes.cpp
@@ -58,7 +58,7 @@
   }
   wt::Message get() {
     for (;;) {
-      wt::Taken taken = wt::next_message(in_);
+      wt::DecodedFrame taken = wt::decode_next_frame(in_);
       if (taken.state == wt::Framing::kFrame) return in_.erase(0, taken.length), std::move(taken.message);
       char bytes[65536];
       const ssize_t got = ::recv(fd_, bytes, sizeof bytes, 0);
@@ -92,7 +92,7 @@
       if (random() / 4294967296.0 < refused) {
         answer.result = wt::Result::kRejected;
       } else {
-        if (grants) end.put(wt::Window{1, 0, true}), message = end.get();
+        if (grants) end.put(wt::LoadReport{1, 0, true}), message = end.get();
         answer.result = wt::Result::kSucceeded;
         answer.body.assign(256, 'r');
       }
@@ -110,7 +110,7 @@
     const double sent = now();
     if (!grants) submit.body.assign(body, 'b');
     end.put(submit);
-    if (grants && std::holds_alternative<wt::Window>(end.get())) {
+    if (grants && std::holds_alternative<wt::LoadReport>(end.get())) {
       submit.body.assign(body, 'b');
       end.put(submit);
       end.get();
--- a/fuzz/planner_lists.cpp
+++ b/fuzz/planner_lists.cpp
@@ -8,10 +8,9 @@
   using namespace damsonspoke::tier;
   const auto read = decode_endpoint_list_history(std::string_view(reinterpret_cast<const char*>(data), size));
   if (!read) return 0;
-  if (read->in_force.size() > kMostListed || read->former.size() > kMostFormerLists) std::abort();
+  if (read->current.size() > kMaxListedPlanners || read->former.size() > kMaxFormerLists) std::abort();
   const auto again = decode_endpoint_list_history(encode(*read));
-  if (!again || again->in_force != read->in_force || again->former.size() != read->former.size())
-    std::abort();
+  if (!again || again->current != read->current || again->former.size() != read->former.size()) std::abort();
   for (std::size_t i = 0; i < read->former.size(); ++i) {
     if (again->former[i].until != read->former[i].until ||
         again->former[i].planners != read->former[i].planners)
--- a/fuzz/tier.cpp
+++ b/fuzz/tier.cpp
@@ -8,10 +8,10 @@
   using namespace damsonspoke::wire::tier;
   std::string_view input(reinterpret_cast<const char*>(data), size);
   for (;;) {
-    const Taken taken = next_message(input);
+    const DecodedFrame taken = decode_next_frame(input);
     if (taken.state != Framing::kFrame) break;
     if (taken.length > input.size()) std::abort();
-    if (next_message(input.substr(0, taken.length - 1)).state != Framing::kNeedMore) std::abort();
+    if (decode_next_frame(input.substr(0, taken.length - 1)).state != Framing::kNeedMore) std::abort();
     if (encode(taken.message) != input.substr(0, taken.length)) std::abort();
     input.remove_prefix(taken.length);
   }
--- a/src/app/backend.cpp
+++ b/src/app/backend.cpp
@@ -59,9 +59,9 @@
   const std::size_t output = part(config_.limits, kOutputShare);
   peers::CallerEvents& events = intake_;
   if (role == Role::kPlanner) {
-    const tier::WarmUpOptions warming{site.admission.cores, site.admission.slow_start_speed,
-                                      site.admission.slow_start_time};
-    peers::ForwarderServer::Self self{config_.name,       draw_epoch(),     warming,
+    const tier::SlowStartOptions slow_start{site.admission.cores, site.admission.slow_start_speed,
+                                            site.admission.slow_start_time};
+    peers::ForwarderServer::Self self{config_.name,       draw_epoch(),     slow_start,
                                       config_.stop_after, site.route_names, {}};
     for (const Route& type : site.admission.routes) self.priority_weight.push_back(type.priority_weight);
     const int fit = links_that_fit(config_.limits, peers::ForwarderServer::kMostInput);
--- a/src/app/forwarder.cpp
+++ b/src/app/forwarder.cpp
@@ -52,8 +52,8 @@
                                    static_cast<double>(options_.forward.line)};
           },
           counters_, log_),
-      roll_call_({}),
-      planners_in_force_(options_.forward.planners) {
+      discovery_({}),
+      current_planners_(options_.forward.planners) {
   ports_ = {&callers_, &planners_, &registry_};
   std::signal(SIGPIPE, SIG_IGN);
   std::signal(SIGXFSZ, SIG_IGN);  // a file that may not grow any more: the write says so, nobody dies of it
@@ -71,9 +71,9 @@
 void Forwarder::take_planners() {
   if (!options_.forward.from_members || leaving_since_ >= 0) return;
   const std::vector<std::string> now =
-      roll_call_.planners(options_.forward.planners, membership_.planners(), net::monotonic_now());
-  if (now == planners_in_force_) return;
-  planners_in_force_ = now;
+      discovery_.planners(options_.forward.planners, membership_.planners(), net::monotonic_now());
+  if (now == current_planners_) return;
+  current_planners_ = now;
   forward_.set_planners(now);
   log_.info("forwarder", "members tell of planners: {} now", now.size());
 }
@@ -108,11 +108,11 @@
   registry_.move_to(config_.registry = next.registry);
   options_.forward.planners = choice.options.forward.planners;
   options_.forward.from_members = choice.options.forward.from_members;
-  planners_in_force_ = options_.forward.planners;
+  current_planners_ = options_.forward.planners;
   if (options_.forward.from_members)
-    planners_in_force_ =
-        roll_call_.planners(options_.forward.planners, membership_.planners(), net::monotonic_now());
-  forward_.set_planners(planners_in_force_);
+    current_planners_ =
+        discovery_.planners(options_.forward.planners, membership_.planners(), net::monotonic_now());
+  forward_.set_planners(current_planners_);
   membership_.reloaded(choice);
   log_.info("forwarder", "new configuration: {} planners", options_.forward.planners.size());
 }
--- a/src/app/forwarder.h
+++ b/src/app/forwarder.h
@@ -49,8 +49,8 @@
   peers::RegistryReporter registry_;
   std::unique_ptr<control::Server> control_;  // where operators have one
   Membership membership_;                     // nothing where operators have none
-  tier::PlannerDiscovery roll_call_;
-  std::vector<std::string> planners_in_force_;
+  tier::PlannerDiscovery discovery_;
+  std::vector<std::string> current_planners_;
   double leaving_since_ = -1;
   bool listening_ = true;
 };
--- a/src/app/membership.cpp
+++ b/src/app/membership.cpp
@@ -81,8 +81,8 @@
   if (members_) members_->report();
 }
 
-std::vector<tier::PlannerSeen> Membership::planners() const {
-  std::vector<tier::PlannerSeen> out;
+std::vector<tier::PlannerStatus> Membership::planners() const {
+  std::vector<tier::PlannerStatus> out;
   if (!members_) return out;
   for (const members::MemberStatus& seen : members_->seen()) {
     if (!seen.told || seen.told->role != "planner") continue;
--- a/src/app/membership.h
+++ b/src/app/membership.h
@@ -32,7 +32,7 @@
   void reloaded(const Choice& choice);  // a new generation of its configuration is in force
   void report();
   // Those that serve as planners, for a forwarder; and when to ask again.
-  std::vector<tier::PlannerSeen> planners() const;
+  std::vector<tier::PlannerStatus> planners() const;
   std::function<void()> on_change;
 
  private:
--- a/src/peers/tier/forwarder_server.cpp
+++ b/src/peers/tier/forwarder_server.cpp
@@ -25,7 +25,7 @@
 
 tier::ForwarderSessionsOptions terms_of(const ForwarderServer::Limits& limits) {
   tier::ForwarderSessionsOptions terms;
-  terms.kept_bytes = limits.kept_bytes;
+  terms.answer_cache_bytes = limits.kept_bytes;
   return terms;
 }
 
@@ -42,7 +42,7 @@
       output_{limits.output_bytes, 0},
       listener_(reactor, net::parse_address(listen), [this](const net::Accepted& one) { on_accept(one); }),
       holdings_(terms_of(limits)),
-      windows_(self_.warming) {
+      windows_(self_.slow_start) {
   look();
 }
 
@@ -69,7 +69,7 @@
   while (connection.open()) {
     const auto found = links_.find(connection.tag);
     if (found == links_.end()) return bytes.size();
-    wt::Taken taken = wt::next_message(bytes.substr(used));
+    wt::DecodedFrame taken = wt::decode_next_frame(bytes.substr(used));
     if (taken.state == wt::Framing::kNeedMore) break;
     if (taken.state == wt::Framing::kBroken) {
       counters_.add(Count::kBadFrames);
@@ -107,39 +107,39 @@
 
 bool ForwarderServer::take_hello(std::uint64_t tag, const wt::Hello& hello) {
   Link& link = links_.at(tag);
-  if (link.forwarder != 0 || hello.planner || hello.version != wt::kVersion || hello.name.empty()) {
+  if (link.forwarder != 0 || hello.is_planner || hello.version != wt::kVersion || hello.name.empty()) {
     log_.warn("forwarders", "a hello that is not served: version {}, from '{}'", hello.version, hello.name);
     return false;
   }
-  const tier::ForwarderSessions::SessionStart greeting = holdings_.hello(hello.name, hello.epoch, tag);
-  if (greeting.old_link != 0) {
-    const auto old = links_.find(greeting.old_link);
+  const tier::ForwarderSessions::SessionStart greeting = holdings_.open_session(hello.name, hello.epoch, tag);
+  if (greeting.superseded_link != 0) {
+    const auto old = links_.find(greeting.superseded_link);
     if (old != links_.end()) old->second.connection->close();
   }
-  gone(greeting.gone);
+  gone(greeting.abandoned);
   if (greeting.forwarder == 0) return false;
   link.forwarder = greeting.forwarder;
   link.name = hello.name;
-  for (const std::string& type : hello.types) {
+  for (const std::string& type : hello.routes) {
     const auto found = std::find(self_.types.begin(), self_.types.end(), type);
     link.types.push_back(found == self_.types.end() ? -1 : static_cast<int>(found - self_.types.begin()));
   }
   log_.info("forwarders", "{} is linked", hello.name);
   const double now = net::monotonic_now();
-  windows_.joined(link.forwarder);
+  windows_.add_forwarder(link.forwarder);
   hand_out(now);
-  const wt::Window window = window_now(link);
+  const wt::LoadReport window = window_now(link);
   link.told_window = window.window;
-  link.told_worth = window.slot_worth;
+  link.told_worth = window.slot_value_milli;
   wt::Hello mine;
-  mine.planner = true;
+  mine.is_planner = true;
   mine.epoch = self_.epoch;
   mine.name = self_.name;
-  mine.cores = static_cast<std::uint16_t>(self_.warming.cores);
+  mine.cores = static_cast<std::uint16_t>(self_.slow_start.cores);
   mine.window = window.window;
   put(link, mine);
   put(link, window);
-  if (no_more_) put(link, wt::NoMore{micros(self_.stop_after)});
+  if (no_more_) put(link, wt::Draining{micros(self_.stop_after)});
   tell_windows(false);
   return true;
 }
@@ -172,11 +172,11 @@
   request.subject = submit.subject;
   request.size_kb = std::max(1.0, static_cast<double>(submit.size_sixteenth_kb)) / kSixteenth;
   request.received_at = net::unix_now() - submit.age_us * kMicro;
-  if (submit.remaining_us != wt::kNoLimit)
+  if (submit.remaining_us != wt::kNoTimeLimit)
     request.client_timeout = (static_cast<double>(submit.age_us) + submit.remaining_us) * kMicro;
   request.idempotency_key = std::move(submit.idempotency_key);
   request.body = std::move(submit.body);
-  request.known_only = submit.known_only;
+  request.known_only = submit.lookup_only;
   request.reply_to = ticket;
   events_.on_request_read(std::move(request));
   return true;
@@ -187,7 +187,7 @@
                                      [this](RequestId request) { return events_.has_started(request); });
   counters_.add(Count::kTierFences);
   // Its request goes first: the proof is only true once nothing can start it any more.
-  if (proof.drop) events_.on_caller_gone(*proof.drop);
+  if (proof.abandoned) events_.on_caller_gone(*proof.abandoned);
   put(link, proof.answer);
 }
 
@@ -209,10 +209,10 @@
   if (held->route >= 0) {
     const double now = net::monotonic_now();
     answer.result == wt::Result::kRejected
-        ? worth_.rejected(self_.priority_weight[static_cast<std::size_t>(held->route)], now)
-        : worth_.taken(now);
+        ? worth_.on_rejected(self_.priority_weight[static_cast<std::size_t>(held->route)], now)
+        : worth_.on_admitted(now);
   }
-  const std::uint64_t link = holdings_.answered(ticket.connection, answer);
+  const std::uint64_t link = holdings_.record_answer(ticket.connection, answer);
   const auto found = links_.find(link);
   if (found != links_.end()) put(found->second, answer);
 }
@@ -232,7 +232,7 @@
 }
 void ForwarderServer::answer_failed(ReplyAddress ticket, FailureReason why) {
   wt::Answer out;
-  out.result = why == FailureReason::kNotKnown         ? wt::Result::kNotKnown
+  out.result = why == FailureReason::kNotKnown         ? wt::Result::kKeyUnknown
                : why == FailureReason::kOutcomeUnknown ? wt::Result::kUnknown
                : why == FailureReason::kKeyConflict    ? wt::Result::kConflict
                                                        : wt::Result::kFailed;
@@ -240,20 +240,21 @@
 }
 
 void ForwarderServer::began(bool cold, double ago) {
-  windows_.began(cold, net::monotonic_now() - ago);
+  windows_.on_runtime_started(cold, net::monotonic_now() - ago);
   tell_windows(false);
 }
 
 void ForwarderServer::hand_out(double now) {
-  windows_.look(now, [this](tier::SlowStartShares::Link forwarder) { return holdings_.open(forwarder); });
+  windows_.rebalance(
+      now, [this](tier::SlowStartShares::Link forwarder) { return holdings_.open_attempts(forwarder); });
 }
 
-wt::Window ForwarderServer::window_now(const Link& link) {
+wt::LoadReport ForwarderServer::window_now(const Link& link) {
   const double now = net::monotonic_now();
-  wt::Window window;
-  window.window = windows_.window(link.forwarder, holdings_.linked(), now);
-  window.slot_worth = static_cast<std::uint32_t>(worth_.worth(now) * 1000);
-  window.good = good_;
+  wt::LoadReport window;
+  window.window = windows_.window(link.forwarder, holdings_.linked_forwarders(), now);
+  window.slot_value_milli = static_cast<std::uint32_t>(worth_.value(now) * 1000);
+  window.is_healthy = good_;
   return window;
 }
 
@@ -261,11 +262,11 @@
   hand_out(net::monotonic_now());
   for (auto& [tag, link] : links_) {
     if (link.forwarder == 0) continue;
-    const wt::Window window = window_now(link);
-    const double moved = std::abs(static_cast<double>(window.slot_worth) - link.told_worth);
+    const wt::LoadReport window = window_now(link);
+    const double moved = std::abs(static_cast<double>(window.slot_value_milli) - link.told_worth);
     if (!all && window.window == link.told_window && moved < kWorthStep) continue;
     link.told_window = window.window;
-    link.told_worth = window.slot_worth;
+    link.told_worth = window.slot_value_milli;
     put(link, window);
   }
 }
@@ -279,7 +280,7 @@
 void ForwarderServer::ask_no_more() {
   no_more_ = true;
   for (auto& [tag, link] : links_) {
-    if (link.forwarder != 0) put(link, wt::NoMore{micros(self_.stop_after)});
+    if (link.forwarder != 0) put(link, wt::Draining{micros(self_.stop_after)});
   }
 }
 
@@ -289,7 +290,7 @@
   std::vector<std::shared_ptr<net::Connection>> all;
   for (const auto& [tag, link] : links_) all.push_back(link.connection);
   for (const auto& connection : all) connection->read_now();
-  if (holdings_.open() > 0) return;
+  if (holdings_.open_attempts() > 0) return;
   for (const auto& connection : all) connection->end();
 }
 
@@ -304,7 +305,7 @@
     log_.warn("forwarders", "{}: silent, link closed", link.name);
     link.connection->close(net::End::kBroken);
   }
-  gone(holdings_.expired(now));
+  gone(holdings_.take_expired(now));
   tell_windows(false);
   look_timer_ = reactor_.after(kLook, [this] { look(); });
 }
@@ -316,8 +317,8 @@
   if (found == links_.end()) return;
   if (found->second.forwarder != 0) {
     log_.info("forwarders", "{}: link ended", found->second.name);
-    holdings_.link_lost(connection.tag, net::monotonic_now());
-    windows_.left(found->second.forwarder, net::monotonic_now());
+    holdings_.on_link_lost(connection.tag, net::monotonic_now());
+    windows_.remove_forwarder(found->second.forwarder, net::monotonic_now());
   }
   links_.erase(found);
   counters_.add(why == net::End::kInOrder ? Count::kCallersClosed : Count::kCallersReset);
--- a/src/peers/tier/forwarder_server.h
+++ b/src/peers/tier/forwarder_server.h
@@ -22,7 +22,8 @@
 
 class ForwarderServer : public Front, private net::ConnectionOwner {
  public:
-  static constexpr std::size_t kMostInput = wire::tier::kMostFrame + wire::tier::kHead;  // bytes a link
+  static constexpr std::size_t kMostInput =
+      wire::tier::kMaxFrameBytes + wire::tier::kHeaderBytes;  // bytes a link
   struct Limits {
     int links = 0;
     std::size_t output_bytes = 0;  // of all links together
@@ -31,7 +32,7 @@
   struct Self {
     std::string name;
     std::uint64_t epoch = 0;
-    tier::WarmUpOptions warming;
+    tier::SlowStartOptions slow_start;
     double stop_after = 0;  // s
     std::vector<std::string> types;
     std::vector<double> priority_weight;  // by route
@@ -76,7 +77,7 @@
   void answer(ReplyAddress ticket, wire::tier::Answer answer);
   void put(Link& link, const wire::tier::Message& message);
   void hand_out(double now);
-  wire::tier::Window window_now(const Link& link);
+  wire::tier::LoadReport window_now(const Link& link);
   void tell_windows(bool all);
   void look();
   void gone(const std::vector<RequestId>& requests);
--- a/src/peers/tier/planner_client.cpp
+++ b/src/peers/tier/planner_client.cpp
@@ -10,7 +10,7 @@
 
 namespace wt = wire::tier;
 
-constexpr std::size_t kInputBytes = wt::kMostFrame + wt::kHead;
+constexpr std::size_t kInputBytes = wt::kMaxFrameBytes + wt::kHeaderBytes;
 constexpr double kPing = 0.25;          // s; between pings, and looks at who is silent
 constexpr double kSilence = 1;          // s without anything whole: the link is no good
 constexpr double kConnectPatience = 1;  // s for a connection and its hello
@@ -65,7 +65,7 @@
   wt::Hello hello;
   hello.epoch = self_.epoch;
   hello.name = self_.name;
-  hello.types = self_.types;
+  hello.routes = self_.types;
   put(link, hello);
 }
 
@@ -105,7 +105,7 @@
   if (!link.connection) connect(planner);
 }
 
-void PlannerClient::done_with(int planner) {
+void PlannerClient::close_if_draining(int planner) {
   Link& link = at(planner);
   if (link.leaving && link.connection && link.connection->open()) link.connection->close();
 }
@@ -119,7 +119,7 @@
   const int planner = static_cast<int>(connection.tag);
   std::size_t used = 0;
   while (connection.open()) {
-    const wt::Taken taken = wt::next_message(bytes.substr(used));
+    const wt::DecodedFrame taken = wt::decode_next_frame(bytes.substr(used));
     if (taken.state == wt::Framing::kNeedMore) break;
     used += taken.length;
     at(planner).heard_at = net::monotonic_now();
@@ -136,7 +136,7 @@
 bool PlannerClient::take(int planner, const wt::Message& message) {
   Link& link = at(planner);
   if (const auto* hello = std::get_if<wt::Hello>(&message)) {
-    if (link.greeted || !hello->planner || hello->version != wt::kVersion) return false;
+    if (link.greeted || !hello->is_planner || hello->version != wt::kVersion) return false;
     link.greeted = true;
     link.epoch = hello->epoch;
     link.pause = 0;
@@ -147,12 +147,12 @@
   if (!link.greeted) return false;
   if (const auto* answer = std::get_if<wt::Answer>(&message))
     return events_.on_answer(planner, link.epoch, *answer), true;
-  if (const auto* window = std::get_if<wt::Window>(&message))
-    return events_.on_window(planner, *window), true;
-  if (std::holds_alternative<wt::NoMore>(message)) {
+  if (const auto* window = std::get_if<wt::LoadReport>(&message))
+    return events_.on_load_report(planner, *window), true;
+  if (std::holds_alternative<wt::Draining>(message)) {
     link.leaving = true;
     log_.info("planners", "{} leaves", link.address);
-    events_.on_no_more(planner);
+    events_.on_planner_draining(planner);
     return true;
   }
   return std::holds_alternative<wt::Pong>(message);
--- a/src/peers/tier/planner_client.h
+++ b/src/peers/tier/planner_client.h
@@ -19,8 +19,8 @@
   virtual ~PlannerEvents() = default;
   virtual void on_link_up(int planner, std::uint64_t epoch, std::uint32_t window) = 0;
   virtual void on_link_lost(int planner, const std::vector<std::uint64_t>& unwritten) = 0;
-  virtual void on_window(int planner, const wire::tier::Window& window) = 0;
-  virtual void on_no_more(int planner) = 0;
+  virtual void on_load_report(int planner, const wire::tier::LoadReport& window) = 0;
+  virtual void on_planner_draining(int planner) = 0;
   virtual void on_answer(int planner, std::uint64_t epoch, const wire::tier::Answer& answer) = 0;
 };
 
@@ -38,13 +38,13 @@
   ~PlannerClient() override;
 
   void add(const std::string& address);  // at the next position
-  void remove(int planner);              // its link ends once nothing is open there; see done_with()
+  void remove(int planner);              // its link ends once nothing is open there; see close_if_draining()
   void restore(int planner);             // it is wanted again, and linked if it is not
   void submit(int planner, const wire::tier::Submit& submit);
   void cancel(int planner, std::uint64_t attempt);
   void fence(int planner, std::uint64_t attempt);
   // Nothing is open at it any more: a link to one that leaves, or is not wanted, ends.
-  void done_with(int planner);
+  void close_if_draining(int planner);
   std::size_t linked() const;
 
  private:
--- a/src/stages/request_forwarder.cpp
+++ b/src/stages/request_forwarder.cpp
@@ -32,8 +32,8 @@
     case wt::Result::kRejected: return tier::AnswerKind::kRejected;
     case wt::Result::kNeverRan: return tier::AnswerKind::kNeverRan;
     case wt::Result::kRunning: return tier::AnswerKind::kRunning;
-    case wt::Result::kForgotten: return tier::AnswerKind::kForgotten;
-    case wt::Result::kNotKnown: return tier::AnswerKind::kNotKnown;
+    case wt::Result::kOutcomeEvicted: return tier::AnswerKind::kOutcomeEvicted;
+    case wt::Result::kKeyUnknown: return tier::AnswerKind::kKeyUnknown;
     case wt::Result::kFailed:
     case wt::Result::kUnknown:
     case wt::Result::kConflict: break;
@@ -55,16 +55,16 @@
 
 tier::DispatchOptions terms_of(const ForwardOptions& options, const StartSettings& site) {
   tier::DispatchOptions terms;
-  terms.picker.rejection_rest = kRejectionRest;
-  terms.homes = homes_of(options, site);
+  terms.picker.rejection_cooldown_seconds = kRejectionRest;
+  terms.key_ownership = homes_of(options, site);
   terms.retry_share = options.retry_share;
-  terms.link_patience = options.link_patience;
-  terms.queue_requests = options.line;
-  terms.line_bytes = options.line_memory;
-  terms.by_key = options.by_subject;
-  terms.number_steps = kNumberSteps;
+  terms.reconnect_timeout = options.link_patience;
+  terms.max_waiting_requests = options.line;
+  terms.max_waiting_bytes = options.line_memory;
+  terms.route_by_subject = options.by_subject;
+  terms.max_attempt_step = kNumberSteps;
   if (site.admission.sends_retry_after && site.admission.max_retry_after > 0)
-    terms.outlook.most_come_back = site.admission.max_retry_after;
+    terms.wait_estimator.max_retry_after = site.admission.max_retry_after;
   return terms;
 }
 
@@ -91,7 +91,7 @@
   if (options.folder.empty()) return;
   kept_ = std::make_unique<store::PersistedFile>(
       [folder = options.folder] { return store::open_folder(folder); }, "planners",
-      tier::kEndpointListHistoryForm, tier::kMaxEndpointListHistoryBytes);
+      tier::kEndpointListHistoryVersion, tier::kMaxEndpointListHistoryBytes);
 }
 
 RequestForwarder::~RequestForwarder() {
@@ -127,7 +127,7 @@
   open_[id] = {std::move(in), now + request.remaining_time};
   // More requests open than there is memory for: the newcomer goes, whatever it is worth; the line's own
   // bound is lower and goes by importance.
-  if (!room) return reply(id, tier::LocalAnswer::kRejected, 0, false);
+  if (!room) return reply(id, tier::LocalReply::kRejected, 0, false);
   dispatch_->on_request(request, net::monotonic_now());
 }
 
@@ -160,7 +160,7 @@
 }
 
 void RequestForwarder::on_check(peers::ReplyAddress ticket, bool /*wants_work*/) {
-  ports_.callers->answer_check(ticket, dispatch_->healthy(net::monotonic_now()));
+  ports_.callers->answer_check(ticket, dispatch_->is_healthy(net::monotonic_now()));
 }
 
 // ---- Planners.
@@ -171,12 +171,13 @@
 void RequestForwarder::on_link_lost(int planner, const std::vector<std::uint64_t>& unwritten) {
   dispatch_->on_link_lost(planner, unwritten, net::monotonic_now());
 }
-void RequestForwarder::on_window(int planner, const wt::Window& window) {
-  dispatch_->on_window(planner, window.window, window.slot_worth / 1000.0, window.good, net::monotonic_now());
+void RequestForwarder::on_load_report(int planner, const wt::LoadReport& window) {
+  dispatch_->on_load_report(planner, window.window, window.slot_value_milli / 1000.0, window.is_healthy,
+                            net::monotonic_now());
 }
-void RequestForwarder::on_no_more(int planner) {
-  dispatch_->on_no_more(planner, net::monotonic_now());
-  if (dispatch_->attempts().open_at(planner) == 0) ports_.planners->done_with(planner);
+void RequestForwarder::on_planner_draining(int planner) {
+  dispatch_->on_planner_draining(planner, net::monotonic_now());
+  if (dispatch_->attempts().open_attempts_at(planner) == 0) ports_.planners->close_if_draining(planner);
 }
 
 void RequestForwarder::on_answer(int planner, std::uint64_t epoch, const wt::Answer& answer) {
@@ -195,7 +196,7 @@
                                                                           : peers::FailureReason::kPlain);
     }
   }
-  if (dispatch_->attempts().open_at(planner) == 0) ports_.planners->done_with(planner);
+  if (dispatch_->attempts().open_attempts_at(planner) == 0) ports_.planners->close_if_draining(planner);
 }
 
 // ---- What was decided.
@@ -210,7 +211,7 @@
   submit.size_sixteenth_kb = static_cast<std::uint32_t>(std::clamp(request.size_kb * kSixteenth, 1.0, 4e9));
   submit.age_us = micros(net::unix_now() - request.received_at);
   submit.remaining_us = micros(left);
-  submit.known_only = known_only;
+  submit.lookup_only = known_only;
   submit.idempotency_key = request.idempotency_key;
   submit.body = request.body;
   ports_.planners->submit(planner, submit);
@@ -220,8 +221,8 @@
 }
 void RequestForwarder::fence(int planner, tier::Attempt attempt) { ports_.planners->fence(planner, attempt); }
 
-void RequestForwarder::reply(RequestId id, tier::LocalAnswer how, double retry_after, bool no_retry) {
-  const bool rejected = how == tier::LocalAnswer::kRejected;
+void RequestForwarder::reply(RequestId id, tier::LocalReply how, double retry_after, bool no_retry) {
+  const bool rejected = how == tier::LocalReply::kRejected;
   const Open open = take_out(id, rejected ? Count::kRequestsRejected : Count::kRequestsFailed);
   const bool may_say = site_.admission.sends_retry_after;
   if (rejected) {
@@ -243,7 +244,7 @@
 
 // ---- Its own life.
 void RequestForwarder::look() {
-  const bool good = dispatch_->healthy(net::monotonic_now());
+  const bool good = dispatch_->is_healthy(net::monotonic_now());
   if (good != reported_) {
     reported_ = good;
     log_.info("forward", "health: {}", good ? "good" : "bad");
@@ -256,7 +257,7 @@
   }
   for (std::size_t i = 0; i < linked_.size(); ++i) {
     const int planner = static_cast<int>(i);
-    if (dispatch_->attempts().open_at(planner) == 0) ports_.planners->done_with(planner);
+    if (dispatch_->attempts().open_attempts_at(planner) == 0) ports_.planners->close_if_draining(planner);
   }
   reactor_.cancel(look_timer_);
   look_timer_ = reactor_.after(kLook, [this] { look(); });
@@ -273,12 +274,12 @@
 // Planners by address: those that stay keep their links and what is open there; those that go keep theirs as
 // long as they may be asked what they remember.
 void RequestForwarder::set_planners(const std::vector<std::string>& addresses) {
-  if (addresses != lists_.in_force) {
+  if (addresses != lists_.current) {
     const double now = net::unix_now();
     std::erase_if(lists_.former, [&](const tier::FormerEndpointList& one) {
-      return now > one.until + homes_.spread + homes_.memory;
+      return now > one.until + homes_.reload_spread + homes_.retention;
     });
-    lists_.former.push_back({now, std::exchange(lists_.in_force, addresses)});
+    lists_.former.push_back({now, std::exchange(lists_.current, addresses)});
     keep_lists();
     dispatch_->set_planners(addresses, net::monotonic_now());
   }
@@ -294,7 +295,7 @@
       ports_.planners->add(picker.name(planner));
       linked_.push_back(true);
     }
-    const bool over = dispatch_->done_with(planner, now);
+    const bool over = dispatch_->can_disconnect(planner, now);
     if (linked_[i] == !over) continue;
     linked_[i] = !over;
     over ? ports_.planners->remove(planner) : ports_.planners->restore(planner);
@@ -316,17 +317,17 @@
                                 ? std::string(text_of(found->problem))
                                 : "whole, but no lists";
     log_.error("forward", "former lists of planners can't be read ({}): keyed ops are nacked for {:.0f} s",
-               why, homes_.spread + homes_.memory);
-    dispatch_->unknown_before(now);
+               why, homes_.reload_spread + homes_.retention);
+    dispatch_->assume_unknown_history(now);
   }
   if (before) {
     for (const tier::FormerEndpointList& one : before->former) {
-      if (unix_now <= one.until + homes_.spread + homes_.memory) lists_.former.push_back(one);
+      if (unix_now <= one.until + homes_.reload_spread + homes_.retention) lists_.former.push_back(one);
     }
-    if (before->in_force != lists_.in_force) lists_.former.push_back({unix_now, before->in_force});
+    if (before->current != lists_.current) lists_.former.push_back({unix_now, before->current});
     // A time that lies ahead is of a clock that was wrong: it counts as now.
     for (const tier::FormerEndpointList& one : lists_.former)
-      dispatch_->former_planners(one.planners, now - std::max(0.0, unix_now - one.until), now);
+      dispatch_->add_former_planners(one.planners, now - std::max(0.0, unix_now - one.until), now);
     if (!lists_.former.empty())
       log_.info("forward", "{} former lists of planners are still asked", lists_.former.size());
   }
@@ -338,22 +339,22 @@
 }
 
 void RequestForwarder::report() {
-  const tier::DispatchCounters& c = dispatch_->counts();
+  const tier::DispatchCounters& c = dispatch_->counters();
   const auto set = [&](Count count, std::uint64_t value) { counters_.set(count, value); };
-  set(Count::kTierFirst, c.first_tries);
-  set(Count::kTierSecond, c.second_tries);
+  set(Count::kTierFirst, c.first_attempts);
+  set(Count::kTierSecond, c.retries);
   set(Count::kTierAsked, c.fences);
-  set(Count::kTierProven, c.proven);
-  set(Count::kTierDropped, c.dropped_answers);
-  set(Count::kTierAdrift, c.adrift);
-  set(Count::kTierLost, c.lost);
-  set(Count::kTierHere, c.refused_here);
+  set(Count::kTierProven, c.proven_not_run);
+  set(Count::kTierDropped, c.stale_answers);
+  set(Count::kTierAdrift, c.disconnected);
+  set(Count::kTierLost, c.lost_with_epoch);
+  set(Count::kTierHere, c.rejected_locally);
   set(Count::kTierEvicted, c.evicted);
   set(Count::kTierOverdue, c.overdue);
-  set(Count::kTierQuestions, c.asked);
-  set(Count::kTierKnown, c.known);
+  set(Count::kTierQuestions, c.key_lookups);
+  set(Count::kTierKnown, c.key_lookup_hits);
   set(Count::kTierEjections, dispatch_->picker().ejections());
-  set(Count::kTierWaiting, dispatch_->waiting());
+  set(Count::kTierWaiting, dispatch_->waiting_requests());
   set(Count::kTierPlanners, ports_.planners->linked());
 }
 
--- a/src/stages/request_forwarder.h
+++ b/src/stages/request_forwarder.h
@@ -49,8 +49,8 @@
   // Planners.
   void on_link_up(int planner, std::uint64_t epoch, std::uint32_t window) override;
   void on_link_lost(int planner, const std::vector<std::uint64_t>& unwritten) override;
-  void on_window(int planner, const wire::tier::Window& window) override;
-  void on_no_more(int planner) override;
+  void on_load_report(int planner, const wire::tier::LoadReport& window) override;
+  void on_planner_draining(int planner) override;
   void on_answer(int planner, std::uint64_t epoch, const wire::tier::Answer& answer) override;
 
  private:
@@ -63,7 +63,7 @@
   void send(int planner, tier::Attempt attempt, RequestId request, double left, bool known_only) override;
   void cancel(int planner, tier::Attempt attempt) override;
   void fence(int planner, tier::Attempt attempt) override;
-  void reply(RequestId request, tier::LocalAnswer how, double retry_after, bool no_retry) override;
+  void reply(RequestId request, tier::LocalReply how, double retry_after, bool no_retry) override;
   void schedule_wakeup(double time) override;
 
   Open take_out(RequestId id, Count as);
--- a/src/tier/attempt_ledger.h
+++ b/src/tier/attempt_ledger.h
@@ -31,7 +31,7 @@
   RequestId request = 0;
   int planner = 0;
   std::uint64_t epoch = 0;  // of the planner's life that it was sent to
-  AttemptState standing = AttemptState::kOpen;
+  AttemptState state = AttemptState::kOpen;
 };
 
 class AttemptLedger {
@@ -41,44 +41,44 @@
   // was never given.
   Attempt begin(RequestId request, int planner, std::uint64_t epoch, std::uint64_t step = 1);
   // The attempt in hand of a request, or none.
-  std::optional<Attempt> in_hand(RequestId request) const;
+  std::optional<Attempt> current_attempt(RequestId request) const;
   const AttemptRecord* find(Attempt attempt) const;
 
   // An answer came from that life of that planner. The request whose answer it is; none where the attempt was
   // let go of, belongs to another planner or life, or never was: the answer is dropped.
-  std::optional<RequestId> answered(int planner, std::uint64_t epoch, Attempt attempt);
+  std::optional<RequestId> record_answer(int planner, std::uint64_t epoch, Attempt attempt);
   // Its planner shall prove that it never ran; false where that is asked already, or nobody can be asked.
-  bool ask(Attempt attempt);
+  bool start_fencing(Attempt attempt);
   // A link to a planner ended: its attempts are adrift. Those never written are told by the mechanism with
-  // never_written() instead.
-  std::vector<Attempt> link_lost(int planner);
+  // record_unwritten() instead.
+  std::vector<Attempt> on_link_lost(int planner);
   // A link to a planner is up: attempts adrift of the same life are to be fenced there; those of an earlier
   // life can never be proven and are let go of. Both in order of their numbers.
   struct Reconnection {
     std::vector<Attempt> to_fence;
     std::vector<RequestId> lost;
   };
-  Reconnection link_up(int planner, std::uint64_t epoch);
+  Reconnection on_link_up(int planner, std::uint64_t epoch);
   // Nobody waits for the request any more, or it was answered without proof: what comes of its attempt is
   // dropped.
-  void let_go(RequestId request);
+  void abandon(RequestId request);
   // Proven never to have run; the request may have another attempt. None where the attempt is not in hand.
   std::optional<RequestId> never_ran(int planner, std::uint64_t epoch, Attempt attempt);
-  std::optional<RequestId> never_written(Attempt attempt);
+  std::optional<RequestId> record_unwritten(Attempt attempt);
   // A planner whose link is down has not come back in time: its attempts are no longer waited for.
-  std::vector<RequestId> give_up(int planner);
+  std::vector<RequestId> abandon_attempts_at(int planner);
 
-  std::size_t open() const { return seen_.size(); }
-  int open_at(int planner) const;
+  std::size_t open_attempts() const { return attempts_.size(); }
+  int open_attempts_at(int planner) const;
 
  private:
-  std::optional<RequestId> end(Attempt attempt);
-  std::vector<Attempt> of_planner(int planner) const;
+  std::optional<RequestId> remove(Attempt attempt);
+  std::vector<Attempt> attempts_at(int planner) const;
 
-  Attempt last_ = 0;
-  std::unordered_map<Attempt, AttemptRecord> seen_;
-  std::unordered_map<RequestId, Attempt> by_request_;
-  std::unordered_map<int, int> open_at_;
+  Attempt last_attempt_ = 0;
+  std::unordered_map<Attempt, AttemptRecord> attempts_;
+  std::unordered_map<RequestId, Attempt> attempt_of_request_;
+  std::unordered_map<int, int> open_by_planner_;
 };
 
 }  // namespace damsonspoke::tier
--- a/src/tier/concurrency_windows.h
+++ b/src/tier/concurrency_windows.h
@@ -12,7 +12,7 @@
 namespace damsonspoke::tier {
 
 // As the settings tell of a planner.
-struct WarmUpOptions {
+struct SlowStartOptions {
   int cores = 1;
   double slow_start_speed = 1;    // share of its speed with which a cold life begins
   double slow_start_seconds = 0;  // s until it is warm
@@ -20,27 +20,27 @@
 
 class ConcurrencyWindows {
  public:
-  explicit ConcurrencyWindows(WarmUpOptions warming) : warming_(warming) {}
+  explicit ConcurrencyWindows(SlowStartOptions options) : options_(options) {}
 
   // The work behind the planner came up at this time. Until it is told so nothing can run there: what may be
   // sent is as little as at the beginning of a cold life.
-  void began(bool cold, double at) {
+  void on_runtime_started(bool cold, double at) {
     cold_ = cold;
-    began_at_ = at;
+    started_at_ = at;
   }
-  void joined(SlowStartShares::Link link) { parts_.joined(link); }
-  void left(SlowStartShares::Link link, double now) { parts_.left(link, now); }
-  void look(double now, const std::function<std::size_t(SlowStartShares::Link)>& open);
+  void add_forwarder(SlowStartShares::Link link) { shares_.add(link); }
+  void remove_forwarder(SlowStartShares::Link link, double now) { shares_.remove(link, now); }
+  void rebalance(double now, const std::function<std::size_t(SlowStartShares::Link)>& open);
   std::uint32_t window(SlowStartShares::Link link, std::size_t links, double now) const;
-  std::size_t known() const { return parts_.known(); }
+  std::size_t tracked_forwarders() const { return shares_.size(); }
 
  private:
-  bool cold(double now) const;
+  bool is_warming_up(double now) const;
 
-  const WarmUpOptions warming_;
-  SlowStartShares parts_;
+  const SlowStartOptions options_;
+  SlowStartShares shares_;
   bool cold_ = true;
-  double began_at_ = -1;  // < 0: it has not come up yet
+  double started_at_ = -1;  // < 0: it has not come up yet
 };
 
 }  // namespace damsonspoke::tier
--- a/src/tier/dispatch.cpp
+++ b/src/tier/dispatch.cpp
@@ -7,31 +7,31 @@
 namespace damsonspoke::tier {
 namespace {
 
-constexpr double kTick = 0.05;       // s; between looks while requests wait or planners are away
-constexpr double kStopMargin = 0.2;  // s before the stop; what is owed leaves by then
-constexpr double kFenceAgain =
+constexpr double kPollSeconds = 0.05;       // s; between looks while requests wait or planners are away
+constexpr double kStopMarginSeconds = 0.2;  // s before the stop; what is owed leaves by then
+constexpr double kFenceRecheckSeconds =
     0.05;  // s; until a late attempt is looked at again that has nowhere else to go
 
 }  // namespace
 
-Dispatch::Dispatch(DispatchOptions terms, std::size_t routes, const std::vector<std::string>& planners,
-                   DispatchSink& host, std::function<double()> chance, double now)
-    : terms_(terms),
-      host_(host),
-      chance_(std::move(chance)),
-      picker_(terms.picker, {}),
-      outlook_(terms.outlook, routes, now),
-      retries_(terms.retry_share, terms.retry_burst),
-      homes_of_keys_(terms.homes),
-      line_(terms.queue_requests, terms.line_bytes) {
+Dispatch::Dispatch(DispatchOptions options, std::size_t routes, const std::vector<std::string>& planners,
+                   DispatchSink& sink, std::function<double()> random, double now)
+    : options_(options),
+      sink_(sink),
+      random_(std::move(random)),
+      picker_(options.picker, {}),
+      wait_estimator_(options.wait_estimator, routes, now),
+      retry_budget_(options.retry_share, options.retry_burst),
+      key_ownership_(options.key_ownership),
+      queue_(options.max_waiting_requests, options.max_waiting_bytes) {
   set_planners(planners, now);
 }
 
-int Dispatch::position(const std::string& name, double now) {
+int Dispatch::position_of(const std::string& name, double now) {
   for (std::size_t i = 0; i < picker_.size(); ++i) {
     if (picker_.name(static_cast<int>(i)) == name) return static_cast<int>(i);
   }
-  homes_.emplace_back(terms_.queue_requests, terms_.line_bytes);
+  keyed_queues_.emplace_back(options_.max_waiting_requests, options_.max_waiting_bytes);
   links_.emplace_back();
   return picker_.add(name, now);
 }
@@ -39,163 +39,170 @@
 void Dispatch::set_planners(const std::vector<std::string>& names, double now) {
   std::vector<std::pair<int, std::string>> list;
   list.reserve(names.size());
-  for (const std::string& name : names) list.emplace_back(position(name, now), name);
+  for (const std::string& name : names) list.emplace_back(position_of(name, now), name);
   for (std::size_t i = 0; i < picker_.size(); ++i) {
     const int planner = static_cast<int>(i);
     const bool wanted =
         std::any_of(list.begin(), list.end(), [&](const auto& one) { return one.first == planner; });
     wanted ? picker_.restore(planner) : picker_.remove(planner);
   }
-  homes_of_keys_.list(list, now);
-  ++lists_;
-  look_at_planners(now);
+  key_ownership_.set_planners(list, now);
+  ++list_version_;
+  check_planners(now);
   // Keyed requests that wait find their way anew: where they were to run they may run no longer.
   std::vector<RequestId> waiting;
-  for (WaitQueue& line : homes_) {
-    while (const std::optional<RequestId> id = line.next()) line.leave(*id), waiting.push_back(*id);
+  for (WaitQueue& line : keyed_queues_) {
+    while (const std::optional<RequestId> id = line.front()) line.remove(*id), waiting.push_back(*id);
   }
   std::sort(waiting.begin(), waiting.end());
   for (const RequestId id : waiting) {
-    find_way(requests_.at(id), now);
-    wait_or_refuse(id, now);
+    route_by_key(requests_.at(id), now);
+    enqueue_or_reject(id, now);
   }
-  pump(now);
-  wake(now);
+  dispatch_waiting(now);
+  schedule(now);
 }
 
-void Dispatch::former_planners(const std::vector<std::string>& names, double until, double now) {
+void Dispatch::add_former_planners(const std::vector<std::string>& names, double until, double now) {
   std::vector<std::pair<int, std::string>> list;
   for (const std::string& name : names) {
     const std::size_t known = picker_.size();
-    const int planner = position(name, now);
+    const int planner = position_of(name, now);
     if (static_cast<std::size_t>(planner) >= known) picker_.remove(planner);
     list.emplace_back(planner, name);
   }
-  homes_of_keys_.former(list, until);
+  key_ownership_.add_former_list(list, until);
 }
 
-bool Dispatch::done_with(int planner, double now) const {
-  return !picker_.wanted(planner) && fence_.open_at(planner) == 0 &&
-         !homes_of_keys_.may_be_asked(planner, now);
+bool Dispatch::can_disconnect(int planner, double now) const {
+  return !picker_.is_listed(planner) && attempts_.open_attempts_at(planner) == 0 &&
+         !key_ownership_.may_remember_keys(planner, now);
 }
 
-std::size_t Dispatch::waiting() const {
-  std::size_t count = line_.size();
-  for (const WaitQueue& line : homes_) count += line.size();
+std::size_t Dispatch::waiting_requests() const {
+  std::size_t count = queue_.size();
+  for (const WaitQueue& line : keyed_queues_) count += line.size();
   return count;
 }
 
 // ---- Requests.
-void Dispatch::on_request(const ForwardedRequest& what, double now) {
+void Dispatch::on_request(const ForwardedRequest& details, double now) {
   Request request;
-  request.what = what;
-  if (what.idempotency_key_hash != 0) find_way(request, now);
-  request.due = now + std::max(0.0, what.remaining_time - terms_.due_margin);
-  if (leaving()) request.due = std::min(request.due, std::max(now, stop_at_ - kStopMargin));
-  requests_[what.id] = request;
-  due_.insert({request.due, what.id});
-  if (leaving() && now > leave_at_ + grace_) {
-    refuse(what.id, terms_.outlook.most_come_back, false, now);
+  request.details = details;
+  if (details.idempotency_key_hash != 0) route_by_key(request, now);
+  request.deadline = now + std::max(0.0, details.remaining_time - options_.reply_margin);
+  if (is_draining())
+    request.deadline = std::min(request.deadline, std::max(now, stop_at_ - kStopMarginSeconds));
+  requests_[details.id] = request;
+  deadlines_.insert({request.deadline, details.id});
+  if (is_draining() && now > drain_at_ + drain_grace_) {
+    reject(details.id, options_.wait_estimator.max_retry_after, false, now);
   } else {
-    wait_or_refuse(what.id, now);
+    enqueue_or_reject(details.id, now);
   }
-  pump(now);
-  wake(now);
+  dispatch_waiting(now);
+  schedule(now);
 }
 
 // Refused at once where no planner is there, or where it could not be in time any more.
-void Dispatch::wait_or_refuse(RequestId id, double now) {
+void Dispatch::enqueue_or_reject(RequestId id, double now) {
   Request& request = requests_.at(id);
-  WaitQueue& line = line_of(request);
-  if (request.what.idempotency_key_hash != 0 && !request.asking() && !request.way.may_run)
-    return refuse(id, outlook_.come_back(0, now, chance_()), false, now);
-  const std::size_t ahead = line.ahead(request.what.priority_weight);
-  const bool alone =
-      request.what.idempotency_key_hash != 0 ? request.home < 0 || !home_answers(request) : !picker_.any_up();
-  if (alone || request.due - now < terms_.least_left ||
-      !outlook_.in_time(static_cast<std::size_t>(request.what.route), ahead, request.due - now, now))
-    return refuse(id, outlook_.come_back(ahead, now, chance_()), false, now);
+  WaitQueue& line = queue_of(request);
+  if (request.details.idempotency_key_hash != 0 && !request.is_lookup() && !request.route.may_run)
+    return reject(id, wait_estimator_.retry_after_seconds(0, now, random_()), false, now);
+  const std::size_t ahead = line.count_ahead(request.details.priority_weight);
+  const bool alone = request.details.idempotency_key_hash != 0
+                         ? request.target < 0 || !target_is_reachable(request)
+                         : !picker_.any_accepts_requests();
+  if (alone || request.deadline - now < options_.min_remaining_time ||
+      !wait_estimator_.can_finish_in_time(static_cast<std::size_t>(request.details.route), ahead,
+                                          request.deadline - now, now))
+    return reject(id, wait_estimator_.retry_after_seconds(ahead, now, random_()), false, now);
   const std::optional<RequestId> goes =
-      line.enter(id, request.what.priority_weight, request.what.caller, request.what.bytes);
+      line.push(id, request.details.priority_weight, request.details.caller, request.details.bytes);
   if (!goes) return;
-  ++counts_.evicted;
-  refuse(*goes, outlook_.come_back(line.size(), now, chance_()), false, now);
+  ++counters_.evicted;
+  reject(*goes, wait_estimator_.retry_after_seconds(line.size(), now, random_()), false, now);
 }
 
 // A keyed request's results are remembered by one planner: its key belongs there whether that is up or not.
 // Guards against a repeat that runs a second time at a planner that has not heard of the first.
-void Dispatch::find_way(Request& request, double now) {
-  request.way = homes_of_keys_.way(request.what.idempotency_key_hash, now);
-  request.asked = 0;
-  request.way_of = lists_;
-  next_step(request);
+void Dispatch::route_by_key(Request& request, double now) {
+  request.route = key_ownership_.route(request.details.idempotency_key_hash, now);
+  request.lookups_done = 0;
+  request.list_version = list_version_;
+  advance_route(request);
 }
 // Where a planner has to be asked first that is on no list any more, and is not there, nothing is known of
 // the key, and it runs nowhere.
-void Dispatch::next_step(Request& request) {
-  request.home = request.asking() ? request.way.ask[request.asked] : request.way.home;
+void Dispatch::advance_route(Request& request) {
+  request.target =
+      request.is_lookup() ? request.route.former_owners[request.lookups_done] : request.route.owner;
 }
-bool Dispatch::home_answers(const Request& request) const {
-  return request.asking() ? picker_.answers(request.home) : picker_.takes_requests(request.home);
+bool Dispatch::target_is_reachable(const Request& request) const {
+  return request.is_lookup() ? picker_.is_reachable(request.target)
+                             : picker_.accepts_requests(request.target);
 }
-int Dispatch::room_at_home(int planner, double now) const {
-  return picker_.wanted(planner) ? picker_.credits(planner, now) : picker_.asking_room(planner, now);
+int Dispatch::capacity_for_keyed(int planner, double now) const {
+  return picker_.is_listed(planner) ? picker_.free_capacity(planner, now)
+                                    : picker_.lookup_capacity(planner, now);
 }
 
 // Its former home does not know it: on to the next, and then to where it runs, if it may by now.
-void Dispatch::not_known(RequestId id, double now) {
+void Dispatch::on_key_unknown(RequestId id, double now) {
   Request& request = requests_.at(id);
-  fences_.erase({request.fence_at, id});
+  fence_times_.erase({request.fence_at, id});
   request.fence_at = -1;
-  if (request.way_of != lists_) {  // asked by an old list: nothing may follow from it any more
-    find_way(request, now);
-    return wait_or_refuse(id, now);
+  if (request.list_version != list_version_) {  // asked by an old list: nothing may follow from it any more
+    route_by_key(request, now);
+    return enqueue_or_reject(id, now);
   }
-  ++request.asked;
-  next_step(request);
-  wait_or_refuse(id, now);
+  ++request.lookups_done;
+  advance_route(request);
+  enqueue_or_reject(id, now);
 }
 
-WaitQueue& Dispatch::line_of(const Request& request) {
-  return request.home >= 0 ? homes_[static_cast<std::size_t>(request.home)] : line_;
+WaitQueue& Dispatch::queue_of(const Request& request) {
+  return request.target >= 0 ? keyed_queues_[static_cast<std::size_t>(request.target)] : queue_;
 }
 
 bool Dispatch::send(RequestId id, int planner, double now) {
   Request& request = requests_.at(id);
   const Link& link = links_[static_cast<std::size_t>(planner)];
-  const double left = request.due - now;
+  const double left = request.deadline - now;
   const std::uint64_t step =
-      terms_.number_steps <= 1
+      options_.max_attempt_step <= 1
           ? 1
-          : static_cast<std::uint64_t>(chance_() * static_cast<double>(terms_.number_steps)) + 1;
-  const Attempt attempt = fence_.begin(id, planner, link.epoch, step);
-  picker_.sent(planner);
-  request.sent = now;
-  ++(request.tries++ == 0 ? counts_.first_tries : counts_.second_tries);
-  if (request.tries == 1) retries_.first_try();
-  request.fence_at = now + terms_.try_share * left;
-  fences_.insert({request.fence_at, id});
-  if (request.asking()) ++counts_.asked;
-  host_.send(planner, attempt, id, left - terms_.hop, request.asking());
+          : static_cast<std::uint64_t>(random_() * static_cast<double>(options_.max_attempt_step)) + 1;
+  const Attempt attempt = attempts_.begin(id, planner, link.epoch, step);
+  picker_.on_attempt_sent(planner);
+  request.sent_at = now;
+  ++(request.attempts_begun++ == 0 ? counters_.first_attempts : counters_.retries);
+  if (request.attempts_begun == 1) retry_budget_.on_first_attempt();
+  request.fence_at = now + options_.fence_after_share * left;
+  fence_times_.insert({request.fence_at, id});
+  if (request.is_lookup()) ++counters_.key_lookups;
+  sink_.send(planner, attempt, id, left - options_.hop_time, request.is_lookup());
   return true;
 }
 
 // Waiting requests go out while there is room, the more important first; those that would come too late are
 // told.
-bool Dispatch::pump_line(WaitQueue& line, std::optional<int> only, double now) {
+bool Dispatch::dispatch_queue(WaitQueue& line, std::optional<int> only, double now) {
   bool any = false;
-  while (const std::optional<RequestId> id = line.next()) {
+  while (const std::optional<RequestId> id = line.front()) {
     const Request& request = requests_.at(*id);
-    const std::optional<int> to = only ? (room_at_home(*only, now) > 0 ? only : std::nullopt)
-                                       : picker_.pick(terms_.by_key ? request.what.subject : 0, now, chance_);
+    const std::optional<int> to =
+        only ? (capacity_for_keyed(*only, now) > 0 ? only : std::nullopt)
+             : picker_.pick(options_.route_by_subject ? request.details.subject : 0, now, random_);
     if (!to) break;
-    line.leave(*id);
+    line.remove(*id);
     any = true;
-    const bool late =
-        request.due - now < terms_.least_left ||
-        !outlook_.in_time(static_cast<std::size_t>(request.what.route), 0, request.due - now, now);
+    const bool late = request.deadline - now < options_.min_remaining_time ||
+                      !wait_estimator_.can_finish_in_time(static_cast<std::size_t>(request.details.route), 0,
+                                                          request.deadline - now, now);
     if (late) {
-      refuse(*id, outlook_.come_back(line.size(), now, chance_()), false, now);
+      reject(*id, wait_estimator_.retry_after_seconds(line.size(), now, random_()), false, now);
     } else {
       send(*id, *to, now);
     }
@@ -203,263 +210,270 @@
   return any;
 }
 
-void Dispatch::pump(double now) {
-  for (std::size_t i = 0; i < homes_.size(); ++i) pump_line(homes_[i], static_cast<int>(i), now);
-  pump_line(line_, std::nullopt, now);
+void Dispatch::dispatch_waiting(double now) {
+  for (std::size_t i = 0; i < keyed_queues_.size(); ++i)
+    dispatch_queue(keyed_queues_[i], static_cast<int>(i), now);
+  dispatch_queue(queue_, std::nullopt, now);
 }
 
 void Dispatch::on_caller_gone(RequestId id, double now) {
   if (!requests_.contains(id)) return;
-  if (const std::optional<Attempt> attempt = fence_.in_hand(id)) {
-    const AttemptRecord seen = *fence_.find(*attempt);
-    if (seen.standing != AttemptState::kDisconnected) host_.cancel(seen.planner, *attempt);
-    picker_.let_go(seen.planner);
+  if (const std::optional<Attempt> attempt = attempts_.current_attempt(id)) {
+    const AttemptRecord seen = *attempts_.find(*attempt);
+    if (seen.state != AttemptState::kDisconnected) sink_.cancel(seen.planner, *attempt);
+    picker_.release(seen.planner);
   }
-  over(id);
-  pump(now);
-  wake(now);
+  finish(id);
+  dispatch_waiting(now);
+  schedule(now);
 }
 
 // ---- The ways in which a request is over.
-void Dispatch::over(RequestId id) {
+void Dispatch::finish(RequestId id) {
   const auto found = requests_.find(id);
-  due_.erase({found->second.due, id});
-  fences_.erase({found->second.fence_at, id});
-  line_of(found->second).leave(id);
-  fence_.let_go(id);
+  deadlines_.erase({found->second.deadline, id});
+  fence_times_.erase({found->second.fence_at, id});
+  queue_of(found->second).remove(id);
+  attempts_.abandon(id);
   requests_.erase(found);
 }
-void Dispatch::refuse(RequestId id, double retry_after, bool no_retry, double) {
-  ++counts_.refused_here;
-  over(id);
-  host_.reply(id, LocalAnswer::kRejected, retry_after, no_retry);
+void Dispatch::reject(RequestId id, double retry_after, bool no_retry, double) {
+  ++counters_.rejected_locally;
+  finish(id);
+  sink_.reply(id, LocalReply::kRejected, retry_after, no_retry);
 }
 void Dispatch::fail(RequestId id) {
-  over(id);
-  host_.reply(id, LocalAnswer::kFailed, 0, false);
+  finish(id);
+  sink_.reply(id, LocalReply::kFailed, 0, false);
 }
 
 // A request whose attempt is proven never to have run: another planner, where one has room, the budget allows
 // it and the key does not forbid it; else it is told at once.
-void Dispatch::again_or_refuse(RequestId id, int not_this, double retry_after, bool no_retry, double now) {
+void Dispatch::retry_or_reject(RequestId id, int exclude, double retry_after, bool no_retry, double now) {
   Request& request = requests_.at(id);
-  fences_.erase({request.fence_at, id});
+  fence_times_.erase({request.fence_at, id});
   request.fence_at = -1;
-  const bool may = request.what.idempotency_key_hash == 0 && !no_retry &&
-                   request.due - now >= terms_.least_left && !leaving();
+  const bool may = request.details.idempotency_key_hash == 0 && !no_retry &&
+                   request.deadline - now >= options_.min_remaining_time && !is_draining();
   if (may) {
     const std::optional<int> to =
-        picker_.pick(terms_.by_key ? request.what.subject : 0, now, chance_, not_this);
-    if (to && outlook_.in_time(static_cast<std::size_t>(request.what.route), 0, request.due - now, now) &&
-        retries_.take()) {
+        picker_.pick(options_.route_by_subject ? request.details.subject : 0, now, random_, exclude);
+    if (to &&
+        wait_estimator_.can_finish_in_time(static_cast<std::size_t>(request.details.route), 0,
+                                           request.deadline - now, now) &&
+        retry_budget_.try_spend()) {
       send(id, *to, now);
       return;
     }
   }
-  refuse(id, retry_after > 0 ? retry_after : outlook_.come_back(waiting(), now, chance_()), no_retry, now);
+  reject(
+      id,
+      retry_after > 0 ? retry_after : wait_estimator_.retry_after_seconds(waiting_requests(), now, random_()),
+      no_retry, now);
 }
 
 // ---- Planners.
 std::optional<RequestId> Dispatch::on_answer(int planner, std::uint64_t epoch, Attempt attempt,
                                              AnswerKind how, double retry_after, bool no_retry, double now) {
-  const AttemptRecord* seen = fence_.find(attempt);
+  const AttemptRecord* seen = attempts_.find(attempt);
   const bool ours = seen != nullptr && seen->planner == planner && seen->epoch == epoch;
   if (ours && how == AnswerKind::kRunning) return std::nullopt;  // it goes on; its end will be told
-  const std::optional<RequestId> id = fence_.answered(planner, epoch, attempt);
+  const std::optional<RequestId> id = attempts_.record_answer(planner, epoch, attempt);
   if (!id) {
-    ++counts_.dropped_answers;
+    ++counters_.stale_answers;
     return std::nullopt;
   }
   const Request& request = requests_.at(*id);
-  const double took = now - request.sent;
-  outlook_.room_came_free(now);
+  const double latency = now - request.sent_at;
+  wait_estimator_.on_capacity_freed(now);
   std::optional<RequestId> passed_on;
   switch (how) {
     case AnswerKind::kSucceeded:
-      picker_.ended(planner, AttemptOutcome::kServed, took, now);
-      outlook_.served(static_cast<std::size_t>(request.what.route), took);
-      counts_.known += request.asking();
-      over(*id);
+      picker_.on_attempt_ended(planner, AttemptOutcome::kSucceeded, latency, now);
+      wait_estimator_.on_success(static_cast<std::size_t>(request.details.route), latency);
+      counters_.key_lookup_hits += request.is_lookup();
+      finish(*id);
       passed_on = id;
       break;
     case AnswerKind::kFailed:
-    case AnswerKind::kForgotten:
-      picker_.ended(planner, AttemptOutcome::kBad, took, now);
-      over(*id);
+    case AnswerKind::kOutcomeEvicted:
+      picker_.on_attempt_ended(planner, AttemptOutcome::kFailed, latency, now);
+      finish(*id);
       passed_on = id;
       break;
     case AnswerKind::kRejected:
-      picker_.ended(planner, AttemptOutcome::kRejected, took, now);
-      again_or_refuse(*id, planner, retry_after, no_retry, now);
+      picker_.on_attempt_ended(planner, AttemptOutcome::kRejected, latency, now);
+      retry_or_reject(*id, planner, retry_after, no_retry, now);
       break;
     case AnswerKind::kNeverRan:
-      ++counts_.proven;
-      picker_.let_go(planner);
-      again_or_refuse(*id, planner, 0, false, now);
+      ++counters_.proven_not_run;
+      picker_.release(planner);
+      retry_or_reject(*id, planner, 0, false, now);
       break;
-    case AnswerKind::kNotKnown:
-      picker_.let_go(planner);
+    case AnswerKind::kKeyUnknown:
+      picker_.release(planner);
       // Said to one that was to run there, it is no answer of this protocol's: nothing ran, and nothing is
       // known.
-      request.asking() ? not_known(*id, now) : again_or_refuse(*id, planner, 0, false, now);
+      request.is_lookup() ? on_key_unknown(*id, now) : retry_or_reject(*id, planner, 0, false, now);
       break;
     case AnswerKind::kRunning: break;
   }
-  pump(now);
-  wake(now);
+  dispatch_waiting(now);
+  schedule(now);
   return passed_on;
 }
 
 void Dispatch::on_link_up(int planner, std::uint64_t epoch, std::uint32_t window, double now) {
   Link& link = links_[static_cast<std::size_t>(planner)];
   link = {true, epoch, -1};
-  picker_.up(planner, window, now);
-  AttemptLedger::Reconnection back = fence_.link_up(planner, epoch);
-  for (const Attempt attempt : back.to_fence) host_.fence(planner, attempt);
+  picker_.on_link_up(planner, window, now);
+  AttemptLedger::Reconnection back = attempts_.on_link_up(planner, epoch);
+  for (const Attempt attempt : back.to_fence) sink_.fence(planner, attempt);
   // What its former life held is over: nobody will ever prove anything of it.
   for (const RequestId id : back.lost) {
-    ++counts_.lost;
-    picker_.let_go(planner);
+    ++counters_.lost_with_epoch;
+    picker_.release(planner);
     fail(id);
   }
-  counts_.fences += back.to_fence.size();
-  look_at_planners(now);
-  pump(now);
-  wake(now);
+  counters_.fences += back.to_fence.size();
+  check_planners(now);
+  dispatch_waiting(now);
+  schedule(now);
 }
 
 void Dispatch::on_link_lost(int planner, const std::vector<Attempt>& unwritten, double now) {
   Link& link = links_[static_cast<std::size_t>(planner)];
   link.up = false;
-  picker_.down(planner);
-  const std::vector<Attempt> adrift = fence_.link_lost(planner);
+  picker_.on_link_down(planner);
+  const std::vector<Attempt> disconnected = attempts_.on_link_lost(planner);
   std::vector<RequestId> free;
   for (const Attempt attempt : unwritten) {
-    const AttemptRecord* seen = fence_.find(attempt);
+    const AttemptRecord* seen = attempts_.find(attempt);
     if (seen == nullptr || seen->planner != planner) continue;
-    if (const std::optional<RequestId> id = fence_.never_written(attempt)) {
-      ++counts_.proven;
-      picker_.let_go(planner);
+    if (const std::optional<RequestId> id = attempts_.record_unwritten(attempt)) {
+      ++counters_.proven_not_run;
+      picker_.release(planner);
       free.push_back(*id);
     }
   }
-  counts_.adrift += adrift.size() - free.size();
-  if (fence_.open_at(planner) > 0) link.lost_at = now;
-  look_at_planners(now);
-  for (const RequestId id : free) again_or_refuse(id, planner, 0, false, now);
+  counters_.disconnected += disconnected.size() - free.size();
+  if (attempts_.open_attempts_at(planner) > 0) link.disconnected_at = now;
+  check_planners(now);
+  for (const RequestId id : free) retry_or_reject(id, planner, 0, false, now);
   // Keyed requests that wait for it, and all where nobody is left: told at once, not held.
-  WaitQueue& mine = homes_[static_cast<std::size_t>(planner)];
-  while (const std::optional<RequestId> id = mine.next())
-    refuse(*id, outlook_.come_back(0, now, chance_()), false, now);
-  pump(now);
-  wake(now);
+  WaitQueue& mine = keyed_queues_[static_cast<std::size_t>(planner)];
+  while (const std::optional<RequestId> id = mine.front())
+    reject(*id, wait_estimator_.retry_after_seconds(0, now, random_()), false, now);
+  dispatch_waiting(now);
+  schedule(now);
 }
 
-void Dispatch::on_window(int planner, std::uint32_t window, double slot_worth, bool good, double now) {
-  picker_.window(planner, window, slot_worth, good);
-  pump(now);
-  wake(now);
+void Dispatch::on_load_report(int planner, std::uint32_t window, double slot_value, bool healthy,
+                              double now) {
+  picker_.on_load_report(planner, window, slot_value, healthy);
+  dispatch_waiting(now);
+  schedule(now);
 }
 
-void Dispatch::on_no_more(int planner, double now) {
-  picker_.leaving(planner);
-  WaitQueue& mine = homes_[static_cast<std::size_t>(planner)];
-  while (const std::optional<RequestId> id = mine.next())
-    refuse(*id, outlook_.come_back(0, now, chance_()), false, now);
-  look_at_planners(now);
-  pump(now);
-  wake(now);
+void Dispatch::on_planner_draining(int planner, double now) {
+  picker_.on_draining(planner);
+  WaitQueue& mine = keyed_queues_[static_cast<std::size_t>(planner)];
+  while (const std::optional<RequestId> id = mine.front())
+    reject(*id, wait_estimator_.retry_after_seconds(0, now, random_()), false, now);
+  check_planners(now);
+  dispatch_waiting(now);
+  schedule(now);
 }
 
-void Dispatch::look_at_planners(double now) {
-  if (picker_.any_up()) return outlook_.some_planner(now);
-  outlook_.no_planner(now);
-  while (const std::optional<RequestId> id = line_.next())
-    refuse(*id, outlook_.come_back(line_.size(), now, chance_()), false, now);
+void Dispatch::check_planners(double now) {
+  if (picker_.any_accepts_requests()) return wait_estimator_.on_planner_available(now);
+  wait_estimator_.on_no_planner(now);
+  while (const std::optional<RequestId> id = queue_.front())
+    reject(*id, wait_estimator_.retry_after_seconds(queue_.size(), now, random_()), false, now);
 }
 
 // ---- Time.
 // A planner that has not answered in its share of the time is asked for proof, if another one could take the
 // request. Guards against a planner that accepts and never answers, and one that has turned slow with a long
 // line.
-void Dispatch::fence_late(double now) {
-  while (!fences_.empty() && fences_.begin()->first <= now) {
-    const RequestId id = fences_.begin()->second;
-    fences_.erase(fences_.begin());
+void Dispatch::fence_late_attempts(double now) {
+  while (!fence_times_.empty() && fence_times_.begin()->first <= now) {
+    const RequestId id = fence_times_.begin()->second;
+    fence_times_.erase(fence_times_.begin());
     Request& request = requests_.at(id);
     request.fence_at = -1;
-    const std::optional<Attempt> attempt = fence_.in_hand(id);
+    const std::optional<Attempt> attempt = attempts_.current_attempt(id);
     if (!attempt) continue;
-    const AttemptRecord* seen = fence_.find(*attempt);
+    const AttemptRecord* seen = attempts_.find(*attempt);
     const bool elsewhere =
-        request.what.idempotency_key_hash == 0 && picker_.pick(0, now, chance_, seen->planner).has_value();
+        request.details.idempotency_key_hash == 0 && picker_.pick(0, now, random_, seen->planner).has_value();
     if (!elsewhere) {
-      if (request.due - now > 2 * kFenceAgain) {
-        request.fence_at = now + kFenceAgain;
-        fences_.insert({request.fence_at, id});
+      if (request.deadline - now > 2 * kFenceRecheckSeconds) {
+        request.fence_at = now + kFenceRecheckSeconds;
+        fence_times_.insert({request.fence_at, id});
       }
       continue;
     }
     const int planner = seen->planner;
-    if (!fence_.ask(*attempt)) continue;
-    ++counts_.fences;
-    picker_.late(planner, now);
-    host_.fence(planner, *attempt);
+    if (!attempts_.start_fencing(*attempt)) continue;
+    ++counters_.fences;
+    picker_.on_attempt_late(planner, now);
+    sink_.fence(planner, *attempt);
   }
 }
 
 void Dispatch::on_timer(double now) {
   for (std::size_t i = 0; i < links_.size(); ++i) {
     Link& link = links_[i];
-    if (link.lost_at < 0 || now < link.lost_at + terms_.link_patience) continue;
-    link.lost_at = -1;
-    for (const RequestId id : fence_.give_up(static_cast<int>(i))) {
-      ++counts_.lost;
-      picker_.let_go(static_cast<int>(i));
+    if (link.disconnected_at < 0 || now < link.disconnected_at + options_.reconnect_timeout) continue;
+    link.disconnected_at = -1;
+    for (const RequestId id : attempts_.abandon_attempts_at(static_cast<int>(i))) {
+      ++counters_.lost_with_epoch;
+      picker_.release(static_cast<int>(i));
       fail(id);
     }
   }
-  while (!due_.empty() && due_.begin()->first <= now) {
-    const RequestId id = due_.begin()->second;
-    ++counts_.overdue;
-    const std::optional<Attempt> attempt = fence_.in_hand(id);
+  while (!deadlines_.empty() && deadlines_.begin()->first <= now) {
+    const RequestId id = deadlines_.begin()->second;
+    ++counters_.overdue;
+    const std::optional<Attempt> attempt = attempts_.current_attempt(id);
     if (!attempt) {
-      refuse(id, outlook_.come_back(waiting(), now, chance_()), false, now);
+      reject(id, wait_estimator_.retry_after_seconds(waiting_requests(), now, random_()), false, now);
       continue;
     }
-    const AttemptRecord seen = *fence_.find(*attempt);
-    if (seen.standing != AttemptState::kDisconnected) host_.cancel(seen.planner, *attempt);
-    picker_.ended(seen.planner, AttemptOutcome::kBad, now - requests_.at(id).sent, now);
+    const AttemptRecord seen = *attempts_.find(*attempt);
+    if (seen.state != AttemptState::kDisconnected) sink_.cancel(seen.planner, *attempt);
+    picker_.on_attempt_ended(seen.planner, AttemptOutcome::kFailed, now - requests_.at(id).sent_at, now);
     fail(id);
   }
-  fence_late(now);
-  pump(now);
-  wake(now);
+  fence_late_attempts(now);
+  dispatch_waiting(now);
+  schedule(now);
 }
 
 void Dispatch::on_drain(double time_left, double grace, double now) {
-  leave_at_ = now;
+  drain_at_ = now;
   stop_at_ = now + time_left;
-  grace_ = grace;
-  due_.clear();
+  drain_grace_ = grace;
+  deadlines_.clear();
   for (auto& [id, request] : requests_) {
-    request.due = std::min(request.due, std::max(now, stop_at_ - kStopMargin));
-    due_.insert({request.due, id});
+    request.deadline = std::min(request.deadline, std::max(now, stop_at_ - kStopMarginSeconds));
+    deadlines_.insert({request.deadline, id});
   }
-  wake(now);
+  schedule(now);
 }
 
-void Dispatch::wake(double now) {
-  outlook_.busy(fence_.open() > 0, now);
+void Dispatch::schedule(double now) {
+  wait_estimator_.set_busy(attempts_.open_attempts() > 0, now);
   double next = -1;
   const auto sooner = [&](double at) { next = next < 0 ? at : std::min(next, at); };
-  if (!due_.empty()) sooner(due_.begin()->first);
-  if (!fences_.empty()) sooner(fences_.begin()->first);
+  if (!deadlines_.empty()) sooner(deadlines_.begin()->first);
+  if (!fence_times_.empty()) sooner(fence_times_.begin()->first);
   for (const Link& link : links_) {
-    if (link.lost_at >= 0) sooner(link.lost_at + terms_.link_patience);
+    if (link.disconnected_at >= 0) sooner(link.disconnected_at + options_.reconnect_timeout);
   }
-  if (waiting() > 0) sooner(now + kTick);
-  if (next >= 0) host_.schedule_wakeup(std::max(next, now));
+  if (waiting_requests() > 0) sooner(now + kPollSeconds);
+  if (next >= 0) sink_.schedule_wakeup(std::max(next, now));
 }
 
 }  // namespace damsonspoke::tier
--- a/src/tier/endpoint_list_history.h
+++ b/src/tier/endpoint_list_history.h
@@ -15,13 +15,13 @@
 };
 
 struct EndpointListHistory {
-  std::vector<std::string> in_force;
+  std::vector<std::string> current;
   std::vector<FormerEndpointList> former;  // the oldest first
 };
 
-constexpr std::uint32_t kEndpointListHistoryForm = 1;
-constexpr std::size_t kMaxEndpointListHistoryBytes = 64 * 1024, kMostListed = 64, kMostFormerLists = 16,
-                      kMostAddress = 255;
+constexpr std::uint32_t kEndpointListHistoryVersion = 1;
+constexpr std::size_t kMaxEndpointListHistoryBytes = 64 * 1024, kMaxListedPlanners = 64, kMaxFormerLists = 16,
+                      kMaxAddressBytes = 255;
 
 std::string encode(const EndpointListHistory& record);  // of what is over the bounds the newest is kept
 // None where it is no such record, whole and within its bounds.
--- a/src/tier/forwarder_sessions.h
+++ b/src/tier/forwarder_sessions.h
@@ -1,10 +1,11 @@
 // What a planner holds for its forwarders: the planner's side of the fence. Pure policy. An attempt belongs
 // to one life of one forwarder, whatever link it came on; links come and go, and what was answered while none
-// was there, or just before one broke, is kept for a while in bounded memory, to be told again when asked.
+// was there, or just before one broke, is cached_answers for a while in bounded memory, to be told again when
+// asked.
 //
-// Attempts of a life rise. So one that is asked about and was never seen can be fenced off for good by
-// raising the number under which nothing is taken any more: no list of fenced ones is needed, and no bound on
-// it.
+// Attempts of a life rise. So one that is asked about and was never last_attempt can be fenced off for good
+// by raising the number under which nothing is taken any more: no list of fenced ones is needed, and no bound
+// on it.
 #pragma once
 
 #include <cstdint>
@@ -22,10 +23,10 @@
 namespace damsonspoke::tier {
 
 struct ForwarderSessionsOptions {
-  double grace = 0.75;                  // s that a forwarder without a link may take to come back
-  std::size_t kept_bytes = 256 * 1024;  // of answers, shared evenly by the forwarders that are known
-  std::size_t most_forwarders = 128;
-  std::size_t most_open = 4096;  // attempts, a forwarder; more than any window
+  double reconnect_grace_seconds = 0.75;        // s that a forwarder without a link may take to come back
+  std::size_t answer_cache_bytes = 256 * 1024;  // of answers, shared evenly by the forwarders that are known
+  std::size_t max_forwarders = 128;
+  std::size_t max_open_attempts = 4096;  // attempts, a forwarder; more than any window
 };
 
 // A forwarder as long as it is known here; never used again.
@@ -38,60 +39,61 @@
 
 class ForwarderSessions {
  public:
-  explicit ForwarderSessions(ForwarderSessionsOptions terms) : terms_(terms) {}
+  explicit ForwarderSessions(ForwarderSessionsOptions options) : options_(options) {}
 
   // A forwarder says hello on a link. Requests of its former life have lost their caller; a link that it had
-  // is to be closed unread, which makes "never seen" final.
+  // is to be closed unread, which makes "never last_attempt" final.
   struct SessionStart {
     ForwarderId forwarder = 0;  // 0: there are too many
-    std::uint64_t old_link = 0;
-    std::vector<RequestId> gone;
+    std::uint64_t superseded_link = 0;
+    std::vector<RequestId> abandoned;
   };
-  SessionStart hello(const std::string& name, std::uint64_t epoch, std::uint64_t link);
-  void link_lost(std::uint64_t link, double now);
+  SessionStart open_session(const std::string& name, std::uint64_t epoch, std::uint64_t link);
+  void on_link_lost(std::uint64_t link, double now);
   // Requests of forwarders that have not come back in time.
-  std::vector<RequestId> expired(double now);
+  std::vector<RequestId> take_expired(double now);
   double next_expiry() const;  // < 0: none
 
-  enum class SubmitResult { kTaken, kFenced, kTooMany };
-  SubmitResult submit(ForwarderId forwarder, std::uint64_t attempt, RequestId request, int type);
+  enum class SubmitResult { kAccepted, kFenced, kTooMany };
+  SubmitResult submit(ForwarderId forwarder, std::uint64_t attempt, RequestId request, int route);
   // Nobody waits for it; the request, where it is still open.
   std::optional<RequestId> cancel(ForwarderId forwarder, std::uint64_t attempt);
 
   // What is proven of an attempt. `started`: whether a request of that id has ever been told to run.
   struct Proof {
-    wire::tier::Answer answer;      // to be sent
-    std::optional<RequestId> drop;  // a request that is held and will not run: its caller is gone
+    wire::tier::Answer answer;           // to be sent
+    std::optional<RequestId> abandoned;  // a request that is held and will not run: its caller is gone
   };
   template <class Started>
   Proof fence(ForwarderId forwarder, std::uint64_t attempt, const Started& started) {
     return prove(forwarder, attempt, [&](RequestId request) -> bool { return started(request); });
   }
 
-  // The attempt's answer. The link it goes to now, 0 where there is none; it is kept in either case.
-  std::uint64_t answered(ForwarderId forwarder, const wire::tier::Answer& answer);
+  // The attempt's answer. The link it goes to now, 0 where there is none; it is cached_answers in either
+  // case.
+  std::uint64_t record_answer(ForwarderId forwarder, const wire::tier::Answer& answer);
   const OpenAttempt* find(ForwarderId forwarder, std::uint64_t attempt) const;
 
   std::size_t forwarders() const { return forwarders_.size(); }
-  std::size_t linked() const;
-  std::size_t open() const;
-  std::size_t open(ForwarderId forwarder) const;
+  std::size_t linked_forwarders() const;
+  std::size_t open_attempts() const;
+  std::size_t open_attempts(ForwarderId forwarder) const;
 
  private:
   struct Forwarder {
     std::string name;
     std::uint64_t epoch = 0, link = 0;
-    double lost_at = -1;
-    std::uint64_t seen = 0;  // attempts up to this number are not taken any more
+    double disconnected_at = -1;
+    std::uint64_t last_attempt = 0;  // attempts up to this number are not taken any more
     std::map<std::uint64_t, OpenAttempt> open;
-    std::deque<wire::tier::Answer> kept;
-    std::size_t kept_bytes = 0;
+    std::deque<wire::tier::Answer> cached_answers;
+    std::size_t cached_bytes = 0;
   };
   Proof prove(ForwarderId forwarder, std::uint64_t attempt, const std::function<bool(RequestId)>& started);
   void trim(Forwarder& forwarder) const;
-  static std::vector<RequestId> requests_of(const Forwarder& forwarder);
+  static std::vector<RequestId> open_requests_of(const Forwarder& forwarder);
 
-  const ForwarderSessionsOptions terms_;
+  const ForwarderSessionsOptions options_;
   std::map<ForwarderId, Forwarder> forwarders_;
   ForwarderId next_ = 1;
 };
--- a/src/tier/picker.h
+++ b/src/tier/picker.h
@@ -19,57 +19,58 @@
 namespace damsonspoke::tier {
 
 struct PickerOptions {
-  double slow_start = 1.5;     // s in which a planner that has come up grows to its whole window
-  double first_share = 0.25;   // of its window that it begins with
-  double bounded_load = 1.25;  // x the mean use of windows that a key's planner may have
-  double eject_for = 2;        // s, doubled each time in a row up to eject_most
-  double eject_most = 30;      // s
-  double most_ejected = 0.5;   // share of the planners that are up
-  int judged_over = 16;        // ends by which a planner is judged
-  double bad_share = 0.5;      // of them that ended badly, beyond what the others' do
-  double slow_multiple = 5;    // x the median of the others' times to an answer
-  double rejection_rest = 0;   // s that an attempt which was rejected keeps its room
+  double slow_start_seconds = 1.5;        // s in which a planner that has come up grows to its whole window
+  double initial_window_share = 0.25;     // of its window that it begins with
+  double load_bound = 1.25;               // x the mean use of windows that a key's planner may have
+  double base_ejection_seconds = 2;       // s, doubled each time in a row up to max_ejection_seconds
+  double max_ejection_seconds = 30;       // s
+  double max_ejected_share = 0.5;         // share of the planners that are up
+  int min_outcomes = 16;                  // outcomes by which a planner is judged
+  double failure_share_margin = 0.5;      // of them that ended badly, beyond what the others' do
+  double slow_factor = 5;                 // x the median of the others' times to an answer
+  double rejection_cooldown_seconds = 0;  // s that an attempt which was rejected keeps its room
 };
 
 // How an attempt ended, as far as it says something about its planner.
-enum class AttemptOutcome { kServed, kRejected, kBad };
+enum class AttemptOutcome { kSucceeded, kRejected, kFailed };
 
 class Picker {
  public:
-  Picker(PickerOptions terms, std::vector<std::string> names);
+  Picker(PickerOptions options, std::vector<std::string> names);
 
-  // Planners are named by position; new ones come last, ones that are no longer wanted stay as holes.
+  // Planners are named by position; new ones come last, ones that are no longer listed stay as holes.
   int add(std::string name, double now);
   void remove(int planner);
-  void restore(int planner);  // it is wanted again
+  void restore(int planner);  // it is listed again
 
-  void up(int planner, std::uint32_t window, double now);
-  void down(int planner);
-  void leaving(int planner);  // it sends no more requests its way; what is open there goes on
-  void window(int planner, std::uint32_t window, double slot_worth, bool good);
+  void on_link_up(int planner, std::uint32_t window, double now);
+  void on_link_down(int planner);
+  void on_draining(int planner);  // it sends no more requests its way; what is open there goes on
+  void on_load_report(int planner, std::uint32_t window, double slot_value, bool healthy);
 
-  void sent(int planner);
-  // One attempt fewer is open there; `took` s from sending to its end.
-  void ended(int planner, AttemptOutcome how, double took, double now);
-  void let_go(int planner);            // one fewer, and nothing is learned of it
-  void late(int planner, double now);  // it has not answered in its share of the time; still open there
+  void on_attempt_sent(int planner);
+  // One attempt fewer is open there; `latency` s from sending to its end.
+  void on_attempt_ended(int planner, AttemptOutcome how, double latency, double now);
+  void release(int planner);  // one fewer, and nothing is learned of it
+  void on_attempt_late(int planner,
+                       double now);  // it has not answered in its share of the time; still open there
 
-  // `chance` gives numbers from 0 to under 1. None where no planner has room. `not_this`: where the request
+  // `random` gives numbers from 0 to under 1. None where no planner has room. `exclude`: where the request
   // was.
-  std::optional<int> pick(std::uint64_t key, double now, const std::function<double()>& chance,
-                          std::optional<int> not_this = std::nullopt);
+  std::optional<int> pick(std::uint64_t key, double now, const std::function<double()>& random,
+                          std::optional<int> exclude = std::nullopt);
 
-  bool takes_requests(int planner) const;  // it is up and does not leave; with or without room
-  bool wanted(int planner) const { return at(planner).wanted; }
-  // Whether it can be asked what it remembers, wanted or not; and how many more may be open there at once.
-  bool answers(int planner) const { return at(planner).up && !at(planner).leaving; }
-  int asking_room(int planner, double now) const;
-  bool any_up() const;         // whether any takes requests, with or without room
-  int room(double now) const;  // attempts that may be begun now, over all planners
-  int open(int planner) const { return at(planner).open; }
-  int credits(int planner, double now) const;
-  bool ejected(int planner, double now) const { return at(planner).ejected_until > now; }
-  int ejected_now(double now) const;
+  bool accepts_requests(int planner) const;  // it is up and does not leave; with or without room
+  bool is_listed(int planner) const { return at(planner).listed; }
+  // Whether it can be asked what it remembers, listed or not; and how many more may be open there at once.
+  bool is_reachable(int planner) const { return at(planner).up && !at(planner).leaving; }
+  int lookup_capacity(int planner, double now) const;
+  bool any_accepts_requests() const;          // whether any takes requests, with or without room
+  int total_free_capacity(double now) const;  // attempts that may be begun now, over all planners
+  int open_attempts(int planner) const { return at(planner).open; }
+  int free_capacity(int planner, double now) const;
+  bool is_ejected(int planner, double now) const { return at(planner).ejected_until > now; }
+  int ejected_count(double now) const;
   std::uint64_t ejections() const { return ejections_; }
   std::size_t size() const { return planners_.size(); }
   const std::string& name(int planner) const { return at(planner).name; }
@@ -78,28 +79,28 @@
   struct Planner {
     std::string name;
     std::uint64_t hash = 0;
-    bool wanted = true, up = false, leaving = false, good = true;
+    bool listed = true, up = false, leaving = false, healthy = true;
     std::uint32_t window = 0;
-    double slot_worth = 0;
+    double slot_value = 0;
     double up_since = 0;
     int open = 0;
-    double ends = 0, bad = 0, rejected = 0;  // fading counts
-    double took = 0;                         // s, of served ones, a fading mean; 0: none yet
+    double outcomes = 0, failed = 0, rejected = 0;  // fading counts
+    double latency = 0;                             // s, of served ones, a fading mean; 0: none yet
     double ejected_until = 0;
     int ejected_in_a_row = 0;
-    std::deque<double> rests;  // until when room stays taken that rejected attempts had
+    std::deque<double> cooldowns;  // until when room stays taken that rejected attempts had
   };
   const Planner& at(int planner) const { return planners_[static_cast<std::size_t>(planner)]; }
   Planner& at(int planner) { return planners_[static_cast<std::size_t>(planner)]; }
-  bool takes(int planner, double now) const;
-  double effective(const Planner& p, double now) const;
-  static int resting(const Planner& p, double now);
-  double use(int planner, double now) const;
-  bool better(int a, int b, double now) const;
-  void judge(int planner, double now);
-  std::optional<int> by_key(std::uint64_t key, double now, const std::vector<int>& from) const;
+  bool has_capacity(int planner, double now) const;
+  double effective_window(const Planner& p, double now) const;
+  static int rejections_cooling_down(const Planner& p, double now);
+  double utilization(int planner, double now) const;
+  bool is_better(int a, int b, double now) const;
+  void eject_if_outlier(int planner, double now);
+  std::optional<int> pick_by_key(std::uint64_t key, double now, const std::vector<int>& from) const;
 
-  const PickerOptions terms_;
+  const PickerOptions options_;
   std::vector<Planner> planners_;
   std::uint64_t ejections_ = 0;
 };
--- a/src/tier/planner_discovery.cpp
+++ b/src/tier/planner_discovery.cpp
@@ -5,18 +5,19 @@
 namespace damsonspoke::tier {
 
 std::vector<std::string> PlannerDiscovery::planners(const std::vector<std::string>& listed,
-                                                    const std::vector<PlannerSeen>& seen, double now) {
-  for (const PlannerSeen& one : seen) {
-    if (one.serves.empty()) continue;
-    const auto found = known_.find(one.serves);
-    if (one.left) {
+                                                    const std::vector<PlannerStatus>& seen, double now) {
+  for (const PlannerStatus& one : seen) {
+    if (one.address.empty()) continue;
+    const auto found = known_.find(one.address);
+    if (one.has_left) {
       // Two lives may have served at one address: it has left when none that is there serves there.
-      const bool other = std::any_of(seen.begin(), seen.end(),
-                                     [&](const PlannerSeen& o) { return o.serves == one.serves && o.there; });
+      const bool other = std::any_of(seen.begin(), seen.end(), [&](const PlannerStatus& o) {
+        return o.address == one.address && o.is_alive;
+      });
       if (!other && found != known_.end()) found->second.left = true;
-    } else if (one.there) {
+    } else if (one.is_alive) {
       if (found == known_.end()) {
-        known_[one.serves] = {now, now, false};
+        known_[one.address] = {now, now, false};
       } else {
         if (found->second.left) found->second.first = now;
         found->second.left = false;
@@ -24,12 +25,13 @@
       }
     }
   }
-  std::erase_if(known_, [&](const auto& one) { return now - one.second.last > terms_.keep; });
+  std::erase_if(known_, [&](const auto& one) { return now - one.second.last > options_.retention_seconds; });
   std::vector<std::string> out = listed;
   for (const auto& [address, known] : known_) {
     // Where there is none yet, any is better than none.
-    const bool wanted = !known.left && (last_.empty() || now - known.first >= terms_.settled);
-    if (!wanted || out.size() >= terms_.most || std::find(out.begin(), out.end(), address) != out.end())
+    const bool wanted = !known.left && (last_.empty() || now - known.first >= options_.settle_seconds);
+    if (!wanted || out.size() >= options_.max_planners ||
+        std::find(out.begin(), out.end(), address) != out.end())
       continue;
     out.push_back(address);
   }
--- a/src/tier/planner_discovery.h
+++ b/src/tier/planner_discovery.h
@@ -9,30 +9,30 @@
 
 namespace damsonspoke::tier {
 
-struct PlannerSeen {
-  std::string serves;  // address
-  bool there = false, left = false;
+struct PlannerStatus {
+  std::string address;  // address
+  bool is_alive = false, has_left = false;
 };
 
 class PlannerDiscovery {
  public:
-  struct Terms {
-    double settled = 1;  // s that a new one has to be there before it is given requests
-    double keep = 60;    // s that a silent one is kept
-    std::size_t most = 64;
+  struct Options {
+    double settle_seconds = 1;      // s that a new one has to be there before it is given requests
+    double retention_seconds = 60;  // s that a silent one is kept
+    std::size_t max_planners = 64;
   };
-  explicit PlannerDiscovery(Terms terms) : terms_(terms) {}
+  explicit PlannerDiscovery(Options options) : options_(options) {}
   // The planners from now on: `listed` first, in their order. Never none where there was one: a view that has
   // lost everybody says more of itself than of them.
   std::vector<std::string> planners(const std::vector<std::string>& listed,
-                                    const std::vector<PlannerSeen>& seen, double now);
+                                    const std::vector<PlannerStatus>& seen, double now);
 
  private:
   struct Known {
     double first = 0, last = 0;
     bool left = false;
   };
-  const Terms terms_;
+  const Options options_;
   std::map<std::string, Known> known_;
   std::vector<std::string> last_;
 };
--- a/src/tier/retry_budget.h
+++ b/src/tier/retry_budget.h
@@ -10,8 +10,8 @@
  public:
   // `share` of first tries; `burst`: tries that may be made at once after a calm time.
   RetryBudget(double share, double burst) : share_(share), burst_(burst), tokens_(burst) {}
-  void first_try() { tokens_ = std::min(burst_, tokens_ + share_); }
-  bool take() {
+  void on_first_attempt() { tokens_ = std::min(burst_, tokens_ + share_); }
+  bool try_spend() {
     if (tokens_ < 1) return false;
     tokens_ -= 1;
     return true;
--- a/src/tier/slow_start_shares.cpp
+++ b/src/tier/slow_start_shares.cpp
@@ -7,7 +7,7 @@
 
 namespace damsonspoke::tier {
 
-void SlowStartShares::left(Link link, double now) {
+void SlowStartShares::remove(Link link, double now) {
   const auto found = links_.find(link);
   if (found == links_.end()) return;
   Held& held = found->second;
@@ -17,7 +17,7 @@
   held.gone = true;
 }
 
-std::uint32_t SlowStartShares::part(Link link) const {
+std::uint32_t SlowStartShares::share(Link link) const {
   const auto found = links_.find(link);
   return found == links_.end() ? 0 : found->second.part;
 }
@@ -26,11 +26,11 @@
 // open from before that.
 std::uint64_t SlowStartShares::charge(const Held& held, std::size_t open, double now) const {
   const std::uint32_t may =
-      now - held.lowered_at < terms_.settle ? std::max(held.part, held.before) : held.part;
+      now - held.lowered_at < options_.settle_seconds ? std::max(held.part, held.before) : held.part;
   return std::max<std::uint64_t>(may, open);
 }
 
-void SlowStartShares::look(double now, double budget, const std::function<std::size_t(Link)>& open) {
+void SlowStartShares::rebalance(double now, double budget, const std::function<std::size_t(Link)>& open) {
   const auto whole = static_cast<std::uint64_t>(std::max(1.0, budget));
   std::vector<std::pair<Link, Held*>> here;
   std::uint64_t charged = 0;
@@ -48,10 +48,10 @@
   const auto even = static_cast<std::uint32_t>(whole / here.size());
   std::uint64_t over = whole % here.size();
   for (const auto& [link, held] : here) {
-    const std::uint32_t most = even + (now - held->raised_at < terms_.turn ? 1 : 0);
+    const std::uint32_t most = even + (now - held->raised_at < options_.rotation_seconds ? 1 : 0);
     if (held->part > even) over -= std::min<std::uint64_t>(over, held->part > most ? 0 : 1);
     if (held->part <= most) continue;
-    const bool still = now - held->lowered_at < terms_.settle;
+    const bool still = now - held->lowered_at < options_.settle_seconds;
     held->before = still ? std::max(held->before, held->part) : held->part;
     held->part = most;
     held->lowered_at = now;
--- a/src/tier/slow_start_shares.h
+++ b/src/tier/slow_start_shares.h
@@ -14,24 +14,24 @@
 namespace damsonspoke::tier {
 
 struct SlowStartSharesOptions {
-  double settle =
+  double settle_seconds =
       0.25;  // s after which a smaller part has surely been heard, and what was sent before it is here
-  double turn = 0.25;  // s that a part which goes round stays; at least settle
+  double rotation_seconds = 0.25;  // s that a part which goes round stays; at least settle_seconds
 };
 
 class SlowStartShares {
  public:
   using Link = std::uint64_t;
-  explicit SlowStartShares(SlowStartSharesOptions terms = {}) : terms_(terms) {}
+  explicit SlowStartShares(SlowStartSharesOptions options = {}) : options_(options) {}
 
-  void joined(Link link) { links_[link].gone = false; }
+  void add(Link link) { links_[link].gone = false; }
   // Its part is free once what it has open here has ended, and what was on its way has come.
-  void left(Link link, double now);
+  void remove(Link link, double now);
 
   // New parts for this budget (attempts; fractions are rounded down). `open`: how many a link has open here.
-  void look(double now, double budget, const std::function<std::size_t(Link)>& open);
-  std::uint32_t part(Link link) const;
-  std::size_t known() const { return links_.size(); }
+  void rebalance(double now, double budget, const std::function<std::size_t(Link)>& open);
+  std::uint32_t share(Link link) const;
+  std::size_t size() const { return links_.size(); }
   void clear() { links_.clear(); }
 
  private:
@@ -44,7 +44,7 @@
   };
   std::uint64_t charge(const Held& held, std::size_t open, double now) const;
 
-  const SlowStartSharesOptions terms_;
+  const SlowStartSharesOptions options_;
   std::map<Link, Held> links_;  // in the order in which they came
 };
 
--- a/src/tier/wait_queue.cpp
+++ b/src/tier/wait_queue.cpp
@@ -4,8 +4,8 @@
 
 namespace damsonspoke::tier {
 
-std::optional<RequestId> WaitQueue::enter(RequestId request, double priority_weight, std::uint32_t caller,
-                                          std::size_t bytes) {
+std::optional<RequestId> WaitQueue::push(RequestId request, double priority_weight, std::uint32_t caller,
+                                         std::size_t bytes) {
   Rank& rank = ranks_[priority_weight];
   std::deque<RequestId>& mine = rank.by_caller[caller];
   if (mine.empty()) rank.turns.push_back(caller);
@@ -13,14 +13,14 @@
   ++rank.count;
   waiting_[request] = {priority_weight, caller, bytes};
   bytes_ += bytes;
-  if (waiting_.size() <= max_requests_ && bytes_ <= most_bytes_) return std::nullopt;
-  const RequestId goes = worst();
-  take_out(goes, false);
+  if (waiting_.size() <= max_requests_ && bytes_ <= max_bytes_) return std::nullopt;
+  const RequestId goes = eviction_candidate();
+  erase(goes, false);
   return goes;
 }
 
 // Of the least important: the newest of the caller that has most of them waiting.
-RequestId WaitQueue::worst() const {
+RequestId WaitQueue::eviction_candidate() const {
   const Rank& rank = ranks_.rbegin()->second;
   const std::deque<RequestId>* most = nullptr;
   for (const std::uint32_t caller : rank.turns) {
@@ -30,20 +30,20 @@
   return most != nullptr ? most->back() : RequestId{};  // a rank that is there has turns
 }
 
-std::optional<RequestId> WaitQueue::next() const {
+std::optional<RequestId> WaitQueue::front() const {
   if (ranks_.empty()) return std::nullopt;
   const Rank& rank = ranks_.begin()->second;
   return rank.by_caller.at(rank.turns.front()).front();
 }
 
-bool WaitQueue::leave(RequestId request) {
+bool WaitQueue::remove(RequestId request) {
   if (!waiting_.contains(request)) return false;
-  take_out(request, next() == request);
+  erase(request, front() == request);
   return true;
 }
 
 // Whoever had its turn goes behind the other callers of its rank.
-void WaitQueue::take_out(RequestId request, bool its_turn) {
+void WaitQueue::erase(RequestId request, bool its_turn) {
   const Waiting w = waiting_.at(request);
   waiting_.erase(request);
   bytes_ -= w.bytes;
@@ -61,7 +61,7 @@
   if (--rank.count == 0) ranks_.erase(at);
 }
 
-std::size_t WaitQueue::ahead(double priority_weight) const {
+std::size_t WaitQueue::count_ahead(double priority_weight) const {
   std::size_t count = 0;
   for (const auto& [of, rank] : ranks_) {
     if (of < priority_weight) break;
--- a/src/tier/wait_queue.h
+++ b/src/tier/wait_queue.h
@@ -18,18 +18,18 @@
 
 class WaitQueue {
  public:
-  WaitQueue(std::size_t max_requests, std::size_t most_bytes)
-      : max_requests_(max_requests), most_bytes_(most_bytes) {}
+  WaitQueue(std::size_t max_requests, std::size_t max_bytes)
+      : max_requests_(max_requests), max_bytes_(max_bytes) {}
 
   // Enters a request. What has to go for it, which may be the request itself; none where there was room.
-  std::optional<RequestId> enter(RequestId request, double priority_weight, std::uint32_t caller,
-                                 std::size_t bytes);
+  std::optional<RequestId> push(RequestId request, double priority_weight, std::uint32_t caller,
+                                std::size_t bytes);
   // Whose turn it is. None where nobody waits.
-  std::optional<RequestId> next() const;
-  bool leave(RequestId request);  // false: it does not wait
-  bool holds(RequestId request) const { return waiting_.contains(request); }
+  std::optional<RequestId> front() const;
+  bool remove(RequestId request);  // false: it does not wait
+  bool contains(RequestId request) const { return waiting_.contains(request); }
   // Requests that go before one of that importance that comes now.
-  std::size_t ahead(double priority_weight) const;
+  std::size_t count_ahead(double priority_weight) const;
 
   std::size_t size() const { return waiting_.size(); }
   std::size_t bytes() const { return bytes_; }
@@ -46,10 +46,10 @@
     std::uint32_t caller = 0;
     std::size_t bytes = 0;
   };
-  RequestId worst() const;
-  void take_out(RequestId request, bool its_turn);
+  RequestId eviction_candidate() const;
+  void erase(RequestId request, bool its_turn);
 
-  const std::size_t max_requests_, most_bytes_;
+  const std::size_t max_requests_, max_bytes_;
   std::map<double, Rank, std::greater<>> ranks_;  // the most important first
   std::unordered_map<RequestId, Waiting> waiting_;
   std::size_t bytes_ = 0;
--- a/src/wire/tier.cpp
+++ b/src/wire/tier.cpp
@@ -5,13 +5,23 @@
 namespace damsonspoke::wire::tier {
 namespace {
 
-enum Kind : std::uint8_t { kHello = 1, kSubmit, kCancel, kFence, kAnswer, kWindow, kNoMore, kPing, kPong };
-constexpr std::string_view kMark =
+enum Kind : std::uint8_t {
+  kHello = 1,
+  kSubmit,
+  kCancel,
+  kFence,
+  kAnswer,
+  kLoadReport,
+  kDraining,
+  kPing,
+  kPong
+};
+constexpr std::string_view kMagic =
     "DSTP";  // a hello begins with it: what speaks something else is known at once
 
 class Writer {
  public:
-  explicit Writer(Kind kind) : out_(kHead, '\0') { out_[4] = static_cast<char>(kind); }
+  explicit Writer(Kind kind) : out_(kHeaderBytes, '\0') { out_[4] = static_cast<char>(kind); }
   template <class Number>
   void number(Number value) {
     for (std::size_t i = sizeof(Number); i-- > 0;)
@@ -26,7 +36,7 @@
     out_ += text;
   }
   std::string done() {
-    const std::size_t length = out_.size() - kHead;
+    const std::size_t length = out_.size() - kHeaderBytes;
     for (std::size_t i = 0; i < 4; ++i) out_[i] = static_cast<char>(length >> (8 * (3 - i)));
     return std::move(out_);
   }
@@ -78,16 +88,16 @@
 struct Encoder {
   std::string operator()(const Hello& m) const {
     Writer w(kHello);
-    w.raw(kMark);
+    w.raw(kMagic);
     w.number(m.version);
-    w.flag(m.planner);
+    w.flag(m.is_planner);
     w.number(m.epoch);
-    w.text<std::uint8_t>(m.name, kMostName);
+    w.text<std::uint8_t>(m.name, kMaxNameBytes);
     w.number(m.cores);
     w.number(m.window);
-    const std::size_t count = std::min(m.types.size(), kMostTypes);
+    const std::size_t count = std::min(m.routes.size(), kMaxRoutes);
     w.number(static_cast<std::uint16_t>(count));
-    for (std::size_t i = 0; i < count; ++i) w.text<std::uint8_t>(m.types[i], kMostName);
+    for (std::size_t i = 0; i < count; ++i) w.text<std::uint8_t>(m.routes[i], kMaxNameBytes);
     return w.done();
   }
   std::string operator()(const Submit& m) const {
@@ -100,9 +110,9 @@
     w.number(m.size_sixteenth_kb);
     w.number(m.age_us);
     w.number(m.remaining_us);
-    w.flag(m.known_only);
-    w.text<std::uint8_t>(m.idempotency_key, kMostMark);
-    w.text<std::uint32_t>(m.body, kMostBody);
+    w.flag(m.lookup_only);
+    w.text<std::uint8_t>(m.idempotency_key, kMaxKeyBytes);
+    w.text<std::uint32_t>(m.body, kMaxBodyBytes);
     return w.done();
   }
   std::string operator()(const Answer& m) const {
@@ -111,19 +121,19 @@
     w.number(static_cast<std::uint8_t>(m.result));
     w.number(m.retry_after_us);
     w.flag(m.no_retry);
-    w.text<std::uint32_t>(m.body, kMostBody);
+    w.text<std::uint32_t>(m.body, kMaxBodyBytes);
     return w.done();
   }
-  std::string operator()(const Window& m) const {
-    Writer w(kWindow);
+  std::string operator()(const LoadReport& m) const {
+    Writer w(kLoadReport);
     w.number(m.window);
-    w.number(m.slot_worth);
-    w.flag(m.good);
+    w.number(m.slot_value_milli);
+    w.flag(m.is_healthy);
     return w.done();
   }
   std::string operator()(const Cancel& m) const { return one(kCancel, m.attempt); }
   std::string operator()(const Fence& m) const { return one(kFence, m.attempt); }
-  std::string operator()(const NoMore& m) const { return one(kNoMore, m.stop_us); }
+  std::string operator()(const Draining& m) const { return one(kDraining, m.stop_us); }
   std::string operator()(const Ping& m) const { return one(kPing, m.token); }
   std::string operator()(const Pong& m) const { return one(kPong, m.token); }
 
@@ -144,19 +154,19 @@
 
 Message decode_hello(Reader& r) {
   Hello m;
-  r.demand(r.take(kMark.size()) == kMark);
+  r.demand(r.take(kMagic.size()) == kMagic);
   r.number(m.version);
-  r.flag(m.planner);
+  r.flag(m.is_planner);
   r.number(m.epoch);
   r.demand(m.epoch != 0);
-  r.text<std::uint8_t>(m.name, kMostName);
+  r.text<std::uint8_t>(m.name, kMaxNameBytes);
   r.number(m.cores);
   r.number(m.window);
   std::uint16_t count = 0;
   r.number(count);
-  r.demand(count <= kMostTypes);
+  r.demand(count <= kMaxRoutes);
   for (std::uint16_t i = 0; r.good() && i < count; ++i)
-    r.text<std::uint8_t>(m.types.emplace_back(), kMostName);
+    r.text<std::uint8_t>(m.routes.emplace_back(), kMaxNameBytes);
   return m;
 }
 
@@ -170,10 +180,10 @@
   r.number(m.size_sixteenth_kb);
   r.number(m.age_us);
   r.number(m.remaining_us);
-  r.flag(m.known_only);
+  r.flag(m.lookup_only);
   r.demand(m.attempt != 0 && m.request != 0);
-  r.text<std::uint8_t>(m.idempotency_key, kMostMark);
-  r.text<std::uint32_t>(m.body, kMostBody);
+  r.text<std::uint8_t>(m.idempotency_key, kMaxKeyBytes);
+  r.text<std::uint32_t>(m.body, kMaxBodyBytes);
   return m;
 }
 
@@ -182,19 +192,19 @@
   std::uint8_t result = 0;
   r.number(m.attempt);
   r.number(result);
-  r.demand(result <= static_cast<std::uint8_t>(Result::kNotKnown));
+  r.demand(result <= static_cast<std::uint8_t>(Result::kKeyUnknown));
   m.result = static_cast<Result>(result);
   r.number(m.retry_after_us);
   r.flag(m.no_retry);
-  r.text<std::uint32_t>(m.body, kMostBody);
+  r.text<std::uint32_t>(m.body, kMaxBodyBytes);
   return m;
 }
 
-Message decode_window(Reader& r) {
-  Window m;
+Message decode_load_report(Reader& r) {
+  LoadReport m;
   r.number(m.window);
-  r.number(m.slot_worth);
-  r.flag(m.good);
+  r.number(m.slot_value_milli);
+  r.flag(m.is_healthy);
   return m;
 }
 
@@ -202,24 +212,24 @@
 
 std::string encode(const Message& message) { return std::visit(Encoder{}, message); }
 
-Taken next_message(std::string_view input) {
-  Taken out;
-  if (input.size() < kHead) return out;
+DecodedFrame decode_next_frame(std::string_view input) {
+  DecodedFrame out;
+  if (input.size() < kHeaderBytes) return out;
   std::uint32_t length = 0;
   Reader(input).number(length);
-  if (length > kMostFrame) return out.state = Framing::kBroken, out;
-  if (input.size() < kHead + length) return out;
-  Reader r(input.substr(kHead, length));
+  if (length > kMaxFrameBytes) return out.state = Framing::kBroken, out;
+  if (input.size() < kHeaderBytes + length) return out;
+  Reader r(input.substr(kHeaderBytes, length));
   out.state = Framing::kFrame;
-  out.length = kHead + length;
+  out.length = kHeaderBytes + length;
   switch (static_cast<std::uint8_t>(input[4])) {
     case kHello: out.message = decode_hello(r); break;
     case kSubmit: out.message = decode_submit(r); break;
     case kCancel: out.message = one(r, &Cancel::attempt); break;
     case kFence: out.message = one(r, &Fence::attempt); break;
     case kAnswer: out.message = decode_answer(r); break;
-    case kWindow: out.message = decode_window(r); break;
-    case kNoMore: out.message = one(r, &NoMore::stop_us); break;
+    case kLoadReport: out.message = decode_load_report(r); break;
+    case kDraining: out.message = one(r, &Draining::stop_us); break;
     case kPing: out.message = one(r, &Ping::token); break;
     case kPong: out.message = one(r, &Pong::token); break;
     default: r.demand(false);
--- a/standins/forwarder.h
+++ b/standins/forwarder.h
@@ -36,7 +36,7 @@
   }
   static wire::tier::Hello hello_of(const char* name, std::uint64_t epoch) {
     wire::tier::Hello hello;
-    hello.name = name, hello.epoch = epoch, hello.types = {"read"};
+    hello.name = name, hello.epoch = epoch, hello.routes = {"read"};
     return hello;
   }
   ScriptedForwarder& submit(std::uint64_t attempt, std::uint64_t request) {
@@ -77,13 +77,13 @@
     }
     in_.append(bytes, static_cast<std::size_t>(got));
     for (;;) {
-      const wire::tier::Taken taken = wire::tier::next_message(in_);
+      const wire::tier::DecodedFrame taken = wire::tier::decode_next_frame(in_);
       if (taken.state != wire::tier::Framing::kFrame) return;
       in_.erase(0, taken.length);
       if (const auto* hello = std::get_if<wire::tier::Hello>(&taken.message))
         greeted = true, window = hello->window;
-      if (const auto* told = std::get_if<wire::tier::Window>(&taken.message)) window = told->window;
-      if (std::holds_alternative<wire::tier::NoMore>(taken.message)) no_more = true;
+      if (const auto* told = std::get_if<wire::tier::LoadReport>(&taken.message)) window = told->window;
+      if (std::holds_alternative<wire::tier::Draining>(taken.message)) no_more = true;
       if (std::holds_alternative<wire::tier::Pong>(taken.message)) ++pongs;
       if (const auto* answer = std::get_if<wire::tier::Answer>(&taken.message))
         answers[answer->attempt] = answer->result;
--- a/standins/planner.cpp
+++ b/standins/planner.cpp
@@ -49,14 +49,14 @@
   if (got <= 0) {
     loop_.forget(fd);
     ::close(fd);
-    parts_.left(links_.at(fd).serial, now());
+    parts_.remove(links_.at(fd).serial, now());
     links_.erase(fd);
     return;
   }
   std::string& in = links_.at(fd).in;
   in.append(bytes, static_cast<std::size_t>(got));
   for (;;) {
-    const wt::Taken taken = wt::next_message(in);
+    const wt::DecodedFrame taken = wt::decode_next_frame(in);
     if (taken.state != wt::Framing::kFrame) break;
     in.erase(0, taken.length);
     take(fd, taken.message);
@@ -80,15 +80,15 @@
 void Planner::take(int fd, const wt::Message& message) {
   if (links_.at(fd).halved) return;
   if (const auto* hello = std::get_if<wt::Hello>(&message)) {
-    links_.at(fd).types = hello->types;
+    links_.at(fd).types = hello->routes;
     wt::Hello mine;
-    mine.planner = true;
+    mine.is_planner = true;
     mine.epoch = epoch_;
     mine.name = "scripted";
     mine.cores = 4;
     mine.window = options.cold > 0 ? 0 : options.window;
     put(fd, mine);
-    if (options.cold > 0) parts_.joined(links_.at(fd).serial);
+    if (options.cold > 0) parts_.add(links_.at(fd).serial);
     if (options.cold > 0 && links_.size() == 1) hand_out();
   } else if (const auto* ping = std::get_if<wt::Ping>(&message)) {
     put(fd, wt::Pong{ping->token});
@@ -109,16 +109,16 @@
 
 // As a real one does while it is cold: what all may have open sums to its budget.
 void Planner::hand_out() {
-  parts_.look(now(), options.cold, [this](std::uint64_t serial) {
+  parts_.rebalance(now(), options.cold, [this](std::uint64_t serial) {
     for (const auto& [fd, link] : links_) {
       if (link.serial == serial) return link.open;
     }
     return std::size_t{0};
   });
   for (auto& [fd, link] : links_) {
-    wt::Window window;
-    window.window = parts_.part(link.serial);
-    window.good = true;
+    wt::LoadReport window;
+    window.window = parts_.share(link.serial);
+    window.is_healthy = true;
     if (window.window == link.told) continue;
     link.told = window.window;
     put(fd, window);
--- a/tests/cold_parts.cpp
+++ b/tests/cold_parts.cpp
@@ -66,7 +66,7 @@
   };
   static tier::PickerOptions terms() {
     tier::PickerOptions terms;
-    terms.rejection_rest = 0.25;  // as forwarders have it
+    terms.rejection_cooldown_seconds = 0.25;  // as forwarders have it
     return terms;
   }
   double uniform() { return static_cast<double>(random_()) / 4294967296.0; }
@@ -76,28 +76,28 @@
       const std::uint64_t id = next_++;
       auto& one = forwarders_[id];
       one = std::make_unique<Forwarder>();
-      one->picker.up(0, 0, now_);
+      one->picker.on_link_up(0, 0, now_);
       one->last_sent = now_;
-      parts_.joined(id);
+      parts_.add(id);
     }
     if (uniform() < 0.02 && forwarders_.size() > 1) {  // what it has open goes on
       auto gone = std::next(forwarders_.begin(),
                             static_cast<long>(random_(static_cast<unsigned>(forwarders_.size()))));
-      parts_.left(gone->first, now_);
+      parts_.remove(gone->first, now_);
       forwarders_.erase(gone);
     }
   }
   void planner_looks() {
     if (now_ < next_look_) return;
     next_look_ = now_ + 0.05;
-    parts_.look(now_, budget_, [this](std::uint64_t id) {
+    parts_.rebalance(now_, budget_, [this](std::uint64_t id) {
       return static_cast<std::size_t>(
           std::count_if(attempts_.begin(), attempts_.end(),
                         [&](const Attempt& a) { return a.forwarder == id && a.comes <= now_; }));
     });
     for (auto& [id, one] : forwarders_) {
-      if (parts_.part(id) == one->told) continue;
-      one->told = parts_.part(id);
+      if (parts_.share(id) == one->told) continue;
+      one->told = parts_.share(id);
       const double at = std::max(now_ + kLate * uniform(), one->words.empty() ? 0 : one->words.back().first);
       one->words.emplace_back(at, one->told);
     }
@@ -105,7 +105,7 @@
   void hear() {
     for (auto& [id, one] : forwarders_) {
       for (const auto& [at, part] : one->words) {
-        if (at <= now_) one->picker.window(0, part, 0, true);
+        if (at <= now_) one->picker.on_load_report(0, part, 0, true);
       }
       std::erase_if(one->words, [&](const auto& word) { return word.first <= now_; });
     }
@@ -113,7 +113,7 @@
   void send() {
     for (auto& [id, one] : forwarders_) {
       while (one->picker.pick(0, now_, [this] { return uniform(); })) {
-        one->picker.sent(0);
+        one->picker.on_attempt_sent(0);
         const double comes = now_ + kWay * uniform();
         attempts_.push_back(
             {id, comes, comes + (rejections_ ? 0.001 : 0.02 + (uniform() < 0.3 ? 2.0 : 0.3) * uniform())});
@@ -129,8 +129,8 @@
       if (a.ends > now_) return false;
       const auto found = forwarders_.find(a.forwarder);
       if (found != forwarders_.end())
-        found->second->picker.ended(
-            0, rejections_ ? tier::AttemptOutcome::kRejected : tier::AttemptOutcome::kServed, 0.1, now_);
+        found->second->picker.on_attempt_ended(
+            0, rejections_ ? tier::AttemptOutcome::kRejected : tier::AttemptOutcome::kSucceeded, 0.1, now_);
       return true;
     });
   }
@@ -189,14 +189,14 @@
 void lives() {
   for (const bool cold : {false, true}) {
     tier::ConcurrencyWindows windows({2, 0.2, 1e9});
-    windows.began(cold, 0);
+    windows.on_runtime_started(cold, 0);
     std::size_t most = 0;
     for (std::uint64_t life = 1; life <= 10000; ++life) {
       const double now = static_cast<double>(life) * 0.05;
-      windows.joined(life);
-      if (life > 1) windows.left(life - 1, now);
-      windows.look(now, [](std::uint64_t) { return std::size_t{0}; });
-      most = std::max(most, windows.known());
+      windows.add_forwarder(life);
+      if (life > 1) windows.remove_forwarder(life - 1, now);
+      windows.rebalance(now, [](std::uint64_t) { return std::size_t{0}; });
+      most = std::max(most, windows.tracked_forwarders());
     }
     say(fmt::format("{}: ten thousand lives, a few known at a time", cold ? "cold" : "warm"), most < 20);
   }
--- a/tests/compatibility/stored_files_test.cpp
+++ b/tests/compatibility/stored_files_test.cpp
@@ -116,12 +116,12 @@
 }
 
 TEST_F(StoredFiles, PlannerListsAreReadWhole) {
-  const store::ChecksummedContent sealed =
-      read_sealed("planners", "planners", tier::kEndpointListHistoryForm, tier::kMaxEndpointListHistoryBytes);
+  const store::ChecksummedContent sealed = read_sealed(
+      "planners", "planners", tier::kEndpointListHistoryVersion, tier::kMaxEndpointListHistoryBytes);
   ASSERT_EQ(sealed.problem, store::ChecksumProblem::kNone);
   const std::optional<tier::EndpointListHistory> lists = tier::decode_endpoint_list_history(sealed.content);
   ASSERT_TRUE(lists.has_value());
-  EXPECT_EQ(lists->in_force, (std::vector<std::string>{"127.0.0.1:7001", "127.0.0.1:7002"}));
+  EXPECT_EQ(lists->current, (std::vector<std::string>{"127.0.0.1:7001", "127.0.0.1:7002"}));
   ASSERT_EQ(lists->former.size(), 1u);
   EXPECT_EQ(lists->former[0].until, 1764700000.5);
   EXPECT_EQ(lists->former[0].planners, (std::vector<std::string>{"127.0.0.1:7000", "127.0.0.1:7001"}));
--- a/tests/compatibility/wire_messages_test.cpp
+++ b/tests/compatibility/wire_messages_test.cpp
@@ -185,7 +185,7 @@
 std::map<std::string, wire::tier::Message> tier_messages() {
   using namespace wire::tier;
   Hello planner;
-  planner.planner = true;
+  planner.is_planner = true;
   planner.epoch = 0x1122334455667788;
   planner.name = "planner-1";
   planner.cores = 4;
@@ -193,7 +193,7 @@
   Hello forwarder;
   forwarder.epoch = 5;
   forwarder.name = "forwarder-1";
-  forwarder.types = {"avail-read", "rate-push"};
+  forwarder.routes = {"avail-read", "rate-push"};
   Submit submit;
   submit.attempt = 9;
   submit.request = 10;
@@ -206,16 +206,16 @@
   submit.idempotency_key = "key-1";
   submit.body = "body";
   Submit question = submit;
-  question.known_only = true;
+  question.lookup_only = true;
   std::map<std::string, Message> messages = {{"hello_planner", planner},
                                              {"hello_forwarder", forwarder},
                                              {"submit", submit},
                                              {"submit_known_only", question},
                                              {"cancel", Cancel{11}},
                                              {"fence", Fence{12}},
-                                             {"window", Window{32, 750, true}},
-                                             {"window_bad", Window{1, 0, false}},
-                                             {"no_more", NoMore{3000000}},
+                                             {"window", LoadReport{32, 750, true}},
+                                             {"window_bad", LoadReport{1, 0, false}},
+                                             {"no_more", Draining{3000000}},
                                              {"ping", Ping{77}},
                                              {"pong", Pong{78}}};
   for (std::uint8_t result = 0; result <= 8; ++result) {
@@ -230,7 +230,7 @@
   for (const auto& [name, message] : tier_messages()) encoded[name] = wire::tier::encode(message);
   expect_recorded("tier.txt", encoded);
   for (const auto& [name, bytes] : recorded_messages("tier.txt")) {
-    const wire::tier::Taken taken = wire::tier::next_message(bytes);
+    const wire::tier::DecodedFrame taken = wire::tier::decode_next_frame(bytes);
     EXPECT_EQ(taken.state, wire::tier::Framing::kFrame) << name;
     EXPECT_EQ(taken.length, bytes.size()) << name;
     EXPECT_EQ(taken.message.index(), tier_messages().at(name).index()) << name;
--- a/tests/planner_link.cpp
+++ b/tests/planner_link.cpp
@@ -32,8 +32,8 @@
     lost = true;
     unwritten = attempts;
   }
-  void on_window(int, const wt::Window&) override {}
-  void on_no_more(int) override {}
+  void on_load_report(int, const wt::LoadReport&) override {}
+  void on_planner_draining(int) override {}
   void on_answer(int, std::uint64_t, const wt::Answer&) override {}
   bool up = false, lost = false;
   std::vector<std::uint64_t> unwritten;
@@ -67,7 +67,7 @@
     if (fd < 0) fd = ::accept(listener, nullptr, nullptr);
     if (fd >= 0 && !seen.up && step == 0) {
       wt::Hello hello;
-      hello.planner = true, hello.epoch = 9, hello.name = "p", hello.window = 1000;
+      hello.is_planner = true, hello.epoch = 9, hello.name = "p", hello.window = 1000;
       const std::string bytes = wt::encode(hello);
       if (::send(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL) > 0) step = 1;
     }
@@ -101,7 +101,7 @@
   ::close(listener);
   std::set<std::uint64_t> whole;
   for (std::string_view rest = arrived;;) {
-    const wt::Taken taken = wt::next_message(rest);
+    const wt::DecodedFrame taken = wt::decode_next_frame(rest);
     if (taken.state != wt::Framing::kFrame) break;
     if (const auto* submit = std::get_if<wt::Submit>(&taken.message)) whole.insert(submit->attempt);
     rest.remove_prefix(taken.length);
@@ -153,7 +153,7 @@
       ::close(fd_);
       fd_ = -1;
     }
-    for (wt::Taken taken; (taken = wt::next_message(in_)).state == wt::Framing::kFrame;) {
+    for (wt::DecodedFrame taken; (taken = wt::decode_next_frame(in_)).state == wt::Framing::kFrame;) {
       pings += std::holds_alternative<wt::Ping>(taken.message);
       in_.erase(0, taken.length);
     }
@@ -186,10 +186,10 @@
 // What is no planner's greeting ends the link, which is opened anew after a pause.
 void greetings() {
   wt::Hello sound;
-  sound.planner = true, sound.epoch = 9, sound.name = "p", sound.window = 10;
+  sound.is_planner = true, sound.epoch = 9, sound.name = "p", sound.window = 10;
   wt::Hello other = sound, forwarder = sound;
   other.version = 99;
-  forwarder.planner = false;
+  forwarder.is_planner = false;
   const std::pair<const char*, std::string> kWords[] = {
       {"another version", wt::encode(other)},
       {"a forwarder", wt::encode(forwarder)},
@@ -214,10 +214,10 @@
   for (int i = 0; i < 12; ++i) sounds.run_for(0.1), sounds.peer.say(wt::Pong{1});
   std::printf("pings in 1.2 s: %s; the link holds: %s\n",
               yes(sounds.peer.pings >= 3 && sounds.peer.pings <= 12), yes(!sounds.seen.lost));
-  sounds.peer.say(wt::NoMore{});
+  sounds.peer.say(wt::Draining{});
   sounds.run_for(0.1);
   std::printf("it leaves, with an op open: the link holds: %s\n", yes(!sounds.seen.lost));
-  sounds.planners->done_with(0);
+  sounds.planners->close_if_draining(0);
   sounds.run_for(0.1);
   std::printf("with none: it ends: %s", yes(sounds.seen.lost));
   const double closed = sounds.peer.closed_at;
@@ -225,7 +225,7 @@
   std::printf("; opened again after half a second: %s\n",
               yes(sounds.peer.accepted == 2 && sounds.peer.connected_at - closed > 0.4));
   sounds.planners->remove(0);
-  sounds.planners->done_with(0);
+  sounds.planners->close_if_draining(0);
   sounds.run_for(1.5);
   const int links = sounds.peer.accepted;
   sounds.planners->restore(0);
--- a/tests/planner_program.cpp
+++ b/tests/planner_program.cpp
@@ -68,14 +68,14 @@
   hello.version = 99;
   refused("another version", hello);
   hello = Link::hello_of("f1", 7);
-  hello.planner = true;
+  hello.is_planner = true;
   refused("a planner", hello);
   refused("no name", Link::hello_of("", 7));
   wt::Submit submit;
   submit.attempt = submit.request = 1;
   refused("an op before the hello", submit);
   refused("a ping before it", wt::Ping{1});
-  refused("what only planners say", wt::Window{});
+  refused("what only planners say", wt::LoadReport{});
   Link twice(play);
   twice.hello("f1", 7).send(Link::hello_of("f1", 7));
   say("a second hello", twice.closed(0.5));
--- a/tests/tier_dispatch.cpp
+++ b/tests/tier_dispatch.cpp
@@ -27,10 +27,9 @@
   void fence(int planner, Attempt attempt) override {
     std::printf("  fence %d at p%d\n", static_cast<int>(attempt), planner);
   }
-  void reply(RequestId request, LocalAnswer how, double retry_after, bool no_retry) override {
-    std::printf("  op %d: %s", static_cast<int>(request),
-                how == LocalAnswer::kRejected ? "nacked" : "failed");
-    if (how == LocalAnswer::kRejected)
+  void reply(RequestId request, LocalReply how, double retry_after, bool no_retry) override {
+    std::printf("  op %d: %s", static_cast<int>(request), how == LocalReply::kRejected ? "nacked" : "failed");
+    if (how == LocalReply::kRejected)
       std::printf(", back in %.2f s%s", retry_after, no_retry ? ", nowhere else" : "");
     std::printf("\n");
   }
@@ -41,10 +40,10 @@
 void dispatch() {
   Told told;
   DispatchOptions terms;
-  terms.picker.slow_start = 0;
+  terms.picker.slow_start_seconds = 0;
   terms.retry_burst = 3;
   terms.retry_share = 0;
-  terms.queue_requests = 2;
+  terms.max_waiting_requests = 2;
   Dispatch d(
       terms, 1, {"p0", "p1"}, told, [] { return 0.5; }, 0);
   double now = 0;
@@ -129,14 +128,14 @@
   now += 0.4;
   request(41, 5);
   until(39);
-  std::printf("open at the end: %zu\n", d.open());
+  std::printf("open at the end: %zu\n", d.open_requests());
 }
 
 // What waits for a planner that goes: told at once.
 void waiting() {
   Told told;
   DispatchOptions terms;
-  terms.picker.slow_start = 0;
+  terms.picker.slow_start_seconds = 0;
   Dispatch d(
       terms, 1, {"p0", "p1"}, told, [] { return 0.5; }, 0);
   const auto request = [&](RequestId id, std::uint64_t mark, double now) {
@@ -154,8 +153,8 @@
           .has_value();
   std::printf("  believed: %s\n", believed ? "yes" : "no");
   std::printf("both leave\n");
-  d.on_no_more(0, 0.1);
-  d.on_no_more(1, 0.1);
+  d.on_planner_draining(0, 0.1);
+  d.on_planner_draining(1, 0.1);
   request(5, 0, 0.1);
   std::printf("back, and full; a link is lost under a keyed one that waits\n");
   d.on_link_up(0, 8, 1, 0.2);
@@ -168,7 +167,7 @@
   d.on_link_up(0, 8, 4, 6);
   d.on_link_up(1, 8, 4, 6);
   request(9, 1, 6);
-  d.set_planners({d.attempts().find(*d.attempts().in_hand(9))->planner == 0 ? "p1" : "p0"}, 6);
+  d.set_planners({d.attempts().find(*d.attempts().current_attempt(9))->planner == 0 ? "p1" : "p0"}, 6);
   request(10, 1, 6);
   std::printf("room comes free twice a second: four ahead leave no time for one of a second\n");
   Dispatch slow(
@@ -188,26 +187,26 @@
   d.on_drain(2, 0.3, 7);
   request(11, 0, 7.1);
   d.on_timer(8.79);
-  std::printf("just before the stop's margin: open %zu\n", d.open());
+  std::printf("just before the stop's margin: open %zu\n", d.open_requests());
   d.on_timer(8.81);
-  std::printf("and behind it: open %zu\n", d.open());
+  std::printf("and behind it: open %zu\n", d.open_requests());
 }
 
 // Keyed requests while the list changes, told one by one.
 void moving() {
   Told told;
   DispatchOptions terms;
-  terms.picker.slow_start = 0;
-  terms.homes = {2, 10};
+  terms.picker.slow_start_seconds = 0;
+  terms.key_ownership = {2, 10};
   Dispatch d(
       terms, 1, {"p0", "p1"}, told, [] { return 0.5; }, 0);
   d.on_link_up(0, 7, 1, 0);
   d.on_link_up(1, 7, 1, 0);
   KeyOwnership before({2, 10});
-  before.list({{0, "p0"}, {1, "p1"}}, 0);
+  before.set_planners({{0, "p0"}, {1, "p1"}}, 0);
   std::uint64_t stays = 0, moves = 0;  // keys of p0 and p1
   for (std::uint64_t mark = 1; stays == 0 || moves == 0; ++mark)
-    (before.way(mark, 0).home == 0 ? stays : moves) = mark;
+    (before.route(mark, 0).owner == 0 ? stays : moves) = mark;
   double now = 0;
   const auto request = [&](RequestId id, std::uint64_t mark, double left = 1) {
     ForwardedRequest o;
@@ -223,10 +222,10 @@
   request(1, moves), request(2, moves);
   d.set_planners({"p0"}, now = 0.1);
   std::printf("whether p1 could be let go of with those open, whenever: %s\n",
-              d.done_with(1, 99) ? "yes" : "no");
+              d.can_disconnect(1, 99) ? "yes" : "no");
   std::printf("p1 answers the first, and that it does not know the second: nothing new may run yet\n");
   answer(1, 1, AnswerKind::kSucceeded);
-  answer(1, 2, AnswerKind::kNotKnown);
+  answer(1, 2, AnswerKind::kKeyUnknown);
   std::printf("a key that stays, and plain ones, go to p0\n");
   request(3, stays), request(4, 0);
   answer(0, 3, AnswerKind::kSucceeded);
@@ -237,7 +236,7 @@
   answer(1, 5, AnswerKind::kSucceeded);
   std::printf("asked first, not known, run at p0\n");
   request(6, moves);
-  answer(1, 6, AnswerKind::kNotKnown);
+  answer(1, 6, AnswerKind::kKeyUnknown);
   answer(0, 7, AnswerKind::kSucceeded);
   std::printf("a plain nack is no answer to the question\n");
   request(7, moves);
@@ -245,23 +244,23 @@
   std::printf("asked by a list that is no longer in force: asked anew\n");
   request(8, moves);
   d.set_planners({"p0", "p2"}, now = 3.1);
-  answer(1, 9, AnswerKind::kNotKnown);
-  answer(0, 10, AnswerKind::kNotKnown);
-  answer(1, 11, AnswerKind::kNotKnown);
-  std::printf("whether p1 can be let go of: %s, later: %s\n", d.done_with(1, now) ? "yes" : "no",
-              d.done_with(1, 13) ? "yes" : "no");
+  answer(1, 9, AnswerKind::kKeyUnknown);
+  answer(0, 10, AnswerKind::kKeyUnknown);
+  answer(1, 11, AnswerKind::kKeyUnknown);
+  std::printf("whether p1 can be let go of: %s, later: %s\n", d.can_disconnect(1, now) ? "yes" : "no",
+              d.can_disconnect(1, 13) ? "yes" : "no");
   std::printf("who would have to be asked is not there: nobody may run it\n");
   now = 6;
   d.on_link_lost(1, {}, now);
   request(9, moves);
-  answer(0, 12, AnswerKind::kNotKnown);
+  answer(0, 12, AnswerKind::kKeyUnknown);
   std::printf(
       "nothing can be remembered any more; what is said to a question that was none counts for nothing\n");
   now = 30;
   d.on_link_up(2, 7, 1, now);
   request(10, moves);
-  answer(2, 13, AnswerKind::kNotKnown);
-  std::printf("open at the end: %zu\n", d.open());
+  answer(2, 13, AnswerKind::kKeyUnknown);
+  std::printf("open at the end: %zu\n", d.open_requests());
 }
 
 // A planner acks the numbers after the last that it has read, while the next four are on their way to it.
@@ -269,7 +268,7 @@
   void send(int, Attempt attempt, RequestId, double, bool) override { sent.push_back(attempt); }
   void cancel(int, Attempt) override {}
   void fence(int, Attempt) override {}
-  void reply(RequestId, LocalAnswer, double, bool) override {}
+  void reply(RequestId, LocalReply, double, bool) override {}
   void schedule_wakeup(double) override {}
   std::vector<Attempt> sent;
 };
@@ -277,8 +276,8 @@
   for (const std::uint64_t steps : {1, 1 << 24}) {
     Numbers numbers;
     DispatchOptions terms;
-    terms.picker.slow_start = 0;
-    terms.number_steps = steps;
+    terms.picker.slow_start_seconds = 0;
+    terms.max_attempt_step = steps;
     pcg64 random(9);
     Dispatch d(
         terms, 1, {"p0"}, numbers, [&] { return std::ldexp(static_cast<double>(random() >> 11), -53); }, 0);
--- a/tests/tier_histories.cpp
+++ b/tests/tier_histories.cpp
@@ -70,11 +70,11 @@
       ++t.requests, t.succeeded += request.succeeded, t.rejected += request.rejected,
           t.failed += request.failed;
     for (const auto& f : forwarders_) {
-      const DispatchCounters& c = f->dispatch.counts();
-      t.second += static_cast<int>(c.second_tries), t.fenced += static_cast<int>(c.fences);
-      t.proven += static_cast<int>(c.proven), t.dropped += static_cast<int>(c.dropped_answers);
-      t.lost += static_cast<int>(c.lost);
-      t.asked += static_cast<int>(c.asked), t.known += static_cast<int>(c.known);
+      const DispatchCounters& c = f->dispatch.counters();
+      t.second += static_cast<int>(c.retries), t.fenced += static_cast<int>(c.fences);
+      t.proven += static_cast<int>(c.proven_not_run), t.dropped += static_cast<int>(c.stale_answers);
+      t.lost += static_cast<int>(c.lost_with_epoch);
+      t.asked += static_cast<int>(c.key_lookups), t.known += static_cast<int>(c.key_lookup_hits);
     }
     return t;
   }
@@ -140,18 +140,18 @@
               terms(), 1, {"p1", "p2", "p3", "p4"}, *this, [&h] { return h.chance(); }, 0) {}
     static DispatchOptions terms() {
       DispatchOptions t;
-      t.by_key = true;
-      t.homes = {kSpread + kLongest, kWindow + 2 * kLongest};
+      t.route_by_subject = true;
+      t.key_ownership = {kSpread + kLongest, kWindow + 2 * kLongest};
       return t;
     }
     void send(int planner, Attempt attempt, RequestId request, double left, bool known_only) override {
       wt::Submit submit;
-      submit.known_only = known_only;
+      submit.lookup_only = known_only;
       submit.attempt = attempt;
       submit.request = request;
       submit.remaining_us = static_cast<std::uint32_t>(left * 1e6);
       const auto& picker = dispatch.picker();
-      if (picker.open(planner) > static_cast<int>(window[planner]))
+      if (picker.open_attempts(planner) > static_cast<int>(window[planner]))
         history.fail("planner " + std::to_string(planner) + " was sent more than its window");
       history.note("f" + std::to_string(number) + " sends op " + std::to_string(request) + " as " +
                    std::to_string(attempt) + " to p" + std::to_string(planner));
@@ -162,8 +162,8 @@
       history.note("f" + std::to_string(number) + " fences " + std::to_string(attempt));
       history.out(links[planner], wt::Fence{attempt});
     }
-    void reply(RequestId request, LocalAnswer how, double, bool) override {
-      history.answered(request, how == LocalAnswer::kRejected ? 'n' : 'f');
+    void reply(RequestId request, LocalReply how, double, bool) override {
+      history.answered(request, how == LocalReply::kRejected ? 'n' : 'f');
     }
     void schedule_wakeup(double time) override {
       if (time >= wake_time) return;  // it asks anew when it is woken
@@ -194,10 +194,10 @@
   void check_credits() {
     for (const auto& f : forwarders_) {
       for (int p = 0; p < kPlanners; ++p) {
-        if (f->dispatch.picker().open(p) != f->dispatch.attempts().open_at(p))
+        if (f->dispatch.picker().open_attempts(p) != f->dispatch.attempts().open_attempts_at(p))
           fail("credits of f" + std::to_string(f->number) + " at p" + std::to_string(p) + ": " +
-               std::to_string(f->dispatch.picker().open(p)) + " taken, " +
-               std::to_string(f->dispatch.attempts().open_at(p)) + " attempts in hand");
+               std::to_string(f->dispatch.picker().open_attempts(p)) + " taken, " +
+               std::to_string(f->dispatch.attempts().open_attempts_at(p)) + " attempts in hand");
       }
     }
   }
@@ -297,13 +297,13 @@
     link->there = false;
     Planner& planner = *planners_[static_cast<std::size_t>(link->planner)];
     if (!planner.up) return;
-    planner.holdings->link_lost(link->number, now_);
+    planner.holdings->on_link_lost(link->number, now_);
     links_[link->number] = nullptr;
     const int p = link->planner;
     const std::uint64_t epoch = planner.epoch;
     after(0.8, [this, p, epoch] {
       Planner& later = *planners_[static_cast<std::size_t>(p)];
-      if (later.up && later.epoch == epoch) gone(later, later.holdings->expired(now_));
+      if (later.up && later.epoch == epoch) gone(later, later.holdings->take_expired(now_));
     });
   }
   // Where nothing of it has run, its key is free again, and its repeats are told so.
@@ -357,7 +357,7 @@
     answer.attempt = held.attempt;
     answer.result = result;
     answer.retry_after_us = 100000;
-    const std::uint64_t link = planner.holdings->answered(held.forwarder, answer);
+    const std::uint64_t link = planner.holdings->record_answer(held.forwarder, answer);
     if (link != 0 && links_[link]) in(links_[link], answer);
   }
   void planner_hears(const std::shared_ptr<Link>& link, const wt::Message& message) {
@@ -365,19 +365,20 @@
     if (!planner.up) return;
     if (const auto* hello = std::get_if<wt::Hello>(&message)) {
       const ForwarderSessions::SessionStart greeting =
-          planner.holdings->hello(hello->name, hello->epoch, link->number);
-      if (greeting.old_link != 0 && links_[greeting.old_link]) links_[greeting.old_link]->there = false;
-      gone(planner, greeting.gone);
+          planner.holdings->open_session(hello->name, hello->epoch, link->number);
+      if (greeting.superseded_link != 0 && links_[greeting.superseded_link])
+        links_[greeting.superseded_link]->there = false;
+      gone(planner, greeting.abandoned);
       link->known_as = greeting.forwarder;
       links_[link->number] = link;
       wt::Hello mine;
-      mine.planner = true;
+      mine.is_planner = true;
       mine.epoch = planner.epoch;
       mine.window = 8;
       in(link, mine);
     } else if (const auto* submit = std::get_if<wt::Submit>(&message)) {
       if (planner.holdings->submit(link->known_as, submit->attempt, submit->request, 0) !=
-          ForwarderSessions::SubmitResult::kTaken)
+          ForwarderSessions::SubmitResult::kAccepted)
         return;
       const Held held{submit->request, link->known_as, submit->attempt, now_ + submit->remaining_us * 1e-6};
       if (planner.manner == Manner::kRejections || planner.open.contains(submit->request))
@@ -393,9 +394,9 @@
           known->second.waits.push_back(held);
           return;
         }
-        if (submit->known_only) return tell(planner, held, wt::Result::kNotKnown);
+        if (submit->lookup_only) return tell(planner, held, wt::Result::kKeyUnknown);
         planner.memory[mark] = {held.request, now_, Memory::kReserved, {}};
-      } else if (submit->known_only) {
+      } else if (submit->lookup_only) {
         fail("op " + std::to_string(held.request) + " has no key and was asked about");
       }
       planner.open[held.request] = held;
@@ -407,7 +408,7 @@
     } else if (const auto* fence = std::get_if<wt::Fence>(&message)) {
       const ForwarderSessions::Proof proof = planner.holdings->fence(
           link->known_as, fence->attempt, [&](RequestId request) { return planner.started[request]; });
-      if (proof.drop) gone(planner, {*proof.drop});
+      if (proof.abandoned) gone(planner, {*proof.abandoned});
       in(link, proof.answer);
     }
   }
@@ -466,8 +467,8 @@
       if (answer->result == wt::Result::kRejected) kind = AnswerKind::kRejected;
       if (answer->result == wt::Result::kNeverRan) kind = AnswerKind::kNeverRan;
       if (answer->result == wt::Result::kRunning) kind = AnswerKind::kRunning;
-      if (answer->result == wt::Result::kForgotten) kind = AnswerKind::kForgotten;
-      if (answer->result == wt::Result::kNotKnown) kind = AnswerKind::kNotKnown;
+      if (answer->result == wt::Result::kOutcomeEvicted) kind = AnswerKind::kOutcomeEvicted;
+      if (answer->result == wt::Result::kKeyUnknown) kind = AnswerKind::kKeyUnknown;
       const std::optional<RequestId> over = forwarder.dispatch.on_answer(
           p, epoch_of_[link->number], answer->attempt, kind, answer->retry_after_us * 1e-6, false, now_);
       if (over) answered(*over, kind == AnswerKind::kSucceeded ? 'a' : 'f');
--- a/tests/tier_parts.cpp
+++ b/tests/tier_parts.cpp
@@ -32,13 +32,13 @@
   pcg32 random(5);
   const auto chance = [&] { return random() / 4294967296.0; };
   PickerOptions terms;
-  terms.slow_start = 0;
+  terms.slow_start_seconds = 0;
   {  // A subject stays where it is while planners come and go.
     Picker five(terms, names(5));
-    for (int i = 0; i < 5; ++i) five.up(i, 100, 0);
+    for (int i = 0; i < 5; ++i) five.on_link_up(i, 100, 0);
     std::map<std::uint64_t, int> before;
     for (std::uint64_t key = 1; key <= 5000; ++key) before[key] = *five.pick(key, 1, chance);
-    five.down(2);
+    five.on_link_down(2);
     int moved = 0, of_it = 0;
     for (const auto& [key, planner] : before) {
       of_it += planner == 2;
@@ -49,84 +49,88 @@
   }
   {  // Half of all requests are of one subject: no planner is far above the mean.
     Picker four(terms, names(4));
-    for (int i = 0; i < 4; ++i) four.up(i, 100, 0);
+    for (int i = 0; i < 4; ++i) four.on_link_up(i, 100, 0);
     std::deque<int> open;
     double worst = 0;
     for (int i = 0; i < 20000; ++i) {
       const int to = *four.pick(random() % 2 ? 7 : 1 + random() % 1000, 1, chance);
-      four.sent(to);
+      four.on_attempt_sent(to);
       open.push_back(to);
-      if (open.size() > 80) four.ended(open.front(), AttemptOutcome::kServed, 0.01, 1), open.pop_front();
-      if (open.size() >= 80) worst = std::max(worst, four.open(to) / 20.0);
+      if (open.size() > 80)
+        four.on_attempt_ended(open.front(), AttemptOutcome::kSucceeded, 0.01, 1), open.pop_front();
+      if (open.size() >= 80) worst = std::max(worst, four.open_attempts(to) / 20.0);
     }
     std::printf("a hot subject: most at one planner within 1.35 x the mean: %s\n",
                 worst <= 1.35 ? "yes" : "no");
   }
   {  // Without subjects the emptier of two.
     Picker eight(terms, names(8));
-    for (int i = 0; i < 8; ++i) eight.up(i, 100, 0);
+    for (int i = 0; i < 8; ++i) eight.on_link_up(i, 100, 0);
     int most = 0;
     for (int i = 0; i < 400; ++i) {
       const int to = *eight.pick(0, 1, chance);
-      eight.sent(to);
-      most = std::max(most, eight.open(to));
+      eight.on_attempt_sent(to);
+      most = std::max(most, eight.open_attempts(to));
     }
     std::printf("400 ops over 8 by the better of two: at most %s\n", most <= 54 ? "54" : "more");
   }
   {
     PickerOptions slow;
     Picker two(slow, names(2));
-    two.up(0, 100, -100);
-    two.up(1, 100, 0);
-    std::printf("slow start: room of 100 after 0, 0.5, 1, 1.5 s: %d, %d, %d, %d\n", two.credits(1, 0),
-                two.credits(1, 0.5), two.credits(1, 1), two.credits(1, 1.5));
+    two.on_link_up(0, 100, -100);
+    two.on_link_up(1, 100, 0);
+    std::printf("slow start: room of 100 after 0, 0.5, 1, 1.5 s: %d, %d, %d, %d\n", two.free_capacity(1, 0),
+                two.free_capacity(1, 0.5), two.free_capacity(1, 1), two.free_capacity(1, 1.5));
   }
   {  // Outliers go, for longer each time, but never more than half.
     Picker four(terms, names(4));
-    for (int i = 0; i < 4; ++i) four.up(i, 1000, 0);
+    for (int i = 0; i < 4; ++i) four.on_link_up(i, 1000, 0);
     const auto round = [&](int planner, AttemptOutcome how, double took, double now) {
-      for (int i = 0; i < 20; ++i) four.sent(planner), four.ended(planner, how, took, now);
+      for (int i = 0; i < 20; ++i)
+        four.on_attempt_sent(planner), four.on_attempt_ended(planner, how, took, now);
     };
-    for (const int sound : {0, 1, 2}) round(sound, AttemptOutcome::kServed, 0.02, 1);
-    round(3, AttemptOutcome::kBad, 0.5, 1);
-    std::printf("one fails: left out %s\n", four.ejected(3, 1) ? "yes" : "no");
+    for (const int sound : {0, 1, 2}) round(sound, AttemptOutcome::kSucceeded, 0.02, 1);
+    round(3, AttemptOutcome::kFailed, 0.5, 1);
+    std::printf("one fails: left out %s\n", four.is_ejected(3, 1) ? "yes" : "no");
     for (int i = 0; i < 20; ++i) round(2, AttemptOutcome::kRejected, 0.001, 1);
-    std::printf("a second nacks everything: left out %s\n", four.ejected(2, 1) ? "yes" : "no");
-    round(1, AttemptOutcome::kBad, 1, 1);
-    round(1, AttemptOutcome::kBad, 1, 1);
-    round(1, AttemptOutcome::kBad, 1, 1);
-    std::printf("a third fails: left out %s, so many %d of 4\n", four.ejected(1, 1) ? "yes" : "no",
-                four.ejected_now(1));
+    std::printf("a second nacks everything: left out %s\n", four.is_ejected(2, 1) ? "yes" : "no");
+    round(1, AttemptOutcome::kFailed, 1, 1);
+    round(1, AttemptOutcome::kFailed, 1, 1);
+    round(1, AttemptOutcome::kFailed, 1, 1);
+    std::printf("a third fails: left out %s, so many %d of 4\n", four.is_ejected(1, 1) ? "yes" : "no",
+                four.ejected_count(1));
     double back = 1;
-    while (four.ejected(3, back)) back += 0.25;
-    round(3, AttemptOutcome::kBad, 0.5, back);
+    while (four.is_ejected(3, back)) back += 0.25;
+    round(3, AttemptOutcome::kFailed, 0.5, back);
     double again = back;
-    while (four.ejected(3, again)) again += 0.25;
+    while (four.is_ejected(3, again)) again += 0.25;
     std::printf("left out for %.0f s, then for %.0f s\n", back - 1, again - back);
     Picker all(terms, names(2));
-    for (int i = 0; i < 2; ++i) all.up(i, 1000, 0);
+    for (int i = 0; i < 2; ++i) all.on_link_up(i, 1000, 0);
     for (int i = 0; i < 64; ++i) {
-      for (int p = 0; p < 2; ++p) all.sent(p), all.ended(p, AttemptOutcome::kBad, 1, 1);
+      for (int p = 0; p < 2; ++p)
+        all.on_attempt_sent(p), all.on_attempt_ended(p, AttemptOutcome::kFailed, 1, 1);
     }
-    std::printf("all fail alike: left out %d\n", all.ejected_now(1));
+    std::printf("all fail alike: left out %d\n", all.ejected_count(1));
     Picker lag(terms, names(3));
-    for (int i = 0; i < 3; ++i) lag.up(i, 1000, 0);
+    for (int i = 0; i < 3; ++i) lag.on_link_up(i, 1000, 0);
     for (int i = 0; i < 20; ++i) {
-      for (int p = 0; p < 3; ++p) lag.sent(p), lag.ended(p, AttemptOutcome::kServed, p == 1 ? 0.5 : 0.05, 1);
+      for (int p = 0; p < 3; ++p)
+        lag.on_attempt_sent(p), lag.on_attempt_ended(p, AttemptOutcome::kSucceeded, p == 1 ? 0.5 : 0.05, 1);
     }
-    std::printf("one is ten times slower: left out %s\n", lag.ejected(1, 1) ? "yes" : "no");
+    std::printf("one is ten times slower: left out %s\n", lag.is_ejected(1, 1) ? "yes" : "no");
     Picker choice(terms, names(2));
-    for (int i = 0; i < 2; ++i) choice.up(i, 100, 0);
+    for (int i = 0; i < 2; ++i) choice.on_link_up(i, 100, 0);
     const auto to_first = [&] {
       int first = 0;
       for (int i = 0; i < 100; ++i) first += *choice.pick(0, 1, chance) == 0;
       return first;
     };
-    choice.window(0, 100, 3, true), choice.window(1, 100, 1, true);
+    choice.on_load_report(0, 100, 3, true), choice.on_load_report(1, 100, 1, true);
     std::printf("the first's next slot is worth more: it gets %d of 100\n", to_first());
-    choice.window(0, 100, 1, true), choice.window(1, 100, 1, false);
+    choice.on_load_report(0, 100, 1, true), choice.on_load_report(1, 100, 1, false);
     std::printf("the second is not well: the first gets %d of 100\n", to_first());
-    choice.leaving(0);
+    choice.on_draining(0);
     std::printf("and leaves: it gets %d of 100\n", to_first());
     choice.remove(1);
     std::printf("and nobody wants the second: %s\n", choice.pick(0, 1, chance) ? "picked" : "none");
@@ -136,53 +140,55 @@
 // ---- The line and the outlook.
 void line() {
   WaitQueue waits(6, 10000);
-  for (RequestId id = 1; id <= 4; ++id) waits.enter(id, 1, 1, 10);  // a heavy caller
-  waits.enter(5, 1, 2, 10);
-  waits.enter(6, 3, 1, 10);
-  std::printf("ahead of one of importance 1: %zu, of 3: %zu\n", waits.ahead(1), waits.ahead(3));
-  const auto goes = waits.enter(7, 3, 3, 10);
+  for (RequestId id = 1; id <= 4; ++id) waits.push(id, 1, 1, 10);  // a heavy caller
+  waits.push(5, 1, 2, 10);
+  waits.push(6, 3, 1, 10);
+  std::printf("ahead of one of importance 1: %zu, of 3: %zu\n", waits.count_ahead(1), waits.count_ahead(3));
+  const auto goes = waits.push(7, 3, 3, 10);
   std::printf("full: op %llu goes for op 7\n", static_cast<unsigned long long>(goes.value_or(0)));
-  const auto self = waits.enter(8, 0.5, 4, 10);
+  const auto self = waits.push(8, 0.5, 4, 10);
   std::printf("one of less importance than all: op %llu goes\n",
               static_cast<unsigned long long>(self.value_or(0)));
   std::printf("in turn:");
-  while (const auto id = waits.next())
-    waits.leave(*id), std::printf(" %llu", static_cast<unsigned long long>(*id));
+  while (const auto id = waits.front())
+    waits.remove(*id), std::printf(" %llu", static_cast<unsigned long long>(*id));
   std::printf("; left over %zu ops, %zu bytes\n", waits.size(), waits.bytes());
   WaitQueue small(100, 100);
-  small.enter(1, 1, 1, 60);
+  small.push(1, 1, 1, 60);
   std::printf("bytes full: op %llu goes\n",
-              static_cast<unsigned long long>(small.enter(2, 1, 2, 60).value_or(0)));
+              static_cast<unsigned long long>(small.push(2, 1, 2, 60).value_or(0)));
 }
 
 void outlook() {
   WaitEstimator sees({}, 2, 0);
-  sees.some_planner(0);
-  sees.busy(true, 0);
-  std::printf("nothing known, 50 ahead, 0.1 s left: %s\n", sees.in_time(0, 50, 0.1, 0.1) ? "may" : "no");
-  for (int i = 1; i <= 300; ++i) sees.room_came_free(i * 0.01), sees.served(0, 0.05);  // 100 a second
+  sees.on_planner_available(0);
+  sees.set_busy(true, 0);
+  std::printf("nothing known, 50 ahead, 0.1 s left: %s\n",
+              sees.can_finish_in_time(0, 50, 0.1, 0.1) ? "may" : "no");
+  for (int i = 1; i <= 300; ++i) sees.on_capacity_freed(i * 0.01), sees.on_success(0, 0.05);  // 100 a second
   std::printf("100 a second, 40 ahead, 0.3 s left: %s, 0.8 s left: %s\n",
-              sees.in_time(0, 40, 0.3, 3) ? "may" : "no", sees.in_time(0, 40, 0.8, 3) ? "may" : "no");
+              sees.can_finish_in_time(0, 40, 0.3, 3) ? "may" : "no",
+              sees.can_finish_in_time(0, 40, 0.8, 3) ? "may" : "no");
   std::printf("a type that nothing is known of, none ahead, 0.03 s left: %s\n",
-              sees.in_time(1, 0, 0.03, 3) ? "may" : "no");
-  std::printf("come back behind 40: %.2f to %.2f s\n", sees.come_back(40, 3, 0),
-              sees.come_back(40, 3, 0.999));
-  sees.busy(false, 3);
+              sees.can_finish_in_time(1, 0, 0.03, 3) ? "may" : "no");
+  std::printf("come back behind 40: %.2f to %.2f s\n", sees.retry_after_seconds(40, 3, 0),
+              sees.retry_after_seconds(40, 3, 0.999));
+  sees.set_busy(false, 3);
   std::printf("after a calm of 60 s, 40 ahead, 0.8 s left: %s\n",
-              sees.in_time(0, 40, 0.8, 63) ? "may" : "no");
-  sees.busy(true, 63);
-  std::printf("and nothing comes free for 3 s: %s\n", sees.in_time(0, 40, 0.8, 66) ? "may" : "no");
-  sees.no_planner(3);
+              sees.can_finish_in_time(0, 40, 0.8, 63) ? "may" : "no");
+  sees.set_busy(true, 63);
+  std::printf("and nothing comes free for 3 s: %s\n", sees.can_finish_in_time(0, 40, 0.8, 66) ? "may" : "no");
+  sees.on_no_planner(3);
   std::printf(
       "no planner: healthy after 0.5 s %s, after 1.5 s %s; come back after 0.5 s about %.2f, 5 s %.2f\n",
-      sees.healthy(3.5) ? "yes" : "no", sees.healthy(4.5) ? "yes" : "no", sees.come_back(0, 3.5, 0.5),
-      sees.come_back(0, 8, 0.5));
+      sees.is_healthy(3.5) ? "yes" : "no", sees.is_healthy(4.5) ? "yes" : "no",
+      sees.retry_after_seconds(0, 3.5, 0.5), sees.retry_after_seconds(0, 8, 0.5));
   RetryBudget budget(0.1, 3);
   int taken = 0;
-  for (int i = 0; i < 1000; ++i) budget.first_try(), taken += budget.take();
+  for (int i = 0; i < 1000; ++i) budget.on_first_attempt(), taken += budget.try_spend();
   std::printf("second tries of 1000 first ones at a tenth: %s\n", taken <= 104 ? "within" : "over");
-  std::printf("windows of 4 cores for 1, 4, 40 links: %u, %u, %u\n", window_of(4, 1), window_of(4, 4),
-              window_of(4, 40));
+  std::printf("windows of 4 cores for 1, 4, 40 links: %u, %u, %u\n", warm_window(4, 1), warm_window(4, 4),
+              warm_window(4, 40));
 }
 
 // ---- What a planner holds.
@@ -193,12 +199,12 @@
     return names[static_cast<int>(result)];
   };
   ForwarderSessions holds({0.75, 1024, 2, 3});
-  const auto f = holds.hello("f1", 7, 1).forwarder;
+  const auto f = holds.open_session("f1", 7, 1).forwarder;
   bool started = false;
   const auto fence = [&](std::uint64_t attempt) {
     const auto proof = holds.fence(f, attempt, [&](RequestId) { return started; });
     std::printf("fence %llu: %s%s\n", static_cast<unsigned long long>(attempt), text(proof.answer.result),
-                proof.drop ? ", its op is dropped" : "");
+                proof.abandoned ? ", its op is dropped" : "");
   };
   holds.submit(f, 1, 101, 0);
   fence(1);
@@ -209,48 +215,49 @@
   std::printf(
       "submitted all the same: %s\n",
       holds.submit(f, 5, 105, 0) == ForwarderSessions::SubmitResult::kFenced ? "fenced off" : "taken");
-  holds.link_lost(1, 10);
+  holds.on_link_lost(1, 10);
   wt::Answer answer;
   answer.attempt = 2;
   answer.result = wt::Result::kSucceeded;
   answer.body = "done";
   std::printf("answered while away: to link %llu\n",
-              static_cast<unsigned long long>(holds.answered(f, answer)));
-  const auto back = holds.hello("f1", 7, 2);
+              static_cast<unsigned long long>(holds.record_answer(f, answer)));
+  const auto back = holds.open_session("f1", 7, 2);
   std::printf("back in the same life: known %s, lost %zu\n", back.forwarder == f ? "yes" : "no",
-              back.gone.size());
+              back.abandoned.size());
   fence(2);
   for (std::uint64_t i = 10; i < 30; ++i) {
     holds.submit(f, i, 100 + i, 0);
     answer.attempt = i;
-    holds.answered(f, answer);
+    holds.record_answer(f, answer);
   }
   fence(2);
   fence(29);
-  holds.hello("f2", 1, 9);
+  holds.open_session("f2", 1, 9);
   std::printf("a second forwarder halves what is kept\n");
   fence(23);
   for (std::uint64_t i = 40; i < 43; ++i) holds.submit(f, i, 100 + i, 0);
   std::printf(
       "a fourth open one: %s\n",
       holds.submit(f, 43, 143, 0) == ForwarderSessions::SubmitResult::kTooMany ? "too many" : "taken");
-  const auto anew = holds.hello("f1", 8, 3);
+  const auto anew = holds.open_session("f1", 8, 3);
   std::printf("a new life: known %s, old link %llu, ops without a caller %zu\n",
-              anew.forwarder == f ? "yes" : "no", static_cast<unsigned long long>(anew.old_link),
-              anew.gone.size());
+              anew.forwarder == f ? "yes" : "no", static_cast<unsigned long long>(anew.superseded_link),
+              anew.abandoned.size());
   holds.submit(anew.forwarder, 1, 201, 0);
-  std::printf("its numbers begin anew: open %zu\n", holds.open());
-  holds.link_lost(3, 20);
-  std::printf("away for 0.5 s: %zu ops gone, for 0.8 s: %zu\n", holds.expired(20.5).size(),
-              holds.expired(20.8).size());
-  holds.hello("a", 1, 4), holds.hello("b", 1, 5);
-  std::printf("a third forwarder of two: %s\n", holds.hello("c", 1, 6).forwarder == 0 ? "no room" : "taken");
-  holds.link_lost(4, 30);
-  const auto third = holds.hello("c", 1, 6).forwarder;
+  std::printf("its numbers begin anew: open %zu\n", holds.open_attempts());
+  holds.on_link_lost(3, 20);
+  std::printf("away for 0.5 s: %zu ops gone, for 0.8 s: %zu\n", holds.take_expired(20.5).size(),
+              holds.take_expired(20.8).size());
+  holds.open_session("a", 1, 4), holds.open_session("b", 1, 5);
+  std::printf("a third forwarder of two: %s\n",
+              holds.open_session("c", 1, 6).forwarder == 0 ? "no room" : "taken");
+  holds.on_link_lost(4, 30);
+  const auto third = holds.open_session("c", 1, 6).forwarder;
   std::printf("where one of them is away: %s\n", third == 0 ? "no room" : "taken");
   answer.attempt = 77;
   std::printf("an answer to what was never taken: to link %llu\n",
-              static_cast<unsigned long long>(holds.answered(third, answer)));
+              static_cast<unsigned long long>(holds.record_answer(third, answer)));
 }
 
 // The longest result that a runtime may give passes whole; nothing longer is read.
@@ -259,12 +266,12 @@
   answer.attempt = 1;
   answer.result = wt::Result::kSucceeded;
   answer.body.assign(64 * 1024, 'r');
-  const wt::Taken taken = wt::next_message(wt::encode(answer));
+  const wt::DecodedFrame taken = wt::decode_next_frame(wt::encode(answer));
   const auto* back = std::get_if<wt::Answer>(&taken.message);
   std::printf("a result of 64 KiB: %s\n",
               taken.state == wt::Framing::kFrame && back->body == answer.body ? "whole" : "not whole");
   const auto state = [](const std::string& bytes) {
-    const wt::Framing framing = wt::next_message(bytes).state;
+    const wt::Framing framing = wt::decode_next_frame(bytes).state;
     return framing == wt::Framing::kBroken  ? "broken"
            : framing == wt::Framing::kFrame ? "read"
                                             : "waits for more";
@@ -287,10 +294,11 @@
     int asks = 0, barred = 0, twice = 0, none = 0;
     std::vector<int> at(4);
     for (std::uint64_t mark = 1; mark <= kMarks; ++mark) {
-      const KeyRoute way = homes.way(mark, now);
-      asks += !way.ask.empty(), barred += !way.may_run, twice += way.ask.size() > 1, none += way.home < 0;
-      if (way.home >= 0) ++at[static_cast<std::size_t>(way.home)];
-      if (std::find(way.ask.begin(), way.ask.end(), way.home) != way.ask.end())
+      const KeyRoute way = homes.route(mark, now);
+      asks += !way.former_owners.empty(), barred += !way.may_run, twice += way.former_owners.size() > 1,
+          none += way.owner < 0;
+      if (way.owner >= 0) ++at[static_cast<std::size_t>(way.owner)];
+      if (std::find(way.former_owners.begin(), way.former_owners.end(), way.owner) != way.former_owners.end())
         std::printf("asks where it belongs\n");
     }
     std::printf(
@@ -299,41 +307,41 @@
         asks * 100.0 / kMarks, twice * 100.0 / kMarks, barred * 100.0 / kMarks, none > 0 ? ", nowhere" : "");
   };
   KeyOwnership homes({2, 10});
-  homes.list(three, 0);
+  homes.set_planners(three, 0);
   tell("three", homes, 0);
-  homes.list(four, 100);
+  homes.set_planners(four, 100);
   tell("a fourth one", homes, 100);
   tell("not all may know it yet", homes, 101.9);
   tell("all know it", homes, 102);
   tell("the last may be remembered", homes, 111.9);
   tell("over", homes, 112);
-  homes.list(two, 200);
+  homes.set_planners(two, 200);
   tell("two of them go", homes, 200);
-  homes.list(three, 203);
+  homes.set_planners(three, 203);
   tell("one is back", homes, 203);
   tell("the later change is in force", homes, 205);
   tell("the first one is over", homes, 212);
   tell("both are", homes, 215);
-  std::printf("settled at %.0f; p2 may be asked at 211 %s, p4 at 212 %s\n", homes.settled_at(),
-              homes.may_be_asked(1, 211) ? "yes" : "no", homes.may_be_asked(3, 212) ? "yes" : "no");
-  homes.list({}, 300);
+  std::printf("settled at %.0f; p2 may be asked at 211 %s, p4 at 212 %s\n", homes.migration_ends_at(),
+              homes.may_remember_keys(1, 211) ? "yes" : "no", homes.may_remember_keys(3, 212) ? "yes" : "no");
+  homes.set_planners({}, 300);
   tell("nobody", homes, 300);
   KeyOwnership again({2, 10});
-  again.former(two, 295);
-  again.list(three, 300);
+  again.add_former_list(two, 295);
+  again.set_planners(three, 300);
   tell("another list before the start", again, 300);
   KeyOwnership blind({2, 10});
-  blind.list(three, 0);
-  blind.unknown_before(0);
+  blind.set_planners(three, 0);
+  blind.assume_unknown_history(0);
   tell("nobody knows what was before", blind, 11.9);
   tell("and nothing matters of it now", blind, 12);
   KeyOwnership restless({2, 10});
-  for (int i = 0; i < 10; ++i) restless.list(i % 2 ? three : four, i);
+  for (int i = 0; i < 10; ++i) restless.set_planners(i % 2 ? three : four, i);
   tell("more lists than are kept", restless, 9);
   tell("the first of them is over", restless, 14);
   KeyOwnership plain({2, 0});
-  plain.list(three, 0);
-  plain.list(four, 1);
+  plain.set_planners(three, 0);
+  plain.set_planners(four, 1);
   tell("nothing is ever remembered", plain, 1);
 }
 
@@ -342,7 +350,7 @@
   EndpointListHistory record{{"10.0.0.1:7100", "10.0.0.2:7100"}, {{1000.5, {"10.0.0.1:7100"}}, {2000, {}}}};
   const std::string bytes = encode(record);
   const auto read = decode_endpoint_list_history(bytes);
-  std::printf("whole: %s\n", read && read->in_force == record.in_force && read->former.size() == 2 &&
+  std::printf("whole: %s\n", read && read->current == record.current && read->former.size() == 2 &&
                                      read->former[0].until == 1000.5 &&
                                      read->former[0].planners == record.former[0].planners
                                  ? "yes"
@@ -364,12 +372,12 @@
   std::printf("of twenty former ones %zu are kept, from %.0f on\n", newest->former.size(),
               newest->former.front().until);
   record.former.clear();
-  record.in_force.assign(65, "a");
+  record.current.assign(65, "a");
   std::printf("65 planners: %s\n", decode_endpoint_list_history(encode(record)) ? "taken" : "no list");
-  record.in_force = {std::string(256, 'a')};
+  record.current = {std::string(256, 'a')};
   std::printf("an address of 256 bytes: %s\n",
               decode_endpoint_list_history(encode(record)) ? "taken" : "no list");
-  record.in_force = {""};
+  record.current = {""};
   std::printf("an empty one: %s\n", decode_endpoint_list_history(encode(record)) ? "taken" : "no list");
   std::string many =
       "\xa2\x68in_force\x80\x66"
