--- a/src/app/backend.cpp
+++ b/src/app/backend.cpp
@@ -64,7 +64,7 @@
     peers::ForwarderServer::Self self{config_.name,       draw_epoch(),     slow_start,
                                       config_.stop_after, site.route_names, {}};
     for (const Route& type : site.admission.routes) self.priority_weight.push_back(type.priority_weight);
-    const int fit = links_that_fit(config_.limits, peers::ForwarderServer::kMostInput);
+    const int fit = links_that_fit(config_.limits, peers::ForwarderServer::kMaxInputBytes);
     return std::make_unique<peers::ForwarderServer>(
         reactor_, config_.listen, std::move(self),
         peers::ForwarderServer::Limits{fit, output, part(config_.limits, kKeptShare)}, events, counters_,
--- a/src/app/forwarder.cpp
+++ b/src/app/forwarder.cpp
@@ -71,7 +71,7 @@
 void Forwarder::take_planners() {
   if (!options_.forward.from_members || leaving_since_ >= 0) return;
   const std::vector<std::string> now =
-      discovery_.planners(options_.forward.planners, membership_.planners(), net::monotonic_now());
+      discovery_.update(options_.forward.planners, membership_.planners(), net::monotonic_now());
   if (now == current_planners_) return;
   current_planners_ = now;
   forward_.set_planners(now);
@@ -111,7 +111,7 @@
   current_planners_ = options_.forward.planners;
   if (options_.forward.from_members)
     current_planners_ =
-        discovery_.planners(options_.forward.planners, membership_.planners(), net::monotonic_now());
+        discovery_.update(options_.forward.planners, membership_.planners(), net::monotonic_now());
   forward_.set_planners(current_planners_);
   membership_.reloaded(choice);
   log_.info("forwarder", "new configuration: {} planners", options_.forward.planners.size());
--- a/src/peers/tier/forwarder_server.cpp
+++ b/src/peers/tier/forwarder_server.cpp
@@ -3,6 +3,8 @@
 #include <unistd.h>
 
 #include <algorithm>
+#include <cmath>
+#include <utility>
 
 #include "net/address.h"
 
@@ -11,22 +13,53 @@
 
 namespace wt = wire::tier;
 
-constexpr std::size_t kOutputBytes = 1 << 20;  // a link; a forwarder that reads nothing costs no more
-constexpr double kLook = 0.05;     // s; between looks at windows, silent links and forwarders that are away
-constexpr double kHello = 1;       // s from accepting until a link must have said hello
-constexpr double kSilence = 1.5;   // s without a whole message: forwarders ping every quarter of a second
-constexpr double kSixteenth = 16;  // of a kB, as sizes stand on the wire
-constexpr double kMicro = 1e-6;
-constexpr double kWorthStep = 50;  // thousandths of importance; a smaller change is not worth telling
+constexpr std::size_t kMaxLinkOutputBytes = 1 << 20;
+constexpr double kCheckIntervalSeconds = 0.05;
+constexpr double kHelloTimeoutSeconds = 1;
+constexpr double kSilenceTimeoutSeconds = 1.5;  // forwarders ping every 0.25 s
+constexpr double kSixteenthsPerKb = 16;
+constexpr double kMicrosecondsPerSecond = 1e6;
+constexpr double kSecondsPerMicrosecond = 1e-6;
+constexpr double kMaxWireMicroseconds = 4e9;
+constexpr double kMilli = 1000;
+constexpr double kMinReportedValueChange = 50;  // 1/1000 of priority weight
+
+std::uint32_t microseconds(double seconds) {
+  return static_cast<std::uint32_t>(std::clamp(seconds * kMicrosecondsPerSecond, 0.0, kMaxWireMicroseconds));
+}
+
+tier::ForwarderSessionsOptions session_options(const ForwarderServer::Limits& limits) {
+  tier::ForwarderSessionsOptions options;
+  options.answer_cache_bytes = limits.answer_cache_bytes;
+  return options;
+}
 
-std::uint32_t micros(double seconds) {
-  return static_cast<std::uint32_t>(std::clamp(seconds * 1e6, 0.0, 4e9));
+wt::Result result_of(FailureReason why) {
+  switch (why) {
+    case FailureReason::kNotKnown: return wt::Result::kKeyUnknown;
+    case FailureReason::kOutcomeUnknown: return wt::Result::kUnknown;
+    case FailureReason::kKeyConflict: return wt::Result::kConflict;
+    case FailureReason::kPlain: break;
+  }
+  return wt::Result::kFailed;
 }
 
-tier::ForwarderSessionsOptions terms_of(const ForwarderServer::Limits& limits) {
-  tier::ForwarderSessionsOptions terms;
-  terms.answer_cache_bytes = limits.kept_bytes;
-  return terms;
+IncomingRequest incoming_request(wt::Submit& submit, int route, ReplyAddress reply_to) {
+  IncomingRequest request;
+  request.id = submit.request;
+  request.route = route;
+  request.caller = submit.caller;
+  request.subject = submit.subject;
+  request.size_kb = std::max(1.0, static_cast<double>(submit.size_sixteenth_kb)) / kSixteenthsPerKb;
+  request.received_at = net::unix_now() - submit.age_us * kSecondsPerMicrosecond;
+  if (submit.remaining_us != wt::kNoTimeLimit)
+    request.client_timeout =
+        (static_cast<double>(submit.age_us) + submit.remaining_us) * kSecondsPerMicrosecond;
+  request.idempotency_key = std::move(submit.idempotency_key);
+  request.body = std::move(submit.body);
+  request.known_only = submit.lookup_only;
+  request.reply_to = reply_to;
+  return request;
 }
 
 }  // namespace
@@ -41,12 +74,14 @@
       log_(log),
       output_{limits.output_bytes, 0},
       listener_(reactor, net::parse_address(listen), [this](const net::Accepted& one) { on_accept(one); }),
-      holdings_(terms_of(limits)),
+      sessions_(session_options(limits)),
       windows_(self_.slow_start) {
-  look();
+  check_links();
 }
 
-ForwarderServer::~ForwarderServer() { reactor_.cancel(look_timer_); }
+ForwarderServer::~ForwarderServer() { reactor_.cancel(check_timer_); }
+
+// ---- Links.
 
 void ForwarderServer::on_accept(const net::Accepted& accepted) {
   const int fd = accepted.fd;
@@ -57,9 +92,10 @@
   }
   const std::uint64_t tag = next_tag_++;
   Link& link = links_[tag];
-  link.connection = net::Connection::accepted(reactor_, *this, fd, {kMostInput, kOutputBytes, &output_});
+  link.connection =
+      net::Connection::accepted(reactor_, *this, fd, {kMaxInputBytes, kMaxLinkOutputBytes, &output_});
   link.connection->tag = tag;
-  link.heard_at = net::monotonic_now();
+  link.last_message_at = net::monotonic_now();
   counters_.add(Count::kCallersAccepted);
   counters_.most(Count::kCallersMost, links_.size());
 }
@@ -69,17 +105,17 @@
   while (connection.open()) {
     const auto found = links_.find(connection.tag);
     if (found == links_.end()) return bytes.size();
-    wt::DecodedFrame taken = wt::decode_next_frame(bytes.substr(used));
-    if (taken.state == wt::Framing::kNeedMore) break;
-    if (taken.state == wt::Framing::kBroken) {
+    wt::DecodedFrame frame = wt::decode_next_frame(bytes.substr(used));
+    if (frame.state == wt::Framing::kNeedMore) break;
+    if (frame.state == wt::Framing::kBroken) {
       counters_.add(Count::kBadFrames);
-      log_.warn("forwarders", "{}: a frame that can't be trusted, link closed", found->second.name);
+      log_.warn("forwarders", "{}: invalid frame, link closed", found->second.name);
       connection.close(net::End::kBroken);
       return bytes.size();
     }
-    used += taken.length;
-    found->second.heard_at = net::monotonic_now();
-    if (!take(connection.tag, taken.message)) {
+    used += frame.length;
+    found->second.last_message_at = net::monotonic_now();
+    if (!handle(connection.tag, frame.message)) {
       counters_.add(Count::kBadRequests);
       connection.close(net::End::kBroken);
       return bytes.size();
@@ -89,198 +125,238 @@
   return used;
 }
 
-// False: the peer does not keep to the protocol.
-bool ForwarderServer::take(std::uint64_t tag, wt::Message& message) {
-  if (const auto* hello = std::get_if<wt::Hello>(&message)) return take_hello(tag, *hello);
+void ForwarderServer::on_end_of_input(net::Connection& connection) { connection.close(); }
+
+void ForwarderServer::on_end(net::Connection& connection, net::End why) {
+  const auto found = links_.find(connection.tag);
+  if (found == links_.end()) return;
+  const Link& link = found->second;
+  if (link.forwarder != 0) {
+    log_.info("forwarders", "{}: disconnected", link.name);
+    sessions_.on_link_lost(connection.tag, net::monotonic_now());
+    windows_.remove_forwarder(link.forwarder, net::monotonic_now());
+  }
+  links_.erase(found);
+  counters_.add(why == net::End::kInOrder ? Count::kCallersClosed : Count::kCallersReset);
+}
+
+// Closes links that stall within a frame or whose forwarder is gone without having closed them.
+void ForwarderServer::check_links() {
+  const double now = net::monotonic_now();
+  for (auto& [tag, link] : links_) {
+    const double timeout = link.forwarder == 0 ? kHelloTimeoutSeconds : kSilenceTimeoutSeconds;
+    if (!link.connection->open() || now - link.last_message_at <= timeout) continue;
+    counters_.add(Count::kSilentClosed);
+    log_.warn("forwarders", "{}: timed out, link closed", link.name);
+    link.connection->close(net::End::kBroken);
+  }
+  abandon(sessions_.take_expired(now));
+  send_load_reports(false);
+  check_timer_ = reactor_.after(kCheckIntervalSeconds, [this] { check_links(); });
+}
+
+void ForwarderServer::send(Link& link, const wt::Message& message) {
+  if (!link.connection->open()) return;
+  const std::string bytes = wt::encode(message);
+  link.connection->send(bytes);
+  counters_.add(Count::kBytesOut, bytes.size());
+}
+
+// ---- Messages.
+
+// False where the peer violates the protocol.
+bool ForwarderServer::handle(std::uint64_t tag, wt::Message& message) {
+  if (const auto* hello = std::get_if<wt::Hello>(&message)) return handle_hello(tag, *hello);
   Link& link = links_.at(tag);
   if (link.forwarder == 0) return false;
-  if (auto* submit = std::get_if<wt::Submit>(&message)) return take_submit(link, *submit);
-  if (const auto* cancel = std::get_if<wt::Cancel>(&message)) {
-    if (const std::optional<RequestId> request = holdings_.cancel(link.forwarder, cancel->attempt))
-      gone({*request});
-    return true;
+  if (auto* submit = std::get_if<wt::Submit>(&message)) {
+    handle_submit(link, *submit);
+  } else if (const auto* cancel = std::get_if<wt::Cancel>(&message)) {
+    handle_cancel(link, *cancel);
+  } else if (const auto* fence = std::get_if<wt::Fence>(&message)) {
+    handle_fence(link, *fence);
+  } else if (const auto* ping = std::get_if<wt::Ping>(&message)) {
+    send(link, wt::Pong{ping->token});
+  } else {
+    return false;
   }
-  if (const auto* fence = std::get_if<wt::Fence>(&message)) return take_fence(link, *fence), true;
-  if (const auto* ping = std::get_if<wt::Ping>(&message)) return put(link, wt::Pong{ping->token}), true;
-  return false;
+  return true;
 }
 
-bool ForwarderServer::take_hello(std::uint64_t tag, const wt::Hello& hello) {
+bool ForwarderServer::handle_hello(std::uint64_t tag, const wt::Hello& hello) {
   Link& link = links_.at(tag);
   if (link.forwarder != 0 || hello.is_planner || hello.version != wt::kVersion || hello.name.empty()) {
-    log_.warn("forwarders", "a hello that is not served: version {}, from '{}'", hello.version, hello.name);
+    log_.warn("forwarders", "hello rejected: version {}, from '{}'", hello.version, hello.name);
     return false;
   }
-  const tier::ForwarderSessions::SessionStart greeting = holdings_.open_session(hello.name, hello.epoch, tag);
-  if (greeting.superseded_link != 0) {
-    const auto old = links_.find(greeting.superseded_link);
-    if (old != links_.end()) old->second.connection->close();
-  }
-  gone(greeting.abandoned);
-  if (greeting.forwarder == 0) return false;
-  link.forwarder = greeting.forwarder;
+  const auto session = sessions_.open_session(hello.name, hello.epoch, tag);
+  const auto superseded = links_.find(session.superseded_link);
+  if (superseded != links_.end()) superseded->second.connection->close();
+  abandon(session.abandoned);
+  if (session.forwarder == 0) return false;
+  link.forwarder = session.forwarder;
   link.name = hello.name;
-  for (const std::string& type : hello.routes) {
-    const auto found = std::find(self_.types.begin(), self_.types.end(), type);
-    link.types.push_back(found == self_.types.end() ? -1 : static_cast<int>(found - self_.types.begin()));
-  }
-  log_.info("forwarders", "{} is linked", hello.name);
-  const double now = net::monotonic_now();
+  link.routes = routes_here(hello.routes);
+  log_.info("forwarders", "{}: connected", hello.name);
   windows_.add_forwarder(link.forwarder);
-  hand_out(now);
-  const wt::LoadReport window = window_now(link);
-  link.told_window = window.window;
-  link.told_worth = window.slot_value_milli;
-  wt::Hello mine;
-  mine.is_planner = true;
-  mine.epoch = self_.epoch;
-  mine.name = self_.name;
-  mine.cores = static_cast<std::uint16_t>(self_.slow_start.cores);
-  mine.window = window.window;
-  put(link, mine);
-  put(link, window);
-  if (no_more_) put(link, wt::Draining{micros(self_.stop_after)});
-  tell_windows(false);
+  rebalance_windows(net::monotonic_now());
+  introduce(link);
+  send_load_reports(false);
   return true;
 }
 
-bool ForwarderServer::take_submit(Link& link, wt::Submit& submit) {
-  const auto taking = holdings_.submit(link.forwarder, submit.attempt, submit.request,
-                                       submit.route < link.types.size() ? link.types[submit.route] : -1);
-  // Numbers rise on a link: one that does not is either fenced off or no number of this protocol's.
-  if (taking == tier::ForwarderSessions::SubmitResult::kFenced)
-    return counters_.add(Count::kTierFenced), true;
-  const ReplyAddress ticket{link.forwarder, submit.attempt};
-  wt::Answer refusal;
-  refusal.attempt = submit.attempt;
-  refusal.result = wt::Result::kRejected;
-  if (taking == tier::ForwarderSessions::SubmitResult::kTooMany) return put(link, refusal), true;
-  const int type = submit.route < link.types.size() ? link.types[submit.route] : -1;
-  if (type < 0) {
-    counters_.add(Count::kBadTypes);
-    refusal.no_retry = true;
-    return answer(ticket, refusal), true;
+std::vector<int> ForwarderServer::routes_here(const std::vector<std::string>& names) const {
+  std::vector<int> routes;
+  for (const std::string& name : names) {
+    const auto found = std::find(self_.routes.begin(), self_.routes.end(), name);
+    routes.push_back(found == self_.routes.end() ? -1 : static_cast<int>(found - self_.routes.begin()));
+  }
+  return routes;
+}
+
+// This planner's first messages on a link.
+void ForwarderServer::introduce(Link& link) {
+  link.reported = load_report(link);
+  wt::Hello hello;
+  hello.is_planner = true;
+  hello.epoch = self_.epoch;
+  hello.name = self_.name;
+  hello.cores = static_cast<std::uint16_t>(self_.slow_start.cores);
+  hello.window = link.reported.window;
+  send(link, hello);
+  send(link, link.reported);
+  if (is_draining_) send(link, wt::Draining{microseconds(self_.stop_after)});
+}
+
+void ForwarderServer::handle_submit(Link& link, wt::Submit& submit) {
+  const int route = link.route_of(submit);
+  const auto result = sessions_.submit(link.forwarder, submit.attempt, submit.request, route);
+  if (result == tier::ForwarderSessions::SubmitResult::kFenced) {
+    counters_.add(Count::kTierFenced);
+    return;
   }
-  if (events_.in_use(submit.request)) {  // a former attempt at it still runs here
+  const ReplyAddress reply_to{link.forwarder, submit.attempt};
+  wt::Answer rejection;
+  rejection.attempt = submit.attempt;
+  rejection.result = wt::Result::kRejected;
+  if (result == tier::ForwarderSessions::SubmitResult::kTooMany) {
+    send(link, rejection);
+  } else if (route < 0) {
+    counters_.add(Count::kBadTypes);
+    rejection.no_retry = true;
+    answer(reply_to, rejection);
+  } else if (events_.in_use(submit.request)) {  // a former attempt at it still runs here
     counters_.add(Count::kBadIds);
-    return answer(ticket, refusal), true;
+    answer(reply_to, rejection);
+  } else {
+    events_.on_request_read(incoming_request(submit, route, reply_to));
   }
-  IncomingRequest request;
-  request.id = submit.request;
-  request.route = type;
-  request.caller = submit.caller;
-  request.subject = submit.subject;
-  request.size_kb = std::max(1.0, static_cast<double>(submit.size_sixteenth_kb)) / kSixteenth;
-  request.received_at = net::unix_now() - submit.age_us * kMicro;
-  if (submit.remaining_us != wt::kNoTimeLimit)
-    request.client_timeout = (static_cast<double>(submit.age_us) + submit.remaining_us) * kMicro;
-  request.idempotency_key = std::move(submit.idempotency_key);
-  request.body = std::move(submit.body);
-  request.known_only = submit.lookup_only;
-  request.reply_to = ticket;
-  events_.on_request_read(std::move(request));
-  return true;
 }
 
-void ForwarderServer::take_fence(Link& link, const wt::Fence& fence) {
-  const auto proof = holdings_.fence(link.forwarder, fence.attempt,
-                                     [this](RequestId request) { return events_.has_started(request); });
+void ForwarderServer::handle_cancel(const Link& link, const wt::Cancel& cancel) {
+  if (const std::optional<RequestId> request = sessions_.cancel(link.forwarder, cancel.attempt))
+    abandon({*request});
+}
+
+void ForwarderServer::handle_fence(Link& link, const wt::Fence& fence) {
+  const auto result = sessions_.fence(link.forwarder, fence.attempt,
+                                      [this](RequestId request) { return events_.has_started(request); });
   counters_.add(Count::kTierFences);
-  // Its request goes first: the proof is only true once nothing can start it any more.
-  if (proof.abandoned) events_.on_caller_gone(*proof.abandoned);
-  put(link, proof.answer);
+  // The request goes first: the proof holds only once nothing can start it any more.
+  if (result.abandoned) events_.on_caller_gone(*result.abandoned);
+  send(link, result.answer);
 }
 
-void ForwarderServer::gone(const std::vector<RequestId>& requests) {
+void ForwarderServer::abandon(const std::vector<RequestId>& requests) {
   for (const RequestId request : requests) events_.on_caller_gone(request);
 }
 
-void ForwarderServer::put(Link& link, const wt::Message& message) {
-  if (!link.connection->open()) return;
-  const std::string bytes = wt::encode(message);
-  link.connection->send(bytes);
-  counters_.add(Count::kBytesOut, bytes.size());
-}
+// ---- Answers.
 
-void ForwarderServer::answer(ReplyAddress ticket, wt::Answer answer) {
-  answer.attempt = ticket.number;
-  const tier::OpenAttempt* held = holdings_.find(ticket.connection, ticket.number);
-  if (held == nullptr) return;
-  if (held->route >= 0) {
+void ForwarderServer::answer(ReplyAddress reply_to, wt::Answer answer) {
+  answer.attempt = reply_to.number;
+  const tier::OpenAttempt* attempt = sessions_.find(reply_to.connection, reply_to.number);
+  if (attempt == nullptr) return;
+  if (attempt->route >= 0) {
     const double now = net::monotonic_now();
-    answer.result == wt::Result::kRejected
-        ? worth_.on_rejected(self_.priority_weight[static_cast<std::size_t>(held->route)], now)
-        : worth_.on_admitted(now);
+    if (answer.result == wt::Result::kRejected) {
+      slot_value_.on_rejected(self_.priority_weight[static_cast<std::size_t>(attempt->route)], now);
+    } else {
+      slot_value_.on_admitted(now);
+    }
   }
-  const std::uint64_t link = holdings_.record_answer(ticket.connection, answer);
+  const std::uint64_t link = sessions_.record_answer(reply_to.connection, answer);
   const auto found = links_.find(link);
-  if (found != links_.end()) put(found->second, answer);
+  if (found != links_.end()) send(found->second, answer);
 }
 
-void ForwarderServer::answer_succeeded(ReplyAddress ticket, std::string_view result) {
+void ForwarderServer::answer_succeeded(ReplyAddress reply_to, std::string_view result) {
   wt::Answer out;
   out.result = wt::Result::kSucceeded;
   out.body = result;
-  answer(ticket, std::move(out));
+  answer(reply_to, std::move(out));
 }
-void ForwarderServer::answer_rejected(ReplyAddress ticket, double retry_after, bool no_retry) {
+
+void ForwarderServer::answer_rejected(ReplyAddress reply_to, double retry_after, bool no_retry) {
   wt::Answer out;
   out.result = wt::Result::kRejected;
-  out.retry_after_us = micros(retry_after);
+  out.retry_after_us = microseconds(retry_after);
   out.no_retry = no_retry;
-  answer(ticket, std::move(out));
+  answer(reply_to, std::move(out));
 }
-void ForwarderServer::answer_failed(ReplyAddress ticket, FailureReason why) {
+
+void ForwarderServer::answer_failed(ReplyAddress reply_to, FailureReason why) {
   wt::Answer out;
-  out.result = why == FailureReason::kNotKnown         ? wt::Result::kKeyUnknown
-               : why == FailureReason::kOutcomeUnknown ? wt::Result::kUnknown
-               : why == FailureReason::kKeyConflict    ? wt::Result::kConflict
-                                                       : wt::Result::kFailed;
-  answer(ticket, std::move(out));
+  out.result = result_of(why);
+  answer(reply_to, std::move(out));
 }
 
+// ---- Load reports.
+
 void ForwarderServer::began(bool cold, double ago) {
   windows_.on_runtime_started(cold, net::monotonic_now() - ago);
-  tell_windows(false);
+  send_load_reports(false);
 }
 
-void ForwarderServer::hand_out(double now) {
-  windows_.rebalance(
-      now, [this](tier::SlowStartShares::Link forwarder) { return holdings_.open_attempts(forwarder); });
+void ForwarderServer::rebalance_windows(double now) {
+  windows_.rebalance(now, [this](tier::ForwarderId forwarder) { return sessions_.open_attempts(forwarder); });
 }
 
-wt::LoadReport ForwarderServer::window_now(const Link& link) {
+wt::LoadReport ForwarderServer::load_report(const Link& link) {
   const double now = net::monotonic_now();
-  wt::LoadReport window;
-  window.window = windows_.window(link.forwarder, holdings_.linked_forwarders(), now);
-  window.slot_value_milli = static_cast<std::uint32_t>(worth_.value(now) * 1000);
-  window.is_healthy = good_;
-  return window;
+  wt::LoadReport report;
+  report.window = windows_.window(link.forwarder, sessions_.linked_forwarders(), now);
+  report.slot_value_milli = static_cast<std::uint32_t>(slot_value_.value(now) * kMilli);
+  report.is_healthy = is_healthy_;
+  return report;
 }
 
-void ForwarderServer::tell_windows(bool all) {
-  hand_out(net::monotonic_now());
+// `to_all`: also to forwarders whose window and slot value have not changed.
+void ForwarderServer::send_load_reports(bool to_all) {
+  rebalance_windows(net::monotonic_now());
   for (auto& [tag, link] : links_) {
     if (link.forwarder == 0) continue;
-    const wt::LoadReport window = window_now(link);
-    const double moved = std::abs(static_cast<double>(window.slot_value_milli) - link.told_worth);
-    if (!all && window.window == link.told_window && moved < kWorthStep) continue;
-    link.told_window = window.window;
-    link.told_worth = window.slot_value_milli;
-    put(link, window);
+    const wt::LoadReport report = load_report(link);
+    const double value_change =
+        std::abs(static_cast<double>(report.slot_value_milli) - link.reported.slot_value_milli);
+    if (!to_all && report.window == link.reported.window && value_change < kMinReportedValueChange) continue;
+    link.reported = report;
+    send(link, report);
   }
 }
 
 void ForwarderServer::health(bool good) {
-  if (good == good_) return;
-  good_ = good;
-  tell_windows(true);
+  if (good == is_healthy_) return;
+  is_healthy_ = good;
+  send_load_reports(true);
 }
 
+// ---- Graceful shutdown.
+
 void ForwarderServer::ask_no_more() {
-  no_more_ = true;
+  is_draining_ = true;
   for (auto& [tag, link] : links_) {
-    if (link.forwarder != 0) put(link, wt::Draining{micros(self_.stop_after)});
+    if (link.forwarder != 0) send(link, wt::Draining{microseconds(self_.stop_after)});
   }
 }
 
@@ -290,38 +366,8 @@
   std::vector<std::shared_ptr<net::Connection>> all;
   for (const auto& [tag, link] : links_) all.push_back(link.connection);
   for (const auto& connection : all) connection->read_now();
-  if (holdings_.open_attempts() > 0) return;
+  if (sessions_.open_attempts() > 0) return;
   for (const auto& connection : all) connection->end();
 }
 
-// A link must say hello, and then something whole every so often. Guards against links that stall in the
-// middle of a frame, and forwarders that are gone without an end.
-void ForwarderServer::look() {
-  const double now = net::monotonic_now();
-  for (auto& [tag, link] : links_) {
-    const double patience = link.forwarder == 0 ? kHello : kSilence;
-    if (!link.connection->open() || now - link.heard_at <= patience) continue;
-    counters_.add(Count::kSilentClosed);
-    log_.warn("forwarders", "{}: silent, link closed", link.name);
-    link.connection->close(net::End::kBroken);
-  }
-  gone(holdings_.take_expired(now));
-  tell_windows(false);
-  look_timer_ = reactor_.after(kLook, [this] { look(); });
-}
-
-void ForwarderServer::on_end_of_input(net::Connection& connection) { connection.close(); }
-
-void ForwarderServer::on_end(net::Connection& connection, net::End why) {
-  const auto found = links_.find(connection.tag);
-  if (found == links_.end()) return;
-  if (found->second.forwarder != 0) {
-    log_.info("forwarders", "{}: link ended", found->second.name);
-    holdings_.on_link_lost(connection.tag, net::monotonic_now());
-    windows_.remove_forwarder(found->second.forwarder, net::monotonic_now());
-  }
-  links_.erase(found);
-  counters_.add(why == net::End::kInOrder ? Count::kCallersClosed : Count::kCallersReset);
-}
-
 }  // namespace damsonspoke::peers
--- a/src/peers/tier/forwarder_server.h
+++ b/src/peers/tier/forwarder_server.h
@@ -1,8 +1,10 @@
-// The forwarders: a front on which requests come from the tier in front instead of callers. Many requests
-// share a link; a request's ticket names its forwarder and attempt, so that its answer finds the forwarder on
-// whatever link it has by then.
+// A planner's server for its forwarders: requests come from the tier in front instead of from callers. Many
+// requests share a link. A request's reply address names its forwarder and attempt, so that its answer finds
+// the forwarder on whatever link it has by then.
 #pragma once
 
+#include <cstddef>
+#include <cstdint>
 #include <memory>
 #include <optional>
 #include <string>
@@ -22,28 +24,33 @@
 
 class ForwarderServer : public Front, private net::ConnectionOwner {
  public:
-  static constexpr std::size_t kMostInput =
-      wire::tier::kMaxFrameBytes + wire::tier::kHeaderBytes;  // bytes a link
+  // Of one link.
+  static constexpr std::size_t kMaxInputBytes = wire::tier::kMaxFrameBytes + wire::tier::kHeaderBytes;
+
   struct Limits {
     int links = 0;
-    std::size_t output_bytes = 0;  // of all links together
-    std::size_t kept_bytes = 0;    // of answers that may be asked for again, of all forwarders together
+    std::size_t output_bytes = 0;        // of all links together
+    std::size_t answer_cache_bytes = 0;  // of all forwarders together
   };
+  // What this planner tells its forwarders about itself.
   struct Self {
     std::string name;
     std::uint64_t epoch = 0;
     tier::SlowStartOptions slow_start;
-    double stop_after = 0;  // s
-    std::vector<std::string> types;
+    double stop_after = 0;  // s from the notice to drain
+    std::vector<std::string> routes;
     std::vector<double> priority_weight;  // by route
   };
+
   ForwarderServer(net::Reactor& reactor, const std::string& listen, Self self, Limits limits,
                   CallerEvents& events, Counters& counters, Logger& log);
   ~ForwarderServer() override;
+  ForwarderServer(const ForwarderServer&) = delete;
+  ForwarderServer& operator=(const ForwarderServer&) = delete;
 
-  void answer_succeeded(ReplyAddress ticket, std::string_view result) override;
-  void answer_rejected(ReplyAddress ticket, double retry_after, bool no_retry) override;
-  void answer_failed(ReplyAddress ticket, FailureReason why) override;
+  void answer_succeeded(ReplyAddress reply_to, std::string_view result) override;
+  void answer_rejected(ReplyAddress reply_to, double retry_after, bool no_retry) override;
+  void answer_failed(ReplyAddress reply_to, FailureReason why) override;
   void answer_check(ReplyAddress, bool) override {}  // forwarders ask for none
   void set_idle_timeout(double) override {}          // links stay
   void ask_no_more() override;
@@ -58,11 +65,16 @@
  private:
   struct Link {
     std::shared_ptr<net::Connection> connection;
-    tier::ForwarderId forwarder = 0;  // 0: it has not said hello
+    tier::ForwarderId forwarder = 0;  // 0: no hello yet
     std::string name;
-    std::vector<int> types;  // ours, by theirs; < 0: not known here
-    double heard_at = 0;
-    std::uint32_t told_window = 0, told_worth = 0;
+    std::vector<int> routes;  // the forwarder's routes as routes here; < 0: not known here
+    double last_message_at = 0;
+    wire::tier::LoadReport reported;
+
+    // The route here that a submit names; < 0: not known here.
+    [[nodiscard]] int route_of(const wire::tier::Submit& submit) const {
+      return submit.route < routes.size() ? routes[submit.route] : -1;
+    }
   };
 
   std::size_t on_input(net::Connection& connection, std::string_view bytes) override;
@@ -70,17 +82,20 @@
   void on_end(net::Connection& connection, net::End why) override;
 
   void on_accept(const net::Accepted& accepted);
-  bool take(std::uint64_t tag, wire::tier::Message& message);
-  bool take_hello(std::uint64_t tag, const wire::tier::Hello& hello);
-  bool take_submit(Link& link, wire::tier::Submit& submit);
-  void take_fence(Link& link, const wire::tier::Fence& fence);
-  void answer(ReplyAddress ticket, wire::tier::Answer answer);
-  void put(Link& link, const wire::tier::Message& message);
-  void hand_out(double now);
-  wire::tier::LoadReport window_now(const Link& link);
-  void tell_windows(bool all);
-  void look();
-  void gone(const std::vector<RequestId>& requests);
+  [[nodiscard]] bool handle(std::uint64_t tag, wire::tier::Message& message);
+  [[nodiscard]] bool handle_hello(std::uint64_t tag, const wire::tier::Hello& hello);
+  void handle_submit(Link& link, wire::tier::Submit& submit);
+  void handle_cancel(const Link& link, const wire::tier::Cancel& cancel);
+  void handle_fence(Link& link, const wire::tier::Fence& fence);
+  void introduce(Link& link);
+  [[nodiscard]] std::vector<int> routes_here(const std::vector<std::string>& names) const;
+  void answer(ReplyAddress reply_to, wire::tier::Answer answer);
+  void send(Link& link, const wire::tier::Message& message);
+  void rebalance_windows(double now);
+  [[nodiscard]] wire::tier::LoadReport load_report(const Link& link);
+  void send_load_reports(bool to_all);
+  void check_links();
+  void abandon(const std::vector<RequestId>& requests);
 
   net::Reactor& reactor_;
   const Self self_;
@@ -88,16 +103,16 @@
   CallerEvents& events_;
   Counters& counters_;
   Logger& log_;
-  net::OutputPool output_;  // before the connections that are charged to it
+  net::OutputPool output_;  // has to outlive the connections that are charged to it
   net::Listener listener_;
-  tier::ForwarderSessions holdings_;
-  tier::SlotValue worth_;
+  tier::ForwarderSessions sessions_;
+  tier::SlotValue slot_value_;
   tier::ConcurrencyWindows windows_;
-  std::unordered_map<std::uint64_t, Link> links_;
+  std::unordered_map<std::uint64_t, Link> links_;  // by the connection's tag
   std::uint64_t next_tag_ = 1;
-  bool good_ = false;  // until it is told otherwise: a runtime that is not up yet runs nothing
-  bool no_more_ = false;
-  net::Reactor::TimerId look_timer_;
+  bool is_healthy_ = false;  // until health() says so: a runtime that has not started runs nothing
+  bool is_draining_ = false;
+  net::Reactor::TimerId check_timer_;
 };
 
 }  // namespace damsonspoke::peers
--- a/src/peers/tier/planner_client.cpp
+++ b/src/peers/tier/planner_client.cpp
@@ -2,6 +2,8 @@
 
 #include <algorithm>
 #include <limits>
+#include <optional>
+#include <utility>
 
 #include "net/address.h"
 
@@ -10,13 +12,13 @@
 
 namespace wt = wire::tier;
 
-constexpr std::size_t kInputBytes = wt::kMaxFrameBytes + wt::kHeaderBytes;
-constexpr double kPing = 0.25;          // s; between pings, and looks at who is silent
-constexpr double kSilence = 1;          // s without anything whole: the link is no good
-constexpr double kConnectPatience = 1;  // s for a connection and its hello
-constexpr double kFirstPause = 0.05;    // s before a link is opened again, doubled up to
-constexpr double kMostPause = 1;        // s
-constexpr double kLeftPause = 0.5;      // s; for one that has said that it leaves
+constexpr std::size_t kMaxInputBytes = wt::kMaxFrameBytes + wt::kHeaderBytes;
+constexpr double kPingIntervalSeconds = 0.25;
+constexpr double kSilenceTimeoutSeconds = 1;  // without a complete message
+constexpr double kHelloTimeoutSeconds = 1;    // from connecting to the planner's hello
+constexpr double kMinBackoffSeconds = 0.05;
+constexpr double kMaxBackoffSeconds = 1;
+constexpr double kDrainingBackoffSeconds = 0.5;
 
 }  // namespace
 
@@ -28,104 +30,114 @@
       events_(events),
       counters_(counters),
       log_(log) {
-  look();
+  check_links();
 }
 
 PlannerClient::~PlannerClient() {
-  reactor_.cancel(look_timer_);
-  for (const auto& link : links_) reactor_.cancel(link->again);
-  links_.clear();  // before the pool that they are charged to
+  reactor_.cancel(check_timer_);
+  for (const auto& link : links_) reactor_.cancel(link->reconnect_timer);
+  links_.clear();  // before the output pool that they are charged to
 }
 
+// ---- The endpoint list.
+
 void PlannerClient::add(const std::string& address) {
-  net::parse_address(address);  // a wrong one is told at the start
+  net::parse_address(address);  // throws here instead of in connect()
   links_.push_back(std::make_unique<Link>());
   links_.back()->address = address;
   connect(static_cast<int>(links_.size()) - 1);
 }
 
-void PlannerClient::connect(int planner) {
+void PlannerClient::remove(int planner) {
+  at(planner).is_listed = false;
+  at(planner).is_draining = true;
+}
+
+void PlannerClient::restore(int planner) {
   Link& link = at(planner);
-  if (!link.wanted) return;
-  link.given = 0;
-  link.unproven.clear();
-  link.greeted = link.leaving = false;
-  link.began_at = net::monotonic_now();
-  std::optional<Poco::Net::SocketAddress> from;
-  if (!self_.from.empty()) from.emplace(self_.from, 0);
-  link.connection = net::Connection::connecting(reactor_, *this, net::parse_address(link.address),
-                                                {kInputBytes, output_.most, &output_}, from);
-  link.connection->tag = static_cast<std::uint64_t>(planner);
+  if (link.is_listed) return;
+  link.is_listed = true;
+  link.is_draining = false;
+  reactor_.cancel(link.reconnect_timer);
+  if (!link.connection) connect(planner);  // otherwise on_end() reconnects, if it is about to end
 }
 
-void PlannerClient::on_connected(net::Connection& connection) {
-  Link& link = at(static_cast<int>(connection.tag));
-  counters_.add(Count::kTierLinks);
-  link.heard_at = net::monotonic_now();
-  wt::Hello hello;
-  hello.epoch = self_.epoch;
-  hello.name = self_.name;
-  hello.routes = self_.types;
-  put(link, hello);
+void PlannerClient::close_if_draining(int planner) {
+  Link& link = at(planner);
+  if (link.is_draining && link.connection && link.connection->open()) link.connection->close();
 }
 
-bool PlannerClient::put(Link& link, const wt::Message& message) {
+std::size_t PlannerClient::linked() const {
+  return static_cast<std::size_t>(
+      std::count_if(links_.begin(), links_.end(), [](const auto& link) { return link->is_up; }));
+}
+
+// ---- Sending.
+
+bool PlannerClient::send(Link& link, const wt::Message& message) {
   if (!link.connection || !link.connection->open()) return false;
   const std::string bytes = wt::encode(message);
   link.connection->send(bytes);
   if (!link.connection->open()) return false;
-  link.given += bytes.size();
+  link.sent_bytes += bytes.size();
   return true;
 }
 
-// What has left may have arrived; what has not, as a whole frame, has not.
+// A frame that has left completely may have arrived; one that has not can't be read.
 void PlannerClient::submit(int planner, const wt::Submit& submit) {
   Link& link = at(planner);
-  const bool given = put(link, submit);
-  link.unproven.emplace_back(given ? link.given : std::numeric_limits<std::uint64_t>::max(), submit.attempt);
+  const bool sent = send(link, submit);
+  link.unproven_submits.push_back(
+      {sent ? link.sent_bytes : std::numeric_limits<std::uint64_t>::max(), submit.attempt});
   if (!link.connection || !link.connection->open()) return;
-  const std::uint64_t left = link.given - link.connection->waiting();
-  while (!link.unproven.empty() && link.unproven.front().first <= left) link.unproven.pop_front();
+  const std::uint64_t written = link.sent_bytes - link.connection->waiting();
+  while (!link.unproven_submits.empty() && link.unproven_submits.front().end <= written)
+    link.unproven_submits.pop_front();
 }
-void PlannerClient::cancel(int planner, std::uint64_t attempt) { put(at(planner), wt::Cancel{attempt}); }
-void PlannerClient::fence(int planner, std::uint64_t attempt) { put(at(planner), wt::Fence{attempt}); }
 
-void PlannerClient::remove(int planner) {
-  at(planner).wanted = false;
-  at(planner).leaving = true;
-}
+void PlannerClient::cancel(int planner, std::uint64_t attempt) { send(at(planner), wt::Cancel{attempt}); }
 
-void PlannerClient::restore(int planner) {
-  Link& link = at(planner);
-  if (link.wanted) return;
-  link.wanted = true;
-  link.leaving = false;
-  reactor_.cancel(link.again);
-  // One whose connection is about to end is linked anew when that has been told.
-  if (!link.connection) connect(planner);
-}
+void PlannerClient::fence(int planner, std::uint64_t attempt) { send(at(planner), wt::Fence{attempt}); }
 
-void PlannerClient::close_if_draining(int planner) {
+// ---- Links.
+
+void PlannerClient::connect(int planner) {
   Link& link = at(planner);
-  if (link.leaving && link.connection && link.connection->open()) link.connection->close();
+  if (!link.is_listed) return;
+  link.sent_bytes = 0;
+  link.unproven_submits.clear();
+  link.is_up = false;
+  link.is_draining = false;
+  link.connecting_since = net::monotonic_now();
+  std::optional<Poco::Net::SocketAddress> local;
+  if (!self_.local_address.empty()) local.emplace(self_.local_address, 0);
+  link.connection = net::Connection::connecting(reactor_, *this, net::parse_address(link.address),
+                                                {kMaxInputBytes, output_.most, &output_}, local);
+  link.connection->tag = static_cast<std::uint64_t>(planner);
 }
 
-std::size_t PlannerClient::linked() const {
-  return static_cast<std::size_t>(
-      std::count_if(links_.begin(), links_.end(), [](const auto& link) { return link->greeted; }));
+void PlannerClient::on_connected(net::Connection& connection) {
+  Link& link = at(static_cast<int>(connection.tag));
+  counters_.add(Count::kTierLinks);
+  link.last_message_at = net::monotonic_now();
+  wt::Hello hello;
+  hello.epoch = self_.epoch;
+  hello.name = self_.name;
+  hello.routes = self_.routes;
+  send(link, hello);
 }
 
 std::size_t PlannerClient::on_input(net::Connection& connection, std::string_view bytes) {
   const int planner = static_cast<int>(connection.tag);
   std::size_t used = 0;
   while (connection.open()) {
-    const wt::DecodedFrame taken = wt::decode_next_frame(bytes.substr(used));
-    if (taken.state == wt::Framing::kNeedMore) break;
-    used += taken.length;
-    at(planner).heard_at = net::monotonic_now();
-    if (taken.state == wt::Framing::kBroken || !take(planner, taken.message)) {
+    const wt::DecodedFrame frame = wt::decode_next_frame(bytes.substr(used));
+    if (frame.state == wt::Framing::kNeedMore) break;
+    used += frame.length;
+    at(planner).last_message_at = net::monotonic_now();
+    if (frame.state == wt::Framing::kBroken || !handle(planner, frame.message)) {
       counters_.add(Count::kTierBad);
-      log_.warn("planners", "{}: a message that can't be trusted, link opened anew", at(planner).address);
+      log_.warn("planners", "{}: invalid message, reconnecting", at(planner).address);
       connection.close(net::End::kBroken);
       return bytes.size();
     }
@@ -133,29 +145,34 @@
   return used;
 }
 
-bool PlannerClient::take(int planner, const wt::Message& message) {
+// False where the peer violates the protocol.
+bool PlannerClient::handle(int planner, const wt::Message& message) {
+  if (const auto* hello = std::get_if<wt::Hello>(&message)) return handle_hello(planner, *hello);
   Link& link = at(planner);
-  if (const auto* hello = std::get_if<wt::Hello>(&message)) {
-    if (link.greeted || !hello->is_planner || hello->version != wt::kVersion) return false;
-    link.greeted = true;
-    link.epoch = hello->epoch;
-    link.pause = 0;
-    log_.info("planners", "{} at {} is linked, {} cores", hello->name, link.address, hello->cores);
-    events_.on_link_up(planner, hello->epoch, hello->window);
-    return true;
-  }
-  if (!link.greeted) return false;
-  if (const auto* answer = std::get_if<wt::Answer>(&message))
-    return events_.on_answer(planner, link.epoch, *answer), true;
-  if (const auto* window = std::get_if<wt::LoadReport>(&message))
-    return events_.on_load_report(planner, *window), true;
-  if (std::holds_alternative<wt::Draining>(message)) {
-    link.leaving = true;
-    log_.info("planners", "{} leaves", link.address);
+  if (!link.is_up) return false;
+  if (const auto* answer = std::get_if<wt::Answer>(&message)) {
+    events_.on_answer(planner, link.epoch, *answer);
+  } else if (const auto* report = std::get_if<wt::LoadReport>(&message)) {
+    events_.on_load_report(planner, *report);
+  } else if (std::holds_alternative<wt::Draining>(message)) {
+    link.is_draining = true;
+    log_.info("planners", "{}: draining", link.address);
     events_.on_planner_draining(planner);
-    return true;
+  } else {
+    return std::holds_alternative<wt::Pong>(message);
   }
-  return std::holds_alternative<wt::Pong>(message);
+  return true;
+}
+
+bool PlannerClient::handle_hello(int planner, const wt::Hello& hello) {
+  Link& link = at(planner);
+  if (link.is_up || !hello.is_planner || hello.version != wt::kVersion) return false;
+  link.is_up = true;
+  link.epoch = hello.epoch;
+  link.backoff = 0;
+  log_.info("planners", "{}: connected to {}, {} cores", link.address, hello.name, hello.cores);
+  events_.on_link_up(planner, hello.epoch, hello.window);
+  return true;
 }
 
 void PlannerClient::on_end_of_input(net::Connection& connection) { connection.close(net::End::kBroken); }
@@ -164,42 +181,43 @@
   const int planner = static_cast<int>(connection.tag);
   Link& link = at(planner);
   if (link.connection.get() != &connection) return;
-  const std::uint64_t left = link.given - std::min<std::uint64_t>(link.given, connection.unwritten());
+  const std::uint64_t written =
+      link.sent_bytes - std::min<std::uint64_t>(link.sent_bytes, connection.unwritten());
   std::vector<std::uint64_t> unwritten;
-  for (const auto& [end, attempt] : link.unproven) {
-    if (end > left) unwritten.push_back(attempt);
+  for (const UnprovenSubmit& submit : link.unproven_submits) {
+    if (submit.end > written) unwritten.push_back(submit.attempt);
   }
-  const bool was_up = link.greeted;
-  const double pause = link.leaving ? kLeftPause : link.pause;
+  const bool was_up = link.is_up;
+  const double delay =
+      std::max(link.is_draining ? kDrainingBackoffSeconds : link.backoff, kMinBackoffSeconds);
   link.connection.reset();
-  link.unproven.clear();
-  link.greeted = false;
-  link.pause = std::clamp(link.pause * 2, kFirstPause, kMostPause);
-  if (link.wanted)
-    link.again = reactor_.after(std::max(pause, kFirstPause), [this, planner] { connect(planner); });
+  link.unproven_submits.clear();
+  link.is_up = false;
+  link.backoff = std::clamp(link.backoff * 2, kMinBackoffSeconds, kMaxBackoffSeconds);
+  if (link.is_listed) link.reconnect_timer = reactor_.after(delay, [this, planner] { connect(planner); });
   if (!was_up) return;
-  log_.info("planners", "{}: link ended", link.address);
+  log_.info("planners", "{}: disconnected", link.address);
   counters_.add(Count::kTierBroken);
   events_.on_link_lost(planner, unwritten);
 }
 
-// Guards against a planner that hangs, a machine that is gone without an end, and a link that stalls in the
-// middle of a frame.
-void PlannerClient::look() {
+// Pings, and closes links that stall within a frame or whose planner hangs or is gone without having closed
+// them.
+void PlannerClient::check_links() {
   const double now = net::monotonic_now();
   for (const auto& link : links_) {
     if (!link->connection || !link->connection->open()) continue;
-    const bool silent =
-        link->greeted ? now - link->heard_at > kSilence : now - link->began_at > kConnectPatience;
-    if (silent) {
+    const bool timed_out = link->is_up ? now - link->last_message_at > kSilenceTimeoutSeconds
+                                       : now - link->connecting_since > kHelloTimeoutSeconds;
+    if (timed_out) {
       counters_.add(Count::kTierSilent);
-      log_.warn("planners", "{}: silent, link opened anew", link->address);
+      log_.warn("planners", "{}: timed out, reconnecting", link->address);
       link->connection->close(net::End::kBroken);
-    } else if (link->greeted) {
-      put(*link, wt::Ping{next_ping_++});
+    } else if (link->is_up) {
+      send(*link, wt::Ping{next_ping_++});
     }
   }
-  look_timer_ = reactor_.after(kPing, [this] { look(); });
+  check_timer_ = reactor_.after(kPingIntervalSeconds, [this] { check_links(); });
 }
 
 }  // namespace damsonspoke::peers
--- a/src/peers/tier/planner_client.h
+++ b/src/peers/tier/planner_client.h
@@ -1,7 +1,9 @@
-// The planners behind a forwarder: one link each, opened again when it ends, with pings both ways. It knows
-// what of the requests that it was given ever left, and tells it when a link ends.
+// A forwarder's client of its planners: one link to each, reconnected when it ends, with pings. It knows
+// which of the submitted attempts have left as complete frames, and reports the others when a link is lost.
 #pragma once
 
+#include <cstddef>
+#include <cstdint>
 #include <deque>
 #include <memory>
 #include <string>
@@ -14,50 +16,71 @@
 
 namespace damsonspoke::peers {
 
+// What the planners tell. Planners are identified by their position.
 class PlannerEvents {
  public:
+  PlannerEvents() = default;
   virtual ~PlannerEvents() = default;
+  PlannerEvents(const PlannerEvents&) = delete;
+  PlannerEvents& operator=(const PlannerEvents&) = delete;
+
   virtual void on_link_up(int planner, std::uint64_t epoch, std::uint32_t window) = 0;
+  // `unwritten`: attempts of which no complete frame ever left.
   virtual void on_link_lost(int planner, const std::vector<std::uint64_t>& unwritten) = 0;
-  virtual void on_load_report(int planner, const wire::tier::LoadReport& window) = 0;
+  virtual void on_load_report(int planner, const wire::tier::LoadReport& report) = 0;
   virtual void on_planner_draining(int planner) = 0;
   virtual void on_answer(int planner, std::uint64_t epoch, const wire::tier::Answer& answer) = 0;
 };
 
 class PlannerClient : private net::ConnectionOwner {
  public:
+  // What this forwarder tells its planners about itself.
   struct Self {
     std::string name;
     std::uint64_t epoch = 0;
-    std::vector<std::string> types;
-    std::string from = {};  // the address, without a port, that links come from; empty: the system's choice
+    std::vector<std::string> routes;
+    // The address, without a port, that links come from; empty: the system's choice.
+    std::string local_address = {};
   };
   // `output_bytes`: of all links together.
   PlannerClient(net::Reactor& reactor, Self self, std::size_t output_bytes, PlannerEvents& events,
                 Counters& counters, Logger& log);
   ~PlannerClient() override;
+  PlannerClient(const PlannerClient&) = delete;
+  PlannerClient& operator=(const PlannerClient&) = delete;
 
-  void add(const std::string& address);  // at the next position
-  void remove(int planner);              // its link ends once nothing is open there; see close_if_draining()
-  void restore(int planner);             // it is wanted again, and linked if it is not
+  // Adds a planner at the next position. Throws where the address is not valid.
+  void add(const std::string& address);
+  // The planner is no longer listed: its link is closed by close_if_draining().
+  void remove(int planner);
+  // It is listed again, and connected if it is not.
+  void restore(int planner);
   void submit(int planner, const wire::tier::Submit& submit);
   void cancel(int planner, std::uint64_t attempt);
   void fence(int planner, std::uint64_t attempt);
-  // Nothing is open at it any more: a link to one that leaves, or is not wanted, ends.
+  // Nothing is open at the planner: closes the link if it drains or is not listed.
   void close_if_draining(int planner);
-  std::size_t linked() const;
+  // Planners with a link that is up.
+  [[nodiscard]] std::size_t linked() const;
 
  private:
+  struct UnprovenSubmit {
+    std::uint64_t end = 0;  // of its frame, in bytes sent on the connection
+    std::uint64_t attempt = 0;
+  };
   struct Link {
     std::string address;
-    bool wanted = true;
+    bool is_listed = true;
+    bool is_up = false;        // the planner's hello has arrived
+    bool is_draining = false;  // the planner drains, or it is not listed
     std::shared_ptr<net::Connection> connection;
-    bool greeted = false, leaving = false;
-    std::uint64_t epoch = 0;
-    double heard_at = 0, began_at = 0, pause = 0;
-    std::uint64_t given = 0;                                       // bytes, to this connection
-    std::deque<std::pair<std::uint64_t, std::uint64_t>> unproven;  // end of a submit's bytes, its attempt
-    net::Reactor::TimerId again;
+    std::uint64_t epoch = 0;  // of the planner
+    double last_message_at = 0;
+    double connecting_since = 0;
+    double backoff = 0;                           // s before the next connection
+    std::uint64_t sent_bytes = 0;                 // handed to this connection
+    std::deque<UnprovenSubmit> unproven_submits;  // of which bytes may still be here, the oldest first
+    net::Reactor::TimerId reconnect_timer;
   };
 
   void on_connected(net::Connection& connection) override;
@@ -66,10 +89,11 @@
   void on_end(net::Connection& connection, net::End why) override;
 
   void connect(int planner);
-  bool take(int planner, const wire::tier::Message& message);
-  bool put(Link& link, const wire::tier::Message& message);
-  void look();
-  Link& at(int planner) { return *links_[static_cast<std::size_t>(planner)]; }
+  [[nodiscard]] bool handle(int planner, const wire::tier::Message& message);
+  [[nodiscard]] bool handle_hello(int planner, const wire::tier::Hello& hello);
+  bool send(Link& link, const wire::tier::Message& message);
+  void check_links();
+  [[nodiscard]] Link& at(int planner) { return *links_[static_cast<std::size_t>(planner)]; }
 
   net::Reactor& reactor_;
   const Self self_;
@@ -79,7 +103,7 @@
   Logger& log_;
   std::vector<std::unique_ptr<Link>> links_;
   std::uint64_t next_ping_ = 1;
-  net::Reactor::TimerId look_timer_;
+  net::Reactor::TimerId check_timer_;
 };
 
 }  // namespace damsonspoke::peers
--- a/src/stages/request_forwarder.cpp
+++ b/src/stages/request_forwarder.cpp
@@ -11,19 +11,23 @@
 
 namespace wt = wire::tier;
 
-constexpr double kRejectionRest =
-    0.25;                      // s; a planner that rejections at once is sent four windows a second, no flood
-constexpr double kLook = 0.1;  // s; between looks at health, for the roster
-constexpr double kSixteenth = 16;  // of a kB, as sizes stand on the wire
-constexpr double kMicro = 1e-6;
-// Between attempts' numbers at most: one guess in 8 million hits the next, and 64 bits last for 10^12
-// attempts.
-constexpr std::uint64_t kNumberSteps = 1 << 24;
-constexpr double kReadPatience = 2;         // s at the start, for the folder of the lists
-constexpr std::size_t kRequestBytes = 512;  // that an open request takes beside its body
+// A planner that rejects at once is sent at most four windows a second.
+constexpr double kRejectionCooldownSeconds = 0.25;
+constexpr double kCheckIntervalSeconds = 0.1;
+constexpr double kSixteenthsPerKb = 16;
+constexpr double kMicrosecondsPerSecond = 1e6;
+constexpr double kSecondsPerMicrosecond = 1e-6;
+constexpr double kMaxWireMicroseconds = 4e9;
+constexpr double kMaxWireSize = 4e9;
+constexpr double kMilli = 1000;
+// A guess hits the next number once in 8 million times, and 64 bits last for 10^12 attempts.
+constexpr std::uint64_t kMaxAttemptStep = 1 << 24;
+constexpr double kHistoryReadTimeoutSeconds = 2;
+constexpr std::size_t kRequestOverheadBytes = 512;  // of an open request, beside its body and key
+constexpr std::uint64_t kCallerSeedFactor = 0x9e3779b97f4a7c15ULL;  // 2^64 / golden ratio
 
-std::uint32_t micros(double seconds) {
-  return static_cast<std::uint32_t>(std::clamp(seconds * 1e6, 0.0, 4e9));
+std::uint32_t microseconds(double seconds) {
+  return static_cast<std::uint32_t>(std::clamp(seconds * kMicrosecondsPerSecond, 0.0, kMaxWireMicroseconds));
 }
 
 tier::AnswerKind kind_of(wt::Result result) {
@@ -41,31 +45,44 @@
   return tier::AnswerKind::kFailed;
 }
 
-// A key is remembered for its window from when it was admitted, which is within its request's own time; and
-// what a forwarder sends by an old list may be admitted so much after it has a new one.
-tier::KeyOwnershipOptions homes_of(const ForwardOptions& options, const StartSettings& site) {
-  double window = 0, longest = 0;
-  for (const Route& type : site.admission.routes) {
-    if (type.idempotency != Idempotency::kWithKey) continue;
-    window = std::max(window, type.idempotency_window);
-    longest = std::max(longest, type.timeout);
+peers::FailureReason failure_reason(wt::Result result) {
+  switch (result) {
+    case wt::Result::kUnknown: return peers::FailureReason::kOutcomeUnknown;
+    case wt::Result::kConflict: return peers::FailureReason::kKeyConflict;
+    default: return peers::FailureReason::kPlain;
   }
-  return {options.reload_spread + longest, window > 0 ? window + 2 * longest : 0};
-}
-
-tier::DispatchOptions terms_of(const ForwardOptions& options, const StartSettings& site) {
-  tier::DispatchOptions terms;
-  terms.picker.rejection_cooldown_seconds = kRejectionRest;
-  terms.key_ownership = homes_of(options, site);
-  terms.retry_share = options.retry_share;
-  terms.reconnect_timeout = options.link_patience;
-  terms.max_waiting_requests = options.line;
-  terms.max_waiting_bytes = options.line_memory;
-  terms.route_by_subject = options.by_subject;
-  terms.max_attempt_step = kNumberSteps;
+}
+
+// A key is remembered for its window from its admission on, which is within its request's timeout. What a
+// forwarder sends by a superseded list may be admitted up to one timeout after the reload.
+tier::KeyOwnershipOptions key_ownership_options(const ForwardOptions& options, const StartSettings& site) {
+  double window = 0;
+  double longest_timeout = 0;
+  for (const Route& route : site.admission.routes) {
+    if (route.idempotency != Idempotency::kWithKey) continue;
+    window = std::max(window, route.idempotency_window);
+    longest_timeout = std::max(longest_timeout, route.timeout);
+  }
+  return {options.reload_spread + longest_timeout, window > 0 ? window + 2 * longest_timeout : 0};
+}
+
+tier::DispatchOptions dispatch_options(const ForwardOptions& options, const StartSettings& site) {
+  tier::DispatchOptions out;
+  out.picker.rejection_cooldown_seconds = kRejectionCooldownSeconds;
+  out.key_ownership = key_ownership_options(options, site);
+  out.retry_share = options.retry_share;
+  out.reconnect_timeout = options.link_patience;
+  out.max_waiting_requests = options.line;
+  out.max_waiting_bytes = options.line_memory;
+  out.route_by_subject = options.by_subject;
+  out.max_attempt_step = kMaxAttemptStep;
   if (site.admission.sends_retry_after && site.admission.max_retry_after > 0)
-    terms.wait_estimator.max_retry_after = site.admission.max_retry_after;
-  return terms;
+    out.wait_estimator.max_retry_after = site.admission.max_retry_after;
+  return out;
+}
+
+std::size_t memory_of(const peers::IncomingRequest& request) {
+  return kRequestOverheadBytes + request.body.size() + request.idempotency_key.size();
 }
 
 }  // namespace
@@ -81,126 +98,140 @@
       counters_(counters),
       log_(log),
       random_(seed),
-      most_body_bytes_(body_bytes),
+      max_body_bytes_(body_bytes),
       dispatch_(std::make_unique<tier::Dispatch>(
-          terms_of(options, site), site.admission.routes.size(), options.planners,
+          dispatch_options(options, site), site.admission.routes.size(), options.planners,
           static_cast<tier::DispatchSink&>(*this),
           [this] { return std::ldexp(static_cast<double>(random_() >> 11), -53); }, net::monotonic_now())),
-      homes_(homes_of(options, site)),
+      key_ownership_(key_ownership_options(options, site)),
       lists_{options.planners, {}} {
   if (options.folder.empty()) return;
-  kept_ = std::make_unique<store::PersistedFile>(
+  history_file_ = std::make_unique<store::PersistedFile>(
       [folder = options.folder] { return store::open_folder(folder); }, "planners",
       tier::kEndpointListHistoryVersion, tier::kMaxEndpointListHistoryBytes);
 }
 
 RequestForwarder::~RequestForwarder() {
-  reactor_.cancel(wake_timer_);
-  reactor_.cancel(look_timer_);
+  reactor_.cancel(wakeup_timer_);
+  reactor_.cancel(check_timer_);
 }
 
 void RequestForwarder::begin() {
-  recall_lists();
-  link_planners();
-  look();
+  restore_history();
+  connect_planners();
+  check();
 }
 
 // ---- Callers.
+
 void RequestForwarder::on_request_read(peers::IncomingRequest in) {
   counters_.add(Count::kRequestsRead);
   const double now = net::unix_now();
-  const Route& type = site_.admission.routes[static_cast<std::size_t>(in.route)];
+  const Route& route = site_.admission.routes[static_cast<std::size_t>(in.route)];
   const double age = in.received_at > 0 ? std::max(0.0, now - in.received_at) : 0;
   tier::ForwardedRequest request;
   request.id = in.id;
   request.route = in.route;
   request.caller = in.caller;
   request.subject = in.subject;
-  request.idempotency_key_hash = home_mark(in);
-  request.priority_weight = type.priority_weight;
-  request.remaining_time = (in.client_timeout > 0 ? in.client_timeout : type.timeout) - age;
-  request.bytes = kRequestBytes + in.body.size() + in.idempotency_key.size();
+  request.idempotency_key_hash = key_hash(in);
+  request.priority_weight = route.priority_weight;
+  request.remaining_time = (in.client_timeout > 0 ? in.client_timeout : route.timeout) - age;
+  request.bytes = memory_of(in);
   if (in.received_at <= 0) in.received_at = now;
   body_bytes_ += request.bytes;
-  const RequestId id = in.id;
-  const bool room = body_bytes_ <= most_body_bytes_;
-  open_[id] = {std::move(in), now + request.remaining_time};
-  // More requests open than there is memory for: the newcomer goes, whatever it is worth; the line's own
-  // bound is lower and goes by importance.
-  if (!room) return reply(id, tier::LocalReply::kRejected, 0, false);
+  const bool fits = body_bytes_ <= max_body_bytes_;
+  open_[request.id] = {std::move(in), now + request.remaining_time};
+  // Without memory the new request is rejected, whatever its priority. The wait queues' own bound is lower
+  // and evicts by priority.
+  if (!fits) {
+    reply(request.id, tier::LocalReply::kRejected, 0, false);
+    return;
+  }
   dispatch_->on_request(request, net::monotonic_now());
 }
 
-std::uint64_t RequestForwarder::home_mark(const peers::IncomingRequest& request) const {
-  if (site_.admission.routes[static_cast<std::size_t>(request.route)].idempotency != Idempotency::kWithKey)
-    return 0;
+// 0 where the request is not keyed, otherwise not 0.
+std::uint64_t RequestForwarder::key_hash(const peers::IncomingRequest& request) const {
+  const Route& route = site_.admission.routes[static_cast<std::size_t>(request.route)];
+  if (route.idempotency != Idempotency::kWithKey) return 0;
   const auto seed = static_cast<std::uint64_t>(request.route) + 1;
-  if (!request.idempotency_key.empty())
-    return XXH3_64bits_withSeed(request.idempotency_key.data(), request.idempotency_key.size(), seed) | 1;
-  const std::uint64_t of_caller = digest_by_caller_ ? request.caller : 0;
-  return XXH3_64bits_withSeed(request.body.data(), request.body.size(),
-                              seed + of_caller * 0x9e3779b97f4a7c15ULL) |
+  const std::string& key = request.idempotency_key;
+  if (!key.empty()) return XXH3_64bits_withSeed(key.data(), key.size(), seed) | 1;
+  const std::uint64_t caller = digest_by_caller_ ? request.caller : 0;
+  return XXH3_64bits_withSeed(request.body.data(), request.body.size(), seed + caller * kCallerSeedFactor) |
          1;
 }
 
-RequestForwarder::Open RequestForwarder::take_out(RequestId id, Count as) {
+RequestForwarder::OpenRequest RequestForwarder::take_completed(RequestId id, Count as) {
   const auto found = open_.find(id);
-  Open out = std::move(found->second);
+  OpenRequest out = std::move(found->second);
   open_.erase(found);
-  body_bytes_ -= kRequestBytes + out.request.body.size() + out.request.idempotency_key.size();
+  body_bytes_ -= memory_of(out.request);
   counters_.add(as);
-  if (as != Count::kRequestsGone && net::unix_now() > out.due) counters_.add(Count::kRequestsOverdue);
+  if (as != Count::kRequestsGone && net::unix_now() > out.deadline) counters_.add(Count::kRequestsOverdue);
   return out;
 }
 
 void RequestForwarder::on_caller_gone(RequestId id) {
   if (!open_.contains(id)) return;
   dispatch_->on_caller_gone(id, net::monotonic_now());
-  take_out(id, Count::kRequestsGone);
+  take_completed(id, Count::kRequestsGone);
 }
 
-void RequestForwarder::on_check(peers::ReplyAddress ticket, bool /*wants_work*/) {
-  ports_.callers->answer_check(ticket, dispatch_->is_healthy(net::monotonic_now()));
+void RequestForwarder::on_check(peers::ReplyAddress reply_to, bool /*wants_work*/) {
+  ports_.callers->answer_check(reply_to, dispatch_->is_healthy(net::monotonic_now()));
 }
 
 // ---- Planners.
+
 void RequestForwarder::on_link_up(int planner, std::uint64_t epoch, std::uint32_t window) {
   dispatch_->on_link_up(planner, epoch, window, net::monotonic_now());
-  look();
+  check();
 }
+
 void RequestForwarder::on_link_lost(int planner, const std::vector<std::uint64_t>& unwritten) {
   dispatch_->on_link_lost(planner, unwritten, net::monotonic_now());
 }
-void RequestForwarder::on_load_report(int planner, const wt::LoadReport& window) {
-  dispatch_->on_load_report(planner, window.window, window.slot_value_milli / 1000.0, window.is_healthy,
+
+void RequestForwarder::on_load_report(int planner, const wt::LoadReport& report) {
+  dispatch_->on_load_report(planner, report.window, report.slot_value_milli / kMilli, report.is_healthy,
                             net::monotonic_now());
 }
+
 void RequestForwarder::on_planner_draining(int planner) {
   dispatch_->on_planner_draining(planner, net::monotonic_now());
-  if (dispatch_->attempts().open_attempts_at(planner) == 0) ports_.planners->close_if_draining(planner);
+  close_if_idle(planner);
 }
 
 void RequestForwarder::on_answer(int planner, std::uint64_t epoch, const wt::Answer& answer) {
-  const std::optional<RequestId> over =
-      dispatch_->on_answer(planner, epoch, answer.attempt, kind_of(answer.result),
-                           answer.retry_after_us * kMicro, answer.no_retry, net::monotonic_now());
-  if (over) {
+  const std::optional<RequestId> completed = dispatch_->on_answer(
+      planner, epoch, answer.attempt, kind_of(answer.result), answer.retry_after_us * kSecondsPerMicrosecond,
+      answer.no_retry, net::monotonic_now());
+  if (completed) {
     const bool succeeded = answer.result == wt::Result::kSucceeded;
-    const Open open = take_out(*over, succeeded ? Count::kRequestsSucceeded : Count::kRequestsFailed);
-    if (succeeded) {
-      ports_.callers->answer_succeeded(open.request.reply_to, answer.body);
-    } else {
-      ports_.callers->answer_failed(
-          open.request.reply_to, answer.result == wt::Result::kUnknown ? peers::FailureReason::kOutcomeUnknown
-                                 : answer.result == wt::Result::kConflict ? peers::FailureReason::kKeyConflict
-                                                                          : peers::FailureReason::kPlain);
-    }
+    pass_on(take_completed(*completed, succeeded ? Count::kRequestsSucceeded : Count::kRequestsFailed),
+            answer);
+  }
+  close_if_idle(planner);
+}
+
+void RequestForwarder::pass_on(const OpenRequest& open, const wt::Answer& answer) {
+  if (answer.result == wt::Result::kSucceeded) {
+    ports_.callers->answer_succeeded(open.request.reply_to, answer.body);
+  } else {
+    ports_.callers->answer_failed(open.request.reply_to, failure_reason(answer.result));
   }
+}
+
+void RequestForwarder::close_if_idle(int planner) {
   if (dispatch_->attempts().open_attempts_at(planner) == 0) ports_.planners->close_if_draining(planner);
 }
 
-// ---- What was decided.
-void RequestForwarder::send(int planner, tier::Attempt attempt, RequestId id, double left, bool known_only) {
+// ---- The dispatch's acts.
+
+void RequestForwarder::send(int planner, tier::Attempt attempt, RequestId id, double remaining_time,
+                            bool lookup_only) {
   const peers::IncomingRequest& request = open_.at(id).request;
   wt::Submit submit;
   submit.attempt = attempt;
@@ -208,154 +239,165 @@
   submit.route = static_cast<std::uint16_t>(request.route);
   submit.caller = request.caller;
   submit.subject = request.subject;
-  submit.size_sixteenth_kb = static_cast<std::uint32_t>(std::clamp(request.size_kb * kSixteenth, 1.0, 4e9));
-  submit.age_us = micros(net::unix_now() - request.received_at);
-  submit.remaining_us = micros(left);
-  submit.lookup_only = known_only;
+  submit.size_sixteenth_kb =
+      static_cast<std::uint32_t>(std::clamp(request.size_kb * kSixteenthsPerKb, 1.0, kMaxWireSize));
+  submit.age_us = microseconds(net::unix_now() - request.received_at);
+  submit.remaining_us = microseconds(remaining_time);
+  submit.lookup_only = lookup_only;
   submit.idempotency_key = request.idempotency_key;
   submit.body = request.body;
   ports_.planners->submit(planner, submit);
 }
+
 void RequestForwarder::cancel(int planner, tier::Attempt attempt) {
   ports_.planners->cancel(planner, attempt);
 }
+
 void RequestForwarder::fence(int planner, tier::Attempt attempt) { ports_.planners->fence(planner, attempt); }
 
 void RequestForwarder::reply(RequestId id, tier::LocalReply how, double retry_after, bool no_retry) {
-  const bool rejected = how == tier::LocalReply::kRejected;
-  const Open open = take_out(id, rejected ? Count::kRequestsRejected : Count::kRequestsFailed);
-  const bool may_say = site_.admission.sends_retry_after;
-  if (rejected) {
-    ports_.callers->answer_rejected(open.request.reply_to, may_say ? retry_after : 0, no_retry);
+  if (how == tier::LocalReply::kRejected) {
+    const OpenRequest open = take_completed(id, Count::kRequestsRejected);
+    const double told = site_.admission.sends_retry_after ? retry_after : 0;
+    ports_.callers->answer_rejected(open.request.reply_to, told, no_retry);
   } else {
+    const OpenRequest open = take_completed(id, Count::kRequestsFailed);
     ports_.callers->answer_failed(open.request.reply_to, peers::FailureReason::kPlain);
   }
 }
 
+// An earlier wakeup that is scheduled is kept: the dispatch schedules again when it is woken.
 void RequestForwarder::schedule_wakeup(double time) {
-  if (wake_time_ >= 0 && wake_time_ <= time) return;  // it asks anew when it is woken
-  reactor_.cancel(wake_timer_);
-  wake_time_ = time;
-  wake_timer_ = reactor_.at(time, [this] {
-    wake_time_ = -1;
+  if (wakeup_time_ >= 0 && wakeup_time_ <= time) return;
+  reactor_.cancel(wakeup_timer_);
+  wakeup_time_ = time;
+  wakeup_timer_ = reactor_.at(time, [this] {
+    wakeup_time_ = -1;
     dispatch_->on_timer(net::monotonic_now());
   });
 }
 
-// ---- Its own life.
-void RequestForwarder::look() {
-  const bool good = dispatch_->is_healthy(net::monotonic_now());
-  if (good != reported_) {
-    reported_ = good;
-    log_.info("forward", "health: {}", good ? "good" : "bad");
-    ports_.registry->report(good || !site_.registry_follows_health);
-  }
-  link_planners();
-  if (kept_) {
-    if (const std::optional<std::string> trouble = kept_->take_trouble(); trouble && !trouble->empty())
-      log_.warn("forward", "lists of planners not kept: {}", *trouble);
-  }
-  for (std::size_t i = 0; i < linked_.size(); ++i) {
-    const int planner = static_cast<int>(i);
-    if (dispatch_->attempts().open_attempts_at(planner) == 0) ports_.planners->close_if_draining(planner);
+// ---- Lifecycle.
+
+void RequestForwarder::check() {
+  report_health();
+  connect_planners();
+  if (history_file_) {
+    const std::optional<std::string> error = history_file_->take_trouble();
+    if (error && !error->empty()) log_.warn("forward", "endpoint lists not stored: {}", *error);
   }
-  reactor_.cancel(look_timer_);
-  look_timer_ = reactor_.after(kLook, [this] { look(); });
+  for (std::size_t i = 0; i < connects_to_.size(); ++i) close_if_idle(static_cast<int>(i));
+  reactor_.cancel(check_timer_);
+  check_timer_ = reactor_.after(kCheckIntervalSeconds, [this] { check(); });
+}
+
+void RequestForwarder::report_health() {
+  const bool healthy = dispatch_->is_healthy(net::monotonic_now());
+  if (healthy == reported_healthy_) return;
+  reported_healthy_ = healthy;
+  log_.info("forward", "now {}", healthy ? "healthy" : "unhealthy");
+  ports_.registry->report(healthy || !site_.registry_follows_health);
 }
 
 void RequestForwarder::leave(double time_left) {
-  left_ = true;
   dispatch_->on_drain(time_left, site_.admission.drain_grace, net::monotonic_now());
   ports_.registry->report(false);
-  reported_ = false;
+  reported_healthy_ = false;
   ports_.callers->ask_no_more();
 }
 
-// Planners by address: those that stay keep their links and what is open there; those that go keep theirs as
-// long as they may be asked what they remember.
+// ---- The endpoint list.
+
 void RequestForwarder::set_planners(const std::vector<std::string>& addresses) {
   if (addresses != lists_.current) {
     const double now = net::unix_now();
-    std::erase_if(lists_.former, [&](const tier::FormerEndpointList& one) {
-      return now > one.until + homes_.reload_spread + homes_.retention;
+    std::erase_if(lists_.former, [&](const tier::FormerEndpointList& list) {
+      return now > list.until + key_ownership_.reload_spread + key_ownership_.retention;
     });
     lists_.former.push_back({now, std::exchange(lists_.current, addresses)});
-    keep_lists();
+    store_history();
     dispatch_->set_planners(addresses, net::monotonic_now());
   }
-  link_planners();
+  connect_planners();
 }
 
-void RequestForwarder::link_planners() {
+void RequestForwarder::connect_planners() {
   const tier::Picker& picker = dispatch_->picker();
   const double now = net::monotonic_now();
   for (std::size_t i = 0; i < picker.size(); ++i) {
     const int planner = static_cast<int>(i);
-    if (i == linked_.size()) {
+    if (i == connects_to_.size()) {
       ports_.planners->add(picker.name(planner));
-      linked_.push_back(true);
+      connects_to_.push_back(true);
+    }
+    const bool needed = !dispatch_->can_disconnect(planner, now);
+    if (connects_to_[i] == needed) continue;
+    connects_to_[i] = needed;
+    if (needed) {
+      ports_.planners->restore(planner);
+    } else {
+      ports_.planners->remove(planner);
     }
-    const bool over = dispatch_->can_disconnect(planner, now);
-    if (linked_[i] == !over) continue;
-    linked_[i] = !over;
-    over ? ports_.planners->remove(planner) : ports_.planners->restore(planner);
   }
 }
 
-// The lists of former lives. Where they can't be read nobody knows which keys have moved.
-void RequestForwarder::recall_lists() {
-  if (!kept_) return;
-  const double now = net::monotonic_now(), unix_now = net::unix_now();
-  const std::optional<store::ChecksummedContent> found = kept_->read(kReadPatience);
-  const bool missing = found && found->problem == store::ChecksumProblem::kMissing;
-  std::optional<tier::EndpointListHistory> before;
-  if (found && found->problem == store::ChecksumProblem::kNone)
-    before = tier::decode_endpoint_list_history(found->content);
-  if (!before && !missing) {
-    const std::string why = !found ? "not there in time"
-                            : found->problem != store::ChecksumProblem::kNone
-                                ? std::string(text_of(found->problem))
-                                : "whole, but no lists";
-    log_.error("forward", "former lists of planners can't be read ({}): keyed ops are nacked for {:.0f} s",
-               why, homes_.reload_spread + homes_.retention);
-    dispatch_->assume_unknown_history(now);
+// The stored history, if there is one. Where it can't be read, it is not known which keys have moved.
+std::optional<tier::EndpointListHistory> RequestForwarder::read_history() {
+  const double now = net::monotonic_now();
+  const std::optional<store::ChecksummedContent> file = history_file_->read(kHistoryReadTimeoutSeconds);
+  if (file && file->problem == store::ChecksumProblem::kMissing) return std::nullopt;
+  std::string error = "read timed out";
+  if (file && file->problem != store::ChecksumProblem::kNone) error = text_of(file->problem);
+  if (file && file->problem == store::ChecksumProblem::kNone) {
+    if (auto history = tier::decode_endpoint_list_history(file->content)) return history;
+    error = "intact, but no list history";
   }
-  if (before) {
-    for (const tier::FormerEndpointList& one : before->former) {
-      if (unix_now <= one.until + homes_.reload_spread + homes_.retention) lists_.former.push_back(one);
+  log_.error("forward", "endpoint list history unreadable ({}): keyed requests are rejected for {:.0f} s",
+             error, key_ownership_.reload_spread + key_ownership_.retention);
+  dispatch_->assume_unknown_history(now);
+  return std::nullopt;
+}
+
+void RequestForwarder::restore_history() {
+  if (!history_file_) return;
+  const double now = net::monotonic_now();
+  const double unix_now = net::unix_now();
+  if (const std::optional<tier::EndpointListHistory> before = read_history()) {
+    for (const tier::FormerEndpointList& list : before->former) {
+      if (unix_now <= list.until + key_ownership_.reload_spread + key_ownership_.retention)
+        lists_.former.push_back(list);
     }
     if (before->current != lists_.current) lists_.former.push_back({unix_now, before->current});
-    // A time that lies ahead is of a clock that was wrong: it counts as now.
-    for (const tier::FormerEndpointList& one : lists_.former)
-      dispatch_->add_former_planners(one.planners, now - std::max(0.0, unix_now - one.until), now);
+    // A time in the future was written with a wrong clock and counts as now.
+    for (const tier::FormerEndpointList& list : lists_.former)
+      dispatch_->add_former_planners(list.planners, now - std::max(0.0, unix_now - list.until));
     if (!lists_.former.empty())
-      log_.info("forward", "{} former lists of planners are still asked", lists_.former.size());
+      log_.info("forward", "planners of {} former endpoint lists are asked for keys", lists_.former.size());
   }
-  keep_lists();
+  store_history();
 }
 
-void RequestForwarder::keep_lists() {
-  if (kept_) kept_->write(tier::encode(lists_));
+void RequestForwarder::store_history() {
+  if (history_file_) history_file_->write(tier::encode(lists_));
 }
 
 void RequestForwarder::report() {
   const tier::DispatchCounters& c = dispatch_->counters();
-  const auto set = [&](Count count, std::uint64_t value) { counters_.set(count, value); };
-  set(Count::kTierFirst, c.first_attempts);
-  set(Count::kTierSecond, c.retries);
-  set(Count::kTierAsked, c.fences);
-  set(Count::kTierProven, c.proven_not_run);
-  set(Count::kTierDropped, c.stale_answers);
-  set(Count::kTierAdrift, c.disconnected);
-  set(Count::kTierLost, c.lost_with_epoch);
-  set(Count::kTierHere, c.rejected_locally);
-  set(Count::kTierEvicted, c.evicted);
-  set(Count::kTierOverdue, c.overdue);
-  set(Count::kTierQuestions, c.key_lookups);
-  set(Count::kTierKnown, c.key_lookup_hits);
-  set(Count::kTierEjections, dispatch_->picker().ejections());
-  set(Count::kTierWaiting, dispatch_->waiting_requests());
-  set(Count::kTierPlanners, ports_.planners->linked());
+  counters_.set(Count::kTierFirst, c.first_attempts);
+  counters_.set(Count::kTierSecond, c.retries);
+  counters_.set(Count::kTierAsked, c.fences);
+  counters_.set(Count::kTierProven, c.proven_not_run);
+  counters_.set(Count::kTierDropped, c.stale_answers);
+  counters_.set(Count::kTierAdrift, c.disconnected);
+  counters_.set(Count::kTierLost, c.lost_with_epoch);
+  counters_.set(Count::kTierHere, c.rejected_locally);
+  counters_.set(Count::kTierEvicted, c.evicted);
+  counters_.set(Count::kTierOverdue, c.overdue);
+  counters_.set(Count::kTierQuestions, c.key_lookups);
+  counters_.set(Count::kTierKnown, c.key_lookup_hits);
+  counters_.set(Count::kTierEjections, dispatch_->picker().ejections());
+  counters_.set(Count::kTierWaiting, dispatch_->waiting_requests());
+  counters_.set(Count::kTierPlanners, ports_.planners->linked());
 }
 
 }  // namespace damsonspoke::stages
--- a/src/stages/request_forwarder.h
+++ b/src/stages/request_forwarder.h
@@ -1,8 +1,11 @@
-// A forwarder's one stage: requests as callers send them, kept until they have their one answer, and what
-// tier/ decides about them carried out.
+// A forwarder's one stage: it holds callers' requests until each has its one reply, and carries out what the
+// dispatch (tier/dispatch.h) decides about them.
 #pragma once
 
+#include <cstddef>
+#include <cstdint>
 #include <memory>
+#include <optional>
 #include <pcg_random.hpp>
 #include <string>
 #include <unordered_map>
@@ -28,50 +31,63 @@
     peers::PlannerClient* planners = nullptr;
     peers::RegistryPort* registry = nullptr;
   };
+  // `body_bytes`: memory for the bodies of open requests.
   RequestForwarder(net::Reactor& reactor, const Ports& ports, const StartSettings& site,
                    const ForwardOptions& options, const ResultsOptions& results, std::size_t body_bytes,
                    std::uint64_t seed, Counters& counters, Logger& log);
   ~RequestForwarder() override;
+  RequestForwarder(const RequestForwarder&) = delete;
+  RequestForwarder& operator=(const RequestForwarder&) = delete;
 
-  void begin();  // once all peers are there
+  // Starts once all ports are set.
+  void begin();
+  // Shuts down gracefully within `time_left` s.
   void leave(double time_left);
+  // Sets the endpoint list: planners that stay keep their links and what is open there; those that go keep
+  // theirs for as long as they may be asked which keys they remember.
   void set_planners(const std::vector<std::string>& addresses);
-  std::size_t open() const { return open_.size(); }
-  void report();  // brings the counters up to date
+  [[nodiscard]] std::size_t open() const { return open_.size(); }
+  // Brings the counters up to date.
+  void report();
 
-  // Callers.
+  // ---- Callers.
   bool in_use(RequestId id) const override { return open_.contains(id); }
   bool has_started(RequestId) const override { return false; }  // nothing runs here
   void on_request_read(peers::IncomingRequest request) override;
   void on_caller_gone(RequestId id) override;
-  void on_check(peers::ReplyAddress ticket, bool wants_work) override;
+  void on_check(peers::ReplyAddress reply_to, bool wants_work) override;
 
-  // Planners.
+  // ---- Planners.
   void on_link_up(int planner, std::uint64_t epoch, std::uint32_t window) override;
   void on_link_lost(int planner, const std::vector<std::uint64_t>& unwritten) override;
-  void on_load_report(int planner, const wire::tier::LoadReport& window) override;
+  void on_load_report(int planner, const wire::tier::LoadReport& report) override;
   void on_planner_draining(int planner) override;
   void on_answer(int planner, std::uint64_t epoch, const wire::tier::Answer& answer) override;
 
  private:
-  struct Open {
+  struct OpenRequest {
     peers::IncomingRequest request;
-    double due = 0;  // Unix s
+    double deadline = 0;  // Unix s
   };
 
-  // What was decided.
-  void send(int planner, tier::Attempt attempt, RequestId request, double left, bool known_only) override;
+  // ---- The dispatch's acts.
+  void send(int planner, tier::Attempt attempt, RequestId request, double remaining_time,
+            bool lookup_only) override;
   void cancel(int planner, tier::Attempt attempt) override;
   void fence(int planner, tier::Attempt attempt) override;
   void reply(RequestId request, tier::LocalReply how, double retry_after, bool no_retry) override;
   void schedule_wakeup(double time) override;
 
-  Open take_out(RequestId id, Count as);
-  std::uint64_t home_mark(const peers::IncomingRequest& request) const;
-  void look();
-  void link_planners();
-  void recall_lists();
-  void keep_lists();
+  OpenRequest take_completed(RequestId id, Count as);
+  [[nodiscard]] std::uint64_t key_hash(const peers::IncomingRequest& request) const;
+  void pass_on(const OpenRequest& open, const wire::tier::Answer& answer);
+  void close_if_idle(int planner);
+  void check();
+  void report_health();
+  void connect_planners();
+  [[nodiscard]] std::optional<tier::EndpointListHistory> read_history();
+  void restore_history();
+  void store_history();
 
   net::Reactor& reactor_;
   const Ports& ports_;
@@ -80,17 +96,18 @@
   Counters& counters_;
   Logger& log_;
   pcg64 random_;
-  std::unordered_map<RequestId, Open> open_;
+  std::unordered_map<RequestId, OpenRequest> open_;
   std::size_t body_bytes_ = 0;
-  const std::size_t most_body_bytes_;
+  const std::size_t max_body_bytes_;
   std::unique_ptr<tier::Dispatch> dispatch_;
-  const tier::KeyOwnershipOptions homes_;
-  tier::EndpointListHistory lists_;  // in force, and before
-  std::vector<bool> linked_;         // planners, by position
-  std::unique_ptr<store::PersistedFile> kept_;
-  net::Reactor::TimerId wake_timer_, look_timer_;
-  double wake_time_ = -1;
-  bool reported_ = false, left_ = false;
+  const tier::KeyOwnershipOptions key_ownership_;
+  tier::EndpointListHistory lists_;
+  std::vector<bool> connects_to_;                       // by planner
+  std::unique_ptr<store::PersistedFile> history_file_;  // null: not stored
+  net::Reactor::TimerId wakeup_timer_;
+  net::Reactor::TimerId check_timer_;
+  double wakeup_time_ = -1;  // < 0: none is scheduled
+  bool reported_healthy_ = false;
 };
 
 }  // namespace damsonspoke::stages
--- a/src/tier/attempt_ledger.cpp
+++ b/src/tier/attempt_ledger.cpp
@@ -5,7 +5,8 @@
 namespace damsonspoke::tier {
 
 Attempt AttemptLedger::begin(RequestId request, int planner, std::uint64_t epoch, std::uint64_t step) {
-  const Attempt attempt = last_attempt_ += std::max<std::uint64_t>(step, 1);
+  last_attempt_ += std::max<std::uint64_t>(step, 1);
+  const Attempt attempt = last_attempt_;
   attempts_[attempt] = {request, planner, epoch, AttemptState::kOpen};
   attempt_of_request_[request] = attempt;
   ++open_by_planner_[planner];
@@ -39,18 +40,13 @@
   return request;
 }
 
-// The life that answers must be the life that was asked: guards against a planner that starts anew and
-// answers under numbers that its former life was given.
+// The epoch must match too: a restarted planner could answer numbers that its predecessor was given.
 std::optional<RequestId> AttemptLedger::record_answer(int planner, std::uint64_t epoch, Attempt attempt) {
-  const AttemptRecord* seen = find(attempt);
-  if (seen == nullptr || seen->planner != planner || seen->epoch != epoch) return std::nullopt;
+  const AttemptRecord* record = find(attempt);
+  if (record == nullptr || record->planner != planner || record->epoch != epoch) return std::nullopt;
   return remove(attempt);
 }
 
-std::optional<RequestId> AttemptLedger::never_ran(int planner, std::uint64_t epoch, Attempt attempt) {
-  return record_answer(planner, epoch, attempt);
-}
-
 std::optional<RequestId> AttemptLedger::record_unwritten(Attempt attempt) { return remove(attempt); }
 
 bool AttemptLedger::start_fencing(Attempt attempt) {
@@ -62,8 +58,8 @@
 
 std::vector<Attempt> AttemptLedger::attempts_at(int planner) const {
   std::vector<Attempt> out;
-  for (const auto& [attempt, seen] : attempts_) {
-    if (seen.planner == planner) out.push_back(attempt);
+  for (const auto& [attempt, record] : attempts_) {
+    if (record.planner == planner) out.push_back(attempt);
   }
   std::sort(out.begin(), out.end());
   return out;
@@ -78,10 +74,10 @@
 AttemptLedger::Reconnection AttemptLedger::on_link_up(int planner, std::uint64_t epoch) {
   Reconnection out;
   for (const Attempt attempt : attempts_at(planner)) {
-    AttemptRecord& seen = attempts_.at(attempt);
-    if (seen.state != AttemptState::kDisconnected) continue;
-    if (seen.epoch == epoch) {
-      seen.state = AttemptState::kFencing;
+    AttemptRecord& record = attempts_.at(attempt);
+    if (record.state != AttemptState::kDisconnected) continue;
+    if (record.epoch == epoch) {
+      record.state = AttemptState::kFencing;
       out.to_fence.push_back(attempt);
     } else {
       out.lost.push_back(*remove(attempt));
--- a/src/tier/attempt_ledger.h
+++ b/src/tier/attempt_ledger.h
@@ -1,10 +1,12 @@
-// Which attempt at a request still counts: the forwarder's side of "one answer, and never a second run
-// without proof". Pure policy: attempts go in, what to do with them comes out.
+// The forwarder's record of attempts: which attempt at a request still counts. It ensures that a request gets
+// one answer and never runs a second time without proof that the first attempt did not run. Policy without
+// I/O.
 //
-// A request has at most one attempt that is not proven dead. A second one may begin only once the first is
-// proven never to have run: refused by its planner, never written to a link, or fenced off with proof. What
-// was written to a planner whose epoch has ended proves nothing and never will: its request ends as failed.
-// After fencing tokens as in leases and epochs of replicated logs; RIFL (SOSP 2015) for results by attempt.
+// Invariant: a request has at most one attempt that is not proven dead. A second attempt may begin only after
+// proof that the first never ran: its planner rejected it, it was never written to a link, or it was fenced
+// off. What was written to a planner whose epoch has ended can never be proven: its request fails.
+//
+// Fencing: tokens and epochs as in leases and replicated logs. Results by attempt: RIFL (SOSP 2015).
 #pragma once
 
 #include <cstdint>
@@ -16,64 +18,61 @@
 
 namespace damsonspoke::tier {
 
+// The number of an attempt. Numbers rise during the forwarder's lifetime; none is used twice.
 using Attempt = std::uint64_t;
 
-// What is known of an attempt that was begun.
 enum class AttemptState {
   kOpen,          // written, or about to be, to a link that is up
   kFencing,       // its planner was asked for proof, on a link that is up
-  kDisconnected,  // its link has ended; the planner's life may go on
+  kDisconnected,  // its link was lost; its planner may still be alive
 };
 
-enum class Proof { kNeverRan, kRunning };
-
 struct AttemptRecord {
   RequestId request = 0;
   int planner = 0;
-  std::uint64_t epoch = 0;  // of the planner's life that it was sent to
+  std::uint64_t epoch = 0;  // of the planner that it was sent to
   AttemptState state = AttemptState::kOpen;
 };
 
 class AttemptLedger {
  public:
-  // Numbers go up for as long as this lives; none is used twice. The request must have no attempt in hand.
-  // `step`, at least 1: how far above the last; by chance, so that a planner can't name an attempt that it
-  // was never given.
-  Attempt begin(RequestId request, int planner, std::uint64_t epoch, std::uint64_t step = 1);
-  // The attempt in hand of a request, or none.
-  std::optional<Attempt> current_attempt(RequestId request) const;
-  const AttemptRecord* find(Attempt attempt) const;
+  // Begins an attempt. The request must not have a current one. `step` (at least 1) is the distance to the
+  // previous number; when it is random, a planner can't name an attempt that it was never given.
+  [[nodiscard]] Attempt begin(RequestId request, int planner, std::uint64_t epoch, std::uint64_t step = 1);
+  // The current attempt at a request, if there is one.
+  [[nodiscard]] std::optional<Attempt> current_attempt(RequestId request) const;
+  // The record of an attempt that still counts, otherwise null.
+  [[nodiscard]] const AttemptRecord* find(Attempt attempt) const;
 
-  // An answer came from that life of that planner. The request whose answer it is; none where the attempt was
-  // let go of, belongs to another planner or life, or never was: the answer is dropped.
-  std::optional<RequestId> record_answer(int planner, std::uint64_t epoch, Attempt attempt);
-  // Its planner shall prove that it never ran; false where that is asked already, or nobody can be asked.
-  bool start_fencing(Attempt attempt);
-  // A link to a planner ended: its attempts are adrift. Those never written are told by the mechanism with
-  // record_unwritten() instead.
+  // An answer arrived from this epoch of this planner: ends the attempt and gives its request. None where the
+  // attempt was abandoned, belongs to another planner or epoch, or never existed: the answer is dropped.
+  [[nodiscard]] std::optional<RequestId> record_answer(int planner, std::uint64_t epoch, Attempt attempt);
+  // The planner has to prove that the attempt never ran. False where it was asked already or can't be asked.
+  [[nodiscard]] bool start_fencing(Attempt attempt);
+  // A link was lost: the planner's attempts become disconnected. Returns them in the order of their numbers.
+  // The caller reports those that were never written with record_unwritten().
   std::vector<Attempt> on_link_lost(int planner);
-  // A link to a planner is up: attempts adrift of the same life are to be fenced there; those of an earlier
-  // life can never be proven and are let go of. Both in order of their numbers.
+  // A link is up. Disconnected attempts of the same epoch are to be fenced; those of an earlier epoch can
+  // never be proven and are removed. Both are in the order of the attempts' numbers.
   struct Reconnection {
     std::vector<Attempt> to_fence;
     std::vector<RequestId> lost;
   };
-  Reconnection on_link_up(int planner, std::uint64_t epoch);
-  // Nobody waits for the request any more, or it was answered without proof: what comes of its attempt is
-  // dropped.
+  [[nodiscard]] Reconnection on_link_up(int planner, std::uint64_t epoch);
+  // The caller has gone or was answered without proof: a later answer to the attempt is dropped.
   void abandon(RequestId request);
-  // Proven never to have run; the request may have another attempt. None where the attempt is not in hand.
-  std::optional<RequestId> never_ran(int planner, std::uint64_t epoch, Attempt attempt);
-  std::optional<RequestId> record_unwritten(Attempt attempt);
-  // A planner whose link is down has not come back in time: its attempts are no longer waited for.
-  std::vector<RequestId> abandon_attempts_at(int planner);
+  // The attempt was never written, which proves that it never ran: the request may have another one. None
+  // where the attempt no longer counts.
+  [[nodiscard]] std::optional<RequestId> record_unwritten(Attempt attempt);
+  // A planner has not reconnected in time: ends its attempts and gives their requests.
+  [[nodiscard]] std::vector<RequestId> abandon_attempts_at(int planner);
 
-  std::size_t open_attempts() const { return attempts_.size(); }
-  int open_attempts_at(int planner) const;
+  [[nodiscard]] std::size_t open_attempts() const { return attempts_.size(); }
+  [[nodiscard]] int open_attempts_at(int planner) const;
 
  private:
   std::optional<RequestId> remove(Attempt attempt);
-  std::vector<Attempt> attempts_at(int planner) const;
+  [[nodiscard]] std::vector<Attempt> attempts_at(int planner) const;
 
   Attempt last_attempt_ = 0;
   std::unordered_map<Attempt, AttemptRecord> attempts_;
--- a/src/tier/concurrency_windows.cpp
+++ b/src/tier/concurrency_windows.cpp
@@ -8,19 +8,22 @@
   return started_at_ < 0 || (cold_ && now - started_at_ < options_.slow_start_seconds);
 }
 
-// A planner is cold once in its life: warm, nothing is kept of who came and went. Guards against forwarders
-// that come back under new lives without end.
-void ConcurrencyWindows::rebalance(double now,
-                                   const std::function<std::size_t(SlowStartShares::Link)>& open) {
-  if (!is_warming_up(now)) return shares_.clear();
+// A planner warms up once. Once it is warm the shares are dropped, so that forwarders which reconnect again
+// and again leave nothing behind.
+void ConcurrencyWindows::rebalance(double now, const std::function<std::size_t(Forwarder)>& open) {
+  if (!is_warming_up(now)) {
+    shares_.clear();
+    return;
+  }
   const double age = started_at_ < 0 ? 0 : now - started_at_;
-  shares_.rebalance(
-      now, slow_start_budget(options_.cores, options_.slow_start_speed, options_.slow_start_seconds, age),
-      open);
+  const double budget =
+      slow_start_budget(options_.cores, options_.slow_start_speed, options_.slow_start_seconds, age);
+  shares_.rebalance(now, budget, open);
 }
 
-std::uint32_t ConcurrencyWindows::window(SlowStartShares::Link link, std::size_t links, double now) const {
-  return is_warming_up(now) ? shares_.share(link) : warm_window(options_.cores, links);
+std::uint32_t ConcurrencyWindows::window(Forwarder forwarder, std::size_t linked_forwarders,
+                                         double now) const {
+  return is_warming_up(now) ? shares_.share(forwarder) : warm_window(options_.cores, linked_forwarders);
 }
 
 }  // namespace damsonspoke::tier
--- a/src/tier/concurrency_windows.h
+++ b/src/tier/concurrency_windows.h
@@ -1,6 +1,7 @@
-// How many attempts each forwarder may have open at this planner: warm, twice its even part, as what comes
-// too much is rejected; cold, a part of what it takes then (tier/parts), since the sum of what many send is
-// what a cold planner falls under. Pure policy. Seconds on one clock that never steps back.
+// How many attempts each forwarder may have open at this planner. A warm planner gives each forwarder twice
+// its even share and rejects what is too much. A planner that warms up hands out shares of its slow-start
+// budget (slow_start_shares.h), because the sum of what all forwarders send is what overloads it. Policy
+// without I/O; times are seconds on one clock that never steps back.
 #pragma once
 
 #include <cstddef>
@@ -11,36 +12,41 @@
 
 namespace damsonspoke::tier {
 
-// As the settings tell of a planner.
+// A planner's slow start, as configured.
 struct SlowStartOptions {
   int cores = 1;
-  double slow_start_speed = 1;    // share of its speed with which a cold life begins
-  double slow_start_seconds = 0;  // s until it is warm
+  double slow_start_speed = 1;    // share of the full speed at the start, above 0 to 1
+  double slow_start_seconds = 0;  // s until it is warm; 0: no slow start
 };
 
 class ConcurrencyWindows {
  public:
+  using Forwarder = SlowStartShares::Member;
+
   explicit ConcurrencyWindows(SlowStartOptions options) : options_(options) {}
 
-  // The work behind the planner came up at this time. Until it is told so nothing can run there: what may be
-  // sent is as little as at the beginning of a cold life.
+  // The runtime behind the planner started at `at`. Before that nothing can run, and forwarders get no more
+  // than at the beginning of a slow start.
   void on_runtime_started(bool cold, double at) {
     cold_ = cold;
     started_at_ = at;
   }
-  void add_forwarder(SlowStartShares::Link link) { shares_.add(link); }
-  void remove_forwarder(SlowStartShares::Link link, double now) { shares_.remove(link, now); }
-  void rebalance(double now, const std::function<std::size_t(SlowStartShares::Link)>& open);
-  std::uint32_t window(SlowStartShares::Link link, std::size_t links, double now) const;
-  std::size_t tracked_forwarders() const { return shares_.size(); }
+  void add_forwarder(Forwarder forwarder) { shares_.add(forwarder); }
+  void remove_forwarder(Forwarder forwarder, double now) { shares_.remove(forwarder, now); }
+  // Brings the shares up to date. `open` gives the attempts that a forwarder has open here.
+  void rebalance(double now, const std::function<std::size_t(Forwarder)>& open);
+  // Attempts that this forwarder may have open, with so many forwarders linked.
+  [[nodiscard]] std::uint32_t window(Forwarder forwarder, std::size_t linked_forwarders, double now) const;
+  // Forwarders of which something is stored; none while the planner is warm.
+  [[nodiscard]] std::size_t tracked_forwarders() const { return shares_.size(); }
 
  private:
-  bool is_warming_up(double now) const;
+  [[nodiscard]] bool is_warming_up(double now) const;
 
   const SlowStartOptions options_;
   SlowStartShares shares_;
   bool cold_ = true;
-  double started_at_ = -1;  // < 0: it has not come up yet
+  double started_at_ = -1;  // < 0: the runtime has not started yet
 };
 
 }  // namespace damsonspoke::tier
--- a/src/tier/endpoint_list_history.h
+++ b/src/tier/endpoint_list_history.h
@@ -1,7 +1,10 @@
-// The lists of planners that a forwarder has gone by, as they are kept across its restarts: a forwarder that
-// starts with another list than it ended with has to know which keys have moved. A codec: CBOR, bounded.
+// The endpoint lists that a forwarder has used, as they are stored across its restarts: a forwarder that
+// starts with another list than the one it ended with has to know which keys have moved. The codec writes
+// CBOR with bounded sizes.
 #pragma once
 
+#include <cstddef>
+#include <cstdint>
 #include <optional>
 #include <string>
 #include <string_view>
@@ -20,11 +23,14 @@
 };
 
 constexpr std::uint32_t kEndpointListHistoryVersion = 1;
-constexpr std::size_t kMaxEndpointListHistoryBytes = 64 * 1024, kMaxListedPlanners = 64, kMaxFormerLists = 16,
-                      kMaxAddressBytes = 255;
+constexpr std::size_t kMaxEndpointListHistoryBytes = 64 * 1024;
+constexpr std::size_t kMaxListedPlanners = 64;
+constexpr std::size_t kMaxFormerLists = 16;
+constexpr std::size_t kMaxAddressBytes = 255;
 
-std::string encode(const EndpointListHistory& record);  // of what is over the bounds the newest is kept
-// None where it is no such record, whole and within its bounds.
-std::optional<EndpointListHistory> decode_endpoint_list_history(std::string_view bytes);
+// Of more than kMaxFormerLists former lists the newest are encoded.
+[[nodiscard]] std::string encode(const EndpointListHistory& history);
+// None where the bytes are not a complete history within the bounds above.
+[[nodiscard]] std::optional<EndpointListHistory> decode_endpoint_list_history(std::string_view bytes);
 
 }  // namespace damsonspoke::tier
--- a/src/tier/forwarder_sessions.cpp
+++ b/src/tier/forwarder_sessions.cpp
@@ -5,11 +5,13 @@
 namespace damsonspoke::tier {
 namespace {
 
-constexpr std::size_t kAnswerBytes = sizeof(wire::tier::Answer) + 32;  // beside its body
-
 using wire::tier::Answer;
 using wire::tier::Result;
 
+constexpr std::size_t kAnswerOverheadBytes = sizeof(Answer) + 32;  // beside its body
+
+std::size_t cached_size(const Answer& answer) { return kAnswerOverheadBytes + answer.body.size(); }
+
 Answer answer_without_body(std::uint64_t attempt, Result result) {
   Answer answer;
   answer.attempt = attempt;
@@ -19,160 +21,149 @@
 
 }  // namespace
 
-std::vector<RequestId> ForwarderSessions::open_requests_of(const Forwarder& forwarder) {
-  std::vector<RequestId> out;
-  for (const auto& [attempt, held] : forwarder.open) out.push_back(held.request);
-  return out;
+void ForwarderSessions::append_open_requests(const Session& session, std::vector<RequestId>& out) {
+  for (const auto& [attempt, open] : session.open) out.push_back(open.request);
 }
 
 ForwarderSessions::SessionStart ForwarderSessions::open_session(const std::string& name, std::uint64_t epoch,
                                                                 std::uint64_t link) {
   SessionStart out;
-  for (auto it = forwarders_.begin(); it != forwarders_.end();) {
-    Forwarder& known = it->second;
-    if (known.name != name) {
-      ++it;
-      continue;
-    }
-    out.superseded_link = known.link;
-    if (known.epoch == epoch) {
-      known.link = link;
-      known.disconnected_at = -1;
-      out.forwarder = it->first;
+  const auto known = std::find_if(sessions_.begin(), sessions_.end(),
+                                  [&](const auto& entry) { return entry.second.name == name; });
+  if (known != sessions_.end()) {
+    Session& session = known->second;
+    out.superseded_link = session.link;
+    if (session.epoch == epoch) {
+      session.link = link;
+      session.disconnected_at = -1;
+      out.forwarder = known->first;
       return out;
     }
-    out.abandoned = open_requests_of(known);
-    it = forwarders_.erase(it);
+    append_open_requests(session, out.abandoned);
+    sessions_.erase(known);
   }
-  if (forwarders_.size() >= options_.max_forwarders) {
-    // One that has no link is remembered only for its sake: the newcomer is there.
-    const auto absent = std::find_if(forwarders_.begin(), forwarders_.end(),
-                                     [&](const auto& one) { return one.second.link == 0; });
-    if (absent == forwarders_.end()) return out;
-    const std::vector<RequestId> more = open_requests_of(absent->second);
-    out.abandoned.insert(out.abandoned.end(), more.begin(), more.end());
-    forwarders_.erase(absent);
+  if (sessions_.size() >= options_.max_forwarders) {
+    // A session without a link makes way for a forwarder that is there.
+    const auto unlinked = std::find_if(sessions_.begin(), sessions_.end(),
+                                       [](const auto& entry) { return entry.second.link == 0; });
+    if (unlinked == sessions_.end()) return out;
+    append_open_requests(unlinked->second, out.abandoned);
+    sessions_.erase(unlinked);
   }
-  out.forwarder = next_++;
-  Forwarder& fresh = forwarders_[out.forwarder];
+  out.forwarder = next_id_++;
+  Session& fresh = sessions_[out.forwarder];
   fresh.name = name;
   fresh.epoch = epoch;
   fresh.link = link;
-  for (auto& [id, known] : forwarders_) trim(known);
+  for (auto& [id, session] : sessions_) trim_cache(session);  // each now has a smaller share
   return out;
 }
 
 void ForwarderSessions::on_link_lost(std::uint64_t link, double now) {
-  for (auto& [id, forwarder] : forwarders_) {
-    if (forwarder.link != link) continue;
-    forwarder.link = 0;
-    forwarder.disconnected_at = now;
+  for (auto& [id, session] : sessions_) {
+    if (session.link != link) continue;
+    session.link = 0;
+    session.disconnected_at = now;
   }
 }
 
-double ForwarderSessions::next_expiry() const {
-  double next = -1;
-  for (const auto& [id, forwarder] : forwarders_) {
-    if (forwarder.disconnected_at < 0) continue;
-    const double at = forwarder.disconnected_at + options_.reconnect_grace_seconds;
-    next = next < 0 ? at : std::min(next, at);
-  }
-  return next;
+bool ForwarderSessions::has_expired(const Session& session, double now) const {
+  return session.disconnected_at >= 0 && now >= session.disconnected_at + options_.reconnect_grace_seconds;
 }
 
 std::vector<RequestId> ForwarderSessions::take_expired(double now) {
   std::vector<RequestId> out;
-  for (auto it = forwarders_.begin(); it != forwarders_.end();) {
-    const Forwarder& forwarder = it->second;
-    if (forwarder.disconnected_at < 0 || now < forwarder.disconnected_at + options_.reconnect_grace_seconds) {
+  for (auto it = sessions_.begin(); it != sessions_.end();) {
+    if (!has_expired(it->second, now)) {
       ++it;
       continue;
     }
-    const std::vector<RequestId> more = open_requests_of(forwarder);
-    out.insert(out.end(), more.begin(), more.end());
-    it = forwarders_.erase(it);
+    append_open_requests(it->second, out);
+    it = sessions_.erase(it);
   }
   return out;
 }
 
-ForwarderSessions::SubmitResult ForwarderSessions::submit(ForwarderId id, std::uint64_t attempt,
+ForwarderSessions::SubmitResult ForwarderSessions::submit(ForwarderId forwarder, std::uint64_t attempt,
                                                           RequestId request, int route) {
-  Forwarder& forwarder = forwarders_.at(id);
-  if (attempt <= forwarder.last_attempt) return SubmitResult::kFenced;
-  forwarder.last_attempt = attempt;
-  if (forwarder.open.size() >= options_.max_open_attempts) return SubmitResult::kTooMany;
-  forwarder.open[attempt] = {request, route};
+  Session& session = sessions_.at(forwarder);
+  if (attempt <= session.last_attempt) return SubmitResult::kFenced;
+  session.last_attempt = attempt;
+  if (session.open.size() >= options_.max_open_attempts) return SubmitResult::kTooMany;
+  session.open[attempt] = {request, route};
   return SubmitResult::kAccepted;
 }
 
-std::optional<RequestId> ForwarderSessions::cancel(ForwarderId id, std::uint64_t attempt) {
-  Forwarder& forwarder = forwarders_.at(id);
-  forwarder.last_attempt = std::max(forwarder.last_attempt, attempt);
-  const auto found = forwarder.open.find(attempt);
-  if (found == forwarder.open.end()) return std::nullopt;
+std::optional<RequestId> ForwarderSessions::cancel(ForwarderId forwarder, std::uint64_t attempt) {
+  Session& session = sessions_.at(forwarder);
+  session.last_attempt = std::max(session.last_attempt, attempt);
+  const auto found = session.open.find(attempt);
+  if (found == session.open.end()) return std::nullopt;
   const RequestId request = found->second.request;
-  forwarder.open.erase(found);
+  session.open.erase(found);
   return request;
 }
 
-ForwarderSessions::Proof ForwarderSessions::prove(ForwarderId id, std::uint64_t attempt,
-                                                  const std::function<bool(RequestId)>& started) {
-  Forwarder& forwarder = forwarders_.at(id);
-  const auto open = forwarder.open.find(attempt);
-  if (open != forwarder.open.end()) {
-    if (started(open->second.request)) return {answer_without_body(attempt, Result::kRunning), std::nullopt};
+ForwarderSessions::FenceResult ForwarderSessions::fence(ForwarderId forwarder, std::uint64_t attempt,
+                                                        const std::function<bool(RequestId)>& has_started) {
+  Session& session = sessions_.at(forwarder);
+  const auto open = session.open.find(attempt);
+  if (open != session.open.end()) {
     const RequestId request = open->second.request;
-    forwarder.open.erase(open);
+    if (has_started(request)) return {answer_without_body(attempt, Result::kRunning), std::nullopt};
+    session.open.erase(open);
     return {answer_without_body(attempt, Result::kNeverRan), request};
   }
-  if (attempt > forwarder.last_attempt) {
-    forwarder.last_attempt = attempt;
+  if (attempt > session.last_attempt) {
+    session.last_attempt = attempt;
     return {answer_without_body(attempt, Result::kNeverRan), std::nullopt};
   }
-  for (const Answer& answer : forwarder.cached_answers) {
-    if (answer.attempt == attempt) return {answer, std::nullopt};
-  }
+  const auto cached = std::find_if(session.cached_answers.begin(), session.cached_answers.end(),
+                                   [&](const Answer& answer) { return answer.attempt == attempt; });
+  if (cached != session.cached_answers.end()) return {*cached, std::nullopt};
   return {answer_without_body(attempt, Result::kOutcomeEvicted), std::nullopt};
 }
 
-std::uint64_t ForwarderSessions::record_answer(ForwarderId id, const Answer& answer) {
-  const auto found = forwarders_.find(id);
-  if (found == forwarders_.end()) return 0;
-  Forwarder& forwarder = found->second;
-  if (forwarder.open.erase(answer.attempt) == 0) return 0;
-  forwarder.cached_answers.push_back(answer);
-  forwarder.cached_bytes += kAnswerBytes + answer.body.size();
-  trim(forwarder);
-  return forwarder.link;
+std::uint64_t ForwarderSessions::record_answer(ForwarderId forwarder, const Answer& answer) {
+  const auto found = sessions_.find(forwarder);
+  if (found == sessions_.end()) return 0;
+  Session& session = found->second;
+  if (session.open.erase(answer.attempt) == 0) return 0;
+  session.cached_answers.push_back(answer);
+  session.cached_bytes += cached_size(answer);
+  trim_cache(session);
+  return session.link;
 }
 
-// The oldest go: they are the least likely to be asked for.
-void ForwarderSessions::trim(Forwarder& forwarder) const {
-  const std::size_t part = options_.answer_cache_bytes / std::max<std::size_t>(1, forwarders_.size());
-  while (forwarder.cached_bytes > part) {
-    forwarder.cached_bytes -= kAnswerBytes + forwarder.cached_answers.front().body.size();
-    forwarder.cached_answers.pop_front();
+// The oldest answers go first: they are the least likely to be asked for.
+void ForwarderSessions::trim_cache(Session& session) const {
+  const std::size_t share = options_.answer_cache_bytes / std::max<std::size_t>(1, sessions_.size());
+  while (session.cached_bytes > share) {
+    session.cached_bytes -= cached_size(session.cached_answers.front());
+    session.cached_answers.pop_front();
   }
 }
 
-const OpenAttempt* ForwarderSessions::find(ForwarderId id, std::uint64_t attempt) const {
-  const auto found = forwarders_.find(id);
-  if (found == forwarders_.end()) return nullptr;
+const OpenAttempt* ForwarderSessions::find(ForwarderId forwarder, std::uint64_t attempt) const {
+  const auto found = sessions_.find(forwarder);
+  if (found == sessions_.end()) return nullptr;
   const auto open = found->second.open.find(attempt);
   return open == found->second.open.end() ? nullptr : &open->second;
 }
 
 std::size_t ForwarderSessions::linked_forwarders() const {
-  return static_cast<std::size_t>(std::count_if(forwarders_.begin(), forwarders_.end(),
-                                                [](const auto& one) { return one.second.link != 0; }));
+  return static_cast<std::size_t>(std::count_if(sessions_.begin(), sessions_.end(),
+                                                [](const auto& entry) { return entry.second.link != 0; }));
 }
+
 std::size_t ForwarderSessions::open_attempts(ForwarderId forwarder) const {
-  const auto found = forwarders_.find(forwarder);
-  return found == forwarders_.end() ? 0 : found->second.open.size();
+  const auto found = sessions_.find(forwarder);
+  return found == sessions_.end() ? 0 : found->second.open.size();
 }
+
 std::size_t ForwarderSessions::open_attempts() const {
   std::size_t count = 0;
-  for (const auto& [id, forwarder] : forwarders_) count += forwarder.open.size();
+  for (const auto& [id, session] : sessions_) count += session.open.size();
   return count;
 }
 
--- a/src/tier/forwarder_sessions.h
+++ b/src/tier/forwarder_sessions.h
@@ -1,20 +1,19 @@
-// What a planner holds for its forwarders: the planner's side of the fence. Pure policy. An attempt belongs
-// to one life of one forwarder, whatever link it came on; links come and go, and what was answered while none
-// was there, or just before one broke, is cached_answers for a while in bounded memory, to be told again when
-// asked.
+// A planner's sessions with its forwarders: the attempts that each has open here, and a cache of recent
+// answers. An attempt belongs to one epoch of one forwarder, whatever link it came on. Links come and go;
+// answers that were given while there was no link, or just before one broke, are cached in bounded memory, so
+// that they can be given again when the forwarder asks. Policy without I/O.
 //
-// Attempts of a life rise. So one that is asked about and was never last_attempt can be fenced off for good
-// by raising the number under which nothing is taken any more: no list of fenced ones is needed, and no bound
-// on it.
+// The numbers of attempts rise during an epoch. Raising the lowest number that is accepted therefore fences
+// off every attempt that was never seen; no list of fenced attempts, and no bound on one, is needed.
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
 #include <deque>
 #include <functional>
 #include <map>
 #include <optional>
 #include <string>
-#include <unordered_map>
 #include <vector>
 
 #include "admission/request.h"
@@ -23,13 +22,13 @@
 namespace damsonspoke::tier {
 
 struct ForwarderSessionsOptions {
-  double reconnect_grace_seconds = 0.75;        // s that a forwarder without a link may take to come back
-  std::size_t answer_cache_bytes = 256 * 1024;  // of answers, shared evenly by the forwarders that are known
+  double reconnect_grace_seconds = 0.75;        // that a session outlives its link
+  std::size_t answer_cache_bytes = 256 * 1024;  // shared evenly by all sessions
   std::size_t max_forwarders = 128;
-  std::size_t max_open_attempts = 4096;  // attempts, a forwarder; more than any window
+  std::size_t max_open_attempts = 4096;  // of one forwarder; more than any window
 };
 
-// A forwarder as long as it is known here; never used again.
+// Identifies a session: one epoch of one forwarder. Never 0, never used again.
 using ForwarderId = std::uint64_t;
 
 struct OpenAttempt {
@@ -41,61 +40,62 @@
  public:
   explicit ForwarderSessions(ForwarderSessionsOptions options) : options_(options) {}
 
-  // A forwarder says hello on a link. Requests of its former life have lost their caller; a link that it had
-  // is to be closed unread, which makes "never last_attempt" final.
+  // A forwarder introduces itself on a link. `superseded_link` (0: none) has to be closed without reading
+  // what is left on it, which makes "never seen" final. The callers of the `abandoned` requests are gone,
+  // because the forwarder has restarted.
   struct SessionStart {
-    ForwarderId forwarder = 0;  // 0: there are too many
+    ForwarderId forwarder = 0;  // 0: there are too many forwarders
     std::uint64_t superseded_link = 0;
     std::vector<RequestId> abandoned;
   };
   SessionStart open_session(const std::string& name, std::uint64_t epoch, std::uint64_t link);
+  // `now`: s on a clock that never steps back.
   void on_link_lost(std::uint64_t link, double now);
-  // Requests of forwarders that have not come back in time.
-  std::vector<RequestId> take_expired(double now);
-  double next_expiry() const;  // < 0: none
+  // Ends the sessions that have been without a link for too long and gives their requests.
+  [[nodiscard]] std::vector<RequestId> take_expired(double now);
 
   enum class SubmitResult { kAccepted, kFenced, kTooMany };
   SubmitResult submit(ForwarderId forwarder, std::uint64_t attempt, RequestId request, int route);
-  // Nobody waits for it; the request, where it is still open.
-  std::optional<RequestId> cancel(ForwarderId forwarder, std::uint64_t attempt);
+  // The caller has gone. The request, where its attempt is still open.
+  [[nodiscard]] std::optional<RequestId> cancel(ForwarderId forwarder, std::uint64_t attempt);
 
-  // What is proven of an attempt. `started`: whether a request of that id has ever been told to run.
-  struct Proof {
+  // The outcome of fencing an attempt.
+  struct FenceResult {
     wire::tier::Answer answer;           // to be sent
-    std::optional<RequestId> abandoned;  // a request that is held and will not run: its caller is gone
+    std::optional<RequestId> abandoned;  // has not started and must not start any more
   };
-  template <class Started>
-  Proof fence(ForwarderId forwarder, std::uint64_t attempt, const Started& started) {
-    return prove(forwarder, attempt, [&](RequestId request) -> bool { return started(request); });
-  }
+  // Proves that an attempt never ran, or tells what is known of it. `has_started` tells whether a request was
+  // ever run.
+  [[nodiscard]] FenceResult fence(ForwarderId forwarder, std::uint64_t attempt,
+                                  const std::function<bool(RequestId)>& has_started);
 
-  // The attempt's answer. The link it goes to now, 0 where there is none; it is cached_answers in either
-  // case.
+  // Caches an attempt's answer and ends the attempt. Returns the link to send it on, 0 where there is none.
   std::uint64_t record_answer(ForwarderId forwarder, const wire::tier::Answer& answer);
-  const OpenAttempt* find(ForwarderId forwarder, std::uint64_t attempt) const;
+  // The open attempt, otherwise null.
+  [[nodiscard]] const OpenAttempt* find(ForwarderId forwarder, std::uint64_t attempt) const;
 
-  std::size_t forwarders() const { return forwarders_.size(); }
-  std::size_t linked_forwarders() const;
-  std::size_t open_attempts() const;
-  std::size_t open_attempts(ForwarderId forwarder) const;
+  [[nodiscard]] std::size_t linked_forwarders() const;
+  [[nodiscard]] std::size_t open_attempts() const;
+  [[nodiscard]] std::size_t open_attempts(ForwarderId forwarder) const;
 
  private:
-  struct Forwarder {
+  struct Session {
     std::string name;
-    std::uint64_t epoch = 0, link = 0;
-    double disconnected_at = -1;
-    std::uint64_t last_attempt = 0;  // attempts up to this number are not taken any more
+    std::uint64_t epoch = 0;
+    std::uint64_t link = 0;          // 0: none
+    double disconnected_at = -1;     // < 0: linked
+    std::uint64_t last_attempt = 0;  // attempts up to this number are accepted no more
     std::map<std::uint64_t, OpenAttempt> open;
-    std::deque<wire::tier::Answer> cached_answers;
+    std::deque<wire::tier::Answer> cached_answers;  // the oldest first
     std::size_t cached_bytes = 0;
   };
-  Proof prove(ForwarderId forwarder, std::uint64_t attempt, const std::function<bool(RequestId)>& started);
-  void trim(Forwarder& forwarder) const;
-  static std::vector<RequestId> open_requests_of(const Forwarder& forwarder);
+  [[nodiscard]] bool has_expired(const Session& session, double now) const;
+  void trim_cache(Session& session) const;
+  static void append_open_requests(const Session& session, std::vector<RequestId>& out);
 
   const ForwarderSessionsOptions options_;
-  std::map<ForwarderId, Forwarder> forwarders_;
-  ForwarderId next_ = 1;
+  std::map<ForwarderId, Session> sessions_;
+  ForwarderId next_id_ = 1;
 };
 
 }  // namespace damsonspoke::tier
--- a/src/tier/key_ownership.h
+++ b/src/tier/key_ownership.h
@@ -1,57 +1,60 @@
-// Where a keyed request belongs, and who has to be asked first while the list of planners changes. Pure
-// policy.
+// Which planner owns an idempotency key, and which planners have to be asked first while the endpoint list
+// changes. Policy without I/O; times are seconds on one clock that never steps back.
 //
-// A key's results are remembered by one planner, by rendezvous over the names on the list. When the list
-// changes some keys move, and what was remembered of them does not: a repeat that goes to the new owner would
-// run again within its window. So the former owner of a moved key is asked whether it knows the request
-// before the new one may run it, for as long as it may remember anything; and the new one runs nothing until
-// all forwarders can be expected to have the new list, since one that has the old one still runs new keys at
-// the former owner.
+// A key's results are remembered by one planner, chosen by rendezvous hashing over the names on the endpoint
+// list. When the list changes, some keys move, but the results remembered for them do not: a retry that goes
+// to the new owner would run again within the key's window. Therefore the former owner of a moved key is
+// asked whether it knows the request before the new owner may run it, for as long as it may remember
+// anything. The new owner runs nothing until all forwarders can be expected to have the new list, because a
+// forwarder with the old list still runs new keys at the former owner.
 //
 // With `reload_spread` s between the first and the last forwarder's change, and `retention` s that a planner
-// remembers:
-//   t .. t + reload_spread             the former owner is asked; what it does not know is rejected
-//   .. t + reload_spread + retention      it is asked; what it does not know runs at the new owner
-//   after that                  the new owner alone
-// Rendezvous hashing: Thaler and Ravishankar 1998. The two phases are those of a change of membership with
-// overlapping lists (Raft's joint consensus, Ongaro 2014), with time in the place of acknowledgements.
+// remembers a key:
+//   t .. t + reload_spread              the former owner is asked; a key that it does not know is rejected
+//   .. t + reload_spread + retention    the former owner is asked; a key that it does not know runs at the
+//   new after that                          the new owner alone
+// Rendezvous hashing: Thaler and Ravishankar 1998. The two phases are those of a membership change with
+// overlapping configurations (Raft's joint consensus, Ongaro 2014), with time in place of acknowledgements.
 #pragma once
 
 #include <cstdint>
 #include <string>
+#include <utility>
 #include <vector>
 
 namespace damsonspoke::tier {
 
 struct KeyOwnershipOptions {
   double reload_spread = 10;  // s in which all forwarders have a new list
-  double retention = 0;  // s that a planner remembers a key at most; 0: nothing is remembered, nothing moves
+  double retention = 0;       // s that a planner remembers a key at most; 0: no keys are remembered
 };
 
-// The way of one keyed request.
+// Where one keyed request goes.
 struct KeyRoute {
-  std::vector<int> former_owners;  // former homes, to be asked in this order whether they know it
-  int owner = -1;                  // where it runs once none of them does; < 0: nobody is on the list
+  std::vector<int> former_owners;  // planners to be asked, in this order, whether they know the key
+  int owner = -1;                  // where the request runs if none of them does; < 0: the list is empty
   bool may_run = true;             // false: not yet, wherever it belongs
 };
 
 class KeyOwnership {
  public:
-  explicit KeyOwnership(KeyOwnershipOptions options) : options_(options) {}
+  // A planner's position, as the caller knows it, and its name.
+  using EndpointList = std::vector<std::pair<int, std::string>>;
 
-  // The list from now on: names and the positions that the caller knows them by. The first one is no change.
-  void set_planners(const std::vector<std::pair<int, std::string>>& planners, double now);
-  // A list that was in force before this process began, until `until` on the same clock.
-  void add_former_list(const std::vector<std::pair<int, std::string>>& planners, double until);
+  explicit KeyOwnership(KeyOwnershipOptions options) : options_(options) {}
 
-  // Nothing is known of the lists before: keys run nowhere until that no longer matters.
+  // Sets the current list. The first list is not a change.
+  void set_planners(const EndpointList& planners, double now);
+  // Adds a list that was current before this process started, until `until` on the same clock.
+  void add_former_list(const EndpointList& planners, double until);
+  // Nothing is known about the lists before: no key runs until they no longer matter.
   void assume_unknown_history(double now);
 
-  KeyRoute route(std::uint64_t key_hash, double now) const;
-  // Whether keys of a list from before may still be remembered at this planner.
-  bool may_remember_keys(int planner, double now) const;
-  // When the last change is over; <= now: nothing is moving.
-  double migration_ends_at() const;
+  [[nodiscard]] KeyRoute route(std::uint64_t key_hash, double now) const;
+  // Whether this planner may still remember keys of a former list.
+  [[nodiscard]] bool may_remember_keys(int planner, double now) const;
+  // When the last change is complete; not later than now: no keys are moving.
+  [[nodiscard]] double migration_ends_at() const;
 
  private:
   struct Planner {
@@ -60,21 +63,23 @@
   };
   struct List {
     std::vector<Planner> planners;
-    double until = -1;  // s, when it was superseded; < 0: in force
+    double until = -1;  // when it was superseded; < 0: current
   };
-  static int owner(const List& list, std::uint64_t key_hash);
-  void drop_expired_lists(double now);
-  bool is_expired(const List& list, double now) const {
-    return now >= list.until + options_.reload_spread + options_.retention;
+  [[nodiscard]] static int owner(const List& list, std::uint64_t key_hash);
+  [[nodiscard]] static List make_list(const EndpointList& planners);
+  [[nodiscard]] double expires_at(const List& list) const {
+    return list.until + options_.reload_spread + options_.retention;
   }
-  static constexpr std::size_t kMaxFormerLists =
-      8;  // lists; a change that would be one more waits, see set_planners()
+  [[nodiscard]] bool is_expired(const List& list, double now) const { return now >= expires_at(list); }
+  void drop_expired_lists(double now);
+
+  static constexpr std::size_t kMaxFormerLists = 8;
 
   const KeyOwnershipOptions options_;
   List current_;
   bool has_list_ = false;
   std::vector<List> former_;   // the newest last
-  double blocked_until_ = -1;  // keys run nowhere until then: former homes that are not known
+  double blocked_until_ = -1;  // no key runs until then, because former owners are not known
 };
 
 }  // namespace damsonspoke::tier
--- /dev/null
+++ b/src/tier/pending_requests.h
@@ -0,0 +1,61 @@
+// The requests that a forwarder has to answer, with their deadlines and the times at which their attempts
+// are late. Times are seconds on one clock that never steps back.
+#pragma once
+
+#include <cstddef>
+#include <optional>
+#include <set>
+#include <unordered_map>
+#include <utility>
+
+#include "tier/dispatch_sink.h"
+#include "tier/key_route_cursor.h"
+
+namespace damsonspoke::tier {
+
+struct PendingRequest {
+  ForwardedRequest details;
+  KeyRouteCursor key_route;  // of a keyed request
+  double deadline = 0;       // when its reply leaves at the latest
+  double sent_at = 0;        // of the current attempt
+  int attempts_begun = 0;
+
+  [[nodiscard]] std::size_t route() const { return static_cast<std::size_t>(details.route); }
+};
+
+class PendingRequests {
+ public:
+  void add(const PendingRequest& request);
+  void erase(RequestId id);
+  [[nodiscard]] bool contains(RequestId id) const { return requests_.contains(id); }
+  [[nodiscard]] PendingRequest& at(RequestId id) { return requests_.at(id).request; }
+  [[nodiscard]] const PendingRequest& at(RequestId id) const { return requests_.at(id).request; }
+  [[nodiscard]] std::size_t size() const { return requests_.size(); }
+
+  // No deadline is later than `latest` from now on.
+  void cap_deadlines(double latest);
+  // The request with the earliest deadline, if that has passed.
+  [[nodiscard]] std::optional<RequestId> first_overdue(double now) const;
+
+  // The request's current attempt is late at `time`.
+  void schedule_fence(RequestId id, double time);
+  void cancel_fence(RequestId id);
+  // Takes the request whose attempt has been late for longest, if there is one.
+  [[nodiscard]] std::optional<RequestId> take_late(double now);
+
+  // The earliest deadline or fence; none where nothing is scheduled.
+  [[nodiscard]] std::optional<double> next_event() const;
+
+ private:
+  struct Entry {
+    PendingRequest request;
+    double fence_at = -1;  // < 0: not scheduled
+  };
+  using Schedule = std::set<std::pair<double, RequestId>>;
+
+  std::unordered_map<RequestId, Entry> requests_;
+  Schedule deadlines_;
+  Schedule fences_;
+};
+
+}  // namespace damsonspoke::tier
--- a/src/tier/picker.cpp
+++ b/src/tier/picker.cpp
@@ -3,19 +3,19 @@
 #include <xxhash.h>
 
 #include <algorithm>
+#include <array>
 #include <cmath>
 
 namespace damsonspoke::tier {
 namespace {
 
-constexpr double kMaxOutcomes =
-    64;  // outcomes after which counts are halved: a planner is judged by what it does now
-constexpr double kLatencyMeanWeight = 16;  // outcomes
-constexpr double kSlotValueTolerance =
-    0.25;  // of importance; smaller differences of slots are noise, fullness decides
-constexpr double kRejectsAllShare =
-    0.95;  // share over which a planner that the others do not resemble serves nobody
-constexpr double kMinSlowSeconds = 0.05;  // s; under it nothing is slow, whatever the others do
+constexpr double kMaxOutcomes = 64;  // then the counts are halved: recent outcomes decide
+constexpr double kLatencyMeanOutcomes = 16;
+constexpr double kSlotValueTolerance = 0.25;  // of priority weight; below it utilization decides
+constexpr double kRejectsAllShare = 0.95;
+constexpr double kMinSlowSeconds = 0.05;  // no planner is slow below this latency
+constexpr int kMaxEjectionDoublings = 8;
+constexpr double kNoCapacityUtilization = 1e9;
 
 double median(std::vector<double> values) {
   if (values.empty()) return 0;
@@ -26,40 +26,38 @@
 
 }  // namespace
 
-Picker::Picker(PickerOptions options, std::vector<std::string> names) : options_(options) {
-  for (std::string& name : names) add(std::move(name), 0);
+Picker::Picker(PickerOptions options, const std::vector<std::string>& names) : options_(options) {
+  for (const std::string& name : names) add(name);
 }
 
-int Picker::add(std::string name, double /*now*/) {
-  Planner p;
-  p.hash = XXH3_64bits(name.data(), name.size());
-  p.name = std::move(name);
-  planners_.push_back(std::move(p));
+int Picker::add(const std::string& name) {
+  Planner planner;
+  planner.name = name;
+  planner.name_hash = XXH3_64bits(name.data(), name.size());
+  planners_.push_back(std::move(planner));
   return static_cast<int>(planners_.size()) - 1;
 }
-void Picker::remove(int planner) { at(planner).listed = false; }
-void Picker::restore(int planner) { at(planner).listed = true; }
 
-// A planner that comes up is new to us, whatever it was: nothing of its former life is held against it.
 void Picker::on_link_up(int planner, std::uint32_t window, double now) {
-  Planner& p = at(planner);
+  Planner& known = at(planner);
   Planner fresh;
-  fresh.name = p.name, fresh.hash = p.hash, fresh.listed = p.listed, fresh.open = p.open;
-  fresh.up = true;
+  fresh.name = known.name;
+  fresh.name_hash = known.name_hash;
+  fresh.is_listed = known.is_listed;
+  fresh.open = known.open;
+  fresh.is_up = true;
   fresh.window = window;
-  fresh.up_since = now;
-  p = std::move(fresh);
+  fresh.slow_start_from = now;
+  known = std::move(fresh);
 }
-void Picker::on_link_down(int planner) { at(planner).up = false; }
-void Picker::on_draining(int planner) { at(planner).leaving = true; }
-void Picker::on_load_report(int planner, std::uint32_t window, double slot_value, bool healthy) {
-  Planner& p = at(planner);
-  p.window = window;
-  p.slot_value = slot_value;
-  p.healthy = healthy;
+
+void Picker::on_load_report(int planner, std::uint32_t window, double slot_value, bool is_healthy) {
+  Planner& reporter = at(planner);
+  reporter.window = window;
+  reporter.slot_value = slot_value;
+  reporter.is_healthy = is_healthy;
 }
 
-void Picker::on_attempt_sent(int planner) { ++at(planner).open; }
 void Picker::release(int planner) { at(planner).open = std::max(0, at(planner).open - 1); }
 
 void Picker::on_attempt_late(int planner, double now) {
@@ -67,153 +65,185 @@
   on_attempt_ended(planner, AttemptOutcome::kFailed, 0, now);
 }
 
-void Picker::on_attempt_ended(int planner, AttemptOutcome how, double latency, double now) {
+void Picker::on_attempt_ended(int planner, AttemptOutcome outcome, double latency, double now) {
   release(planner);
-  Planner& p = at(planner);
-  if (p.outcomes >= kMaxOutcomes) p.outcomes /= 2, p.failed /= 2, p.rejected /= 2;
-  p.outcomes += 1;
-  p.failed += how == AttemptOutcome::kFailed;
-  p.rejected += how == AttemptOutcome::kRejected;
-  while (!p.cooldowns.empty() && p.cooldowns.front() <= now) p.cooldowns.pop_front();
-  if (how == AttemptOutcome::kRejected && options_.rejection_cooldown_seconds > 0)
-    p.cooldowns.push_back(now + options_.rejection_cooldown_seconds);
-  if (how == AttemptOutcome::kSucceeded) {
-    p.latency += (latency - p.latency) / (p.latency == 0 ? 1 : kLatencyMeanWeight);
-    p.ejected_in_a_row = p.ejected_until < now - options_.max_ejection_seconds ? 0 : p.ejected_in_a_row;
+  Planner& owner = at(planner);
+  Outcomes& outcomes = owner.outcomes;
+  if (outcomes.total >= kMaxOutcomes) {
+    outcomes.total /= 2;
+    outcomes.failed /= 2;
+    outcomes.rejected /= 2;
+  }
+  outcomes.total += 1;
+  if (outcome == AttemptOutcome::kFailed) outcomes.failed += 1;
+  if (outcome == AttemptOutcome::kRejected) outcomes.rejected += 1;
+  while (!owner.cooldowns.empty() && owner.cooldowns.front() <= now) owner.cooldowns.pop_front();
+  if (outcome == AttemptOutcome::kRejected && options_.rejection_cooldown_seconds > 0)
+    owner.cooldowns.push_back(now + options_.rejection_cooldown_seconds);
+  if (outcome == AttemptOutcome::kSucceeded) {
+    const double divisor = outcomes.mean_latency == 0 ? 1 : kLatencyMeanOutcomes;
+    outcomes.mean_latency += (latency - outcomes.mean_latency) / divisor;
+    if (owner.ejected_until < now - options_.max_ejection_seconds) owner.ejections_in_a_row = 0;
   }
   eject_if_outlier(planner, now);
 }
 
-// Outliers are told by the others: where all do badly, leaving one out helps nobody. Guards against a planner
-// that accepts and never answers, fails or rejections everything, or is many times slower, and so looks
-// empty.
-void Picker::eject_if_outlier(int planner, double now) {
-  Planner& p = at(planner);
-  if (!p.up || p.ejected_until > now || p.outcomes < options_.min_outcomes) return;
-  std::vector<double> failed, rejected, latency;
-  int up = 0;
+// None where there is no other planner to compare with.
+std::optional<Picker::Baseline> Picker::baseline_without(int planner, double now) const {
+  Baseline baseline;
+  std::vector<double> failed;
+  std::vector<double> rejected;
+  std::vector<double> latencies;
   for (std::size_t i = 0; i < planners_.size(); ++i) {
     const Planner& other = planners_[i];
-    if (!other.up || !other.listed || other.leaving) continue;
-    ++up;
-    if (static_cast<int>(i) == planner || other.outcomes < options_.min_outcomes || other.ejected_until > now)
-      continue;
-    failed.push_back(other.failed / other.outcomes);
-    rejected.push_back(other.rejected / other.outcomes);
-    if (other.latency > 0) latency.push_back(other.latency);
+    if (!accepts_requests(static_cast<int>(i))) continue;
+    ++baseline.planners_up;
+    const bool comparable = static_cast<int>(i) != planner && other.outcomes.total >= options_.min_outcomes &&
+                            other.ejected_until <= now;
+    if (!comparable) continue;
+    failed.push_back(other.outcomes.failed_share());
+    rejected.push_back(other.outcomes.rejected_share());
+    if (other.outcomes.mean_latency > 0) latencies.push_back(other.outcomes.mean_latency);
   }
-  if (failed.empty()) return;  // nobody to compare with
-  const bool fails = p.failed / p.outcomes - median(failed) > options_.failure_share_margin;
-  const bool refuses = p.rejected / p.outcomes > kRejectsAllShare &&
-                       median(rejected) < kRejectsAllShare - options_.failure_share_margin;
-  const bool slow =
-      !latency.empty() && p.latency > std::max(kMinSlowSeconds, options_.slow_factor * median(latency));
-  if (!fails && !refuses && !slow) return;
-  if (ejected_count(now) + 1 > options_.max_ejected_share * up) return;
-  const double longer = std::exp2(std::min(p.ejected_in_a_row, 8));
-  p.ejected_until = now + std::min(options_.max_ejection_seconds, options_.base_ejection_seconds * longer);
-  ++p.ejected_in_a_row;
+  if (failed.empty()) return std::nullopt;
+  baseline.failed_share = median(std::move(failed));
+  baseline.rejected_share = median(std::move(rejected));
+  baseline.latency = median(std::move(latencies));
+  return baseline;
+}
+
+bool Picker::is_outlier(const Outcomes& outcomes, const Baseline& others) const {
+  const bool fails = outcomes.failed_share() - others.failed_share > options_.failure_share_margin;
+  const bool rejects_all = outcomes.rejected_share() > kRejectsAllShare &&
+                           others.rejected_share < kRejectsAllShare - options_.failure_share_margin;
+  const bool slow = others.latency > 0 &&
+                    outcomes.mean_latency > std::max(kMinSlowSeconds, options_.slow_factor * others.latency);
+  return fails || rejects_all || slow;
+}
+
+// A planner that accepts and never answers, rejects everything or is many times slower would otherwise look
+// empty and attract requests. It is compared with the others, because ejecting it helps nobody where all do
+// badly.
+void Picker::eject_if_outlier(int planner, double now) {
+  Planner& suspect = at(planner);
+  if (!suspect.is_up || suspect.ejected_until > now || suspect.outcomes.total < options_.min_outcomes) return;
+  const std::optional<Baseline> others = baseline_without(planner, now);
+  if (!others || !is_outlier(suspect.outcomes, *others)) return;
+  if (ejected_count(now) + 1 > options_.max_ejected_share * others->planners_up) return;
+  const double factor = std::exp2(std::min(suspect.ejections_in_a_row, kMaxEjectionDoublings));
+  suspect.ejected_until =
+      now + std::min(options_.max_ejection_seconds, options_.base_ejection_seconds * factor);
+  ++suspect.ejections_in_a_row;
   ++ejections_;
-  p.outcomes = p.failed = p.rejected = p.latency = 0;
-  p.up_since = p.ejected_until;  // and comes back slowly
+  suspect.outcomes = {};
+  suspect.slow_start_from = suspect.ejected_until;
 }
 
 int Picker::ejected_count(double now) const {
-  return static_cast<int>(std::count_if(planners_.begin(), planners_.end(), [&](const Planner& p) {
-    return p.up && p.listed && p.ejected_until > now;
+  return static_cast<int>(std::count_if(planners_.begin(), planners_.end(), [&](const Planner& planner) {
+    return planner.is_up && planner.is_listed && planner.ejected_until > now;
   }));
 }
 
-double Picker::effective_window(const Planner& p, double now) const {
-  const double grown =
-      options_.slow_start_seconds <= 0 ? 1 : (now - p.up_since) / options_.slow_start_seconds;
-  const double share = std::clamp(options_.initial_window_share + (1 - options_.initial_window_share) * grown,
-                                  options_.initial_window_share, 1.0);
-  return p.window == 0 ? 0 : std::max(1.0, share * p.window);
-}
-
-// Guards against a planner that is cold, or full, and rejections at once: its room would come free at once
-// too, and many forwarders together would send it a flood that no window bounds.
-int Picker::rejections_cooling_down(const Planner& p, double now) {
-  return static_cast<int>(p.cooldowns.end() - std::upper_bound(p.cooldowns.begin(), p.cooldowns.end(), now));
+// The window as far as slow start allows.
+double Picker::effective_window(const Planner& planner, double now) const {
+  if (planner.window == 0) return 0;
+  const double progress =
+      options_.slow_start_seconds <= 0 ? 1 : (now - planner.slow_start_from) / options_.slow_start_seconds;
+  const double first = options_.initial_window_share;
+  const double share = std::clamp(first + (1 - first) * progress, first, 1.0);
+  return std::max(1.0, share * planner.window);
 }
 
+// Rejected attempts go on using capacity during their cooldown. A cold or full planner that rejects at once
+// would otherwise free its capacity at once too, and be flooded by many forwarders within its windows.
 int Picker::free_capacity(int planner, double now) const {
-  const Planner& p = at(planner);
-  if (!p.up || !p.listed || p.leaving || p.ejected_until > now) return 0;
-  return std::max(0, static_cast<int>(effective_window(p, now)) - p.open - rejections_cooling_down(p, now));
+  if (!accepts_requests(planner) || is_ejected(planner, now)) return 0;
+  const Planner& candidate = at(planner);
+  const auto& cooldowns = candidate.cooldowns;
+  const auto cooling = cooldowns.end() - std::upper_bound(cooldowns.begin(), cooldowns.end(), now);
+  return std::max(
+      0, static_cast<int>(effective_window(candidate, now)) - candidate.open - static_cast<int>(cooling));
 }
+
 int Picker::lookup_capacity(int planner, double now) const {
-  const Planner& p = at(planner);
-  return is_reachable(planner) ? std::max(0, static_cast<int>(effective_window(p, now)) - p.open) : 0;
+  if (!is_reachable(planner)) return 0;
+  return std::max(0, static_cast<int>(effective_window(at(planner), now)) - at(planner).open);
 }
-bool Picker::has_capacity(int planner, double now) const { return free_capacity(planner, now) > 0; }
 
 bool Picker::accepts_requests(int planner) const {
-  const Planner& p = at(planner);
-  return p.up && p.listed && !p.leaving;
+  const Planner& candidate = at(planner);
+  return candidate.is_up && candidate.is_listed && !candidate.is_draining;
 }
+
 bool Picker::any_accepts_requests() const {
   for (std::size_t i = 0; i < planners_.size(); ++i) {
     if (accepts_requests(static_cast<int>(i))) return true;
   }
   return false;
 }
-int Picker::total_free_capacity(double now) const {
-  int room = 0;
-  for (std::size_t i = 0; i < planners_.size(); ++i) room += free_capacity(static_cast<int>(i), now);
-  return room;
-}
 
+// Of the effective window, with one more attempt.
 double Picker::utilization(int planner, double now) const {
-  const double whole = effective_window(at(planner), now);
-  return whole <= 0 ? 1e9 : (at(planner).open + 1) / whole;
+  const double window = effective_window(at(planner), now);
+  return window <= 0 ? kNoCapacityUtilization : (at(planner).open + 1) / window;
 }
 
-// A sound planner before one that says it is not; then the one whose next slot is worth less to the others
-// (it turns nobody of worth away); then the emptier one.
+// A healthy planner comes before an unhealthy one; then the one whose next slot has the lower value, because
+// the request displaces nothing important there; then the less utilized one.
 bool Picker::is_better(int a, int b, double now) const {
-  const Planner &of_a = at(a), &of_b = at(b);
-  if (of_a.healthy != of_b.healthy) return of_a.healthy;
-  if (std::abs(of_a.slot_value - of_b.slot_value) > kSlotValueTolerance)
-    return of_a.slot_value < of_b.slot_value;
+  const Planner& first = at(a);
+  const Planner& second = at(b);
+  if (first.is_healthy != second.is_healthy) return first.is_healthy;
+  if (std::abs(first.slot_value - second.slot_value) > kSlotValueTolerance)
+    return first.slot_value < second.slot_value;
   return utilization(a, now) < utilization(b, now);
 }
 
-// The highest of a hash of key and planner; the next one where it has more than its share.
-std::optional<int> Picker::pick_by_key(std::uint64_t key, double now, const std::vector<int>& from) const {
-  double open = 1, whole = 0;
-  for (const int i : from) open += at(i).open, whole += effective_window(at(i), now);
-  std::optional<int> best, fallback;
+// The planner with the highest hash of key and name that is within its load bound. Where none is, the least
+// utilized one.
+std::optional<int> Picker::pick_by_key(std::uint64_t key, double now,
+                                       const std::vector<int>& candidates) const {
+  double open = 1;
+  double windows = 0;
+  for (const int planner : candidates) {
+    open += at(planner).open;
+    windows += effective_window(at(planner), now);
+  }
+  std::optional<int> best;
+  std::optional<int> least_utilized;
   std::uint64_t best_rank = 0;
-  for (const int i : from) {
-    const std::uint64_t pair[2] = {key, at(i).hash};
-    const std::uint64_t rank = XXH3_64bits(pair, sizeof pair);
-    if (!fallback || utilization(i, now) < utilization(*fallback, now)) fallback = i;
-    const double bound = std::ceil(options_.load_bound * open * effective_window(at(i), now) / whole);
-    if (at(i).open + 1 > bound) continue;
-    if (!best || rank > best_rank) best = i, best_rank = rank;
+  for (const int planner : candidates) {
+    const std::array<std::uint64_t, 2> pair = {key, at(planner).name_hash};
+    const std::uint64_t rank = XXH3_64bits(pair.data(), sizeof pair);
+    if (!least_utilized || utilization(planner, now) < utilization(*least_utilized, now))
+      least_utilized = planner;
+    const double bound = std::ceil(options_.load_bound * open * effective_window(at(planner), now) / windows);
+    if (at(planner).open + 1 > bound) continue;
+    if (best && rank <= best_rank) continue;
+    best = planner;
+    best_rank = rank;
   }
-  return best ? best : fallback;
+  return best ? best : least_utilized;
 }
 
 std::optional<int> Picker::pick(std::uint64_t key, double now, const std::function<double()>& random,
                                 std::optional<int> exclude) {
-  std::vector<int> from;
+  std::vector<int> candidates;
   for (std::size_t i = 0; i < planners_.size(); ++i) {
     const int planner = static_cast<int>(i);
-    if (planner != exclude.value_or(-1) && has_capacity(planner, now)) from.push_back(planner);
+    if (planner != exclude.value_or(-1) && free_capacity(planner, now) > 0) candidates.push_back(planner);
   }
-  if (from.empty()) return std::nullopt;
-  if (key != 0) return pick_by_key(key, now, from);
-  if (from.size() == 1) return from.front();
-  const auto draw = [&](std::size_t of) {
-    return std::min(of - 1, static_cast<std::size_t>(random() * static_cast<double>(of)));
+  if (candidates.empty()) return std::nullopt;
+  if (key != 0) return pick_by_key(key, now, candidates);
+  if (candidates.size() == 1) return candidates.front();
+  const auto draw = [&](std::size_t count) {
+    return std::min(count - 1, static_cast<std::size_t>(random() * static_cast<double>(count)));
   };
-  const std::size_t first = draw(from.size());
-  std::size_t second = draw(from.size() - 1);
+  const std::size_t first = draw(candidates.size());
+  std::size_t second = draw(candidates.size() - 1);
   if (second >= first) ++second;
-  return is_better(from[second], from[first], now) ? from[second] : from[first];
+  return is_better(candidates[second], candidates[first], now) ? candidates[second] : candidates[first];
 }
 
 }  // namespace damsonspoke::tier
--- a/src/tier/picker.h
+++ b/src/tier/picker.h
@@ -1,12 +1,12 @@
-// Which planner a request goes to. Pure policy: what planners say and how their attempts end goes in, a
-// planner comes out, or none.
+// Chooses the planner that a request is sent to, from the planners' load reports and the outcomes of their
+// attempts. Policy without I/O; times are seconds on one clock that never steps back.
 //
-// With a key (a site with hot subjects): rendezvous hashing, so that a subject stays at one planner while
-// planners come and go, with bounded loads (Mirrokni, Thorup, Zadimoghaddam 2016), so that a hot one does not
-// drown it. Else the better of two by chance (Mitzenmacher 1996), by what the planner's next free slot is
-// worth and how full it is. A planner that has come up is given more and more (slow start); one whose
-// attempts end badly beside the others' is left out for a while, never more than half of them by our own
-// doing.
+// With a key (sites with hot subjects): rendezvous hashing, so that a subject stays at one planner while
+// planners come and go, with bounded loads (Mirrokni, Thorup, Zadimoghaddam 2016), so that a hot subject does
+// not overload it. Otherwise the better of two random choices (Mitzenmacher 1996), by the value of the
+// planner's next free slot and by utilization. A planner that has come up gets more and more (slow start). An
+// outlier, whose attempts end much worse than those at the others, is ejected for a while; never more than
+// half of the planners are ejected.
 #pragma once
 
 #include <cstdint>
@@ -19,86 +19,115 @@
 namespace damsonspoke::tier {
 
 struct PickerOptions {
-  double slow_start_seconds = 1.5;        // s in which a planner that has come up grows to its whole window
-  double initial_window_share = 0.25;     // of its window that it begins with
-  double load_bound = 1.25;               // x the mean use of windows that a key's planner may have
-  double base_ejection_seconds = 2;       // s, doubled each time in a row up to max_ejection_seconds
-  double max_ejection_seconds = 30;       // s
-  double max_ejected_share = 0.5;         // share of the planners that are up
-  int min_outcomes = 16;                  // outcomes by which a planner is judged
-  double failure_share_margin = 0.5;      // of them that ended badly, beyond what the others' do
-  double slow_factor = 5;                 // x the median of the others' times to an answer
-  double rejection_cooldown_seconds = 0;  // s that an attempt which was rejected keeps its room
+  double slow_start_seconds = 1.5;     // until a planner that has come up gets its whole window
+  double initial_window_share = 0.25;  // of the window, when a planner has come up
+  double load_bound = 1.25;            // x the mean utilization that the planner of a key may have
+  double base_ejection_seconds = 2;    // doubled each time in a row up to max_ejection_seconds
+  double max_ejection_seconds = 30;
+  double max_ejected_share = 0.5;         // of the planners that are up
+  int min_outcomes = 16;                  // before a planner can be ejected
+  double failure_share_margin = 0.5;      // of failed attempts, above the others' median
+  double slow_factor = 5;                 // x the median of the others' latencies
+  double rejection_cooldown_seconds = 0;  // that a rejected attempt goes on using capacity
 };
 
-// How an attempt ended, as far as it says something about its planner.
+// How an attempt ended, as far as it tells something about its planner.
 enum class AttemptOutcome { kSucceeded, kRejected, kFailed };
 
+// Planners are identified by their position, which never changes.
 class Picker {
  public:
-  Picker(PickerOptions options, std::vector<std::string> names);
+  Picker(PickerOptions options, const std::vector<std::string>& names);
 
-  // Planners are named by position; new ones come last, ones that are no longer listed stay as holes.
-  int add(std::string name, double now);
-  void remove(int planner);
-  void restore(int planner);  // it is listed again
+  // Adds a planner at the next position, which is returned.
+  int add(const std::string& name);
+  // The endpoint list no longer has this planner: it is sent no more requests.
+  void remove(int planner) { at(planner).is_listed = false; }
+  // The endpoint list has it again.
+  void restore(int planner) { at(planner).is_listed = true; }
 
+  // A planner that comes up starts without history. `window`: attempts that may be open there.
   void on_link_up(int planner, std::uint32_t window, double now);
-  void on_link_down(int planner);
-  void on_draining(int planner);  // it sends no more requests its way; what is open there goes on
-  void on_load_report(int planner, std::uint32_t window, double slot_value, bool healthy);
+  void on_link_down(int planner) { at(planner).is_up = false; }
+  // The planner shuts down gracefully: it accepts no more requests, its open attempts go on.
+  void on_draining(int planner) { at(planner).is_draining = true; }
+  // `slot_value`: of its next free slot, in units of priority weight.
+  void on_load_report(int planner, std::uint32_t window, double slot_value, bool is_healthy);
 
-  void on_attempt_sent(int planner);
-  // One attempt fewer is open there; `latency` s from sending to its end.
-  void on_attempt_ended(int planner, AttemptOutcome how, double latency, double now);
-  void release(int planner);  // one fewer, and nothing is learned of it
-  void on_attempt_late(int planner,
-                       double now);  // it has not answered in its share of the time; still open there
+  void on_attempt_sent(int planner) { ++at(planner).open; }
+  // `latency`: s from sending to the answer; counts for successes only.
+  void on_attempt_ended(int planner, AttemptOutcome outcome, double latency, double now);
+  // An attempt ended and tells nothing about its planner.
+  void release(int planner);
+  // An attempt is late, which counts as a failure. It stays open.
+  void on_attempt_late(int planner, double now);
 
-  // `random` gives numbers from 0 to under 1. None where no planner has room. `exclude`: where the request
-  // was.
-  std::optional<int> pick(std::uint64_t key, double now, const std::function<double()>& random,
-                          std::optional<int> exclude = std::nullopt);
+  // The planner for a request. None where no planner has capacity. `key`: 0 where the request may go
+  // anywhere. `random` gives numbers from 0 to below 1. `exclude`: the planner that the request was at.
+  [[nodiscard]] std::optional<int> pick(std::uint64_t key, double now, const std::function<double()>& random,
+                                        std::optional<int> exclude = std::nullopt);
 
-  bool accepts_requests(int planner) const;  // it is up and does not leave; with or without room
-  bool is_listed(int planner) const { return at(planner).listed; }
-  // Whether it can be asked what it remembers, listed or not; and how many more may be open there at once.
-  bool is_reachable(int planner) const { return at(planner).up && !at(planner).leaving; }
-  int lookup_capacity(int planner, double now) const;
-  bool any_accepts_requests() const;          // whether any takes requests, with or without room
-  int total_free_capacity(double now) const;  // attempts that may be begun now, over all planners
-  int open_attempts(int planner) const { return at(planner).open; }
-  int free_capacity(int planner, double now) const;
-  bool is_ejected(int planner, double now) const { return at(planner).ejected_until > now; }
-  int ejected_count(double now) const;
-  std::uint64_t ejections() const { return ejections_; }
-  std::size_t size() const { return planners_.size(); }
-  const std::string& name(int planner) const { return at(planner).name; }
+  // Whether it is listed, up and not draining, with or without capacity.
+  [[nodiscard]] bool accepts_requests(int planner) const;
+  [[nodiscard]] bool any_accepts_requests() const;
+  [[nodiscard]] bool is_listed(int planner) const { return at(planner).is_listed; }
+  // Whether it can be asked which keys it remembers, listed or not.
+  [[nodiscard]] bool is_reachable(int planner) const { return at(planner).is_up && !at(planner).is_draining; }
+  // Attempts that may be begun there now.
+  [[nodiscard]] int free_capacity(int planner, double now) const;
+  // The same for questions about keys, which ejected and unlisted planners are asked too.
+  [[nodiscard]] int lookup_capacity(int planner, double now) const;
+  [[nodiscard]] int open_attempts(int planner) const { return at(planner).open; }
+  [[nodiscard]] bool is_ejected(int planner, double now) const { return at(planner).ejected_until > now; }
+  [[nodiscard]] int ejected_count(double now) const;
+  [[nodiscard]] std::uint64_t ejections() const { return ejections_; }
+  [[nodiscard]] std::size_t size() const { return planners_.size(); }
+  [[nodiscard]] const std::string& name(int planner) const { return at(planner).name; }
 
  private:
+  // Fading counts of how attempts ended, and the mean latency of those that succeeded.
+  struct Outcomes {
+    double total = 0;
+    double failed = 0;
+    double rejected = 0;
+    double mean_latency = 0;  // s; 0: not known
+    [[nodiscard]] double failed_share() const { return failed / total; }
+    [[nodiscard]] double rejected_share() const { return rejected / total; }
+  };
   struct Planner {
     std::string name;
-    std::uint64_t hash = 0;
-    bool listed = true, up = false, leaving = false, healthy = true;
+    std::uint64_t name_hash = 0;
+    bool is_listed = true;
+    bool is_up = false;
+    bool is_draining = false;
+    bool is_healthy = true;
     std::uint32_t window = 0;
     double slot_value = 0;
-    double up_since = 0;
+    double slow_start_from = 0;
     int open = 0;
-    double outcomes = 0, failed = 0, rejected = 0;  // fading counts
-    double latency = 0;                             // s, of served ones, a fading mean; 0: none yet
+    Outcomes outcomes;
     double ejected_until = 0;
-    int ejected_in_a_row = 0;
-    std::deque<double> cooldowns;  // until when room stays taken that rejected attempts had
+    int ejections_in_a_row = 0;
+    std::deque<double> cooldowns;  // when the capacity of rejected attempts becomes free
+  };
+  // The medians over the other planners.
+  struct Baseline {
+    double failed_share = 0;
+    double rejected_share = 0;
+    double latency = 0;  // s; 0: not known
+    int planners_up = 0;
   };
-  const Planner& at(int planner) const { return planners_[static_cast<std::size_t>(planner)]; }
-  Planner& at(int planner) { return planners_[static_cast<std::size_t>(planner)]; }
-  bool has_capacity(int planner, double now) const;
-  double effective_window(const Planner& p, double now) const;
-  static int rejections_cooling_down(const Planner& p, double now);
-  double utilization(int planner, double now) const;
-  bool is_better(int a, int b, double now) const;
+
+  [[nodiscard]] const Planner& at(int planner) const { return planners_[static_cast<std::size_t>(planner)]; }
+  [[nodiscard]] Planner& at(int planner) { return planners_[static_cast<std::size_t>(planner)]; }
+  [[nodiscard]] double effective_window(const Planner& planner, double now) const;
+  [[nodiscard]] double utilization(int planner, double now) const;
+  [[nodiscard]] bool is_better(int a, int b, double now) const;
+  [[nodiscard]] std::optional<int> pick_by_key(std::uint64_t key, double now,
+                                               const std::vector<int>& candidates) const;
+  [[nodiscard]] std::optional<Baseline> baseline_without(int planner, double now) const;
+  [[nodiscard]] bool is_outlier(const Outcomes& outcomes, const Baseline& others) const;
   void eject_if_outlier(int planner, double now);
-  std::optional<int> pick_by_key(std::uint64_t key, double now, const std::vector<int>& from) const;
 
   const PickerOptions options_;
   std::vector<Planner> planners_;
--- a/src/tier/planner_discovery.cpp
+++ b/src/tier/planner_discovery.cpp
@@ -4,40 +4,48 @@
 
 namespace damsonspoke::tier {
 
-std::vector<std::string> PlannerDiscovery::planners(const std::vector<std::string>& listed,
-                                                    const std::vector<PlannerStatus>& seen, double now) {
-  for (const PlannerStatus& one : seen) {
-    if (one.address.empty()) continue;
-    const auto found = known_.find(one.address);
-    if (one.has_left) {
-      // Two lives may have served at one address: it has left when none that is there serves there.
-      const bool other = std::any_of(seen.begin(), seen.end(), [&](const PlannerStatus& o) {
-        return o.address == one.address && o.is_alive;
-      });
-      if (!other && found != known_.end()) found->second.left = true;
-    } else if (one.is_alive) {
-      if (found == known_.end()) {
-        known_[one.address] = {now, now, false};
-      } else {
-        if (found->second.left) found->second.first = now;
-        found->second.left = false;
-        found->second.last = now;
-      }
-    }
+// `alive_elsewhere`: another member is alive at the same address, as after a restart. Then the address has
+// not left.
+void PlannerDiscovery::observe(const PlannerStatus& status, bool alive_elsewhere, double now) {
+  const auto found = known_.find(status.address);
+  if (status.has_left) {
+    if (!alive_elsewhere && found != known_.end()) found->second.has_left = true;
+    return;
   }
-  std::erase_if(known_, [&](const auto& one) { return now - one.second.last > options_.retention_seconds; });
-  std::vector<std::string> out = listed;
+  if (!status.is_alive) return;
+  if (found == known_.end()) {
+    known_[status.address] = {now, now, false};
+    return;
+  }
+  Known& known = found->second;
+  if (known.has_left) known.alive_since = now;
+  known.has_left = false;
+  known.last_alive_at = now;
+}
+
+std::vector<std::string> PlannerDiscovery::update(const std::vector<std::string>& listed,
+                                                  const std::vector<PlannerStatus>& statuses, double now) {
+  for (const PlannerStatus& status : statuses) {
+    if (status.address.empty()) continue;
+    const bool alive_elsewhere =
+        status.has_left && std::any_of(statuses.begin(), statuses.end(), [&](const PlannerStatus& other) {
+          return other.address == status.address && other.is_alive;
+        });
+    observe(status, alive_elsewhere, now);
+  }
+  std::erase_if(known_, [&](const auto& entry) {
+    return now - entry.second.last_alive_at > options_.retention_seconds;
+  });
+  std::vector<std::string> planners = listed;
   for (const auto& [address, known] : known_) {
-    // Where there is none yet, any is better than none.
-    const bool wanted = !known.left && (last_.empty() || now - known.first >= options_.settle_seconds);
-    if (!wanted || out.size() >= options_.max_planners ||
-        std::find(out.begin(), out.end(), address) != out.end())
-      continue;
-    out.push_back(address);
+    // The first planner of all does not have to settle.
+    const bool has_settled = current_.empty() || now - known.alive_since >= options_.settle_seconds;
+    if (known.has_left || !has_settled || planners.size() >= options_.max_planners) continue;
+    if (std::find(planners.begin(), planners.end(), address) != planners.end()) continue;
+    planners.push_back(address);
   }
-  if (out.empty()) return last_;
-  last_ = out;
-  return out;
+  if (!planners.empty()) current_ = planners;
+  return current_;
 }
 
 }  // namespace damsonspoke::tier
--- a/src/tier/planner_discovery.h
+++ b/src/tier/planner_discovery.h
@@ -1,40 +1,48 @@
-// Which planners a forwarder has, by what members of the fleet tell: those of its list, and those that serve
-// as planners in the view. One that falls silent stays for a while, so that a short absence moves no keys;
-// one that has left goes at once. Pure policy.
+// Which planners a forwarder uses when it learns of planners from the fleet's membership: those on its
+// configured list, and members that serve as planners. A planner that falls silent is retained for a while,
+// so that a short absence moves no keys; one that has left is dropped at once. Policy without I/O.
 #pragma once
 
+#include <cstddef>
 #include <map>
 #include <string>
 #include <vector>
 
 namespace damsonspoke::tier {
 
+// A planner as the membership sees it.
 struct PlannerStatus {
-  std::string address;  // address
-  bool is_alive = false, has_left = false;
+  std::string address;
+  bool is_alive = false;
+  bool has_left = false;
 };
 
 class PlannerDiscovery {
  public:
   struct Options {
-    double settle_seconds = 1;      // s that a new one has to be there before it is given requests
-    double retention_seconds = 60;  // s that a silent one is kept
+    double settle_seconds = 1;      // that a new planner has to be alive before it gets requests
+    double retention_seconds = 60;  // that a silent planner is retained
     std::size_t max_planners = 64;
   };
   explicit PlannerDiscovery(Options options) : options_(options) {}
-  // The planners from now on: `listed` first, in their order. Never none where there was one: a view that has
-  // lost everybody says more of itself than of them.
-  std::vector<std::string> planners(const std::vector<std::string>& listed,
-                                    const std::vector<PlannerStatus>& seen, double now);
+
+  // The planners from now on: `listed` first, in their order. The result is not empty once there was a
+  // planner: a membership view without any member is more likely to be wrong than right. `now`: s on a clock
+  // that never steps back.
+  std::vector<std::string> update(const std::vector<std::string>& listed,
+                                  const std::vector<PlannerStatus>& statuses, double now);
 
  private:
   struct Known {
-    double first = 0, last = 0;
-    bool left = false;
+    double alive_since = 0;
+    double last_alive_at = 0;
+    bool has_left = false;
   };
+  void observe(const PlannerStatus& status, bool alive_elsewhere, double now);
+
   const Options options_;
-  std::map<std::string, Known> known_;
-  std::vector<std::string> last_;
+  std::map<std::string, Known> known_;  // by address
+  std::vector<std::string> current_;
 };
 
 }  // namespace damsonspoke::tier
--- a/src/tier/retry_budget.h
+++ b/src/tier/retry_budget.h
@@ -1,5 +1,5 @@
-// How many second tries a forwarder may make: a share of its first ones, so that tries never multiply a
-// trouble. Pure policy; after the retry budgets of Finagle and of Google's SRE chapter on cascading failure.
+// Limits a forwarder's retries to a share of its first attempts, so that retries never multiply a fault.
+// Policy without I/O, after the retry budgets of Finagle and of Google's SRE book (cascading failures).
 #pragma once
 
 #include <algorithm>
@@ -8,17 +8,20 @@
 
 class RetryBudget {
  public:
-  // `share` of first tries; `burst`: tries that may be made at once after a calm time.
+  // `share`: retries for each first attempt. `burst`: retries that may be made at once after a calm period.
   RetryBudget(double share, double burst) : share_(share), burst_(burst), tokens_(burst) {}
+
   void on_first_attempt() { tokens_ = std::min(burst_, tokens_ + share_); }
-  bool try_spend() {
+  // Spends one retry; false where none is left.
+  [[nodiscard]] bool try_spend() {
     if (tokens_ < 1) return false;
     tokens_ -= 1;
     return true;
   }
 
  private:
-  const double share_, burst_;
+  const double share_;
+  const double burst_;
   double tokens_;
 };
 
--- a/src/tier/slot_value.h
+++ b/src/tier/slot_value.h
@@ -1,47 +1,54 @@
-// What a planner tells of itself: how many attempts each forwarder may have open there, and what its next
-// free slot would fetch, which is the importance of what it has just refused for want of room. Pure policy.
+// What a planner reports about its load: how many attempts each forwarder may have open there, and the value
+// of its next free slot, which is the priority weight of what it recently rejected for lack of capacity.
+// Policy without I/O.
 #pragma once
 
 #include <algorithm>
 #include <cmath>
+#include <cstddef>
 #include <cstdint>
 
 namespace damsonspoke::tier {
 
+// A mean of the rejected requests' priority weights that fades with time. Times are seconds on one clock.
 class SlotValue {
  public:
   void on_rejected(double priority_weight, double now) {
     fade(now);
-    value_ += (priority_weight - value_) / kMemory;
+    value_ += (priority_weight - value_) / kMeanRequests;
   }
   void on_admitted(double now) {
     fade(now);
-    value_ -= value_ / kMemory;
+    value_ -= value_ / kMeanRequests;
   }
-  double value(double now) {
+  // In units of priority weight; 0 where nothing was rejected recently.
+  [[nodiscard]] double value(double now) {
     fade(now);
     return value_;
   }
 
  private:
-  static constexpr double kMemory = 12;  // newcomers
-  static constexpr double kFade = 1;     // s; who refused a moment ago may have room now
+  static constexpr double kMeanRequests = 12;
+  static constexpr double kFadeSeconds = 1;  // a planner that rejected a moment ago may have capacity now
+
   void fade(double now) {
-    value_ *= std::exp(-std::max(0.0, now - at_) / kFade);
-    at_ = now;
+    value_ *= std::exp(-std::max(0.0, now - updated_at_) / kFadeSeconds);
+    updated_at_ = now;
   }
-  double value_ = 0, at_ = 0;
+
+  double value_ = 0;
+  double updated_at_ = 0;
 };
 
-// A planner's attempts in all, and the even part of each link. The parts may add up to more than the whole by
-// the least part: what comes too much the module refuses, as it would at a relay.
-constexpr std::uint32_t kAttemptsPerCore = 24;  // running, held and on their way
-constexpr std::uint32_t kMinWindow = 4;
-inline std::uint32_t warm_window(int cores, std::size_t links) {
+constexpr std::uint32_t kAttemptsPerCore = 24;  // running, queued and in flight
+constexpr std::uint32_t kMinWindowAttempts = 4;
+
+// Attempts that each of `links` forwarders may have open at a warm planner: twice the even share, because
+// forwarders are not equally busy. The sum may exceed the planner's attempts; it rejects what is too much.
+[[nodiscard]] inline std::uint32_t warm_window(int cores, std::size_t links) {
   const auto all = kAttemptsPerCore * static_cast<std::uint32_t>(std::max(1, cores));
-  const auto part = all / static_cast<std::uint32_t>(std::max<std::size_t>(1, links));
-  // Twice the even part: forwarders are not equally busy.
-  return std::clamp(2 * part, kMinWindow, all);
+  const auto even = all / static_cast<std::uint32_t>(std::max<std::size_t>(1, links));
+  return std::clamp(2 * even, kMinWindowAttempts, all);
 }
 
 }  // namespace damsonspoke::tier
--- a/src/tier/slow_start_shares.cpp
+++ b/src/tier/slow_start_shares.cpp
@@ -7,83 +7,105 @@
 
 namespace damsonspoke::tier {
 
-void SlowStartShares::remove(Link link, double now) {
-  const auto found = links_.find(link);
-  if (found == links_.end()) return;
-  Held& held = found->second;
-  held.before = std::max(held.part, held.before);
-  held.part = 0;
-  held.lowered_at = now;
-  held.gone = true;
+void SlowStartShares::remove(Member member, double now) {
+  const auto found = members_.find(member);
+  if (found == members_.end()) return;
+  Allotment& allotment = found->second;
+  allotment.previous_share = std::max(allotment.share, allotment.previous_share);
+  allotment.share = 0;
+  allotment.lowered_at = now;
+  allotment.removed = true;
 }
 
-std::uint32_t SlowStartShares::share(Link link) const {
-  const auto found = links_.find(link);
-  return found == links_.end() ? 0 : found->second.part;
+std::uint32_t SlowStartShares::share(Member member) const {
+  const auto found = members_.find(member);
+  return found == members_.end() ? 0 : found->second.share;
 }
 
-// What a link may have open now: its part, or the one before while that may still be acted on, or what is
-// open from before that.
-std::uint64_t SlowStartShares::charge(const Held& held, std::size_t open, double now) const {
-  const std::uint32_t may =
-      now - held.lowered_at < options_.settle_seconds ? std::max(held.part, held.before) : held.part;
-  return std::max<std::uint64_t>(may, open);
+// What a member may have open now: its share, the previous one while the member may still act on it, or what
+// is open from before that.
+std::uint64_t SlowStartShares::reserved(const Allotment& allotment, std::size_t open, double now) const {
+  const bool settling = now - allotment.lowered_at < options_.settle_seconds;
+  const std::uint32_t allowed =
+      settling ? std::max(allotment.share, allotment.previous_share) : allotment.share;
+  return std::max<std::uint64_t>(allowed, open);
 }
 
-void SlowStartShares::rebalance(double now, double budget, const std::function<std::size_t(Link)>& open) {
-  const auto whole = static_cast<std::uint64_t>(std::max(1.0, budget));
-  std::vector<std::pair<Link, Held*>> here;
-  std::uint64_t charged = 0;
-  for (auto it = links_.begin(); it != links_.end();) {
-    const std::uint64_t charges = charge(it->second, open(it->first), now);
-    if (it->second.gone && charges == 0) {
-      it = links_.erase(it);
+// Drops removed members that hold nothing any more. Gives the present ones and what all reserve together.
+std::uint64_t SlowStartShares::collect(double now, const std::function<std::size_t(Member)>& open,
+                                       std::vector<Present>& present) {
+  std::uint64_t total = 0;
+  for (auto it = members_.begin(); it != members_.end();) {
+    const std::uint64_t held = reserved(it->second, open(it->first), now);
+    if (it->second.removed && held == 0) {
+      it = members_.erase(it);
       continue;
     }
-    charged += charges;
-    if (!it->second.gone) here.emplace_back(it->first, &it->second);
+    total += held;
+    if (!it->second.removed) present.push_back({it->first, &it->second});
     ++it;
   }
-  if (here.empty()) return;
-  const auto even = static_cast<std::uint32_t>(whole / here.size());
-  std::uint64_t over = whole % here.size();
-  for (const auto& [link, held] : here) {
-    const std::uint32_t most = even + (now - held->raised_at < options_.rotation_seconds ? 1 : 0);
-    if (held->part > even) over -= std::min<std::uint64_t>(over, held->part > most ? 0 : 1);
-    if (held->part <= most) continue;
-    const bool still = now - held->lowered_at < options_.settle_seconds;
-    held->before = still ? std::max(held->before, held->part) : held->part;
-    held->part = most;
-    held->lowered_at = now;
+  return total;
+}
+
+// Lowers shares that are above the even one, except those that rotate and have not had their time. Returns
+// how much of the remainder nobody holds.
+std::uint64_t SlowStartShares::lower(const std::vector<Present>& present, std::uint32_t even,
+                                     std::uint64_t remainder, double now) const {
+  for (const auto& [member, allotment] : present) {
+    const bool keeps_extra = now - allotment->raised_at < options_.rotation_seconds;
+    const std::uint32_t most = even + (keeps_extra ? 1 : 0);
+    if (allotment->share > even)
+      remainder -= std::min<std::uint64_t>(remainder, allotment->share > most ? 0 : 1);
+    if (allotment->share <= most) continue;
+    const bool settling = now - allotment->lowered_at < options_.settle_seconds;
+    allotment->previous_share =
+        settling ? std::max(allotment->previous_share, allotment->share) : allotment->share;
+    allotment->share = most;
+    allotment->lowered_at = now;
   }
-  // Only what nobody may act on any more is handed out anew: even parts first, then what is left over, to who
-  // has been without for the longest. Guards against a link that is passed over whenever something is free.
-  std::uint64_t free = whole - std::min(whole, charged);
-  const auto raise = [&](Link link, Held& held, std::uint32_t to) {
-    const std::uint64_t has = charge(held, open(link), now);
-    const std::uint64_t may = std::min<std::uint64_t>(to, has + free);
-    if (may <= held.part) return false;
-    free -= may > has ? may - has : 0;
-    held.part = static_cast<std::uint32_t>(may);
-    return held.part == to;
+  return remainder;
+}
+
+void SlowStartShares::rebalance(double now, double budget, const std::function<std::size_t(Member)>& open) {
+  const auto total = static_cast<std::uint64_t>(std::max(1.0, budget));
+  std::vector<Present> present;
+  const std::uint64_t reserved_total = collect(now, open, present);
+  if (present.empty()) return;
+  const auto even = static_cast<std::uint32_t>(total / present.size());
+  std::uint64_t remainder = lower(present, even, total % present.size(), now);
+
+  // Only what nobody may act on any more is handed out again.
+  std::uint64_t free = total - std::min(total, reserved_total);
+  const auto raise = [&](Member member, Allotment& allotment, std::uint32_t to) {
+    const std::uint64_t held = reserved(allotment, open(member), now);
+    const std::uint64_t reachable = std::min<std::uint64_t>(to, held + free);
+    if (reachable <= allotment.share) return false;
+    free -= reachable > held ? reachable - held : 0;
+    allotment.share = static_cast<std::uint32_t>(reachable);
+    return allotment.share == to;
   };
-  std::stable_sort(here.begin(), here.end(),
-                   [](const auto& a, const auto& b) { return a.second->raised_at < b.second->raised_at; });
-  for (const auto& [link, held] : here) {
-    if (held->part < even) raise(link, *held, even);
+  // Even shares first, then the remainder. The member that has waited longest comes first, so that none is
+  // passed over whenever something is free.
+  std::stable_sort(present.begin(), present.end(), [](const Present& a, const Present& b) {
+    return a.allotment->raised_at < b.allotment->raised_at;
+  });
+  for (const auto& [member, allotment] : present) {
+    if (allotment->share < even) raise(member, *allotment, even);
   }
-  for (const auto& [link, held] : here) {
-    if (over == 0) return;
-    if (held->part != even) continue;
-    if (!raise(link, *held, even + 1)) return;  // nobody goes before it with what it had a moment ago
-    held->raised_at = now;
-    --over;
+  for (const auto& [member, allotment] : present) {
+    if (remainder == 0) return;
+    if (allotment->share != even) continue;
+    // Nobody overtakes a member that waits for what it still reserves.
+    if (!raise(member, *allotment, even + 1)) return;
+    allotment->raised_at = now;
+    --remainder;
   }
 }
 
 double slow_start_budget(int cores, double slow_start_speed, double slow_start_seconds, double age) {
-  const double grown = slow_start_seconds > 0 ? std::clamp(age / slow_start_seconds, 0.0, 1.0) : 1;
-  const double speed = slow_start_speed + (1 - slow_start_speed) * grown;
+  const double progress = slow_start_seconds > 0 ? std::clamp(age / slow_start_seconds, 0.0, 1.0) : 1;
+  const double speed = slow_start_speed + (1 - slow_start_speed) * progress;
   return kAttemptsPerCore * std::max(1, cores) * speed;
 }
 
--- a/src/tier/slow_start_shares.h
+++ b/src/tier/slow_start_shares.h
@@ -1,55 +1,66 @@
-// A cold planner's attempts, handed out to its forwarders: what they may have open there sums to its budget
-// at any time, however many they are, while links come and go and while they have not heard of a smaller part
-// yet. Where there are fewer attempts than links, parts of one go round, so that nobody waits for ever. Pure
-// policy.
+// Hands out a warming planner's attempts to its forwarders. What they may have open sums to at most the
+// budget at any time, however many they are, while they connect and disconnect, and while some have not yet
+// heard of a smaller share. With fewer attempts than forwarders, shares of one rotate so that no forwarder
+// starves. Policy without I/O.
 //
-// A cold server falls under the sum of what is sent to it; no sender knows the others, the receiver knows
-// them all.
+// The receiver hands out the shares because it knows all senders; the senders do not know each other.
 #pragma once
 
 #include <cstdint>
 #include <functional>
 #include <map>
+#include <vector>
 
 namespace damsonspoke::tier {
 
 struct SlowStartSharesOptions {
-  double settle_seconds =
-      0.25;  // s after which a smaller part has surely been heard, and what was sent before it is here
-  double rotation_seconds = 0.25;  // s that a part which goes round stays; at least settle_seconds
+  // s after which a forwarder has certainly heard of a smaller share and what it sent before has arrived.
+  double settle_seconds = 0.25;
+  double rotation_seconds = 0.25;  // s that a rotating share stays; at least settle_seconds
 };
 
 class SlowStartShares {
  public:
-  using Link = std::uint64_t;
+  using Member = std::uint64_t;  // a forwarder's session
   explicit SlowStartShares(SlowStartSharesOptions options = {}) : options_(options) {}
 
-  void add(Link link) { links_[link].gone = false; }
-  // Its part is free once what it has open here has ended, and what was on its way has come.
-  void remove(Link link, double now);
+  void add(Member member) { members_[member].removed = false; }
+  // Its share becomes free once its open attempts have ended and those in flight have arrived.
+  void remove(Member member, double now);
 
-  // New parts for this budget (attempts; fractions are rounded down). `open`: how many a link has open here.
-  void rebalance(double now, double budget, const std::function<std::size_t(Link)>& open);
-  std::uint32_t share(Link link) const;
-  std::size_t size() const { return links_.size(); }
-  void clear() { links_.clear(); }
+  // Computes new shares of this budget (attempts, rounded down). `open` gives a member's open attempts.
+  void rebalance(double now, double budget, const std::function<std::size_t(Member)>& open);
+  // Attempts that the member may have open; 0 where it is unknown.
+  [[nodiscard]] std::uint32_t share(Member member) const;
+  // Members of which something is stored, removed ones with open attempts included.
+  [[nodiscard]] std::size_t size() const { return members_.size(); }
+  void clear() { members_.clear(); }
 
  private:
-  struct Held {
-    std::uint32_t part = 0;
-    std::uint32_t before = 0;  // what it may still act on
+  struct Allotment {
+    std::uint32_t share = 0;
+    std::uint32_t previous_share = 0;  // that the member may still act on
     double lowered_at = -1e9;
-    double raised_at = -1e9;  // by one over the even part
-    bool gone = false;
+    double raised_at = -1e9;  // by one above the even share
+    bool removed = false;
   };
-  std::uint64_t charge(const Held& held, std::size_t open, double now) const;
+  struct Present {
+    Member member;
+    Allotment* allotment;
+  };
+  [[nodiscard]] std::uint64_t reserved(const Allotment& allotment, std::size_t open, double now) const;
+  std::uint64_t collect(double now, const std::function<std::size_t(Member)>& open,
+                        std::vector<Present>& present);
+  std::uint64_t lower(const std::vector<Present>& present, std::uint32_t even, std::uint64_t remainder,
+                      double now) const;
 
   const SlowStartSharesOptions options_;
-  std::map<Link, Held> links_;  // in the order in which they came
+  std::map<Member, Allotment> members_;  // in the order in which they came
 };
 
-// So many attempts may be open at a planner that began this long ago (s), cold: its share of speed then, of
-// all that it takes when it is warm. The settings tell speed and time.
-double slow_start_budget(int cores, double slow_start_speed, double slow_start_seconds, double age);
+// Attempts that may be open at a planner which started `age` s ago: all that it takes when warm times its
+// speed by then, which grows evenly from `slow_start_speed` to 1 within `slow_start_seconds`.
+[[nodiscard]] double slow_start_budget(int cores, double slow_start_speed, double slow_start_seconds,
+                                       double age);
 
 }  // namespace damsonspoke::tier
--- a/src/tier/wait_queue.cpp
+++ b/src/tier/wait_queue.cpp
@@ -6,34 +6,35 @@
 
 std::optional<RequestId> WaitQueue::push(RequestId request, double priority_weight, std::uint32_t caller,
                                          std::size_t bytes) {
-  Rank& rank = ranks_[priority_weight];
-  std::deque<RequestId>& mine = rank.by_caller[caller];
-  if (mine.empty()) rank.turns.push_back(caller);
-  mine.push_back(request);
-  ++rank.count;
+  Priority& priority = priorities_[priority_weight];
+  std::deque<RequestId>& of_caller = priority.by_caller[caller];
+  if (of_caller.empty()) priority.turns.push_back(caller);
+  of_caller.push_back(request);
+  ++priority.count;
   waiting_[request] = {priority_weight, caller, bytes};
   bytes_ += bytes;
   if (waiting_.size() <= max_requests_ && bytes_ <= max_bytes_) return std::nullopt;
-  const RequestId goes = eviction_candidate();
-  erase(goes, false);
-  return goes;
+  const RequestId evicted = eviction_candidate();
+  erase(evicted, false);
+  return evicted;
 }
 
-// Of the least important: the newest of the caller that has most of them waiting.
+// Of the least important requests, the newest one of the caller with the most of them. Not empty: push() has
+// just added one.
 RequestId WaitQueue::eviction_candidate() const {
-  const Rank& rank = ranks_.rbegin()->second;
-  const std::deque<RequestId>* most = nullptr;
-  for (const std::uint32_t caller : rank.turns) {
-    const std::deque<RequestId>& requests = rank.by_caller.at(caller);
-    if (most == nullptr || requests.size() >= most->size()) most = &requests;
+  const Priority& lowest = priorities_.rbegin()->second;
+  const std::deque<RequestId>* longest = nullptr;
+  for (const std::uint32_t caller : lowest.turns) {
+    const std::deque<RequestId>& requests = lowest.by_caller.at(caller);
+    if (longest == nullptr || requests.size() >= longest->size()) longest = &requests;
   }
-  return most != nullptr ? most->back() : RequestId{};  // a rank that is there has turns
+  return longest != nullptr ? longest->back() : RequestId{};
 }
 
 std::optional<RequestId> WaitQueue::front() const {
-  if (ranks_.empty()) return std::nullopt;
-  const Rank& rank = ranks_.begin()->second;
-  return rank.by_caller.at(rank.turns.front()).front();
+  if (priorities_.empty()) return std::nullopt;
+  const Priority& highest = priorities_.begin()->second;
+  return highest.by_caller.at(highest.turns.front()).front();
 }
 
 bool WaitQueue::remove(RequestId request) {
@@ -42,30 +43,31 @@
   return true;
 }
 
-// Whoever had its turn goes behind the other callers of its rank.
-void WaitQueue::erase(RequestId request, bool its_turn) {
-  const Waiting w = waiting_.at(request);
+// A caller that had its turn goes behind the other callers of its priority.
+void WaitQueue::erase(RequestId request, bool had_its_turn) {
+  const Waiting entry = waiting_.at(request);
   waiting_.erase(request);
-  bytes_ -= w.bytes;
-  const auto at = ranks_.find(w.priority_weight);
-  Rank& rank = at->second;
-  std::deque<RequestId>& mine = rank.by_caller.at(w.caller);
-  mine.erase(std::find(mine.begin(), mine.end(), request));
-  const auto turn = std::find(rank.turns.begin(), rank.turns.end(), w.caller);
-  if (mine.empty()) {
-    rank.turns.erase(turn);
-    rank.by_caller.erase(w.caller);
-  } else if (its_turn) {
-    rank.turns.splice(rank.turns.end(), rank.turns, turn);
+  bytes_ -= entry.bytes;
+  const auto found = priorities_.find(entry.priority_weight);
+  Priority& priority = found->second;
+  std::deque<RequestId>& of_caller = priority.by_caller.at(entry.caller);
+  of_caller.erase(std::find(of_caller.begin(), of_caller.end(), request));
+  const auto turn = std::find(priority.turns.begin(), priority.turns.end(), entry.caller);
+  if (of_caller.empty()) {
+    priority.turns.erase(turn);
+    priority.by_caller.erase(entry.caller);
+  } else if (had_its_turn) {
+    priority.turns.splice(priority.turns.end(), priority.turns, turn);
   }
-  if (--rank.count == 0) ranks_.erase(at);
+  --priority.count;
+  if (priority.count == 0) priorities_.erase(found);
 }
 
 std::size_t WaitQueue::count_ahead(double priority_weight) const {
   std::size_t count = 0;
-  for (const auto& [of, rank] : ranks_) {
-    if (of < priority_weight) break;
-    count += rank.count;
+  for (const auto& [weight, priority] : priorities_) {
+    if (weight < priority_weight) break;
+    count += priority.count;
   }
   return count;
 }
--- a/src/tier/wait_queue.h
+++ b/src/tier/wait_queue.h
@@ -1,6 +1,7 @@
-// The requests that wait at a forwarder while no planner has room for them. Pure policy. The more important
-// first; among equals callers take turns, so that one heavy caller delays itself and not the others; of one
-// caller the oldest first. Full, the least important request of the caller that has most waiting goes.
+// The requests that wait at a forwarder while no planner has capacity for them. Higher priority weights go
+// first. Among equals, callers take turns, so that one heavy caller delays only itself; of one caller the
+// oldest request goes first. When the queue is full, the least important request of the caller with the most
+// waiting is evicted. Policy without I/O.
 #pragma once
 
 #include <cstddef>
@@ -21,24 +22,25 @@
   WaitQueue(std::size_t max_requests, std::size_t max_bytes)
       : max_requests_(max_requests), max_bytes_(max_bytes) {}
 
-  // Enters a request. What has to go for it, which may be the request itself; none where there was room.
+  // Adds a request. Returns the request that was evicted for it, which may be the new one; none where there
+  // was capacity.
   std::optional<RequestId> push(RequestId request, double priority_weight, std::uint32_t caller,
                                 std::size_t bytes);
-  // Whose turn it is. None where nobody waits.
-  std::optional<RequestId> front() const;
-  bool remove(RequestId request);  // false: it does not wait
-  bool contains(RequestId request) const { return waiting_.contains(request); }
-  // Requests that go before one of that importance that comes now.
-  std::size_t count_ahead(double priority_weight) const;
+  // The request whose turn it is; none where nothing waits.
+  [[nodiscard]] std::optional<RequestId> front() const;
+  // Removes a request. False where it does not wait here.
+  bool remove(RequestId request);
+  // Requests that would go before a new one of this priority weight.
+  [[nodiscard]] std::size_t count_ahead(double priority_weight) const;
 
-  std::size_t size() const { return waiting_.size(); }
-  std::size_t bytes() const { return bytes_; }
+  [[nodiscard]] std::size_t size() const { return waiting_.size(); }
+  [[nodiscard]] std::size_t bytes() const { return bytes_; }
 
  private:
-  struct Rank {
-    // Callers with something waiting, whose turn is next first; each with its requests, the oldest first.
-    std::list<std::uint32_t> turns;
-    std::unordered_map<std::uint32_t, std::deque<RequestId>> by_caller;
+  // The requests of one priority weight.
+  struct Priority {
+    std::list<std::uint32_t> turns;  // callers with something waiting, the next one first
+    std::unordered_map<std::uint32_t, std::deque<RequestId>> by_caller;  // the oldest request first
     std::size_t count = 0;
   };
   struct Waiting {
@@ -46,11 +48,12 @@
     std::uint32_t caller = 0;
     std::size_t bytes = 0;
   };
-  RequestId eviction_candidate() const;
-  void erase(RequestId request, bool its_turn);
+  [[nodiscard]] RequestId eviction_candidate() const;
+  void erase(RequestId request, bool had_its_turn);
 
-  const std::size_t max_requests_, max_bytes_;
-  std::map<double, Rank, std::greater<>> ranks_;  // the most important first
+  const std::size_t max_requests_;
+  const std::size_t max_bytes_;
+  std::map<double, Priority, std::greater<>> priorities_;  // the most important first
   std::unordered_map<RequestId, Waiting> waiting_;
   std::size_t bytes_ = 0;
 };
