--- a/src/wire/tier.cpp
+++ b/src/wire/tier.cpp
@@ -16,12 +16,14 @@
   kPing,
   kPong
 };
-constexpr std::string_view kMagic =
-    "DSTP";  // a hello begins with it: what speaks something else is known at once
 
+constexpr std::string_view kMagic = "DSTP";  // begins a hello, so that another protocol is noticed at once
+constexpr std::size_t kLengthBytes = 4;      // then the kind
+
+// Builds one frame. The header's length is filled in at the end.
 class Writer {
  public:
-  explicit Writer(Kind kind) : out_(kHeaderBytes, '\0') { out_[4] = static_cast<char>(kind); }
+  explicit Writer(Kind kind) : out_(kHeaderBytes, '\0') { out_[kLengthBytes] = static_cast<char>(kind); }
   template <class Number>
   void number(Number value) {
     for (std::size_t i = sizeof(Number); i-- > 0;)
@@ -30,14 +32,14 @@
   void flag(bool value) { out_ += value ? '\1' : '\0'; }
   void raw(std::string_view text) { out_ += text; }
   template <class Length>
-  void text(std::string_view text, std::size_t most) {
-    text = text.substr(0, most);
+  void text(std::string_view text, std::size_t max_bytes) {
+    text = text.substr(0, max_bytes);
     number(static_cast<Length>(text.size()));
     out_ += text;
   }
-  std::string done() {
+  std::string finish() {
     const std::size_t length = out_.size() - kHeaderBytes;
-    for (std::size_t i = 0; i < 4; ++i) out_[i] = static_cast<char>(length >> (8 * (3 - i)));
+    for (std::size_t i = 0; i < kLengthBytes; ++i) out_[i] = static_cast<char>(length >> (8 * (3 - i)));
     return std::move(out_);
   }
 
@@ -45,13 +47,13 @@
   std::string out_;
 };
 
-// Reads past the end give nothing and are remembered.
+// Reads the fields of one frame. A field that is missing or out of bounds makes it invalid for good.
 class Reader {
  public:
   explicit Reader(std::string_view in) : in_(in) {}
   template <class Number>
   void number(Number& out) {
-    const std::string_view bytes = take(sizeof(Number));
+    const std::string_view bytes = raw(sizeof(Number));
     std::uint64_t value = 0;
     for (const char c : bytes) value = value << 8 | static_cast<unsigned char>(c);
     out = static_cast<Number>(value);
@@ -59,153 +61,155 @@
   void flag(bool& out) {
     std::uint8_t value = 0;
     number(value);
-    good_ &= value <= 1;
+    require(value <= 1);
     out = value == 1;
   }
   template <class Length>
-  void text(std::string& out, std::size_t most) {
+  void text(std::string& out, std::size_t max_bytes) {
     Length length = 0;
     number(length);
-    good_ &= length <= most;
-    if (good_) out = take(length);
+    require(length <= max_bytes);
+    if (is_valid_) out = raw(length);
   }
-  std::string_view take(std::size_t count) {
-    if (count > in_.size()) good_ = false;
-    if (!good_) return {};
+  std::string_view raw(std::size_t count) {
+    require(count <= in_.size());
+    if (!is_valid_) return {};
     const std::string_view out = in_.substr(0, count);
     in_.remove_prefix(count);
     return out;
   }
-  void demand(bool what) { good_ &= what; }
-  bool good() const { return good_; }
-  bool whole() const { return good_ && in_.empty(); }
+  void require(bool condition) { is_valid_ = is_valid_ && condition; }
+  [[nodiscard]] bool is_valid() const { return is_valid_; }
+  // Whether all fields were valid and filled the frame.
+  [[nodiscard]] bool is_complete() const { return is_valid_ && in_.empty(); }
 
  private:
   std::string_view in_;
-  bool good_ = true;
+  bool is_valid_ = true;
 };
 
 struct Encoder {
-  std::string operator()(const Hello& m) const {
-    Writer w(kHello);
-    w.raw(kMagic);
-    w.number(m.version);
-    w.flag(m.is_planner);
-    w.number(m.epoch);
-    w.text<std::uint8_t>(m.name, kMaxNameBytes);
-    w.number(m.cores);
-    w.number(m.window);
-    const std::size_t count = std::min(m.routes.size(), kMaxRoutes);
-    w.number(static_cast<std::uint16_t>(count));
-    for (std::size_t i = 0; i < count; ++i) w.text<std::uint8_t>(m.routes[i], kMaxNameBytes);
-    return w.done();
+  std::string operator()(const Hello& message) const {
+    Writer writer(kHello);
+    writer.raw(kMagic);
+    writer.number(message.version);
+    writer.flag(message.is_planner);
+    writer.number(message.epoch);
+    writer.text<std::uint8_t>(message.name, kMaxNameBytes);
+    writer.number(message.cores);
+    writer.number(message.window);
+    const std::size_t count = std::min(message.routes.size(), kMaxRoutes);
+    writer.number(static_cast<std::uint16_t>(count));
+    for (std::size_t i = 0; i < count; ++i) writer.text<std::uint8_t>(message.routes[i], kMaxNameBytes);
+    return writer.finish();
   }
-  std::string operator()(const Submit& m) const {
-    Writer w(kSubmit);
-    w.number(m.attempt);
-    w.number(m.request);
-    w.number(m.route);
-    w.number(m.caller);
-    w.number(m.subject);
-    w.number(m.size_sixteenth_kb);
-    w.number(m.age_us);
-    w.number(m.remaining_us);
-    w.flag(m.lookup_only);
-    w.text<std::uint8_t>(m.idempotency_key, kMaxKeyBytes);
-    w.text<std::uint32_t>(m.body, kMaxBodyBytes);
-    return w.done();
+  std::string operator()(const Submit& message) const {
+    Writer writer(kSubmit);
+    writer.number(message.attempt);
+    writer.number(message.request);
+    writer.number(message.route);
+    writer.number(message.caller);
+    writer.number(message.subject);
+    writer.number(message.size_sixteenth_kb);
+    writer.number(message.age_us);
+    writer.number(message.remaining_us);
+    writer.flag(message.lookup_only);
+    writer.text<std::uint8_t>(message.idempotency_key, kMaxKeyBytes);
+    writer.text<std::uint32_t>(message.body, kMaxBodyBytes);
+    return writer.finish();
   }
-  std::string operator()(const Answer& m) const {
-    Writer w(kAnswer);
-    w.number(m.attempt);
-    w.number(static_cast<std::uint8_t>(m.result));
-    w.number(m.retry_after_us);
-    w.flag(m.no_retry);
-    w.text<std::uint32_t>(m.body, kMaxBodyBytes);
-    return w.done();
+  std::string operator()(const Answer& message) const {
+    Writer writer(kAnswer);
+    writer.number(message.attempt);
+    writer.number(static_cast<std::uint8_t>(message.result));
+    writer.number(message.retry_after_us);
+    writer.flag(message.no_retry);
+    writer.text<std::uint32_t>(message.body, kMaxBodyBytes);
+    return writer.finish();
   }
-  std::string operator()(const LoadReport& m) const {
-    Writer w(kLoadReport);
-    w.number(m.window);
-    w.number(m.slot_value_milli);
-    w.flag(m.is_healthy);
-    return w.done();
+  std::string operator()(const LoadReport& message) const {
+    Writer writer(kLoadReport);
+    writer.number(message.window);
+    writer.number(message.slot_value_milli);
+    writer.flag(message.is_healthy);
+    return writer.finish();
   }
-  std::string operator()(const Cancel& m) const { return one(kCancel, m.attempt); }
-  std::string operator()(const Fence& m) const { return one(kFence, m.attempt); }
-  std::string operator()(const Draining& m) const { return one(kDraining, m.stop_us); }
-  std::string operator()(const Ping& m) const { return one(kPing, m.token); }
-  std::string operator()(const Pong& m) const { return one(kPong, m.token); }
+  std::string operator()(const Cancel& message) const { return encode_number(kCancel, message.attempt); }
+  std::string operator()(const Fence& message) const { return encode_number(kFence, message.attempt); }
+  std::string operator()(const Draining& message) const { return encode_number(kDraining, message.stop_us); }
+  std::string operator()(const Ping& message) const { return encode_number(kPing, message.token); }
+  std::string operator()(const Pong& message) const { return encode_number(kPong, message.token); }
 
   template <class Number>
-  static std::string one(Kind kind, Number value) {
-    Writer w(kind);
-    w.number(value);
-    return w.done();
+  static std::string encode_number(Kind kind, Number value) {
+    Writer writer(kind);
+    writer.number(value);
+    return writer.finish();
   }
 };
 
+// A message with one field.
 template <class M, class Field>
-Message one(Reader& r, Field M::*field) {
-  M m;
-  r.number(m.*field);
-  return m;
+Message decode_number(Reader& reader, Field M::*field) {
+  M message;
+  reader.number(message.*field);
+  return message;
 }
 
-Message decode_hello(Reader& r) {
-  Hello m;
-  r.demand(r.take(kMagic.size()) == kMagic);
-  r.number(m.version);
-  r.flag(m.is_planner);
-  r.number(m.epoch);
-  r.demand(m.epoch != 0);
-  r.text<std::uint8_t>(m.name, kMaxNameBytes);
-  r.number(m.cores);
-  r.number(m.window);
+Message decode_hello(Reader& reader) {
+  Hello message;
+  reader.require(reader.raw(kMagic.size()) == kMagic);
+  reader.number(message.version);
+  reader.flag(message.is_planner);
+  reader.number(message.epoch);
+  reader.require(message.epoch != 0);
+  reader.text<std::uint8_t>(message.name, kMaxNameBytes);
+  reader.number(message.cores);
+  reader.number(message.window);
   std::uint16_t count = 0;
-  r.number(count);
-  r.demand(count <= kMaxRoutes);
-  for (std::uint16_t i = 0; r.good() && i < count; ++i)
-    r.text<std::uint8_t>(m.routes.emplace_back(), kMaxNameBytes);
-  return m;
+  reader.number(count);
+  reader.require(count <= kMaxRoutes);
+  for (std::uint16_t i = 0; reader.is_valid() && i < count; ++i)
+    reader.text<std::uint8_t>(message.routes.emplace_back(), kMaxNameBytes);
+  return message;
 }
 
-Message decode_submit(Reader& r) {
-  Submit m;
-  r.number(m.attempt);
-  r.number(m.request);
-  r.number(m.route);
-  r.number(m.caller);
-  r.number(m.subject);
-  r.number(m.size_sixteenth_kb);
-  r.number(m.age_us);
-  r.number(m.remaining_us);
-  r.flag(m.lookup_only);
-  r.demand(m.attempt != 0 && m.request != 0);
-  r.text<std::uint8_t>(m.idempotency_key, kMaxKeyBytes);
-  r.text<std::uint32_t>(m.body, kMaxBodyBytes);
-  return m;
+Message decode_submit(Reader& reader) {
+  Submit message;
+  reader.number(message.attempt);
+  reader.number(message.request);
+  reader.number(message.route);
+  reader.number(message.caller);
+  reader.number(message.subject);
+  reader.number(message.size_sixteenth_kb);
+  reader.number(message.age_us);
+  reader.number(message.remaining_us);
+  reader.flag(message.lookup_only);
+  reader.require(message.attempt != 0 && message.request != 0);
+  reader.text<std::uint8_t>(message.idempotency_key, kMaxKeyBytes);
+  reader.text<std::uint32_t>(message.body, kMaxBodyBytes);
+  return message;
 }
 
-Message decode_answer(Reader& r) {
-  Answer m;
+Message decode_answer(Reader& reader) {
+  Answer message;
   std::uint8_t result = 0;
-  r.number(m.attempt);
-  r.number(result);
-  r.demand(result <= static_cast<std::uint8_t>(Result::kKeyUnknown));
-  m.result = static_cast<Result>(result);
-  r.number(m.retry_after_us);
-  r.flag(m.no_retry);
-  r.text<std::uint32_t>(m.body, kMaxBodyBytes);
-  return m;
+  reader.number(message.attempt);
+  reader.number(result);
+  reader.require(result <= static_cast<std::uint8_t>(Result::kKeyUnknown));
+  message.result = static_cast<Result>(result);
+  reader.number(message.retry_after_us);
+  reader.flag(message.no_retry);
+  reader.text<std::uint32_t>(message.body, kMaxBodyBytes);
+  return message;
 }
 
-Message decode_load_report(Reader& r) {
-  LoadReport m;
-  r.number(m.window);
-  r.number(m.slot_value_milli);
-  r.flag(m.is_healthy);
-  return m;
+Message decode_load_report(Reader& reader) {
+  LoadReport message;
+  reader.number(message.window);
+  reader.number(message.slot_value_milli);
+  reader.flag(message.is_healthy);
+  return message;
 }
 
 }  // namespace
@@ -217,24 +221,27 @@
   if (input.size() < kHeaderBytes) return out;
   std::uint32_t length = 0;
   Reader(input).number(length);
-  if (length > kMaxFrameBytes) return out.state = Framing::kBroken, out;
+  if (length > kMaxFrameBytes) {
+    out.state = Framing::kBroken;
+    return out;
+  }
   if (input.size() < kHeaderBytes + length) return out;
-  Reader r(input.substr(kHeaderBytes, length));
+  Reader reader(input.substr(kHeaderBytes, length));
   out.state = Framing::kFrame;
   out.length = kHeaderBytes + length;
-  switch (static_cast<std::uint8_t>(input[4])) {
-    case kHello: out.message = decode_hello(r); break;
-    case kSubmit: out.message = decode_submit(r); break;
-    case kCancel: out.message = one(r, &Cancel::attempt); break;
-    case kFence: out.message = one(r, &Fence::attempt); break;
-    case kAnswer: out.message = decode_answer(r); break;
-    case kLoadReport: out.message = decode_load_report(r); break;
-    case kDraining: out.message = one(r, &Draining::stop_us); break;
-    case kPing: out.message = one(r, &Ping::token); break;
-    case kPong: out.message = one(r, &Pong::token); break;
-    default: r.demand(false);
+  switch (static_cast<std::uint8_t>(input[kLengthBytes])) {
+    case kHello: out.message = decode_hello(reader); break;
+    case kSubmit: out.message = decode_submit(reader); break;
+    case kCancel: out.message = decode_number(reader, &Cancel::attempt); break;
+    case kFence: out.message = decode_number(reader, &Fence::attempt); break;
+    case kAnswer: out.message = decode_answer(reader); break;
+    case kLoadReport: out.message = decode_load_report(reader); break;
+    case kDraining: out.message = decode_number(reader, &Draining::stop_us); break;
+    case kPing: out.message = decode_number(reader, &Ping::token); break;
+    case kPong: out.message = decode_number(reader, &Pong::token); break;
+    default: reader.require(false);
   }
-  if (!r.whole()) out.state = Framing::kBroken;
+  if (!reader.is_complete()) out.state = Framing::kBroken;
   return out;
 }
 
--- a/src/wire/tier.h
+++ b/src/wire/tier.h
@@ -1,8 +1,9 @@
-// What forwarders and planners speak to each other, version 1: docs/operators/tier-protocol.md. Frames of a
-// length, a kind and fields in network order; all times are durations, so that no two clocks are compared.
-// A codec: bytes to typed values and back, lengths bounded before anything is kept.
+// The protocol between forwarders and planners, version 1 (docs/operators/tier-protocol.md): frames of a
+// length, a kind and fields in network byte order. All times are durations, so that no two clocks are
+// compared. A codec: bytes to typed messages and back; lengths are bounded before anything is stored.
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
 #include <string>
 #include <string_view>
@@ -12,56 +13,65 @@
 namespace damsonspoke::wire::tier {
 
 constexpr std::uint16_t kVersion = 1;
-constexpr std::size_t kHeaderBytes = 5;           // bytes: length of what follows it (4), kind (1)
-constexpr std::size_t kMaxBodyBytes = 64 * 1024;  // bytes; as long as a runtime's result may be: none is cut
-constexpr std::size_t kMaxFrameBytes = kMaxBodyBytes + 1024;  // bytes of a frame without its head
-constexpr std::size_t kMaxNameBytes = 64, kMaxRoutes = 256, kMaxKeyBytes = 255;
-constexpr std::uint32_t kNoTimeLimit = 0xffffffff;  // us; "not told"
+constexpr std::size_t kHeaderBytes = 5;           // length of the fields (4), kind (1)
+constexpr std::size_t kMaxBodyBytes = 64 * 1024;  // as long as a runtime's result may be: none is cut
+constexpr std::size_t kMaxFrameBytes = kMaxBodyBytes + 1024;  // without the header
+constexpr std::size_t kMaxNameBytes = 64;
+constexpr std::size_t kMaxRoutes = 256;
+constexpr std::size_t kMaxKeyBytes = 255;
+constexpr std::uint32_t kNoTimeLimit = 0xffffffff;  // us; not told
 
-// First on every link, both ways. An epoch is one life of a process: drawn at its start, never 0.
+// The first message on every link, in both directions.
 struct Hello {
   std::uint16_t version = kVersion;
   bool is_planner = false;
-  std::uint64_t epoch = 0;
+  std::uint64_t epoch = 0;  // identifies one run of a process; random, never 0
   std::string name;
   std::uint16_t cores = 0;          // of the planner
-  std::uint32_t window = 0;         // of the planner: see LoadReport
-  std::vector<std::string> routes;  // of the forwarder: requests name them by position
+  std::uint32_t window = 0;         // of the planner, see LoadReport
+  std::vector<std::string> routes;  // of the forwarder: a Submit names a route by its position
 };
 
-// Forwarder to planner.
+// ---- Forwarder to planner.
+
 struct Submit {
-  std::uint64_t attempt = 0;  // rises by one in each life of a forwarder; never used again
+  std::uint64_t attempt = 0;  // rises during an epoch of the forwarder, never used again
   std::uint64_t request = 0;
   std::uint16_t route = 0;
   std::uint32_t caller = 0;
   std::uint64_t subject = 0;                  // 0: none
   std::uint32_t size_sixteenth_kb = 0;        // 1/16 kB
-  std::uint32_t age_us = 0;                   // since its caller's door, when it was sent
-  std::uint32_t remaining_us = kNoTimeLimit;  // that its caller still waits
-  bool lookup_only = false;                   // runs nothing: whether its key is known is asked
+  std::uint32_t age_us = 0;                   // since the request arrived at the forwarder
+  std::uint32_t remaining_us = kNoTimeLimit;  // that its caller goes on waiting
+  bool lookup_only = false;                   // runs nothing: asks what is remembered of the key
   std::string idempotency_key;
   std::string body;
 };
-struct Cancel {  // nobody waits for it any more
+
+// Nobody waits for the attempt any more.
+struct Cancel {
   std::uint64_t attempt = 0;
 };
-struct Fence {  // prove that it never ran, and never let it run; else answer it when it ends
+
+// Asks for proof that the attempt never ran and never will. Otherwise its answer follows when it ends.
+struct Fence {
   std::uint64_t attempt = 0;
 };
 
-// Planner to forwarder.
+// ---- Planner to forwarder.
+
 enum class Result : std::uint8_t {
   kSucceeded = 0,
-  kRejected = 1,        // never ran and never will
-  kFailed = 2,          // may have run
-  kUnknown = 3,         // it repeats one that ran, whose outcome is not known
+  kRejected = 1,        // it did not run and never will
+  kFailed = 2,          // it may have run
+  kUnknown = 3,         // it repeats a request that ran and whose outcome is not known
   kConflict = 4,        // its key belongs to another body
-  kNeverRan = 5,        // the proof that a fence asked for
-  kRunning = 6,         // no proof: it has run or runs; its end will be told
-  kOutcomeEvicted = 7,  // it was known and has ended, and what came of it is no longer kept
-  kKeyUnknown = 8       // to a submit that only asks: nothing of its key is remembered, nothing ran
+  kNeverRan = 5,        // the proof that a Fence asked for
+  kRunning = 6,         // no proof: it runs or has run, and its answer will follow
+  kOutcomeEvicted = 7,  // it has ended, and its answer is no longer cached
+  kKeyUnknown = 8       // to a lookup: nothing is remembered of the key, and nothing ran
 };
+
 struct Answer {
   std::uint64_t attempt = 0;
   Result result = Result::kFailed;
@@ -69,16 +79,20 @@
   bool no_retry = false;
   std::string body;
 };
+
 struct LoadReport {
-  std::uint32_t window = 0;            // attempts that may be open on this link; not an increment
-  std::uint32_t slot_value_milli = 0;  // 1/1000 of importance: what the next free slot would fetch
-  bool is_healthy = true;              // its health
+  std::uint32_t window = 0;            // attempts that may be open on this link; a level, not an increment
+  std::uint32_t slot_value_milli = 0;  // of the next free slot, 1/1000 of priority weight
+  bool is_healthy = true;
 };
-struct Draining {  // it leaves: nothing more is to be sent
-  std::uint32_t stop_us = 0;
+
+// The planner shuts down gracefully: nothing more is to be submitted.
+struct Draining {
+  std::uint32_t stop_us = 0;  // until it stops
 };
 
-// Both ways.
+// ---- Both ways.
+
 struct Ping {
   std::uint64_t token = 0;
 };
@@ -88,16 +102,22 @@
 
 using Message = std::variant<Hello, Submit, Cancel, Fence, Answer, LoadReport, Draining, Ping, Pong>;
 
-enum class Framing { kNeedMore, kFrame, kBroken };
+enum class Framing {
+  kNeedMore,  // the frame is not complete
+  kFrame,
+  kBroken  // a length out of bounds, an unknown kind, or fields that do not fill the frame
+};
+
 struct DecodedFrame {
   Framing state = Framing::kNeedMore;
-  std::size_t length = 0;  // to be taken off the input
+  std::size_t length = 0;  // bytes to be taken off the input
   Message message;
 };
-// The message that the input starts with. Broken: a length out of bounds, an unknown kind, fields that do not
-// fill their frame: nothing after it can be trusted.
-DecodedFrame decode_next_frame(std::string_view input);
 
-std::string encode(const Message& message);
+// Decodes the message that the input starts with. After a broken frame nothing that follows can be trusted.
+[[nodiscard]] DecodedFrame decode_next_frame(std::string_view input);
+
+// Names, keys and bodies that are too long are cut to their bounds.
+[[nodiscard]] std::string encode(const Message& message);
 
 }  // namespace damsonspoke::wire::tier
--- a/tests/tier_dispatch.cpp
+++ b/tests/tier/dispatch_traces.cpp
@@ -49,7 +49,10 @@
   double now = 0;
   const auto request = [&](RequestId id, double left, double priority_weight = 1, std::uint64_t mark = 0) {
     ForwardedRequest o;
-    o.id = id, o.remaining_time = left, o.priority_weight = priority_weight, o.idempotency_key_hash = mark,
+    o.id = id;
+    o.remaining_time = left;
+    o.priority_weight = priority_weight;
+    o.idempotency_key_hash = mark;
     o.bytes = 10;
     d.on_request(o, now);
   };
@@ -60,16 +63,24 @@
                 over ? ("op " + std::to_string(*over) + " is over").c_str() : "nothing is passed on");
   };
   const auto until = [&](double time) {
-    while (told.next > now && told.next <= time) now = told.next, told.next = 0, d.on_timer(now);
+    while (told.next > now && told.next <= time) {
+      now = told.next;
+      told.next = 0;
+      d.on_timer(now);
+    }
     now = time;
   };
   std::printf("no planner yet\n");
   request(1, 1);
   std::printf("one comes up, with room for two\n");
   d.on_link_up(0, 100, 2, now);
-  request(2, 1), request(3, 1), request(4, 1);
+  request(2, 1);
+  request(3, 1);
+  request(4, 1);
   std::printf("a more important one finds the line full, then an equal one\n");
-  request(5, 1), request(6, 1, 3), request(7, 1);
+  request(5, 1);
+  request(6, 1, 3);
+  request(7, 1);
   std::printf("the other comes up: who waits goes there\n");
   d.on_link_up(1, 200, 2, now);
   std::printf("acked, by the wrong life, by the right one\n");
@@ -104,7 +115,8 @@
   answer(1, 200, 10, AnswerKind::kRejected);
   std::printf(
       "a link is lost: what never left goes elsewhere if it may, the rest waits for proof, then fails\n");
-  request(23, 5), request(24, 5);
+  request(23, 5);
+  request(24, 5);
   d.on_link_lost(0, {11}, now);
   d.on_link_lost(1, {}, now);
   request(25, 5);
@@ -122,7 +134,10 @@
   d.on_link_up(0, 101, 1, now);
   for (std::uint64_t mark = 1; mark <= 4; ++mark) request(30 + mark, 0.2, 1, mark);
   std::printf("callers go; the notice to leave; late comers\n");
-  d.on_caller_gone(31, now), d.on_caller_gone(32, now), d.on_caller_gone(33, now), d.on_caller_gone(34, now);
+  d.on_caller_gone(31, now);
+  d.on_caller_gone(32, now);
+  d.on_caller_gone(33, now);
+  d.on_caller_gone(34, now);
   request(40, 5);
   d.on_drain(2, 0.3, now);
   now += 0.4;
@@ -140,13 +155,19 @@
       terms, 1, {"p0", "p1"}, told, [] { return 0.5; }, 0);
   const auto request = [&](RequestId id, std::uint64_t mark, double now) {
     ForwardedRequest o;
-    o.id = id, o.remaining_time = 5, o.idempotency_key_hash = mark, o.bytes = 10;
+    o.id = id;
+    o.remaining_time = 5;
+    o.idempotency_key_hash = mark;
+    o.bytes = 10;
     d.on_request(o, now);
   };
   d.on_link_up(0, 7, 1, 0);
   d.on_link_up(1, 7, 1, 0);
   std::printf("two go, a keyed one and a plain one wait\n");
-  request(1, 0, 0), request(2, 0, 0), request(3, 1, 0), request(4, 0, 0);
+  request(1, 0, 0);
+  request(2, 0, 0);
+  request(3, 1, 0);
+  request(4, 0, 0);
   std::printf("a planner answers what the other was given\n");
   const bool believed =
       d.on_answer(d.attempts().find(1)->planner == 0 ? 1 : 0, 7, 1, AnswerKind::kSucceeded, 0, false, 0)
@@ -159,7 +180,9 @@
   std::printf("back, and full; a link is lost under a keyed one that waits\n");
   d.on_link_up(0, 8, 1, 0.2);
   d.on_link_up(1, 8, 1, 0.2);
-  request(6, 0, 0.2), request(7, 0, 0.2), request(8, 1, 0.2);
+  request(6, 0, 0.2);
+  request(7, 0, 0.2);
+  request(8, 1, 0.2);
   d.on_link_lost(0, {}, 0.3);
   d.on_link_lost(1, {}, 0.3);
   std::printf("a keyed one whose planner is no longer wanted goes to the other\n");
@@ -175,13 +198,17 @@
   slow.on_link_up(0, 9, 1, 0);
   for (RequestId id = 1; id <= 12; ++id) {
     ForwardedRequest o;
-    o.id = 100 + id, o.remaining_time = 20, o.bytes = 10;
+    o.id = 100 + id;
+    o.remaining_time = 20;
+    o.bytes = 10;
     slow.on_request(o, 0);
   }
   for (Attempt attempt = 1; attempt <= 8; ++attempt)
     slow.on_answer(0, 9, attempt, AnswerKind::kSucceeded, 0, false, 0.5 * static_cast<double>(attempt));
   ForwardedRequest late;
-  late.id = 200, late.remaining_time = 1, late.bytes = 10;
+  late.id = 200;
+  late.remaining_time = 1;
+  late.bytes = 10;
   slow.on_request(late, 4.1);
   std::printf("the notice to leave, and one that comes in its grace\n");
   d.on_drain(2, 0.3, 7);
@@ -210,7 +237,10 @@
   double now = 0;
   const auto request = [&](RequestId id, std::uint64_t mark, double left = 1) {
     ForwardedRequest o;
-    o.id = id, o.remaining_time = left, o.idempotency_key_hash = mark, o.bytes = 10;
+    o.id = id;
+    o.remaining_time = left;
+    o.idempotency_key_hash = mark;
+    o.bytes = 10;
     d.on_request(o, now);
   };
   const auto answer = [&](int planner, Attempt attempt, AnswerKind how) {
@@ -219,7 +249,8 @@
                 over ? ("op " + std::to_string(*over) + " is over").c_str() : "nothing is passed on");
   };
   std::printf("one runs at p1, one waits for it; then p1 is taken off the list\n");
-  request(1, moves), request(2, moves);
+  request(1, moves);
+  request(2, moves);
   d.set_planners({"p0"}, now = 0.1);
   std::printf("whether p1 could be let go of with those open, whenever: %s\n",
               d.can_disconnect(1, 99) ? "yes" : "no");
@@ -227,7 +258,8 @@
   answer(1, 1, AnswerKind::kSucceeded);
   answer(1, 2, AnswerKind::kKeyUnknown);
   std::printf("a key that stays, and plain ones, go to p0\n");
-  request(3, stays), request(4, 0);
+  request(3, stays);
+  request(4, 0);
   answer(0, 3, AnswerKind::kSucceeded);
   answer(0, 4, AnswerKind::kSucceeded);
   std::printf("all have the list: asked first, and known\n");
@@ -289,7 +321,8 @@
     Attempt read = 0;
     for (RequestId id = 1; id <= 4000; ++id) {
       ForwardedRequest request;
-      request.id = id, request.remaining_time = 1;
+      request.id = id;
+      request.remaining_time = 1;
       d.on_request(request, 0);
       if (id % 4 != 0) continue;
       for (Attempt guess = read + 1; guess <= read + 100; ++guess) believed += answer(guess);
--- a/tests/tier_histories.cpp
+++ b/tests/tier/fault_histories.cpp
@@ -66,15 +66,21 @@
   };
   Totals totals() const {
     Totals t;
-    for (const auto& [id, request] : requests_)
-      ++t.requests, t.succeeded += request.succeeded, t.rejected += request.rejected,
-          t.failed += request.failed;
+    for (const auto& [id, request] : requests_) {
+      ++t.requests;
+      t.succeeded += request.succeeded;
+      t.rejected += request.rejected;
+      t.failed += request.failed;
+    }
     for (const auto& f : forwarders_) {
       const DispatchCounters& c = f->dispatch.counters();
-      t.second += static_cast<int>(c.retries), t.fenced += static_cast<int>(c.fences);
-      t.proven += static_cast<int>(c.proven_not_run), t.dropped += static_cast<int>(c.stale_answers);
+      t.second += static_cast<int>(c.retries);
+      t.fenced += static_cast<int>(c.fences);
+      t.proven += static_cast<int>(c.proven_not_run);
+      t.dropped += static_cast<int>(c.stale_answers);
       t.lost += static_cast<int>(c.lost_with_epoch);
-      t.asked += static_cast<int>(c.key_lookups), t.known += static_cast<int>(c.key_lookup_hits);
+      t.asked += static_cast<int>(c.key_lookups);
+      t.known += static_cast<int>(c.key_lookup_hits);
     }
     return t;
   }
@@ -233,7 +239,9 @@
   void answered(RequestId id, char how) {
     RequestSeen& request = requests_[id];
     note("op " + std::to_string(id) + " is answered " + how);
-    request.succeeded = how == 'a', request.rejected = how == 'n', request.failed = how == 'f';
+    request.succeeded = how == 'a';
+    request.rejected = how == 'n';
+    request.failed = how == 'f';
     if (++request.answers > 1) fail("op " + std::to_string(id) + " was answered twice");
     if (request.gone) fail("op " + std::to_string(id) + " was answered to nobody");
     if (now_ > request.due + 1e-6) fail("op " + std::to_string(id) + " was answered late");
@@ -248,7 +256,9 @@
     if (!planners_[static_cast<std::size_t>(p)]->up)
       return after(0.05 + chance() * 0.1, [this, f, p] { connect(f, p); });
     auto link = std::make_shared<Link>();
-    link->forwarder = f, link->planner = p, link->number = ++next_link_;
+    link->forwarder = f;
+    link->planner = p;
+    link->number = ++next_link_;
     forwarder.links[p] = link;
     wt::Hello hello;
     hello.epoch = static_cast<std::uint64_t>(f) + 1;
@@ -406,10 +416,10 @@
       if (const auto request = planner.holdings->cancel(link->known_as, cancel->attempt))
         gone(planner, {*request});
     } else if (const auto* fence = std::get_if<wt::Fence>(&message)) {
-      const ForwarderSessions::Proof proof = planner.holdings->fence(
+      const ForwarderSessions::FenceResult result = planner.holdings->fence(
           link->known_as, fence->attempt, [&](RequestId request) { return planner.started[request]; });
-      if (proof.abandoned) gone(planner, {*proof.abandoned});
-      in(link, proof.answer);
+      if (result.abandoned) gone(planner, {*result.abandoned});
+      in(link, result.answer);
     }
   }
   void run_more(int p) {
@@ -550,10 +560,17 @@
         return;
       }
       const History::Totals t = history.totals();
-      all.requests += t.requests, all.succeeded += t.succeeded, all.rejected += t.rejected,
-          all.failed += t.failed;
-      all.second += t.second, all.fenced += t.fenced, all.proven += t.proven, all.dropped += t.dropped;
-      all.lost += t.lost, all.asked += t.asked, all.known += t.known;
+      all.requests += t.requests;
+      all.succeeded += t.succeeded;
+      all.rejected += t.rejected;
+      all.failed += t.failed;
+      all.second += t.second;
+      all.fenced += t.fenced;
+      all.proven += t.proven;
+      all.dropped += t.dropped;
+      all.lost += t.lost;
+      all.asked += t.asked;
+      all.known += t.known;
     }
   }
   std::printf("%d histories: one answer each and in time, no second run, credits right, windows kept\n",
--- a/tests/tier_program.cpp
+++ b/tests/tier/forwarder_program.cpp
@@ -27,7 +27,10 @@
 Callers::Options load_of(double reads, double closes, int retries = 1) {
   Callers::Options load;
   load.flows = {{"read", reads, 1}, {"close", closes, 1}};
-  for (Flow& flow : load.flows) flow.retries = retries, flow.pause = 0.1;
+  for (Flow& flow : load.flows) {
+    flow.retries = retries;
+    flow.pause = 0.1;
+  }
   load.flows[1].marked = true;
   load.connections = 3;
   load.seed = 5;
@@ -403,7 +406,8 @@
   std::uint64_t questions = 0, known = 0;
   const auto count = [&](Server& forwarder) {
     auto counters = forwarder.process->counters();
-    questions += counters["tier.key_queries"], known += counters["tier.key_queries_known"];
+    questions += counters["tier.key_queries"];
+    known += counters["tier.key_queries_known"];
     return counters["tier.key_queries"];
   };
   count(*fleet.forwarders[0]);
--- a/tests/planner_link.cpp
+++ b/tests/tier/planner_client.cpp
@@ -1,6 +1,8 @@
 // A forwarder's link to a planner that stops reading and then goes: what is told to have never left must not
 // have arrived, whole, for a second attempt begins on the strength of it. The other end is a bare socket of
 // this process. CTest compares with tests/traces/planner_link.txt. usage: planner_link
+#include "peers/tier/planner_client.h"
+
 #include <fcntl.h>
 #include <fmt/format.h>
 #include <sys/socket.h>
@@ -18,7 +20,6 @@
 #include "net/reactor.h"
 #include "observability/counters.h"
 #include "observability/logger.h"
-#include "peers/tier/planner_client.h"
 #include "stepped_reactor.h"
 
 using namespace damsonspoke;
@@ -67,7 +68,10 @@
     if (fd < 0) fd = ::accept(listener, nullptr, nullptr);
     if (fd >= 0 && !seen.up && step == 0) {
       wt::Hello hello;
-      hello.is_planner = true, hello.epoch = 9, hello.name = "p", hello.window = 1000;
+      hello.is_planner = true;
+      hello.epoch = 9;
+      hello.name = "p";
+      hello.window = 1000;
       const std::string bytes = wt::encode(hello);
       if (::send(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL) > 0) step = 1;
     }
@@ -76,7 +80,10 @@
       wt::Submit submit;
       submit.request = 1;
       submit.body.assign(kBody, 'b');
-      for (std::uint64_t n = 1; n <= kSubmits; ++n) submit.attempt = n, planners.submit(0, submit);
+      for (std::uint64_t n = 1; n <= kSubmits; ++n) {
+        submit.attempt = n;
+        planners.submit(0, submit);
+      }
     }
     // Some turns later nothing moves any more; it reads a part, perhaps, and goes.
     if (given && fd >= 0 && ++step > 20) {
@@ -186,7 +193,10 @@
 // What is no planner's greeting ends the link, which is opened anew after a pause.
 void greetings() {
   wt::Hello sound;
-  sound.is_planner = true, sound.epoch = 9, sound.name = "p", sound.window = 10;
+  sound.is_planner = true;
+  sound.epoch = 9;
+  sound.name = "p";
+  sound.window = 10;
   wt::Hello other = sound, forwarder = sound;
   other.version = 99;
   forwarder.is_planner = false;
@@ -211,7 +221,10 @@
   std::printf("nothing said: after 0.8 s %d connection, after 1.6 s more: %s\n", before,
               yes(mute.peer.accepted > before));
   SessionStart sounds(wt::encode(sound));
-  for (int i = 0; i < 12; ++i) sounds.run_for(0.1), sounds.peer.say(wt::Pong{1});
+  for (int i = 0; i < 12; ++i) {
+    sounds.run_for(0.1);
+    sounds.peer.say(wt::Pong{1});
+  }
   std::printf("pings in 1.2 s: %s; the link holds: %s\n",
               yes(sounds.peer.pings >= 3 && sounds.peer.pings <= 12), yes(!sounds.seen.lost));
   sounds.peer.say(wt::Draining{});
--- a/tests/tier_parts.cpp
+++ b/tests/tier/policy_traces.cpp
@@ -56,8 +56,10 @@
       const int to = *four.pick(random() % 2 ? 7 : 1 + random() % 1000, 1, chance);
       four.on_attempt_sent(to);
       open.push_back(to);
-      if (open.size() > 80)
-        four.on_attempt_ended(open.front(), AttemptOutcome::kSucceeded, 0.01, 1), open.pop_front();
+      if (open.size() > 80) {
+        four.on_attempt_ended(open.front(), AttemptOutcome::kSucceeded, 0.01, 1);
+        open.pop_front();
+      }
       if (open.size() >= 80) worst = std::max(worst, four.open_attempts(to) / 20.0);
     }
     std::printf("a hot subject: most at one planner within 1.35 x the mean: %s\n",
@@ -86,8 +88,10 @@
     Picker four(terms, names(4));
     for (int i = 0; i < 4; ++i) four.on_link_up(i, 1000, 0);
     const auto round = [&](int planner, AttemptOutcome how, double took, double now) {
-      for (int i = 0; i < 20; ++i)
-        four.on_attempt_sent(planner), four.on_attempt_ended(planner, how, took, now);
+      for (int i = 0; i < 20; ++i) {
+        four.on_attempt_sent(planner);
+        four.on_attempt_ended(planner, how, took, now);
+      }
     };
     for (const int sound : {0, 1, 2}) round(sound, AttemptOutcome::kSucceeded, 0.02, 1);
     round(3, AttemptOutcome::kFailed, 0.5, 1);
@@ -108,15 +112,19 @@
     Picker all(terms, names(2));
     for (int i = 0; i < 2; ++i) all.on_link_up(i, 1000, 0);
     for (int i = 0; i < 64; ++i) {
-      for (int p = 0; p < 2; ++p)
-        all.on_attempt_sent(p), all.on_attempt_ended(p, AttemptOutcome::kFailed, 1, 1);
+      for (int p = 0; p < 2; ++p) {
+        all.on_attempt_sent(p);
+        all.on_attempt_ended(p, AttemptOutcome::kFailed, 1, 1);
+      }
     }
     std::printf("all fail alike: left out %d\n", all.ejected_count(1));
     Picker lag(terms, names(3));
     for (int i = 0; i < 3; ++i) lag.on_link_up(i, 1000, 0);
     for (int i = 0; i < 20; ++i) {
-      for (int p = 0; p < 3; ++p)
-        lag.on_attempt_sent(p), lag.on_attempt_ended(p, AttemptOutcome::kSucceeded, p == 1 ? 0.5 : 0.05, 1);
+      for (int p = 0; p < 3; ++p) {
+        lag.on_attempt_sent(p);
+        lag.on_attempt_ended(p, AttemptOutcome::kSucceeded, p == 1 ? 0.5 : 0.05, 1);
+      }
     }
     std::printf("one is ten times slower: left out %s\n", lag.is_ejected(1, 1) ? "yes" : "no");
     Picker choice(terms, names(2));
@@ -126,9 +134,11 @@
       for (int i = 0; i < 100; ++i) first += *choice.pick(0, 1, chance) == 0;
       return first;
     };
-    choice.on_load_report(0, 100, 3, true), choice.on_load_report(1, 100, 1, true);
+    choice.on_load_report(0, 100, 3, true);
+    choice.on_load_report(1, 100, 1, true);
     std::printf("the first's next slot is worth more: it gets %d of 100\n", to_first());
-    choice.on_load_report(0, 100, 1, true), choice.on_load_report(1, 100, 1, false);
+    choice.on_load_report(0, 100, 1, true);
+    choice.on_load_report(1, 100, 1, false);
     std::printf("the second is not well: the first gets %d of 100\n", to_first());
     choice.on_draining(0);
     std::printf("and leaves: it gets %d of 100\n", to_first());
@@ -150,8 +160,10 @@
   std::printf("one of less importance than all: op %llu goes\n",
               static_cast<unsigned long long>(self.value_or(0)));
   std::printf("in turn:");
-  while (const auto id = waits.front())
-    waits.remove(*id), std::printf(" %llu", static_cast<unsigned long long>(*id));
+  while (const auto id = waits.front()) {
+    waits.remove(*id);
+    std::printf(" %llu", static_cast<unsigned long long>(*id));
+  }
   std::printf("; left over %zu ops, %zu bytes\n", waits.size(), waits.bytes());
   WaitQueue small(100, 100);
   small.push(1, 1, 1, 60);
@@ -161,7 +173,7 @@
 
 void outlook() {
   WaitEstimator sees({}, 2, 0);
-  sees.on_planner_available(0);
+  sees.on_planner_available();
   sees.set_busy(true, 0);
   std::printf("nothing known, 50 ahead, 0.1 s left: %s\n",
               sees.can_finish_in_time(0, 50, 0.1, 0.1) ? "may" : "no");
@@ -185,7 +197,10 @@
       sees.retry_after_seconds(0, 3.5, 0.5), sees.retry_after_seconds(0, 8, 0.5));
   RetryBudget budget(0.1, 3);
   int taken = 0;
-  for (int i = 0; i < 1000; ++i) budget.on_first_attempt(), taken += budget.try_spend();
+  for (int i = 0; i < 1000; ++i) {
+    budget.on_first_attempt();
+    taken += budget.try_spend();
+  }
   std::printf("second tries of 1000 first ones at a tenth: %s\n", taken <= 104 ? "within" : "over");
   std::printf("windows of 4 cores for 1, 4, 40 links: %u, %u, %u\n", warm_window(4, 1), warm_window(4, 4),
               warm_window(4, 40));
@@ -249,7 +264,8 @@
   holds.on_link_lost(3, 20);
   std::printf("away for 0.5 s: %zu ops gone, for 0.8 s: %zu\n", holds.take_expired(20.5).size(),
               holds.take_expired(20.8).size());
-  holds.open_session("a", 1, 4), holds.open_session("b", 1, 5);
+  holds.open_session("a", 1, 4);
+  holds.open_session("b", 1, 5);
   std::printf("a third forwarder of two: %s\n",
               holds.open_session("c", 1, 6).forwarder == 0 ? "no room" : "taken");
   holds.on_link_lost(4, 30);
@@ -295,8 +311,10 @@
     std::vector<int> at(4);
     for (std::uint64_t mark = 1; mark <= kMarks; ++mark) {
       const KeyRoute way = homes.route(mark, now);
-      asks += !way.former_owners.empty(), barred += !way.may_run, twice += way.former_owners.size() > 1,
-          none += way.owner < 0;
+      asks += !way.former_owners.empty();
+      barred += !way.may_run;
+      twice += way.former_owners.size() > 1;
+      none += way.owner < 0;
       if (way.owner >= 0) ++at[static_cast<std::size_t>(way.owner)];
       if (std::find(way.former_owners.begin(), way.former_owners.end(), way.owner) != way.former_owners.end())
         std::printf("asks where it belongs\n");
@@ -384,7 +402,8 @@
       "former\x91";  // CBOR: no list in force, 17 former ones
   for (int i = 0; i < 17; ++i) many += "\xa2\x65until\x01\x68planners\x80";
   std::printf("17 former ones: %s", decode_endpoint_list_history(many) ? "taken" : "no list");
-  many[18] = '\x90', many.resize(many.size() - 18);
+  many[18] = '\x90';
+  many.resize(many.size() - 18);
   std::printf("; 16: %s\n", decode_endpoint_list_history(many) ? "taken" : "no list");
   record = {{"a"}, {{std::nan(""), {"b"}}}};
   std::printf("a time that is none: %s\n",
