--- a/src/stages/request_forwarder.cpp
+++ b/src/stages/request_forwarder.cpp
@@ -88,26 +88,25 @@
 }  // namespace
 
 RequestForwarder::RequestForwarder(net::Reactor& reactor, const Ports& ports, const StartSettings& site,
-                                   const ForwardOptions& options, const ResultsOptions& results,
-                                   std::size_t body_bytes, std::uint64_t seed, Counters& counters,
+                                   const Options& options, std::uint64_t seed, Counters& counters,
                                    Logger& log)
     : reactor_(reactor),
       ports_(ports),
       site_(site),
-      digest_by_caller_(results.digest_by_caller),
+      digest_by_caller_(options.results.digest_by_caller),
       counters_(counters),
       log_(log),
       random_(seed),
-      max_body_bytes_(body_bytes),
+      max_body_bytes_(options.body_bytes),
       dispatch_(std::make_unique<tier::Dispatch>(
-          dispatch_options(options, site), site.admission.routes.size(), options.planners,
+          dispatch_options(options.forward, site), site.admission.routes.size(), options.forward.planners,
           static_cast<tier::DispatchSink&>(*this),
           [this] { return std::ldexp(static_cast<double>(random_() >> 11), -53); }, net::monotonic_now())),
-      key_ownership_(key_ownership_options(options, site)),
-      lists_{options.planners, {}} {
-  if (options.folder.empty()) return;
+      key_ownership_(key_ownership_options(options.forward, site)),
+      lists_{options.forward.planners, {}} {
+  if (options.forward.folder.empty()) return;
   history_file_ = std::make_unique<store::PersistedFile>(
-      [folder = options.folder] { return store::open_folder(folder); }, "planners",
+      [folder = options.forward.folder] { return store::open_folder(folder); }, "planners",
       tier::kEndpointListHistoryVersion, tier::kMaxEndpointListHistoryBytes);
 }
 
--- a/src/stages/request_forwarder.h
+++ b/src/stages/request_forwarder.h
@@ -31,10 +31,13 @@
     peers::PlannerClient* planners = nullptr;
     peers::RegistryPort* registry = nullptr;
   };
-  // `body_bytes`: memory for the bodies of open requests.
+  struct Options {
+    const ForwardOptions& forward;
+    const ResultsOptions& results;
+    std::size_t body_bytes = 0;  // memory for the bodies of open requests
+  };
   RequestForwarder(net::Reactor& reactor, const Ports& ports, const StartSettings& site,
-                   const ForwardOptions& options, const ResultsOptions& results, std::size_t body_bytes,
-                   std::uint64_t seed, Counters& counters, Logger& log);
+                   const Options& options, std::uint64_t seed, Counters& counters, Logger& log);
   ~RequestForwarder() override;
   RequestForwarder(const RequestForwarder&) = delete;
   RequestForwarder& operator=(const RequestForwarder&) = delete;
--- a/src/tier/key_ownership.cpp
+++ b/src/tier/key_ownership.cpp
@@ -62,11 +62,12 @@
   KeyRoute out;
   out.owner = owner(current_, key_hash);
   if (former_.empty() && now >= blocked_until_) return out;
-  for (auto list = former_.rbegin(); list != former_.rend(); ++list) {
-    if (is_expired(*list, now)) continue;
-    const int former = owner(*list, key_hash);
+  for (std::size_t i = former_.size(); i-- > 0;) {
+    const List& list = former_[i];
+    if (is_expired(list, now)) continue;
+    const int former = owner(list, key_hash);
     if (former < 0 || former == out.owner) continue;
-    if (now < list->until + options_.reload_spread) out.may_run = false;
+    if (now < list.until + options_.reload_spread) out.may_run = false;
     const bool known =
         std::find(out.former_owners.begin(), out.former_owners.end(), former) != out.former_owners.end();
     if (!known) out.former_owners.push_back(former);
--- a/tests/tier/fault_histories.cpp
+++ b/tests/tier/fault_histories.cpp
@@ -374,44 +374,9 @@
     Planner& planner = *planners_[static_cast<std::size_t>(link->planner)];
     if (!planner.up) return;
     if (const auto* hello = std::get_if<wt::Hello>(&message)) {
-      const ForwarderSessions::SessionStart greeting =
-          planner.holdings->open_session(hello->name, hello->epoch, link->number);
-      if (greeting.superseded_link != 0 && links_[greeting.superseded_link])
-        links_[greeting.superseded_link]->there = false;
-      gone(planner, greeting.abandoned);
-      link->known_as = greeting.forwarder;
-      links_[link->number] = link;
-      wt::Hello mine;
-      mine.is_planner = true;
-      mine.epoch = planner.epoch;
-      mine.window = 8;
-      in(link, mine);
+      planner_hears_hello(planner, link, *hello);
     } else if (const auto* submit = std::get_if<wt::Submit>(&message)) {
-      if (planner.holdings->submit(link->known_as, submit->attempt, submit->request, 0) !=
-          ForwarderSessions::SubmitResult::kAccepted)
-        return;
-      const Held held{submit->request, link->known_as, submit->attempt, now_ + submit->remaining_us * 1e-6};
-      if (planner.manner == Manner::kRejections || planner.open.contains(submit->request))
-        return tell(planner, held, wt::Result::kRejected);
-      if (const std::uint64_t mark = requests_[held.request].mark; mark != 0) {
-        const auto known = planner.memory.find(mark);
-        const bool over = known != planner.memory.end() && known->second.state > Memory::kRunning &&
-                          now_ >= known->second.admitted + kWindow;
-        if (known != planner.memory.end() && !over) {
-          if (known->second.state == Memory::kEnded) return tell(planner, held, wt::Result::kSucceeded);
-          if (known->second.state == Memory::kUnknown) return tell(planner, held, wt::Result::kUnknown);
-          planner.open[held.request] = held;
-          known->second.waits.push_back(held);
-          return;
-        }
-        if (submit->lookup_only) return tell(planner, held, wt::Result::kKeyUnknown);
-        planner.memory[mark] = {held.request, now_, Memory::kReserved, {}};
-      } else if (submit->lookup_only) {
-        fail("op " + std::to_string(held.request) + " has no key and was asked about");
-      }
-      planner.open[held.request] = held;
-      planner.line.push_back(held);
-      run_more(link->planner);
+      planner_hears_submit(planner, *link, *submit);
     } else if (const auto* cancel = std::get_if<wt::Cancel>(&message)) {
       if (const auto request = planner.holdings->cancel(link->known_as, cancel->attempt))
         gone(planner, {*request});
@@ -422,6 +387,61 @@
       in(link, result.answer);
     }
   }
+  void planner_hears_hello(Planner& planner, const std::shared_ptr<Link>& link, const wt::Hello& hello) {
+    const ForwarderSessions::SessionStart session =
+        planner.holdings->open_session(hello.name, hello.epoch, link->number);
+    if (session.superseded_link != 0 && links_[session.superseded_link])
+      links_[session.superseded_link]->there = false;
+    gone(planner, session.abandoned);
+    link->known_as = session.forwarder;
+    links_[link->number] = link;
+    wt::Hello mine;
+    mine.is_planner = true;
+    mine.epoch = planner.epoch;
+    mine.window = 8;
+    in(link, mine);
+  }
+  void planner_hears_submit(Planner& planner, const Link& link, const wt::Submit& submit) {
+    if (planner.holdings->submit(link.known_as, submit.attempt, submit.request, 0) !=
+        ForwarderSessions::SubmitResult::kAccepted)
+      return;
+    const Held held{submit.request, link.known_as, submit.attempt, now_ + submit.remaining_us * 1e-6};
+    if (planner.manner == Manner::kRejections || planner.open.contains(submit.request))
+      return tell(planner, held, wt::Result::kRejected);
+    if (requests_[held.request].mark != 0) {
+      if (!reserve_key(planner, held, submit.lookup_only)) return;
+    } else if (submit.lookup_only) {
+      fail("op " + std::to_string(held.request) + " has no key and was asked about");
+    }
+    planner.open[held.request] = held;
+    planner.line.push_back(held);
+    run_more(link.planner);
+  }
+  // Whether the request may run: its key is not known yet, and it is no lookup. Otherwise it is answered, or
+  // waits for the run of its key.
+  bool reserve_key(Planner& planner, const Held& held, bool lookup_only) {
+    const std::uint64_t mark = requests_[held.request].mark;
+    const auto known = planner.memory.find(mark);
+    const bool over = known != planner.memory.end() && known->second.state > Memory::kRunning &&
+                      now_ >= known->second.admitted + kWindow;
+    if (known != planner.memory.end() && !over) {
+      if (known->second.state == Memory::kEnded) {
+        tell(planner, held, wt::Result::kSucceeded);
+      } else if (known->second.state == Memory::kUnknown) {
+        tell(planner, held, wt::Result::kUnknown);
+      } else {
+        planner.open[held.request] = held;
+        known->second.waits.push_back(held);
+      }
+      return false;
+    }
+    if (lookup_only) {
+      tell(planner, held, wt::Result::kKeyUnknown);
+      return false;
+    }
+    planner.memory[mark] = {held.request, now_, Memory::kReserved, {}};
+    return true;
+  }
   void run_more(int p) {
     Planner& planner = *planners_[static_cast<std::size_t>(p)];
     while (planner.manner != Manner::kMute && planner.running < kCores && !planner.line.empty()) {
@@ -432,37 +452,42 @@
         tell(planner, held, wt::Result::kRejected);
         continue;
       }
-      planner.started[held.request] = true;
-      ++planner.running;
-      if (++requests_[held.request].runs > 1) fail("op " + std::to_string(held.request) + " ran twice");
-      if (const std::uint64_t mark = requests_[held.request].mark; mark != 0) {
-        Memory& memory = planner.memory.at(mark);
-        memory.state = Memory::kRunning;
-        const auto before = ran_.find(mark);
-        if (before != ran_.end() && memory.admitted < before->second + kWindow)
-          fail("key " + std::to_string(mark) + " ran twice within its window");
-        ran_[mark] = memory.admitted;
-      }
-      if (requests_[held.request].rejected)
-        fail("op " + std::to_string(held.request) + " ran after it was nacked");
-      note("p" + std::to_string(p) + " runs op " + std::to_string(held.request));
-      const std::uint64_t epoch = planner.epoch;
-      const double takes = -std::log(1 - chance()) * 0.02 * (planner.manner == Manner::kSlow ? 10 : 1);
-      after(takes, [this, p, epoch, held] {
-        Planner& later = *planners_[static_cast<std::size_t>(p)];
-        if (later.epoch != epoch) return;
-        --later.running;
-        const bool good = random_() % 50 != 0;
-        tell(later, held, good ? wt::Result::kSucceeded : wt::Result::kFailed);
-        if (const std::uint64_t mark = requests_[held.request].mark; mark != 0) {
-          Memory& memory = later.memory.at(mark);
-          memory.state = good ? Memory::kEnded : Memory::kUnknown;
-          for (const Held& wait : std::exchange(memory.waits, {}))
-            tell(later, wait, good ? wt::Result::kSucceeded : wt::Result::kUnknown);
-        }
-        run_more(p);
-      });
+      start_run(p, held);
+    }
+  }
+  void start_run(int p, const Held& held) {
+    Planner& planner = *planners_[static_cast<std::size_t>(p)];
+    planner.started[held.request] = true;
+    ++planner.running;
+    if (++requests_[held.request].runs > 1) fail("op " + std::to_string(held.request) + " ran twice");
+    if (const std::uint64_t mark = requests_[held.request].mark; mark != 0) {
+      Memory& memory = planner.memory.at(mark);
+      memory.state = Memory::kRunning;
+      const auto before = ran_.find(mark);
+      if (before != ran_.end() && memory.admitted < before->second + kWindow)
+        fail("key " + std::to_string(mark) + " ran twice within its window");
+      ran_[mark] = memory.admitted;
+    }
+    if (requests_[held.request].rejected)
+      fail("op " + std::to_string(held.request) + " ran after it was nacked");
+    note("p" + std::to_string(p) + " runs op " + std::to_string(held.request));
+    const std::uint64_t epoch = planner.epoch;
+    const double takes = -std::log(1 - chance()) * 0.02 * (planner.manner == Manner::kSlow ? 10 : 1);
+    after(takes, [this, p, epoch, held] { end_run(p, epoch, held); });
+  }
+  void end_run(int p, std::uint64_t epoch, const Held& held) {
+    Planner& planner = *planners_[static_cast<std::size_t>(p)];
+    if (planner.epoch != epoch) return;
+    --planner.running;
+    const bool good = random_() % 50 != 0;
+    tell(planner, held, good ? wt::Result::kSucceeded : wt::Result::kFailed);
+    if (const std::uint64_t mark = requests_[held.request].mark; mark != 0) {
+      Memory& memory = planner.memory.at(mark);
+      memory.state = good ? Memory::kEnded : Memory::kUnknown;
+      for (const Held& wait : std::exchange(memory.waits, {}))
+        tell(planner, wait, good ? wt::Result::kSucceeded : wt::Result::kUnknown);
     }
+    run_more(p);
   }
   void forwarder_hears(const std::shared_ptr<Link>& link, const wt::Message& message) {
     Forwarder& forwarder = *forwarders_[static_cast<std::size_t>(link->forwarder)];
@@ -515,7 +540,7 @@
     while (names.empty()) {
       for (int p = 0; p < kPlanners; ++p) {
         if (random_() % 3 != 0)
-          names.push_back(std::string("p1 p2 p3 p4").substr(static_cast<std::size_t>(3 * p), 2));
+          names.push_back(std::string("p1 p2 p3 p4").substr(3 * static_cast<std::size_t>(p), 2));
       }
     }
     for (const auto& f : forwarders_) {
--- a/tests/tier/forwarder_program.cpp
+++ b/tests/tier/forwarder_program.cpp
@@ -1,6 +1,6 @@
 // A forwarder among callers and scripted planners, each wrong in one way beside a sound one; then real
 // planners that are killed, leave, stop and come back. The checker of the rules reads what all of them saw.
-// CTest compares with tests/traces/tier_program_NAME.txt. usage: tier_program BINARY SCENARIO
+// CTest compares with tests/traces/tier_program_NAME.txt. usage: tier_forwarder_program BINARY SCENARIO
 #include <fmt/format.h>
 
 #include <csignal>
@@ -57,7 +57,7 @@
   return out;
 }
 
-void verdict(const Journal& journal, RuleLimits limits) {
+void verdict(const Journal& journal, const RuleLimits& limits) {
   const Verdict v = check_rules(journal, limits);
   for (const std::string& line : v.broken) std::printf("%s\n", line.c_str());
   std::printf("rules: %s\n", v.kept() ? "kept" : "BROKEN");
--- a/tests/tier/planner_client.cpp
+++ b/tests/tier/planner_client.cpp
@@ -1,6 +1,6 @@
 // A forwarder's link to a planner that stops reading and then goes: what is told to have never left must not
 // have arrived, whole, for a second attempt begins on the strength of it. The other end is a bare socket of
-// this process. CTest compares with tests/traces/planner_link.txt. usage: planner_link
+// this process. CTest compares with tests/traces/planner_link.txt. usage: planner_client
 #include "peers/tier/planner_client.h"
 
 #include <fcntl.h>
@@ -132,6 +132,8 @@
     listener_ = standins::listening_socket(port);
     look();
   }
+  Peer(const Peer&) = delete;
+  Peer& operator=(const Peer&) = delete;
   ~Peer() {
     reactor_.cancel(timer_);
     ::close(listener_);
@@ -172,13 +174,15 @@
   net::Reactor::TimerId timer_;
 };
 
-struct SessionStart {
-  explicit SessionStart(std::string words) : log(Level::kError), peer(stepped.reactor, std::move(words)) {
+struct Play {
+  explicit Play(std::string words) : log(Level::kError), peer(stepped.reactor, std::move(words)) {
     planners = std::make_unique<peers::PlannerClient>(
         stepped.reactor, peers::PlannerClient::Self{"f1", 7, {"read"}}, 1 << 20, seen, counters, log);
     planners->add(fmt::format("127.0.0.1:{}", peer.port));
   }
-  ~SessionStart() { stepped.end(); }
+  ~Play() { stepped.end(); }
+  Play(const Play&) = delete;
+  Play& operator=(const Play&) = delete;
   void run_for(double seconds) { stepped.run_for(seconds); }
   SteppedReactor stepped;
   Counters counters;
@@ -200,7 +204,7 @@
   wt::Hello other = sound, forwarder = sound;
   other.version = 99;
   forwarder.is_planner = false;
-  const std::pair<const char*, std::string> kWords[] = {
+  const std::pair<const char*, std::string> greetings_sent[] = {
       {"another version", wt::encode(other)},
       {"a forwarder", wt::encode(forwarder)},
       {"an answer first", wt::encode(wt::Answer{})},
@@ -208,19 +212,19 @@
       {"what only forwarders say", wt::encode(sound) + wt::encode(wt::Cancel{1})},
       {"no frame at all", std::string(64, 'x')},
       {"a sound hello", wt::encode(sound)}};
-  for (const auto& [what, words] : kWords) {
-    SessionStart g(words);
+  for (const auto& [what, words] : greetings_sent) {
+    Play g(words);
     g.run_for(0.35);
     std::printf("%s: up %s, lost %s, opened again %s\n", what, yes(g.seen.up), yes(g.seen.lost),
                 yes(g.peer.accepted > 1));
   }
-  SessionStart mute("");
+  Play mute("");
   mute.run_for(0.8);
   const int before = mute.peer.accepted;
   mute.run_for(0.8);
   std::printf("nothing said: after 0.8 s %d connection, after 1.6 s more: %s\n", before,
               yes(mute.peer.accepted > before));
-  SessionStart sounds(wt::encode(sound));
+  Play sounds(wt::encode(sound));
   for (int i = 0; i < 12; ++i) {
     sounds.run_for(0.1);
     sounds.peer.say(wt::Pong{1});
--- a/tests/tier/planner_program.cpp
+++ b/tests/tier/planner_program.cpp
@@ -1,6 +1,6 @@
 // A planner's process among scripted forwarders, each of which breaks one rule of the protocol or is cut off
-// at a bad moment. CTest compares with tests/traces/planner_program_NAME.txt. usage: planner_program BINARY
-// SCENARIO
+// at a bad moment. CTest compares with tests/traces/planner_program_NAME.txt. usage: tier_planner_program
+// BINARY SCENARIO
 #include <csignal>
 #include <memory>
 #include <vector>
@@ -180,6 +180,7 @@
   Link first(play);
   first.hello("f0", 1);
   std::vector<std::unique_ptr<Link>> crowd;
+  crowd.reserve(200);
   for (int i = 0; i < 200; ++i) crowd.push_back(std::make_unique<Link>(play));
   first.ping_for(0.5);
   say("who is there is served", first.submit(1, 4001).answer(1) == 0);
--- a/tests/tier/policy_traces.cpp
+++ b/tests/tier/policy_traces.cpp
@@ -24,15 +24,21 @@
 // ---- The picker on its own.
 std::vector<std::string> names(int count) {
   std::vector<std::string> out;
+  out.reserve(static_cast<std::size_t>(count));
   for (int i = 0; i < count; ++i) out.push_back("10.0.0." + std::to_string(i + 1) + ":7000");
   return out;
 }
 
-void picker() {
-  pcg32 random(5);
-  const auto chance = [&] { return random() / 4294967296.0; };
-  PickerOptions terms;
-  terms.slow_start_seconds = 0;
+using Chance = std::function<double()>;
+
+PickerOptions without_slow_start() {
+  PickerOptions options;
+  options.slow_start_seconds = 0;
+  return options;
+}
+
+void picker_subjects(pcg32& random, const Chance& chance) {
+  const PickerOptions terms = without_slow_start();
   {  // A subject stays where it is while planners come and go.
     Picker five(terms, names(5));
     for (int i = 0; i < 5; ++i) five.on_link_up(i, 100, 0);
@@ -65,6 +71,10 @@
     std::printf("a hot subject: most at one planner within 1.35 x the mean: %s\n",
                 worst <= 1.35 ? "yes" : "no");
   }
+}
+
+void picker_capacity(const Chance& chance) {
+  const PickerOptions terms = without_slow_start();
   {  // Without subjects the emptier of two.
     Picker eight(terms, names(8));
     for (int i = 0; i < 8; ++i) eight.on_link_up(i, 100, 0);
@@ -84,67 +94,88 @@
     std::printf("slow start: room of 100 after 0, 0.5, 1, 1.5 s: %d, %d, %d, %d\n", two.free_capacity(1, 0),
                 two.free_capacity(1, 0.5), two.free_capacity(1, 1), two.free_capacity(1, 1.5));
   }
-  {  // Outliers go, for longer each time, but never more than half.
-    Picker four(terms, names(4));
-    for (int i = 0; i < 4; ++i) four.on_link_up(i, 1000, 0);
-    const auto round = [&](int planner, AttemptOutcome how, double took, double now) {
-      for (int i = 0; i < 20; ++i) {
-        four.on_attempt_sent(planner);
-        four.on_attempt_ended(planner, how, took, now);
-      }
-    };
-    for (const int sound : {0, 1, 2}) round(sound, AttemptOutcome::kSucceeded, 0.02, 1);
-    round(3, AttemptOutcome::kFailed, 0.5, 1);
-    std::printf("one fails: left out %s\n", four.is_ejected(3, 1) ? "yes" : "no");
-    for (int i = 0; i < 20; ++i) round(2, AttemptOutcome::kRejected, 0.001, 1);
-    std::printf("a second nacks everything: left out %s\n", four.is_ejected(2, 1) ? "yes" : "no");
-    round(1, AttemptOutcome::kFailed, 1, 1);
-    round(1, AttemptOutcome::kFailed, 1, 1);
-    round(1, AttemptOutcome::kFailed, 1, 1);
-    std::printf("a third fails: left out %s, so many %d of 4\n", four.is_ejected(1, 1) ? "yes" : "no",
-                four.ejected_count(1));
-    double back = 1;
-    while (four.is_ejected(3, back)) back += 0.25;
-    round(3, AttemptOutcome::kFailed, 0.5, back);
-    double again = back;
-    while (four.is_ejected(3, again)) again += 0.25;
-    std::printf("left out for %.0f s, then for %.0f s\n", back - 1, again - back);
-    Picker all(terms, names(2));
-    for (int i = 0; i < 2; ++i) all.on_link_up(i, 1000, 0);
-    for (int i = 0; i < 64; ++i) {
-      for (int p = 0; p < 2; ++p) {
-        all.on_attempt_sent(p);
-        all.on_attempt_ended(p, AttemptOutcome::kFailed, 1, 1);
-      }
-    }
-    std::printf("all fail alike: left out %d\n", all.ejected_count(1));
-    Picker lag(terms, names(3));
-    for (int i = 0; i < 3; ++i) lag.on_link_up(i, 1000, 0);
+}
+
+// Outliers go, for longer each time, but never more than half.
+void picker_outliers() {
+  const PickerOptions terms = without_slow_start();
+  Picker four(terms, names(4));
+  for (int i = 0; i < 4; ++i) four.on_link_up(i, 1000, 0);
+  const auto round = [&](int planner, AttemptOutcome how, double took, double now) {
     for (int i = 0; i < 20; ++i) {
-      for (int p = 0; p < 3; ++p) {
-        lag.on_attempt_sent(p);
-        lag.on_attempt_ended(p, AttemptOutcome::kSucceeded, p == 1 ? 0.5 : 0.05, 1);
-      }
+      four.on_attempt_sent(planner);
+      four.on_attempt_ended(planner, how, took, now);
+    }
+  };
+  for (const int sound : {0, 1, 2}) round(sound, AttemptOutcome::kSucceeded, 0.02, 1);
+  round(3, AttemptOutcome::kFailed, 0.5, 1);
+  std::printf("one fails: left out %s\n", four.is_ejected(3, 1) ? "yes" : "no");
+  for (int i = 0; i < 20; ++i) round(2, AttemptOutcome::kRejected, 0.001, 1);
+  std::printf("a second nacks everything: left out %s\n", four.is_ejected(2, 1) ? "yes" : "no");
+  round(1, AttemptOutcome::kFailed, 1, 1);
+  round(1, AttemptOutcome::kFailed, 1, 1);
+  round(1, AttemptOutcome::kFailed, 1, 1);
+  std::printf("a third fails: left out %s, so many %d of 4\n", four.is_ejected(1, 1) ? "yes" : "no",
+              four.ejected_count(1));
+  double back = 1;
+  while (four.is_ejected(3, back)) back += 0.25;
+  round(3, AttemptOutcome::kFailed, 0.5, back);
+  double again = back;
+  while (four.is_ejected(3, again)) again += 0.25;
+  std::printf("left out for %.0f s, then for %.0f s\n", back - 1, again - back);
+}
+
+// What all do, or one only in its latency.
+void picker_comparisons() {
+  const PickerOptions terms = without_slow_start();
+  Picker all(terms, names(2));
+  for (int i = 0; i < 2; ++i) all.on_link_up(i, 1000, 0);
+  for (int i = 0; i < 64; ++i) {
+    for (int p = 0; p < 2; ++p) {
+      all.on_attempt_sent(p);
+      all.on_attempt_ended(p, AttemptOutcome::kFailed, 1, 1);
+    }
+  }
+  std::printf("all fail alike: left out %d\n", all.ejected_count(1));
+  Picker lag(terms, names(3));
+  for (int i = 0; i < 3; ++i) lag.on_link_up(i, 1000, 0);
+  for (int i = 0; i < 20; ++i) {
+    for (int p = 0; p < 3; ++p) {
+      lag.on_attempt_sent(p);
+      lag.on_attempt_ended(p, AttemptOutcome::kSucceeded, p == 1 ? 0.5 : 0.05, 1);
     }
-    std::printf("one is ten times slower: left out %s\n", lag.is_ejected(1, 1) ? "yes" : "no");
-    Picker choice(terms, names(2));
-    for (int i = 0; i < 2; ++i) choice.on_link_up(i, 100, 0);
-    const auto to_first = [&] {
-      int first = 0;
-      for (int i = 0; i < 100; ++i) first += *choice.pick(0, 1, chance) == 0;
-      return first;
-    };
-    choice.on_load_report(0, 100, 3, true);
-    choice.on_load_report(1, 100, 1, true);
-    std::printf("the first's next slot is worth more: it gets %d of 100\n", to_first());
-    choice.on_load_report(0, 100, 1, true);
-    choice.on_load_report(1, 100, 1, false);
-    std::printf("the second is not well: the first gets %d of 100\n", to_first());
-    choice.on_draining(0);
-    std::printf("and leaves: it gets %d of 100\n", to_first());
-    choice.remove(1);
-    std::printf("and nobody wants the second: %s\n", choice.pick(0, 1, chance) ? "picked" : "none");
   }
+  std::printf("one is ten times slower: left out %s\n", lag.is_ejected(1, 1) ? "yes" : "no");
+}
+
+void picker_choice(const Chance& chance) {
+  Picker choice(without_slow_start(), names(2));
+  for (int i = 0; i < 2; ++i) choice.on_link_up(i, 100, 0);
+  const auto to_first = [&] {
+    int first = 0;
+    for (int i = 0; i < 100; ++i) first += *choice.pick(0, 1, chance) == 0;
+    return first;
+  };
+  choice.on_load_report(0, 100, 3, true);
+  choice.on_load_report(1, 100, 1, true);
+  std::printf("the first's next slot is worth more: it gets %d of 100\n", to_first());
+  choice.on_load_report(0, 100, 1, true);
+  choice.on_load_report(1, 100, 1, false);
+  std::printf("the second is not well: the first gets %d of 100\n", to_first());
+  choice.on_draining(0);
+  std::printf("and leaves: it gets %d of 100\n", to_first());
+  choice.remove(1);
+  std::printf("and nobody wants the second: %s\n", choice.pick(0, 1, chance) ? "picked" : "none");
+}
+
+void picker() {
+  pcg32 random(5);
+  const Chance chance = [&] { return random() / 4294967296.0; };
+  picker_subjects(random, chance);
+  picker_capacity(chance);
+  picker_outliers();
+  picker_comparisons();
+  picker_choice(chance);
 }
 
 // ---- The line and the outlook.
@@ -207,12 +238,27 @@
 }
 
 // ---- What a planner holds.
+const char* text(wt::Result result) {
+  const char* names[] = {"acked",    "nacked",    "failed",  "unknown",
+                         "conflict", "never ran", "running", "forgotten"};
+  return names[static_cast<int>(result)];
+}
+
+void holdings_full(ForwarderSessions& holds) {
+  wt::Answer answer;
+  holds.open_session("a", 1, 4);
+  holds.open_session("b", 1, 5);
+  std::printf("a third forwarder of two: %s\n",
+              holds.open_session("c", 1, 6).forwarder == 0 ? "no room" : "taken");
+  holds.on_link_lost(4, 30);
+  const auto third = holds.open_session("c", 1, 6).forwarder;
+  std::printf("where one of them is away: %s\n", third == 0 ? "no room" : "taken");
+  answer.attempt = 77;
+  std::printf("an answer to what was never taken: to link %llu\n",
+              static_cast<unsigned long long>(holds.record_answer(third, answer)));
+}
+
 void holdings() {
-  const auto text = [](wt::Result result) {
-    const char* names[] = {"acked",    "nacked",    "failed",  "unknown",
-                           "conflict", "never ran", "running", "forgotten"};
-    return names[static_cast<int>(result)];
-  };
   ForwarderSessions holds({0.75, 1024, 2, 3});
   const auto f = holds.open_session("f1", 7, 1).forwarder;
   bool started = false;
@@ -264,16 +310,7 @@
   holds.on_link_lost(3, 20);
   std::printf("away for 0.5 s: %zu ops gone, for 0.8 s: %zu\n", holds.take_expired(20.5).size(),
               holds.take_expired(20.8).size());
-  holds.open_session("a", 1, 4);
-  holds.open_session("b", 1, 5);
-  std::printf("a third forwarder of two: %s\n",
-              holds.open_session("c", 1, 6).forwarder == 0 ? "no room" : "taken");
-  holds.on_link_lost(4, 30);
-  const auto third = holds.open_session("c", 1, 6).forwarder;
-  std::printf("where one of them is away: %s\n", third == 0 ? "no room" : "taken");
-  answer.attempt = 77;
-  std::printf("an answer to what was never taken: to link %llu\n",
-              static_cast<unsigned long long>(holds.record_answer(third, answer)));
+  holdings_full(holds);
 }
 
 // The longest result that a runtime may give passes whole; nothing longer is read.
@@ -300,30 +337,34 @@
   std::printf("one that ends within its field: %s\n", state(ping));
 }
 
+constexpr std::uint64_t kKeyCount = 4000;
+
+// Prints where keys belong.
+void tell(const char* when, const KeyOwnership& homes, double now) {
+  int asks = 0, barred = 0, twice = 0, none = 0;
+  std::vector<int> at(4);
+  for (std::uint64_t mark = 1; mark <= kKeyCount; ++mark) {
+    const KeyRoute way = homes.route(mark, now);
+    asks += !way.former_owners.empty();
+    barred += !way.may_run;
+    twice += way.former_owners.size() > 1;
+    none += way.owner < 0;
+    if (way.owner >= 0) ++at[static_cast<std::size_t>(way.owner)];
+    if (std::find(way.former_owners.begin(), way.former_owners.end(), way.owner) != way.former_owners.end())
+      std::printf("asks where it belongs\n");
+  }
+  std::printf(
+      "%-32s %4.0f%% %4.0f%% %4.0f%% %4.0f%%, asked first %3.0f%%, of two %3.0f%%, not yet %3.0f%%%s\n", when,
+      at[0] * 100.0 / kKeyCount, at[1] * 100.0 / kKeyCount, at[2] * 100.0 / kKeyCount,
+      at[3] * 100.0 / kKeyCount, asks * 100.0 / kKeyCount, twice * 100.0 / kKeyCount,
+      barred * 100.0 / kKeyCount, none > 0 ? ", nowhere" : "");
+}
+
 // Where keys belong while lists change.
 void homes() {
   const std::vector<std::pair<int, std::string>> three = {{0, "p1"}, {1, "p2"}, {2, "p3"}},
                                                  four = {{0, "p1"}, {1, "p2"}, {2, "p3"}, {3, "p4"}},
                                                  two = {{0, "p1"}, {2, "p3"}};
-  constexpr std::uint64_t kMarks = 4000;
-  const auto tell = [](const char* when, const KeyOwnership& homes, double now) {
-    int asks = 0, barred = 0, twice = 0, none = 0;
-    std::vector<int> at(4);
-    for (std::uint64_t mark = 1; mark <= kMarks; ++mark) {
-      const KeyRoute way = homes.route(mark, now);
-      asks += !way.former_owners.empty();
-      barred += !way.may_run;
-      twice += way.former_owners.size() > 1;
-      none += way.owner < 0;
-      if (way.owner >= 0) ++at[static_cast<std::size_t>(way.owner)];
-      if (std::find(way.former_owners.begin(), way.former_owners.end(), way.owner) != way.former_owners.end())
-        std::printf("asks where it belongs\n");
-    }
-    std::printf(
-        "%-32s %4.0f%% %4.0f%% %4.0f%% %4.0f%%, asked first %3.0f%%, of two %3.0f%%, not yet %3.0f%%%s\n",
-        when, at[0] * 100.0 / kMarks, at[1] * 100.0 / kMarks, at[2] * 100.0 / kMarks, at[3] * 100.0 / kMarks,
-        asks * 100.0 / kMarks, twice * 100.0 / kMarks, barred * 100.0 / kMarks, none > 0 ? ", nowhere" : "");
-  };
   KeyOwnership homes({2, 10});
   homes.set_planners(three, 0);
   tell("three", homes, 0);
--- a/tests/tier/slow_start.cpp
+++ b/tests/tier/slow_start.cpp
@@ -206,15 +206,15 @@
 // counts.
 void processes() {
   for (const PlannerManner manner : {PlannerManner::kSound, PlannerManner::kRejections}) {
-    constexpr int kForwarders = 20;
-    constexpr double kBudget = 12;
+    constexpr int forwarder_count = 20;
+    constexpr double budget = 12;
     Loop loop;
     Journal journal;
     journal.lives.push_back({now(), -1, -1, -1, false, 0, {}});
     Planner::Options how;
     how.manner = manner;
     how.takes = 0.1;
-    how.cold = kBudget;
+    how.cold = budget;
     Planner planner(loop, journal, how);
     Callers::Options load;
     Flow pull{"pull", 400, 1};
@@ -222,7 +222,7 @@
     load.connections = 4;
     Callers callers(loop, journal, load);
     std::vector<std::unique_ptr<Server>> forwarders;
-    for (int i = 0; i < kForwarders; ++i) {
+    for (int i = 0; i < forwarder_count; ++i) {
       SiteSpec spec;
       spec.types = {{"pull", "retryable", 1, 2, 0, 1}};
       spec.command = "forward";
@@ -232,21 +232,21 @@
           std::make_unique<Server>(loop, journal, callers, binary, spec, Runtime::Options{}, i));
       if (!forwarders.back()->start()) std::printf("a forwarder does not start\n");
     }
-    const bool linked = loop.run_until([&] { return planner.linked() == kForwarders; }, 20);
+    const bool linked = loop.run_until([&] { return planner.linked() == forwarder_count; }, 20);
     loop.run_for(1);
     const std::uint64_t before = planner.taken();
     loop.run_for(4);
     const double a_second = static_cast<double>(planner.taken() - before) / 4;
     say("twenty processes are linked", linked);
     say(fmt::format("{}: open at once within {} and chance",
-                    manner == PlannerManner::kRejections ? "all nacked" : "all served", kBudget),
-        static_cast<double>(planner.most_open()) <= kBudget + chance_over(kBudget));
+                    manner == PlannerManner::kRejections ? "all nacked" : "all served", budget),
+        static_cast<double>(planner.most_open()) <= budget + chance_over(budget));
     // A rejected attempt keeps its room for a quarter of a second: four times the budget a second, and
     // chance.
     if (manner == PlannerManner::kRejections)
-      say("sent within four budgets a second and chance", a_second <= 4 * kBudget + chance_over(4 * kBudget));
+      say("sent within four budgets a second and chance", a_second <= 4 * budget + chance_over(4 * budget));
     say("every one of them has sent some", planner.fewest_sent() >= 1);
-    say("the budget is used", a_second > kBudget);
+    say("the budget is used", a_second > budget);
     std::fprintf(stderr, "most open %zu, %.1f a second, fewest sent %llu\n", planner.most_open(), a_second,
                  static_cast<unsigned long long>(planner.fewest_sent()));
   }
@@ -255,19 +255,19 @@
 // A real planner that comes up cold, and what it tells twenty forwarders, who come one after the other and of
 // whom some go.
 void planner() {
-  constexpr double kFrom = 0.2, kTime = 4;
-  constexpr int kLinks = 20;
+  constexpr double initial_speed = 0.2, warm_up_seconds = 4;
+  constexpr int link_count = 20;
   Loop loop;
   Journal journal;
   Callers callers(loop, journal, {});
   SiteSpec spec;
   spec.types = {{"read", "retryable", 1, 2, 0, 1}};
   spec.command = "plan";
-  spec.slow_start_speed = kFrom;
-  spec.slow_start_seconds = kTime;
+  spec.slow_start_speed = initial_speed;
+  spec.slow_start_seconds = warm_up_seconds;
   Runtime::Options work;
-  work.slow_start_speed = kFrom;
-  work.slow_start_seconds = kTime;
+  work.slow_start_speed = initial_speed;
+  work.slow_start_seconds = warm_up_seconds;
   Server server(loop, journal, callers, binary, spec, work);
   say("starts", server.start());
   const double began = now();  // its runtime began before: the budget reckoned from here is the smaller one
@@ -284,12 +284,13 @@
         if (links[i]->window > 0) had.insert(i);
       }
       const double age = now() - began;
-      const double budget = damsonspoke::tier::slow_start_budget(spec.cores, kFrom, kTime, age + 0.5);
-      if (age < kTime - 0.5) over = std::max(over, sum - budget - chance_over(budget));
+      const double budget =
+          damsonspoke::tier::slow_start_budget(spec.cores, initial_speed, warm_up_seconds, age + 0.5);
+      if (age < warm_up_seconds - 0.5) over = std::max(over, sum - budget - chance_over(budget));
     }
   };
   const std::uint16_t port = server.port();
-  for (int i = 0; i < kLinks; ++i) {
+  for (int i = 0; i < link_count; ++i) {
     links.push_back(std::make_unique<ScriptedForwarder>(loop, port));
     links.back()->hello(fmt::format("f{}", i).c_str(), 7);
     watch(0.02);
@@ -302,7 +303,7 @@
     if (i == 4) links[3].reset(), links[7].reset();
   }
   say("what they are told sums to the budget and chance at most", over <= 0);
-  say("every one of them had a part", had.size() == kLinks);
+  say("every one of them had a part", had.size() == link_count);
   for (int i = 0; i < 12; ++i) {
     for (const auto& link : links) {
       if (link) link->send(damsonspoke::wire::tier::Ping{1});
