--- a/src/tier/dispatch.cpp
+++ b/src/tier/dispatch.cpp
@@ -153,7 +153,7 @@
 
 // The request's attempt is proven never to have run: it may go to another planner if one has capacity, the
 // retry budget allows it and the request is not keyed.
-void Dispatch::retry_or_reject(RequestId id, int exclude, double retry_after_told, bool no_retry,
+void Dispatch::retry_or_reject(RequestId id, int exclude, double planner_retry_after, bool no_retry,
                                double now) {
   requests_.cancel_fence(id);
   const PendingRequest& request = requests_.at(id);
@@ -166,7 +166,7 @@
       return;
     }
   }
-  reject(id, retry_after_told > 0 ? retry_after_told : retry_after(waiting_requests(), now), no_retry);
+  reject(id, planner_retry_after > 0 ? planner_retry_after : retry_after(waiting_requests(), now), no_retry);
 }
 
 // ---- Answers.
--- a/src/tier/dispatch.h
+++ b/src/tier/dispatch.h
@@ -44,8 +44,8 @@
   void on_load_report(int planner, std::uint32_t window, double slot_value, bool is_healthy, double now);
   void on_planner_draining(int planner, double now);
   // A planner answered an attempt. Returns the request that is complete and whose success or failure the
-  // caller has to pass on. None where the answer was dropped or dealt with here. `retry_after`: s, 0: not
-  // told.
+  // caller has to pass on. None where the answer was dropped or dealt with here. `retry_after`: s, 0: none
+  // was given.
   std::optional<RequestId> on_answer(int planner, std::uint64_t epoch, Attempt attempt, AnswerKind how,
                                      double retry_after, bool no_retry, double now);
 
@@ -92,7 +92,7 @@
   void dispatch_queue(WaitQueue& queue, std::optional<int> only_planner, double now);
   [[nodiscard]] std::uint64_t attempt_step();
   void send(RequestId id, int planner, double now);
-  void retry_or_reject(RequestId id, int exclude, double retry_after, bool no_retry, double now);
+  void retry_or_reject(RequestId id, int exclude, double planner_retry_after, bool no_retry, double now);
   void on_key_unknown(RequestId id, double now);
   void on_success(RequestId id, int planner, double now);
   void complete(RequestId id);
--- a/src/tier/wait_estimator.h
+++ b/src/tier/wait_estimator.h
@@ -30,7 +30,7 @@
   void on_no_planner(double now);
 
   // Whether a request of the route can finish within `remaining` s behind `ahead` others. True while nothing
-  // is known: the first requests tell.
+  // is known: the first requests show it.
   [[nodiscard]] bool can_finish_in_time(std::size_t route, std::size_t ahead, double remaining, double now);
   // When the caller of a rejected request should retry (s), longer the longer no planner has been there.
   // `random` (0 to below 1) spreads the retries.
