--- a/src/app/forwarder.cpp
+++ b/src/app/forwarder.cpp
@@ -36,8 +36,9 @@
       reread_(std::move(reread)),
       log_(log),
       catalog_(catalog::Catalog::from_settings(config_.site, {}, draw_epoch())),
-      forward_(reactor_, ports_, config_.site, options_.forward, options_.results,
-               part(config_.limits, kBodyShare), draw_epoch(), counters_, log_),
+      forward_(reactor_, ports_, config_.site,
+               {options_.forward, options_.results, part(config_.limits, kBodyShare)}, draw_epoch(),
+               counters_, log_),
       callers_(reactor_, config_.listen, *catalog_, marks(options_.results),
                {connections_that_fit(config_.limits, kMostPlanners, peers::JsonRpcServer::kMostInput),
                 part(config_.limits, kOutputShare)},
@@ -52,8 +53,8 @@
                                     static_cast<double>(options_.forward.queue_length)};
           },
           counters_, log_),
-      roll_call_({}),
-      planners_in_force_(options_.forward.planners) {
+      discovery_({}),
+      current_planners_(options_.forward.planners) {
   ports_ = {&callers_, &planners_, &registry_};
   std::signal(SIGPIPE, SIG_IGN);
   std::signal(SIGXFSZ, SIG_IGN);  // a file that may not grow any more: the write says so, nobody dies of it
@@ -71,9 +72,9 @@
 void Forwarder::take_planners() {
   if (!options_.forward.from_members || leaving_since_ >= 0) return;
   const std::vector<std::string> now =
-      roll_call_.planners(options_.forward.planners, membership_.planners(), net::monotonic_now());
-  if (now == planners_in_force_) return;
-  planners_in_force_ = now;
+      discovery_.update(options_.forward.planners, membership_.planners(), net::monotonic_now());
+  if (now == current_planners_) return;
+  current_planners_ = now;
   forward_.set_planners(now);
   log_.info("forwarder", "members tell of planners: {} now", now.size());
 }
@@ -108,11 +109,11 @@
   registry_.move_to(config_.registry = next.registry);
   options_.forward.planners = choice.options.forward.planners;
   options_.forward.from_members = choice.options.forward.from_members;
-  planners_in_force_ = options_.forward.planners;
+  current_planners_ = options_.forward.planners;
   if (options_.forward.from_members)
-    planners_in_force_ =
-        roll_call_.planners(options_.forward.planners, membership_.planners(), net::monotonic_now());
-  forward_.set_planners(planners_in_force_);
+    current_planners_ =
+        discovery_.update(options_.forward.planners, membership_.planners(), net::monotonic_now());
+  forward_.set_planners(current_planners_);
   membership_.on_configuration_reloaded(choice);
   log_.info("forwarder", "new configuration: {} planners", options_.forward.planners.size());
 }
--- a/src/app/membership.cpp
+++ b/src/app/membership.cpp
@@ -95,8 +95,8 @@
   if (transport_) transport_->report();
 }
 
-std::vector<tier::PlannerSeen> Membership::planners() const {
-  std::vector<tier::PlannerSeen> found;
+std::vector<tier::PlannerStatus> Membership::planners() const {
+  std::vector<tier::PlannerStatus> found;
   if (!transport_) return found;
   for (const members::MemberStatus& member : transport_->known_members()) {
     if (!member.load_report || member.load_report->role != "planner") continue;
--- a/src/app/membership.h
+++ b/src/app/membership.h
@@ -40,7 +40,7 @@
   // Brings the counters up to date.
   void report();
   // The members that serve as planners, for a forwarder.
-  [[nodiscard]] std::vector<tier::PlannerSeen> planners() const;
+  [[nodiscard]] std::vector<tier::PlannerStatus> planners() const;
   // Called when members have changed, and with each load report.
   std::function<void()> on_change;
 
--- a/src/tier/dispatch.cpp
+++ b/src/tier/dispatch.cpp
@@ -1,465 +1,337 @@
 #include "tier/dispatch.h"
 
-#include <xxhash.h>
-
 #include <algorithm>
+#include <utility>
 
 namespace damsonspoke::tier {
 namespace {
 
-constexpr double kTick = 0.05;       // s; between looks while requests wait or planners are away
-constexpr double kStopMargin = 0.2;  // s before the stop; what is owed leaves by then
-constexpr double kFenceAgain =
-    0.05;  // s; until a late attempt is looked at again that has nowhere else to go
+constexpr double kPollSeconds = 0.05;       // while requests wait
+constexpr double kStopMarginSeconds = 0.2;  // before the stop, by when every reply has to leave
+constexpr double kFenceRecheckSeconds = 0.05;
 
 }  // namespace
 
-Dispatch::Dispatch(DispatchOptions terms, std::size_t routes, const std::vector<std::string>& planners,
-                   DispatchSink& host, std::function<double()> chance, double now)
-    : terms_(terms),
-      host_(host),
-      chance_(std::move(chance)),
-      picker_(terms.picker, {}),
-      outlook_(terms.outlook, routes, now),
-      retries_(terms.retry_share, terms.retry_burst),
-      homes_of_keys_(terms.homes),
-      line_(terms.queue_requests, terms.line_bytes) {
+Dispatch::Dispatch(const DispatchOptions& options, std::size_t routes,
+                   const std::vector<std::string>& planners, DispatchSink& sink,
+                   std::function<double()> random, double now)
+    : options_(options),
+      sink_(sink),
+      random_(std::move(random)),
+      picker_(options.picker, {}),
+      wait_estimator_(options.wait_estimator, routes, now),
+      retry_budget_(options.retry_share, options.retry_burst),
+      key_ownership_(options.key_ownership),
+      queues_(options.max_waiting_requests, options.max_waiting_bytes) {
   set_planners(planners, now);
 }
 
-int Dispatch::position(const std::string& name, double now) {
-  for (std::size_t i = 0; i < picker_.size(); ++i) {
-    if (picker_.name(static_cast<int>(i)) == name) return static_cast<int>(i);
-  }
-  homes_.emplace_back(terms_.queue_requests, terms_.line_bytes);
-  links_.emplace_back();
-  return picker_.add(name, now);
-}
+// ---- Intake.
 
-void Dispatch::set_planners(const std::vector<std::string>& names, double now) {
-  std::vector<std::pair<int, std::string>> list;
-  list.reserve(names.size());
-  for (const std::string& name : names) list.emplace_back(position(name, now), name);
-  for (std::size_t i = 0; i < picker_.size(); ++i) {
-    const int planner = static_cast<int>(i);
-    const bool wanted =
-        std::any_of(list.begin(), list.end(), [&](const auto& one) { return one.first == planner; });
-    wanted ? picker_.restore(planner) : picker_.remove(planner);
-  }
-  homes_of_keys_.list(list, now);
-  ++lists_;
-  look_at_planners(now);
-  // Keyed requests that wait find their way anew: where they were to run they may run no longer.
-  std::vector<RequestId> waiting;
-  for (WaitQueue& line : homes_) {
-    while (const std::optional<RequestId> id = line.next()) line.leave(*id), waiting.push_back(*id);
-  }
-  std::sort(waiting.begin(), waiting.end());
-  for (const RequestId id : waiting) {
-    find_way(requests_.at(id), now);
-    wait_or_refuse(id, now);
-  }
-  pump(now);
-  wake(now);
+double Dispatch::latest_reply_when_draining(double now) const {
+  return std::max(now, stop_at_ - kStopMarginSeconds);
 }
 
-void Dispatch::former_planners(const std::vector<std::string>& names, double until, double now) {
-  std::vector<std::pair<int, std::string>> list;
-  for (const std::string& name : names) {
-    const std::size_t known = picker_.size();
-    const int planner = position(name, now);
-    if (static_cast<std::size_t>(planner) >= known) picker_.remove(planner);
-    list.emplace_back(planner, name);
+void Dispatch::on_request(const ForwardedRequest& details, double now) {
+  PendingRequest request;
+  request.details = details;
+  if (details.is_keyed()) route_by_key(request, now);
+  request.deadline = now + std::max(0.0, details.remaining_time - options_.reply_margin);
+  if (is_draining()) request.deadline = std::min(request.deadline, latest_reply_when_draining(now));
+  requests_.add(request);
+  if (is_draining() && now > drain_at_ + drain_grace_) {
+    reject(details.id, options_.wait_estimator.max_retry_after, false);
+  } else {
+    enqueue_or_reject(details.id, now);
   }
-  homes_of_keys_.former(list, until);
-}
-
-bool Dispatch::done_with(int planner, double now) const {
-  return !picker_.wanted(planner) && fence_.open_at(planner) == 0 &&
-         !homes_of_keys_.may_be_asked(planner, now);
+  dispatch_waiting(now);
+  schedule_wakeup(now);
 }
 
-std::size_t Dispatch::waiting() const {
-  std::size_t count = line_.size();
-  for (const WaitQueue& line : homes_) count += line.size();
-  return count;
+double Dispatch::retry_after(std::size_t ahead, double now) {
+  return wait_estimator_.retry_after_seconds(ahead, now, random_());
 }
 
-// ---- Requests.
-void Dispatch::on_request(const ForwardedRequest& what, double now) {
-  Request request;
-  request.what = what;
-  if (what.idempotency_key_hash != 0) find_way(request, now);
-  request.due = now + std::max(0.0, what.remaining_time - terms_.due_margin);
-  if (leaving()) request.due = std::min(request.due, std::max(now, stop_at_ - kStopMargin));
-  requests_[what.id] = request;
-  due_.insert({request.due, what.id});
-  if (leaving() && now > leave_at_ + grace_) {
-    refuse(what.id, terms_.outlook.most_come_back, false, now);
-  } else {
-    wait_or_refuse(what.id, now);
-  }
-  pump(now);
-  wake(now);
+// Whether an attempt is worth beginning behind so many others.
+bool Dispatch::can_finish(const PendingRequest& request, std::size_t ahead, double now) {
+  const double remaining = request.deadline - now;
+  return remaining >= options_.min_remaining_time &&
+         wait_estimator_.can_finish_in_time(request.route(), ahead, remaining, now);
 }
 
-// Refused at once where no planner is there, or where it could not be in time any more.
-void Dispatch::wait_or_refuse(RequestId id, double now) {
-  Request& request = requests_.at(id);
-  WaitQueue& line = line_of(request);
-  if (request.what.idempotency_key_hash != 0 && !request.asking() && !request.way.may_run)
-    return refuse(id, outlook_.come_back(0, now, chance_()), false, now);
-  const std::size_t ahead = line.ahead(request.what.priority_weight);
-  const bool alone =
-      request.what.idempotency_key_hash != 0 ? request.home < 0 || !home_answers(request) : !picker_.any_up();
-  if (alone || request.due - now < terms_.least_left ||
-      !outlook_.in_time(static_cast<std::size_t>(request.what.route), ahead, request.due - now, now))
-    return refuse(id, outlook_.come_back(ahead, now, chance_()), false, now);
-  const std::optional<RequestId> goes =
-      line.enter(id, request.what.priority_weight, request.what.caller, request.what.bytes);
-  if (!goes) return;
-  ++counts_.evicted;
-  refuse(*goes, outlook_.come_back(line.size(), now, chance_()), false, now);
+// Whether a planner that may take the request is up, with or without capacity.
+bool Dispatch::has_destination(const PendingRequest& request) const {
+  if (!request.details.is_keyed()) return picker_.any_accepts_requests();
+  const int target = request.key_route.target();
+  if (target < 0) return false;
+  return request.key_route.is_lookup() ? picker_.is_reachable(target) : picker_.accepts_requests(target);
 }
 
-// A keyed request's results are remembered by one planner: its key belongs there whether that is up or not.
-// Guards against a repeat that runs a second time at a planner that has not heard of the first.
-void Dispatch::find_way(Request& request, double now) {
-  request.way = homes_of_keys_.way(request.what.idempotency_key_hash, now);
-  request.asked = 0;
-  request.way_of = lists_;
-  next_step(request);
-}
-// Where a planner has to be asked first that is on no list any more, and is not there, nothing is known of
-// the key, and it runs nowhere.
-void Dispatch::next_step(Request& request) {
-  request.home = request.asking() ? request.way.ask[request.asked] : request.way.home;
-}
-bool Dispatch::home_answers(const Request& request) const {
-  return request.asking() ? picker_.answers(request.home) : picker_.takes_requests(request.home);
-}
-int Dispatch::room_at_home(int planner, double now) const {
-  return picker_.wanted(planner) ? picker_.credits(planner, now) : picker_.asking_room(planner, now);
+// A key's results are remembered by one planner, so the key belongs there whether that planner is up or not:
+// a retry could otherwise run again at a planner that has not seen the first request.
+void Dispatch::route_by_key(PendingRequest& request, double now) {
+  request.key_route =
+      KeyRouteCursor(key_ownership_.route(request.details.idempotency_key_hash, now), list_version_);
 }
 
-// Its former home does not know it: on to the next, and then to where it runs, if it may by now.
-void Dispatch::not_known(RequestId id, double now) {
-  Request& request = requests_.at(id);
-  fences_.erase({request.fence_at, id});
-  request.fence_at = -1;
-  if (request.way_of != lists_) {  // asked by an old list: nothing may follow from it any more
-    find_way(request, now);
-    return wait_or_refuse(id, now);
+void Dispatch::enqueue_or_reject(RequestId id, double now) {
+  const PendingRequest& request = requests_.at(id);
+  const KeyRouteCursor& route = request.key_route;
+  if (request.details.is_keyed() && !route.is_lookup() && !route.may_run()) {
+    reject(id, retry_after(0, now), false);
+    return;
+  }
+  WaitQueue& queue = queues_.of_target(route.target());
+  const std::size_t ahead = queue.count_ahead(request.details.priority_weight);
+  if (!has_destination(request) || !can_finish(request, ahead, now)) {
+    reject(id, retry_after(ahead, now), false);
+    return;
   }
-  ++request.asked;
-  next_step(request);
-  wait_or_refuse(id, now);
+  const std::optional<RequestId> evicted =
+      queue.push(id, request.details.priority_weight, request.details.caller, request.details.bytes);
+  if (!evicted) return;
+  ++counters_.evicted;
+  reject(*evicted, retry_after(queue.size(), now), false);
 }
 
-WaitQueue& Dispatch::line_of(const Request& request) {
-  return request.home >= 0 ? homes_[static_cast<std::size_t>(request.home)] : line_;
+// ---- Sending.
+
+std::optional<int> Dispatch::pick(const PendingRequest& request, double now, std::optional<int> exclude) {
+  const std::uint64_t key = options_.route_by_subject ? request.details.subject : 0;
+  return picker_.pick(key, now, random_, exclude);
 }
 
-bool Dispatch::send(RequestId id, int planner, double now) {
-  Request& request = requests_.at(id);
-  const Link& link = links_[static_cast<std::size_t>(planner)];
-  const double left = request.due - now;
-  const std::uint64_t step =
-      terms_.number_steps <= 1
-          ? 1
-          : static_cast<std::uint64_t>(chance_() * static_cast<double>(terms_.number_steps)) + 1;
-  const Attempt attempt = fence_.begin(id, planner, link.epoch, step);
-  picker_.sent(planner);
-  request.sent = now;
-  ++(request.tries++ == 0 ? counts_.first_tries : counts_.second_tries);
-  if (request.tries == 1) retries_.first_try();
-  request.fence_at = now + terms_.try_share * left;
-  fences_.insert({request.fence_at, id});
-  if (request.asking()) ++counts_.asked;
-  host_.send(planner, attempt, id, left - terms_.hop, request.asking());
-  return true;
+void Dispatch::dispatch_waiting(double now) {
+  for (int planner = 0; planner < queues_.planners(); ++planner)
+    dispatch_queue(queues_.of_planner(planner), planner, now);
+  dispatch_queue(queues_.shared(), std::nullopt, now);
 }
 
-// Waiting requests go out while there is room, the more important first; those that would come too late are
-// told.
-bool Dispatch::pump_line(WaitQueue& line, std::optional<int> only, double now) {
-  bool any = false;
-  while (const std::optional<RequestId> id = line.next()) {
-    const Request& request = requests_.at(*id);
-    const std::optional<int> to = only ? (room_at_home(*only, now) > 0 ? only : std::nullopt)
-                                       : picker_.pick(terms_.by_key ? request.what.subject : 0, now, chance_);
-    if (!to) break;
-    line.leave(*id);
-    any = true;
-    const bool late =
-        request.due - now < terms_.least_left ||
-        !outlook_.in_time(static_cast<std::size_t>(request.what.route), 0, request.due - now, now);
-    if (late) {
-      refuse(*id, outlook_.come_back(line.size(), now, chance_()), false, now);
+// Sends waiting requests while there is capacity and rejects those that would finish too late.
+void Dispatch::dispatch_queue(WaitQueue& queue, std::optional<int> only_planner, double now) {
+  while (const std::optional<RequestId> id = queue.front()) {
+    const PendingRequest& request = requests_.at(*id);
+    std::optional<int> planner = only_planner;
+    if (!only_planner) {
+      planner = pick(request, now);
+    } else if (keyed_capacity(*only_planner, now) <= 0) {
+      planner = std::nullopt;
+    }
+    if (!planner) return;
+    queue.remove(*id);
+    if (can_finish(request, 0, now)) {
+      send(*id, *planner, now);
     } else {
-      send(*id, *to, now);
+      reject(*id, retry_after(queue.size(), now), false);
     }
   }
-  return any;
 }
 
-void Dispatch::pump(double now) {
-  for (std::size_t i = 0; i < homes_.size(); ++i) pump_line(homes_[i], static_cast<int>(i), now);
-  pump_line(line_, std::nullopt, now);
+std::uint64_t Dispatch::attempt_step() {
+  if (options_.max_attempt_step <= 1) return 1;
+  return static_cast<std::uint64_t>(random_() * static_cast<double>(options_.max_attempt_step)) + 1;
 }
 
-void Dispatch::on_caller_gone(RequestId id, double now) {
-  if (!requests_.contains(id)) return;
-  if (const std::optional<Attempt> attempt = fence_.in_hand(id)) {
-    const AttemptRecord seen = *fence_.find(*attempt);
-    if (seen.standing != AttemptState::kDisconnected) host_.cancel(seen.planner, *attempt);
-    picker_.let_go(seen.planner);
+void Dispatch::send(RequestId id, int planner, double now) {
+  PendingRequest& request = requests_.at(id);
+  const double remaining = request.deadline - now;
+  const bool lookup_only = request.key_route.is_lookup();
+  const Attempt attempt = attempts_.begin(id, planner, link(planner).epoch, attempt_step());
+  picker_.on_attempt_sent(planner);
+  if (request.attempts_begun == 0) {
+    ++counters_.first_attempts;
+    retry_budget_.on_first_attempt();
+  } else {
+    ++counters_.retries;
   }
-  over(id);
-  pump(now);
-  wake(now);
-}
-
-// ---- The ways in which a request is over.
-void Dispatch::over(RequestId id) {
-  const auto found = requests_.find(id);
-  due_.erase({found->second.due, id});
-  fences_.erase({found->second.fence_at, id});
-  line_of(found->second).leave(id);
-  fence_.let_go(id);
-  requests_.erase(found);
-}
-void Dispatch::refuse(RequestId id, double retry_after, bool no_retry, double) {
-  ++counts_.refused_here;
-  over(id);
-  host_.reply(id, LocalAnswer::kRejected, retry_after, no_retry);
-}
-void Dispatch::fail(RequestId id) {
-  over(id);
-  host_.reply(id, LocalAnswer::kFailed, 0, false);
-}
-
-// A request whose attempt is proven never to have run: another planner, where one has room, the budget allows
-// it and the key does not forbid it; else it is told at once.
-void Dispatch::again_or_refuse(RequestId id, int not_this, double retry_after, bool no_retry, double now) {
-  Request& request = requests_.at(id);
-  fences_.erase({request.fence_at, id});
-  request.fence_at = -1;
-  const bool may = request.what.idempotency_key_hash == 0 && !no_retry &&
-                   request.due - now >= terms_.least_left && !leaving();
-  if (may) {
-    const std::optional<int> to =
-        picker_.pick(terms_.by_key ? request.what.subject : 0, now, chance_, not_this);
-    if (to && outlook_.in_time(static_cast<std::size_t>(request.what.route), 0, request.due - now, now) &&
-        retries_.take()) {
-      send(id, *to, now);
+  ++request.attempts_begun;
+  request.sent_at = now;
+  requests_.schedule_fence(id, now + options_.fence_after_share * remaining);
+  if (lookup_only) ++counters_.key_lookups;
+  sink_.send(planner, attempt, id, remaining - options_.hop_time, lookup_only);
+}
+
+// The request's attempt is proven never to have run: it may go to another planner if one has capacity, the
+// retry budget allows it and the request is not keyed.
+void Dispatch::retry_or_reject(RequestId id, int exclude, double planner_retry_after, bool no_retry,
+                               double now) {
+  requests_.cancel_fence(id);
+  const PendingRequest& request = requests_.at(id);
+  const bool may_retry = !request.details.is_keyed() && !no_retry && !is_draining() &&
+                         request.deadline - now >= options_.min_remaining_time;
+  if (may_retry) {
+    const std::optional<int> planner = pick(request, now, exclude);
+    if (planner && can_finish(request, 0, now) && retry_budget_.try_spend()) {
+      send(id, *planner, now);
       return;
     }
   }
-  refuse(id, retry_after > 0 ? retry_after : outlook_.come_back(waiting(), now, chance_()), no_retry, now);
+  reject(id, planner_retry_after > 0 ? planner_retry_after : retry_after(waiting_requests(), now), no_retry);
 }
 
-// ---- Planners.
+// ---- Answers.
+
 std::optional<RequestId> Dispatch::on_answer(int planner, std::uint64_t epoch, Attempt attempt,
                                              AnswerKind how, double retry_after, bool no_retry, double now) {
-  const AttemptRecord* seen = fence_.find(attempt);
-  const bool ours = seen != nullptr && seen->planner == planner && seen->epoch == epoch;
-  if (ours && how == AnswerKind::kRunning) return std::nullopt;  // it goes on; its end will be told
-  const std::optional<RequestId> id = fence_.answered(planner, epoch, attempt);
+  const AttemptRecord* record = attempts_.find(attempt);
+  const bool is_current = record != nullptr && record->planner == planner && record->epoch == epoch;
+  if (is_current && how == AnswerKind::kRunning) return std::nullopt;
+  const std::optional<RequestId> id = attempts_.record_answer(planner, epoch, attempt);
   if (!id) {
-    ++counts_.dropped_answers;
+    ++counters_.stale_answers;
     return std::nullopt;
   }
-  const Request& request = requests_.at(*id);
-  const double took = now - request.sent;
-  outlook_.room_came_free(now);
-  std::optional<RequestId> passed_on;
+  wait_estimator_.on_capacity_freed(now);
+  std::optional<RequestId> completed;
   switch (how) {
     case AnswerKind::kSucceeded:
-      picker_.ended(planner, AttemptOutcome::kServed, took, now);
-      outlook_.served(static_cast<std::size_t>(request.what.route), took);
-      counts_.known += request.asking();
-      over(*id);
-      passed_on = id;
+      on_success(*id, planner, now);
+      completed = id;
       break;
     case AnswerKind::kFailed:
-    case AnswerKind::kForgotten:
-      picker_.ended(planner, AttemptOutcome::kBad, took, now);
-      over(*id);
-      passed_on = id;
+    case AnswerKind::kOutcomeEvicted:
+      picker_.on_attempt_ended(planner, AttemptOutcome::kFailed, 0, now);
+      complete(*id);
+      completed = id;
       break;
     case AnswerKind::kRejected:
-      picker_.ended(planner, AttemptOutcome::kRejected, took, now);
-      again_or_refuse(*id, planner, retry_after, no_retry, now);
+      picker_.on_attempt_ended(planner, AttemptOutcome::kRejected, 0, now);
+      retry_or_reject(*id, planner, retry_after, no_retry, now);
       break;
     case AnswerKind::kNeverRan:
-      ++counts_.proven;
-      picker_.let_go(planner);
-      again_or_refuse(*id, planner, 0, false, now);
+      ++counters_.proven_not_run;
+      picker_.release(planner);
+      retry_or_reject(*id, planner, 0, false, now);
       break;
-    case AnswerKind::kNotKnown:
-      picker_.let_go(planner);
-      // Said to one that was to run there, it is no answer of this protocol's: nothing ran, and nothing is
-      // known.
-      request.asking() ? not_known(*id, now) : again_or_refuse(*id, planner, 0, false, now);
+    case AnswerKind::kKeyUnknown:
+      picker_.release(planner);
+      if (requests_.at(*id).key_route.is_lookup()) {
+        on_key_unknown(*id, now);
+      } else {  // against the protocol, but nothing ran
+        retry_or_reject(*id, planner, 0, false, now);
+      }
       break;
     case AnswerKind::kRunning: break;
   }
-  pump(now);
-  wake(now);
-  return passed_on;
-}
-
-void Dispatch::on_link_up(int planner, std::uint64_t epoch, std::uint32_t window, double now) {
-  Link& link = links_[static_cast<std::size_t>(planner)];
-  link = {true, epoch, -1};
-  picker_.up(planner, window, now);
-  AttemptLedger::Reconnection back = fence_.link_up(planner, epoch);
-  for (const Attempt attempt : back.to_fence) host_.fence(planner, attempt);
-  // What its former life held is over: nobody will ever prove anything of it.
-  for (const RequestId id : back.lost) {
-    ++counts_.lost;
-    picker_.let_go(planner);
-    fail(id);
+  dispatch_waiting(now);
+  schedule_wakeup(now);
+  return completed;
+}
+
+void Dispatch::on_success(RequestId id, int planner, double now) {
+  const PendingRequest& request = requests_.at(id);
+  const double latency = now - request.sent_at;
+  picker_.on_attempt_ended(planner, AttemptOutcome::kSucceeded, latency, now);
+  wait_estimator_.on_success(request.route(), latency);
+  if (request.key_route.is_lookup()) ++counters_.key_lookup_hits;
+  complete(id);
+}
+
+// A former owner does not know the key: the next one is asked, and after the last the owner may run it.
+void Dispatch::on_key_unknown(RequestId id, double now) {
+  requests_.cancel_fence(id);
+  PendingRequest& request = requests_.at(id);
+  if (request.key_route.list_version() == list_version_) {
+    request.key_route.advance();
+  } else {  // nothing follows from an answer that rests on a superseded list
+    route_by_key(request, now);
   }
-  counts_.fences += back.to_fence.size();
-  look_at_planners(now);
-  pump(now);
-  wake(now);
+  enqueue_or_reject(id, now);
 }
 
-void Dispatch::on_link_lost(int planner, const std::vector<Attempt>& unwritten, double now) {
-  Link& link = links_[static_cast<std::size_t>(planner)];
-  link.up = false;
-  picker_.down(planner);
-  const std::vector<Attempt> adrift = fence_.link_lost(planner);
-  std::vector<RequestId> free;
-  for (const Attempt attempt : unwritten) {
-    const AttemptRecord* seen = fence_.find(attempt);
-    if (seen == nullptr || seen->planner != planner) continue;
-    if (const std::optional<RequestId> id = fence_.never_written(attempt)) {
-      ++counts_.proven;
-      picker_.let_go(planner);
-      free.push_back(*id);
-    }
+// ---- Completion.
+
+void Dispatch::on_caller_gone(RequestId id, double now) {
+  if (!requests_.contains(id)) return;
+  if (const std::optional<Attempt> attempt = attempts_.current_attempt(id)) {
+    const AttemptRecord record = *attempts_.find(*attempt);
+    if (record.state != AttemptState::kDisconnected) sink_.cancel(record.planner, *attempt);
+    picker_.release(record.planner);
   }
-  counts_.adrift += adrift.size() - free.size();
-  if (fence_.open_at(planner) > 0) link.lost_at = now;
-  look_at_planners(now);
-  for (const RequestId id : free) again_or_refuse(id, planner, 0, false, now);
-  // Keyed requests that wait for it, and all where nobody is left: told at once, not held.
-  WaitQueue& mine = homes_[static_cast<std::size_t>(planner)];
-  while (const std::optional<RequestId> id = mine.next())
-    refuse(*id, outlook_.come_back(0, now, chance_()), false, now);
-  pump(now);
-  wake(now);
+  complete(id);
+  dispatch_waiting(now);
+  schedule_wakeup(now);
 }
 
-void Dispatch::on_window(int planner, std::uint32_t window, double slot_worth, bool good, double now) {
-  picker_.window(planner, window, slot_worth, good);
-  pump(now);
-  wake(now);
+void Dispatch::complete(RequestId id) {
+  queues_.of_target(requests_.at(id).key_route.target()).remove(id);
+  attempts_.abandon(id);
+  requests_.erase(id);
 }
 
-void Dispatch::on_no_more(int planner, double now) {
-  picker_.leaving(planner);
-  WaitQueue& mine = homes_[static_cast<std::size_t>(planner)];
-  while (const std::optional<RequestId> id = mine.next())
-    refuse(*id, outlook_.come_back(0, now, chance_()), false, now);
-  look_at_planners(now);
-  pump(now);
-  wake(now);
+void Dispatch::reject(RequestId id, double retry_after, bool no_retry) {
+  ++counters_.rejected_locally;
+  complete(id);
+  sink_.reply(id, LocalReply::kRejected, retry_after, no_retry);
 }
 
-void Dispatch::look_at_planners(double now) {
-  if (picker_.any_up()) return outlook_.some_planner(now);
-  outlook_.no_planner(now);
-  while (const std::optional<RequestId> id = line_.next())
-    refuse(*id, outlook_.come_back(line_.size(), now, chance_()), false, now);
+void Dispatch::fail(RequestId id) {
+  complete(id);
+  sink_.reply(id, LocalReply::kFailed, 0, false);
 }
 
 // ---- Time.
-// A planner that has not answered in its share of the time is asked for proof, if another one could take the
-// request. Guards against a planner that accepts and never answers, and one that has turned slow with a long
-// line.
-void Dispatch::fence_late(double now) {
-  while (!fences_.empty() && fences_.begin()->first <= now) {
-    const RequestId id = fences_.begin()->second;
-    fences_.erase(fences_.begin());
-    Request& request = requests_.at(id);
-    request.fence_at = -1;
-    const std::optional<Attempt> attempt = fence_.in_hand(id);
+
+// Late attempts are fenced if another planner could take the request. This covers planners that accept and
+// never answer, and planners that have become slow with many requests queued.
+void Dispatch::fence_late_attempts(double now) {
+  while (const std::optional<RequestId> id = requests_.take_late(now)) {
+    const PendingRequest& request = requests_.at(*id);
+    const std::optional<Attempt> attempt = attempts_.current_attempt(*id);
     if (!attempt) continue;
-    const AttemptRecord* seen = fence_.find(*attempt);
-    const bool elsewhere =
-        request.what.idempotency_key_hash == 0 && picker_.pick(0, now, chance_, seen->planner).has_value();
-    if (!elsewhere) {
-      if (request.due - now > 2 * kFenceAgain) {
-        request.fence_at = now + kFenceAgain;
-        fences_.insert({request.fence_at, id});
-      }
+    const int planner = attempts_.find(*attempt)->planner;
+    const bool has_alternative =
+        !request.details.is_keyed() && picker_.pick(0, now, random_, planner).has_value();
+    if (!has_alternative) {
+      if (request.deadline - now > 2 * kFenceRecheckSeconds)
+        requests_.schedule_fence(*id, now + kFenceRecheckSeconds);
       continue;
     }
-    const int planner = seen->planner;
-    if (!fence_.ask(*attempt)) continue;
-    ++counts_.fences;
-    picker_.late(planner, now);
-    host_.fence(planner, *attempt);
+    if (!attempts_.start_fencing(*attempt)) continue;
+    ++counters_.fences;
+    picker_.on_attempt_late(planner, now);
+    sink_.fence(planner, *attempt);
   }
 }
 
-void Dispatch::on_timer(double now) {
-  for (std::size_t i = 0; i < links_.size(); ++i) {
-    Link& link = links_[i];
-    if (link.lost_at < 0 || now < link.lost_at + terms_.link_patience) continue;
-    link.lost_at = -1;
-    for (const RequestId id : fence_.give_up(static_cast<int>(i))) {
-      ++counts_.lost;
-      picker_.let_go(static_cast<int>(i));
-      fail(id);
-    }
+void Dispatch::expire_request(RequestId id, double now) {
+  ++counters_.overdue;
+  const std::optional<Attempt> attempt = attempts_.current_attempt(id);
+  if (!attempt) {
+    reject(id, retry_after(waiting_requests(), now), false);
+    return;
   }
-  while (!due_.empty() && due_.begin()->first <= now) {
-    const RequestId id = due_.begin()->second;
-    ++counts_.overdue;
-    const std::optional<Attempt> attempt = fence_.in_hand(id);
-    if (!attempt) {
-      refuse(id, outlook_.come_back(waiting(), now, chance_()), false, now);
-      continue;
-    }
-    const AttemptRecord seen = *fence_.find(*attempt);
-    if (seen.standing != AttemptState::kDisconnected) host_.cancel(seen.planner, *attempt);
-    picker_.ended(seen.planner, AttemptOutcome::kBad, now - requests_.at(id).sent, now);
-    fail(id);
-  }
-  fence_late(now);
-  pump(now);
-  wake(now);
+  const AttemptRecord record = *attempts_.find(*attempt);
+  if (record.state != AttemptState::kDisconnected) sink_.cancel(record.planner, *attempt);
+  picker_.on_attempt_ended(record.planner, AttemptOutcome::kFailed, 0, now);
+  fail(id);
+}
+
+void Dispatch::on_timer(double now) {
+  fail_disconnected(now);
+  while (const std::optional<RequestId> id = requests_.first_overdue(now)) expire_request(*id, now);
+  fence_late_attempts(now);
+  dispatch_waiting(now);
+  schedule_wakeup(now);
 }
 
 void Dispatch::on_drain(double time_left, double grace, double now) {
-  leave_at_ = now;
+  drain_at_ = now;
   stop_at_ = now + time_left;
-  grace_ = grace;
-  due_.clear();
-  for (auto& [id, request] : requests_) {
-    request.due = std::min(request.due, std::max(now, stop_at_ - kStopMargin));
-    due_.insert({request.due, id});
-  }
-  wake(now);
+  drain_grace_ = grace;
+  requests_.cap_deadlines(latest_reply_when_draining(now));
+  schedule_wakeup(now);
 }
 
-void Dispatch::wake(double now) {
-  outlook_.busy(fence_.open() > 0, now);
-  double next = -1;
-  const auto sooner = [&](double at) { next = next < 0 ? at : std::min(next, at); };
-  if (!due_.empty()) sooner(due_.begin()->first);
-  if (!fences_.empty()) sooner(fences_.begin()->first);
+void Dispatch::schedule_wakeup(double now) {
+  wait_estimator_.set_busy(attempts_.open_attempts() > 0, now);
+  std::optional<double> next = requests_.next_event();
+  const auto add = [&](double time) { next = std::min(next.value_or(time), time); };
   for (const Link& link : links_) {
-    if (link.lost_at >= 0) sooner(link.lost_at + terms_.link_patience);
+    if (link.disconnected_at >= 0) add(link.disconnected_at + options_.reconnect_timeout);
   }
-  if (waiting() > 0) sooner(now + kTick);
-  if (next >= 0) host_.schedule_wakeup(std::max(next, now));
+  if (waiting_requests() > 0) add(now + kPollSeconds);
+  if (next) sink_.schedule_wakeup(std::max(*next, now));
 }
 
 }  // namespace damsonspoke::tier
--- a/src/tier/wait_estimator.h
+++ b/src/tier/wait_estimator.h
@@ -1,6 +1,7 @@
-// What a forwarder can honestly say of a request that waits for room at a planner: whether it can still be in
-// time, and when its caller should come back where it can't. Pure policy. No copy of the module's tables: it
-// sees how often room comes free and how long what was served took, nothing else.
+// Estimates for requests that wait at a forwarder: whether a request can still finish in time, and when its
+// caller should retry if it can't. The estimates rest on two observations only: how often capacity becomes
+// free at the planners, and how long successful requests took. Policy without I/O; times are seconds on one
+// clock that never steps back.
 #pragma once
 
 #include <cstddef>
@@ -9,43 +10,46 @@
 namespace damsonspoke::tier {
 
 struct WaitEstimatorOptions {
-  double memory = 1.5;           // s over which the rate at which room comes free is a mean
-  double wait_share = 0.85;      // of the time left that may be spent on a prediction
-  double bad_after = 1;          // s without any planner after which health is bad
-  double least_come_back = 0.1;  // s
-  double most_come_back = 1;     // s; what the site allows
+  double rate_window_seconds = 1.5;    // of the fading mean of the rate at which capacity becomes free
+  double max_wait_share = 0.85;        // of the remaining time that an estimate may use up
+  double unhealthy_after_seconds = 1;  // without any planner
+  double min_retry_after = 0.1;        // s
+  double max_retry_after = 1;          // s; what the site allows
 };
 
 class WaitEstimator {
  public:
-  WaitEstimator(WaitEstimatorOptions terms, std::size_t routes, double now);
-
-  // Whether any attempt is open. While none is, no time passes for the rate: guards against a burst after a
-  // calm that is refused since nothing had come free in it.
-  void busy(bool any_open, double now);
-  void room_came_free(double now);             // an attempt ended
-  void served(std::size_t type, double took);  // s from sending to the ack
-  void some_planner(double now);               // at least one takes requests
-  void no_planner(double now);
-
-  // Whether a request of the type with so many before it may still be served in `left` s. While nothing is
-  // known it may: the first ones show.
-  bool in_time(std::size_t type, std::size_t ahead, double left, double now);
-  // When a refused caller should come back; spread by chance (0 to under 1), so that they do not come
-  // together, and the longer the longer nobody has been there.
-  double come_back(std::size_t ahead, double now, double chance);
-  bool healthy(double now) const;
+  WaitEstimator(WaitEstimatorOptions options, std::size_t routes, double now);
+
+  // Whether any attempt is open. Time without open attempts does not count for the rate, so that a burst
+  // after a calm period is not rejected because nothing became free during the calm.
+  void set_busy(bool any_open, double now);
+  void on_capacity_freed(double now);                  // an attempt ended
+  void on_success(std::size_t route, double latency);  // `latency`: s from sending to the answer
+  void on_planner_available() { no_planner_since_ = -1; }
+  void on_no_planner(double now);
+
+  // Whether a request of the route can finish within `remaining` s behind `ahead` others. True while nothing
+  // is known: the first requests show it.
+  [[nodiscard]] bool can_finish_in_time(std::size_t route, std::size_t ahead, double remaining, double now);
+  // When the caller of a rejected request should retry (s), longer the longer no planner has been there.
+  // `random` (0 to below 1) spreads the retries.
+  [[nodiscard]] double retry_after_seconds(std::size_t ahead, double now, double random);
+  [[nodiscard]] bool is_healthy(double now) const;
 
  private:
-  double rate(double now);  // of room coming free, 1/s; 0: not known
-
-  const WaitEstimatorOptions terms_;
-  double freed_ = 0, ends_ = 0;
-  double seen_ = 0;  // s of busy time that the rate looks back on, faded as the count is
-  double freed_at_;
+  void fade(double now);
+  [[nodiscard]] double capacity_freed_per_second() const;
+  [[nodiscard]] bool rate_is_known() const;
+
+  const WaitEstimatorOptions options_;
+  double freed_recently_ = 0;  // fading count
+  double freed_total_ = 0;
+  double observed_seconds_ = 0;  // of busy time behind freed_recently_, fading alike
+  double updated_at_;
   bool busy_ = false;
-  std::vector<double> took_;  // s by route, fading means; 0: not known
-  double alone_since_;        // since when there is no planner; < 0: there is one
+  std::vector<double> mean_latency_;  // s by route, fading means; 0: not known
+  double no_planner_since_;           // < 0: there is one
 };
 
 }  // namespace damsonspoke::tier
--- a/standins/hollow.cpp
+++ b/standins/hollow.cpp
@@ -85,13 +85,13 @@
 void HollowMembers::start_member(Worker& worker, int number, const std::vector<std::string>& seeds) {
   MembersOptions options;
   options.bind = address(options_.seed, number);
-  options.face = options.bind;
+  options.advertised_address = options.bind;
   options.cluster = options_.cluster;
   options.seeds = seeds;
   options.peers = {*conns::parse_prefix("127.0.0.0/8")};
-  options.interval = kProbeIntervalSeconds;
-  options.suspicion = kSuspicionSeconds;
-  options.remember = kDeadRetentionSeconds;
+  options.probe_interval = kProbeIntervalSeconds;
+  options.suspicion_timeout = kSuspicionSeconds;
+  options.dead_retention = kDeadRetentionSeconds;
   const auto index = static_cast<std::uint64_t>(number);
   auto member = std::make_unique<peers::MembershipTransport>(
       worker.reactor, options, fmt::format("hollow-{:04}", number), kFirstEpoch + index,
--- a/tests/tier_histories.cpp
+++ b/tests/tier/fault_histories.cpp
@@ -66,15 +66,21 @@
   };
   Totals totals() const {
     Totals t;
-    for (const auto& [id, request] : requests_)
-      ++t.requests, t.succeeded += request.succeeded, t.rejected += request.rejected,
-          t.failed += request.failed;
+    for (const auto& [id, request] : requests_) {
+      ++t.requests;
+      t.succeeded += request.succeeded;
+      t.rejected += request.rejected;
+      t.failed += request.failed;
+    }
     for (const auto& f : forwarders_) {
-      const DispatchCounters& c = f->dispatch.counts();
-      t.second += static_cast<int>(c.second_tries), t.fenced += static_cast<int>(c.fences);
-      t.proven += static_cast<int>(c.proven), t.dropped += static_cast<int>(c.dropped_answers);
-      t.lost += static_cast<int>(c.lost);
-      t.asked += static_cast<int>(c.asked), t.known += static_cast<int>(c.known);
+      const DispatchCounters& c = f->dispatch.counters();
+      t.second += static_cast<int>(c.retries);
+      t.fenced += static_cast<int>(c.fences);
+      t.proven += static_cast<int>(c.proven_not_run);
+      t.dropped += static_cast<int>(c.stale_answers);
+      t.lost += static_cast<int>(c.lost_with_epoch);
+      t.asked += static_cast<int>(c.key_lookups);
+      t.known += static_cast<int>(c.key_lookup_hits);
     }
     return t;
   }
@@ -140,18 +146,18 @@
               terms(), 1, {"p1", "p2", "p3", "p4"}, *this, [&h] { return h.chance(); }, 0) {}
     static DispatchOptions terms() {
       DispatchOptions t;
-      t.by_key = true;
-      t.homes = {kSpread + kLongest, kWindow + 2 * kLongest};
+      t.route_by_subject = true;
+      t.key_ownership = {kSpread + kLongest, kWindow + 2 * kLongest};
       return t;
     }
     void send(int planner, Attempt attempt, RequestId request, double left, bool known_only) override {
       wt::Submit submit;
-      submit.known_only = known_only;
+      submit.lookup_only = known_only;
       submit.attempt = attempt;
       submit.request = request;
       submit.remaining_us = static_cast<std::uint32_t>(left * 1e6);
       const auto& picker = dispatch.picker();
-      if (picker.open(planner) > static_cast<int>(window[planner]))
+      if (picker.open_attempts(planner) > static_cast<int>(window[planner]))
         history.fail("planner " + std::to_string(planner) + " was sent more than its window");
       history.note("f" + std::to_string(number) + " sends op " + std::to_string(request) + " as " +
                    std::to_string(attempt) + " to p" + std::to_string(planner));
@@ -162,8 +168,8 @@
       history.note("f" + std::to_string(number) + " fences " + std::to_string(attempt));
       history.out(links[planner], wt::Fence{attempt});
     }
-    void reply(RequestId request, LocalAnswer how, double, bool) override {
-      history.answered(request, how == LocalAnswer::kRejected ? 'n' : 'f');
+    void reply(RequestId request, LocalReply how, double, bool) override {
+      history.answered(request, how == LocalReply::kRejected ? 'n' : 'f');
     }
     void schedule_wakeup(double time) override {
       if (time >= wake_time) return;  // it asks anew when it is woken
@@ -194,10 +200,10 @@
   void check_credits() {
     for (const auto& f : forwarders_) {
       for (int p = 0; p < kPlanners; ++p) {
-        if (f->dispatch.picker().open(p) != f->dispatch.attempts().open_at(p))
+        if (f->dispatch.picker().open_attempts(p) != f->dispatch.attempts().open_attempts_at(p))
           fail("credits of f" + std::to_string(f->number) + " at p" + std::to_string(p) + ": " +
-               std::to_string(f->dispatch.picker().open(p)) + " taken, " +
-               std::to_string(f->dispatch.attempts().open_at(p)) + " attempts in hand");
+               std::to_string(f->dispatch.picker().open_attempts(p)) + " taken, " +
+               std::to_string(f->dispatch.attempts().open_attempts_at(p)) + " attempts in hand");
       }
     }
   }
@@ -233,7 +239,9 @@
   void answered(RequestId id, char how) {
     RequestSeen& request = requests_[id];
     note("op " + std::to_string(id) + " is answered " + how);
-    request.succeeded = how == 'a', request.rejected = how == 'n', request.failed = how == 'f';
+    request.succeeded = how == 'a';
+    request.rejected = how == 'n';
+    request.failed = how == 'f';
     if (++request.answers > 1) fail("op " + std::to_string(id) + " was answered twice");
     if (request.gone) fail("op " + std::to_string(id) + " was answered to nobody");
     if (now_ > request.due + 1e-6) fail("op " + std::to_string(id) + " was answered late");
@@ -248,7 +256,9 @@
     if (!planners_[static_cast<std::size_t>(p)]->up)
       return after(0.05 + chance() * 0.1, [this, f, p] { connect(f, p); });
     auto link = std::make_shared<Link>();
-    link->forwarder = f, link->planner = p, link->number = ++next_link_;
+    link->forwarder = f;
+    link->planner = p;
+    link->number = ++next_link_;
     forwarder.links[p] = link;
     wt::Hello hello;
     hello.epoch = static_cast<std::uint64_t>(f) + 1;
@@ -297,13 +307,13 @@
     link->there = false;
     Planner& planner = *planners_[static_cast<std::size_t>(link->planner)];
     if (!planner.up) return;
-    planner.holdings->link_lost(link->number, now_);
+    planner.holdings->on_link_lost(link->number, now_);
     links_[link->number] = nullptr;
     const int p = link->planner;
     const std::uint64_t epoch = planner.epoch;
     after(0.8, [this, p, epoch] {
       Planner& later = *planners_[static_cast<std::size_t>(p)];
-      if (later.up && later.epoch == epoch) gone(later, later.holdings->expired(now_));
+      if (later.up && later.epoch == epoch) gone(later, later.holdings->take_expired(now_));
     });
   }
   // Where nothing of it has run, its key is free again, and its repeats are told so.
@@ -357,59 +367,80 @@
     answer.attempt = held.attempt;
     answer.result = result;
     answer.retry_after_us = 100000;
-    const std::uint64_t link = planner.holdings->answered(held.forwarder, answer);
+    const std::uint64_t link = planner.holdings->record_answer(held.forwarder, answer);
     if (link != 0 && links_[link]) in(links_[link], answer);
   }
   void planner_hears(const std::shared_ptr<Link>& link, const wt::Message& message) {
     Planner& planner = *planners_[static_cast<std::size_t>(link->planner)];
     if (!planner.up) return;
     if (const auto* hello = std::get_if<wt::Hello>(&message)) {
-      const ForwarderSessions::SessionStart greeting =
-          planner.holdings->hello(hello->name, hello->epoch, link->number);
-      if (greeting.old_link != 0 && links_[greeting.old_link]) links_[greeting.old_link]->there = false;
-      gone(planner, greeting.gone);
-      link->known_as = greeting.forwarder;
-      links_[link->number] = link;
-      wt::Hello mine;
-      mine.planner = true;
-      mine.epoch = planner.epoch;
-      mine.window = 8;
-      in(link, mine);
+      planner_hears_hello(planner, link, *hello);
     } else if (const auto* submit = std::get_if<wt::Submit>(&message)) {
-      if (planner.holdings->submit(link->known_as, submit->attempt, submit->request, 0) !=
-          ForwarderSessions::SubmitResult::kTaken)
-        return;
-      const Held held{submit->request, link->known_as, submit->attempt, now_ + submit->remaining_us * 1e-6};
-      if (planner.manner == Manner::kRejections || planner.open.contains(submit->request))
-        return tell(planner, held, wt::Result::kRejected);
-      if (const std::uint64_t mark = requests_[held.request].mark; mark != 0) {
-        const auto known = planner.memory.find(mark);
-        const bool over = known != planner.memory.end() && known->second.state > Memory::kRunning &&
-                          now_ >= known->second.admitted + kWindow;
-        if (known != planner.memory.end() && !over) {
-          if (known->second.state == Memory::kEnded) return tell(planner, held, wt::Result::kSucceeded);
-          if (known->second.state == Memory::kUnknown) return tell(planner, held, wt::Result::kUnknown);
-          planner.open[held.request] = held;
-          known->second.waits.push_back(held);
-          return;
-        }
-        if (submit->known_only) return tell(planner, held, wt::Result::kNotKnown);
-        planner.memory[mark] = {held.request, now_, Memory::kReserved, {}};
-      } else if (submit->known_only) {
-        fail("op " + std::to_string(held.request) + " has no key and was asked about");
-      }
-      planner.open[held.request] = held;
-      planner.line.push_back(held);
-      run_more(link->planner);
+      planner_hears_submit(planner, *link, *submit);
     } else if (const auto* cancel = std::get_if<wt::Cancel>(&message)) {
       if (const auto request = planner.holdings->cancel(link->known_as, cancel->attempt))
         gone(planner, {*request});
     } else if (const auto* fence = std::get_if<wt::Fence>(&message)) {
-      const ForwarderSessions::Proof proof = planner.holdings->fence(
+      const ForwarderSessions::FenceResult result = planner.holdings->fence(
           link->known_as, fence->attempt, [&](RequestId request) { return planner.started[request]; });
-      if (proof.drop) gone(planner, {*proof.drop});
-      in(link, proof.answer);
+      if (result.abandoned) gone(planner, {*result.abandoned});
+      in(link, result.answer);
+    }
+  }
+  void planner_hears_hello(Planner& planner, const std::shared_ptr<Link>& link, const wt::Hello& hello) {
+    const ForwarderSessions::SessionStart session =
+        planner.holdings->open_session(hello.name, hello.epoch, link->number);
+    if (session.superseded_link != 0 && links_[session.superseded_link])
+      links_[session.superseded_link]->there = false;
+    gone(planner, session.abandoned);
+    link->known_as = session.forwarder;
+    links_[link->number] = link;
+    wt::Hello mine;
+    mine.is_planner = true;
+    mine.epoch = planner.epoch;
+    mine.window = 8;
+    in(link, mine);
+  }
+  void planner_hears_submit(Planner& planner, const Link& link, const wt::Submit& submit) {
+    if (planner.holdings->submit(link.known_as, submit.attempt, submit.request, 0) !=
+        ForwarderSessions::SubmitResult::kAccepted)
+      return;
+    const Held held{submit.request, link.known_as, submit.attempt, now_ + submit.remaining_us * 1e-6};
+    if (planner.manner == Manner::kRejections || planner.open.contains(submit.request))
+      return tell(planner, held, wt::Result::kRejected);
+    if (requests_[held.request].mark != 0) {
+      if (!reserve_key(planner, held, submit.lookup_only)) return;
+    } else if (submit.lookup_only) {
+      fail("op " + std::to_string(held.request) + " has no key and was asked about");
+    }
+    planner.open[held.request] = held;
+    planner.line.push_back(held);
+    run_more(link.planner);
+  }
+  // Whether the request may run: its key is not known yet, and it is no lookup. Otherwise it is answered, or
+  // waits for the run of its key.
+  bool reserve_key(Planner& planner, const Held& held, bool lookup_only) {
+    const std::uint64_t mark = requests_[held.request].mark;
+    const auto known = planner.memory.find(mark);
+    const bool over = known != planner.memory.end() && known->second.state > Memory::kRunning &&
+                      now_ >= known->second.admitted + kWindow;
+    if (known != planner.memory.end() && !over) {
+      if (known->second.state == Memory::kEnded) {
+        tell(planner, held, wt::Result::kSucceeded);
+      } else if (known->second.state == Memory::kUnknown) {
+        tell(planner, held, wt::Result::kUnknown);
+      } else {
+        planner.open[held.request] = held;
+        known->second.waits.push_back(held);
+      }
+      return false;
     }
+    if (lookup_only) {
+      tell(planner, held, wt::Result::kKeyUnknown);
+      return false;
+    }
+    planner.memory[mark] = {held.request, now_, Memory::kReserved, {}};
+    return true;
   }
   void run_more(int p) {
     Planner& planner = *planners_[static_cast<std::size_t>(p)];
@@ -421,37 +452,42 @@
         tell(planner, held, wt::Result::kRejected);
         continue;
       }
-      planner.started[held.request] = true;
-      ++planner.running;
-      if (++requests_[held.request].runs > 1) fail("op " + std::to_string(held.request) + " ran twice");
-      if (const std::uint64_t mark = requests_[held.request].mark; mark != 0) {
-        Memory& memory = planner.memory.at(mark);
-        memory.state = Memory::kRunning;
-        const auto before = ran_.find(mark);
-        if (before != ran_.end() && memory.admitted < before->second + kWindow)
-          fail("key " + std::to_string(mark) + " ran twice within its window");
-        ran_[mark] = memory.admitted;
-      }
-      if (requests_[held.request].rejected)
-        fail("op " + std::to_string(held.request) + " ran after it was nacked");
-      note("p" + std::to_string(p) + " runs op " + std::to_string(held.request));
-      const std::uint64_t epoch = planner.epoch;
-      const double takes = -std::log(1 - chance()) * 0.02 * (planner.manner == Manner::kSlow ? 10 : 1);
-      after(takes, [this, p, epoch, held] {
-        Planner& later = *planners_[static_cast<std::size_t>(p)];
-        if (later.epoch != epoch) return;
-        --later.running;
-        const bool good = random_() % 50 != 0;
-        tell(later, held, good ? wt::Result::kSucceeded : wt::Result::kFailed);
-        if (const std::uint64_t mark = requests_[held.request].mark; mark != 0) {
-          Memory& memory = later.memory.at(mark);
-          memory.state = good ? Memory::kEnded : Memory::kUnknown;
-          for (const Held& wait : std::exchange(memory.waits, {}))
-            tell(later, wait, good ? wt::Result::kSucceeded : wt::Result::kUnknown);
-        }
-        run_more(p);
-      });
+      start_run(p, held);
+    }
+  }
+  void start_run(int p, const Held& held) {
+    Planner& planner = *planners_[static_cast<std::size_t>(p)];
+    planner.started[held.request] = true;
+    ++planner.running;
+    if (++requests_[held.request].runs > 1) fail("op " + std::to_string(held.request) + " ran twice");
+    if (const std::uint64_t mark = requests_[held.request].mark; mark != 0) {
+      Memory& memory = planner.memory.at(mark);
+      memory.state = Memory::kRunning;
+      const auto before = ran_.find(mark);
+      if (before != ran_.end() && memory.admitted < before->second + kWindow)
+        fail("key " + std::to_string(mark) + " ran twice within its window");
+      ran_[mark] = memory.admitted;
+    }
+    if (requests_[held.request].rejected)
+      fail("op " + std::to_string(held.request) + " ran after it was nacked");
+    note("p" + std::to_string(p) + " runs op " + std::to_string(held.request));
+    const std::uint64_t epoch = planner.epoch;
+    const double takes = -std::log(1 - chance()) * 0.02 * (planner.manner == Manner::kSlow ? 10 : 1);
+    after(takes, [this, p, epoch, held] { end_run(p, epoch, held); });
+  }
+  void end_run(int p, std::uint64_t epoch, const Held& held) {
+    Planner& planner = *planners_[static_cast<std::size_t>(p)];
+    if (planner.epoch != epoch) return;
+    --planner.running;
+    const bool good = random_() % 50 != 0;
+    tell(planner, held, good ? wt::Result::kSucceeded : wt::Result::kFailed);
+    if (const std::uint64_t mark = requests_[held.request].mark; mark != 0) {
+      Memory& memory = planner.memory.at(mark);
+      memory.state = good ? Memory::kEnded : Memory::kUnknown;
+      for (const Held& wait : std::exchange(memory.waits, {}))
+        tell(planner, wait, good ? wt::Result::kSucceeded : wt::Result::kUnknown);
     }
+    run_more(p);
   }
   void forwarder_hears(const std::shared_ptr<Link>& link, const wt::Message& message) {
     Forwarder& forwarder = *forwarders_[static_cast<std::size_t>(link->forwarder)];
@@ -466,8 +502,8 @@
       if (answer->result == wt::Result::kRejected) kind = AnswerKind::kRejected;
       if (answer->result == wt::Result::kNeverRan) kind = AnswerKind::kNeverRan;
       if (answer->result == wt::Result::kRunning) kind = AnswerKind::kRunning;
-      if (answer->result == wt::Result::kForgotten) kind = AnswerKind::kForgotten;
-      if (answer->result == wt::Result::kNotKnown) kind = AnswerKind::kNotKnown;
+      if (answer->result == wt::Result::kOutcomeEvicted) kind = AnswerKind::kOutcomeEvicted;
+      if (answer->result == wt::Result::kKeyUnknown) kind = AnswerKind::kKeyUnknown;
       const std::optional<RequestId> over = forwarder.dispatch.on_answer(
           p, epoch_of_[link->number], answer->attempt, kind, answer->retry_after_us * 1e-6, false, now_);
       if (over) answered(*over, kind == AnswerKind::kSucceeded ? 'a' : 'f');
@@ -504,7 +540,7 @@
     while (names.empty()) {
       for (int p = 0; p < kPlanners; ++p) {
         if (random_() % 3 != 0)
-          names.push_back(std::string("p1 p2 p3 p4").substr(static_cast<std::size_t>(3 * p), 2));
+          names.push_back(std::string("p1 p2 p3 p4").substr(3 * static_cast<std::size_t>(p), 2));
       }
     }
     for (const auto& f : forwarders_) {
@@ -549,10 +585,17 @@
         return;
       }
       const History::Totals t = history.totals();
-      all.requests += t.requests, all.succeeded += t.succeeded, all.rejected += t.rejected,
-          all.failed += t.failed;
-      all.second += t.second, all.fenced += t.fenced, all.proven += t.proven, all.dropped += t.dropped;
-      all.lost += t.lost, all.asked += t.asked, all.known += t.known;
+      all.requests += t.requests;
+      all.succeeded += t.succeeded;
+      all.rejected += t.rejected;
+      all.failed += t.failed;
+      all.second += t.second;
+      all.fenced += t.fenced;
+      all.proven += t.proven;
+      all.dropped += t.dropped;
+      all.lost += t.lost;
+      all.asked += t.asked;
+      all.known += t.known;
     }
   }
   std::printf("%d histories: one answer each and in time, no second run, credits right, windows kept\n",
--- a/tests/tier_program.cpp
+++ b/tests/tier/forwarder_program.cpp
@@ -1,6 +1,6 @@
 // A forwarder among callers and scripted planners, each wrong in one way beside a sound one; then real
 // planners that are killed, leave, stop and come back. The checker of the rules reads what all of them saw.
-// CTest compares with tests/traces/tier_program_NAME.txt. usage: tier_program BINARY SCENARIO
+// CTest compares with tests/traces/tier_program_NAME.txt. usage: tier_forwarder_program BINARY SCENARIO
 #include <fmt/format.h>
 
 #include <csignal>
@@ -27,7 +27,10 @@
 Callers::Options load_of(double reads, double closes, int retries = 1) {
   Callers::Options load;
   load.flows = {{"read", reads, 1}, {"close", closes, 1}};
-  for (Flow& flow : load.flows) flow.retries = retries, flow.pause = 0.1;
+  for (Flow& flow : load.flows) {
+    flow.retries = retries;
+    flow.pause = 0.1;
+  }
   load.flows[1].marked = true;
   load.connections = 3;
   load.seed = 5;
@@ -54,7 +57,7 @@
   return out;
 }
 
-void verdict(const Journal& journal, RuleLimits limits) {
+void verdict(const Journal& journal, const RuleLimits& limits) {
   const Verdict v = check_rules(journal, limits);
   for (const std::string& line : v.broken) std::printf("%s\n", line.c_str());
   std::printf("rules: %s\n", v.kept() ? "kept" : "BROKEN");
@@ -403,7 +406,8 @@
   std::uint64_t questions = 0, known = 0;
   const auto count = [&](Server& forwarder) {
     auto counters = forwarder.process->counters();
-    questions += counters["tier.key_queries"], known += counters["tier.key_queries_known"];
+    questions += counters["tier.key_queries"];
+    known += counters["tier.key_queries_known"];
     return counters["tier.key_queries"];
   };
   count(*fleet.forwarders[0]);
--- a/tests/planner_link.cpp
+++ b/tests/tier/planner_client.cpp
@@ -1,6 +1,8 @@
 // A forwarder's link to a planner that stops reading and then goes: what is told to have never left must not
 // have arrived, whole, for a second attempt begins on the strength of it. The other end is a bare socket of
-// this process. CTest compares with tests/traces/planner_link.txt. usage: planner_link
+// this process. CTest compares with tests/traces/planner_link.txt. usage: planner_client
+#include "peers/tier/planner_client.h"
+
 #include <fcntl.h>
 #include <fmt/format.h>
 #include <sys/socket.h>
@@ -18,7 +20,6 @@
 #include "net/reactor.h"
 #include "observability/counters.h"
 #include "observability/logger.h"
-#include "peers/tier/planner_client.h"
 #include "stepped_reactor.h"
 
 using namespace damsonspoke;
@@ -32,8 +33,8 @@
     lost = true;
     unwritten = attempts;
   }
-  void on_window(int, const wt::Window&) override {}
-  void on_no_more(int) override {}
+  void on_load_report(int, const wt::LoadReport&) override {}
+  void on_planner_draining(int) override {}
   void on_answer(int, std::uint64_t, const wt::Answer&) override {}
   bool up = false, lost = false;
   std::vector<std::uint64_t> unwritten;
@@ -67,7 +68,10 @@
     if (fd < 0) fd = ::accept(listener, nullptr, nullptr);
     if (fd >= 0 && !seen.up && step == 0) {
       wt::Hello hello;
-      hello.planner = true, hello.epoch = 9, hello.name = "p", hello.window = 1000;
+      hello.is_planner = true;
+      hello.epoch = 9;
+      hello.name = "p";
+      hello.window = 1000;
       const std::string bytes = wt::encode(hello);
       if (::send(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL) > 0) step = 1;
     }
@@ -76,7 +80,10 @@
       wt::Submit submit;
       submit.request = 1;
       submit.body.assign(kBody, 'b');
-      for (std::uint64_t n = 1; n <= kSubmits; ++n) submit.attempt = n, planners.submit(0, submit);
+      for (std::uint64_t n = 1; n <= kSubmits; ++n) {
+        submit.attempt = n;
+        planners.submit(0, submit);
+      }
     }
     // Some turns later nothing moves any more; it reads a part, perhaps, and goes.
     if (given && fd >= 0 && ++step > 20) {
@@ -101,7 +108,7 @@
   ::close(listener);
   std::set<std::uint64_t> whole;
   for (std::string_view rest = arrived;;) {
-    const wt::Taken taken = wt::next_message(rest);
+    const wt::DecodedFrame taken = wt::decode_next_frame(rest);
     if (taken.state != wt::Framing::kFrame) break;
     if (const auto* submit = std::get_if<wt::Submit>(&taken.message)) whole.insert(submit->attempt);
     rest.remove_prefix(taken.length);
@@ -125,6 +132,8 @@
     listener_ = standins::listening_socket(port);
     look();
   }
+  Peer(const Peer&) = delete;
+  Peer& operator=(const Peer&) = delete;
   ~Peer() {
     reactor_.cancel(timer_);
     ::close(listener_);
@@ -153,7 +162,7 @@
       ::close(fd_);
       fd_ = -1;
     }
-    for (wt::Taken taken; (taken = wt::next_message(in_)).state == wt::Framing::kFrame;) {
+    for (wt::DecodedFrame taken; (taken = wt::decode_next_frame(in_)).state == wt::Framing::kFrame;) {
       pings += std::holds_alternative<wt::Ping>(taken.message);
       in_.erase(0, taken.length);
     }
@@ -165,13 +174,15 @@
   net::Reactor::TimerId timer_;
 };
 
-struct SessionStart {
-  explicit SessionStart(std::string words) : log(Level::kError), peer(stepped.reactor, std::move(words)) {
+struct Play {
+  explicit Play(std::string words) : log(Level::kError), peer(stepped.reactor, std::move(words)) {
     planners = std::make_unique<peers::PlannerClient>(
         stepped.reactor, peers::PlannerClient::Self{"f1", 7, {"read"}}, 1 << 20, seen, counters, log);
     planners->add(fmt::format("127.0.0.1:{}", peer.port));
   }
-  ~SessionStart() { stepped.end(); }
+  ~Play() { stepped.end(); }
+  Play(const Play&) = delete;
+  Play& operator=(const Play&) = delete;
   void run_for(double seconds) { stepped.run_for(seconds); }
   SteppedReactor stepped;
   Counters counters;
@@ -186,11 +197,14 @@
 // What is no planner's greeting ends the link, which is opened anew after a pause.
 void greetings() {
   wt::Hello sound;
-  sound.planner = true, sound.epoch = 9, sound.name = "p", sound.window = 10;
+  sound.is_planner = true;
+  sound.epoch = 9;
+  sound.name = "p";
+  sound.window = 10;
   wt::Hello other = sound, forwarder = sound;
   other.version = 99;
-  forwarder.planner = false;
-  const std::pair<const char*, std::string> kWords[] = {
+  forwarder.is_planner = false;
+  const std::pair<const char*, std::string> greetings_sent[] = {
       {"another version", wt::encode(other)},
       {"a forwarder", wt::encode(forwarder)},
       {"an answer first", wt::encode(wt::Answer{})},
@@ -198,26 +212,29 @@
       {"what only forwarders say", wt::encode(sound) + wt::encode(wt::Cancel{1})},
       {"no frame at all", std::string(64, 'x')},
       {"a sound hello", wt::encode(sound)}};
-  for (const auto& [what, words] : kWords) {
-    SessionStart g(words);
+  for (const auto& [what, words] : greetings_sent) {
+    Play g(words);
     g.run_for(0.35);
     std::printf("%s: up %s, lost %s, opened again %s\n", what, yes(g.seen.up), yes(g.seen.lost),
                 yes(g.peer.accepted > 1));
   }
-  SessionStart mute("");
+  Play mute("");
   mute.run_for(0.8);
   const int before = mute.peer.accepted;
   mute.run_for(0.8);
   std::printf("nothing said: after 0.8 s %d connection, after 1.6 s more: %s\n", before,
               yes(mute.peer.accepted > before));
-  SessionStart sounds(wt::encode(sound));
-  for (int i = 0; i < 12; ++i) sounds.run_for(0.1), sounds.peer.say(wt::Pong{1});
+  Play sounds(wt::encode(sound));
+  for (int i = 0; i < 12; ++i) {
+    sounds.run_for(0.1);
+    sounds.peer.say(wt::Pong{1});
+  }
   std::printf("pings in 1.2 s: %s; the link holds: %s\n",
               yes(sounds.peer.pings >= 3 && sounds.peer.pings <= 12), yes(!sounds.seen.lost));
-  sounds.peer.say(wt::NoMore{});
+  sounds.peer.say(wt::Draining{});
   sounds.run_for(0.1);
   std::printf("it leaves, with an op open: the link holds: %s\n", yes(!sounds.seen.lost));
-  sounds.planners->done_with(0);
+  sounds.planners->close_if_draining(0);
   sounds.run_for(0.1);
   std::printf("with none: it ends: %s", yes(sounds.seen.lost));
   const double closed = sounds.peer.closed_at;
@@ -225,7 +242,7 @@
   std::printf("; opened again after half a second: %s\n",
               yes(sounds.peer.accepted == 2 && sounds.peer.connected_at - closed > 0.4));
   sounds.planners->remove(0);
-  sounds.planners->done_with(0);
+  sounds.planners->close_if_draining(0);
   sounds.run_for(1.5);
   const int links = sounds.peer.accepted;
   sounds.planners->restore(0);
--- a/tests/cold_parts.cpp
+++ b/tests/tier/slow_start.cpp
@@ -66,7 +66,7 @@
   };
   static tier::PickerOptions terms() {
     tier::PickerOptions terms;
-    terms.rejection_rest = 0.25;  // as forwarders have it
+    terms.rejection_cooldown_seconds = 0.25;  // as forwarders have it
     return terms;
   }
   double uniform() { return static_cast<double>(random_()) / 4294967296.0; }
@@ -76,28 +76,28 @@
       const std::uint64_t id = next_++;
       auto& one = forwarders_[id];
       one = std::make_unique<Forwarder>();
-      one->picker.up(0, 0, now_);
+      one->picker.on_link_up(0, 0, now_);
       one->last_sent = now_;
-      parts_.joined(id);
+      parts_.add(id);
     }
     if (uniform() < 0.02 && forwarders_.size() > 1) {  // what it has open goes on
       auto gone = std::next(forwarders_.begin(),
                             static_cast<long>(random_(static_cast<unsigned>(forwarders_.size()))));
-      parts_.left(gone->first, now_);
+      parts_.remove(gone->first, now_);
       forwarders_.erase(gone);
     }
   }
   void planner_looks() {
     if (now_ < next_look_) return;
     next_look_ = now_ + 0.05;
-    parts_.look(now_, budget_, [this](std::uint64_t id) {
+    parts_.rebalance(now_, budget_, [this](std::uint64_t id) {
       return static_cast<std::size_t>(
           std::count_if(attempts_.begin(), attempts_.end(),
                         [&](const Attempt& a) { return a.forwarder == id && a.comes <= now_; }));
     });
     for (auto& [id, one] : forwarders_) {
-      if (parts_.part(id) == one->told) continue;
-      one->told = parts_.part(id);
+      if (parts_.share(id) == one->told) continue;
+      one->told = parts_.share(id);
       const double at = std::max(now_ + kLate * uniform(), one->words.empty() ? 0 : one->words.back().first);
       one->words.emplace_back(at, one->told);
     }
@@ -105,7 +105,7 @@
   void hear() {
     for (auto& [id, one] : forwarders_) {
       for (const auto& [at, part] : one->words) {
-        if (at <= now_) one->picker.window(0, part, 0, true);
+        if (at <= now_) one->picker.on_load_report(0, part, 0, true);
       }
       std::erase_if(one->words, [&](const auto& word) { return word.first <= now_; });
     }
@@ -113,7 +113,7 @@
   void send() {
     for (auto& [id, one] : forwarders_) {
       while (one->picker.pick(0, now_, [this] { return uniform(); })) {
-        one->picker.sent(0);
+        one->picker.on_attempt_sent(0);
         const double comes = now_ + kWay * uniform();
         attempts_.push_back(
             {id, comes, comes + (rejections_ ? 0.001 : 0.02 + (uniform() < 0.3 ? 2.0 : 0.3) * uniform())});
@@ -129,8 +129,8 @@
       if (a.ends > now_) return false;
       const auto found = forwarders_.find(a.forwarder);
       if (found != forwarders_.end())
-        found->second->picker.ended(
-            0, rejections_ ? tier::AttemptOutcome::kRejected : tier::AttemptOutcome::kServed, 0.1, now_);
+        found->second->picker.on_attempt_ended(
+            0, rejections_ ? tier::AttemptOutcome::kRejected : tier::AttemptOutcome::kSucceeded, 0.1, now_);
       return true;
     });
   }
@@ -189,14 +189,14 @@
 void lives() {
   for (const bool cold : {false, true}) {
     tier::ConcurrencyWindows windows({2, 0.2, 1e9});
-    windows.began(cold, 0);
+    windows.on_runtime_started(cold, 0);
     std::size_t most = 0;
     for (std::uint64_t life = 1; life <= 10000; ++life) {
       const double now = static_cast<double>(life) * 0.05;
-      windows.joined(life);
-      if (life > 1) windows.left(life - 1, now);
-      windows.look(now, [](std::uint64_t) { return std::size_t{0}; });
-      most = std::max(most, windows.known());
+      windows.add_forwarder(life);
+      if (life > 1) windows.remove_forwarder(life - 1, now);
+      windows.rebalance(now, [](std::uint64_t) { return std::size_t{0}; });
+      most = std::max(most, windows.tracked_forwarders());
     }
     say(fmt::format("{}: ten thousand lives, a few known at a time", cold ? "cold" : "warm"), most < 20);
   }
@@ -206,15 +206,15 @@
 // counts.
 void processes() {
   for (const PlannerManner manner : {PlannerManner::kSound, PlannerManner::kRejections}) {
-    constexpr int kForwarders = 20;
-    constexpr double kBudget = 12;
+    constexpr int forwarder_count = 20;
+    constexpr double budget = 12;
     Loop loop;
     Journal journal;
     journal.lives.push_back({now(), -1, -1, -1, false, 0, {}});
     Planner::Options how;
     how.manner = manner;
     how.takes = 0.1;
-    how.cold = kBudget;
+    how.cold = budget;
     Planner planner(loop, journal, how);
     Callers::Options load;
     Flow pull{"pull", 400, 1};
@@ -222,7 +222,7 @@
     load.connections = 4;
     Callers callers(loop, journal, load);
     std::vector<std::unique_ptr<Server>> forwarders;
-    for (int i = 0; i < kForwarders; ++i) {
+    for (int i = 0; i < forwarder_count; ++i) {
       SiteSpec spec;
       spec.types = {{"pull", "retryable", 1, 2, 0, 1}};
       spec.command = "forward";
@@ -232,21 +232,21 @@
           std::make_unique<Server>(loop, journal, callers, binary, spec, Runtime::Options{}, i));
       if (!forwarders.back()->start()) std::printf("a forwarder does not start\n");
     }
-    const bool linked = loop.run_until([&] { return planner.linked() == kForwarders; }, 20);
+    const bool linked = loop.run_until([&] { return planner.linked() == forwarder_count; }, 20);
     loop.run_for(1);
     const std::uint64_t before = planner.taken();
     loop.run_for(4);
     const double a_second = static_cast<double>(planner.taken() - before) / 4;
     say("twenty processes are linked", linked);
     say(fmt::format("{}: open at once within {} and chance",
-                    manner == PlannerManner::kRejections ? "all nacked" : "all served", kBudget),
-        static_cast<double>(planner.most_open()) <= kBudget + chance_over(kBudget));
+                    manner == PlannerManner::kRejections ? "all nacked" : "all served", budget),
+        static_cast<double>(planner.most_open()) <= budget + chance_over(budget));
     // A rejected attempt keeps its room for a quarter of a second: four times the budget a second, and
     // chance.
     if (manner == PlannerManner::kRejections)
-      say("sent within four budgets a second and chance", a_second <= 4 * kBudget + chance_over(4 * kBudget));
+      say("sent within four budgets a second and chance", a_second <= 4 * budget + chance_over(4 * budget));
     say("every one of them has sent some", planner.fewest_sent() >= 1);
-    say("the budget is used", a_second > kBudget);
+    say("the budget is used", a_second > budget);
     std::fprintf(stderr, "most open %zu, %.1f a second, fewest sent %llu\n", planner.most_open(), a_second,
                  static_cast<unsigned long long>(planner.fewest_sent()));
   }
@@ -255,19 +255,19 @@
 // A real planner that comes up cold, and what it tells twenty forwarders, who come one after the other and of
 // whom some go.
 void planner() {
-  constexpr double kFrom = 0.2, kTime = 4;
-  constexpr int kLinks = 20;
+  constexpr double initial_speed = 0.2, warm_up_seconds = 4;
+  constexpr int link_count = 20;
   Loop loop;
   Journal journal;
   Callers callers(loop, journal, {});
   SiteSpec spec;
   spec.types = {{"read", "retryable", 1, 2, 0, 1}};
   spec.command = "plan";
-  spec.slow_start_speed = kFrom;
-  spec.slow_start_seconds = kTime;
+  spec.slow_start_speed = initial_speed;
+  spec.slow_start_seconds = warm_up_seconds;
   Runtime::Options work;
-  work.slow_start_speed = kFrom;
-  work.slow_start_seconds = kTime;
+  work.slow_start_speed = initial_speed;
+  work.slow_start_seconds = warm_up_seconds;
   Server server(loop, journal, callers, binary, spec, work);
   say("starts", server.start());
   const double began = now();  // its runtime began before: the budget reckoned from here is the smaller one
@@ -284,12 +284,13 @@
         if (links[i]->window > 0) had.insert(i);
       }
       const double age = now() - began;
-      const double budget = damsonspoke::tier::slow_start_budget(spec.cores, kFrom, kTime, age + 0.5);
-      if (age < kTime - 0.5) over = std::max(over, sum - budget - chance_over(budget));
+      const double budget =
+          damsonspoke::tier::slow_start_budget(spec.cores, initial_speed, warm_up_seconds, age + 0.5);
+      if (age < warm_up_seconds - 0.5) over = std::max(over, sum - budget - chance_over(budget));
     }
   };
   const std::uint16_t port = server.port();
-  for (int i = 0; i < kLinks; ++i) {
+  for (int i = 0; i < link_count; ++i) {
     links.push_back(std::make_unique<ScriptedForwarder>(loop, port));
     links.back()->hello(fmt::format("f{}", i).c_str(), 7);
     watch(0.02);
@@ -302,7 +303,7 @@
     if (i == 4) links[3].reset(), links[7].reset();
   }
   say("what they are told sums to the budget and chance at most", over <= 0);
-  say("every one of them had a part", had.size() == kLinks);
+  say("every one of them had a part", had.size() == link_count);
   for (int i = 0; i < 12; ++i) {
     for (const auto& link : links) {
       if (link) link->send(damsonspoke::wire::tier::Ping{1});
