--- a/src/app/backend.cpp
+++ b/src/app/backend.cpp
@@ -75,7 +75,7 @@
   if (ajp.listen.empty()) {
     const int fit = links_that_fit(config_.limits, peers::JsonRpcServer::kMostInput);
     make_connection_admission(fit, {1});
-    conns::ConnectionQuota* share = connection_admission_ ? &connection_admission_->share() : nullptr;
+    conns::ConnectionQuota* share = connection_admission_ ? &connection_admission_->quota() : nullptr;
     return std::make_unique<peers::JsonRpcServer>(
         reactor_, config_.listen, catalog_.catalog(), keys,
         peers::JsonRpcServer::Limits{fit, output, share, 0, connection_admission_.get()}, events, counters_,
@@ -87,7 +87,7 @@
   make_connection_admission(fit, floors);
   if (!connection_admission_)
     share_ = std::make_unique<conns::ConnectionQuota>(static_cast<std::size_t>(fit), floors);
-  conns::ConnectionQuota& share = connection_admission_ ? connection_admission_->share() : *share_;
+  conns::ConnectionQuota& share = connection_admission_ ? connection_admission_->quota() : *share_;
   auto callers = std::make_unique<peers::JsonRpcServer>(
       reactor_, config_.listen, catalog_.catalog(), keys,
       peers::JsonRpcServer::Limits{fit, output / 2, &share, 0, connection_admission_.get()}, events,
@@ -166,7 +166,7 @@
   log_.info("backend", "{} listens on {}:{}", config_.name, host, front_->port());
   if (ajp_ != nullptr) log_.info("backend", "takes AJP callers on port {}", ajp_->port());
   statistics_.get_ready();
-  if (connection_admission_) connection_admission_->begin();
+  if (connection_admission_) connection_admission_->load_known_clients();
   membership_.begin(front_->port());
   reactor_.run();
   report();
@@ -218,7 +218,7 @@
   log_.info("backend", "notice to leave, {} ops open, {} connections", in_flight_.unanswered(),
             front_->connections());
   statistics_.leaving();
-  if (connection_admission_) connection_admission_->leaving();
+  if (connection_admission_) connection_admission_->save_known_clients();
   membership_.leave();
   sender_.drain();
   admission_.on_drain(config_.stop_after);
--- a/src/conns/known_clients.cpp
+++ b/src/conns/known_clients.cpp
@@ -18,36 +18,37 @@
 
 bool KnownClients::is_known(const Prefix& client, double now) const {
   const auto found = at_.find(client);
-  return found != at_.end() && found->second->known && now - found->second->last <= terms_.lasts;
+  return found != at_.end() && found->second->is_known &&
+         now - found->second->last_success <= options_.max_age;
 }
 
-double KnownClients::earned(const Prefix& client) const {
+double KnownClients::score(const Prefix& client) const {
   const auto found = at_.find(client);
-  return found == at_.end() ? 0 : found->second->earned;
+  return found == at_.end() ? 0 : found->second->score;
 }
 
-void KnownClients::succeeded(const Prefix& client, double now) {
+void KnownClients::record_success(const Prefix& client, double now) {
   auto found = at_.find(client);
   if (found == at_.end()) {
-    if (order_.size() >= terms_.entries) make_room();
+    if (order_.size() >= options_.max_entries) make_room();
     order_.push_front({client, 0, now, false});
     found = at_.emplace(client, order_.begin()).first;
   }
   KnownClient& one = *found->second;
-  if (now - one.last > terms_.lasts)
-    one.earned = 0, one.known = false;  // who comes after so long is a stranger
-  one.earned = std::min(one.earned + 1, kMost * terms_.needed);
-  one.last = now;
-  if (one.earned >= terms_.needed) one.known = true;
+  if (now - one.last_success > options_.max_age)
+    one.score = 0, one.is_known = false;  // who comes after so long is a stranger
+  one.score = std::min(one.score + 1, kMost * options_.required_successes);
+  one.last_success = now;
+  if (one.score >= options_.required_successes) one.is_known = true;
   order_.splice(order_.begin(), order_, found->second);
 }
 
-void KnownClients::misbehaved(const Prefix& client) {
+void KnownClients::record_misbehavior(const Prefix& client) {
   const auto found = at_.find(client);
   if (found == at_.end()) return;
   KnownClient& one = *found->second;
-  one.earned = std::max(0.0, one.earned - kMisbehaved * terms_.needed);
-  if (one.earned < kLost * terms_.needed) one.known = false;
+  one.score = std::max(0.0, one.score - kMisbehaved * options_.required_successes);
+  if (one.score < kLost * options_.required_successes) one.is_known = false;
 }
 
 // Guards against newcomers by thousands that push out who is known: of the oldest one without standing goes
@@ -57,7 +58,7 @@
   auto it = order_.end();
   for (std::size_t i = 0; i < kLookedAt && it != order_.begin(); ++i) {
     --it;
-    if (it->known) continue;
+    if (it->is_known) continue;
     victim = it;
     break;
   }
@@ -65,19 +66,20 @@
   order_.erase(victim);
 }
 
-std::size_t KnownClients::begin_with(const std::vector<KnownClient>& clients, double now) {
+std::size_t KnownClients::restore(const std::vector<KnownClient>& clients, double now) {
   std::size_t taken = 0;
   for (const KnownClient& one : clients) {
-    if (order_.size() >= terms_.entries) break;
-    const bool sound = std::isfinite(one.earned) && std::isfinite(one.last) && one.earned >= 0 &&
+    if (order_.size() >= options_.max_entries) break;
+    const bool sound = std::isfinite(one.score) && std::isfinite(one.last_success) && one.score >= 0 &&
                        one.client == masked(one.client.base, one.client.bits);
-    if (!sound || one.last > now + kClockSlack || now - one.last > terms_.lasts) continue;
+    if (!sound || one.last_success > now + kClockSlack || now - one.last_success > options_.max_age) continue;
     if (at_.contains(one.client)) continue;
     KnownClient kept = one;
-    kept.earned = std::min(one.earned, kMost * terms_.needed);
-    kept.last = std::min(one.last, now);
-    // Whether it is known follows from what it earned, by the terms of now.
-    kept.known = kept.earned >= terms_.needed || (one.known && kept.earned >= kLost * terms_.needed);
+    kept.score = std::min(one.score, kMost * options_.required_successes);
+    kept.last_success = std::min(one.last_success, now);
+    // Whether it is known follows from what it score, by the options of now.
+    kept.is_known = kept.score >= options_.required_successes ||
+                    (one.is_known && kept.score >= kLost * options_.required_successes);
     order_.push_back(kept);
     at_[kept.client] = std::prev(order_.end());
     ++taken;
--- a/src/conns/known_clients.h
+++ b/src/conns/known_clients.h
@@ -1,5 +1,5 @@
 // Who is known: clients that had requests acked here in the last days, on connections that behaved. The
-// standing is earned by requests that succeeded and lost by misbehaviour, ages, and outlives the process as
+// standing is score by requests that succeeded and lost by misbehaviour, ages, and outlives the process as
 // far as its record does. Pure policy: times are Unix seconds that are handed in.
 #pragma once
 
@@ -13,41 +13,41 @@
 namespace damsonspoke::conns {
 
 struct KnownClientsOptions {
-  double lasts = 7 * 86400;    // s from the last acked request
-  double needed = 20;          // requests that succeeded until a client is known
-  std::size_t entries = 4096;  // clients that are remembered at all
+  double max_age = 7 * 86400;      // s from the last acked request
+  double required_successes = 20;  // requests that succeeded until a client is known
+  std::size_t max_entries = 4096;  // clients that are remembered at all
 };
 
 struct KnownClient {
   Prefix client;
-  double earned = 0;  // requests that succeeded, at most twice as many as are needed; misbehaviour takes a
-                      // quarter of those
-  double last = 0;    // Unix s of the last acked request
-  bool known = false;
+  double score = 0;  // requests that succeeded, at most twice as many as are needed; misbehaviour takes a
+                     // quarter of those
+  double last_success = 0;  // Unix s of the last acked request
+  bool is_known = false;
 };
 
 class KnownClients {
  public:
-  explicit KnownClients(KnownClientsOptions terms) : terms_(terms) {}
+  explicit KnownClients(KnownClientsOptions options) : options_(options) {}
 
   bool is_known(const Prefix& client, double now) const;
-  void succeeded(const Prefix& client, double now);
-  void misbehaved(const Prefix& client);
+  void record_success(const Prefix& client, double now);
+  void record_misbehavior(const Prefix& client);
   std::size_t size() const { return order_.size(); }
-  double earned(const Prefix& client) const;
-  void reconfigure(KnownClientsOptions terms) { terms_ = terms; }
+  double score(const Prefix& client) const;
+  void reconfigure(KnownClientsOptions options) { options_ = options; }
 
   // For a successor: the newest first.
-  std::vector<KnownClient> all() const { return {order_.begin(), order_.end()}; }
+  std::vector<KnownClient> entries() const { return {order_.begin(), order_.end()}; }
   // What an earlier life knew. Entries from the future, too old, or that no life could have written are left
   // out. Returns how many were taken.
-  std::size_t begin_with(const std::vector<KnownClient>& clients, double now);
+  std::size_t restore(const std::vector<KnownClient>& clients, double now);
 
  private:
   using Order = std::list<KnownClient>;  // the newest ack first
   void make_room();
 
-  KnownClientsOptions terms_;
+  KnownClientsOptions options_;
   Order order_;
   std::unordered_map<Prefix, Order::iterator, PrefixHash> at_;
 };
--- a/src/conns/known_clients_record.h
+++ b/src/conns/known_clients_record.h
@@ -11,10 +11,11 @@
 
 namespace damsonspoke::conns {
 
-constexpr std::uint32_t kKnownForm = 1;
-constexpr std::size_t kMostKnownBytes = 512 * 1024, kMostKnownClients = 8192;
+constexpr std::uint32_t kKnownClientsFormat = 1;
+constexpr std::size_t kMaxKnownClientsBytes = 512 * 1024, kMaxKnownClients = 8192;
 
-std::string encode(const std::vector<KnownClient>& clients);  // of what is over the bound the first are kept
-std::optional<std::vector<KnownClient>> decode_known(std::string_view bytes);
+std::string encode_known_clients(
+    const std::vector<KnownClient>& clients);  // of what is over the bound the first are kept
+std::optional<std::vector<KnownClient>> decode_known_clients(std::string_view bytes);
 
 }  // namespace damsonspoke::conns
--- a/src/conns/minimum_byte_rate.h
+++ b/src/conns/minimum_byte_rate.h
@@ -7,24 +7,25 @@
 namespace damsonspoke::conns {
 
 struct MinimumByteRateOptions {
-  double grace = 0.5;  // s in which nothing is owed
-  double rate = 4096;  // bytes a second after that
+  double grace_seconds = 0.5;      // s in which nothing is owed
+  double bytes_per_second = 4096;  // bytes a second after that
 };
 
 class MinimumByteRate {
  public:
   // `moved`: bytes so far, of whatever count the caller keeps.
-  void begin(double now, std::uint64_t moved) { since_ = now, from_ = moved; }
-  void end() { since_ = -1; }
-  bool running() const { return since_ >= 0; }
-  bool too_slow(double now, std::uint64_t moved, const MinimumByteRateOptions& terms) const {
-    if (!running()) return false;
-    return static_cast<double>(moved - from_) < (now - since_ - terms.grace) * terms.rate;
+  void start(double now, std::uint64_t moved) { started_at_ = now, moved_at_start_ = moved; }
+  void stop() { started_at_ = -1; }
+  bool is_running() const { return started_at_ >= 0; }
+  bool is_too_slow(double now, std::uint64_t moved, const MinimumByteRateOptions& options) const {
+    if (!is_running()) return false;
+    return static_cast<double>(moved - moved_at_start_) <
+           (now - started_at_ - options.grace_seconds) * options.bytes_per_second;
   }
 
  private:
-  double since_ = -1;
-  std::uint64_t from_ = 0;
+  double started_at_ = -1;
+  std::uint64_t moved_at_start_ = 0;
 };
 
 }  // namespace damsonspoke::conns
--- a/src/conns/prefix.cpp
+++ b/src/conns/prefix.cpp
@@ -26,7 +26,7 @@
   return out;
 }
 
-bool Prefix::holds(const Address& address) const { return masked(address, bits).base == base; }
+bool Prefix::contains(const Address& address) const { return masked(address, bits).base == base; }
 
 Prefix client_of(const Address& address) { return masked(address, address.is_v4() ? kBits : 64); }
 Prefix network_of(const Address& address) { return masked(address, address.is_v4() ? kV4Before + 24 : 48); }
--- a/src/conns/prefix.h
+++ b/src/conns/prefix.h
@@ -24,7 +24,7 @@
   int bits = 128;
   bool operator==(const Prefix&) const = default;
   auto operator<=>(const Prefix&) const = default;
-  bool holds(const Address& address) const;
+  bool contains(const Address& address) const;
 };
 
 // Whoever has one address of IPv6 has at least a /64 of them: those count as one.
--- a/src/peers/ajp/server.cpp
+++ b/src/peers/ajp/server.cpp
@@ -105,7 +105,7 @@
       random_(self_.seed) {
   if (door_ != nullptr) {
     listener_.keep_reserve();
-    door_->serve(
+    door_->register_listener(
         front_, output_,
         [this](std::uint64_t tag) {
           const auto found = open_.find(tag);
@@ -132,8 +132,8 @@
 
 // ---- Connections.
 bool AjpServer::take_in(std::uint64_t tag, const net::Accepted& accepted) {
-  if (door_ != nullptr) return door_->lets_in(front_, tag, accepted);
-  if (share_.room(front_) || make_room()) return share_.opened(front_), true;
+  if (door_ != nullptr) return door_->admit(front_, tag, accepted);
+  if (share_.has_capacity(front_) || make_room()) return share_.on_opened(front_), true;
   counters_.add(Count::kCallersTurnedAway);
   net::LingeringClose::begin(reactor_, accepted.fd);
   return false;
@@ -142,7 +142,7 @@
 void AjpServer::on_accept(const net::Accepted& accepted) {
   const std::uint64_t tag = next_tag_++;
   if (!take_in(tag, accepted)) return;
-  net::OutputPool* pool = door_ != nullptr ? door_->pool(tag) : &output_;
+  net::OutputPool* pool = door_ != nullptr ? door_->output_pool(tag) : &output_;
   Caller& caller = open_[tag];
   caller.connection =
       net::Connection::accepted(reactor_, *this, accepted.fd, {most_input(options_), kOutputBytes, pool});
@@ -154,12 +154,12 @@
 
 // ---- What the door hears of a connection.
 void AjpServer::wasted(Caller& caller, conns::Penalty how) {
-  if (door_ != nullptr) door_->wasted(caller.connection->tag, how);
+  if (door_ != nullptr) door_->penalize(caller.connection->tag, how);
 }
 void AjpServer::note_busy(Caller& caller) {
   if (door_ == nullptr || !caller.connection->open()) return;
   const bool busy = caller.state == State::kOpen || caller.state == State::kClosing;
-  door_->busy(caller.connection->tag, busy || caller.connection->waiting() > 0);
+  door_->set_busy(caller.connection->tag, busy || caller.connection->waiting() > 0);
 }
 
 // Nothing is open, begun, unwritten or unread on it.
@@ -193,7 +193,7 @@
   if (!idle) return false;
   counters_.add(Count::kCallersEvicted);
   idle->connection->end();
-  share_.closed(front_);
+  share_.on_closed(front_);
   idle->evicted = true;
   return true;
 }
@@ -209,22 +209,22 @@
     if (rest.empty()) break;
     if (caller.began < 0) {
       caller.began = net::monotonic_now();
-      caller.input_pace.begin(caller.began, connection.bytes_in() - rest.size());
+      caller.input_rate.start(caller.began, connection.bytes_in() - rest.size());
     }
     const wa::Packet packet = wa::next_packet(rest, wa::From::kGateway, options_.packet);
     if (packet.state == wa::Framing::kNeedMore) break;
     if (packet.state == wa::Framing::kBroken) {
       counters_.add(Count::kBadFrames);
-      wasted(caller, conns::Penalty::kBadFrame);
+      wasted(caller, conns::Penalty::kInvalidFrame);
       log_.debug("ajp", "connection {}: a packet that can't be trusted, closed",
                  connection.tag & ~kAjpTickets);
       close_after_output(caller);  // an answer before it may not have been read yet
       return bytes.size();
     }
-    if (const double now = net::monotonic_now(); !share_.may_read(front_, now)) {
+    if (const double now = net::monotonic_now(); !share_.try_read(front_, now)) {
       // Its time for reading is used up: the others' turn. What has come stays where it is.
       counters_.add(Count::kReadsHeld);
-      connection.pause_reading_until(share_.resume_at());
+      connection.pause_reading_until(share_.next_period_at());
       break;
     }
     used += packet.length;
@@ -233,7 +233,7 @@
     note_busy(caller);
     if (!sound) {
       counters_.add(Count::kBadFrames);
-      wasted(caller, conns::Penalty::kBadFrame);
+      wasted(caller, conns::Penalty::kInvalidFrame);
       close_after_output(caller);  // an answer before it may not have been read yet
       return bytes.size();
     }
@@ -254,7 +254,7 @@
   caller.has_asked = true;
   // A ping keeps a connection, but it is of no use by itself: its time to be kept counts from requests.
   if (door_ != nullptr && std::holds_alternative<wa::ForwardRequest>(*message))
-    door_->asked(caller.connection->tag);
+    door_->on_request_read(caller.connection->tag);
   if (std::holds_alternative<wa::CPing>(*message)) {
     counters_.add(Count::kAjpPings);
     caller.began = -1;
@@ -472,7 +472,7 @@
 
 void AjpServer::answer_succeeded(ReplyAddress ticket, std::string_view result) {
   Caller* caller = waiting_for(ticket);
-  if (caller != nullptr && door_ != nullptr) door_->succeeded(ticket.connection, caller->type);
+  if (caller != nullptr && door_ != nullptr) door_->on_success(ticket.connection, caller->type);
   if (caller != nullptr) answered(*caller, 200, {{"content-type", "application/octet-stream"}}, result);
 }
 void AjpServer::answer_rejected(ReplyAddress ticket, double retry_after, bool no_retry) {
@@ -504,7 +504,7 @@
 void AjpServer::on_output_sent(net::Connection& connection) {
   const auto found = open_.find(connection.tag);
   if (found == open_.end()) return;
-  found->second.output_pace.end();
+  found->second.output_rate.stop();
   note_busy(found->second);
   if (found->second.state == State::kClosing) connection.end();
 }
@@ -524,10 +524,11 @@
   by_traffic_.erase(caller.place);
   open_.erase(found);
   if (door_ != nullptr) {
-    if (!caller.has_asked && why == net::End::kBroken) door_->wasted(connection.tag, conns::Penalty::kReset);
-    door_->ended(connection.tag);
+    if (!caller.has_asked && why == net::End::kBroken)
+      door_->penalize(connection.tag, conns::Penalty::kReset);
+    door_->on_closed(connection.tag);
   } else if (!caller.evicted) {
-    share_.closed(front_);
+    share_.on_closed(front_);
   }
   counters_.add(why == net::End::kInOrder    ? Count::kCallersClosed
                 : why == net::End::kOverflow ? Count::kSlowPeers
@@ -544,9 +545,9 @@
 bool AjpServer::too_slow(Caller& caller, double now) {
   if (door_ == nullptr) return false;
   const net::Connection& connection = *caller.connection;
-  if (connection.waiting() > 0 && !caller.output_pace.running())
-    caller.output_pace.begin(now, connection.bytes_out());
-  return caller.output_pace.too_slow(now, connection.bytes_out(), door_->output_terms());
+  if (connection.waiting() > 0 && !caller.output_rate.is_running())
+    caller.output_rate.start(now, connection.bytes_out());
+  return caller.output_rate.is_too_slow(now, connection.bytes_out(), door_->output_rate());
 }
 
 // Each has to ask, to finish what it began within its time whatever it sends meanwhile, and to take its
@@ -561,16 +562,16 @@
     if (connection.waiting() > 0 && caller.waiting_since < 0) caller.waiting_since = now;
     const bool untaken = caller.waiting_since >= 0 && now - caller.waiting_since > kTakeOutput;
     if (untaken || too_slow(caller, now)) {
-      wasted(caller, conns::Penalty::kSlow);
+      wasted(caller, conns::Penalty::kSlowTransfer);
       connection.close(net::End::kOverflow);
       continue;
     }
     if (caller.state == State::kClosing || caller.state == State::kOpen) continue;
     if (caller.began >= 0 && (now - caller.began > kWholeRequest ||
-                              (door_ != nullptr && caller.input_pace.too_slow(now, connection.bytes_in(),
-                                                                              door_->input_terms())))) {
+                              (door_ != nullptr && caller.input_rate.is_too_slow(now, connection.bytes_in(),
+                                                                                 door_->input_rate())))) {
       counters_.add(Count::kHalfClosed);
-      wasted(caller, conns::Penalty::kHalf);
+      wasted(caller, conns::Penalty::kIncompleteRequest);
       refuse(caller, 408, true);
     } else if (!nothing_owed(caller)) {
       continue;  // what lies unread is read first
--- a/src/peers/ajp/server.h
+++ b/src/peers/ajp/server.h
@@ -80,7 +80,7 @@
     bool has_asked = false;
     bool evicted = false;  // its place was given away already
     int type = -1;         // of its request
-    conns::MinimumByteRate input_pace, output_pace;
+    conns::MinimumByteRate input_rate, output_rate;
     bool input_over = false;
   };
 
--- a/src/peers/json_rpc/server.cpp
+++ b/src/peers/json_rpc/server.cpp
@@ -41,7 +41,7 @@
       listener_(reactor, net::parse_address(listen), [this](const net::Accepted& one) { on_accept(one); }) {
   if (limits_.connection_admission != nullptr) {
     listener_.keep_reserve();
-    limits_.connection_admission->serve(
+    limits_.connection_admission->register_listener(
         limits_.front, output_,
         [this](std::uint64_t tag) {
           const auto found = open_.find(tag);
@@ -62,9 +62,9 @@
 // A newcomer that finds neither room nor anybody idle is closed, with nothing run, not left to wait.
 bool JsonRpcServer::take_in(std::uint64_t tag, const net::Accepted& accepted) {
   if (limits_.connection_admission != nullptr)
-    return limits_.connection_admission->lets_in(limits_.front, tag, accepted);
+    return limits_.connection_admission->admit(limits_.front, tag, accepted);
   if (room() || make_room()) {
-    if (limits_.share != nullptr) limits_.share->opened(limits_.front);
+    if (limits_.share != nullptr) limits_.share->on_opened(limits_.front);
     return true;
   }
   counters_.add(Count::kCallersTurnedAway);
@@ -76,7 +76,7 @@
   const std::uint64_t tag = next_tag_++;
   if (!take_in(tag, accepted)) return;
   net::OutputPool* pool =
-      limits_.connection_admission != nullptr ? limits_.connection_admission->pool(tag) : &output_;
+      limits_.connection_admission != nullptr ? limits_.connection_admission->output_pool(tag) : &output_;
   Caller& caller = open_[tag];
   caller.connection =
       net::Connection::accepted(reactor_, *this, accepted.fd, {kMostInput, kOutputBytes, pool});
@@ -91,24 +91,24 @@
 // ---- What the door hears of a connection.
 void JsonRpcServer::wasted(Caller& caller, conns::Penalty how) {
   if (limits_.connection_admission != nullptr)
-    limits_.connection_admission->wasted(caller.connection->tag, how);
+    limits_.connection_admission->penalize(caller.connection->tag, how);
 }
 void JsonRpcServer::note_busy(Caller& caller) {
   if (limits_.connection_admission == nullptr || !caller.connection->open()) return;
-  limits_.connection_admission->busy(caller.connection->tag,
-                                     !caller.requests.empty() || caller.connection->waiting() > 0);
+  limits_.connection_admission->set_busy(caller.connection->tag,
+                                         !caller.requests.empty() || caller.connection->waiting() > 0);
 }
 
 bool JsonRpcServer::room() const {
-  if (limits_.share != nullptr) return limits_.share->room(limits_.front);
+  if (limits_.share != nullptr) return limits_.share->has_capacity(limits_.front);
   return static_cast<int>(open_.size()) < limits_.connections;
 }
 
 // Its time for reading is used up while another front has something to read.
 bool JsonRpcServer::hold_reading(Caller& caller) {
-  if (limits_.share == nullptr || limits_.share->may_read(limits_.front, net::monotonic_now())) return false;
+  if (limits_.share == nullptr || limits_.share->try_read(limits_.front, net::monotonic_now())) return false;
   counters_.add(Count::kReadsHeld);
-  caller.connection->pause_reading_until(limits_.share->resume_at());
+  caller.connection->pause_reading_until(limits_.share->next_period_at());
   return true;
 }
 
@@ -139,7 +139,7 @@
   if (!idle) return false;
   counters_.add(Count::kCallersEvicted);
   idle->connection->end();
-  if (limits_.share != nullptr) limits_.share->closed(limits_.front);
+  if (limits_.share != nullptr) limits_.share->on_closed(limits_.front);
   idle->evicted = true;
   return true;
 }
@@ -156,19 +156,19 @@
     if (frame.state == wire::Framing::kBroken) {
       counters_.add(Count::kBadFrames);
       log_.debug("callers", "connection {}: a frame that can't be trusted, closed", tag);
-      wasted(caller, conns::Penalty::kBadFrame);
+      wasted(caller, conns::Penalty::kInvalidFrame);
       refuse(caller, wire::encode_error(0, wire::RpcError::kParse, "broken frame"));
       return bytes.size();
     }
     if (hold_reading(caller)) break;
     used += frame.length;
     caller.half_since = -1;
-    caller.input_pace.end();
+    caller.input_rate.stop();
     traffic(caller);
     take(caller, tag, frame.body);
     note_busy(caller);
     if (caller.faults >= kMostFaults) {
-      wasted(caller, conns::Penalty::kFaults);
+      wasted(caller, conns::Penalty::kInvalidRequests);
       counters_.add(Count::kFaultsClosed);
       refuse(caller, wire::encode_error(0, wire::RpcError::kRequest, "too many of no use"));
       return bytes.size();
@@ -180,7 +180,7 @@
   }
   if (used < bytes.size() && caller.half_since < 0) {
     caller.half_since = net::monotonic_now();
-    caller.input_pace.begin(caller.half_since, connection.bytes_in() - (bytes.size() - used));
+    caller.input_rate.start(caller.half_since, connection.bytes_in() - (bytes.size() - used));
   }
   counters_.add(Count::kBytesIn, used);
   return used;
@@ -239,7 +239,7 @@
     counters_.add(Count::kChecksRead);
     --caller.faults;
     caller.has_asked = true;
-    if (limits_.connection_admission != nullptr) limits_.connection_admission->asked(tag);
+    if (limits_.connection_admission != nullptr) limits_.connection_admission->on_request_read(tag);
     caller.requests[request.id] = {};
     return events_.on_check({tag, request.id}, request.probe);
   }
@@ -291,7 +291,7 @@
   incoming.reply_to = {tag, request.id};
   --caller.faults;
   caller.has_asked = true;
-  if (limits_.connection_admission != nullptr) limits_.connection_admission->asked(tag);
+  if (limits_.connection_admission != nullptr) limits_.connection_admission->on_request_read(tag);
   caller.requests[request.id] = {incoming.id, incoming.route};
   events_.on_request_read(std::move(incoming));
 }
@@ -317,7 +317,7 @@
   traffic(caller);
   put(caller, text);
   if (succeeded && limits_.connection_admission != nullptr)
-    limits_.connection_admission->succeeded(ticket.connection, request.mapped().type);
+    limits_.connection_admission->on_success(ticket.connection, request.mapped().type);
   note_busy(caller);
   after_answer(caller);
 }
@@ -356,7 +356,7 @@
   const auto found = open_.find(connection.tag);
   if (found == open_.end()) return;
   connection.pause_reading(false);
-  found->second.output_pace.end();
+  found->second.output_rate.stop();
   note_busy(found->second);
   after_answer(found->second);
 }
@@ -376,10 +376,10 @@
   open_.erase(found);
   if (limits_.connection_admission != nullptr) {
     if (!caller.has_asked && why == net::End::kBroken)
-      limits_.connection_admission->wasted(connection.tag, conns::Penalty::kReset);
-    limits_.connection_admission->ended(connection.tag);
+      limits_.connection_admission->penalize(connection.tag, conns::Penalty::kReset);
+    limits_.connection_admission->on_closed(connection.tag);
   } else if (limits_.share != nullptr && !caller.evicted) {
-    limits_.share->closed(limits_.front);
+    limits_.share->on_closed(limits_.front);
   }
   counters_.add(why == net::End::kInOrder    ? Count::kCallersClosed
                 : why == net::End::kOverflow ? Count::kSlowPeers
@@ -404,7 +404,7 @@
     if (connection.waiting() == 0) caller.waiting_since = -1;
     if (connection.waiting() > 0 && caller.waiting_since < 0) caller.waiting_since = now;
     if (caller.waiting_since >= 0 && now - caller.waiting_since > kTakeOutput) {
-      wasted(caller, conns::Penalty::kSlow);
+      wasted(caller, conns::Penalty::kSlowTransfer);
       connection.close(net::End::kOverflow);
     } else if (!caller.has_asked && now - caller.last_traffic > kFirstRequest && nothing_owed(caller)) {
       counters_.add(Count::kSilentClosed);
@@ -412,7 +412,7 @@
       connection.end();
     } else if (caller.half_since >= 0 && now - caller.half_since > kWholeRequest) {
       counters_.add(Count::kHalfClosed);
-      wasted(caller, conns::Penalty::kHalf);
+      wasted(caller, conns::Penalty::kIncompleteRequest);
       caller.half_since = -1;
       refuse(caller, wire::encode_error(0, wire::RpcError::kParse, "not whole in time"));
     } else if (caller.requests.empty() && now - caller.last_traffic > kLongestIdle) {
@@ -428,20 +428,20 @@
 void JsonRpcServer::look_at(Caller& caller, double now) {
   if (limits_.connection_admission == nullptr) return;
   net::Connection& connection = *caller.connection;
-  if (connection.waiting() > 0 && !caller.output_pace.running())
-    caller.output_pace.begin(now, connection.bytes_out());
-  if (caller.output_pace.too_slow(now, connection.bytes_out(),
-                                  limits_.connection_admission->output_terms())) {
-    wasted(caller, conns::Penalty::kSlow);
+  if (connection.waiting() > 0 && !caller.output_rate.is_running())
+    caller.output_rate.start(now, connection.bytes_out());
+  if (caller.output_rate.is_too_slow(now, connection.bytes_out(),
+                                     limits_.connection_admission->output_rate())) {
+    wasted(caller, conns::Penalty::kSlowTransfer);
     return connection.close(net::End::kOverflow);
   }
   if (caller.half_since < 0 ||
-      !caller.input_pace.too_slow(now, connection.bytes_in(), limits_.connection_admission->input_terms()))
+      !caller.input_rate.is_too_slow(now, connection.bytes_in(), limits_.connection_admission->input_rate()))
     return;
   counters_.add(Count::kHalfClosed);
-  wasted(caller, conns::Penalty::kHalf);
+  wasted(caller, conns::Penalty::kIncompleteRequest);
   caller.half_since = -1;
-  caller.input_pace.end();
+  caller.input_rate.stop();
   refuse(caller, wire::encode_error(0, wire::RpcError::kParse, "too slow"));
 }
 
--- a/src/peers/json_rpc/server.h
+++ b/src/peers/json_rpc/server.h
@@ -72,7 +72,7 @@
     bool has_asked = false;  // a whole request
     bool input_over = false;
     bool evicted = false;  // its place was given away already
-    conns::MinimumByteRate input_pace, output_pace;
+    conns::MinimumByteRate input_rate, output_rate;
   };
 
   std::size_t on_input(net::Connection& connection, std::string_view bytes) override;
--- a/src/peers/members/transport.cpp
+++ b/src/peers/members/transport.cpp
@@ -87,7 +87,7 @@
 bool MembershipTransport::is_peer(const Poco::Net::SocketAddress& address) const {
   const auto client = plain(address);
   return client && std::any_of(options_.peers.begin(), options_.peers.end(),
-                               [&](const conns::Prefix& prefix) { return prefix.holds(*client); });
+                               [&](const conns::Prefix& prefix) { return prefix.contains(*client); });
 }
 
 // Addresses come from what members tell of one another. Guards against being made to write to anybody else.
--- a/src/settings/operator_file.cpp
+++ b/src/settings/operator_file.cpp
@@ -60,8 +60,8 @@
   std::size_t word = 0;
   std::string text;
 };
-std::variant<conns::GateGroup, GateGroupError> read_gate_group(const std::vector<std::string>& words) {
-  conns::GateGroup out;
+std::variant<conns::ClientGroup, GateGroupError> read_gate_group(const std::vector<std::string>& words) {
+  conns::ClientGroup out;
   out.name = words[0];
   if (!read_percentage(words[1], out.share) || out.share < 0.01 || out.share > 1)
     return GateGroupError{1, fmt::format("'{}' is no percentage from 1% to 100%", words[1])};
@@ -235,32 +235,32 @@
   GateOptions& g = o.gate;
   g.enabled = read.flag("gate", "enabled");
   g.connections = read.whole("gate", "connections");
-  g.terms.reserve = read.number("gate", "reserve");
-  g.terms.address_share = read.number("gate", "client-share");
-  g.terms.known_share = read.number("gate", "known-share");
-  g.terms.network_share = read.number("gate", "network-share");
-  g.terms.address_rate = read.number("gate", "client-rate");
-  g.terms.address_burst = read.number("gate", "client-burst");
-  g.terms.network_rate = read.number("gate", "network-rate");
-  g.terms.network_burst = read.number("gate", "network-burst");
-  g.terms.strangers_rate = read.number("gate", "strangers-rate");
-  g.terms.strangers_burst = read.number("gate", "strangers-burst");
-  g.terms.wasteful = read.number("gate", "wasteful");
-  g.terms.waste_half_life = read.number("gate", "waste-half-life");
-  g.terms.keep_idle = read.number("gate", "keep-idle");
+  g.limiter.reserve = read.number("gate", "reserve");
+  g.limiter.client_share = read.number("gate", "client-share");
+  g.limiter.known_client_share = read.number("gate", "known-share");
+  g.limiter.network_share = read.number("gate", "network-share");
+  g.limiter.client_rate = read.number("gate", "client-rate");
+  g.limiter.client_burst = read.number("gate", "client-burst");
+  g.limiter.network_rate = read.number("gate", "network-rate");
+  g.limiter.network_burst = read.number("gate", "network-burst");
+  g.limiter.unknown_clients_rate = read.number("gate", "strangers-rate");
+  g.limiter.unknown_clients_burst = read.number("gate", "strangers-burst");
+  g.limiter.penalty_limit = read.number("gate", "wasteful");
+  g.limiter.penalty_half_life = read.number("gate", "waste-half-life");
+  g.limiter.idle_protection = read.number("gate", "keep-idle");
   g.client_output = read.number("gate", "client-output");
   g.input = {kInputGrace, read.number("gate", "input-rate")};
   g.output = {kOutputGrace, read.number("gate", "output-rate")};
-  g.known.lasts = read.number("gate", "known-for");
-  g.known.needed = read.number("gate", "known-after");
+  g.known.max_age = read.number("gate", "known-for");
+  g.known.required_successes = read.number("gate", "known-after");
   g.known_folder = read.text("gate", "known-folder");
   g.known_interval = read.number("gate", "known-interval");
   for (const std::string& word : read.words("gate", "known")) {
-    if (const auto prefix = conns::parse_prefix(word)) g.terms.listed.push_back(*prefix);
+    if (const auto prefix = conns::parse_prefix(word)) g.limiter.listed.push_back(*prefix);
   }
   for (const std::vector<std::string>& line : read.lines("gate", "group")) {
     const auto group = read_gate_group(line);
-    if (const auto* good = std::get_if<conns::GateGroup>(&group)) g.terms.groups.push_back(*good);
+    if (const auto* good = std::get_if<conns::ClientGroup>(&group)) g.limiter.groups.push_back(*good);
   }
   o.catalog.folder = read.text("catalog", "folder");
   o.catalog.routes = read.whole("catalog", "routes");
--- a/src/settings/operator_file.h
+++ b/src/settings/operator_file.h
@@ -75,7 +75,7 @@
 struct GateOptions {
   bool enabled = false;
   std::size_t connections = 0;  // 0: as the limits allow
-  conns::ConnectionLimiterOptions terms;
+  conns::ConnectionLimiterOptions limiter;
   conns::KnownClientsOptions known;
   std::string known_folder;   // empty: not kept
   double known_interval = 0;  // s
--- a/standins/gate_flood.h
+++ b/standins/gate_flood.h
@@ -17,7 +17,7 @@
 
 namespace damsonspoke::standins {
 
-using conns::Address, conns::Arrival, conns::ConnId, conns::ConnectionLimiter,
+using conns::Address, conns::AdmissionResult, conns::ConnectionId, conns::ConnectionLimiter,
     conns::ConnectionLimiterOptions, conns::KnownClients, conns::KnownClientsOptions, conns::ConnectionQuota,
     conns::Standing, conns::RejectCause, conns::Penalty;
 
@@ -41,10 +41,10 @@
     share_ = std::make_unique<ConnectionQuota>(total_, std::vector<double>{1});
     known_ = std::make_unique<KnownClients>(KnownClientsOptions{7 * 86400, 5, 256});
     gate_ = std::make_unique<ConnectionLimiter>(terms, *share_, *known_);
-    reserve_ = total_ - gate_->strangers_most();
+    reserve_ = total_ - gate_->max_unknown();
     friends_ = 1 + random_() % 12;
     for (unsigned n = 0; n < friends_; ++n)
-      for (int i = 0; i < 10; ++i) known_->succeeded(client_of(friend_at(n)), kUnix);
+      for (int i = 0; i < 10; ++i) known_->record_success(client_of(friend_at(n)), kUnix);
     addresses_ = random_() % 3 == 0 ? 1 : 1 + static_cast<unsigned>(random_() % 20000);
     spread_ = random_() % 2 == 0;
     per_s_ = 20 + chance() * 3000;
@@ -95,58 +95,58 @@
     if (broken_.empty()) broken_ = text;
   }
   void at(double time, std::function<void()> what) { ends_.emplace(time, std::move(what)); }
-  void end(ConnId id) {
-    gate_->ended(id);
+  void end(ConnectionId id) {
+    gate_->on_closed(id);
     open_.erase(id);
   }
-  ConnId arrive(const Address& from, bool is_known, bool& in) {
-    const ConnId id = ++last_;
-    const std::size_t before = gate_->open();
-    const Arrival a = gate_->arrive(id, 0, from, now_, kUnix + now_);
+  ConnectionId arrive(const Address& from, bool is_known, bool& in) {
+    const ConnectionId id = ++last_;
+    const std::size_t before = gate_->open_count();
+    const AdmissionResult a = gate_->admit(id, 0, from, now_, kUnix + now_);
     if (tell_)
-      std::printf("%.4f %s %s%s\n", now_, text_of(client_of(from)).c_str(), a.in ? "in" : text_of(a.why),
-                  a.sheds ? ", sheds" : "");
-    in = a.in;
-    if (a.sheds) {
-      const auto shed = open_.find(*a.sheds);
+      std::printf("%.4f %s %s%s\n", now_, text_of(client_of(from)).c_str(),
+                  a.admitted ? "in" : text_of(a.cause), a.evicts ? ", sheds" : "");
+    in = a.admitted;
+    if (a.evicts) {
+      const auto shed = open_.find(*a.evicts);
       if (shed == open_.end()) return fail("shed what is not open"), 0;
       if (shed->second.busy) fail("shed a connection that is busy");
       if (shed->second.is_known && !is_known) fail("a stranger moved a known client");
-      end(*a.sheds);
+      end(*a.evicts);
     }
-    if (a.in) open_[id] = {is_known, false};
-    if (!a.in && before != gate_->open()) fail("a refusal changed what is open");
-    return a.in ? id : 0;
+    if (a.admitted) open_[id] = {is_known, false};
+    if (!a.admitted && before != gate_->open_count()) fail("a refusal changed what is open");
+    return a.admitted ? id : 0;
   }
   void attack() {
     const auto n = static_cast<unsigned>(random_() % addresses_);
     const Address from = spread_ ? v4(10, n % 256, n / 256, 1) : v4(10, 0, n / 256, n % 256);
     bool in = false;
     ++flood_asked;
-    const ConnId id = arrive(from, false, in);
+    const ConnectionId id = arrive(from, false, in);
     if (!in) return;
     ++flood_in;
     switch (manner_) {
       case 0: break;  // silent, for good
       case 1:         // connects and resets
         at(now_ + 0.001, [this, id] {
-          if (open_.contains(id)) gate_->wasted(id, Penalty::kReset, now_), end(id);
+          if (open_.contains(id)) gate_->penalize(id, Penalty::kReset, now_), end(id);
         });
         break;
       case 2:  // half a request, dripped
         at(now_ + 0.75, [this, id] {
-          if (open_.contains(id)) gate_->wasted(id, Penalty::kHalf, now_), end(id);
+          if (open_.contains(id)) gate_->penalize(id, Penalty::kIncompleteRequest, now_), end(id);
         });
         break;
       case 3:  // asks something now and then, and stays
-        gate_->asked(id, now_);
+        gate_->on_request_read(id, now_);
         break;
       default:  // holds requests open: it can't be shed
-        gate_->asked(id, now_);
-        gate_->busy(id, true);
+        gate_->on_request_read(id, now_);
+        gate_->set_busy(id, true);
         open_[id].busy = true;
         at(now_ + 0.5 + chance(), [this, id] {
-          if (open_.contains(id)) gate_->busy(id, false), open_[id].busy = false;
+          if (open_.contains(id)) gate_->set_busy(id, false), open_[id].busy = false;
         });
     }
   }
@@ -158,16 +158,16 @@
       return;
     bool in = false;
     ++known_asked;
-    const ConnId id = arrive(friend_at(n), true, in);
+    const ConnectionId id = arrive(friend_at(n), true, in);
     if (!in) return fail("a known client was refused though its reserve is not used up");
     ++known_in, ++known_open_, ++known_open_of_[n];
-    gate_->asked(id, now_);
-    gate_->busy(id, true);
+    gate_->on_request_read(id, now_);
+    gate_->set_busy(id, true);
     open_[id].busy = true;
     at(now_ + 0.02 + chance() * 0.3, [this, id, n] {
       --known_open_, --known_open_of_[n];
       if (!open_.contains(id)) return fail("a known client's busy connection went");
-      gate_->succeeded(id, 1, now_, kUnix + now_);
+      gate_->on_success(id, 1, now_, kUnix + now_);
       end(id);
     });
   }
@@ -175,21 +175,21 @@
     bool in = false;
     const bool later = now_ > kFloodEnds + 2;  // all that it held open is over by then
     ++(later ? later_asked : honest_asked);
-    const ConnId id =
+    const ConnectionId id =
         arrive(v4(192, 168, static_cast<unsigned>(random_() % 4), static_cast<unsigned>(random_() % 200)),
                false, in);
     if (!in) return;
     ++(later ? later_in : honest_in);
-    gate_->asked(id, now_);
+    gate_->on_request_read(id, now_);
     at(now_ + 0.1, [this, id] {
       if (open_.contains(id)) end(id);
     });
   }
   void check() {
-    if (gate_->open() != open_.size()) fail("what the gate holds is not what is open");
-    if (gate_->open() > total_) fail("more open than there are places");
-    if (gate_->strangers() > gate_->strangers_most()) fail("strangers beyond their share");
-    if (share_->open(0) != gate_->open()) fail("share and gate differ");
+    if (gate_->open_count() != open_.size()) fail("what the gate holds is not what is open");
+    if (gate_->open_count() > total_) fail("more open than there are places");
+    if (gate_->unknown_count() > gate_->max_unknown()) fail("strangers beyond their share");
+    if (share_->open_count(0) != gate_->open_count()) fail("share and gate differ");
   }
   struct Open {
     bool is_known = false, busy = false;
@@ -204,10 +204,10 @@
   std::unique_ptr<ConnectionQuota> share_;
   std::unique_ptr<KnownClients> known_;
   std::unique_ptr<ConnectionLimiter> gate_;
-  std::map<ConnId, Open> open_;
+  std::map<ConnectionId, Open> open_;
   std::map<unsigned, std::size_t> known_open_of_;
   std::multimap<double, std::function<void()>> ends_;
-  ConnId last_ = 0;
+  ConnectionId last_ = 0;
   std::string broken_;
 };
 
--- a/tests/ajp.cpp
+++ b/tests/ajp.cpp
@@ -269,7 +269,7 @@
   conns::ConnectionQuota one(100, {0.5, 0.25}, {0.01, 60});
   const auto fill = [&](std::size_t front) {
     int count = 0;
-    while (one.room(front)) one.opened(front), ++count;
+    while (one.has_capacity(front)) one.on_opened(front), ++count;
     return count;
   };
   const auto take = [&](const char* when, std::initializer_list<std::size_t> fronts) {
@@ -279,14 +279,14 @@
     fmt::print("\n");
   };
   take("the second front first", {1, 0, 1});
-  for (int i = 0; i < 30; ++i) one.closed(1);
+  for (int i = 0; i < 30; ++i) one.on_closed(1);
   take("thirty of the second go", {0, 1});
-  for (int i = 0; i < 200; ++i) one.closed(0), one.closed(1);
-  fmt::print("all go, and some more ends are told: open {} and {}\n", one.open(0), one.open(1));
+  for (int i = 0; i < 200; ++i) one.on_closed(0), one.on_closed(1);
+  fmt::print("all go, and some more ends are told: open {} and {}\n", one.open_count(0), one.open_count(1));
   take("the first front first", {0, 1, 0});
   const auto read = [&](std::size_t front, int wanted, double now) {
     int count = 0;
-    for (int i = 0; i < wanted; ++i) count += one.may_read(front, now);
+    for (int i = 0; i < wanted; ++i) count += one.try_read(front, now);
     return count;
   };
   fmt::print("alone, a front reads {} of 1000\n", read(1, 1000, 1));
@@ -294,13 +294,13 @@
   const int second = read(1, 1000, 1.012), first = read(0, 1000, 1.012);
   fmt::print("in the next one: {} and {}\n", second, first);
   fmt::print("before it ends: {} and {}, again at {:.3f}\n", read(1, 9, 1.021), read(0, 9, 1.021),
-             one.resume_at());
+             one.next_period_at());
   fmt::print("the first rests, two periods on: {}\n", read(1, 1000, 1.05));
   conns::ConnectionQuota small(2, {0.5, 0.25});
-  fmt::print("two places: floors of {} and {}\n", small.floor(0), small.floor(1));
+  fmt::print("two places: floors of {} and {}\n", small.guaranteed(0), small.guaranteed(1));
   conns::ConnectionQuota least(1, {0.5, 0.25});
-  fmt::print("one place: floors of {} and {}, room {} and {}\n", least.floor(0), least.floor(1),
-             least.room(0), least.room(1));
+  fmt::print("one place: floors of {} and {}, room {} and {}\n", least.guaranteed(0), least.guaranteed(1),
+             least.has_capacity(0), least.has_capacity(1));
 }
 
 }  // namespace
--- a/tests/compatibility/stored_files_test.cpp
+++ b/tests/compatibility/stored_files_test.cpp
@@ -100,19 +100,19 @@
 
 TEST_F(StoredFiles, KnownClientsAreReadWhole) {
   const store::ChecksummedContent sealed =
-      read_sealed("clients", "clients", conns::kKnownForm, conns::kMostKnownBytes);
+      read_sealed("clients", "clients", conns::kKnownClientsFormat, conns::kMaxKnownClientsBytes);
   ASSERT_EQ(sealed.problem, store::ChecksumProblem::kNone);
-  const std::optional<std::vector<conns::KnownClient>> clients = conns::decode_known(sealed.content);
+  const std::optional<std::vector<conns::KnownClient>> clients = conns::decode_known_clients(sealed.content);
   ASSERT_TRUE(clients.has_value());
   ASSERT_EQ(clients->size(), 2u);
   EXPECT_EQ(conns::text_of((*clients)[0].client), "127.0.0.9");
-  EXPECT_EQ((*clients)[0].earned, 40);
-  EXPECT_EQ((*clients)[0].last, 1764700000);
-  EXPECT_TRUE((*clients)[0].known);
+  EXPECT_EQ((*clients)[0].score, 40);
+  EXPECT_EQ((*clients)[0].last_success, 1764700000);
+  EXPECT_TRUE((*clients)[0].is_known);
   EXPECT_EQ((*clients)[1].client, *conns::parse_prefix("2001:db8:1:2::/64"));
-  EXPECT_EQ((*clients)[1].earned, 7);
-  EXPECT_EQ((*clients)[1].last, 1764600000);
-  EXPECT_FALSE((*clients)[1].known);
+  EXPECT_EQ((*clients)[1].score, 7);
+  EXPECT_EQ((*clients)[1].last_success, 1764600000);
+  EXPECT_FALSE((*clients)[1].is_known);
 }
 
 TEST_F(StoredFiles, PlannerListsAreReadWhole) {
--- a/tests/conns.cpp
+++ b/tests/conns.cpp
@@ -38,8 +38,8 @@
     std::printf("\n");
   }
   const Prefix net = *parse_prefix("10.1.0.0/16");
-  std::printf("10.1.9.9 in 10.1.0.0/16: %d, 10.2.0.0: %d, ::1: %d\n", net.holds(v4(10, 1, 9, 9)),
-              net.holds(v4(10, 2, 0, 0)), net.holds(*parse_address("::1")));
+  std::printf("10.1.9.9 in 10.1.0.0/16: %d, 10.2.0.0: %d, ::1: %d\n", net.contains(v4(10, 1, 9, 9)),
+              net.contains(v4(10, 2, 0, 0)), net.contains(*parse_address("::1")));
 }
 
 // ---- Sketches against exact counts of the same arrivals.
@@ -53,7 +53,7 @@
     // As the gate has it: all together are held to less than the table drains.
     RateSketch sketch(entries, rate, burst),
         all(1, rate * static_cast<double>(entries) / 2, static_cast<double>(entries));
-    FadingSketch fading(entries, 10);
+    DecayingScoreSketch fading(entries, 10);
     std::map<Prefix, double> exact;                           // by client: when its bucket is empty
     std::map<Prefix, std::pair<double, double>> exact_waste;  // points, at
     const unsigned clients = 8 + random() % 2000;
@@ -68,10 +68,10 @@
       double& empty = exact.try_emplace(key, now).first->second;
       empty = std::max(empty, now);
       const bool exact_room = empty - now + 1 / rate <= burst / rate + 1e-9;
-      const bool room = sketch.room(key, now);
+      const bool room = sketch.has_capacity(key, now);
       if (!room && exact_room) ++refused_wrongly;
-      if (room && all.room({}, now)) {
-        sketch.take(key, now), all.take({}, now);
+      if (room && all.has_capacity({}, now)) {
+        sketch.add(key, now), all.add({}, now);
         ++admitted;
         empty += 1 / rate;
         if (is_heavy) ++heavy_admitted;
@@ -79,9 +79,9 @@
       auto& [points, at] = exact_waste[key];
       points = points * std::exp2((at - now) / 10) + 1, at = now;
       fading.add(key, 1, now);
-      if (fading.points(key, now) > points + 1e-6) ++points_over;
+      if (fading.score(key, now) > points + 1e-6) ++points_over;
       // With n entries the least has no more than the n-th part of all that was let in.
-      if (sketch.error(now) > admitted / static_cast<double>(entries) + 1e-6) ++over_error;
+      if (sketch.max_error(now) > admitted / static_cast<double>(entries) + 1e-6) ++over_error;
     }
     // Who has a third of all arrivals is held to the rate, however many others there are.
     if (heavy_admitted > burst + rate * (now - 100) + 1) ++heavy_missed;
@@ -105,12 +105,12 @@
       const unsigned n = std::min(random() % 60, random() % 60);
       const Prefix key = client_of(v4(10, 0, 0, n));
       ++exact[key];
-      const SpaceSaving::Entry entry = seen.enter(key, 0);
-      seen.set(key, entry.high + 1, entry.low + 1);
+      const SpaceSaving::Entry entry = seen.insert(key, 0);
+      seen.update(key, entry.upper + 1, entry.lower + 1);
     }
     for (const auto& [key, count] : exact) {
       const SpaceSaving::Entry* entry = seen.find(key);
-      wrong += entry == nullptr ? count > seen.least() : count > entry->high || count < entry->low;
+      wrong += entry == nullptr ? count > seen.max_absent() : count > entry->upper || count < entry->lower;
     }
   }
   std::printf("200 plays: %d counts outside of what the table says\n", wrong);
@@ -118,42 +118,42 @@
 
 void known() {
   KnownClientsOptions terms;
-  terms.needed = 4, terms.lasts = 100, terms.entries = 3;
+  terms.required_successes = 4, terms.max_age = 100, terms.max_entries = 3;
   KnownClients known(terms);
   const auto client = [](unsigned n) { return client_of(v4(10, 0, 0, n)); };
   double now = kUnix;
   const auto tell = [&](const char* what) {
     std::printf("%-46s", what);
     for (unsigned n = 1; n <= 5; ++n)
-      std::printf(" %u:%s%.0f", n, known.is_known(client(n), now) ? "known " : "", known.earned(client(n)));
+      std::printf(" %u:%s%.0f", n, known.is_known(client(n), now) ? "known " : "", known.score(client(n)));
     std::printf("\n");
   };
-  for (int i = 0; i < 3; ++i) known.succeeded(client(1), now);
+  for (int i = 0; i < 3; ++i) known.record_success(client(1), now);
   tell("three acked");
-  known.succeeded(client(1), now);
+  known.record_success(client(1), now);
   tell("four");
-  for (int i = 0; i < 20; ++i) known.succeeded(client(1), now);
+  for (int i = 0; i < 20; ++i) known.record_success(client(1), now);
   tell("no more than twice that is earned");
-  for (int i = 0; i < 4; ++i) known.misbehaved(client(1));
+  for (int i = 0; i < 4; ++i) known.record_misbehavior(client(1));
   tell("misbehaved four times");
-  for (int i = 0; i < 3; ++i) known.misbehaved(client(1));
+  for (int i = 0; i < 3; ++i) known.record_misbehavior(client(1));
   tell("seven times: lost");
-  for (int i = 0; i < 4; ++i) known.succeeded(client(1), now), known.succeeded(client(2), now);
-  known.succeeded(client(3), now += 1);
+  for (int i = 0; i < 4; ++i) known.record_success(client(1), now), known.record_success(client(2), now);
+  known.record_success(client(3), now += 1);
   tell("two known, one seen");
-  known.succeeded(client(4), now += 1);
+  known.record_success(client(4), now += 1);
   tell("a fourth takes the place of who is not known");
-  for (int i = 0; i < 4; ++i) known.succeeded(client(4), now);
-  known.succeeded(client(5), now += 1);
+  for (int i = 0; i < 4; ++i) known.record_success(client(4), now);
+  known.record_success(client(5), now += 1);
   tell("among known ones the oldest goes");
   now += 99;
   tell("nearly too old");
   now += 2;
   tell("too old");
-  known.succeeded(client(4), now);
+  known.record_success(client(4), now);
   tell("who comes after that is a stranger");
 
-  std::vector<KnownClient> all = known.all();
+  std::vector<KnownClient> all = known.entries();
   all.push_back({client(7), 4, now + 1000, true});         // from the future
   all.push_back({client(8), 4, now - 101, true});          // too old
   all.push_back({client(9), -1, now, true});               // senseless
@@ -162,18 +162,21 @@
   KnownClients next(terms);
   all.push_back({client(12), 4, std::nan(""), true});
   all.push_back({client(13), 2.5, now, true});  // has lost some of what it earned, and kept its standing
-  std::printf("an heir takes %zu of %zu, of whom are known", next.begin_with(all, now), all.size());
+  std::printf("an heir takes %zu of %zu, of whom are known", next.restore(all, now), all.size());
   for (unsigned n = 1; n <= 13; ++n)
     if (next.is_known(client(n), now)) std::printf(" %u", n);
   std::printf("\n");
   std::printf("a prefix of 200 bits: %s\n",
-              decode_known(encode({{{v4(10, 0, 0, 1), 200}, 4, now, true}})) ? "taken" : "no record");
-  const std::string bytes = encode(known.all());
-  const auto read = decode_known(bytes);
-  std::printf("round trip: %s\n",
-              read && read->size() == known.size() && encode(*read) == bytes ? "the same" : "another");
+              decode_known_clients(encode_known_clients({{{v4(10, 0, 0, 1), 200}, 4, now, true}}))
+                  ? "taken"
+                  : "no record");
+  const std::string bytes = encode_known_clients(known.entries());
+  const auto read = decode_known_clients(bytes);
+  std::printf("round trip: %s\n", read && read->size() == known.size() && encode_known_clients(*read) == bytes
+                                      ? "the same"
+                                      : "another");
   int torn = 0;
-  for (std::size_t n = 0; n < bytes.size(); ++n) torn += decode_known(bytes.substr(0, n)).has_value();
+  for (std::size_t n = 0; n < bytes.size(); ++n) torn += decode_known_clients(bytes.substr(0, n)).has_value();
   std::printf("cut anywhere: %d of %s taken\n", torn, "all prefixes");
   pcg32 random(3);
   int spoilt_known = 0;
@@ -181,12 +184,13 @@
     std::string spoilt = bytes;
     for (unsigned n = 1 + random() % 3; n > 0; --n)
       spoilt[random() % spoilt.size()] = static_cast<char>(random());
-    const auto clients = decode_known(spoilt);
+    const auto clients = decode_known_clients(spoilt);
     if (!clients) continue;
     KnownClients heir(terms);
-    heir.begin_with(*clients, now);
-    for (const KnownClient& one : heir.all())
-      spoilt_known += !std::isfinite(one.earned) || one.earned > 8 || one.last > now || now - one.last > 100;
+    heir.restore(*clients, now);
+    for (const KnownClient& one : heir.entries())
+      spoilt_known += !std::isfinite(one.score) || one.score > 8 || one.last_success > now ||
+                      now - one.last_success > 100;
   }
   std::printf("spoilt bytes: %d entries that no life could have written\n", spoilt_known);
 }
@@ -194,13 +198,13 @@
 void pace() {
   const MinimumByteRateOptions terms{0.5, 1000};
   MinimumByteRate pace;
-  std::printf("not begun: %d\n", pace.too_slow(9, 0, terms));
-  pace.begin(1, 100);
+  std::printf("not begun: %d\n", pace.is_too_slow(9, 0, terms));
+  pace.start(1, 100);
   std::printf("in the grace: %d, after it with nothing: %d, with enough: %d, one short: %d\n",
-              pace.too_slow(1.4, 100, terms), pace.too_slow(1.6, 100, terms), pace.too_slow(2.5, 1100, terms),
-              pace.too_slow(2.5, 1099, terms));
-  pace.end();
-  std::printf("over: %d\n", pace.too_slow(9, 0, terms));
+              pace.is_too_slow(1.4, 100, terms), pace.is_too_slow(1.6, 100, terms),
+              pace.is_too_slow(2.5, 1100, terms), pace.is_too_slow(2.5, 1099, terms));
+  pace.stop();
+  std::printf("over: %d\n", pace.is_too_slow(9, 0, terms));
 }
 
 // ---- The gate, told step by step.
@@ -208,45 +212,45 @@
   explicit Told(ConnectionLimiterOptions terms, std::size_t total, std::vector<double> floors = {1})
       : share(total, floors), known({7 * 86400, 2, 64}), gate(std::move(terms), share, known) {}
   // One connection; who is shed goes at once.
-  ConnId comes(const Address& from, std::size_t front = 0, bool scarce = false) {
-    const ConnId id = ++last;
-    const Arrival a = gate.arrive(id, front, from, now, kUnix + now, scarce);
+  ConnectionId comes(const Address& from, std::size_t front = 0, bool scarce = false) {
+    const ConnectionId id = ++last;
+    const AdmissionResult a = gate.admit(id, front, from, now, kUnix + now, scarce);
     std::printf("  %-12s %s", text_of(client_of(from)).c_str(),
-                a.in ? ("in as " + std::to_string(id)).c_str() : text_of(a.why));
-    if (!a.in) std::printf(", back in %.2f", a.retry_after);
-    if (a.sheds) std::printf(", sheds %d", static_cast<int>(*a.sheds)), gate.ended(*a.sheds);
+                a.admitted ? ("in as " + std::to_string(id)).c_str() : text_of(a.cause));
+    if (!a.admitted) std::printf(", back in %.2f", a.retry_after);
+    if (a.evicts) std::printf(", sheds %d", static_cast<int>(*a.evicts)), gate.on_closed(*a.evicts);
     std::printf("\n");
-    return a.in ? id : 0;
+    return a.admitted ? id : 0;
   }
   void many(const Address& from, int n) {
     int in = 0;
     std::map<std::string, int> why;
     for (int i = 0; i < n; ++i) {
-      const Arrival a = gate.arrive(++last, 0, from, now, kUnix + now);
-      in += a.in;
-      if (!a.in) ++why[text_of(a.why)];
-      if (a.sheds) gate.ended(*a.sheds);
+      const AdmissionResult a = gate.admit(++last, 0, from, now, kUnix + now);
+      in += a.admitted;
+      if (!a.admitted) ++why[text_of(a.cause)];
+      if (a.evicts) gate.on_closed(*a.evicts);
     }
     std::printf("  %d from %s: %d in", n, text_of(client_of(from)).c_str(), in);
     for (const auto& [text, count] : why) std::printf(", %s %d", text.c_str(), count);
     std::printf("\n");
   }
   void makes_known(const Address& from) {
-    for (int i = 0; i < 2; ++i) known.succeeded(client_of(from), kUnix + now);
+    for (int i = 0; i < 2; ++i) known.record_success(client_of(from), kUnix + now);
   }
-  void is_of_use(ConnId id, double priority_weight) {
-    gate.asked(id, now), gate.succeeded(id, priority_weight, now, kUnix + now);
+  void is_of_use(ConnectionId id, double priority_weight) {
+    gate.on_request_read(id, now), gate.on_success(id, priority_weight, now, kUnix + now);
   }
   ConnectionQuota share;
   KnownClients known;
   ConnectionLimiter gate;
   double now = 10;
-  ConnId last = 0;
+  ConnectionId last = 0;
 };
 
 void steps() {
   ConnectionLimiterOptions terms;
-  terms.address_burst = 100, terms.network_burst = 1000, terms.strangers_burst = 1000;
+  terms.client_burst = 100, terms.network_burst = 1000, terms.unknown_clients_burst = 1000;
   {
     std::printf("caps: 20 places, a quarter a client, half a network, a quarter for known clients\n");
     Told t(terms, 20);
@@ -256,20 +260,21 @@
     t.makes_known(friendly);
     std::printf("a known client finds its reserve, then moves silent strangers, up to its own share\n");
     t.many(friendly, 12);
-    std::printf("open %zu, strangers %zu of %zu\n", t.gate.open(), t.gate.strangers(),
-                t.gate.strangers_most());
+    std::printf("open %zu, strangers %zu of %zu\n", t.gate.open_count(), t.gate.unknown_count(),
+                t.gate.max_unknown());
   }
   {
     std::printf("who is kept: silent, then idle strangers by what they did, never who is busy\n");
-    terms.reserve = 0, terms.address_share = 1, terms.network_share = 1;
+    terms.reserve = 0, terms.client_share = 1, terms.network_share = 1;
     Told t(terms, 4);
-    const ConnId silent = t.comes(v4(10, 0, 0, 1)), useful = t.comes(v4(10, 0, 0, 2)),
-                 idle = t.comes(v4(10, 0, 0, 3)), busy = t.comes(v4(10, 0, 0, 4));
+    const ConnectionId silent = t.comes(v4(10, 0, 0, 1)), useful = t.comes(v4(10, 0, 0, 2)),
+                       idle = t.comes(v4(10, 0, 0, 3)), busy = t.comes(v4(10, 0, 0, 4));
     static_cast<void>(silent);
-    t.is_of_use(useful, 3), t.gate.asked(idle, t.now), t.gate.asked(busy, t.now), t.gate.busy(busy, true);
+    t.is_of_use(useful, 3), t.gate.on_request_read(idle, t.now), t.gate.on_request_read(busy, t.now),
+        t.gate.set_busy(busy, true);
     t.comes(v4(10, 0, 1, 1));
     t.now += 0.11;
-    const ConnId next = t.comes(v4(10, 0, 1, 2));
+    const ConnectionId next = t.comes(v4(10, 0, 1, 2));
     t.is_of_use(next, 1);
     t.now += 0.25;
     t.comes(v4(10, 0, 1, 3));
@@ -292,7 +297,8 @@
   {
     std::printf("rates: 2 a second and 3 at once a client; all strangers 10 at once\n");
     ConnectionLimiterOptions slow;
-    slow.address_rate = 2, slow.address_burst = 3, slow.strangers_rate = 5, slow.strangers_burst = 10;
+    slow.client_rate = 2, slow.client_burst = 3, slow.unknown_clients_rate = 5,
+    slow.unknown_clients_burst = 10;
     Told t(slow, 1000);
     t.many(v4(10, 0, 0, 1), 5);
     t.now += 0.5;
@@ -305,12 +311,12 @@
   {
     std::printf("a rate that is raised counts at once, and a shorter half-life makes no points\n");
     ConnectionLimiterOptions slow;
-    slow.address_rate = 1, slow.address_burst = 10;
+    slow.client_rate = 1, slow.client_burst = 10;
     Told t(slow, 1000);
     t.many(v4(10, 0, 0, 1), 12);
-    const ConnId half = t.comes(v4(10, 0, 0, 2));
-    t.gate.wasted(half, Penalty::kHalf, t.now);
-    slow.address_rate = 100, slow.waste_half_life = 1;
+    const ConnectionId half = t.comes(v4(10, 0, 0, 2));
+    t.gate.penalize(half, Penalty::kIncompleteRequest, t.now);
+    slow.client_rate = 100, slow.penalty_half_life = 1;
     t.gate.reconfigure(slow, t.now);
     t.now += 0.05;
     t.many(v4(10, 0, 0, 1), 8);
@@ -321,8 +327,8 @@
     ConnectionLimiterOptions wasteful;
     Told t(wasteful, 100);
     for (int i = 0; i < 4; ++i) {
-      const ConnId id = t.comes(v4(10, 0, 0, 1));
-      t.gate.wasted(id, Penalty::kHalf, t.now), t.gate.ended(id);
+      const ConnectionId id = t.comes(v4(10, 0, 0, 1));
+      t.gate.penalize(id, Penalty::kIncompleteRequest, t.now), t.gate.on_closed(id);
     }
     t.comes(v4(10, 0, 0, 1));
     t.comes(v4(10, 0, 0, 2));
@@ -333,15 +339,15 @@
     std::printf("a known client that turns bad loses its standing, then its patience with us\n");
     t.makes_known(v4(10, 0, 0, 9));
     for (int i = 0; i < 4; ++i) {
-      const ConnId id = t.comes(v4(10, 0, 0, 9));
+      const ConnectionId id = t.comes(v4(10, 0, 0, 9));
       if (id == 0) break;
-      t.gate.wasted(id, Penalty::kFaults, t.now), t.gate.ended(id);
+      t.gate.penalize(id, Penalty::kInvalidRequests, t.now), t.gate.on_closed(id);
     }
   }
   {
     std::printf("groups: 30%% for two networks together, whose members have no smaller cap\n");
     ConnectionLimiterOptions grouped;
-    grouped.address_share = 0.1, grouped.address_burst = 100;
+    grouped.client_share = 0.1, grouped.client_burst = 100;
     grouped.groups.push_back({"edge", 0.3, {*parse_prefix("10.1.0.0/16"), *parse_prefix("10.2.0.0/16")}});
     grouped.listed.push_back(*parse_prefix("10.2.0.0/24"));
     Told t(grouped, 20);
@@ -353,7 +359,7 @@
   {
     std::printf("the narrowest network says which group; a network of strangers has a rate of its own\n");
     ConnectionLimiterOptions two;
-    two.network_rate = 1, two.network_burst = 3, two.keep_most = 1, two.keep_worth = 10;
+    two.network_rate = 1, two.network_burst = 3, two.max_protection = 1, two.weight_protection = 10;
     two.groups.push_back({"narrow", 0.05, {*parse_prefix("10.1.1.0/24")}});
     two.groups.push_back({"wide", 1, {*parse_prefix("10.1.0.0/16")}});
     Told t(two, 20);
@@ -362,32 +368,32 @@
     std::printf(
         "a silent connection costs no standing; who becomes known is no stranger any more; none is kept for "
         "good\n");
-    const ConnId id = t.comes(v4(10, 5, 0, 1));
-    const std::size_t before = t.gate.strangers();
+    const ConnectionId id = t.comes(v4(10, 5, 0, 1));
+    const std::size_t before = t.gate.unknown_count();
     t.is_of_use(id, 3), t.is_of_use(id, 3);
-    std::printf("  strangers %zu, then %zu, earned %.1f", before, t.gate.strangers(),
-                t.known.earned(client_of(v4(10, 5, 0, 1))));
-    t.gate.wasted(id, Penalty::kSilent, t.now);
-    std::printf(", after a silent one %.1f", t.known.earned(client_of(v4(10, 5, 0, 1))));
+    std::printf("  strangers %zu, then %zu, earned %.1f", before, t.gate.unknown_count(),
+                t.known.score(client_of(v4(10, 5, 0, 1))));
+    t.gate.penalize(id, Penalty::kSilent, t.now);
+    std::printf(", after a silent one %.1f", t.known.score(client_of(v4(10, 5, 0, 1))));
     t.share.resize(0);
     t.now += 1.29;
-    const std::size_t early = t.gate.beyond(t.now).size();
+    const std::size_t early = t.gate.excess_connections(t.now).size();
     t.now += 0.02;
-    std::printf("; beyond no place: %zu, then %zu\n", early, t.gate.beyond(t.now).size());
+    std::printf("; beyond no place: %zu, then %zu\n", early, t.gate.excess_connections(t.now).size());
   }
   {
     std::printf(
         "a sketch as large as it has to be: who comes all the time is held to its rate among 400 others\n");
     ConnectionLimiterOptions small;
-    small.clients = 1, small.address_rate = 1, small.address_burst = 5,
+    small.clients = 1, small.client_rate = 1, small.client_burst = 5,
     small.network_rate = small.network_burst = 10000;
     Told t(small, 10000);
     int in = 0;
     for (int i = 0; i < 300; ++i) {
-      ConnId next = t.last + 1;
-      in += t.gate.arrive(next, 0, v4(10, 6, 0, 1), t.now, kUnix).in;
-      t.gate.arrive(next + 1, 0, v4(10, 7, static_cast<unsigned>(i) / 250, static_cast<unsigned>(i) % 250),
-                    t.now, kUnix);
+      ConnectionId next = t.last + 1;
+      in += t.gate.admit(next, 0, v4(10, 6, 0, 1), t.now, kUnix).admitted;
+      t.gate.admit(next + 1, 0, v4(10, 7, static_cast<unsigned>(i) / 250, static_cast<unsigned>(i) % 250),
+                   t.now, kUnix);
       t.last += 2;
     }
     std::printf("  300 tries at once: %d in\n", in);
@@ -405,7 +411,7 @@
   {
     std::printf("two fronts of four places each: a place must be one that the front may take\n");
     ConnectionLimiterOptions plain;
-    plain.reserve = 0, plain.address_share = 1, plain.network_share = 1;
+    plain.reserve = 0, plain.client_share = 1, plain.network_share = 1;
     Told t(plain, 8, {0.5, 0.5});
     for (int i = 0; i < 4; ++i) t.comes(v4(10, 0, 1, 1), 0);
     t.now += 1;
@@ -419,16 +425,16 @@
   {
     std::printf("fewer places than are open: who has outstayed its time goes, busy ones stay\n");
     ConnectionLimiterOptions plain;
-    plain.address_share = 1, plain.network_share = 1, plain.reserve = 0;
+    plain.client_share = 1, plain.network_share = 1, plain.reserve = 0;
     Told t(plain, 8);
     for (int i = 0; i < 6; ++i) t.comes(v4(10, 0, 0, 1));
-    t.gate.busy(2, true);
+    t.gate.set_busy(2, true);
     t.share.resize(2);
     t.gate.reconfigure(plain, t.now);
-    std::printf("  at once: %zu\n", t.gate.beyond(t.now).size());
+    std::printf("  at once: %zu\n", t.gate.excess_connections(t.now).size());
     t.now += 1;
-    for (const ConnId id : t.gate.beyond(t.now))
-      std::printf("  %d goes\n", static_cast<int>(id)), t.gate.ended(id);
+    for (const ConnectionId id : t.gate.excess_connections(t.now))
+      std::printf("  %d goes\n", static_cast<int>(id)), t.gate.on_closed(id);
     t.comes(v4(10, 0, 0, 2));
   }
 }
