--- a/src/app/conns_command.cpp
+++ b/src/app/conns_command.cpp
@@ -1,4 +1,4 @@
-// damsonspoke conns: who holds the connections of a running backend, and why the last were turned away.
+// `damsonspoke conns`: the clients with open connections to a running backend, and the latest rejections.
 #include <fmt/format.h>
 
 #include <cstdio>
@@ -9,7 +9,7 @@
 namespace damsonspoke {
 namespace {
 
-constexpr double kPatience = 2;  // s
+constexpr double kControlTimeoutSeconds = 2;
 
 }  // namespace
 
@@ -23,8 +23,9 @@
 }
 
 int conns_command(const cxxopts::ParseResult& flags) {
-  const auto most = flags["limit"].as<std::size_t>();
-  fmt::print("{}", control::ask(control_folder(flags), {"conns", std::to_string(most)}, kPatience));
+  const auto max_clients = flags["limit"].as<std::size_t>();
+  fmt::print("{}", control::ask(control_folder(flags), {"conns", std::to_string(max_clients)},
+                                kControlTimeoutSeconds));
   return kDone;
 }
 
--- /dev/null
+++ b/src/conns/arrival_rates.cpp
@@ -0,0 +1,60 @@
+#include "conns/arrival_rates.h"
+
+#include <algorithm>
+
+namespace damsonspoke::conns {
+namespace {
+
+constexpr std::size_t kMaxSketchEntries = 1 << 16;
+constexpr double kDrainFactor = 2;  // by which a sketch drains faster than unknown clients may arrive
+const Prefix kAllClients{};         // the one key of the sketch of all unknown clients
+
+// So many entries that the smallest one is empty while unknown clients arrive at their rate, and after their
+// burst. Then a new key replaces no entry that counts, and no client's count is lost.
+std::size_t sketch_entries(const ConnectionLimiterOptions& options) {
+  const double to_drain = kDrainFactor * options.unknown_clients_rate / options.client_rate;
+  const auto needed = static_cast<std::size_t>(std::max(to_drain, options.unknown_clients_burst));
+  return std::clamp(needed, options.clients, std::max(options.clients, kMaxSketchEntries));
+}
+
+}  // namespace
+
+ArrivalRates::ArrivalRates(const ConnectionLimiterOptions& options)
+    : unknown_clients_(sketch_entries(options), options.client_rate, options.client_burst),
+      known_clients_(options.clients, options.client_rate * options.known_rate_factor,
+                     options.client_burst * options.known_rate_factor),
+      networks_(options.clients, options.network_rate, options.network_burst),
+      all_unknown_(1, options.unknown_clients_rate, options.unknown_clients_burst) {}
+
+std::optional<ArrivalRates::Violation> ArrivalRates::find_violation(const Newcomer& newcomer,
+                                                                    double now) const {
+  const RateSketch& clients = newcomer.is_unknown ? unknown_clients_ : known_clients_;
+  if (const double wait = clients.wait_seconds(newcomer.client, now); wait > 0)
+    return Violation{RejectCause::kClientRate, wait};
+  if (!newcomer.is_unknown) return std::nullopt;
+  if (!newcomer.is_in_group) {
+    if (const double wait = networks_.wait_seconds(newcomer.network, now); wait > 0)
+      return Violation{RejectCause::kNetworkRate, wait};
+  }
+  if (const double wait = all_unknown_.wait_seconds(kAllClients, now); wait > 0)
+    return Violation{RejectCause::kUnknownClientsRate, wait};
+  return std::nullopt;
+}
+
+void ArrivalRates::record(const Newcomer& newcomer, double now) {
+  RateSketch& clients = newcomer.is_unknown ? unknown_clients_ : known_clients_;
+  clients.add(newcomer.client, now);
+  if (!newcomer.is_unknown) return;
+  networks_.add(newcomer.network, now);
+  all_unknown_.add(kAllClients, now);
+}
+
+void ArrivalRates::reconfigure(const ConnectionLimiterOptions& options, double now) {
+  unknown_clients_.reconfigure(options.client_rate, options.client_burst, now);
+  known_clients_.reconfigure(options.client_rate * options.known_rate_factor,
+                             options.client_burst * options.known_rate_factor, now);
+  networks_.reconfigure(options.network_rate, options.network_burst, now);
+  all_unknown_.reconfigure(options.unknown_clients_rate, options.unknown_clients_burst, now);
+}
+
+}  // namespace damsonspoke::conns
--- /dev/null
+++ b/src/conns/arrival_rates.h
@@ -0,0 +1,42 @@
+// Limits for the rate of new connections: of a client, of a network and of all unknown clients together.
+#pragma once
+
+#include <optional>
+
+#include "conns/connection_limiter_options.h"
+#include "conns/prefix.h"
+#include "conns/rate_sketch.h"
+#include "conns/rejection_log.h"
+
+namespace damsonspoke::conns {
+
+// Times are monotonic seconds. Known clients have a limit of their own and do not use up the others'.
+class ArrivalRates {
+ public:
+  explicit ArrivalRates(const ConnectionLimiterOptions& options);
+
+  struct Newcomer {
+    Prefix client;
+    Prefix network;
+    bool is_unknown = true;
+    bool is_in_group = false;  // which has no limit for its networks
+  };
+  struct Violation {
+    RejectCause cause = RejectCause::kNone;
+    double retry_after = 0;  // s
+  };
+  // The first limit that another connection of this client would exceed.
+  [[nodiscard]] std::optional<Violation> find_violation(const Newcomer& newcomer, double now) const;
+  void record(const Newcomer& newcomer, double now);
+  void reconfigure(const ConnectionLimiterOptions& options, double now);
+  // Connections of one unknown client that may be missing from its count.
+  [[nodiscard]] double max_error(double now) const { return unknown_clients_.max_error(now); }
+
+ private:
+  RateSketch unknown_clients_;
+  RateSketch known_clients_;
+  RateSketch networks_;
+  RateSketch all_unknown_;
+};
+
+}  // namespace damsonspoke::conns
--- a/src/conns/connection_limiter.cpp
+++ b/src/conns/connection_limiter.cpp
@@ -1,21 +1,18 @@
 #include "conns/connection_limiter.h"
 
 #include <algorithm>
-#include <limits>
+#include <utility>
 
 namespace damsonspoke::conns {
 namespace {
 
-constexpr std::size_t kRefusedKept = 32;       // for who asks why
-constexpr std::size_t kMostEntries = 1 << 16;  // in a sketch
-constexpr double kDrains = 2;                  // x the strangers' rate that a sketch of rates drains together
-constexpr double kFullAgain = 0.5;             // s to come back in where a place has to become free first
-const Prefix kEverybody{};                     // one key for all strangers
+constexpr double kRetryAfterFullSeconds = 0.5;  // where a place has to become free first
+constexpr double kMinorPenaltyPoints = 1;
 
-double points_of(Penalty how) {
-  switch (how) {
+double points_of(Penalty penalty) {
+  switch (penalty) {
     case Penalty::kSilent:
-    case Penalty::kReset: return 1;
+    case Penalty::kReset: return kMinorPenaltyPoints;
     case Penalty::kIncompleteRequest: return 2;
     case Penalty::kSlowTransfer:
     case Penalty::kInvalidRequests:
@@ -24,299 +21,284 @@
   return 0;
 }
 
-// So many entries that the least of them is empty while strangers come at their rate, and after their burst:
-// then a new key takes nobody's place who matters, and nobody's count is lost.
-std::size_t entries(const ConnectionLimiterOptions& options) {
-  const double drained = kDrains * options.unknown_clients_rate / options.client_rate;
-  const auto needed = static_cast<std::size_t>(std::max(drained, options.unknown_clients_burst));
-  return std::clamp(needed, options.clients, std::max(options.clients, kMostEntries));
-}
-
 }  // namespace
 
-const char* text_of(RejectCause why) {
-  constexpr const char* kTexts[kRejectCauseCount] = {
-      "none",         "client cap",      "network cap", "group cap",        "client rate",
-      "network rate", "strangers' rate", "wasteful",    "strangers' share", "full"};
-  return kTexts[static_cast<std::size_t>(why)];
-}
-
-ConnectionLimiter::ConnectionLimiter(ConnectionLimiterOptions options, ConnectionQuota& share,
-                                     KnownClients& known)
+ConnectionLimiter::ConnectionLimiter(ConnectionLimiterOptions options, ConnectionQuota& quota,
+                                     KnownClients& known_clients)
     : options_(std::move(options)),
-      share_(share),
-      known_(known),
-      of_group_(options_.groups.size(), 0),
-      by_client_(entries(options_), options_.client_rate, options_.client_burst),
-      by_network_(options_.clients, options_.network_rate, options_.network_burst),
-      known_by_client_(options_.clients, options_.client_rate * options_.known_rate_factor,
-                       options_.client_burst * options_.known_rate_factor),
-      all_strangers_(1, options_.unknown_clients_rate, options_.unknown_clients_burst),
-      waste_(options_.clients, options_.penalty_half_life) {}
-
-// ---- Readings.
-std::size_t ConnectionLimiter::of_total(double share) const {
-  return std::max<std::size_t>(1, static_cast<std::size_t>(static_cast<double>(share_.total()) * share));
+      quota_(quota),
+      known_clients_(known_clients),
+      open_by_group_(options_.groups.size(), 0),
+      rates_(options_),
+      penalties_(options_.clients, options_.penalty_half_life) {}
+
+// ---- Queries.
+std::size_t ConnectionLimiter::share_of_total(double share) const {
+  const auto connections = static_cast<std::size_t>(static_cast<double>(quota_.total()) * share);
+  return std::max<std::size_t>(1, connections);
 }
-std::size_t ConnectionLimiter::max_unknown() const { return of_total(1 - options_.reserve); }
 
-int ConnectionLimiter::group_of(const Address& from) const {
-  int best = -1, bits = -1;  // the narrowest prefix counts
-  for (std::size_t i = 0; i < options_.groups.size(); ++i) {
-    for (const Prefix& prefix : options_.groups[i].prefixes) {
-      if (prefix.bits > bits && prefix.contains(from)) best = static_cast<int>(i), bits = prefix.bits;
+std::size_t ConnectionLimiter::max_unknown() const { return share_of_total(1 - options_.reserve); }
+
+// The group with the longest prefix that contains the address.
+std::optional<std::size_t> ConnectionLimiter::group_of(const Address& from) const {
+  std::optional<std::size_t> longest_group;
+  int longest_bits = -1;
+  for (std::size_t group = 0; group < options_.groups.size(); ++group) {
+    for (const Prefix& prefix : options_.groups[group].prefixes) {
+      if (prefix.bits <= longest_bits || !prefix.contains(from)) continue;
+      longest_group = group;
+      longest_bits = prefix.bits;
     }
   }
-  return best;
+  return longest_group;
 }
 
 Standing ConnectionLimiter::standing_of(const Address& from, double unix_now) const {
-  for (const Prefix& prefix : options_.listed) {
-    if (prefix.contains(from)) return Standing::kListed;
+  const auto contains_it = [&](const Prefix& prefix) { return prefix.contains(from); };
+  if (std::any_of(options_.listed.begin(), options_.listed.end(), contains_it)) return Standing::kListed;
+  return known_clients_.is_known(client_of(from), unix_now) ? Standing::kKnown : Standing::kUnknown;
+}
+
+std::size_t ConnectionLimiter::open_of_client(const Prefix& client) const {
+  const auto found = ids_by_client_.find(client);
+  return found == ids_by_client_.end() ? 0 : found->second.size();
+}
+
+std::size_t ConnectionLimiter::open_of_network(const Prefix& network) const {
+  const auto found = open_by_network_.find(network);
+  return found == open_by_network_.end() ? 0 : found->second;
+}
+
+std::vector<ConnectionLimiter::ClientSummary> ConnectionLimiter::client_summaries(double now,
+                                                                                  double unix_now) const {
+  std::vector<ClientSummary> summaries;
+  for (const auto& [client, ids] : ids_by_client_) {
+    ClientSummary summary{client,
+                          ids.size(),
+                          0,
+                          standing_of(client.base, unix_now),
+                          penalties_.score(client, now),
+                          known_clients_.score(client)};
+    for (const ConnectionId id : ids) summary.busy += connections_.at(id).is_busy;
+    summaries.push_back(summary);
   }
-  return known_.is_known(client_of(from), unix_now) ? Standing::kKnown : Standing::kUnknown;
+  std::sort(summaries.begin(), summaries.end(), [](const ClientSummary& a, const ClientSummary& b) {
+    return a.open != b.open ? a.open > b.open : a.client < b.client;
+  });
+  return summaries;
 }
 
-// ---- What is open.
-ConnectionLimiter::Rank ConnectionLimiter::rank_of(ConnectionId id, const Conn& conn) const {
-  const int kind = conn.standing != Standing::kUnknown ? 2 : conn.asked ? 1 : 0;
-  const double until = conn.asked ? conn.useful + options_.idle_protection + conn.keep
-                                  : conn.opened + options_.first_request_grace;
-  return {kind, until, id};
+// ---- Open connections.
+EvictionRank ConnectionLimiter::rank_of(ConnectionId id, const Connection& connection) const {
+  EvictionClass eviction_class = EvictionClass::kKnownClient;
+  if (connection.is_unknown())
+    eviction_class = connection.has_requested ? EvictionClass::kUnknownClient : EvictionClass::kNoRequest;
+  const double protected_until =
+      connection.has_requested
+          ? connection.last_useful_at + options_.idle_protection + connection.extra_protection
+          : connection.opened_at + options_.first_request_grace;
+  return {eviction_class, protected_until, id};
 }
 
-void ConnectionLimiter::enter(ConnectionId id, const Conn& conn) {
-  if (!conn.busy) by_rank_.insert(rank_of(id, conn));
-  strangers_ += conn.standing == Standing::kUnknown;
+void ConnectionLimiter::enter_order(ConnectionId id, const Connection& connection) {
+  if (!connection.is_busy) eviction_order_.insert(rank_of(id, connection));
+  if (connection.is_unknown()) ++unknown_count_;
 }
 
-void ConnectionLimiter::leave(ConnectionId id, const Conn& conn) {
-  if (!conn.busy) by_rank_.erase(rank_of(id, conn));
-  strangers_ -= conn.standing == Standing::kUnknown;
+void ConnectionLimiter::leave_order(ConnectionId id, const Connection& connection) {
+  if (!connection.is_busy) eviction_order_.erase(rank_of(id, connection));
+  if (connection.is_unknown()) --unknown_count_;
 }
 
 template <typename F>
-void ConnectionLimiter::change(ConnectionId id, F&& how) {
-  const auto found = conns_.find(id);
-  if (found == conns_.end()) return;
-  leave(id, found->second);
-  how(found->second);
-  enter(id, found->second);
+void ConnectionLimiter::modify(ConnectionId id, F&& change) {
+  const auto found = connections_.find(id);
+  if (found == connections_.end()) return;
+  leave_order(id, found->second);
+  change(found->second);
+  enter_order(id, found->second);
+}
+
+void ConnectionLimiter::insert(ConnectionId id, const Connection& connection) {
+  connections_[id] = connection;
+  enter_order(id, connection);
+  ids_by_client_[connection.client].insert(id);
+  ++open_by_network_[connection.network];
+  if (connection.group) ++open_by_group_[*connection.group];
+  quota_.on_opened(connection.listener);
 }
 
 void ConnectionLimiter::on_closed(ConnectionId id) {
-  const auto found = conns_.find(id);
-  if (found == conns_.end()) return;
-  const Conn& conn = found->second;
-  leave(id, conn);
-  if (auto of = of_client_.find(conn.client); of != of_client_.end()) {
-    of->second.erase(id);
-    if (of->second.empty()) of_client_.erase(of);
+  const auto found = connections_.find(id);
+  if (found == connections_.end()) return;
+  const Connection& connection = found->second;
+  leave_order(id, connection);
+  if (const auto of_client = ids_by_client_.find(connection.client); of_client != ids_by_client_.end()) {
+    of_client->second.erase(id);
+    if (of_client->second.empty()) ids_by_client_.erase(of_client);
   }
-  if (auto of = of_network_.find(conn.network); of != of_network_.end() && --of->second == 0)
-    of_network_.erase(of);
-  if (conn.group >= 0 && static_cast<std::size_t>(conn.group) < of_group_.size())
-    --of_group_[static_cast<std::size_t>(conn.group)];
-  share_.on_closed(conn.front);
-  conns_.erase(found);
+  const auto of_network = open_by_network_.find(connection.network);
+  if (of_network != open_by_network_.end() && --of_network->second == 0) open_by_network_.erase(of_network);
+  if (connection.group) --open_by_group_[*connection.group];
+  quota_.on_closed(connection.listener);
+  connections_.erase(found);
 }
 
 void ConnectionLimiter::on_request_read(ConnectionId id, double now) {
-  change(id, [&](Conn& conn) { conn.asked = true, conn.useful = now; });
+  modify(id, [&](Connection& connection) {
+    connection.has_requested = true;
+    connection.last_useful_at = now;
+  });
 }
-void ConnectionLimiter::set_busy(ConnectionId id, bool busy) {
-  const auto found = conns_.find(id);
-  if (found == conns_.end() || found->second.busy == busy) return;
-  change(id, [&](Conn& conn) { conn.busy = busy; });
+
+void ConnectionLimiter::set_busy(ConnectionId id, bool is_busy) {
+  const auto found = connections_.find(id);
+  if (found == connections_.end() || found->second.is_busy == is_busy) return;
+  modify(id, [&](Connection& connection) { connection.is_busy = is_busy; });
 }
 
 void ConnectionLimiter::on_success(ConnectionId id, double priority_weight, double now, double unix_now) {
-  const auto found = conns_.find(id);
-  if (found == conns_.end()) return;
-  known_.record_success(found->second.client, unix_now);
-  const bool known = known_.is_known(found->second.client, unix_now);
-  change(id, [&](Conn& conn) {
-    conn.useful = now;
-    conn.keep = std::min(options_.max_protection, conn.keep + options_.weight_protection * priority_weight);
-    if (known && conn.standing == Standing::kUnknown) conn.standing = Standing::kKnown;
+  const auto found = connections_.find(id);
+  if (found == connections_.end()) return;
+  const Prefix client = found->second.client;
+  known_clients_.record_success(client, unix_now);
+  const bool is_known = known_clients_.is_known(client, unix_now);
+  modify(id, [&](Connection& connection) {
+    connection.last_useful_at = now;
+    connection.extra_protection = std::min(
+        options_.max_protection, connection.extra_protection + options_.weight_protection * priority_weight);
+    if (is_known && connection.is_unknown()) connection.standing = Standing::kKnown;
   });
 }
 
-void ConnectionLimiter::penalize(ConnectionId id, Penalty how, double now) {
-  const auto found = conns_.find(id);
-  if (found == conns_.end()) return;
+void ConnectionLimiter::penalize(ConnectionId id, Penalty penalty, double now) {
+  const auto found = connections_.find(id);
+  if (found == connections_.end()) return;
   const Prefix client = found->second.client;
-  waste_.add(client, points_of(how), now);
-  // One silent connection is no misbehaviour of a client that has had requests acked: links break.
-  if (points_of(how) > 1) known_.record_misbehavior(client);
+  penalties_.add(client, points_of(penalty), now);
+  // A silent or reset connection is no misbehavior of a known client: links break.
+  if (points_of(penalty) > kMinorPenaltyPoints) known_clients_.record_misbehavior(client);
 }
 
-// ---- Newcomers.
-AdmissionResult ConnectionLimiter::refuse(RejectCause why, const Prefix& client, double retry_after,
+// ---- New connections.
+AdmissionResult ConnectionLimiter::reject(RejectCause cause, const Prefix& client, double retry_after,
                                           double now) {
-  ++counts_[static_cast<std::size_t>(why)];
-  refused_.push_back({now, client, why});
-  if (refused_.size() > kRefusedKept) refused_.pop_front();
-  return {false, why, retry_after, std::nullopt};
+  rejections_.record(cause, client, now);
+  return {false, cause, retry_after, std::nullopt};
 }
 
-// A place that `other` gives up is one that `front` may take: its own, or one above what is kept for that
-// front.
-bool ConnectionLimiter::frees_for(std::size_t front, std::size_t other) const {
-  return front == other || share_.open_count(other) > share_.guaranteed(other);
+// Whether a connection of the other listener that closes leaves a place that this listener may take: one of
+// its own, or one beyond what the other is guaranteed.
+bool ConnectionLimiter::frees_place(std::size_t listener, std::size_t other_listener) const {
+  return listener == other_listener || quota_.open_count(other_listener) > quota_.guaranteed(other_listener);
 }
 
-// A stranger moves only who has outstayed its time; a known client moves any stranger with nothing open, and
-// where there is none, a known one that has outstayed its time.
-std::optional<ConnectionId> ConnectionLimiter::to_shed(Standing newcomer, std::size_t front,
-                                                       double now) const {
-  const bool stranger = newcomer == Standing::kUnknown;
-  for (auto it = by_rank_.begin(); it != by_rank_.end();) {
-    const auto& [kind, until, id] = *it;
-    if (stranger && kind == 2) break;
-    if ((stranger || kind == 2) && until > now) {  // so are all others of its kind
-      it = by_rank_.lower_bound({kind + 1, -std::numeric_limits<double>::infinity(), 0});
-      continue;
-    }
-    if (frees_for(front, conns_.at(id).front)) return id;
-    ++it;
+// A client at its cap may replace a connection of its own whose protection is over: a client that reconnects
+// leaves dead connections behind.
+ConnectionLimiter::Placement ConnectionLimiter::replace_own(const Connection& newcomer, RejectCause cause,
+                                                            double now) const {
+  const auto own = ids_by_client_.find(newcomer.client);
+  if (own == ids_by_client_.end()) return {cause, std::nullopt};
+  std::optional<EvictionRank> first;
+  for (const ConnectionId id : own->second) {
+    const Connection& connection = connections_.at(id);
+    if (connection.is_busy || !frees_place(newcomer.listener, connection.listener)) continue;
+    const EvictionRank rank = rank_of(id, connection);
+    if (rank.protected_until <= now && (!first || rank < *first)) first = rank;
   }
-  return std::nullopt;
+  if (!first) return {cause, std::nullopt};
+  return {RejectCause::kNone, first->id};
 }
 
-// One of the same client that has outstayed its time: who reconnects leaves its dead connections behind.
-std::optional<ConnectionId> ConnectionLimiter::own_to_shed(const Prefix& client, std::size_t front,
-                                                           double now) const {
-  std::optional<Rank> best;
-  for (const ConnectionId id : of_client_.at(client)) {
-    const Conn& conn = conns_.at(id);
-    if (conn.busy || !frees_for(front, conn.front)) continue;
-    const Rank rank = rank_of(id, conn);
-    if (std::get<1>(rank) <= now && (!best || rank < *best)) best = rank;
+ConnectionLimiter::Placement ConnectionLimiter::place_under_caps(const Connection& newcomer,
+                                                                 double now) const {
+  if (newcomer.group) {
+    const std::size_t group_cap = share_of_total(options_.groups[*newcomer.group].share);
+    if (open_by_group_[*newcomer.group] < group_cap) return {};
+    return replace_own(newcomer, RejectCause::kGroupCap, now);
   }
-  if (!best) return std::nullopt;
-  return std::get<2>(*best);
+  const double client_share = newcomer.is_unknown() ? options_.client_share : options_.known_client_share;
+  if (open_of_client(newcomer.client) >= share_of_total(client_share))
+    return replace_own(newcomer, RejectCause::kClientCap, now);
+  const double network_share = newcomer.is_unknown()
+                                   ? options_.network_share
+                                   : std::max(options_.network_share, options_.known_client_share);
+  if (open_of_network(newcomer.network) >= share_of_total(network_share))
+    return replace_own(newcomer, RejectCause::kNetworkCap, now);
+  return {};
 }
 
-AdmissionResult ConnectionLimiter::admit(ConnectionId id, std::size_t front, const Address& from, double now,
-                                         double unix_now, bool scarce) {
-  const Prefix client = client_of(from), network = network_of(from);
-  const Standing standing = this->standing_of(from, unix_now);
-  const bool stranger = standing == Standing::kUnknown;
-  if (stranger && waste_.score(client, now) >= options_.penalty_limit)
-    return refuse(RejectCause::kPenaltyLimit, client,
-                  waste_.seconds_until(client, options_.penalty_limit, now), now);
-
-  // Rates before caps: a flood is told apart for the price of two look-ups.
-  RateSketch& mine = stranger ? by_client_ : known_by_client_;
-  if (const double wait = mine.wait_seconds(client, now); wait > 0)
-    return refuse(RejectCause::kClientRate, client, wait, now);
-  const int group = group_of(from);
-  if (stranger) {
-    if (const double wait = by_network_.wait_seconds(network, now); group < 0 && wait > 0)
-      return refuse(RejectCause::kNetworkRate, client, wait, now);
-    if (const double wait = all_strangers_.wait_seconds(kEverybody, now); wait > 0)
-      return refuse(RejectCause::kUnknownClientsRate, client, wait, now);
-  }
+ConnectionLimiter::Placement ConnectionLimiter::place_in_table(const Connection& newcomer, double now,
+                                                               bool is_out_of_descriptors) const {
+  const bool is_unknown_share_full = newcomer.is_unknown() && unknown_count_ >= max_unknown();
+  if (!is_unknown_share_full && !is_out_of_descriptors && quota_.has_capacity(newcomer.listener)) return {};
+  const auto frees_place_for_newcomer = [&](ConnectionId id) {
+    return frees_place(newcomer.listener, connections_.at(id).listener);
+  };
+  const std::optional<ConnectionId> evicts =
+      eviction_order_.find(newcomer.is_unknown(), now, frees_place_for_newcomer);
+  if (evicts) return {RejectCause::kNone, evicts};
+  return {is_unknown_share_full ? RejectCause::kUnknownClientsShare : RejectCause::kTableFull, std::nullopt};
+}
 
-  AdmissionResult out{true, RejectCause::kNone, 0, std::nullopt};
-  const auto own = of_client_.find(client);
-  if (group >= 0) {
-    const auto at = static_cast<std::size_t>(group);
-    if (of_group_[at] >= of_total(options_.groups[at].share)) {
-      if (own != of_client_.end()) out.evicts = own_to_shed(client, front, now);
-      if (!out.evicts) return refuse(RejectCause::kGroupCap, client, kFullAgain, now);
-    }
-  } else {
-    const std::size_t cap = of_total(stranger ? options_.client_share : options_.known_client_share);
-    if (own != of_client_.end() && own->second.size() >= cap) {
-      out.evicts = own_to_shed(client, front, now);
-      if (!out.evicts) return refuse(RejectCause::kClientCap, client, kFullAgain, now);
-    }
-    const auto of = of_network_.find(network);
-    const std::size_t most =
-        of_total(std::max(options_.network_share, stranger ? 0 : options_.known_client_share));
-    if (!out.evicts && of != of_network_.end() && of->second >= most) {
-      if (own != of_client_.end()) out.evicts = own_to_shed(client, front, now);
-      if (!out.evicts) return refuse(RejectCause::kNetworkCap, client, kFullAgain, now);
-    }
-  }
-  const bool strangers_full = stranger && strangers_ >= max_unknown();
-  if (!out.evicts && (strangers_full || scarce || !share_.has_capacity(front))) {
-    out.evicts = to_shed(standing, front, now);
-    if (!out.evicts)
-      return refuse(strangers_full ? RejectCause::kUnknownClientsShare : RejectCause::kTableFull, client,
-                    kFullAgain, now);
-  }
+ConnectionLimiter::Connection ConnectionLimiter::describe(std::size_t listener, const Address& from,
+                                                          double now, double unix_now) const {
+  Connection connection;
+  connection.listener = listener;
+  connection.client = client_of(from);
+  connection.network = network_of(from);
+  connection.group = group_of(from);
+  connection.standing = standing_of(from, unix_now);
+  connection.opened_at = now;
+  connection.last_useful_at = now;
+  return connection;
+}
 
-  mine.add(client, now);
-  if (stranger) {
-    by_network_.add(network, now);
-    all_strangers_.add(kEverybody, now);
+AdmissionResult ConnectionLimiter::admit(ConnectionId id, std::size_t listener, const Address& from,
+                                         double now, double unix_now, bool is_out_of_descriptors) {
+  const Connection newcomer = describe(listener, from, now, unix_now);
+  const Prefix& client = newcomer.client;
+  if (newcomer.is_unknown() && penalties_.score(client, now) >= options_.penalty_limit) {
+    const double wait = penalties_.seconds_until(client, options_.penalty_limit, now);
+    return reject(RejectCause::kPenaltyLimit, client, wait, now);
   }
-  if (out.evicts) ++shed_;
-  Conn conn;
-  conn.front = front;
-  conn.client = client;
-  conn.network = network;
-  conn.group = group;
-  conn.standing = standing;
-  conn.opened = conn.useful = now;
-  conns_[id] = conn;
-  enter(id, conn);
-  of_client_[client].insert(id);
-  ++of_network_[network];
-  if (group >= 0) ++of_group_[static_cast<std::size_t>(group)];
-  share_.on_opened(front);
-  return out;
+  // Rates are checked before caps, so that rejecting a flood stays cheap.
+  const ArrivalRates::Newcomer arrival{client, newcomer.network, newcomer.is_unknown(),
+                                       newcomer.group.has_value()};
+  if (const auto violation = rates_.find_violation(arrival, now))
+    return reject(violation->cause, client, violation->retry_after, now);
+
+  Placement placement = place_under_caps(newcomer, now);
+  if (placement.cause == RejectCause::kNone && !placement.evicts)
+    placement = place_in_table(newcomer, now, is_out_of_descriptors);
+  if (placement.cause != RejectCause::kNone)
+    return reject(placement.cause, client, kRetryAfterFullSeconds, now);
+
+  rates_.record(arrival, now);
+  if (placement.evicts) ++evicted_count_;
+  insert(id, newcomer);
+  return {true, RejectCause::kNone, 0, placement.evicts};
 }
 
-// ---- Other options.
+// ---- Other options, other limits.
 void ConnectionLimiter::reconfigure(ConnectionLimiterOptions options, double now) {
   options_ = std::move(options);
-  by_client_.reconfigure(options_.client_rate, options_.client_burst, now);
-  by_network_.reconfigure(options_.network_rate, options_.network_burst, now);
-  known_by_client_.reconfigure(options_.client_rate * options_.known_rate_factor,
-                               options_.client_burst * options_.known_rate_factor, now);
-  all_strangers_.reconfigure(options_.unknown_clients_rate, options_.unknown_clients_burst, now);
-  waste_.reconfigure(options_.penalty_half_life, now);
-  of_group_.assign(options_.groups.size(), 0);
-  by_rank_.clear();
-  strangers_ = 0;
-  for (auto& [id, conn] : conns_) {
-    conn.group = group_of(conn.client.base);
-    if (conn.group >= 0) ++of_group_[static_cast<std::size_t>(conn.group)];
-    enter(id, conn);
+  rates_.reconfigure(options_, now);
+  penalties_.reconfigure(options_.penalty_half_life, now);
+  open_by_group_.assign(options_.groups.size(), 0);
+  eviction_order_.clear();
+  unknown_count_ = 0;
+  for (auto& [id, connection] : connections_) {
+    connection.group = group_of(connection.client.base);
+    if (connection.group) ++open_by_group_[*connection.group];
+    enter_order(id, connection);
   }
 }
 
 std::vector<ConnectionId> ConnectionLimiter::excess_connections(double now) const {
-  std::vector<ConnectionId> out;
-  const std::size_t total = share_.total();
-  for (const Rank& rank : by_rank_) {
-    if (conns_.size() - out.size() <= total) break;
-    if (std::get<1>(rank) <= now) out.push_back(std::get<2>(rank));
-  }
-  return out;
-}
-
-std::vector<ConnectionLimiter::ClientSummary> ConnectionLimiter::client_summaries(double now,
-                                                                                  double unix_now) const {
-  std::vector<ClientSummary> out;
-  for (const auto& [client, ids] : of_client_) {
-    ClientSummary view{client,
-                       ids.size(),
-                       0,
-                       standing_of(client.base, unix_now),
-                       waste_.score(client, now),
-                       known_.score(client)};
-    for (const ConnectionId id : ids) view.busy += conns_.at(id).busy;
-    out.push_back(view);
-  }
-  std::sort(out.begin(), out.end(), [](const ClientSummary& a, const ClientSummary& b) {
-    return a.open != b.open ? a.open > b.open : a.client < b.client;
-  });
-  return out;
+  const std::size_t allowed = std::min(connections_.size(), quota_.total());
+  return eviction_order_.unprotected(connections_.size() - allowed, now);
 }
 
 }  // namespace damsonspoke::conns
--- a/src/conns/connection_quota.cpp
+++ b/src/conns/connection_quota.cpp
@@ -4,31 +4,32 @@
 
 namespace damsonspoke::conns {
 
-ConnectionQuota::ConnectionQuota(std::size_t total, const std::vector<double>& floors,
+ConnectionQuota::ConnectionQuota(std::size_t total, const std::vector<double>& shares,
                                  ConnectionQuotaOptions options)
-    : options_(options), listeners_(floors.size()) {
-  for (std::size_t i = 0; i < floors.size(); ++i) listeners_[i].weight = floors[i];
+    : options_(options), listeners_(shares.size()) {
+  for (std::size_t i = 0; i < shares.size(); ++i) listeners_[i].share = shares[i];
   resize(total);
 }
 
 void ConnectionQuota::resize(std::size_t total) {
   total_ = total;
-  std::size_t kept = 0;
+  std::size_t guaranteed_sum = 0;
   for (Listener& listener : listeners_) {
-    // A floor of less than one connection would be none.
-    listener.guaranteed =
-        std::max<std::size_t>(1, static_cast<std::size_t>(static_cast<double>(total) * listener.weight));
-    listener.guaranteed = std::min(listener.guaranteed, total - std::min(total, kept));
-    kept += listener.guaranteed;
+    const auto by_share = static_cast<std::size_t>(static_cast<double>(total) * listener.share);
+    // A share of a small total must not round down to no connection at all.
+    listener.guaranteed = std::max<std::size_t>(1, by_share);
+    listener.guaranteed = std::min(listener.guaranteed, total - std::min(total, guaranteed_sum));
+    guaranteed_sum += listener.guaranteed;
   }
 }
 
-// There is a place under its own floor, or one above what is kept for the others.
 bool ConnectionQuota::has_capacity(std::size_t listener) const {
-  std::size_t taken = 0;
-  for (std::size_t i = 0; i < listeners_.size(); ++i)
-    taken += i == listener ? listeners_[i].open : std::max(listeners_[i].open, listeners_[i].guaranteed);
-  return taken < total_;
+  std::size_t unavailable = 0;
+  for (std::size_t i = 0; i < listeners_.size(); ++i) {
+    const Listener& other = listeners_[i];
+    unavailable += i == listener ? other.open : std::max(other.open, other.guaranteed);
+  }
+  return unavailable < total_;
 }
 
 void ConnectionQuota::on_closed(std::size_t listener) {
@@ -36,10 +37,11 @@
 }
 
 void ConnectionQuota::start_period_if_due(double now) {
-  if (period_start_ >= 0 && now < period_start_ + options_.period_seconds) return;
-  const bool next = period_start_ >= 0 && now < period_start_ + 2 * options_.period_seconds;
+  const bool has_started = period_start_ >= 0;
+  if (has_started && now < period_start_ + options_.period_seconds) return;
+  const bool is_next_period = has_started && now < period_start_ + 2 * options_.period_seconds;
   for (Listener& listener : listeners_) {
-    listener.was_active = next && listener.messages_read > 0;
+    listener.was_active = is_next_period && listener.messages_read > 0;
     listener.messages_read = 0;
   }
   period_start_ = now;
@@ -48,16 +50,17 @@
 bool ConnectionQuota::try_read(std::size_t listener, double now) {
   start_period_if_due(now);
   Listener& reader = listeners_[listener];
-  double weights = 0;
-  bool others = false;
+  double share_sum = 0;
+  bool others_read = false;
   for (std::size_t i = 0; i < listeners_.size(); ++i) {
-    const bool reads = i == listener || listeners_[i].was_active || listeners_[i].messages_read > 0;
-    if (reads) weights += listeners_[i].weight;
-    others |= reads && i != listener;
+    const Listener& other = listeners_[i];
+    const bool reads = i == listener || other.was_active || other.messages_read > 0;
+    if (reads) share_sum += other.share;
+    others_read |= reads && i != listener;
   }
-  const double part = weights > 0 ? reader.weight / weights : 1;
-  if (others && reader.messages_read >= std::max(1, static_cast<int>(options_.messages_per_period * part)))
-    return false;
+  const double part = share_sum > 0 ? reader.share / share_sum : 1;
+  const int max_messages = std::max(1, static_cast<int>(options_.messages_per_period * part));
+  if (others_read && reader.messages_read >= max_messages) return false;
   ++reader.messages_read;
   return true;
 }
--- a/src/conns/connection_quota.h
+++ b/src/conns/connection_quota.h
@@ -1,11 +1,11 @@
-// How fronts share one backend's connections and its time for reading. Pure policy.
+// How several listeners of one server share its connections and its time for reading.
 //
-// Connections: each listener has a floor that is kept for it, whoever comes first; what lies above all floors
-// goes to whoever asks. So one listener never fills the table of another, and an idle listener costs only its
-// floor. Reading: while more than one listener has something to read, each gets its share of messages in a
-// period of a few milliseconds; a listener alone is never held back. So a flood on one protocol does not make
-// what comes on the other late before anybody could weigh it: what a request is worth is then decided by the
-// module, whatever its protocol. After max-min fairness with guarantees (Bertsekas and Gallager, 6.5.2).
+// Connections: each listener has a guaranteed number; those above the guaranteed ones go to whoever comes
+// first. So no listener can fill another's part, and an idle listener costs its guaranteed number only.
+// Reading: while more than one listener has messages to read, each gets its share of the messages of a
+// period; a listener alone is not limited. So a flood on one protocol does not delay the other's requests
+// before the admission controller sees them. Max-min fairness with guarantees: Bertsekas and Gallager, Data
+// Networks, 6.5.2.
 #pragma once
 
 #include <cstddef>
@@ -14,43 +14,47 @@
 namespace damsonspoke::conns {
 
 struct ConnectionQuotaOptions {
-  double period_seconds = 0.01;  // s
-  int messages_per_period =
-      64;  // that all fronts together may read in a period once more than one of them reads
+  double period_seconds = 0.01;
+  int messages_per_period = 64;  // of all listeners, while more than one reads
 };
 
+// Listeners are numbered from 0. Invariant: the guaranteed numbers add up to at most total().
 class ConnectionQuota {
  public:
-  // `total`: connections in all; `floors`: each listener's share of them, together at most 1.
-  ConnectionQuota(std::size_t total, const std::vector<double>& floors, ConnectionQuotaOptions options = {});
+  // `total`: connections of all listeners; `shares`: the guaranteed share of each listener, together at
+  // most 1.
+  ConnectionQuota(std::size_t total, const std::vector<double>& shares, ConnectionQuotaOptions options = {});
 
-  // ---- Connections.
-  bool has_capacity(std::size_t listener) const;
+  // Whether the listener may open another connection: within its guaranteed number, or one that no other
+  // listener has been guaranteed.
+  [[nodiscard]] bool has_capacity(std::size_t listener) const;
   void on_opened(std::size_t listener) { ++listeners_[listener].open; }
   void on_closed(std::size_t listener);
-  std::size_t open_count(std::size_t listener) const { return listeners_[listener].open; }
-  std::size_t guaranteed(std::size_t listener) const { return listeners_[listener].guaranteed; }
-  std::size_t total() const { return total_; }
-  // So many from now on, the floors' shares as they were; what is open beyond it stays until it ends.
+  [[nodiscard]] std::size_t open_count(std::size_t listener) const { return listeners_[listener].open; }
+  [[nodiscard]] std::size_t guaranteed(std::size_t listener) const { return listeners_[listener].guaranteed; }
+  [[nodiscard]] std::size_t total() const { return total_; }
+  // Changes the total; the shares stay. Open connections beyond it are not closed.
   void resize(std::size_t total);
 
-  // ---- Reading. One message is about to be read; false: not before next_period_at().
-  bool try_read(std::size_t listener, double now);
-  double next_period_at() const { return period_start_ + options_.period_seconds; }
+  // Takes the right to read one message from the period's budget; false: the listener has used up its share
+  // until next_period_at(). `now`: monotonic seconds.
+  [[nodiscard]] bool try_read(std::size_t listener, double now);
+  [[nodiscard]] double next_period_at() const { return period_start_ + options_.period_seconds; }
 
  private:
   struct Listener {
-    std::size_t guaranteed = 0, open = 0;
-    double weight = 1;
+    std::size_t guaranteed = 0;
+    std::size_t open = 0;
+    double share = 1;
     int messages_read = 0;    // in this period
-    bool was_active = false;  // it read something in the period before
+    bool was_active = false;  // read in the period before
   };
   void start_period_if_due(double now);
 
   std::size_t total_ = 0;
   const ConnectionQuotaOptions options_;
   std::vector<Listener> listeners_;
-  double period_start_ = -1;
+  double period_start_ = -1;  // < 0: nothing was read yet
 };
 
 }  // namespace damsonspoke::conns
--- /dev/null
+++ b/src/conns/eviction_order.cpp
@@ -0,0 +1,42 @@
+#include "conns/eviction_order.h"
+
+#include <limits>
+
+namespace damsonspoke::conns {
+namespace {
+
+// Below all ranks of the next class.
+EvictionRank start_of_class_after(EvictionClass eviction_class) {
+  return {static_cast<EvictionClass>(static_cast<int>(eviction_class) + 1),
+          -std::numeric_limits<double>::infinity(), 0};
+}
+
+}  // namespace
+
+std::optional<ConnectionId> EvictionOrder::find(bool newcomer_is_unknown, double now,
+                                                const std::function<bool(ConnectionId)>& frees_place) const {
+  auto rank = ranks_.begin();
+  while (rank != ranks_.end()) {
+    const bool is_known = rank->eviction_class == EvictionClass::kKnownClient;
+    if (newcomer_is_unknown && is_known) break;
+    const bool needs_expiry = newcomer_is_unknown || is_known;
+    if (needs_expiry && rank->protected_until > now) {  // so are all that follow in its class
+      rank = ranks_.lower_bound(start_of_class_after(rank->eviction_class));
+      continue;
+    }
+    if (frees_place(rank->id)) return rank->id;
+    ++rank;
+  }
+  return std::nullopt;
+}
+
+std::vector<ConnectionId> EvictionOrder::unprotected(std::size_t max_count, double now) const {
+  std::vector<ConnectionId> ids;
+  for (const EvictionRank& rank : ranks_) {
+    if (ids.size() >= max_count) break;
+    if (rank.protected_until <= now) ids.push_back(rank.id);
+  }
+  return ids;
+}
+
+}  // namespace damsonspoke::conns
--- a/src/conns/known_clients.cpp
+++ b/src/conns/known_clients.cpp
@@ -6,85 +6,92 @@
 namespace damsonspoke::conns {
 namespace {
 
-constexpr double kMost = 2;  // x the requests needed: standing does not grow without bound
-constexpr double kMisbehaved =
-    0.25;  // of the requests needed: four slips in a row lose a fresh standing, six a full one
-constexpr double kLost = 0.5;       // of the requests needed; under it the standing is lost
-constexpr double kClockSlack = 60;  // s that a record may come from the future: clocks are corrected
-constexpr std::size_t kLookedAt =
-    32;  // of the oldest, for one without standing, before a known one has to go
+// Shares of the required successes.
+constexpr double kMaxScoreFactor = 2;
+constexpr double kMisbehaviorCost = 0.25;
+constexpr double kLostBelow = 0.5;  // a known client with a lower score is not known any more
+
+constexpr double kClockSlackSeconds = 60;  // by which an entry may lie in the future: clocks are corrected
+constexpr std::size_t kMaxEvictionCandidates = 32;
+
+// Whether a process could have written such an entry, and it is not too old.
+bool is_plausible(const KnownClient& entry, double unix_now, double max_age) {
+  if (!std::isfinite(entry.score) || !std::isfinite(entry.last_success) || entry.score < 0) return false;
+  if (entry.client != masked(entry.client.base, entry.client.bits)) return false;
+  return entry.last_success <= unix_now + kClockSlackSeconds && unix_now - entry.last_success <= max_age;
+}
 
 }  // namespace
 
-bool KnownClients::is_known(const Prefix& client, double now) const {
-  const auto found = at_.find(client);
-  return found != at_.end() && found->second->is_known &&
-         now - found->second->last_success <= options_.max_age;
+bool KnownClients::is_known(const Prefix& client, double unix_now) const {
+  const auto found = entry_by_client_.find(client);
+  if (found == entry_by_client_.end()) return false;
+  return found->second->is_known && unix_now - found->second->last_success <= options_.max_age;
 }
 
 double KnownClients::score(const Prefix& client) const {
-  const auto found = at_.find(client);
-  return found == at_.end() ? 0 : found->second->score;
+  const auto found = entry_by_client_.find(client);
+  return found == entry_by_client_.end() ? 0 : found->second->score;
 }
 
-void KnownClients::record_success(const Prefix& client, double now) {
-  auto found = at_.find(client);
-  if (found == at_.end()) {
-    if (order_.size() >= options_.max_entries) make_room();
-    order_.push_front({client, 0, now, false});
-    found = at_.emplace(client, order_.begin()).first;
+void KnownClients::record_success(const Prefix& client, double unix_now) {
+  auto found = entry_by_client_.find(client);
+  if (found == entry_by_client_.end()) {
+    if (entries_.size() >= options_.max_entries) evict_one();
+    entries_.push_front({client, 0, unix_now, false});
+    found = entry_by_client_.emplace(client, entries_.begin()).first;
+  }
+  KnownClient& entry = *found->second;
+  if (unix_now - entry.last_success > options_.max_age) {
+    entry.score = 0;
+    entry.is_known = false;
   }
-  KnownClient& one = *found->second;
-  if (now - one.last_success > options_.max_age)
-    one.score = 0, one.is_known = false;  // who comes after so long is a stranger
-  one.score = std::min(one.score + 1, kMost * options_.required_successes);
-  one.last_success = now;
-  if (one.score >= options_.required_successes) one.is_known = true;
-  order_.splice(order_.begin(), order_, found->second);
+  entry.score = std::min(entry.score + 1, kMaxScoreFactor * options_.required_successes);
+  entry.last_success = unix_now;
+  if (entry.score >= options_.required_successes) entry.is_known = true;
+  entries_.splice(entries_.begin(), entries_, found->second);
 }
 
 void KnownClients::record_misbehavior(const Prefix& client) {
-  const auto found = at_.find(client);
-  if (found == at_.end()) return;
-  KnownClient& one = *found->second;
-  one.score = std::max(0.0, one.score - kMisbehaved * options_.required_successes);
-  if (one.score < kLost * options_.required_successes) one.is_known = false;
+  const auto found = entry_by_client_.find(client);
+  if (found == entry_by_client_.end()) return;
+  KnownClient& entry = *found->second;
+  entry.score = std::max(0.0, entry.score - kMisbehaviorCost * options_.required_successes);
+  if (entry.score < kLostBelow * options_.required_successes) entry.is_known = false;
 }
 
-// Guards against newcomers by thousands that push out who is known: of the oldest one without standing goes
-// first.
-void KnownClients::make_room() {
-  auto victim = std::prev(order_.end());
-  auto it = order_.end();
-  for (std::size_t i = 0; i < kLookedAt && it != order_.begin(); ++i) {
-    --it;
-    if (it->is_known) continue;
-    victim = it;
+// Removes an old entry, preferably one that is not known: thousands of newcomers must not push out the
+// clients that are.
+void KnownClients::evict_one() {
+  auto victim = std::prev(entries_.end());
+  auto candidate = entries_.end();
+  for (std::size_t i = 0; i < kMaxEvictionCandidates && candidate != entries_.begin(); ++i) {
+    --candidate;
+    if (candidate->is_known) continue;
+    victim = candidate;
     break;
   }
-  at_.erase(victim->client);
-  order_.erase(victim);
+  entry_by_client_.erase(victim->client);
+  entries_.erase(victim);
 }
 
-std::size_t KnownClients::restore(const std::vector<KnownClient>& clients, double now) {
-  std::size_t taken = 0;
-  for (const KnownClient& one : clients) {
-    if (order_.size() >= options_.max_entries) break;
-    const bool sound = std::isfinite(one.score) && std::isfinite(one.last_success) && one.score >= 0 &&
-                       one.client == masked(one.client.base, one.client.bits);
-    if (!sound || one.last_success > now + kClockSlack || now - one.last_success > options_.max_age) continue;
-    if (at_.contains(one.client)) continue;
-    KnownClient kept = one;
-    kept.score = std::min(one.score, kMost * options_.required_successes);
-    kept.last_success = std::min(one.last_success, now);
-    // Whether it is known follows from what it score, by the options of now.
-    kept.is_known = kept.score >= options_.required_successes ||
-                    (one.is_known && kept.score >= kLost * options_.required_successes);
-    order_.push_back(kept);
-    at_[kept.client] = std::prev(order_.end());
-    ++taken;
+std::size_t KnownClients::restore(const std::vector<KnownClient>& clients, double unix_now) {
+  std::size_t restored = 0;
+  for (const KnownClient& stored : clients) {
+    if (entries_.size() >= options_.max_entries) break;
+    if (!is_plausible(stored, unix_now, options_.max_age)) continue;
+    if (entry_by_client_.contains(stored.client)) continue;
+    KnownClient entry = stored;
+    entry.score = std::min(stored.score, kMaxScoreFactor * options_.required_successes);
+    entry.last_success = std::min(stored.last_success, unix_now);
+    // By the options of this process: the stored mark alone makes no client known.
+    entry.is_known = entry.score >= options_.required_successes ||
+                     (stored.is_known && entry.score >= kLostBelow * options_.required_successes);
+    entries_.push_back(entry);
+    entry_by_client_[entry.client] = std::prev(entries_.end());
+    ++restored;
   }
-  return taken;
+  return restored;
 }
 
 }  // namespace damsonspoke::conns
--- a/src/conns/known_clients.h
+++ b/src/conns/known_clients.h
@@ -1,6 +1,6 @@
-// Who is known: clients that had requests acked here in the last days, on connections that behaved. The
-// standing is score by requests that succeeded and lost by misbehaviour, ages, and outlives the process as
-// far as its record does. Pure policy: times are Unix seconds that are handed in.
+// The clients whose requests have succeeded here in the last days. They are preferred when connections are
+// scarce. A client becomes known by requests that succeed, loses that by misbehavior and by age, and stays
+// known over a restart where the list is stored (known_clients_record.h).
 #pragma once
 
 #include <cstddef>
@@ -12,44 +12,48 @@
 
 namespace damsonspoke::conns {
 
+// How far a client is trusted: not at all, for the requests that succeeded, or because operators list it.
+enum class Standing { kUnknown, kKnown, kListed };
+
 struct KnownClientsOptions {
-  double max_age = 7 * 86400;      // s from the last acked request
-  double required_successes = 20;  // requests that succeeded until a client is known
-  std::size_t max_entries = 4096;  // clients that are remembered at all
+  double max_age = 7 * 86400;      // s since the last request that succeeded
+  double required_successes = 20;  // until a client is known
+  std::size_t max_entries = 4096;  // clients that are remembered, known or not
 };
 
 struct KnownClient {
   Prefix client;
-  double score = 0;  // requests that succeeded, at most twice as many as are needed; misbehaviour takes a
-                     // quarter of those
-  double last_success = 0;  // Unix s of the last acked request
+  double score = 0;         // successes, less the deductions for misbehavior; at most twice the required ones
+  double last_success = 0;  // Unix s
   bool is_known = false;
 };
 
+// Times are Unix seconds, so that they keep their meaning over a restart.
 class KnownClients {
  public:
   explicit KnownClients(KnownClientsOptions options) : options_(options) {}
 
-  bool is_known(const Prefix& client, double now) const;
-  void record_success(const Prefix& client, double now);
+  [[nodiscard]] bool is_known(const Prefix& client, double unix_now) const;
+  [[nodiscard]] double score(const Prefix& client) const;
+  [[nodiscard]] std::size_t size() const { return entries_.size(); }
+
+  void record_success(const Prefix& client, double unix_now);
   void record_misbehavior(const Prefix& client);
-  std::size_t size() const { return order_.size(); }
-  double score(const Prefix& client) const;
   void reconfigure(KnownClientsOptions options) { options_ = options; }
 
-  // For a successor: the newest first.
-  std::vector<KnownClient> entries() const { return {order_.begin(), order_.end()}; }
-  // What an earlier life knew. Entries from the future, too old, or that no life could have written are left
-  // out. Returns how many were taken.
-  std::size_t restore(const std::vector<KnownClient>& clients, double now);
+  // The one with the latest success first.
+  [[nodiscard]] std::vector<KnownClient> entries() const { return {entries_.begin(), entries_.end()}; }
+  // Adds what an earlier process has stored and returns how many were taken. Left out are entries of the
+  // future, ones that are too old and ones that no process could have written.
+  std::size_t restore(const std::vector<KnownClient>& clients, double unix_now);
 
  private:
-  using Order = std::list<KnownClient>;  // the newest ack first
-  void make_room();
+  using Entries = std::list<KnownClient>;
+  void evict_one();
 
   KnownClientsOptions options_;
-  Order order_;
-  std::unordered_map<Prefix, Order::iterator, PrefixHash> at_;
+  Entries entries_;  // the one with the latest success first
+  std::unordered_map<Prefix, Entries::iterator, PrefixHash> entry_by_client_;
 };
 
 }  // namespace damsonspoke::conns
--- a/src/conns/known_clients_record.h
+++ b/src/conns/known_clients_record.h
@@ -1,7 +1,9 @@
-// The clients that are known, as they are kept for a successor. A codec: CBOR, bounded; what is no such
-// record as a whole is none.
+// The stored form of the known clients: CBOR of limited size. A record that is damaged anywhere is rejected
+// as a whole.
 #pragma once
 
+#include <cstddef>
+#include <cstdint>
 #include <optional>
 #include <string>
 #include <string_view>
@@ -12,10 +14,12 @@
 namespace damsonspoke::conns {
 
 constexpr std::uint32_t kKnownClientsFormat = 1;
-constexpr std::size_t kMaxKnownClientsBytes = 512 * 1024, kMaxKnownClients = 8192;
+constexpr std::size_t kMaxKnownClientsBytes = 512 * 1024;
+constexpr std::size_t kMaxKnownClients = 8192;
 
-std::string encode_known_clients(
-    const std::vector<KnownClient>& clients);  // of what is over the bound the first are kept
-std::optional<std::vector<KnownClient>> decode_known_clients(std::string_view bytes);
+// Of more than kMaxKnownClients clients the first ones are written.
+[[nodiscard]] std::string encode_known_clients(const std::vector<KnownClient>& clients);
+// None where the bytes are no such record.
+[[nodiscard]] std::optional<std::vector<KnownClient>> decode_known_clients(std::string_view bytes);
 
 }  // namespace damsonspoke::conns
--- a/src/conns/minimum_byte_rate.h
+++ b/src/conns/minimum_byte_rate.h
@@ -1,5 +1,5 @@
-// Whether a peer moves bytes as fast as it owes: after a grace so many a second, counted from when it began.
-// Silence alone tells nothing: a byte a second is never silent. Pure policy.
+// A lower limit for the speed of a peer that has begun to send or to take a message. A timeout of silence
+// alone does not find a peer that moves a byte now and then.
 #pragma once
 
 #include <cstdint>
@@ -7,25 +7,30 @@
 namespace damsonspoke::conns {
 
 struct MinimumByteRateOptions {
-  double grace_seconds = 0.5;      // s in which nothing is owed
-  double bytes_per_second = 4096;  // bytes a second after that
+  double grace_seconds = 0.5;  // without any bytes
+  double bytes_per_second = 4096;
 };
 
+// Whether one transfer is as fast as the options demand. Times are seconds of one clock.
 class MinimumByteRate {
  public:
-  // `moved`: bytes so far, of whatever count the caller keeps.
-  void start(double now, std::uint64_t moved) { started_at_ = now, moved_at_start_ = moved; }
+  // `bytes_moved`: the caller's count of bytes in this direction, here and in is_too_slow().
+  void start(double now, std::uint64_t bytes_moved) {
+    started_at_ = now;
+    bytes_at_start_ = bytes_moved;
+  }
   void stop() { started_at_ = -1; }
-  bool is_running() const { return started_at_ >= 0; }
-  bool is_too_slow(double now, std::uint64_t moved, const MinimumByteRateOptions& options) const {
+  [[nodiscard]] bool is_running() const { return started_at_ >= 0; }
+  [[nodiscard]] bool is_too_slow(double now, std::uint64_t bytes_moved,
+                                 const MinimumByteRateOptions& options) const {
     if (!is_running()) return false;
-    return static_cast<double>(moved - moved_at_start_) <
-           (now - started_at_ - options.grace_seconds) * options.bytes_per_second;
+    const double required = (now - started_at_ - options.grace_seconds) * options.bytes_per_second;
+    return static_cast<double>(bytes_moved - bytes_at_start_) < required;
   }
 
  private:
-  double started_at_ = -1;
-  std::uint64_t moved_at_start_ = 0;
+  double started_at_ = -1;  // < 0: no transfer is running
+  std::uint64_t bytes_at_start_ = 0;
 };
 
 }  // namespace damsonspoke::conns
--- a/src/peers/connection_admission.h
+++ b/src/peers/connection_admission.h
@@ -1,13 +1,17 @@
-// The door that all fronts of callers share, where operators switch it on: it asks the gate, tells who is
-// turned away, keeps what each client's answers take within its part, and remembers who is known. It decides
-// nothing.
+// Admission of connections for all listeners of clients, where operators enable it.
+//
+// This class connects the policy of conns::ConnectionLimiter with sockets: it asks the limiter, sends
+// rejected clients the reason, closes the connections that the limiter evicts, limits the memory for each
+// client's answers, and stores which clients are known. It decides nothing itself.
 #pragma once
 
+#include <cstddef>
+#include <cstdint>
 #include <functional>
 #include <map>
 #include <memory>
-#include <optional>
 #include <string>
+#include <utility>
 #include <vector>
 
 #include "conns/connection_limiter.h"
@@ -20,77 +24,91 @@
 
 namespace damsonspoke::peers {
 
+// Listeners are numbered from 0. A connection is named by its tag, which is unique over all listeners.
 class ConnectionAdmission {
  public:
-  // What a listener does for the door: closes one of its connections now, which nothing is open on.
+  // Closes a connection of the listener that has no open request; ignores the tags of other listeners.
   using Evict = std::function<void(std::uint64_t tag)>;
-  // The last rejection_text to who is turned away, by the time after which to come back, s.
-  using RejectionText = std::function<std::string(double retry_after)>;
+  // The last message to a rejected client. `retry_after`: s.
+  using RejectionMessage = std::function<std::string(double retry_after)>;
 
-  ConnectionAdmission(net::Reactor& reactor, const GateOptions& options, std::size_t connections,
-                      const std::vector<double>& floors, std::vector<double> priority_weight,
+  // `max_connections`: that the limits of the process allow; `shares`: the guaranteed share of each listener;
+  // `priority_weights`: by route.
+  ConnectionAdmission(net::Reactor& reactor, const GateOptions& options, std::size_t max_connections,
+                      const std::vector<double>& shares, std::vector<double> priority_weights,
                       Counters& counters, Logger& log);
   ~ConnectionAdmission();
-  // `output`: of all of the listener's connections.
-  void register_listener(std::size_t listener, net::OutputPool& output, Evict shed,
-                         RejectionText rejection_text);
-  void load_known_clients();  // reads who is known
+  ConnectionAdmission(const ConnectionAdmission&) = delete;
+  ConnectionAdmission& operator=(const ConnectionAdmission&) = delete;
+
+  // `output`: the memory for the answers of all the listener's connections. Without a message its rejected
+  // clients get none.
+  void register_listener(std::size_t listener, net::OutputPool& output, Evict evict,
+                         RejectionMessage rejection_message);
+  // Reads the stored list of known clients and writes it from then on; waits for a slow folder for a short
+  // time only.
+  void load_known_clients();
+  void save_known_clients();
   void reconfigure(const GateOptions& options);
-  void save_known_clients();  // writes who is known
 
-  // True: the connection is the listener's, with its answers charged to pool(tag). Else it is told, and
-  // closed.
-  bool admit(std::size_t listener, std::uint64_t tag, const net::Accepted& accepted);
-  net::OutputPool* output_pool(std::uint64_t tag);
+  // True: the listener owns the connection, whose answers are charged to output_pool(tag). False: the client
+  // was told so and the socket is closed.
+  [[nodiscard]] bool admit(std::size_t listener, std::uint64_t tag, const net::Accepted& accepted);
+  // Null where the tag is unknown.
+  [[nodiscard]] net::OutputPool* output_pool(std::uint64_t tag);
 
   void on_request_read(std::uint64_t tag) { limiter_.on_request_read(tag, net::monotonic_now()); }
-  void set_busy(std::uint64_t tag, bool busy) { limiter_.set_busy(tag, busy); }
-  void on_success(std::uint64_t tag, int type);
+  void set_busy(std::uint64_t tag, bool is_busy) { limiter_.set_busy(tag, is_busy); }
+  void on_success(std::uint64_t tag, int route);
   void penalize(std::uint64_t tag, conns::Penalty penalty);
   void on_closed(std::uint64_t tag);
 
-  const conns::MinimumByteRateOptions& input_rate() const { return options_.input; }
-  const conns::MinimumByteRateOptions& output_rate() const { return options_.output; }
-  conns::ConnectionQuota& quota() { return quota_; }
+  [[nodiscard]] const conns::MinimumByteRateOptions& input_rate() const { return options_.input; }
+  [[nodiscard]] const conns::MinimumByteRateOptions& output_rate() const { return options_.output; }
+  [[nodiscard]] conns::ConnectionQuota& quota() { return quota_; }
 
-  // Who holds what and who was turned away, a line each, at most so many clients.
-  std::string report(std::size_t most) const;
+  // What `damsonspoke conns` prints: the totals, at most `max_clients` clients and the latest rejections, a
+  // line each.
+  [[nodiscard]] std::string report(std::size_t max_clients) const;
 
  private:
   struct Listener {
     net::OutputPool* output = nullptr;
-    Evict shed;
-    RejectionText rejection_text;
+    Evict evict;
+    RejectionMessage rejection_message;
   };
+  // The part of a listener's memory for answers that one client may use.
   struct ClientPool {
     net::OutputPool pool;
-    std::size_t users = 0;
+    std::size_t connections = 0;
   };
-  using PoolKey = std::pair<std::size_t, conns::Prefix>;
+  using PoolKey = std::pair<std::size_t, conns::Prefix>;  // listener and client
 
+  void charge_to_client_pool(std::size_t listener, std::uint64_t tag, const conns::Address& from);
   void evict(std::uint64_t tag);
   void reject(const Listener& listener, const net::Accepted& accepted, double retry_after);
   void write_known_clients();
+  void on_descriptor_shortage();
   void check_table();
-  void shrink_table();
   void evict_excess();
 
   net::Reactor& reactor_;
   GateOptions options_;
-  const std::size_t max_connections_;  // that the limits allow
+  const std::size_t max_connections_;
   const std::vector<double> priority_weights_;
   Counters& counters_;
   Logger& log_;
   conns::ConnectionQuota quota_;
-  conns::KnownClients known_;
+  conns::KnownClients known_clients_;
   conns::ConnectionLimiter limiter_;
   std::vector<Listener> listeners_;
   std::map<PoolKey, ClientPool> pools_;
   std::map<std::uint64_t, PoolKey> pool_key_by_tag_;
   std::unique_ptr<store::PersistedFile> known_clients_file_;
-  double last_shortage_at_ = -1;           // s, when the last descriptor was last reached; < 0: never
-  conns::RateSketch rejection_text_rate_;  // who is turned away and told
-  net::Reactor::TimerId write_timer_, check_timer_;
+  double last_shortage_at_ = -1;          // monotonic s; < 0: never
+  conns::RateSketch rejection_messages_;  // limits their rate
+  net::Reactor::TimerId write_timer_;
+  net::Reactor::TimerId check_timer_;
 };
 
 }  // namespace damsonspoke::peers
--- a/src/settings/operator_file.h
+++ b/src/settings/operator_file.h
@@ -71,7 +71,7 @@
   bool below_refuses = false;  // its 503 proves that nothing ran
 };
 
-// Admission of connections; see src/conns/gate.h and src/peers/door.h.
+// Admission of connections; see src/conns/connection_limiter.h and src/peers/connection_admission.h.
 struct GateOptions {
   bool enabled = false;
   std::size_t connections = 0;  // 0: as the limits allow
--- a/standins/gate_flood.h
+++ b/standins/gate_flood.h
@@ -1,6 +1,6 @@
-// Floods without sockets, by a seed: known clients that come and go, honest strangers, and a flood of one of
-// many shapes, played against a gate; with the checker of what the gate promises. The first thing that breaks
-// is told.
+// Simulated floods without sockets, by a seed: known clients, honest unknown clients and a flood of one of
+// several shapes against a connection limiter, with a checker of what the limiter promises. The first promise
+// that is broken is reported.
 #pragma once
 
 #include <algorithm>
@@ -35,20 +35,20 @@
  public:
   explicit GateFlood(std::uint64_t seed, bool tell) : random_(seed), tell_(tell) {
     total_ = 40 + random_() % 200;
-    ConnectionLimiterOptions terms;
-    terms.clients = 64 + random_() % 128;  // far fewer than addresses
-    terms.reserve = 0.15 + chance() * 0.35;
-    share_ = std::make_unique<ConnectionQuota>(total_, std::vector<double>{1});
+    ConnectionLimiterOptions options;
+    options.clients = 64 + random_() % 128;  // far fewer than addresses
+    options.reserve = 0.15 + chance() * 0.35;
+    quota_ = std::make_unique<ConnectionQuota>(total_, std::vector<double>{1});
     known_ = std::make_unique<KnownClients>(KnownClientsOptions{7 * 86400, 5, 256});
-    gate_ = std::make_unique<ConnectionLimiter>(terms, *share_, *known_);
-    reserve_ = total_ - gate_->max_unknown();
-    friends_ = 1 + random_() % 12;
-    for (unsigned n = 0; n < friends_; ++n)
-      for (int i = 0; i < 10; ++i) known_->record_success(client_of(friend_at(n)), kUnix);
-    addresses_ = random_() % 3 == 0 ? 1 : 1 + static_cast<unsigned>(random_() % 20000);
-    spread_ = random_() % 2 == 0;
-    per_s_ = 20 + chance() * 3000;
-    manner_ = static_cast<int>(random_() % 5);
+    limiter_ = std::make_unique<ConnectionLimiter>(options, *quota_, *known_);
+    reserve_ = total_ - limiter_->max_unknown();
+    known_clients_ = 1 + random_() % 12;
+    for (unsigned n = 0; n < known_clients_; ++n)
+      for (int i = 0; i < 10; ++i) known_->record_success(client_of(known_address(n)), kUnix);
+    flood_addresses_ = random_() % 3 == 0 ? 1 : 1 + static_cast<unsigned>(random_() % 20000);
+    is_spread_ = random_() % 2 == 0;
+    flood_per_second_ = 20 + chance() * 3000;
+    shape_ = static_cast<int>(random_() % 5);
   }
 
   // Empty: nothing broke.
@@ -64,13 +64,13 @@
         what();
       } else if (next == next_flood) {
         attack();
-        next_flood += -std::log(1 - chance()) / per_s_;
+        next_flood += -std::log(1 - chance()) / flood_per_second_;
         if (next_flood > kFloodEnds) next_flood = 99;
       } else if (next == next_known) {
-        friend_comes();
+        known_client_connects();
         next_known += 0.02 + chance() * 0.05;
       } else if (next == next_honest) {
-        honest();
+        unknown_client_connects();
         next_honest += 0.05 + chance() * 0.1;
       } else {
         next_look += 0.25;
@@ -90,23 +90,23 @@
  private:
   static constexpr double kFloodEnds = 4;  // s
   double chance() { return std::ldexp(static_cast<double>(random_() >> 11), -53); }
-  Address friend_at(unsigned n) { return v4(172, 16, 0, n + 1); }
+  Address known_address(unsigned n) { return v4(172, 16, 0, n + 1); }
   void fail(const std::string& text) {
     if (broken_.empty()) broken_ = text;
   }
   void at(double time, std::function<void()> what) { ends_.emplace(time, std::move(what)); }
   void end(ConnectionId id) {
-    gate_->on_closed(id);
+    limiter_->on_closed(id);
     open_.erase(id);
   }
   ConnectionId arrive(const Address& from, bool is_known, bool& in) {
     const ConnectionId id = ++last_;
-    const std::size_t before = gate_->open_count();
-    const AdmissionResult a = gate_->admit(id, 0, from, now_, kUnix + now_);
+    const std::size_t before = limiter_->open_count();
+    const AdmissionResult a = limiter_->admit(id, 0, from, now_, kUnix + now_);
     if (tell_)
       std::printf("%.4f %s %s%s\n", now_, text_of(client_of(from)).c_str(),
-                  a.admitted ? "in" : text_of(a.cause), a.evicts ? ", sheds" : "");
-    in = a.admitted;
+                  a.is_admitted ? "in" : text_of(a.cause), a.evicts ? ", sheds" : "");
+    in = a.is_admitted;
     if (a.evicts) {
       const auto shed = open_.find(*a.evicts);
       if (shed == open_.end()) return fail("shed what is not open"), 0;
@@ -114,64 +114,64 @@
       if (shed->second.is_known && !is_known) fail("a stranger moved a known client");
       end(*a.evicts);
     }
-    if (a.admitted) open_[id] = {is_known, false};
-    if (!a.admitted && before != gate_->open_count()) fail("a refusal changed what is open");
-    return a.admitted ? id : 0;
+    if (a.is_admitted) open_[id] = {is_known, false};
+    if (!a.is_admitted && before != limiter_->open_count()) fail("a refusal changed what is open");
+    return a.is_admitted ? id : 0;
   }
   void attack() {
-    const auto n = static_cast<unsigned>(random_() % addresses_);
-    const Address from = spread_ ? v4(10, n % 256, n / 256, 1) : v4(10, 0, n / 256, n % 256);
+    const auto n = static_cast<unsigned>(random_() % flood_addresses_);
+    const Address from = is_spread_ ? v4(10, n % 256, n / 256, 1) : v4(10, 0, n / 256, n % 256);
     bool in = false;
     ++flood_asked;
     const ConnectionId id = arrive(from, false, in);
     if (!in) return;
     ++flood_in;
-    switch (manner_) {
+    switch (shape_) {
       case 0: break;  // silent, for good
       case 1:         // connects and resets
         at(now_ + 0.001, [this, id] {
-          if (open_.contains(id)) gate_->penalize(id, Penalty::kReset, now_), end(id);
+          if (open_.contains(id)) limiter_->penalize(id, Penalty::kReset, now_), end(id);
         });
         break;
       case 2:  // half a request, dripped
         at(now_ + 0.75, [this, id] {
-          if (open_.contains(id)) gate_->penalize(id, Penalty::kIncompleteRequest, now_), end(id);
+          if (open_.contains(id)) limiter_->penalize(id, Penalty::kIncompleteRequest, now_), end(id);
         });
         break;
       case 3:  // asks something now and then, and stays
-        gate_->on_request_read(id, now_);
+        limiter_->on_request_read(id, now_);
         break;
       default:  // holds requests open: it can't be shed
-        gate_->on_request_read(id, now_);
-        gate_->set_busy(id, true);
+        limiter_->on_request_read(id, now_);
+        limiter_->set_busy(id, true);
         open_[id].busy = true;
         at(now_ + 0.5 + chance(), [this, id] {
-          if (open_.contains(id)) gate_->set_busy(id, false), open_[id].busy = false;
+          if (open_.contains(id)) limiter_->set_busy(id, false), open_[id].busy = false;
         });
     }
   }
-  void friend_comes() {
-    const unsigned n = static_cast<unsigned>(random_() % friends_);
+  void known_client_connects() {
+    const unsigned n = static_cast<unsigned>(random_() % known_clients_);
     // As many as the reserve has room for, and as its own share allows.
     if (known_open_ >= std::min<std::size_t>(reserve_, total_ / 2) ||
         known_open_of_[n] >= std::max<std::size_t>(1, total_ / 2 - 1))
       return;
     bool in = false;
     ++known_asked;
-    const ConnectionId id = arrive(friend_at(n), true, in);
+    const ConnectionId id = arrive(known_address(n), true, in);
     if (!in) return fail("a known client was refused though its reserve is not used up");
     ++known_in, ++known_open_, ++known_open_of_[n];
-    gate_->on_request_read(id, now_);
-    gate_->set_busy(id, true);
+    limiter_->on_request_read(id, now_);
+    limiter_->set_busy(id, true);
     open_[id].busy = true;
     at(now_ + 0.02 + chance() * 0.3, [this, id, n] {
       --known_open_, --known_open_of_[n];
       if (!open_.contains(id)) return fail("a known client's busy connection went");
-      gate_->on_success(id, 1, now_, kUnix + now_);
+      limiter_->on_success(id, 1, now_, kUnix + now_);
       end(id);
     });
   }
-  void honest() {
+  void unknown_client_connects() {
     bool in = false;
     const bool later = now_ > kFloodEnds + 2;  // all that it held open is over by then
     ++(later ? later_asked : honest_asked);
@@ -180,16 +180,16 @@
                false, in);
     if (!in) return;
     ++(later ? later_in : honest_in);
-    gate_->on_request_read(id, now_);
+    limiter_->on_request_read(id, now_);
     at(now_ + 0.1, [this, id] {
       if (open_.contains(id)) end(id);
     });
   }
   void check() {
-    if (gate_->open_count() != open_.size()) fail("what the gate holds is not what is open");
-    if (gate_->open_count() > total_) fail("more open than there are places");
-    if (gate_->unknown_count() > gate_->max_unknown()) fail("strangers beyond their share");
-    if (share_->open_count(0) != gate_->open_count()) fail("share and gate differ");
+    if (limiter_->open_count() != open_.size()) fail("what the gate holds is not what is open");
+    if (limiter_->open_count() > total_) fail("more open than there are places");
+    if (limiter_->unknown_count() > limiter_->max_unknown()) fail("strangers beyond their share");
+    if (quota_->open_count(0) != limiter_->open_count()) fail("share and gate differ");
   }
   struct Open {
     bool is_known = false, busy = false;
@@ -197,13 +197,13 @@
   pcg64 random_;
   const bool tell_;
   std::size_t total_ = 0, reserve_ = 0, known_open_ = 0;
-  unsigned friends_ = 1, addresses_ = 1;
-  bool spread_ = false;
-  double per_s_ = 0, now_ = 0;
-  int manner_ = 0;
-  std::unique_ptr<ConnectionQuota> share_;
+  unsigned known_clients_ = 1, flood_addresses_ = 1;
+  bool is_spread_ = false;
+  double flood_per_second_ = 0, now_ = 0;
+  int shape_ = 0;
+  std::unique_ptr<ConnectionQuota> quota_;
   std::unique_ptr<KnownClients> known_;
-  std::unique_ptr<ConnectionLimiter> gate_;
+  std::unique_ptr<ConnectionLimiter> limiter_;
   std::map<ConnectionId, Open> open_;
   std::map<unsigned, std::size_t> known_open_of_;
   std::multimap<double, std::function<void()>> ends_;
--- a/tests/conns_program.cpp
+++ b/tests/conns/connection_admission_program.cpp
@@ -1,6 +1,6 @@
-// A relay with its gate among floods, clients that are known, and what takes its descriptors away. The
-// checker of the rules reads what the callers saw. CTest compares with tests/traces/conns_program_NAME.txt.
-// usage: conns_program BINARY SCENARIO
+// A backend with admission of connections among floods, known clients, and a system that runs out of
+// descriptors. The checker of the service rules reads what the callers saw. CTest compares with
+// tests/traces/conns_program_NAME.txt. usage: connection_admission_program BINARY SCENARIO
 #include <fmt/format.h>
 #include <sys/resource.h>
 #include <sys/socket.h>
@@ -24,16 +24,16 @@
 
 constexpr const char* kClient = "127.7.0.1";
 
-SiteSpec site(const std::string& gate, int sockets = 160) {
+SiteSpec site(const std::string& gate_section, int sockets = 160) {
   SiteSpec s;
   s.types = {{"read", "retryable", 0.5, 2, 0, 1}, {"close", "retryable", 0.5, 2, 0, 3}};
-  s.operators = "gate\n    enabled on\n" + gate;
+  s.operators = "gate\n    enabled on\n" + gate_section;
   s.sockets = sockets;
   return s;
 }
 
 struct Play {
-  explicit Play(SiteSpec spec, double reads = 40) : fleet(binary, spec, {}, load(reads)), spec_(spec) {
+  explicit Play(const SiteSpec& spec, double reads = 40) : fleet(binary, spec, {}, load(reads)), spec_(spec) {
     if (!fleet.start()) std::printf("the relay does not start\n");
     fleet.loop.run_until([this] { return fleet.server.roster.listed(); }, 5);
     port = fleet.server.port();
@@ -41,7 +41,10 @@
   static Callers::Options load(double reads) {
     Callers::Options o;
     o.flows = {{"read", reads, 2}, {"close", reads / 4, 2}};
-    for (Flow& flow : o.flows) flow.retries = 1, flow.pause = 0.1;
+    for (Flow& flow : o.flows) {
+      flow.retries = 1;
+      flow.pause = 0.1;
+    }
     o.connections = 4;
     o.from = kClient;
     o.seed = 3;
@@ -58,7 +61,8 @@
     const Verdict v = check_rules(fleet.journal, fleet.limits());
     for (const std::string& line : v.broken) std::printf("%s\n", line.c_str());
     std::printf("rules: %s\n", v.kept() ? "kept" : "BROKEN");
-    int asked = 0, succeeded = 0;
+    int asked = 0;
+    int succeeded = 0;
     for (const auto& [request, t] : fleet.journal.tries) {
       ++asked;
       for (const Answer& a : t.answers) succeeded += a.kind == AnswerKind::kSucceeded;
@@ -72,7 +76,7 @@
   const SiteSpec spec_;
 };
 
-// A flood of one shape while a known client keeps coming; it is known by what it had acked before.
+// A flood of one shape while a client that is known by its earlier requests keeps connecting.
 void flooded(FloodShape shape, unsigned addresses, unsigned each) {
   Play play(site("    known-after 10\n"));
   play.fleet.loop.run_for(1);
@@ -100,7 +104,7 @@
 void one() { flooded(FloodShape::kSilent, 1, 5000); }
 void junk() { flooded(FloodShape::kJunk, 100, 20); }
 
-// Fewer descriptors than the table counts with: the system's own bound comes first.
+// Fewer descriptors than the table allows connections: the limit of the system is reached first.
 void no_descriptors() {
   Play play(site("    known-after 10\n    client-share 100%\n    network-share 100%\n", 400));
   play.fleet.loop.run_for(1);
@@ -125,7 +129,7 @@
   play.end(false);
 }
 
-// The system's bound and the flood come in the middle of a drain.
+// The limit of the system and the flood meet a graceful shutdown.
 void drained() {
   Play play(site("    known-after 10\n"));
   play.fleet.loop.run_for(1);
@@ -136,7 +140,7 @@
   play.end(false);
 }
 
-// Who was known is known after a kill, and after a record that was spoilt nobody is.
+// Known clients are known after a kill; after a damaged record nobody is.
 void survives() {
   Play play(site("    known-after 10\n    known-folder FOLDER\n    known-interval 200ms\n"));
   play.fleet.loop.run_for(1.5);
@@ -158,7 +162,7 @@
   play.end();
 }
 
-// Bytes by the second: a reader and a writer that are never silent, and too slow.
+// A client that is never silent, and sends too slowly.
 void slow() {
   Play play(site(""));
   const int drip = connected_socket(play.port, "127.8.0.1");
@@ -167,7 +171,9 @@
   double ended = 0;
   play.fleet.loop.watch(drip, [&] {
     char bytes[512];
-    if (::recv(drip, bytes, sizeof bytes, MSG_DONTWAIT) == 0) ended = now(), play.fleet.loop.forget(drip);
+    if (::recv(drip, bytes, sizeof bytes, MSG_DONTWAIT) != 0) return;
+    ended = now();
+    play.fleet.loop.forget(drip);
   });
   for (std::size_t i = 0; i < head.size() && ended == 0; ++i) {
     play.fleet.loop.send(drip, head.substr(i, 1));
@@ -178,7 +184,7 @@
   play.end();
 }
 
-// What operators ask of a running relay, and who may not.
+// What operators may ask a running backend, and who may not ask.
 void questions() {
   SiteSpec spec =
       site("    known 127.7.0.0/16\n    group edge 30% 127.30.0.0/16\ncontrol\n    folder FOLDER\n");
@@ -201,21 +207,21 @@
   say("nobody there: status 1 and one line", nobody == 1 && std::count(why.begin(), why.end(), '\n') == 1);
   play.end(false);  // the stand-ins rested meanwhile
   std::filesystem::permissions(play.fleet.folder(), std::filesystem::perms(0755));
-  SiteSpec open = spec;
   play.fleet.write_operators("control\n    folder FOLDER\n");
   say("a folder that others may enter: it does not start", !play.fleet.start());
   std::filesystem::permissions(play.fleet.folder(), std::filesystem::perms(0700));
 }
 
-// Fewer places by SIGHUP than are open: idle ones go, requests go on, and a wrong file changes nothing.
+// A limit lowered by SIGHUP below what is open: idle connections are closed, requests go on, and an invalid
+// file changes nothing.
 void lowered() {
   Play play(
       site("    known-after 10\n    client-share 100%\n    network-share 100%\n    known-share 100%\n"));
   play.fleet.loop.run_for(0.5);
   Flood flood(play.port, {FloodShape::kAsking, 40, 2, 400});
   play.fleet.loop.run_for(1);
-  const std::uint64_t held = flood.held();
-  say("many are open", held > 50);
+  const std::uint64_t open_before = flood.held();
+  say("many are open", open_before > 50);
   std::ofstream(play.fleet.operators_path()) << "gate\n    enabled on\n    connections many\n";
   play.fleet.process->signal(SIGHUP);
   say("a wrong file is one line", !play.fleet.process->expect_log("the old one stays", 2).empty());
@@ -224,7 +230,7 @@
   play.fleet.process->signal(SIGHUP);
   play.fleet.process->expect_log("new configuration", 2);
   play.fleet.loop.run_for(2);
-  say("fewer than a third of them are left", flood.held() < held / 3);
+  say("fewer than a third of them are left", flood.held() < open_before / 3);
   play.end();
 }
 
