--- a/src/app/backend.cpp
+++ b/src/app/backend.cpp
@@ -25,15 +25,15 @@
 constexpr double kOpenPerCore = 8;  // requests that it holds at most, for what it tells members
 
 std::size_t below_links(const Limits& limits) {
-  const std::size_t fit = part(limits, kBelowShare) /
-                          (peers::DependencyClient::kMostInput + peers::DependencyClient::kMostOutput);
+  const std::size_t fit = part(limits, kBelowShare) / (peers::DependencyClient::kMaxInputBytes +
+                                                       peers::DependencyClient::kMaxOutputBytes);
   return std::clamp<std::size_t>(fit, 1, static_cast<std::size_t>(descriptors(limits) / kBelowSockets));
 }
 
 // Their buffers are other ones than those of the platform's protocol; the share of memory is the same.
 std::size_t ajp_links(const Limits& limits, const AjpOptions& ajp) {
   const std::size_t each =
-      peers::AjpDependencyClient::most_input(ajp) + peers::AjpDependencyClient::kMostOutput;
+      peers::AjpDependencyClient::max_input_bytes(ajp) + peers::AjpDependencyClient::kMaxOutputBytes;
   return std::clamp<std::size_t>(part(limits, kBelowShare) / each, 1, below_links(limits));
 }
 
@@ -54,7 +54,7 @@
 }
 
 // Where requests come in: callers at a relay, by one protocol or two, forwarders at a planner.
-std::unique_ptr<peers::Front> Backend::make_front(Role role) {
+std::unique_ptr<peers::RequestServer> Backend::make_front(Role role) {
   const StartSettings& site = config_.site;
   const std::size_t output = part(config_.limits, kOutputShare);
   peers::CallerEvents& events = intake_;
@@ -70,18 +70,18 @@
         peers::ForwarderServer::Limits{fit, output, part(config_.limits, kKeptShare)}, events, counters_,
         log_);
   }
-  const peers::JsonRpcServer::Marks keys = marks(options_.results);
+  const peers::IdempotencyKeyOptions keys = marks(options_.results);
   const AjpOptions& ajp = options_.ajp;
   if (ajp.listen.empty()) {
-    const int fit = links_that_fit(config_.limits, peers::JsonRpcServer::kMostInput);
+    const int fit = links_that_fit(config_.limits, peers::JsonRpcServer::kMaxInputBytes);
     make_connection_admission(fit, {1});
     conns::ConnectionQuota* share = connection_admission_ ? &connection_admission_->quota() : nullptr;
     return std::make_unique<peers::JsonRpcServer>(
         reactor_, config_.listen, catalog_.catalog(), keys,
-        peers::JsonRpcServer::Limits{fit, output, share, 0, connection_admission_.get()}, events, counters_,
-        log_);
+        peers::ListenerLimits{fit, output, share, 0, connection_admission_.get()}, events, counters_, log_);
   }
-  const std::size_t input = std::max(peers::JsonRpcServer::kMostInput, peers::AjpServer::most_input(ajp));
+  const std::size_t input =
+      std::max(peers::JsonRpcServer::kMaxInputBytes, peers::AjpServer::max_input_bytes(ajp));
   const int fit = links_that_fit(config_.limits, input);
   const std::vector<double> floors{std::max(ajp.share, 0.5), ajp.share};
   make_connection_admission(fit, floors);
@@ -90,13 +90,14 @@
   conns::ConnectionQuota& share = connection_admission_ ? connection_admission_->quota() : *share_;
   auto callers = std::make_unique<peers::JsonRpcServer>(
       reactor_, config_.listen, catalog_.catalog(), keys,
-      peers::JsonRpcServer::Limits{fit, output / 2, &share, 0, connection_admission_.get()}, events,
-      counters_, log_);
-  peers::AjpServer::Self self{
-      site.route_names, needs_key(config_, options_.results), keys.longest, {}, draw_epoch()};
-  for (const Route& type : site.admission.routes) self.timeouts.push_back(type.timeout);
-  auto second = std::make_unique<peers::AjpServer>(reactor_, std::move(self), ajp, output / 2, share, 1,
-                                                   events, counters_, log_, connection_admission_.get());
+      peers::ListenerLimits{fit, output / 2, &share, 0, connection_admission_.get()}, events, counters_,
+      log_);
+  peers::AjpSite ajp_site{site.route_names, needs_key(config_, options_.results), {}, keys.max_bytes};
+  for (const Route& type : site.admission.routes) ajp_site.timeouts.push_back(type.timeout);
+  auto second = std::make_unique<peers::AjpServer>(
+      reactor_, std::move(ajp_site), draw_epoch(), ajp,
+      peers::ListenerLimits{fit, output / 2, &share, 1, connection_admission_.get()}, events, counters_,
+      log_);
   ajp_ = second.get();
   return std::make_unique<peers::CombinedServer>(std::move(callers), std::move(second));
 }
@@ -229,7 +230,7 @@
 // took is ours: so it listens, and answers, nearly to the end.
 void Backend::look_at_leaving() {
   const double now = net::monotonic_now() - leaving_since_;
-  if (!listening_ && now >= config_.stop_after - kPartMargin) front_->end_all();
+  if (!listening_ && now >= config_.stop_after - kPartMargin) front_->close_idle_connections();
   const bool quiet = in_flight_.unanswered() == 0 && front_->connections() == 0;
   const bool grace_over = now > config_.site.admission.drain_grace;
   if (listening_ &&
--- a/src/app/backend.h
+++ b/src/app/backend.h
@@ -47,7 +47,7 @@
   void leave();
   void reload();
   void look_at_leaving();
-  std::unique_ptr<peers::Front> make_front(Role role);
+  std::unique_ptr<peers::RequestServer> make_front(Role role);
   void make_connection_admission(int connections, const std::vector<double>& floors);
   void listen_for_questions();
   void report();
@@ -74,7 +74,7 @@
   std::unique_ptr<peers::ConnectionAdmission>
       connection_admission_;         // where operators have one; before the fronts
   peers::AjpServer* ajp_ = nullptr;  // one of them, where there is one; before who sets it
-  std::unique_ptr<peers::Front> front_;
+  std::unique_ptr<peers::RequestServer> front_;
   peers::RuntimeClient runtime_;
   peers::DependencyClient dependency_;
   std::unique_ptr<peers::AjpDependencyClient> ajp_below_;  // in its place, where operators say so
--- a/src/app/forwarder.cpp
+++ b/src/app/forwarder.cpp
@@ -39,7 +39,7 @@
       forward_(reactor_, ports_, config_.site, options_.forward, options_.results,
                part(config_.limits, kBodyShare), draw_epoch(), counters_, log_),
       callers_(reactor_, config_.listen, *catalog_, marks(options_.results),
-               {connections_that_fit(config_.limits, kMostPlanners, peers::JsonRpcServer::kMostInput),
+               {connections_that_fit(config_.limits, kMostPlanners, peers::JsonRpcServer::kMaxInputBytes),
                 part(config_.limits, kOutputShare)},
                forward_, counters_, log_),
       planners_(reactor_, {config_.name, draw_epoch(), config_.site.route_names, links_from(options_)},
@@ -131,7 +131,7 @@
 // the end.
 void Forwarder::look_at_leaving() {
   const double now = net::monotonic_now() - leaving_since_;
-  if (!listening_ && now >= config_.stop_after - kPartMargin) callers_.end_all();
+  if (!listening_ && now >= config_.stop_after - kPartMargin) callers_.close_idle_connections();
   const bool quiet = forward_.open() == 0 && callers_.connections() == 0;
   const bool grace_over = now > config_.site.admission.drain_grace;
   if (listening_ && (now >= config_.stop_after - kListenMargin || (quiet && grace_over))) {
--- a/src/app/marks.h
+++ b/src/app/marks.h
@@ -4,12 +4,12 @@
 #include <algorithm>
 #include <vector>
 
-#include "peers/json_rpc/server.h"
+#include "peers/json_rpc/request_builder.h"
 #include "settings/config.h"
 
 namespace damsonspoke {
 
-inline peers::JsonRpcServer::Marks marks(const ResultsOptions& results) {
+inline peers::IdempotencyKeyOptions marks(const ResultsOptions& results) {
   if (!results.enabled) return {};
   return {results.key_field, results.key_length, {results.digest.begin(), results.digest.end()}};
 }
--- a/src/peers/ajp/dependency_client.cpp
+++ b/src/peers/ajp/dependency_client.cpp
@@ -2,8 +2,12 @@
 
 #include <algorithm>
 #include <cmath>
+#include <optional>
+#include <utility>
+#include <variant>
 
 #include "net/address.h"
+#include "peers/dependency/call_counters.h"
 
 namespace damsonspoke::peers {
 namespace {
@@ -11,128 +15,147 @@
 namespace wa = wire::ajp;
 
 constexpr double kMsPerSecond = 1000;
-constexpr double kFresh = 0.5;     // s without a call after which a connection is asked whether it is alive
-constexpr double kPong = 0.2;      // s for the answer to that
-constexpr double kWhole = 0.5;     // s for the rest of an answer that has begun
-constexpr double kIdleLook = 0.5;  // s; between looks
-constexpr double kMostIdle = 10;   // s; then it is closed: servers forget theirs
-constexpr double kLeastLeft = 0.005;  // s; a call with less is not begun
+constexpr double kReuseSeconds = 0.5;  // after its last call a link is used without a ping
+constexpr double kPingTimeoutSeconds = 0.2;
+constexpr double kReplyTimeoutSeconds = 0.5;  // from an answer's head until it is complete
+constexpr double kIdleCheckSeconds = 0.5;
+constexpr double kMaxIdleSeconds = 10;
+constexpr double kMinTimeoutSeconds = 0.005;  // a call with less left is not sent
+constexpr int kStatusOk = 200;
+constexpr int kStatusServiceUnavailable = 503;
+constexpr std::uint16_t kHttpPort = 80;
 
 }  // namespace
 
 AjpDependencyClient::AjpDependencyClient(net::Reactor& reactor, const AjpOptions& options,
-                                         std::size_t most_links, DependencyEvents& events, Counters& counters,
+                                         std::size_t max_links, DependencyEvents& events, Counters& counters,
                                          Logger& log)
     : reactor_(reactor),
       options_(options),
-      most_links_(most_links),
+      max_links_(max_links),
       events_(events),
       counters_(counters),
       log_(log) {
-  net::parse_address(options_.dependency);  // a wrong one is told at the start
-  look_for_idle();
+  net::parse_address(options_.dependency);  // throws at the start, not at the first call
+  close_idle_links();
 }
 
 AjpDependencyClient::~AjpDependencyClient() {
   reactor_.cancel(idle_timer_);
-  for (auto& [tag, link] : links_) reactor_.cancel(link.rest);
-  for (auto& [id, call] : calls_) reactor_.cancel(call.patience);
+  for (auto& [tag, link] : links_) reactor_.cancel(link.reply_timer);
+  for (auto& [id, call] : calls_) reactor_.cancel(call.timeout_timer);
 }
 
 void AjpDependencyClient::move_to(const AjpOptions& options) {
-  const bool elsewhere = options.dependency != options_.dependency;
+  const bool has_moved = options.dependency != options_.dependency;
   options_.dependency = options.dependency;
   options_.below_uri = options.below_uri;
   options_.below_secret = options.below_secret;
   options_.below_refuses = options.below_refuses;
-  if (!elsewhere) return;
+  if (!has_moved) return;
   for (auto& [tag, link] : links_) {
-    link.spent = true;
+    link.is_retired = true;
     if (link.call == 0) link.connection->close();
   }
 }
 
 // ---- Calls.
-void AjpDependencyClient::call(RequestId id, double patience, std::string_view body) {
-  cancel(id);  // one call a request at a time
+void AjpDependencyClient::call(RequestId id, double timeout, std::string_view body) {
+  cancel(id);  // a request has one call at a time
   counters_.add(Count::kCallsMade);
   Call& call = calls_[id];
-  call.since = net::monotonic_now();
-  call.until = call.since + patience;
+  call.started_at = net::monotonic_now();
+  call.deadline = call.started_at + timeout;
   call.body = body;
-  // On a link that never carried it, its end proves that it did not run.
-  call.patience = reactor_.at(call.until, [this, id] {
+  // A call that was never sent can't have run.
+  call.timeout_timer = reactor_.at(call.deadline, [this, id] {
     const auto found = calls_.find(id);
-    if (found != calls_.end()) end(id, found->second.sent ? Outcome::kTimeout : Outcome::kUnreachable, {});
+    if (found == calls_.end()) return;
+    finish_call(id, found->second.may_be_sent ? Outcome::kTimeout : Outcome::kUnreachable, {});
   });
   waiting_.push_back(id);
-  pump();
+  dispatch_waiting();
 }
 
-// Calls that wait get links: one that has just been used, else a new one, else one that has been idle, once
-// it has answered a ping.
-void AjpDependencyClient::pump() {
+void AjpDependencyClient::dispatch_waiting() {
   while (!waiting_.empty()) {
-    std::uint64_t fresh = 0, old = 0;
-    std::size_t usable = 0;
-    const double now = net::monotonic_now();
-    for (auto& [tag, link] : links_) {
-      if (link.spent || !link.connection->open()) continue;
-      ++usable;
-      if (link.state != State::kIdle || link.call != 0) continue;
-      (now - link.idle_since <= kFresh ? fresh : old) = tag;
-    }
-    std::uint64_t tag = fresh != 0 ? fresh : old;
-    if (tag == 0) {
-      if (usable >= most_links_) return;
-      tag = next_tag_++;
-      Link& link = links_[tag];
-      link.connection = net::Connection::connecting(reactor_, *this, net::parse_address(options_.dependency),
-                                                    {most_input(options_), kMostOutput});
-      link.connection->tag = tag;
-    }
+    const std::uint64_t tag = find_or_open_link();
+    if (tag == 0) return;
     const RequestId id = waiting_.front();
     waiting_.pop_front();
-    give(tag, id);
+    assign(tag, id);
+  }
+}
+
+// A link that has just been used, else one that has been idle for longer, else a new one; 0: all are in use.
+std::uint64_t AjpDependencyClient::find_or_open_link() {
+  std::uint64_t recently_used = 0;
+  std::uint64_t idle = 0;
+  std::size_t usable = 0;
+  const double now = net::monotonic_now();
+  for (auto& [tag, link] : links_) {
+    if (link.is_retired || !link.connection->open()) continue;
+    ++usable;
+    if (link.state != State::kIdle || link.call != 0) continue;
+    (now - link.idle_since <= kReuseSeconds ? recently_used : idle) = tag;
   }
+  if (recently_used != 0) return recently_used;
+  if (idle != 0) return idle;
+  if (usable >= max_links_) return 0;
+  const std::uint64_t tag = next_tag_++;
+  Link& link = links_[tag];
+  link.connection = net::Connection::connecting(reactor_, *this, net::parse_address(options_.dependency),
+                                                {max_input_bytes(options_), kMaxOutputBytes});
+  link.connection->tag = tag;
+  return tag;
 }
 
-void AjpDependencyClient::give(std::uint64_t tag, RequestId id) {
+void AjpDependencyClient::assign(std::uint64_t tag, RequestId id) {
   Link& link = links_.at(tag);
   link.call = id;
   calls_.at(id).link = tag;
-  if (link.state == State::kConnecting) return;  // sent once it is made
-  if (net::monotonic_now() - link.idle_since <= kFresh && link.connection->nothing_to_read())
-    return send_call(link);
-  // It stood idle: the server may have closed or forgotten it, and a call that meets that proves nothing.
+  if (link.state == State::kConnecting) return;  // sent once it is connected
+  const bool was_just_used = net::monotonic_now() - link.idle_since <= kReuseSeconds;
+  if (was_just_used && link.connection->nothing_to_read()) return send_call(link);
+  // The server may have closed or forgotten an idle link, and the end of a call that meets that would prove
+  // nothing.
   link.state = State::kPinging;
   link.connection->send(wa::encode(wa::FromGateway(wa::CPing{})));
-  must_be_whole(tag, kPong);
+  start_reply_timer(tag, kPingTimeoutSeconds);
 }
 
-void AjpDependencyClient::send_call(Link& link) {
-  Call& call = calls_.at(link.call);
-  const double left = call.until - net::monotonic_now();
-  if (left < kLeastLeft) return;  // its patience ends it, unsent
+wa::ForwardRequest AjpDependencyClient::request_of(const Call& call, double timeout) const {
   wa::ForwardRequest request;
   request.method = "POST";
   request.protocol = "HTTP/1.1";
   request.uri = options_.below_uri;
-  request.remote_address = request.server_name = "localhost";
-  request.server_port = 80;
+  request.remote_address = "localhost";
+  request.server_name = "localhost";
+  request.server_port = kHttpPort;
+  const auto timeout_ms = static_cast<long>(std::ceil(timeout * kMsPerSecond));
   request.headers = {{"content-length", std::to_string(call.body.size())},
-                     {"x-wait-ms", std::to_string(static_cast<long>(std::ceil(left * kMsPerSecond)))}};
+                     {"x-wait-ms", std::to_string(timeout_ms)}};
   if (!options_.below_secret.empty())
     request.attributes.push_back({wa::Attribute::kSecret, "", options_.below_secret, 0});
+  return request;
+}
+
+void AjpDependencyClient::send_call(Link& link) {
+  Call& call = calls_.at(link.call);
+  const double timeout = call.deadline - net::monotonic_now();
+  if (timeout < kMinTimeoutSeconds) return;  // the timer ends it, unsent
   link.state = State::kCalling;
-  link.headed = false;
+  link.has_head = false;
   link.status = 0;
   link.reply.clear();
-  call.sent = true;
-  std::string bytes = wa::encode(wa::FromGateway(std::move(request)));
-  const std::size_t piece = options_.packet - wa::kBodyHead;
-  for (std::string_view rest = call.body; !rest.empty(); rest.remove_prefix(std::min(piece, rest.size())))
-    bytes += wa::encode_body(rest.substr(0, piece));
+  call.may_be_sent = true;
+  std::string bytes = wa::encode(wa::FromGateway(request_of(call, timeout)));
+  const std::size_t max_chunk = options_.packet - wa::kBodyHead;
+  std::string_view rest = call.body;
+  while (!rest.empty()) {
+    bytes += wa::encode_body(rest.substr(0, max_chunk));
+    rest.remove_prefix(std::min(max_chunk, rest.size()));
+  }
   link.connection->send(bytes);
 }
 
@@ -140,64 +163,57 @@
   const auto found = calls_.find(id);
   if (found == calls_.end()) return;
   counters_.add(Count::kCallsCancelled);
-  reactor_.cancel(found->second.patience);
+  reactor_.cancel(found->second.timeout_timer);
   const std::uint64_t tag = found->second.link;
   calls_.erase(found);
   std::erase(waiting_, id);
   const auto link = links_.find(tag);
-  if (link != links_.end()) end_link(link->second);
-  pump();
+  if (link != links_.end()) close_abandoned(link->second);
+  dispatch_waiting();
 }
 
-// A call that was given up takes its connection with it: its answer may yet come.
-void AjpDependencyClient::end_link(Link& link) {
+// The answer to a call that was given up may still come, so its link can't be used again.
+void AjpDependencyClient::close_abandoned(Link& link) {
   link.call = 0;
-  link.spent = true;
-  reactor_.cancel(link.rest);
+  link.is_retired = true;
+  reactor_.cancel(link.reply_timer);
   link.connection->close();
 }
 
-void AjpDependencyClient::end(RequestId id, Outcome outcome, std::string_view reply) {
+void AjpDependencyClient::finish_call(RequestId id, Outcome outcome, std::string_view reply) {
   const auto found = calls_.find(id);
   if (found == calls_.end()) return;
-  const double spent = net::monotonic_now() - found->second.since;
+  const double call_seconds = net::monotonic_now() - found->second.started_at;
   const std::uint64_t tag = found->second.link;
-  reactor_.cancel(found->second.patience);
+  reactor_.cancel(found->second.timeout_timer);
   calls_.erase(found);
   std::erase(waiting_, id);
   const auto link = links_.find(tag);
-  if (link != links_.end() && link->second.call == id) end_link(link->second);
-  switch (outcome) {
-    case Outcome::kOk: counters_.add(Count::kCallsOk); break;
-    case Outcome::kRefused: counters_.add(Count::kCallsRefused); break;
-    case Outcome::kTimeout: counters_.add(Count::kCallsTimedOut); break;
-    case Outcome::kUnreachable: counters_.add(Count::kCallsUnreachable); break;
-    case Outcome::kReset: counters_.add(Count::kCallsBroken); break;
-    default: counters_.add(Count::kCallsFailed);
-  }
-  events_.on_call_ended(id, outcome, spent, reply);
-  pump();
+  if (link != links_.end() && link->second.call == id) close_abandoned(link->second);
+  counters_.add(counter_of(outcome));
+  events_.on_call_ended(id, outcome, call_seconds, reply);
+  dispatch_waiting();
 }
 
-// ---- What servers send.
-void AjpDependencyClient::must_be_whole(std::uint64_t tag, double seconds) {
+// ---- Messages of the server.
+void AjpDependencyClient::start_reply_timer(std::uint64_t tag, double seconds) {
   Link& link = links_.at(tag);
-  reactor_.cancel(link.rest);
-  link.rest = reactor_.after(seconds, [this, tag] {
+  reactor_.cancel(link.reply_timer);
+  link.reply_timer = reactor_.after(seconds, [this, tag] {
     const auto found = links_.find(tag);
     if (found == links_.end()) return;
-    if (found->second.state != State::kPinging) return spoilt(found->second, "an answer that does not end");
-    log_.info("below", "a ping is not answered, connection closed");
-    found->second.spent = true;
+    if (found->second.state != State::kPinging) return close_broken(found->second, "incomplete answer");
+    log_.info("dependency", "ping not answered, connection closed");
+    found->second.is_retired = true;
     found->second.connection->close(net::End::kBroken);
   });
 }
 
-// Nothing on that connection is to be believed any more.
-void AjpDependencyClient::spoilt(Link& link, const char* what) {
+// Nothing on the link can be trusted any more.
+void AjpDependencyClient::close_broken(Link& link, std::string_view reason) {
   counters_.add(Count::kBelowBad);
-  log_.warn("below", "{}, connection closed", what);
-  link.spent = true;
+  log_.warn("dependency", "{}, connection closed", reason);
+  link.is_retired = true;
   link.connection->close(net::End::kBroken);
 }
 
@@ -219,8 +235,8 @@
     if (packet.state == wa::Framing::kNeedMore) break;
     const auto message =
         packet.state == wa::Framing::kPacket ? wa::decode_from_server(packet.payload) : std::nullopt;
-    if (!message || !take(connection.tag, *message)) {
-      if (connection.open()) spoilt(at->second, "an answer that can't be read");
+    if (!message || !handle_message(connection.tag, *message)) {
+      if (connection.open()) close_broken(at->second, "invalid answer");
       return bytes.size();
     }
     used += packet.length;
@@ -228,92 +244,92 @@
   return used;
 }
 
-// False: what has no place there.
-bool AjpDependencyClient::take(std::uint64_t tag, const wa::FromServer& message) {
+bool AjpDependencyClient::handle_pong(Link& link) {
+  if (link.state != State::kPinging) return false;
+  reactor_.cancel(link.reply_timer);
+  link.state = State::kIdle;
+  link.idle_since = net::monotonic_now();
+  if (link.call != 0) send_call(link);
+  return true;
+}
+
+bool AjpDependencyClient::handle_head(std::uint64_t tag, const wa::SendHeaders& head) {
   Link& link = links_.at(tag);
-  if (std::holds_alternative<wa::CPong>(message)) {
-    if (link.state != State::kPinging) return false;
-    reactor_.cancel(link.rest);
-    link.state = State::kIdle;
-    link.idle_since = net::monotonic_now();
-    if (link.call != 0) send_call(link);
-    return true;
-  }
+  if (link.has_head) return false;
+  link.has_head = true;
+  link.status = head.status;
+  start_reply_timer(tag, kReplyTimeoutSeconds);
+  return true;
+}
+
+bool AjpDependencyClient::handle_message(std::uint64_t tag, const wa::FromServer& message) {
+  Link& link = links_.at(tag);
+  if (std::holds_alternative<wa::CPong>(message)) return handle_pong(link);
   if (link.state != State::kCalling) return false;  // an answer to nothing, or a second end
-  if (const auto* head = std::get_if<wa::SendHeaders>(&message)) {
-    if (link.headed) return false;
-    link.headed = true;
-    link.status = head->status;
-    must_be_whole(tag, kWhole);
-    return true;
-  }
+  if (const auto* head = std::get_if<wa::SendHeaders>(&message)) return handle_head(tag, *head);
   if (const auto* chunk = std::get_if<wa::SendBodyChunk>(&message)) {
-    if (!link.headed || link.reply.size() + chunk->piece.size() > kMostReply) return false;
+    if (!link.has_head || link.reply.size() + chunk->piece.size() > kMaxReplyBytes) return false;
     link.reply += chunk->piece;
     return true;
   }
-  if (std::holds_alternative<wa::GetBodyChunk>(message)) {  // all of it was sent
+  if (std::holds_alternative<wa::GetBodyChunk>(message)) {  // the whole body was sent
     link.connection->send(wa::encode_body_end());
     return true;
   }
-  if (!link.headed) return false;
-  answered(tag, std::get<wa::EndResponse>(message).reuse);
+  if (!link.has_head) return false;
+  finish_reply(tag, std::get<wa::EndResponse>(message).reuse);
   return true;
 }
 
-void AjpDependencyClient::answered(std::uint64_t tag, bool reuse) {
+void AjpDependencyClient::finish_reply(std::uint64_t tag, bool can_reuse) {
   Link& link = links_.at(tag);
-  reactor_.cancel(link.rest);
+  reactor_.cancel(link.reply_timer);
   const RequestId id = std::exchange(link.call, 0);
   const int status = link.status;
-  const std::string reply = std::move(link.reply);
-  link.reply = {};
+  const std::string reply = std::exchange(link.reply, {});
   link.state = State::kIdle;
   link.idle_since = net::monotonic_now();
-  if (!reuse) {
-    link.spent = true;
+  if (!can_reuse) {
+    link.is_retired = true;
     link.connection->close();
   }
-  const bool turned_away = status == 503 && options_.below_refuses;
-  end(id,
-      status == 200 ? Outcome::kOk
-      : turned_away ? Outcome::kRefused
-                    : Outcome::kError,
-      status == 200 ? std::string_view(reply) : std::string_view());
+  if (status == kStatusOk) return finish_call(id, Outcome::kOk, reply);
+  const bool is_refused = status == kStatusServiceUnavailable && options_.below_refuses;
+  finish_call(id, is_refused ? Outcome::kRefused : Outcome::kError, {});
 }
 
 void AjpDependencyClient::on_end_of_input(net::Connection& connection) {
   connection.close(net::End::kBroken);
 }
 
-// What was sent may have run. What was not goes to another connection while there is time, unless this one
-// could not be made: the next would fare no better.
+// A call that was sent may have run. One that was not goes to another link while there is time, unless this
+// one could not be connected: the next would fare no better.
 void AjpDependencyClient::on_end(net::Connection& connection, net::End why) {
   const auto found = links_.find(connection.tag);
   if (found == links_.end()) return;
   const RequestId id = found->second.call;
-  reactor_.cancel(found->second.rest);
+  reactor_.cancel(found->second.reply_timer);
   links_.erase(found);
   const auto call = calls_.find(id);
-  if (id == 0 || call == calls_.end()) return pump();
-  if (call->second.sent) {
+  if (id == 0 || call == calls_.end()) return dispatch_waiting();
+  if (call->second.may_be_sent) {
     counters_.add(Count::kBelowBroken);
-    log_.warn("below", "connection lost with a call in hand");
-    return end(id, Outcome::kReset, {});
+    log_.warn("dependency", "connection lost with a call in flight");
+    return finish_call(id, Outcome::kReset, {});
   }
-  if (why == net::End::kRefused) return end(id, Outcome::kUnreachable, {});
+  if (why == net::End::kRefused) return finish_call(id, Outcome::kUnreachable, {});
   call->second.link = 0;
   waiting_.push_front(id);
-  pump();
+  dispatch_waiting();
 }
 
-void AjpDependencyClient::look_for_idle() {
+void AjpDependencyClient::close_idle_links() {
   const double now = net::monotonic_now();
   for (auto& [tag, link] : links_) {
-    if (link.state == State::kIdle && link.call == 0 && now - link.idle_since > kMostIdle)
-      link.connection->close();
+    const bool is_idle = link.state == State::kIdle && link.call == 0;
+    if (is_idle && now - link.idle_since > kMaxIdleSeconds) link.connection->close();
   }
-  idle_timer_ = reactor_.after(kIdleLook, [this] { look_for_idle(); });
+  idle_timer_ = reactor_.after(kIdleCheckSeconds, [this] { close_idle_links(); });
 }
 
 }  // namespace damsonspoke::peers
--- a/src/peers/ajp/dependency_client.h
+++ b/src/peers/ajp/dependency_client.h
@@ -1,20 +1,21 @@
-// The layer below behind AJP 1.3: a call is a POST to one path, a connection carries one at a time. Beside
-// what Below keeps to, each end says what it proves:
+// The client of a dependency behind AJP 1.3: a call is a POST to one path, and a link carries one call at a
+// time. Beyond what DependencyClient keeps to, each end of a call says what it proves:
 //
-//   never made, closed before it was sent, ping unanswered   no call ran         kUnreachable
-//   503, where operators say that it means so                no call ran         kRefused
-//   closed, or its patience over, after it was sent          nothing             kReset, kTimeout
-//   200 and a whole answer                                   it ran              kOk
-//   anything else                                            nothing             kError
+//   never connected, closed before it was sent, ping unanswered   no call ran         kUnreachable
+//   503, where operators say that it means so                     no call ran         kRefused
+//   closed, or timed out, after it was sent                       nothing             kReset, kTimeout
+//   200 and a complete answer                                     it ran              kOk
+//   anything else                                                 nothing             kError
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
 #include <deque>
 #include <map>
 #include <memory>
 #include <string>
+#include <string_view>
 #include <unordered_map>
-#include <utility>
 
 #include "net/connection.h"
 #include "observability/counters.h"
@@ -27,18 +28,22 @@
 
 class AjpDependencyClient : public DependencyPort, private net::ConnectionOwner {
  public:
-  static constexpr std::size_t kMostReply = 64 * 1024;  // bytes of an answer's body; more spoils it
-  static constexpr std::size_t kMostOutput = 32 * 1024;
-  static std::size_t most_input(const AjpOptions& options) { return options.packet + kMostReply; }
+  static constexpr std::size_t kMaxReplyBytes = 64 * 1024;  // of an answer's body; a longer one is invalid
+  static constexpr std::size_t kMaxOutputBytes = 32 * 1024;
+  [[nodiscard]] static std::size_t max_input_bytes(const AjpOptions& options) {
+    return options.packet + kMaxReplyBytes;
+  }
 
   // Throws std::runtime_error where the address can't be used.
-  AjpDependencyClient(net::Reactor& reactor, const AjpOptions& options, std::size_t most_links,
+  AjpDependencyClient(net::Reactor& reactor, const AjpOptions& options, std::size_t max_links,
                       DependencyEvents& events, Counters& counters, Logger& log);
   ~AjpDependencyClient() override;
+  AjpDependencyClient(const AjpDependencyClient&) = delete;
+  AjpDependencyClient& operator=(const AjpDependencyClient&) = delete;
 
-  void call(RequestId id, double patience, std::string_view body) override;
+  void call(RequestId id, double timeout, std::string_view body) override;
   void cancel(RequestId id) override;
-  // Another server, path or secret from now on; calls in hand stay where they are.
+  // Uses another server, path or secret for new calls; calls in flight stay where they are.
   void move_to(const AjpOptions& options);
 
  private:
@@ -48,18 +53,19 @@
     State state = State::kConnecting;
     RequestId call = 0;  // 0: none
     double idle_since = 0;
-    bool headed = false;  // its answer's head has come
-    bool spent = false;   // takes no new call
+    bool is_retired = false;  // takes no new call
+    bool has_head = false;    // of the answer
     int status = 0;
     std::string reply;
-    net::Reactor::TimerId rest;  // until which a pong, or an answer that has begun, must be whole
+    net::Reactor::TimerId reply_timer;  // until which a pong, or an answer that has begun, must be complete
   };
   struct Call {
-    std::uint64_t link = 0;  // 0: it waits for one
-    bool sent = false;       // a byte of it may have left
-    double since = 0, until = 0;
+    std::uint64_t link = 0;    // 0: it waits for one
+    bool may_be_sent = false;  // a byte of it may have left
+    double started_at = 0;
+    double deadline = 0;
     std::string body;
-    net::Reactor::TimerId patience;
+    net::Reactor::TimerId timeout_timer;
   };
 
   void on_connected(net::Connection& connection) override;
@@ -67,20 +73,25 @@
   void on_end_of_input(net::Connection& connection) override;
   void on_end(net::Connection& connection, net::End why) override;
 
-  void pump();
-  void give(std::uint64_t tag, RequestId id);
+  void dispatch_waiting();
+  [[nodiscard]] std::uint64_t find_or_open_link();
+  void assign(std::uint64_t tag, RequestId id);
   void send_call(Link& link);
-  bool take(std::uint64_t tag, const wire::ajp::FromServer& message);
-  void answered(std::uint64_t tag, bool reuse);
-  void end(RequestId id, Outcome outcome, std::string_view reply);
-  void end_link(Link& link);
-  void spoilt(Link& link, const char* what);
-  void must_be_whole(std::uint64_t tag, double seconds);
-  void look_for_idle();
+  [[nodiscard]] wire::ajp::ForwardRequest request_of(const Call& call, double timeout) const;
+  // False: the message is invalid in the link's state.
+  [[nodiscard]] bool handle_message(std::uint64_t tag, const wire::ajp::FromServer& message);
+  [[nodiscard]] bool handle_pong(Link& link);
+  [[nodiscard]] bool handle_head(std::uint64_t tag, const wire::ajp::SendHeaders& head);
+  void finish_reply(std::uint64_t tag, bool can_reuse);
+  void finish_call(RequestId id, Outcome outcome, std::string_view reply);
+  void close_abandoned(Link& link);
+  void close_broken(Link& link, std::string_view reason);
+  void start_reply_timer(std::uint64_t tag, double seconds);
+  void close_idle_links();
 
   net::Reactor& reactor_;
   AjpOptions options_;
-  const std::size_t most_links_;
+  const std::size_t max_links_;
   DependencyEvents& events_;
   Counters& counters_;
   Logger& log_;
--- /dev/null
+++ b/src/peers/ajp/request_mapping.h
@@ -0,0 +1,57 @@
+// Which request an AJP message is: checks the gateway's secret and attributes, finds the route in the
+// operators' table and reads the request's fields and the length of its body.
+#pragma once
+
+#include <cstddef>
+#include <cstdint>
+#include <string>
+#include <variant>
+#include <vector>
+
+#include "observability/counters.h"
+#include "peers/ports.h"
+#include "settings/operator_file.h"
+#include "wire/ajp.h"
+
+namespace damsonspoke::peers {
+
+// The routes of the site, by number.
+struct AjpSite {
+  std::vector<std::string> routes;
+  std::vector<bool> needs_key;
+  std::vector<double> timeouts;   // s, for clients that don't say how long they wait
+  std::size_t max_key_bytes = 0;  // of an idempotency key
+};
+
+struct MappedRequest {
+  IncomingRequest request;  // without an id, times and body
+  bool is_health_check = false;
+  bool is_chunked = false;         // the body ends with a chunk without bytes
+  std::size_t content_length = 0;  // of the body, where it is not chunked
+};
+
+enum class AjpRejectReason {
+  kForbidden,           // the secret is wrong or missing
+  kForbiddenAttribute,  // an attribute that operators don't list
+  kUnmappedPath,        // no route has this path,
+  kUnmappedMethod,      // this method,
+  kInvalidPath,         // or the path is invalid
+  kInvalidField,        // a field is missing or can't be read
+  kAmbiguousLength,     // two lengths, or a length and an encoding
+  kUnsupportedEncoding,
+  kTooLarge
+};
+
+struct AjpRejection {
+  AjpRejectReason reason = AjpRejectReason::kForbidden;
+  bool body_may_follow = true;  // then nothing more can be read from the connection
+};
+
+[[nodiscard]] std::variant<MappedRequest, AjpRejection> map_request(const wire::ajp::ForwardRequest& message,
+                                                                    const AjpOptions& options,
+                                                                    const AjpSite& site);
+
+// The HTTP status that the gateway is told.
+[[nodiscard]] std::uint16_t status_of(AjpRejectReason reason);
+
+}  // namespace damsonspoke::peers
--- /dev/null
+++ b/src/peers/client_connection.h
@@ -0,0 +1,61 @@
+// The state of one client's connection that the servers of all client protocols share, and the timeouts that
+// apply to it.
+#pragma once
+
+#include <cstddef>
+#include <cstdint>
+#include <list>
+#include <memory>
+
+#include "conns/minimum_byte_rate.h"
+#include "net/connection.h"
+
+namespace damsonspoke::peers {
+
+// Each open connection costs a descriptor and memory. It has to send a request, to complete what it began and
+// to take its answers in time, or it is closed.
+constexpr double kConnectionCheckSeconds = 0.25;   // between checks of all connections
+constexpr double kFirstRequestTimeoutSeconds = 2;  // from accepting it until the first request is complete
+constexpr double kRequestTimeoutSeconds = 1.5;     // from a request's first byte until it is complete
+constexpr double kOutputTimeoutSeconds = 5;        // in which waiting output must be taken
+constexpr double kFirstRequestGraceSeconds = 0.1;  // then a silent connection is evicted before idle ones
+
+// Times are monotonic seconds; < 0: not now.
+struct ClientConnection {
+  std::shared_ptr<net::Connection> connection;
+  std::list<std::uint64_t>::iterator idle_position;  // in its table
+  double last_traffic_at = 0;
+  double message_started_at = -1;  // of the message that is incomplete
+  double output_waits_since = -1;
+  bool has_requested = false;
+  bool input_ended = false;
+  bool is_evicted = false;  // its place was given to another connection
+  conns::MinimumByteRate input_rate;
+  conns::MinimumByteRate output_rate;
+
+  // Whether it could have sent a request by now, and has not.
+  [[nodiscard]] bool is_silent(double now) const {
+    return !has_requested && now - last_traffic_at >= kFirstRequestGraceSeconds;
+  }
+  // `unread_bytes`: those of the message that were received already.
+  void start_message(double now, std::size_t unread_bytes) {
+    message_started_at = now;
+    input_rate.start(now, connection->bytes_in() - unread_bytes);
+  }
+  void finish_message() {
+    message_started_at = -1;
+    input_rate.stop();
+  }
+  [[nodiscard]] bool is_message_incomplete() const { return message_started_at >= 0; }
+  [[nodiscard]] bool is_message_overdue(double now) const {
+    return is_message_incomplete() && now - message_started_at > kRequestTimeoutSeconds;
+  }
+  // Notes since when output waits; returns whether that is too long.
+  [[nodiscard]] bool check_output_overdue(double now) {
+    if (connection->waiting() == 0) output_waits_since = -1;
+    if (connection->waiting() > 0 && output_waits_since < 0) output_waits_since = now;
+    return output_waits_since >= 0 && now - output_waits_since > kOutputTimeoutSeconds;
+  }
+};
+
+}  // namespace damsonspoke::peers
--- a/src/peers/combined_server.h
+++ b/src/peers/combined_server.h
@@ -1,62 +1,71 @@
-// Two fronts as one: stages answer by ticket and need not know which protocol it came by.
+// Two servers as one: answers find their server by the tag of the connection, so that the stages need not
+// know which protocol a request came by.
 #pragma once
 
+#include <cstddef>
+#include <cstdint>
 #include <memory>
+#include <string_view>
+#include <utility>
 
 #include "peers/ajp/server.h"
 #include "peers/ports.h"
 
 namespace damsonspoke::peers {
 
-class CombinedServer : public Front {
+class CombinedServer : public RequestServer {
  public:
-  CombinedServer(std::unique_ptr<Front> first, std::unique_ptr<AjpServer> ajp)
+  CombinedServer(std::unique_ptr<RequestServer> first, std::unique_ptr<AjpServer> ajp)
       : first_(std::move(first)), ajp_(std::move(ajp)) {}
 
-  void answer_succeeded(ReplyAddress ticket, std::string_view result) override {
-    of(ticket).answer_succeeded(ticket, result);
+  void answer_succeeded(ReplyAddress reply_to, std::string_view result) override {
+    server_of(reply_to).answer_succeeded(reply_to, result);
   }
-  void answer_rejected(ReplyAddress ticket, double retry_after, bool no_retry) override {
-    of(ticket).answer_rejected(ticket, retry_after, no_retry);
+  void answer_rejected(ReplyAddress reply_to, double retry_after, bool no_retry) override {
+    server_of(reply_to).answer_rejected(reply_to, retry_after, no_retry);
   }
-  void answer_failed(ReplyAddress ticket, FailureReason why) override {
-    of(ticket).answer_failed(ticket, why);
+  void answer_failed(ReplyAddress reply_to, FailureReason reason) override {
+    server_of(reply_to).answer_failed(reply_to, reason);
   }
-  void answer_check(ReplyAddress ticket, bool good) override { of(ticket).answer_check(ticket, good); }
-  void set_idle_timeout(double after) override {
-    first_->set_idle_timeout(after);
-    ajp_->set_idle_timeout(after);
+  void answer_health_check(ReplyAddress reply_to, bool is_healthy) override {
+    server_of(reply_to).answer_health_check(reply_to, is_healthy);
   }
-  void ask_no_more() override {
-    first_->ask_no_more();
-    ajp_->ask_no_more();
+  void set_idle_timeout(double seconds) override {
+    first_->set_idle_timeout(seconds);
+    ajp_->set_idle_timeout(seconds);
   }
-  void began(bool cold, double ago) override {
-    first_->began(cold, ago);
-    ajp_->began(cold, ago);
+  void announce_drain() override {
+    first_->announce_drain();
+    ajp_->announce_drain();
   }
-  void health(bool good) override {
-    first_->health(good);
-    ajp_->health(good);
+  void start_warm_up(bool is_cold, double seconds_ago) override {
+    first_->start_warm_up(is_cold, seconds_ago);
+    ajp_->start_warm_up(is_cold, seconds_ago);
+  }
+  void set_healthy(bool is_healthy) override {
+    first_->set_healthy(is_healthy);
+    ajp_->set_healthy(is_healthy);
   }
   void stop_listening() override {
     first_->stop_listening();
     ajp_->stop_listening();
   }
-  void end_all() override {
-    first_->end_all();
-    ajp_->end_all();
+  void close_idle_connections() override {
+    first_->close_idle_connections();
+    ajp_->close_idle_connections();
+  }
+  [[nodiscard]] std::size_t connections() const override {
+    return first_->connections() + ajp_->connections();
   }
-  std::size_t connections() const override { return first_->connections() + ajp_->connections(); }
-  std::uint16_t port() const override { return first_->port(); }
-  AjpServer& ajp() { return *ajp_; }
+  // The first server's.
+  [[nodiscard]] std::uint16_t port() const override { return first_->port(); }
 
  private:
-  Front& of(ReplyAddress ticket) {
-    if ((ticket.connection & kAjpTickets) != 0) return *ajp_;
+  RequestServer& server_of(ReplyAddress reply_to) {
+    if ((reply_to.connection & kAjpTagBit) != 0) return *ajp_;
     return *first_;
   }
-  const std::unique_ptr<Front> first_;
+  const std::unique_ptr<RequestServer> first_;
   const std::unique_ptr<AjpServer> ajp_;
 };
 
--- /dev/null
+++ b/src/peers/dependency/call_counters.h
@@ -0,0 +1,21 @@
+// The counter of each way in which a call to the dependency ends.
+#pragma once
+
+#include "admission/request.h"
+#include "observability/counters.h"
+
+namespace damsonspoke::peers {
+
+[[nodiscard]] inline Count counter_of(Outcome outcome) {
+  switch (outcome) {
+    case Outcome::kOk: return Count::kCallsOk;
+    case Outcome::kRefused: return Count::kCallsRefused;
+    case Outcome::kTimeout: return Count::kCallsTimedOut;
+    case Outcome::kObsolete: return Count::kCallsMoot;
+    case Outcome::kUnreachable: return Count::kCallsUnreachable;
+    case Outcome::kReset: return Count::kCallsBroken;
+    default: return Count::kCallsFailed;
+  }
+}
+
+}  // namespace damsonspoke::peers
--- a/src/peers/dependency/client.h
+++ b/src/peers/dependency/client.h
@@ -1,10 +1,13 @@
-// The layer below: calls on a small pool of connections, with their patience kept here. Each call ends once.
+// The client of the dependency that speaks lines (wire/dependency_lines.h): calls on a small pool of
+// connections. Each call ends exactly once, by its reply, by its timeout or with its connection.
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
 #include <map>
 #include <memory>
 #include <string>
+#include <string_view>
 #include <unordered_map>
 #include <vector>
 
@@ -17,33 +20,38 @@
 
 class DependencyClient : public DependencyPort, private net::ConnectionOwner {
  public:
-  // Bytes a connection: a reply with its payload is under 70 KiB, a call under 5.
-  static constexpr std::size_t kMostInput = 96 * 1024, kMostOutput = 32 * 1024;
+  // Of a connection: a reply with its payload is under 70 KiB, a call under 5.
+  static constexpr std::size_t kMaxInputBytes = 96 * 1024;
+  static constexpr std::size_t kMaxOutputBytes = 32 * 1024;
 
-  // An address that is empty: nothing is ever called.
-  DependencyClient(net::Reactor& reactor, const std::string& address, std::size_t most_links,
+  // An empty address: there is no dependency, and nothing is ever called. Throws std::runtime_error where the
+  // address can't be used.
+  DependencyClient(net::Reactor& reactor, const std::string& address, std::size_t max_links,
                    DependencyEvents& events, Counters& counters, Logger& log);
   ~DependencyClient() override;
+  DependencyClient(const DependencyClient&) = delete;
+  DependencyClient& operator=(const DependencyClient&) = delete;
 
-  void call(RequestId id, double patience, std::string_view body) override;
+  void call(RequestId id, double timeout, std::string_view body) override;
   void cancel(RequestId id) override;
-  // The layer is reached elsewhere from now on; calls in hand stay where they are.
+  // Sends new calls to another address; calls in flight stay where they are.
   void move_to(const std::string& address);
 
  private:
   struct Link {
     std::shared_ptr<net::Connection> connection;
-    std::vector<RequestId> calls;  // in hand on it: one, unless there is no descriptor left for another
-    RequestId last = 0;            // whose call it carried last
+    std::vector<RequestId>
+        calls;  // in flight on it: one, unless there is no descriptor left for another link
+    RequestId last_request = 0;
     double idle_since = 0;
-    bool spent = false;          // takes no new call, and closes after its last one
-    net::Reactor::TimerId rest;  // until which a reply that has begun must be whole
+    bool is_retired = false;            // takes no new call and closes after its last one
+    net::Reactor::TimerId reply_timer;  // until which a reply that has begun must be complete
   };
   struct Call {
     std::uint64_t link = 0;
-    bool sent = false;  // a byte of it may have left
-    double since = 0;
-    net::Reactor::TimerId patience;
+    bool may_be_sent = false;  // a byte of it may have left
+    double started_at = 0;
+    net::Reactor::TimerId timeout_timer;
   };
 
   void on_connected(net::Connection& connection) override;
@@ -51,16 +59,17 @@
   void on_end_of_input(net::Connection& connection) override;
   void on_end(net::Connection& connection, net::End why) override;
 
-  std::uint64_t link_for_call(RequestId id);
-  void take_off(RequestId id, std::uint64_t tag, bool answered);
-  void end(RequestId id, Outcome outcome, std::string_view reply);
-  void patience_over(RequestId id);
-  void spoilt(Link& link, const char* what);
-  void look_for_idle();
+  [[nodiscard]] std::uint64_t link_for_call(RequestId id);
+  void detach_call(RequestId id, std::uint64_t tag, bool is_answered);
+  void finish_call(RequestId id, Outcome outcome, std::string_view reply);
+  void on_timeout(RequestId id);
+  void on_reply(std::uint64_t tag, RequestId id, Outcome outcome, std::string_view body);
+  void close_broken(Link& link, std::string_view reason);
+  void close_idle_links();
 
   net::Reactor& reactor_;
   std::string address_;
-  std::size_t most_links_;
+  std::size_t max_links_;
   DependencyEvents& events_;
   Counters& counters_;
   Logger& log_;
--- a/src/peers/json_rpc/server.h
+++ b/src/peers/json_rpc/server.h
@@ -1,78 +1,62 @@
-// The callers: edge nodes that send requests, and their health checks.
+// The server for clients that speak JSON-RPC 2.0: edge nodes that send requests and health checks. Many
+// requests may be open on a connection; their answers leave in any order.
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
-#include <list>
-#include <memory>
+#include <optional>
 #include <string>
+#include <string_view>
 #include <unordered_map>
-#include <unordered_set>
-#include <vector>
 
 #include "catalog/catalog.h"
-#include "conns/connection_quota.h"
 #include "net/connection.h"
 #include "observability/counters.h"
 #include "observability/logger.h"
-#include "peers/connection_admission.h"
+#include "peers/client_connection.h"
+#include "peers/client_table.h"
+#include "peers/json_rpc/request_builder.h"
+#include "peers/listener_admission.h"
 #include "peers/ports.h"
 #include "wire/rpc.h"
 
 namespace damsonspoke::peers {
 
-class JsonRpcServer : public Front, private net::ConnectionOwner {
+class JsonRpcServer : public RequestServer, private net::ConnectionOwner {
  public:
-  // Bytes a connection: a piece that is read at once, and the frame of under 9 KiB that began before it.
-  static constexpr std::size_t kMostInput = 28 * 1024;
-  struct Limits {
-    int connections = 0;
-    std::size_t output_bytes = 0;                         // of all connections together
-    conns::ConnectionQuota* share = nullptr;              // with another front; none: this one has them all
-    std::size_t front = 0;                                // its number there
-    ConnectionAdmission* connection_admission = nullptr;  // where operators have one; with it a share
-  };
-  // The member of a request's params that tells a repeat, for routes that need it.
-  struct Marks {
-    std::string field;        // empty: none is read
-    std::size_t longest = 0;  // bytes
-    // Routes whose repeats are told by a digest instead; other keyed ones need the member.
-    std::unordered_set<std::string> by_digest;
-  };
-  // `catalog`: what requests and tenants are called; their positions are what the stages know them by.
+  // Of a connection: one read, and the incomplete frame of under 9 KiB before it.
+  static constexpr std::size_t kMaxInputBytes = 28 * 1024;
+
+  // `catalog` names routes and tenants; their positions there are the numbers of the requests' routes and
+  // tenants. Throws std::runtime_error where the address can't be used.
   JsonRpcServer(net::Reactor& reactor, const std::string& listen, const catalog::Catalog& catalog,
-                Marks marks, Limits limits, CallerEvents& events, Counters& counters, Logger& log);
+                IdempotencyKeyOptions keys, const ListenerLimits& limits, CallerEvents& events,
+                Counters& counters, Logger& log);
   ~JsonRpcServer() override;
+  JsonRpcServer(const JsonRpcServer&) = delete;
+  JsonRpcServer& operator=(const JsonRpcServer&) = delete;
 
-  void answer_succeeded(ReplyAddress ticket, std::string_view result) override;
-  void answer_rejected(ReplyAddress ticket, double retry_after, bool no_retry) override;
-  void answer_failed(ReplyAddress ticket, FailureReason why) override;
-  void answer_check(ReplyAddress ticket, bool good) override;
-  void set_idle_timeout(double after) override;
-  void ask_no_more() override;
+  void answer_succeeded(ReplyAddress reply_to, std::string_view result) override;
+  void answer_rejected(ReplyAddress reply_to, double retry_after, bool no_retry) override;
+  void answer_failed(ReplyAddress reply_to, FailureReason reason) override;
+  void answer_health_check(ReplyAddress reply_to, bool is_healthy) override;
+  void set_idle_timeout(double seconds) override;
+  void announce_drain() override;
 
   void stop_listening() override;
-  void end_all() override;
-  std::size_t connections() const override { return open_.size(); }
-  std::uint16_t port() const override { return listener_.port(); }
+  void close_idle_connections() override;
+  [[nodiscard]] std::size_t connections() const override { return clients_.size(); }
+  [[nodiscard]] std::uint16_t port() const override { return listener_.port(); }
 
  private:
-  struct Caller {
-    std::shared_ptr<net::Connection> connection;
-    struct Request {
-      RequestId id = 0;  // 0: a check
-      int type = -1;     // of the request
-    };
-    std::unordered_map<std::uint64_t, Request> requests;  // by number
-    std::list<std::uint64_t>::iterator place;             // in by_traffic_
-    double last_traffic = 0;
-    double half_since = -1;     // when the request began that is not whole yet; < 0: none
-    double waiting_since = -1;  // since when output waits; < 0: none does
-    double asked_no_more = -1;
-    int faults = 0;          // messages that were no sound request
-    bool has_asked = false;  // a whole request
-    bool input_over = false;
-    bool evicted = false;  // its place was given away already
-    conns::MinimumByteRate input_rate, output_rate;
+  struct OpenRequest {
+    RequestId id = 0;  // 0: a health check
+    int route = -1;
+  };
+  struct Client : ClientConnection {
+    std::unordered_map<std::uint64_t, OpenRequest> requests;  // by the client's number
+    double drain_announced_at = -1;
+    int invalid_messages = 0;
   };
 
   std::size_t on_input(net::Connection& connection, std::string_view bytes) override;
@@ -81,42 +65,44 @@
   void on_output_sent(net::Connection& connection) override;
 
   void on_accept(const net::Accepted& accepted);
-  bool take_in(std::uint64_t tag, const net::Accepted& accepted);
-  void wasted(Caller& caller, conns::Penalty how);
-  void note_busy(Caller& caller);
-  void look_at(Caller& caller, double now);
-  void take(Caller& caller, std::uint64_t tag, std::string_view text);
-  void take_request(Caller& caller, std::uint64_t tag, wire::RpcRequest& request);
-  bool needs_mark(const wire::RpcRequest& request, int type) const;
-  void answer(ReplyAddress ticket, const std::string& text, bool succeeded = false);
-  void put(Caller& caller, const std::string& text);
-  void traffic(Caller& caller);
-  void ask_no_more(Caller& caller);
-  void look_for_idle();
-  void look_over();
-  void after_answer(Caller& caller);
-  void refuse(Caller& caller, const std::string& last_words);
-  bool room() const;
-  bool make_room();
-  bool nothing_owed(const Caller& caller) const;
-  void let_go(Caller& caller);
-  bool hold_reading(Caller& caller);
+  [[nodiscard]] bool evict_one();
+  void evict(std::uint64_t tag);
+  [[nodiscard]] static bool is_idle(const Client& client);
+  void update_busy(const Client& client);
+
+  // One frame; false: nothing more is read from the connection.
+  bool read_frame(Client& client, std::string_view body);
+  void handle_message(Client& client, std::string_view text);
+  void handle_health_check(Client& client, const wire::RpcRequest& message, bool has_bad_params);
+  void handle_request(Client& client, wire::RpcRequest& message);
+  void on_valid_message(Client& client);
+  void send_error(Client& client, std::uint64_t number, const RequestError& error);
+
+  void answer(ReplyAddress reply_to, const std::string& text, bool is_success = false);
+  void send(Client& client, const std::string& text);
+  void refuse_input(Client& client, const std::string& last_message);
+  void close_if_done(Client& client);
+
+  void check_connections();
+  void check_byte_rates(Client& client, double now);
+  void check_timeouts(Client& client, double now);
+  void check_idle_clients();
+  void announce_drain(Client& client);
 
   net::Reactor& reactor_;
   const catalog::Catalog& catalog_;
-  const Marks marks_;
-  Limits limits_;
+  const IdempotencyKeyOptions keys_;
   CallerEvents& events_;
   Counters& counters_;
   Logger& log_;
-  net::OutputPool output_;  // before the connections that are charged to it
+  ListenerAdmission admission_;  // before the connections whose output is charged to it
   net::Listener listener_;
-  std::unordered_map<std::uint64_t, Caller> open_;
-  std::list<std::uint64_t> by_traffic_;  // the longest idle first
+  ClientTable<Client> clients_;
   std::uint64_t next_tag_ = 1;
-  double idle_after_ = 0;  // s; 0: callers close their own
-  bool no_more_ = false;
-  net::Reactor::TimerId idle_timer_, look_timer_;
+  double idle_timeout_seconds_ = 0;  // 0: clients close idle connections themselves
+  bool is_draining_ = false;
+  net::Reactor::TimerId idle_timer_;
+  net::Reactor::TimerId check_timer_;
 };
 
 }  // namespace damsonspoke::peers
--- a/src/peers/ports.h
+++ b/src/peers/ports.h
@@ -1,8 +1,9 @@
-// What the peers tell the stages and what the stages ask of the peers, in the users' words and units: no
-// protocol's words, seconds, kilobytes. Each side knows these interfaces only; another protocol is another
-// peer behind the same ones.
+// The interfaces between the peers, which speak protocols, and the stages, which process requests. They use
+// the service's terms and units (seconds, kilobytes) and no protocol's words; another protocol is another
+// peer behind the same interfaces.
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
 #include <string>
 #include <string_view>
@@ -21,85 +22,96 @@
 struct IncomingRequest {
   RequestId id = 0;
   int route = 0;
-  int tenant = 0;  // position among the site's; 0 where it has none
+  int tenant = 0;  // 0 where the site has none
   std::uint32_t caller = 0;
-  bool is_retry = false;      // a further try, where callers mark those
+  bool is_retry = false;      // where callers mark retries
   std::uint64_t subject = 0;  // 0: none
   double size_kb = 0;
-  double received_at = 0;       // Unix s, when it came to the machine; 0: not told
-  double client_timeout = 0;    // s from then on that its caller waits; 0: not told
-  double work_hint = 0;         // s of work on a standard core, as its caller estimates it; 0: not told
-  std::string idempotency_key;  // by which a repeat is known; empty: none
+  double received_at = 0;       // Unix s, when it came to the machine; 0: not known
+  double client_timeout = 0;    // s from then on that its caller waits; 0: not known
+  double work_hint = 0;         // s of work on a standard core, estimated by the caller; 0: not known
+  std::string idempotency_key;  // empty: none
   std::string body;
-  bool known_only = false;  // answered from what is remembered of its key, or not at all: it never runs
+  bool known_only = false;  // a lookup: answered from the remembered result of its key; never runs
   ReplyAddress reply_to;
 };
 
-// What a failed request's caller is told beside that it has failed.
+// What the caller of a failed request is told.
 enum class FailureReason {
-  kPlain,
-  kOutcomeUnknown,  // it repeats one that has run, and what that came to is not known
-  kKeyConflict,     // its key belongs to a request that said something else; it did not run
-  kNotKnown,        // it asked only whether its key is known: it is not; nothing ran
+  kFailed,
+  kOutcomeUnknown,  // an earlier attempt has run, with an unknown outcome
+  kKeyConflict,     // the key belongs to a request with another body; it did not run
+  kKeyUnknown,      // a lookup: nothing is remembered of its key; nothing ran
 };
 
-// ---- What the peers tell.
+// ---- Events from the peers.
 class CallerEvents {
  public:
   virtual ~CallerEvents() = default;
-  virtual bool in_use(RequestId id) const = 0;
-  // Whether it has ever been told to run; false also where it is not open.
-  virtual bool has_started(RequestId id) const = 0;
+  [[nodiscard]] virtual bool is_in_use(RequestId id) const = 0;
+  // Whether its run was ever started; false also where the request is not open.
+  [[nodiscard]] virtual bool has_started(RequestId id) const = 0;
   virtual void on_request_read(IncomingRequest request) = 0;
-  virtual void on_caller_gone(RequestId id) = 0;
-  virtual void on_check(ReplyAddress ticket, bool wants_work) = 0;
+  virtual void on_caller_disconnected(RequestId id) = 0;
+  // `wants_work`: the check is to be answered by a run of the self-test.
+  virtual void on_health_check(ReplyAddress reply_to, bool wants_work) = 0;
 };
 
 class RuntimeEvents {
  public:
   virtual ~RuntimeEvents() = default;
-  // On the first link: it has come up, cold or warm, this long ago.
-  virtual void on_runtime_ready(bool cold, double ago) = 0;
-  virtual void on_run_ended(RequestId id, Outcome outcome, double spent, std::string_view result) = 0;
-  virtual void on_call_wanted(RequestId id, std::uint64_t notice, std::string_view body) = 0;
-  virtual void on_verdict(std::uint64_t tag, bool good) = 0;
+  // On the first link: the runtime is up since `seconds_ago`.
+  virtual void on_runtime_ready(bool is_cold, double seconds_ago) = 0;
+  virtual void on_run_ended(RequestId id, Outcome outcome, double run_seconds, std::string_view result) = 0;
+  // A run needs a call to the dependency. `notice`: its number, to be given to RuntimePort::skip_call.
+  virtual void on_call_requested(RequestId id, std::uint64_t notice, std::string_view body) = 0;
+  virtual void on_self_test_result(std::uint64_t tag, bool is_good) = 0;
   // A start or a resumption was not carried out: nothing runs.
   virtual void on_not_started(RequestId id) = 0;
-  // It has begun anew: what it ran is gone, how far it came is not known. `unsent`: whose start has never
-  // left.
-  virtual void on_runtime_anew(const std::unordered_set<RequestId>& unsent) = 0;
+  // The runtime was restarted: its runs are lost, how far they came is unknown. `unsent`: the requests whose
+  // start was never sent.
+  virtual void on_runtime_restarted(const std::unordered_set<RequestId>& unsent) = 0;
 };
 
 class DependencyEvents {
  public:
   virtual ~DependencyEvents() = default;
-  virtual void on_call_ended(RequestId id, Outcome outcome, double spent, std::string_view reply) = 0;
+  virtual void on_call_ended(RequestId id, Outcome outcome, double call_seconds, std::string_view reply) = 0;
 };
 
-// ---- What the stages ask for.
+// ---- Commands of the stages.
 class CallerPort {
  public:
+  CallerPort() = default;
+  CallerPort(const CallerPort&) = delete;
+  CallerPort& operator=(const CallerPort&) = delete;
   virtual ~CallerPort() = default;
-  // Answers; a connection that has gone meanwhile takes none.
-  virtual void answer_succeeded(ReplyAddress ticket, std::string_view result) = 0;
-  virtual void answer_rejected(ReplyAddress ticket, double retry_after, bool no_retry) = 0;
-  virtual void answer_failed(ReplyAddress ticket, FailureReason why) = 0;
-  virtual void answer_check(ReplyAddress ticket, bool good) = 0;
-  virtual void set_idle_timeout(double after) = 0;
-  virtual void ask_no_more() = 0;  // of everyone, and of each who connects from now on
-  // The work behind this backend came up so long ago (s); what a front hands out while it is cold follows.
-  virtual void began(bool /*cold*/, double /*ago*/) {}
-  virtual void health(bool /*good*/) {}  // of this backend, for a front that passes it on by itself
+  // An answer to a connection that has ended meanwhile is dropped.
+  virtual void answer_succeeded(ReplyAddress reply_to, std::string_view result) = 0;
+  // `retry_after`: s; 0: not told. `no_retry`: the request should not be retried at all.
+  virtual void answer_rejected(ReplyAddress reply_to, double retry_after, bool no_retry) = 0;
+  virtual void answer_failed(ReplyAddress reply_to, FailureReason reason) = 0;
+  virtual void answer_health_check(ReplyAddress reply_to, bool is_healthy) = 0;
+  // 0: idle connections are left open.
+  virtual void set_idle_timeout(double seconds) = 0;
+  // Asks all callers, and those that connect later, to send no more requests on their connections.
+  virtual void announce_drain() = 0;
+  // The runtime came up so long ago; a server that hands out a concurrency window makes it follow the
+  // warm-up.
+  virtual void start_warm_up(bool /*is_cold*/, double /*seconds_ago*/) {}
+  // The health of this backend, for servers that report it by themselves.
+  virtual void set_healthy(bool /*is_healthy*/) {}
 };
 
-// A front as the program sees it: where requests come in.
-class Front : public CallerPort {
+// A server on which requests arrive.
+class RequestServer : public CallerPort {
  public:
-  virtual void stop_listening() = 0;  // with nothing lost that has been written to us
-  // Each connection is read once more and, where nothing is owed on it then, ended in order.
-  virtual void end_all() = 0;
-  virtual std::size_t connections() const = 0;
-  virtual std::uint16_t port() const = 0;
+  // No request that was written to this process is lost.
+  virtual void stop_listening() = 0;
+  // Reads each connection once more and closes those that are idle then.
+  virtual void close_idle_connections() = 0;
+  [[nodiscard]] virtual std::size_t connections() const = 0;
+  [[nodiscard]] virtual std::uint16_t port() const = 0;
 };
 
 class RuntimePort {
@@ -108,30 +120,34 @@
   virtual void start(RequestId id, std::string_view type, std::string_view body) = 0;
   virtual void stop(RequestId id) = 0;
   virtual void resume(RequestId id) = 0;
-  virtual void give(RequestId id, std::string_view reply) = 0;
-  virtual void omit(RequestId id, std::uint64_t notice) = 0;
-  virtual void forget(RequestId id) = 0;  // its run is over
+  // Resumes a run that waits for a call, with its reply or without one.
+  virtual void send_reply(RequestId id, std::string_view reply) = 0;
+  virtual void skip_call(RequestId id, std::uint64_t notice) = 0;
+  virtual void on_run_over(RequestId id) = 0;
   virtual void self_test(std::uint64_t tag) = 0;
-  virtual void ask_gauges() = 0;
-  // The last reading, or none where the last one is too old to mean anything.
-  virtual Gauges gauges(double now) const = 0;
+  virtual void request_gauges() = 0;
+  // The latest reading; none where it is too old. `now`: monotonic s.
+  [[nodiscard]] virtual Gauges gauges(double now) const = 0;
 };
 
 class DependencyPort {
  public:
   virtual ~DependencyPort() = default;
-  virtual void call(RequestId id, double patience, std::string_view body) = 0;
-  virtual void cancel(RequestId id) = 0;  // no end is told for it
+  // `timeout`: s, after which the call ends by itself.
+  virtual void call(RequestId id, double timeout, std::string_view body) = 0;
+  // No end of the call is reported.
+  virtual void cancel(RequestId id) = 0;
 };
 
 class RegistryPort {
  public:
   virtual ~RegistryPort() = default;
-  virtual void report(bool takes_work) = 0;  // at once, and again before the entry lapses
+  // Reports at once, and again before the entry expires.
+  virtual void report(bool takes_work) = 0;
 };
 
-// The peers as the stages see them. Filled once all are there, before anything happens: peers and stages
-// refer to each other.
+// The peers as the stages see them. Filled in once all exist, before the first event: peers and stages refer
+// to each other.
 struct Ports {
   CallerPort* callers = nullptr;
   RuntimePort* runtime = nullptr;
--- a/src/peers/registry/reporter.h
+++ b/src/peers/registry/reporter.h
@@ -1,4 +1,5 @@
-// The roster: callers learn of backends from it. Reports keep this one on the list, on or off.
+// Reports this backend to the registry, from which callers learn the backends' addresses. An entry expires
+// unless it is reported again.
 #pragma once
 
 #include <string>
@@ -12,9 +13,14 @@
 
 class RegistryReporter : public RegistryPort {
  public:
+  // `name`: this backend's name in the registry. Throws std::runtime_error where the address can't be used.
   RegistryReporter(net::Reactor& reactor, const std::string& address, std::string name, Counters& counters);
   ~RegistryReporter() override;
+  RegistryReporter(const RegistryReporter&) = delete;
+  RegistryReporter& operator=(const RegistryReporter&) = delete;
+
   void report(bool takes_work) override;
+  // Reports to another address from now on, and there at once where anything was reported before.
   void move_to(const std::string& address);
 
  private:
@@ -25,8 +31,8 @@
   Counters& counters_;
   net::Datagrams datagrams_;
   bool takes_work_ = false;
-  bool reports_ = false;  // nothing is said before the first report
-  net::Reactor::TimerId timer_;
+  bool has_reported_ = false;
+  net::Reactor::TimerId report_timer_;
 };
 
 }  // namespace damsonspoke::peers
--- a/src/peers/runtime/client.h
+++ b/src/peers/runtime/client.h
@@ -1,11 +1,13 @@
-// The link to the runtime, which does the work. It survives the loss of the link: a new one first hears what
-// was missed, and only then sends again what may not have arrived, so that nothing runs twice.
+// The client of the runtime, which runs the requests. It survives the loss of its link: on a new one it reads
+// the notices that it missed first, and only then sends the commands again that may have been lost, so that
+// nothing runs twice.
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
 #include <memory>
-#include <optional>
 #include <string>
+#include <string_view>
 #include <unordered_map>
 #include <vector>
 
@@ -20,37 +22,40 @@
 
 class RuntimeClient : public RuntimePort, private net::ConnectionOwner {
  public:
-  // Commands may wait in so many bytes of output; over that the link is opened anew.
+  // `output_bytes`: of commands that may wait; beyond them the link is opened anew. `gauges`: what the
+  // runtime's gauges are, in their order. Throws std::runtime_error where the address can't be used.
   RuntimeClient(net::Reactor& reactor, const std::string& address, std::size_t output_bytes,
                 std::vector<Gauge> gauges, RuntimeEvents& events, Counters& counters, Logger& log);
   ~RuntimeClient() override;
+  RuntimeClient(const RuntimeClient&) = delete;
+  RuntimeClient& operator=(const RuntimeClient&) = delete;
 
-  // The runtime is reached elsewhere from now on: runs and the numbers of notices go on.
+  // Reaches the runtime at another address from now on; its runs and the numbers of its notices go on.
   void move_to(const std::string& address);
 
   void start(RequestId id, std::string_view type, std::string_view body) override;
   void stop(RequestId id) override;
   void resume(RequestId id) override;
-  void give(RequestId id, std::string_view reply) override;
-  void omit(RequestId id, std::uint64_t notice) override;
-  void forget(RequestId id) override { unproven_.erase(id); }
+  void send_reply(RequestId id, std::string_view reply) override;
+  void skip_call(RequestId id, std::uint64_t notice) override;
+  void on_run_over(RequestId id) override { unacknowledged_.erase(id); }
   void self_test(std::uint64_t tag) override;
-  void ask_gauges() override;
-  Gauges gauges(double now) const override;
+  void request_gauges() override;
+  [[nodiscard]] Gauges gauges(double now) const override;
 
  private:
-  // A command that may not have arrived: kept until a later answer, or a notice about its request, shows that
-  // it has.
-  struct Unproven {
+  // A command that may not have arrived; kept until later gauges, or a notice about its request, show that it
+  // has.
+  struct Command {
     std::uint64_t number = 0;  // 0: none
-    int sends = 0;             // so far, on this link or another
-    double sent_at = 0;        // last
+    int send_count = 0;        // on all links
+    double sent_at = 0;        // the last time
     std::string text;
-    bool begins = false;  // a start: before it is sent nothing runs
+    bool is_start = false;  // nothing runs before it is sent
   };
-  struct UnprovenOf {
-    Unproven work;  // start, resume, give, omit: a run takes one at a time
-    Unproven stop;
+  struct RequestCommands {
+    Command run;  // start, resume, reply or skip: a run takes one at a time
+    Command stop;
   };
 
   void on_connected(net::Connection& connection) override;
@@ -59,44 +64,48 @@
   void on_end(net::Connection& connection, net::End why) override;
 
   void connect();
-  void take(const wire::Notice& notice);
-  bool is_new(std::uint64_t number);
-  void take_ready(const wire::Notice& notice);
-  void begins_anew();
-  void take_gauges(const wire::Notice& notice);
-  void take_rejection(const wire::Notice& notice);
-  void caught_up();
-  void command(Unproven& slot, std::string text, bool begins = false);
+  void handle_notice(const wire::Notice& notice);
+  void handle_run_end(const wire::Notice& notice);
+  void handle_call_wanted(const wire::Notice& notice);
+  void handle_ready(const wire::Notice& notice);
+  void handle_gauges(const wire::Notice& notice);
+  void handle_rejection(const wire::Notice& notice);
+  [[nodiscard]] bool accept_number(std::uint64_t number);
+  void store_gauges(const std::vector<double>& values, double now);
+  void on_restart();
+  void on_synchronized();
+  void issue(Command& command, std::string text, bool is_start = false);
+  void send(Command& command);
   void send(std::string_view text);
-  void send(Unproven& one);
-  void look_for_silence();
+  void check_silence();
 
   net::Reactor& reactor_;
   std::string address_;
   std::size_t output_bytes_;
-  std::vector<Gauge> order_;
+  std::vector<Gauge> gauge_order_;
   RuntimeEvents& events_;
   Counters& counters_;
   Logger& log_;
   std::shared_ptr<net::Connection> link_;
-  std::shared_ptr<net::Connection> coming_;  // takes the place of link_ once it is made
-  bool greeted_ = false;                     // the runtime has said on this link that it is up
-  bool synced_ = false;                      // what was missed has been read on this link
-  bool ready_ = false;                       // the runtime has come up
-  double ready_at_ = 0;                      // and when we first heard of it
+  std::shared_ptr<net::Connection> next_link_;  // replaces link_ once it is connected
+  bool is_runtime_up_ = false;                  // the runtime has said so on this link
+  bool is_synchronized_ = false;                // the missed notices were read on this link
+  bool was_ready_ = false;                      // on any link
+  double ready_at_ = 0;                         // when this was first heard of the present process
   std::uint64_t last_notice_ = 0;
-  std::uint64_t gap_at_ = 0;    // the missing notice for which the link was opened anew
-  double broke_at_ = -1e9;      // when the last link ended
-  std::uint64_t commands_ = 0;  // sent so far, by number
-  std::uint64_t proven_ = 0;    // all up to this one have arrived
-  std::unordered_map<RequestId, UnprovenOf> unproven_;
-  std::uint64_t tag_ = 0;           // of the gauges asked for
-  std::uint64_t tag_commands_ = 0;  // commands sent before that
-  double asked_at_ = -1;            // < 0: not waiting for gauges
+  std::uint64_t requested_notice_ = 0;  // the missing one for which the link was opened anew
+  double link_lost_at_ = -1e9;
+  std::uint64_t last_command_ = 0;
+  std::uint64_t last_acknowledged_ = 0;  // all commands up to this one have arrived
+  std::unordered_map<RequestId, RequestCommands> unacknowledged_;
+  std::uint64_t gauges_tag_ = 0;             // of the latest request for gauges
+  std::uint64_t command_before_gauges_ = 0;  // the last one that was sent before that
+  double gauges_requested_at_ = -1;          // < 0: not waiting for gauges
   Gauges gauges_;
   double gauges_at_ = -1e9;
-  double heard_at_ = 0;
-  net::Reactor::TimerId connect_timer_, silence_timer_;
+  double last_input_at_ = 0;
+  net::Reactor::TimerId connect_timer_;
+  net::Reactor::TimerId silence_timer_;
 };
 
 }  // namespace damsonspoke::peers
--- a/src/peers/tier/forwarder_server.cpp
+++ b/src/peers/tier/forwarder_server.cpp
@@ -161,7 +161,7 @@
     refusal.no_retry = true;
     return answer(ticket, refusal), true;
   }
-  if (events_.in_use(submit.request)) {  // a former attempt at it still runs here
+  if (events_.is_in_use(submit.request)) {  // a former attempt at it still runs here
     counters_.add(Count::kBadIds);
     return answer(ticket, refusal), true;
   }
@@ -187,12 +187,12 @@
                                      [this](RequestId request) { return events_.has_started(request); });
   counters_.add(Count::kTierFences);
   // Its request goes first: the proof is only true once nothing can start it any more.
-  if (proof.drop) events_.on_caller_gone(*proof.drop);
+  if (proof.drop) events_.on_caller_disconnected(*proof.drop);
   put(link, proof.answer);
 }
 
 void ForwarderServer::gone(const std::vector<RequestId>& requests) {
-  for (const RequestId request : requests) events_.on_caller_gone(request);
+  for (const RequestId request : requests) events_.on_caller_disconnected(request);
 }
 
 void ForwarderServer::put(Link& link, const wt::Message& message) {
@@ -232,14 +232,14 @@
 }
 void ForwarderServer::answer_failed(ReplyAddress ticket, FailureReason why) {
   wt::Answer out;
-  out.result = why == FailureReason::kNotKnown         ? wt::Result::kNotKnown
+  out.result = why == FailureReason::kKeyUnknown       ? wt::Result::kNotKnown
                : why == FailureReason::kOutcomeUnknown ? wt::Result::kUnknown
                : why == FailureReason::kKeyConflict    ? wt::Result::kConflict
                                                        : wt::Result::kFailed;
   answer(ticket, std::move(out));
 }
 
-void ForwarderServer::began(bool cold, double ago) {
+void ForwarderServer::start_warm_up(bool cold, double ago) {
   windows_.began(cold, net::monotonic_now() - ago);
   tell_windows(false);
 }
@@ -270,13 +270,13 @@
   }
 }
 
-void ForwarderServer::health(bool good) {
+void ForwarderServer::set_healthy(bool good) {
   if (good == good_) return;
   good_ = good;
   tell_windows(true);
 }
 
-void ForwarderServer::ask_no_more() {
+void ForwarderServer::announce_drain() {
   no_more_ = true;
   for (auto& [tag, link] : links_) {
     if (link.forwarder != 0) put(link, wt::NoMore{micros(self_.stop_after)});
@@ -285,7 +285,7 @@
 
 void ForwarderServer::stop_listening() { listener_.close(); }
 
-void ForwarderServer::end_all() {
+void ForwarderServer::close_idle_connections() {
   std::vector<std::shared_ptr<net::Connection>> all;
   for (const auto& [tag, link] : links_) all.push_back(link.connection);
   for (const auto& connection : all) connection->read_now();
--- a/src/peers/tier/forwarder_server.h
+++ b/src/peers/tier/forwarder_server.h
@@ -20,7 +20,7 @@
 
 namespace damsonspoke::peers {
 
-class ForwarderServer : public Front, private net::ConnectionOwner {
+class ForwarderServer : public RequestServer, private net::ConnectionOwner {
  public:
   static constexpr std::size_t kMostInput = wire::tier::kMostFrame + wire::tier::kHead;  // bytes a link
   struct Limits {
@@ -43,14 +43,14 @@
   void answer_succeeded(ReplyAddress ticket, std::string_view result) override;
   void answer_rejected(ReplyAddress ticket, double retry_after, bool no_retry) override;
   void answer_failed(ReplyAddress ticket, FailureReason why) override;
-  void answer_check(ReplyAddress, bool) override {}  // forwarders ask for none
-  void set_idle_timeout(double) override {}          // links stay
-  void ask_no_more() override;
-  void began(bool cold, double ago) override;
-  void health(bool good) override;
+  void answer_health_check(ReplyAddress, bool) override {}  // forwarders ask for none
+  void set_idle_timeout(double) override {}                 // links stay
+  void announce_drain() override;
+  void start_warm_up(bool cold, double ago) override;
+  void set_healthy(bool good) override;
 
   void stop_listening() override;
-  void end_all() override;
+  void close_idle_connections() override;
   std::size_t connections() const override { return links_.size(); }
   std::uint16_t port() const override { return listener_.port(); }
 
--- a/src/stages/admission_driver.cpp
+++ b/src/stages/admission_driver.cpp
@@ -36,7 +36,7 @@
 }
 
 void AdmissionDriver::schedule_wakeup(double time, std::uint64_t token) {
-  reactor_.at(time - kGaugeLeadSeconds, [this] { peers_.runtime->ask_gauges(); });
+  reactor_.at(time - kGaugeLeadSeconds, [this] { peers_.runtime->request_gauges(); });
   reactor_.at(time, [this, time, token] { on_timer(time, token); });
 }
 
@@ -65,7 +65,9 @@
   controller_->on_call_finished(net::monotonic_now(), id, outcome, spent);
 }
 
-void AdmissionDriver::on_caller_gone(RequestId id) { controller_->on_caller_gone(net::monotonic_now(), id); }
+void AdmissionDriver::on_caller_disconnected(RequestId id) {
+  controller_->on_caller_gone(net::monotonic_now(), id);
+}
 
 void AdmissionDriver::on_drain(double time_left) {
   if (controller_) controller_->on_drain(net::monotonic_now(), time_left);
--- a/src/stages/admission_driver.h
+++ b/src/stages/admission_driver.h
@@ -31,7 +31,7 @@
   void on_run_finished(RequestId id, Outcome outcome, double spent);
   void on_call_needed(RequestId id);
   void on_call_finished(RequestId id, Outcome outcome, double spent);
-  void on_caller_gone(RequestId id);
+  void on_caller_disconnected(RequestId id);
   void on_drain(double time_left);
 
   [[nodiscard]] LearnedStatistics learned() const {
--- a/src/stages/command_sender.cpp
+++ b/src/stages/command_sender.cpp
@@ -30,27 +30,27 @@
 void CommandSender::deliver_reply(InFlightRequest& request, std::string_view reply) {
   request.run = RunStage::kRunning;
   request.call_body.clear();
-  peers_.runtime->give(request.id, reply);
+  peers_.runtime->send_reply(request.id, reply);
 }
 
 void CommandSender::skip_call(InFlightRequest& request) {
   counters_.add(Count::kCallsOmitted);
   request.run = RunStage::kRunning;
   request.call_body.clear();
-  peers_.runtime->omit(request.id, request.call_notice);
+  peers_.runtime->skip_call(request.id, request.call_notice);
 }
 
 void CommandSender::set_health(bool healthy, bool from_store) {
   healthy_ = healthy;
   from_store_ = from_store;
-  peers_.callers->health(healthy && !draining_);
+  peers_.callers->set_healthy(healthy && !draining_);
   peers_.registry->report(!draining_ && (healthy || !site_.registry_follows_health));
 }
 
 void CommandSender::drain() {
   draining_ = true;
   peers_.registry->report(false);
-  peers_.callers->ask_no_more();
+  peers_.callers->announce_drain();
 }
 
 }  // namespace damsonspoke::stages
--- a/src/stages/command_sender.h
+++ b/src/stages/command_sender.h
@@ -33,7 +33,7 @@
   // `from_store`: health checks are answered without work.
   void set_health(bool healthy, bool from_store);
   // The runtime came up this long ago (s).
-  void began(bool warming_up, double seconds_ago) { peers_.callers->began(warming_up, seconds_ago); }
+  void began(bool warming_up, double seconds_ago) { peers_.callers->start_warm_up(warming_up, seconds_ago); }
   // Graceful shutdown: leaves the registry, and asks callers to send no more.
   void drain();
   void set_idle_timeout(double seconds) { peers_.callers->set_idle_timeout(seconds); }
--- a/src/stages/completion_handler.cpp
+++ b/src/stages/completion_handler.cpp
@@ -42,13 +42,13 @@
 void CompletionHandler::on_not_started(RequestId id) { on_run_ended(id, Outcome::kObsolete, 0, {}); }
 
 // What ran may have had its effect: its request fails, and never runs again.
-void CompletionHandler::on_runtime_anew(const std::unordered_set<RequestId>& unsent) {
+void CompletionHandler::on_runtime_restarted(const std::unordered_set<RequestId>& unsent) {
   for (const RequestId id : in_flight_.at_runtime()) {
     if (!unsent.contains(id)) on_run_ended(id, Outcome::kError, 0, {});
   }
 }
 
-void CompletionHandler::on_call_wanted(RequestId id, std::uint64_t notice, std::string_view body) {
+void CompletionHandler::on_call_requested(RequestId id, std::uint64_t notice, std::string_view body) {
   InFlightRequest* request = in_flight_.find(id);
   if (request == nullptr) return;
   request->run = RunStage::kInCall;
--- a/src/stages/in_flight_requests.cpp
+++ b/src/stages/in_flight_requests.cpp
@@ -86,7 +86,7 @@
   if (!request.answered || !run_is_over) return;
   const RequestId id = request.id;
   if (release_listener_) release_listener_(request);
-  peers_.runtime->forget(id);
+  peers_.runtime->on_run_over(id);
   requests_.erase(id);
 }
 
--- a/src/stages/in_flight_requests.h
+++ b/src/stages/in_flight_requests.h
@@ -53,7 +53,7 @@
   // `retry_after`: s, 0: no advice; `no_retry`: other servers lack capacity too.
   void succeed(InFlightRequest& request, std::string_view result);
   void reject(InFlightRequest& request, double retry_after, bool no_retry);
-  void fail(InFlightRequest& request, peers::FailureReason reason = peers::FailureReason::kPlain);
+  void fail(InFlightRequest& request, peers::FailureReason reason = peers::FailureReason::kFailed);
   void caller_gone(InFlightRequest& request);
   // Releases a request that is answered and whose run is over. To be called last: the reference ends here.
   void release_if_over(InFlightRequest& request);
--- a/src/stages/request_forwarder.cpp
+++ b/src/stages/request_forwarder.cpp
@@ -153,14 +153,14 @@
   return out;
 }
 
-void RequestForwarder::on_caller_gone(RequestId id) {
+void RequestForwarder::on_caller_disconnected(RequestId id) {
   if (!open_.contains(id)) return;
   dispatch_->on_caller_gone(id, net::monotonic_now());
   take_out(id, Count::kRequestsGone);
 }
 
-void RequestForwarder::on_check(peers::ReplyAddress ticket, bool /*wants_work*/) {
-  ports_.callers->answer_check(ticket, dispatch_->healthy(net::monotonic_now()));
+void RequestForwarder::on_health_check(peers::ReplyAddress ticket, bool /*wants_work*/) {
+  ports_.callers->answer_health_check(ticket, dispatch_->healthy(net::monotonic_now()));
 }
 
 // ---- Planners.
@@ -192,7 +192,7 @@
       ports_.callers->answer_failed(
           open.request.reply_to, answer.result == wt::Result::kUnknown ? peers::FailureReason::kOutcomeUnknown
                                  : answer.result == wt::Result::kConflict ? peers::FailureReason::kKeyConflict
-                                                                          : peers::FailureReason::kPlain);
+                                                                          : peers::FailureReason::kFailed);
     }
   }
   if (dispatch_->attempts().open_at(planner) == 0) ports_.planners->done_with(planner);
@@ -227,7 +227,7 @@
   if (rejected) {
     ports_.callers->answer_rejected(open.request.reply_to, may_say ? retry_after : 0, no_retry);
   } else {
-    ports_.callers->answer_failed(open.request.reply_to, peers::FailureReason::kPlain);
+    ports_.callers->answer_failed(open.request.reply_to, peers::FailureReason::kFailed);
   }
 }
 
@@ -267,7 +267,7 @@
   dispatch_->on_drain(time_left, site_.admission.drain_grace, net::monotonic_now());
   ports_.registry->report(false);
   reported_ = false;
-  ports_.callers->ask_no_more();
+  ports_.callers->announce_drain();
 }
 
 // Planners by address: those that stay keep their links and what is open there; those that go keep theirs as
--- a/src/stages/request_forwarder.h
+++ b/src/stages/request_forwarder.h
@@ -24,7 +24,7 @@
 class RequestForwarder : public peers::CallerEvents, public peers::PlannerEvents, private tier::DispatchSink {
  public:
   struct Ports {
-    peers::Front* callers = nullptr;
+    peers::RequestServer* callers = nullptr;
     peers::PlannerClient* planners = nullptr;
     peers::RegistryPort* registry = nullptr;
   };
@@ -40,11 +40,11 @@
   void report();  // brings the counters up to date
 
   // Callers.
-  bool in_use(RequestId id) const override { return open_.contains(id); }
+  bool is_in_use(RequestId id) const override { return open_.contains(id); }
   bool has_started(RequestId) const override { return false; }  // nothing runs here
   void on_request_read(peers::IncomingRequest request) override;
-  void on_caller_gone(RequestId id) override;
-  void on_check(peers::ReplyAddress ticket, bool wants_work) override;
+  void on_caller_disconnected(RequestId id) override;
+  void on_health_check(peers::ReplyAddress ticket, bool wants_work) override;
 
   // Planners.
   void on_link_up(int planner, std::uint64_t epoch, std::uint32_t window) override;
--- a/src/stages/request_intake.cpp
+++ b/src/stages/request_intake.cpp
@@ -82,22 +82,22 @@
   return stages_.in_flight.enter(std::move(entry));
 }
 
-void RequestIntake::on_caller_gone(RequestId id) {
+void RequestIntake::on_caller_disconnected(RequestId id) {
   InFlightRequest* request = stages_.in_flight.find(id);
   if (request == nullptr || request->answered) return;
   stages_.in_flight.caller_gone(*request);
   if (request->run == RunStage::kInCall) stages_.sender.cancel_call(*request);
-  stages_.admission.on_caller_gone(id);
+  stages_.admission.on_caller_disconnected(id);
   request = stages_.in_flight.find(id);
   if (request != nullptr) stages_.in_flight.release_if_over(*request);
 }
 
-void RequestIntake::on_check(peers::ReplyAddress reply_to, bool wants_work) {
+void RequestIntake::on_health_check(peers::ReplyAddress reply_to, bool wants_work) {
   const bool healthy = stages_.admission.begun() && stages_.sender.healthy();
   const bool needs_self_test =
       healthy && wants_work && site_.admission.deep_checks && !stages_.sender.answers_from_store();
   if (!needs_self_test || pending_checks_.size() >= kMaxPendingChecks)
-    return peers_.callers->answer_check(reply_to, healthy);
+    return peers_.callers->answer_health_check(reply_to, healthy);
   const std::uint64_t tag = next_tag_++;
   const auto timeout =
       reactor_.after(kSelfTestTimeoutSeconds, [this, tag] { on_self_test_result(tag, false); });
@@ -109,7 +109,7 @@
   const auto found = pending_checks_.find(tag);
   if (found == pending_checks_.end()) return;
   reactor_.cancel(found->second.timeout);
-  peers_.callers->answer_check(found->second.reply_to, passed && stages_.sender.healthy());
+  peers_.callers->answer_health_check(found->second.reply_to, passed && stages_.sender.healthy());
   pending_checks_.erase(found);
 }
 
--- a/src/stages/request_intake.h
+++ b/src/stages/request_intake.h
@@ -37,12 +37,12 @@
   RequestIntake(const RequestIntake&) = delete;
   RequestIntake& operator=(const RequestIntake&) = delete;
 
-  [[nodiscard]] bool in_use(RequestId id) const override { return stages_.in_flight.contains(id); }
+  [[nodiscard]] bool is_in_use(RequestId id) const override { return stages_.in_flight.contains(id); }
   [[nodiscard]] bool has_started(RequestId id) const override;
   void on_request_read(peers::IncomingRequest request) override;
-  void on_caller_gone(RequestId id) override;
+  void on_caller_disconnected(RequestId id) override;
   // `wants_work`: the check asks for a self test where the settings have deep checks.
-  void on_check(peers::ReplyAddress reply_to, bool wants_work) override;
+  void on_health_check(peers::ReplyAddress reply_to, bool wants_work) override;
   // The runtime's self test has ended; unknown tags are ignored.
   void on_self_test_result(std::uint64_t tag, bool passed);
 
--- a/src/stages/result_replay.cpp
+++ b/src/stages/result_replay.cpp
@@ -195,7 +195,7 @@
 void ResultReplay::not_known(InFlightRequest& request, bool certain, double now) {
   if (!certain) return reject(request, store_->retry_after(now));
   counters_.add(Count::kResultsNotKnown);
-  in_flight_.fail(request, peers::FailureReason::kNotKnown);
+  in_flight_.fail(request, peers::FailureReason::kKeyUnknown);
 }
 
 // Never ran: with a time to come back where the site's callers heed one.
--- a/tests/link_ends.cpp
+++ b/tests/link_ends.cpp
@@ -275,12 +275,12 @@
   void on_run_ended(RequestId id, Outcome outcome, double, std::string_view result) override {
     ends[id].push_back(name_of(outcome) + (result.empty() ? "" : " " + std::string(result)));
   }
-  void on_call_wanted(RequestId id, std::uint64_t, std::string_view body) override {
+  void on_call_requested(RequestId id, std::uint64_t, std::string_view body) override {
     wanted[id] += std::string(body) + ";";
   }
-  void on_verdict(std::uint64_t, bool) override {}
+  void on_self_test_result(std::uint64_t, bool) override {}
   void on_not_started(RequestId id) override { ends[id].push_back("not started"); }
-  void on_runtime_anew(const std::unordered_set<RequestId>& unsent) override {
+  void on_runtime_restarted(const std::unordered_set<RequestId>& unsent) override {
     ++anew, spared = unsent.size();
   }
   // Lets it run until this has come to the other side; gauges are answered meanwhile.
--- a/tests/stages.cpp
+++ b/tests/stages.cpp
@@ -29,11 +29,11 @@
     const char* const kWhy[] = {"", ", outcome unknown", ", key conflict"};
     std::printf("  caller %d: failed%s\n", number(t.number), kWhy[static_cast<int>(why)]);
   }
-  void answer_check(peers::ReplyAddress t, bool good) override {
+  void answer_health_check(peers::ReplyAddress t, bool good) override {
     std::printf("  check %d: %s\n", number(t.number), good ? "good" : "bad");
   }
   void set_idle_timeout(double after) override { std::printf("  callers: close after %.1f s\n", after); }
-  void ask_no_more() override { std::printf("  callers: no more\n"); }
+  void announce_drain() override { std::printf("  callers: no more\n"); }
 };
 
 struct RecordedRuntime : peers::RuntimePort {
@@ -43,15 +43,15 @@
   }
   void stop(RequestId id) override { std::printf("  runtime: stop %d\n", number(id)); }
   void resume(RequestId id) override { std::printf("  runtime: resume %d\n", number(id)); }
-  void give(RequestId id, std::string_view reply) override {
+  void send_reply(RequestId id, std::string_view reply) override {
     std::printf("  runtime: give %d '%s'\n", number(id), std::string(reply).c_str());
   }
-  void omit(RequestId id, std::uint64_t notice) override {
+  void skip_call(RequestId id, std::uint64_t notice) override {
     std::printf("  runtime: omit %d, notice %d\n", number(id), number(notice));
   }
-  void forget(RequestId id) override { std::printf("  runtime: %d is over\n", number(id)); }
+  void on_run_over(RequestId id) override { std::printf("  runtime: %d is over\n", number(id)); }
   void self_test(std::uint64_t tag) override { std::printf("  runtime: self test %d\n", number(tag)); }
-  void ask_gauges() override {}
+  void request_gauges() override {}
   Gauges gauges(double) const override { return {}; }
 };
 
@@ -116,7 +116,7 @@
   }
   void wants(RequestId id, std::uint64_t notice) {
     std::printf("-- run of %d wants a call\n", number(id));
-    relay.on_call_wanted(id, notice, "call");
+    relay.on_call_requested(id, notice, "call");
   }
   void called(RequestId id, Outcome outcome, const char* reply = "") {
     std::printf("-- call of %d ends, outcome %d\n", number(id), static_cast<int>(outcome));
@@ -124,7 +124,7 @@
   }
   void gone(RequestId id) {
     std::printf("-- caller of %d goes\n", number(id));
-    intake.on_caller_gone(id);
+    intake.on_caller_disconnected(id);
   }
   // Requests read are requests answered plus requests open plus callers gone; nothing that must hold was
   // broken.
@@ -233,19 +233,19 @@
 // Deep checks are answered from store, as the module asks; a leaving backend is bad.
 void checks() {
   Stages s;
-  s.intake.on_check({1, 1}, true);
+  s.intake.on_health_check({1, 1}, true);
   s.ready();
-  s.intake.on_check({1, 2}, true);
+  s.intake.on_health_check({1, 2}, true);
   s.executor.set_health(true, false);
-  s.intake.on_check({1, 3}, true);
-  s.intake.on_check({1, 4}, false);
-  s.relay.on_verdict(1, true);
-  s.relay.on_verdict(1, true);
-  s.intake.on_check({1, 5}, true);
-  s.relay.on_verdict(2, false);
+  s.intake.on_health_check({1, 3}, true);
+  s.intake.on_health_check({1, 4}, false);
+  s.relay.on_self_test_result(1, true);
+  s.relay.on_self_test_result(1, true);
+  s.intake.on_health_check({1, 5}, true);
+  s.relay.on_self_test_result(2, false);
   s.send.drain();
   s.executor.set_health(true, true);
-  s.intake.on_check({1, 6}, true);
+  s.intake.on_health_check({1, 6}, true);
 }
 
 }  // namespace
