--- a/src/peers/client_table.h
+++ b/src/peers/client_table.h
@@ -16,9 +16,9 @@
 template <typename Client>
 class ClientTable {
  public:
-  Client& insert(std::uint64_t tag, std::shared_ptr<net::Connection> connection, double now) {
+  Client& insert(std::uint64_t tag, const std::shared_ptr<net::Connection>& connection, double now) {
     Client& client = clients_[tag];
-    client.connection = std::move(connection);
+    client.connection = connection;
     client.connection->tag = tag;
     client.last_traffic_at = now;
     client.idle_position = idle_order_.insert(idle_order_.end(), tag);
