--- a/src/peers/members/transport.cpp
+++ b/src/peers/members/transport.cpp
@@ -50,7 +50,8 @@
       options_(options),
       counters_(counters),
       log_(log),
-      view_(membership_options(options), {name, options.advertised_address, epoch}, options.seeds, random_seed, *this) {
+      view_(membership_options(options), {name, options.advertised_address, epoch}, options.seeds,
+            random_seed, *this) {
   const Poco::Net::SocketAddress bind_address = net::parse_address(options.bind);
   net::parse_address(options.advertised_address);
   for (const std::string& seed : options.seeds) net::parse_address(seed);
@@ -77,8 +78,8 @@
   is_started_ = true;
   listener_->pause(false);
   view_.start(net::monotonic_now());
-  log_.info("members", "{} of cluster {} at {}, {} seeds", view_.self().name, options_.cluster, options_.advertised_address,
-            options_.seeds.size());
+  log_.info("members", "{} of cluster {} at {}, {} seeds", view_.self().name, options_.cluster,
+            options_.advertised_address, options_.seeds.size());
   schedule_timer();
 }
 
@@ -101,7 +102,7 @@
 bool MembershipTransport::is_allowed(const Poco::Net::SocketAddress& address) const {
   const auto client = client_address(address);
   return client && std::any_of(options_.peers.begin(), options_.peers.end(),
-                               [&](const conns::Prefix& prefix) { return prefix.holds(*client); });
+                               [&](const conns::Prefix& prefix) { return prefix.contains(*client); });
 }
 
 // Members report addresses of one another: a forged one must not make this member write to anybody else.
--- a/src/peers/tier/forwarder_server.cpp
+++ b/src/peers/tier/forwarder_server.cpp
@@ -36,10 +36,10 @@
 
 wt::Result result_of(FailureReason why) {
   switch (why) {
-    case FailureReason::kNotKnown: return wt::Result::kKeyUnknown;
+    case FailureReason::kKeyUnknown: return wt::Result::kKeyUnknown;
     case FailureReason::kOutcomeUnknown: return wt::Result::kUnknown;
     case FailureReason::kKeyConflict: return wt::Result::kConflict;
-    case FailureReason::kPlain: break;
+    case FailureReason::kFailed: break;
   }
   return wt::Result::kFailed;
 }
@@ -245,7 +245,7 @@
     counters_.add(Count::kBadTypes);
     rejection.no_retry = true;
     answer(reply_to, rejection);
-  } else if (events_.in_use(submit.request)) {  // a former attempt at it still runs here
+  } else if (events_.is_in_use(submit.request)) {  // a former attempt at it still runs here
     counters_.add(Count::kBadIds);
     answer(reply_to, rejection);
   } else {
@@ -263,12 +263,12 @@
                                       [this](RequestId request) { return events_.has_started(request); });
   counters_.add(Count::kTierFences);
   // The request goes first: the proof holds only once nothing can start it any more.
-  if (result.abandoned) events_.on_caller_gone(*result.abandoned);
+  if (result.abandoned) events_.on_caller_disconnected(*result.abandoned);
   send(link, result.answer);
 }
 
 void ForwarderServer::abandon(const std::vector<RequestId>& requests) {
-  for (const RequestId request : requests) events_.on_caller_gone(request);
+  for (const RequestId request : requests) events_.on_caller_disconnected(request);
 }
 
 // ---- Answers.
@@ -313,7 +313,7 @@
 
 // ---- Load reports.
 
-void ForwarderServer::began(bool cold, double ago) {
+void ForwarderServer::start_warm_up(bool cold, double ago) {
   windows_.on_runtime_started(cold, net::monotonic_now() - ago);
   send_load_reports(false);
 }
@@ -345,7 +345,7 @@
   }
 }
 
-void ForwarderServer::health(bool good) {
+void ForwarderServer::set_healthy(bool good) {
   if (good == is_healthy_) return;
   is_healthy_ = good;
   send_load_reports(true);
@@ -353,7 +353,7 @@
 
 // ---- Graceful shutdown.
 
-void ForwarderServer::ask_no_more() {
+void ForwarderServer::announce_drain() {
   is_draining_ = true;
   for (auto& [tag, link] : links_) {
     if (link.forwarder != 0) send(link, wt::Draining{microseconds(self_.stop_after)});
@@ -362,7 +362,7 @@
 
 void ForwarderServer::stop_listening() { listener_.close(); }
 
-void ForwarderServer::end_all() {
+void ForwarderServer::close_idle_connections() {
   std::vector<std::shared_ptr<net::Connection>> all;
   for (const auto& [tag, link] : links_) all.push_back(link.connection);
   for (const auto& connection : all) connection->read_now();
--- a/src/peers/tier/forwarder_server.h
+++ b/src/peers/tier/forwarder_server.h
@@ -22,7 +22,7 @@
 
 namespace damsonspoke::peers {
 
-class ForwarderServer : public Front, private net::ConnectionOwner {
+class ForwarderServer : public RequestServer, private net::ConnectionOwner {
  public:
   // Of one link.
   static constexpr std::size_t kMaxInputBytes = wire::tier::kMaxFrameBytes + wire::tier::kHeaderBytes;
@@ -51,14 +51,14 @@
   void answer_succeeded(ReplyAddress reply_to, std::string_view result) override;
   void answer_rejected(ReplyAddress reply_to, double retry_after, bool no_retry) override;
   void answer_failed(ReplyAddress reply_to, FailureReason why) override;
-  void answer_check(ReplyAddress, bool) override {}  // forwarders ask for none
-  void set_idle_timeout(double) override {}          // links stay
-  void ask_no_more() override;
-  void began(bool cold, double ago) override;
-  void health(bool good) override;
+  void answer_health_check(ReplyAddress, bool) override {}  // forwarders ask for none
+  void set_idle_timeout(double) override {}                 // links stay
+  void announce_drain() override;
+  void start_warm_up(bool cold, double ago) override;
+  void set_healthy(bool good) override;
 
   void stop_listening() override;
-  void end_all() override;
+  void close_idle_connections() override;
   std::size_t connections() const override { return links_.size(); }
   std::uint16_t port() const override { return listener_.port(); }
 
--- a/src/settings/operator_values.cpp
+++ b/src/settings/operator_values.cpp
@@ -120,22 +120,22 @@
 conns::ConnectionLimiterOptions read_limiter(const SectionReader& section) {
   conns::ConnectionLimiterOptions limiter;
   limiter.reserve = section.number("reserve");
-  limiter.address_share = section.number("client-share");
-  limiter.known_share = section.number("known-share");
+  limiter.client_share = section.number("client-share");
+  limiter.known_client_share = section.number("known-share");
   limiter.network_share = section.number("network-share");
-  limiter.address_rate = section.number("client-rate");
-  limiter.address_burst = section.number("client-burst");
+  limiter.client_rate = section.number("client-rate");
+  limiter.client_burst = section.number("client-burst");
   limiter.network_rate = section.number("network-rate");
   limiter.network_burst = section.number("network-burst");
-  limiter.strangers_rate = section.number("strangers-rate");
-  limiter.strangers_burst = section.number("strangers-burst");
-  limiter.wasteful = section.number("wasteful");
-  limiter.waste_half_life = section.number("waste-half-life");
-  limiter.keep_idle = section.number("keep-idle");
+  limiter.unknown_clients_rate = section.number("strangers-rate");
+  limiter.unknown_clients_burst = section.number("strangers-burst");
+  limiter.penalty_limit = section.number("wasteful");
+  limiter.penalty_half_life = section.number("waste-half-life");
+  limiter.idle_protection = section.number("keep-idle");
   limiter.listed = section.prefixes("known");
   for (const std::vector<std::string>& line : section.lines("group")) {
     const auto group = read_gate_group(line);  // lines with an error are not among them
-    if (const auto* valid = std::get_if<conns::GateGroup>(&group)) limiter.groups.push_back(*valid);
+    if (const auto* valid = std::get_if<conns::ClientGroup>(&group)) limiter.groups.push_back(*valid);
   }
   return limiter;
 }
@@ -149,8 +149,8 @@
   gate.client_output = section.number("client-output");
   gate.input = {kInputGraceSeconds, section.number("input-rate")};
   gate.output = {kOutputGraceSeconds, section.number("output-rate")};
-  gate.known.lasts = section.number("known-for");
-  gate.known.needed = section.number("known-after");
+  gate.known.max_age = section.number("known-for");
+  gate.known.required_successes = section.number("known-after");
   gate.known_folder = section.text("known-folder");
   gate.known_interval = section.number("known-interval");
   return gate;
@@ -197,8 +197,8 @@
   }
 }
 
-std::variant<conns::GateGroup, GateGroupError> read_gate_group(const std::vector<std::string>& words) {
-  conns::GateGroup group;
+std::variant<conns::ClientGroup, GateGroupError> read_gate_group(const std::vector<std::string>& words) {
+  conns::ClientGroup group;
   group.name = words[0];
   const std::optional<double> share = read_percentage(words[1]);
   if (!share || *share < kMinGroupShare || *share > kMaxGroupShare)
--- a/src/settings/operator_values.h
+++ b/src/settings/operator_values.h
@@ -25,7 +25,7 @@
   std::string text;
 };
 // Reads the words of a line after `group`: a name, a percentage, addresses or networks.
-[[nodiscard]] std::variant<conns::GateGroup, GateGroupError> read_gate_group(
+[[nodiscard]] std::variant<conns::ClientGroup, GateGroupError> read_gate_group(
     const std::vector<std::string>& words);
 
 // The options that these values stand for, with the defaults of all others.
--- a/src/stages/request_forwarder.cpp
+++ b/src/stages/request_forwarder.cpp
@@ -49,7 +49,7 @@
   switch (result) {
     case wt::Result::kUnknown: return peers::FailureReason::kOutcomeUnknown;
     case wt::Result::kConflict: return peers::FailureReason::kKeyConflict;
-    default: return peers::FailureReason::kPlain;
+    default: return peers::FailureReason::kFailed;
   }
 }
 
@@ -172,14 +172,14 @@
   return out;
 }
 
-void RequestForwarder::on_caller_gone(RequestId id) {
+void RequestForwarder::on_caller_disconnected(RequestId id) {
   if (!open_.contains(id)) return;
   dispatch_->on_caller_gone(id, net::monotonic_now());
   take_completed(id, Count::kRequestsGone);
 }
 
-void RequestForwarder::on_check(peers::ReplyAddress reply_to, bool /*wants_work*/) {
-  ports_.callers->answer_check(reply_to, dispatch_->is_healthy(net::monotonic_now()));
+void RequestForwarder::on_health_check(peers::ReplyAddress reply_to, bool /*wants_work*/) {
+  ports_.callers->answer_health_check(reply_to, dispatch_->is_healthy(net::monotonic_now()));
 }
 
 // ---- Planners.
@@ -261,7 +261,7 @@
     ports_.callers->answer_rejected(open.request.reply_to, told, no_retry);
   } else {
     const OpenRequest open = take_completed(id, Count::kRequestsFailed);
-    ports_.callers->answer_failed(open.request.reply_to, peers::FailureReason::kPlain);
+    ports_.callers->answer_failed(open.request.reply_to, peers::FailureReason::kFailed);
   }
 }
 
@@ -302,7 +302,7 @@
   dispatch_->on_drain(time_left, site_.admission.drain_grace, net::monotonic_now());
   ports_.registry->report(false);
   reported_healthy_ = false;
-  ports_.callers->ask_no_more();
+  ports_.callers->announce_drain();
 }
 
 // ---- The endpoint list.
--- a/src/stages/result_replay.cpp
+++ b/src/stages/result_replay.cpp
@@ -192,7 +192,7 @@
 // Answers a query about a key that is not known.
 void ResultReplay::fail_query(InFlightRequest& request) {
   counters_.add(Count::kResultsNotKnown);
-  in_flight_.fail(request, peers::FailureReason::kNotKnown);
+  in_flight_.fail(request, peers::FailureReason::kKeyUnknown);
 }
 
 // ---- Decisions of the admission controller.
@@ -278,7 +278,8 @@
     return;
   }
   counters_.add(Count::kResultsIntents);
-  pending_writes_.add_intent(id, options_.store_timeout, [this, id, key] { on_intent_written(id, key, false); });
+  pending_writes_.add_intent(id, options_.store_timeout,
+                             [this, id, key] { on_intent_written(id, key, false); });
 }
 
 // The intent is durable, or will not be in time. Only the first of these reports counts.
