--- a/src/admission/controller.cpp
+++ b/src/admission/controller.cpp
@@ -42,7 +42,7 @@
   statistics_.restore(prior, now);
   calls_.restore(prior.calls);
   if (prior.returning_share >= 0) idle_connections_.restore(prior.returning_share);
-  if (options_.deep_checks) sink_.set_health(true, true);
+  if (options_.deep_health_checks) sink_.set_health(true, true);
   signals_.begin(slow_start_.least_speed(now), avoided_by_callers(), directory_.route_count());
   wakeup_.schedule(now + kTickSeconds);
 }
@@ -385,7 +385,7 @@
   if (requests_.empty()) pool_.reset();
 }
 
-void AdmissionController::on_caller_gone(double now, RequestId id) {
+void AdmissionController::on_caller_disconnected(double now, RequestId id) {
   advance_to(now);
   const auto found = requests_.find(id);
   if (found == requests_.end()) return;
--- a/src/admission/controller.h
+++ b/src/admission/controller.h
@@ -48,14 +48,14 @@
   void on_run_finished(double now, RequestId id, Outcome outcome, double spent);
   void on_call_needed(double now, RequestId id);
   void on_call_finished(double now, RequestId id, Outcome outcome, double spent);
-  void on_caller_gone(double now, RequestId id);
+  void on_caller_disconnected(double now, RequestId id);
   // The drain notice: the server stops `time_left` (s) from now.
   void on_drain(double now, double time_left);
   // A scheduled wakeup; tokens of superseded ones are ignored.
   void on_timer(double now, std::uint64_t token, const Gauges& gauges);
 
   [[nodiscard]] LearnedStatistics learned() const;
-  [[nodiscard]] double pool_in_use() const { return pool_.used_kb(); }  // kB
+  [[nodiscard]] double pool_used_kb() const { return pool_.used_kb(); }  // kB
 
  private:
   void advance_to(double now);
--- a/src/admission/dependency_calls.cpp
+++ b/src/admission/dependency_calls.cpp
@@ -144,7 +144,7 @@
   Change raised = Change::kNone;
   if (outcome == Outcome::kOk && !latency_.slow()) raised = limit_.raise();
   // Only signs of overload lower the limit: a dependency that fails quickly is not helped by fewer calls.
-  const bool overloaded = outcome == Outcome::kTimeout || outcome == Outcome::kRefused || latency_.slow();
+  const bool overloaded = outcome == Outcome::kTimeout || outcome == Outcome::kRejected || latency_.slow();
   return overloaded ? limit_.lower(now) : raised;
 }
 
@@ -154,7 +154,7 @@
 
 bool DependencyCalls::may_retry(const RequestState& state, Outcome outcome, double retry_at) {
   const bool never_ran =
-      outcome == Outcome::kRefused || outcome == Outcome::kUnreachable || outcome == Outcome::kObsolete;
+      outcome == Outcome::kRejected || outcome == Outcome::kUnreachable || outcome == Outcome::kObsolete;
   return state.call_attempts < kMaxAttempts && retry_at < state.useful_until &&
          (never_ran || state.route.idempotency == Idempotency::kIdempotent);
 }
--- a/src/admission/dependency_latency.cpp
+++ b/src/admission/dependency_latency.cpp
@@ -23,7 +23,7 @@
 
 void DependencyLatency::record(Outcome outcome, double seconds) {
   rejected_share_ +=
-      ((outcome == Outcome::kRefused ? kMostRejectedShare : 0) - rejected_share_) / kMemoryCalls;
+      ((outcome == Outcome::kRejected ? kMostRejectedShare : 0) - rejected_share_) / kMemoryCalls;
   if (outcome == Outcome::kTimeout) recent_ += std::max(0.0, seconds - recent_) / kMemoryCallsTimedOut;
   if (outcome != Outcome::kOk) return;
   calls_.add(seconds);
--- a/src/admission/fixed_route_directory.h
+++ b/src/admission/fixed_route_directory.h
@@ -21,7 +21,7 @@
   Tenant tenant(int position) const override { return tenants_[static_cast<std::size_t>(position)]; }
   std::size_t route_count() const override { return routes_.size(); }
   std::size_t tenant_count() const override { return tenants_.size(); }
-  std::size_t tenant_positions() const override { return tenants_.size(); }
+  std::size_t max_tenant_positions() const override { return tenants_.size(); }
   double total_quota_per_second() const override { return total_quota_per_second_; }
   double highest_priority_weight() const override { return highest_priority_weight_; }
 
--- a/src/admission/health.cpp
+++ b/src/admission/health.cpp
@@ -71,7 +71,7 @@
   if (healthy == published_healthy_) return;
   published_healthy_ = healthy;
   sink_.log(healthy ? "health published: healthy" : "health published: unhealthy");
-  sink_.set_health(healthy, options_.deep_checks);
+  sink_.set_health(healthy, options_.deep_health_checks);
 }
 
 }  // namespace damsonspoke
--- a/src/admission/learned_statistics.h
+++ b/src/admission/learned_statistics.h
@@ -14,7 +14,7 @@
 // The counts in the histograms say how much each part weighs.
 struct LearnedStatistics {
   struct Times {
-    LearnedDurations run, away;  // on the cores; waiting for and in dependency calls
+    LearnedDurations run, call;  // on the cores; waiting for and in dependency calls
   };
   std::vector<Times> routes;  // by position, as the routes
   LearnedDurations calls;
--- a/src/admission/options.h
+++ b/src/admission/options.h
@@ -50,7 +50,7 @@
   double shared_answer_ttl = 0;    // time in which reads of a subject may share an answer; 0: never
   Preemption preemption = Preemption::kOff;
   LoadFeedback load_feedback = LoadFeedback::kOff;
-  bool deep_checks = false;  // health checks cost work unless they are answered from the stored state
+  bool deep_health_checks = false;  // health checks cost work unless they are answered from the stored state
   double caller_idle_timeout = 0;
   DependencyKind dependency = DependencyKind::kOff;
   double dependency_share = 0;         // mean number of concurrent calls that this server may have
--- a/src/admission/request.h
+++ b/src/admission/request.h
@@ -23,8 +23,8 @@
   RequestId duplicate_of = 0;  // the remembered request that this one repeats; 0: none
 };
 
-// How a run or a call ended. kRefused, kUnreachable and kObsolete prove that it never ran.
-enum class Outcome { kOk, kError, kRefused, kTimeout, kUnreachable, kReset, kCancelled, kObsolete };
+// How a run or a call ended. kRejected, kUnreachable and kObsolete prove that it never ran.
+enum class Outcome { kOk, kError, kRejected, kTimeout, kUnreachable, kReset, kCancelled, kObsolete };
 
 // Readings of the server's gauges; negative where the server does not have the gauge.
 struct Gauges {
--- a/src/admission/route_directory.h
+++ b/src/admission/route_directory.h
@@ -17,7 +17,7 @@
   [[nodiscard]] virtual std::size_t route_count() const = 0;
   [[nodiscard]] virtual std::size_t tenant_count() const = 0;  // 0: nobody has a quota
   // Upper bound of the tenants' positions, now and later.
-  [[nodiscard]] virtual std::size_t tenant_positions() const = 0;
+  [[nodiscard]] virtual std::size_t max_tenant_positions() const = 0;
   [[nodiscard]] virtual double total_quota_per_second() const = 0;   // of all tenants together
   [[nodiscard]] virtual double highest_priority_weight() const = 0;  // of all routes
 };
--- a/src/admission/route_statistics.cpp
+++ b/src/admission/route_statistics.cpp
@@ -19,7 +19,7 @@
     const int position = static_cast<int>(i);
     RouteStatistics& restored = entry(position);
     restored.run_times.restore(prior.routes[i].run);
-    restored.call_times.restore(prior.routes[i].away);
+    restored.call_times.restore(prior.routes[i].call);
     restored.prior_run_time = restored.run_times.mean();
     has_prior_ = has_prior_ || restored.prior_run_time > 0;
     if (!restored.run_times.empty()) note_learned(position, now);
--- a/src/admission/route_statistics.h
+++ b/src/admission/route_statistics.h
@@ -9,7 +9,7 @@
 #include "admission/learned_statistics.h"
 #include "admission/request_state.h"
 #include "admission/route_directory.h"
-#include "admission/timeout_habits.h"
+#include "admission/unusual_timeout_detector.h"
 
 namespace damsonspoke {
 
--- a/src/admission/tenant_quotas.cpp
+++ b/src/admission/tenant_quotas.cpp
@@ -21,7 +21,7 @@
 TenantQuotas::TenantQuotas(const RouteDirectory& directory, int servers)
     : directory_(directory),
       servers_(std::max(1, servers)),
-      entries_(kWays * std::min(kMaxSets, (directory.tenant_positions() + kWays - 1) / kWays)) {}
+      entries_(kWays * std::min(kMaxSets, (directory.max_tenant_positions() + kWays - 1) / kWays)) {}
 
 double TenantQuotas::quota_share(const Tenant& settings) const {
   return settings.quota_per_second / std::max(kLeastTotalQuota, directory_.total_quota_per_second());
--- a/src/admission/timeout_habits.cpp
+++ b/src/admission/unusual_timeout_detector.cpp
@@ -1,4 +1,4 @@
-#include "admission/timeout_habits.h"
+#include "admission/unusual_timeout_detector.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/app/knowledge_command.cpp
+++ b/src/app/knowledge_command.cpp
@@ -44,7 +44,7 @@
              record.under_pressure ? "yes" : "no", reading.failed_starts);
   fmt::print("{:<20}{:<36}{}\n", "op type", "runs, mean", "at calls, mean");
   for (const statistics::RouteRecord& route : record.routes)
-    fmt::print("{:<20}{:<36}{}\n", route.name, mean_text(route.run), mean_text(route.away));
+    fmt::print("{:<20}{:<36}{}\n", route.name, mean_text(route.run), mean_text(route.call));
   fmt::print("calls     {}\nreturns   {:.2f}\n", mean_text(record.calls), record.returning_share);
   return kDone;
 }
--- a/src/benchlink/main.cpp
+++ b/src/benchlink/main.cpp
@@ -138,7 +138,7 @@
   switch (code) {
     case 0: return Outcome::kError;
     case 1: return Outcome::kOk;
-    case 2: return Outcome::kRefused;
+    case 2: return Outcome::kRejected;
     case 3: return Outcome::kTimeout;
     case 4: return Outcome::kUnreachable;
     case 5: return Outcome::kReset;
@@ -235,7 +235,7 @@
     const Gauges gauges = read_gauges(in, instance);
     decide(instance, [&](AdmissionController& controller) { controller.on_timer(now, id, gauges); });
   } else if (code == kGone) {
-    decide(instance, [&](AdmissionController& controller) { controller.on_caller_gone(now, id); });
+    decide(instance, [&](AdmissionController& controller) { controller.on_caller_disconnected(now, id); });
   } else if (code == kBlocked) {
     decide(instance, [&](AdmissionController& controller) { controller.on_call_needed(now, id); });
   } else {
--- a/src/catalog/catalog.h
+++ b/src/catalog/catalog.h
@@ -41,7 +41,7 @@
   [[nodiscard]] Tenant tenant(int position) const override { return tenants_.at(position); }
   [[nodiscard]] std::size_t route_count() const override { return routes_.size(); }
   [[nodiscard]] std::size_t tenant_count() const override { return tenants_.size(); }
-  [[nodiscard]] std::size_t tenant_positions() const override { return tenants_.max_positions(); }
+  [[nodiscard]] std::size_t max_tenant_positions() const override { return tenants_.max_positions(); }
   [[nodiscard]] double total_quota_per_second() const override { return total_quota_per_second_; }
   [[nodiscard]] double highest_priority_weight() const override {
     return routes_by_weight_.empty() ? 0 : routes_by_weight_.rbegin()->first;
--- a/src/peers/ajp/dependency_client.cpp
+++ b/src/peers/ajp/dependency_client.cpp
@@ -296,7 +296,7 @@
   }
   if (status == http_status::kOk) return finish_call(id, Outcome::kOk, reply);
   const bool is_refused = status == http_status::kServiceUnavailable && options_.dependency_refusal_is_proof;
-  finish_call(id, is_refused ? Outcome::kRefused : Outcome::kError, {});
+  finish_call(id, is_refused ? Outcome::kRejected : Outcome::kError, {});
 }
 
 void AjpDependencyClient::on_end_of_input(net::Connection& connection) {
--- a/src/peers/dependency/call_counters.h
+++ b/src/peers/dependency/call_counters.h
@@ -9,7 +9,7 @@
 [[nodiscard]] inline Count counter_of(Outcome outcome) {
   switch (outcome) {
     case Outcome::kOk: return Count::kCallsOk;
-    case Outcome::kRefused: return Count::kCallsRefused;
+    case Outcome::kRejected: return Count::kCallsRefused;
     case Outcome::kTimeout: return Count::kCallsTimedOut;
     case Outcome::kObsolete: return Count::kCallsMoot;
     case Outcome::kUnreachable: return Count::kCallsUnreachable;
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -233,7 +233,7 @@
                                                        {"level", LoadFeedback::kLevel},
                                                        {"credit", LoadFeedback::kCredit},
                                                        {"weight", LoadFeedback::kWeight}});
-  admission.deep_checks = read_flag(family, "deep-checks");
+  admission.deep_health_checks = read_flag(family, "deep-checks");
   start.registry_follows_health = read_flag(family, "list-follows");
   read_request_counting(top, start);
   admission.caller_idle_timeout = read_seconds(family, "caller-idle");
--- a/src/stages/admission_driver.cpp
+++ b/src/stages/admission_driver.cpp
@@ -67,7 +67,7 @@
 }
 
 void AdmissionDriver::on_caller_disconnected(RequestId id) {
-  controller_->on_caller_gone(net::monotonic_now(), id);
+  controller_->on_caller_disconnected(net::monotonic_now(), id);
 }
 
 void AdmissionDriver::on_drain(double time_left) {
--- a/src/stages/admission_driver.h
+++ b/src/stages/admission_driver.h
@@ -38,7 +38,7 @@
   [[nodiscard]] LearnedStatistics learned() const {
     return controller_ ? controller_->learned() : LearnedStatistics{};
   }
-  [[nodiscard]] double pool_in_use() const { return controller_ ? controller_->pool_in_use() : 0; }  // kB
+  [[nodiscard]] double pool_used_kb() const { return controller_ ? controller_->pool_used_kb() : 0; }  // kB
 
  private:
   void schedule_wakeup(double time, std::uint64_t token);
--- a/src/stages/request_forwarder.cpp
+++ b/src/stages/request_forwarder.cpp
@@ -177,7 +177,7 @@
 
 void RequestForwarder::on_caller_disconnected(RequestId id) {
   if (!open_.contains(id)) return;
-  dispatch_->on_caller_gone(id, net::monotonic_now());
+  dispatch_->on_caller_disconnected(id, net::monotonic_now());
   take_completed(id, Count::kRequestsGone);
 }
 
--- a/src/stages/request_intake.cpp
+++ b/src/stages/request_intake.cpp
@@ -136,7 +136,7 @@
 void RequestIntake::on_health_check(peers::ReplyAddress reply_to, bool wants_work) {
   const bool healthy = stages_.admission.begun() && stages_.sender.healthy();
   const bool needs_self_test =
-      healthy && wants_work && site_.admission.deep_checks && !stages_.sender.answers_from_store();
+      healthy && wants_work && site_.admission.deep_health_checks && !stages_.sender.answers_from_store();
   if (!needs_self_test || pending_checks_.size() >= kMaxPendingChecks)
     return peers_.callers->answer_health_check(reply_to, healthy);
   const std::uint64_t tag = next_tag_++;
--- a/src/statistics/prior.cpp
+++ b/src/statistics/prior.cpp
@@ -62,7 +62,7 @@
                                  are_equal(record.timeout, route.timeout) &&
                                  record.calls_dependency == route.calls_dependency;
   if (!has_same_settings) return PriorProblem::kChangedSettings;
-  if (!is_plausible(record.run) || !is_plausible(record.away)) return PriorProblem::kImplausibleValues;
+  if (!is_plausible(record.run) || !is_plausible(record.call)) return PriorProblem::kImplausibleValues;
   if (count_of(record.run) < kMinValues) return PriorProblem::kTooFewValues;
   return std::nullopt;
 }
@@ -85,7 +85,7 @@
     }
     if (routes[i].calls_dependency && !has_same_dependency) continue;
     prior.statistics.routes[i].run = scaled_to(found->run, weight);
-    if (count_of(found->away) > 0) prior.statistics.routes[i].away = scaled_to(found->away, weight);
+    if (count_of(found->call) > 0) prior.statistics.routes[i].call = scaled_to(found->call, weight);
     prior.is_usable = true;
   }
 }
--- a/src/statistics/record.cpp
+++ b/src/statistics/record.cpp
@@ -16,7 +16,7 @@
 Json to_json(const RouteRecord& route) {
   return {{"name", route.name},        {"target", route.latency_objective},
           {"timeout", route.timeout},  {"calls", route.calls_dependency},
-          {"run", to_json(route.run)}, {"away", to_json(route.away)}};
+          {"run", to_json(route.run)}, {"away", to_json(route.call)}};
 }
 
 double number_or(const Json& object, const char* key, double fallback) {
@@ -83,7 +83,7 @@
   for (std::size_t i = 0; i < count; ++i) {
     const Route& route = site.admission.routes[i];
     record.routes.push_back({site.route_names[i], route.latency_objective, route.timeout,
-                             route.calls_dependency, learned.routes[i].run, learned.routes[i].away});
+                             route.calls_dependency, learned.routes[i].run, learned.routes[i].call});
   }
   return record;
 }
--- a/src/statistics/record.h
+++ b/src/statistics/record.h
@@ -26,7 +26,7 @@
   double timeout = 0;
   bool calls_dependency = false;
   LearnedDurations run;
-  LearnedDurations away;
+  LearnedDurations call;
 };
 
 struct StatisticsRecord {
--- a/src/tier/dispatch.cpp
+++ b/src/tier/dispatch.cpp
@@ -252,7 +252,7 @@
 
 // ---- Completion.
 
-void Dispatch::on_caller_gone(RequestId id, double now) {
+void Dispatch::on_caller_disconnected(RequestId id, double now) {
   if (!requests_.contains(id)) return;
   if (const std::optional<Attempt> attempt = attempts_.current_attempt(id)) {
     const AttemptRecord record = *attempts_.find(*attempt);
--- a/src/tier/dispatch.h
+++ b/src/tier/dispatch.h
@@ -34,7 +34,7 @@
            DispatchSink& sink, std::function<double()> random, double now);
 
   void on_request(const ForwardedRequest& details, double now);
-  void on_caller_gone(RequestId id, double now);
+  void on_caller_disconnected(RequestId id, double now);
 
   // A planner's link is up. `epoch`: of the planner's process. `window`: attempts that may be open there.
   void on_link_up(int planner, std::uint64_t epoch, std::uint32_t window, double now);
--- a/tests/admission/dependency_call_scenarios.cpp
+++ b/tests/admission/dependency_call_scenarios.cpp
@@ -17,7 +17,7 @@
   for (RequestId id = 1; id <= 2; ++id) server.arrives(server.request(id, 0));
   server.needs_call(1);
   server.needs_call(2);  // over the bound: waits off the cores
-  server.call_ends(1, Outcome::kRefused);
+  server.call_ends(1, Outcome::kRejected);
   server.call_ends(2, Outcome::kTimeout);
   server.ends(2, Outcome::kCancelled);
   server.until(0.6);
--- a/tests/admission/scripted_backend.h
+++ b/tests/admission/scripted_backend.h
@@ -87,14 +87,14 @@
   }
   void gone(RequestId id) {
     say("-- caller of %d has gone", static_cast<int>(id));
-    controller_.on_caller_gone(now_, id);
+    controller_.on_caller_disconnected(now_, id);
   }
   void leave(double left) {
     say("-- notice to leave, stop in %.1f s", left);
     controller_.on_drain(now_, left);
   }
   void quiet(bool on) { quiet_ = on; }
-  void pool() { say("pool in use: %.0f kB", controller_.pool_in_use()); }
+  void pool() { say("pool in use: %.0f kB", controller_.pool_used_kb()); }
   // Runs one request of a type to its end, so that its run time is learned.
   void learn(int type, double run_time) {
     const RequestId id = 900 + next_lesson_++;
--- a/tests/admission/timeout_habits_test.cpp
+++ b/tests/admission/unusual_timeout_detector_test.cpp
@@ -1,5 +1,5 @@
 // Unmarked retries are told by timeouts that are unusual on their route.
-#include "admission/timeout_habits.h"
+#include "admission/unusual_timeout_detector.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/ajp_below.cpp
+++ b/tests/ajp_below.cpp
@@ -20,7 +20,7 @@
 const char* name_of(Outcome outcome) {
   switch (outcome) {
     case Outcome::kOk: return "ok";
-    case Outcome::kRefused: return "turned away, never ran";
+    case Outcome::kRejected: return "turned away, never ran";
     case Outcome::kUnreachable: return "never reached, never ran";
     case Outcome::kTimeout: return "patience over, may have run";
     case Outcome::kReset: return "broken, may have run";
--- a/tests/catalog/decisions.cpp
+++ b/tests/catalog/decisions.cpp
@@ -102,7 +102,7 @@
   for (RequestId id = 3; id <= 8; ++id) controller.on_run_finished(4.2, id, Outcome::kOk, 0);
   controller.on_run_finished(4.3, 11, Outcome::kOk, 0);
   say("its own do", values_learned(controller, position) == 1);
-  say("nothing is charged in the end", controller.pool_in_use() == 0);
+  say("nothing is charged in the end", controller.pool_used_kb() == 0);
 }
 
 // Counts what a decision looks up.
@@ -119,7 +119,7 @@
   }
   std::size_t route_count() const override { return catalog_.route_count(); }
   std::size_t tenant_count() const override { return catalog_.tenant_count(); }
-  std::size_t tenant_positions() const override { return catalog_.tenant_positions(); }
+  std::size_t max_tenant_positions() const override { return catalog_.max_tenant_positions(); }
   double total_quota_per_second() const override {
     ++lookups;
     return catalog_.total_quota_per_second();
--- a/tests/catalog/follower.cpp
+++ b/tests/catalog/follower.cpp
@@ -283,7 +283,7 @@
     followed.catalog.tenant_names().visit(
         0, followed.catalog.tenant_names().cells(), [&](std::string_view, int position) {
           positions.insert(position);
-          within = within && static_cast<std::size_t>(position) < followed.catalog.tenant_positions();
+          within = within && static_cast<std::size_t>(position) < followed.catalog.max_tenant_positions();
         });
     alone = alone && positions.size() == static_cast<std::size_t>(tenant_count);
     found = found && followed.catalog.version().sequence == static_cast<std::uint64_t>(round);
--- a/tests/compatibility/stored_files_test.cpp
+++ b/tests/compatibility/stored_files_test.cpp
@@ -90,8 +90,8 @@
   EXPECT_TRUE(record.routes[0].calls_dependency);
   EXPECT_EQ(record.routes[0].run.bins, (std::vector<double>{0, 1, 2.5, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0}));
   EXPECT_EQ(record.routes[0].run.sum, 0.04);
-  EXPECT_EQ(record.routes[0].away.bins, (std::vector<double>{0, 0, 0, 3, 0, 0, 0, 0, 0, 0, 0, 0, 0}));
-  EXPECT_EQ(record.routes[0].away.sum, 0.1);
+  EXPECT_EQ(record.routes[0].call.bins, (std::vector<double>{0, 0, 0, 3, 0, 0, 0, 0, 0, 0, 0, 0, 0}));
+  EXPECT_EQ(record.routes[0].call.sum, 0.1);
   EXPECT_EQ(record.routes[1].name, "rate-push");
   EXPECT_FALSE(record.routes[1].calls_dependency);
   EXPECT_EQ(record.calls.bins, (std::vector<double>{4, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 1}));
--- a/tests/link_ends.cpp
+++ b/tests/link_ends.cpp
@@ -83,13 +83,13 @@
 };
 
 bool proves_not_run(Outcome outcome) {
-  return outcome == Outcome::kRefused || outcome == Outcome::kUnreachable || outcome == Outcome::kObsolete;
+  return outcome == Outcome::kRejected || outcome == Outcome::kUnreachable || outcome == Outcome::kObsolete;
 }
 
 std::string name_of(Outcome outcome) {
   switch (outcome) {
     case Outcome::kOk: return "ok";
-    case Outcome::kRefused: return "turned away, never ran";
+    case Outcome::kRejected: return "turned away, never ran";
     case Outcome::kUnreachable: return "never reached, never ran";
     case Outcome::kTimeout: return "its time is over, may have run";
     case Outcome::kReset: return "broken, may have run";
--- a/tests/stages.cpp
+++ b/tests/stages.cpp
@@ -85,7 +85,7 @@
   s.admission.dependency_share = 4;
   s.admission.dependency_share_window = 5;
   s.admission.abandoned_call_time = 0.2;
-  s.admission.deep_checks = true;
+  s.admission.deep_health_checks = true;
   s.route_names = {"push", "pull"};
   s.registry_follows_health = true;
   return s;
@@ -255,7 +255,7 @@
   s.ends(1, Outcome::kOk, "result");
   s.request(2, 1);
   s.wants(2, 3);
-  for (int i = 0; i < 3; ++i) s.called(2, Outcome::kRefused);
+  for (int i = 0; i < 3; ++i) s.called(2, Outcome::kRejected);
   s.ends(2, Outcome::kCancelled);
   s.called(2, Outcome::kOk, "too late");
   s.sums();
--- a/tests/statistics/learned_statistics.cpp
+++ b/tests/statistics/learned_statistics.cpp
@@ -49,7 +49,7 @@
 StatisticsRecord good(double written = 1000) {
   LearnedStatistics learned;
   learned.routes = {{times(5, 20), times(3, 20)}, {times(4, 8), times(0, 0)}};
-  learned.routes[1].away.sum = 0;
+  learned.routes[1].call.sum = 0;
   learned.calls = times(3, 20);
   learned.returning_share = 0.4;
   return make_record(learned, site(), "n1", written, 60);
@@ -217,7 +217,7 @@
     StatisticsRecord record = good(1000);
     for (RouteRecord& route : record.routes) {
       route.run = times(random_() % 13, uniform() * 63);
-      route.away = times(random_() % 13, uniform() * 20);
+      route.call = times(random_() % 13, uniform() * 20);
     }
     for (int corruptions = static_cast<int>(random_() % 3); corruptions > 0; --corruptions)
       corrupt(durations_of(record));
@@ -230,7 +230,7 @@
 
   LearnedDurations& durations_of(StatisticsRecord& record) {
     if (random_() % 2 == 1) return record.routes[random_() % 2].run;
-    if (random_() % 2 == 1) return record.routes[random_() % 2].away;
+    if (random_() % 2 == 1) return record.routes[random_() % 2].call;
     return record.calls;
   }
 
@@ -280,7 +280,7 @@
     double weight = 0;
     for (std::size_t i = 0; i < prior.statistics.routes.size(); ++i) {
       weight += check(prior.statistics.routes[i].run, record.routes[i].run);
-      weight += check(prior.statistics.routes[i].away, record.routes[i].away);
+      weight += check(prior.statistics.routes[i].call, record.routes[i].call);
     }
     const LearnedDurations& calls = prior.statistics.calls;
     if (!calls.bins.empty() && !is_plausible(calls)) ++implausible_;
@@ -407,7 +407,7 @@
 int implausible_parts(const Prior& prior) {
   int count = 0;
   for (const auto& route : prior.statistics.routes) {
-    for (const LearnedDurations* durations : {&route.run, &route.away}) {
+    for (const LearnedDurations* durations : {&route.run, &route.call}) {
       if (!durations->bins.empty() && !is_plausible(*durations)) ++count;
     }
   }
--- a/tests/tier/dispatch_traces.cpp
+++ b/tests/tier/dispatch_traces.cpp
@@ -134,10 +134,10 @@
   d.on_link_up(0, 101, 1, now);
   for (std::uint64_t mark = 1; mark <= 4; ++mark) request(30 + mark, 0.2, 1, mark);
   std::printf("callers go; the notice to leave; late comers\n");
-  d.on_caller_gone(31, now);
-  d.on_caller_gone(32, now);
-  d.on_caller_gone(33, now);
-  d.on_caller_gone(34, now);
+  d.on_caller_disconnected(31, now);
+  d.on_caller_disconnected(32, now);
+  d.on_caller_disconnected(33, now);
+  d.on_caller_disconnected(34, now);
   request(40, 5);
   d.on_drain(2, 0.3, now);
   now += 0.4;
--- a/tests/tier/fault_history.cpp
+++ b/tests/tier/fault_history.cpp
@@ -108,7 +108,7 @@
       if (requests_[id].answers > 0) return;
       note(fmt::format("caller of {} goes", id));
       requests_[id].gone = true;
-      dispatch.on_caller_gone(id, now_);
+      dispatch.on_caller_disconnected(id, now_);
     });
   }
   after(-std::log(1 - chance()) / 150, [this] { next_request(); });
