--- a/src/members/membership_view_records.cpp
+++ b/src/members/membership_view_records.cpp
@@ -109,7 +109,7 @@
 bool MembershipView::merge_equal_record(MemberIndex index, const Record& record, double now) {
   Member& member = table_[index];
   if (record.condition == Condition::kSuspected && member.is_suspected()) {
-    note_evidence(index, record.heard_datagram_number, now);
+    note_evidence(index, record.last_datagram_number, now);
     const bool has_more = add_accusers(member.record, record.accusers);
     if (has_more) shorten_suspicion(index);
     return has_more;
--- a/src/members/membership_view_send.cpp
+++ b/src/members/membership_view_send.cpp
@@ -107,7 +107,7 @@
   record.load_report_age_ms = static_cast<std::uint32_t>(std::max(0.0, now - member.load_report_at) * 1000);
   if (!has_current_load_report(member, now) || record.condition != Condition::kAlive) record.load_report = {};
   const bool has_evidence = member.is_suspected() && now - member.last_evidence_at < kEvidenceSeconds;
-  record.heard_datagram_number = has_evidence ? member.last_evidence_number : 0;
+  record.last_datagram_number = has_evidence ? member.last_evidence_number : 0;
   return record;
 }
 
--- a/src/members/record.h
+++ b/src/members/record.h
@@ -64,9 +64,9 @@
   std::string address;
   std::uint32_t longest_pause_ms = 0;  // the longest recent pause of its process, by its own account
   LoadReport load_report;
-  std::uint32_t load_report_age_ms = 0;     // when the record was sent
-  std::vector<std::string> accusers;        // of a suspicion: the members that got no answer
-  std::uint32_t heard_datagram_number = 0;  // of a suspicion: the last datagram that anybody got; 0: none
+  std::uint32_t load_report_age_ms = 0;    // when the record was sent
+  std::vector<std::string> accusers;       // of a suspicion: the members that got no answer
+  std::uint32_t last_datagram_number = 0;  // of a suspicion: the last datagram that anybody got; 0: none
   std::vector<BrokenLink> broken_links;
   bool operator==(const Record&) const = default;
 
--- a/src/peers/tier/planner_client.cpp
+++ b/src/peers/tier/planner_client.cpp
@@ -67,7 +67,7 @@
   if (link.is_draining && link.connection && link.connection->open()) link.connection->close();
 }
 
-std::size_t PlannerClient::linked() const {
+std::size_t PlannerClient::linked_planners() const {
   return static_cast<std::size_t>(
       std::count_if(links_.begin(), links_.end(), [](const auto& link) { return link->is_up; }));
 }
--- a/src/peers/tier/planner_client.h
+++ b/src/peers/tier/planner_client.h
@@ -73,7 +73,7 @@
   // Nothing is open at the planner: closes the link if it drains or is not listed.
   void close_if_draining(int planner);
   // Planners with a link that is up.
-  [[nodiscard]] std::size_t linked() const;
+  [[nodiscard]] std::size_t linked_planners() const;
 
  private:
   struct UnprovenSubmit {
--- a/src/stages/request_forwarder.cpp
+++ b/src/stages/request_forwarder.cpp
@@ -399,7 +399,7 @@
   counters_.set(Count::kTierProven, c.proven_not_run);
   counters_.set(Count::kTierDropped, c.stale_answers);
   counters_.set(Count::kTierAdrift, c.disconnected);
-  counters_.set(Count::kTierLost, c.lost_with_epoch);
+  counters_.set(Count::kTierLost, c.unprovable_attempts);
   counters_.set(Count::kTierHere, c.rejected_locally);
   counters_.set(Count::kTierEvicted, c.evicted);
   counters_.set(Count::kTierOverdue, c.overdue);
@@ -407,7 +407,7 @@
   counters_.set(Count::kTierKnown, c.key_lookup_hits);
   counters_.set(Count::kTierEjections, dispatch_->picker().ejections());
   counters_.set(Count::kTierWaiting, dispatch_->waiting_requests());
-  counters_.set(Count::kTierPlanners, ports_.planners->linked());
+  counters_.set(Count::kTierPlanners, ports_.planners->linked_planners());
 }
 
 }  // namespace damsonspoke::stages
--- a/src/tier/dispatch_planners.cpp
+++ b/src/tier/dispatch_planners.cpp
@@ -75,7 +75,7 @@
 
 void Dispatch::fail_lost(const std::vector<RequestId>& lost, int planner) {
   for (const RequestId id : lost) {
-    ++counters_.lost_with_epoch;
+    ++counters_.unprovable_attempts;
     picker_.release(planner);
     fail(id);
   }
--- a/src/tier/dispatch_sink.h
+++ b/src/tier/dispatch_sink.h
@@ -66,10 +66,10 @@
   std::uint64_t first_attempts = 0;
   std::uint64_t retries = 0;
   std::uint64_t fences = 0;
-  std::uint64_t proven_not_run = 0;   // attempts, by fencing or because they were never written
-  std::uint64_t stale_answers = 0;    // to attempts that no longer counted
-  std::uint64_t lost_with_epoch = 0;  // attempts that can never be proven
-  std::uint64_t disconnected = 0;     // attempts open when their link was lost
+  std::uint64_t proven_not_run = 0;       // attempts, by fencing or because they were never written
+  std::uint64_t stale_answers = 0;        // to attempts that no longer counted
+  std::uint64_t unprovable_attempts = 0;  // attempts that can never be proven
+  std::uint64_t disconnected = 0;         // attempts open when their link was lost
   std::uint64_t rejected_locally = 0;
   std::uint64_t evicted = 0;  // from a full queue
   std::uint64_t overdue = 0;  // requests whose deadline passed without an answer
--- a/src/wire/members.cpp
+++ b/src/wire/members.cpp
@@ -99,7 +99,7 @@
   array.add(record.longest_pause_ms, record.longest_pause_ms != 0);
   array.add(record.accusers, !record.accusers.empty());
   array.add(record.conflicting_epoch, record.conflicting_epoch != 0);
-  array.add(record.heard_datagram_number, record.heard_datagram_number != 0);
+  array.add(record.last_datagram_number, record.last_datagram_number != 0);
   array.add(to_json(record.broken_links), !record.broken_links.empty());
   return array.take();
 }
@@ -250,7 +250,7 @@
   reader.read_number(record.longest_pause_ms, kMaxAgeMs);
   if (!read_elements(reader.read_array(m::kMaxAccusers), record.accusers)) return false;
   reader.read_number(record.conflicting_epoch, m::kMaxEpoch);
-  reader.read_number(record.heard_datagram_number, kMaxUint32);
+  reader.read_number(record.last_datagram_number, kMaxUint32);
   if (!read_elements(reader.read_array(m::kMaxBrokenLinks), record.broken_links)) return false;
   return reader.is_valid() && record.epoch != 0;
 }
--- a/tests/compatibility/wire_messages_test.cpp
+++ b/tests/compatibility/wire_messages_test.cpp
@@ -322,7 +322,7 @@
       3, "relay", "north", "0.3.0", 8, 0xdef, 12, 640, 7, members::DependencyState::kSlow, "127.0.0.1:7100"};
   record.load_report_age_ms = 900;
   record.accusers = {"relay-2", "relay-3"};
-  record.heard_datagram_number = 99;
+  record.last_datagram_number = 99;
   record.broken_links = {{"relay-4", true, 1500}, {"relay-5", false, 20}};
   return record;
 }
--- a/tests/members/codec.cpp
+++ b/tests/members/codec.cpp
@@ -29,7 +29,7 @@
   record.condition = Condition::kSuspected;
   record.address = "10.0.0.1:7400";
   record.longest_pause_ms = 1200;
-  record.heard_datagram_number = 250;
+  record.last_datagram_number = 250;
   record.accusers = {"a", "b"};
   record.load_report_age_ms = 40;
   record.load_report = {
--- a/tests/tier/fault_histories.cpp
+++ b/tests/tier/fault_histories.cpp
@@ -37,7 +37,7 @@
       all.fences += totals.fences;
       all.proven_not_run += totals.proven_not_run;
       all.stale_answers += totals.stale_answers;
-      all.lost_with_epoch += totals.lost_with_epoch;
+      all.unprovable_attempts += totals.unprovable_attempts;
       all.key_lookups += totals.key_lookups;
       all.key_lookup_hits += totals.key_lookup_hits;
     }
@@ -51,7 +51,7 @@
               share(all.failed, 0.005));
   std::printf("second tries %s, fences %s, proofs %s, answers dropped %s, lost with a life %s\n",
               share(all.retries, 0.005), share(all.fences, 0.005), share(all.proven_not_run, 0.003),
-              share(all.stale_answers, 0.001), share(all.lost_with_epoch, 0.002));
+              share(all.stale_answers, 0.001), share(all.unprovable_attempts, 0.002));
   std::printf("former homes asked %s, answered by them %s\n", share(all.key_lookups, 0.005),
               share(all.key_lookup_hits, 0.001));
 }
--- a/tests/tier/fault_history.cpp
+++ b/tests/tier/fault_history.cpp
@@ -53,7 +53,7 @@
     sums.fences += static_cast<int>(counters.fences);
     sums.proven_not_run += static_cast<int>(counters.proven_not_run);
     sums.stale_answers += static_cast<int>(counters.stale_answers);
-    sums.lost_with_epoch += static_cast<int>(counters.lost_with_epoch);
+    sums.unprovable_attempts += static_cast<int>(counters.unprovable_attempts);
     sums.key_lookups += static_cast<int>(counters.key_lookups);
     sums.key_lookup_hits += static_cast<int>(counters.key_lookup_hits);
   }
--- a/tests/tier/fault_history.h
+++ b/tests/tier/fault_history.h
@@ -40,7 +40,7 @@
     int fences = 0;
     int proven_not_run = 0;
     int stale_answers = 0;
-    int lost_with_epoch = 0;
+    int unprovable_attempts = 0;
     int key_lookups = 0;
     int key_lookup_hits = 0;
   };
