--- a/bench/knowledge.cpp
+++ b/bench/knowledge.cpp
@@ -250,7 +250,7 @@
     fleet.loop.run_for(0.05 + static_cast<double>(random() % 1000) / 1000 * 0.4);
     fleet.kill();
     const auto disk = store::open_folder(fleet.folder());
-    const statistics::Reading read = statistics::StatisticsFolder(*disk).read();
+    const statistics::RecordReadResult read = statistics::StatisticsFolder(*disk).read();
     garbage += !read.record && read.problem != statistics::ReadProblem::kMissing;
   }
   return garbage;
--- a/src/app/backend.cpp
+++ b/src/app/backend.cpp
@@ -242,7 +242,7 @@
   const bool is_done = quiet && !front_->is_listening() && reactor_.lingering_closes().empty();
   const bool grace_over = now > config_.site.admission.drain_grace;
   if (listening_ &&
-      (now >= config_.stop_after - kListenMargin || (quiet && grace_over) || !admission_.begun())) {
+      (now >= config_.stop_after - kListenMargin || (quiet && grace_over) || !admission_.is_started())) {
     listening_ = false;
     front_->stop_listening();
   } else if (!listening_ && (is_done || now >= config_.stop_after - kEndMargin)) {
--- a/src/app/knowledge_command.cpp
+++ b/src/app/knowledge_command.cpp
@@ -31,7 +31,7 @@
 }
 
 // The words of the output are part of the command's interface: operators' scripts read them.
-int show(const statistics::Reading& reading) {
+int show(const statistics::RecordReadResult& reading) {
   if (!reading.record) {
     fmt::print("{}\n", text_of(reading.problem));
     return kFailed;
@@ -49,7 +49,7 @@
   return kDone;
 }
 
-int verify(const std::string& path, const statistics::Reading& reading) {
+int verify(const std::string& path, const statistics::RecordReadResult& reading) {
   const bool is_intact = reading.problem == statistics::ReadProblem::kNone;
   fmt::print("{}: {}{}\n", path, is_intact ? "sound" : text_of(reading.problem),
              reading.is_previous ? ", the generation before is used" : "");
@@ -72,7 +72,7 @@
   const std::string path = folder_of(flags);
   const std::unique_ptr<store::FileSystem> file_system = store::open_folder(path);
   if (action == "forget") return forget(path, *file_system);
-  const statistics::Reading reading = statistics::StatisticsFolder(*file_system).read();
+  const statistics::RecordReadResult reading = statistics::StatisticsFolder(*file_system).read();
   return action == "show" ? show(reading) : verify(path, reading);
 }
 
--- a/src/stages/admission_driver.h
+++ b/src/stages/admission_driver.h
@@ -25,7 +25,7 @@
   // The runtime has come up this long ago (s): with it begins the controller. `warming_up`: as a slow start.
   // Nothing begins once the server shuts down.
   void begin(bool warming_up, double seconds_ago);
-  [[nodiscard]] bool begun() const { return controller_ != nullptr; }
+  [[nodiscard]] bool is_started() const { return controller_ != nullptr; }
 
   // Events, as of AdmissionController. None of them but on_drain may come before begin().
   void on_request(const Request& request);
--- a/src/stages/request_intake.cpp
+++ b/src/stages/request_intake.cpp
@@ -31,7 +31,7 @@
   const Request request = to_decide(incoming, now);
   count_read_delay(request.age);
   InFlightRequest& entered = enter(incoming, request.age, now);
-  if (stages_.admission.begun()) return decide(request, incoming, entered);
+  if (stages_.admission.is_started()) return decide(request, incoming, entered);
   if (incoming.received_at <= 0) incoming.received_at = now;
   wait_or_reject(std::move(incoming), entered, now);
 }
@@ -134,7 +134,7 @@
 }
 
 void RequestIntake::on_health_check(peers::ReplyAddress reply_to, bool wants_work) {
-  const bool healthy = stages_.admission.begun() && stages_.sender.healthy();
+  const bool healthy = stages_.admission.is_started() && stages_.sender.healthy();
   const bool needs_self_test =
       healthy && wants_work && site_.admission.deep_health_checks && !stages_.sender.answers_from_store();
   if (!needs_self_test || pending_checks_.size() >= kMaxPendingChecks)
--- a/src/stages/statistics_persistence.cpp
+++ b/src/stages/statistics_persistence.cpp
@@ -37,7 +37,7 @@
   if (!is_enabled()) return {};
   began_at_ = net::monotonic_now();
   timer_ = reactor_.after(options_.interval, [this] { run_periodically(); });
-  const std::optional<statistics::Reading> reading = store_->take_reading();
+  const std::optional<statistics::RecordReadResult> reading = store_->take_reading();
   if (!reading) {
     log_.warn("knowledge", "record not read in time, starting without learned statistics");
     return {};
@@ -58,7 +58,7 @@
   return std::move(prior.statistics);
 }
 
-statistics::Prior StatisticsPersistence::derive_prior(const statistics::Reading& reading) {
+statistics::Prior StatisticsPersistence::derive_prior(const statistics::RecordReadResult& reading) {
   const statistics::PriorOptions options{options_.half_life, options_.max_age, options_.weight};
   statistics::Prior prior =
       statistics::derive_prior(*reading.record, site_, net::unix_now(), reading.failed_starts, options);
@@ -86,7 +86,7 @@
 // What is learned under pressure does not replace an earlier record. A server that has lasted an interval, or
 // is asked to shut down, has not failed because of its prior.
 void StatisticsPersistence::write_record() {
-  if (is_draining_ || !admission_.begun()) return;
+  if (is_draining_ || !admission_.is_started()) return;
   const double began = net::monotonic_now();
   const LearnedStatistics learned = admission_.learned();
   store_->end_trial();
--- a/src/statistics/statistics_store.cpp
+++ b/src/statistics/statistics_store.cpp
@@ -51,8 +51,8 @@
 
 // ---- The files.
 
-Reading StatisticsFolder::read() {
-  Reading reading;
+RecordReadResult StatisticsFolder::read() {
+  RecordReadResult reading;
   const store::ChecksummedFile::ReadResult result = file_.read();
   reading.is_previous = result.is_previous;
   reading.problem = read_problem_of(result.content.problem);
@@ -98,7 +98,7 @@
     [[nodiscard]] bool is_empty() const { return !trial_to_begin && !ends_trial && !record; }
   };
 
-  std::optional<Reading> reading;
+  std::optional<RecordReadResult> reading;
   Pending pending;
   std::optional<std::string> unreported_error;
   std::string last_error;
@@ -106,7 +106,7 @@
 
   void run(store::FileSystem& file_system) {
     StatisticsFolder folder(file_system);
-    Reading first = folder.read();
+    RecordReadResult first = folder.read();
     std::unique_lock guard(mutex);
     reading = std::move(first);
     for (;;) {
@@ -158,7 +158,7 @@
                             [this] { return shared_->reading.has_value() || shared_->ended; });
 }
 
-std::optional<Reading> StatisticsStore::take_reading() {
+std::optional<RecordReadResult> StatisticsStore::take_reading() {
   const std::lock_guard guard(shared_->mutex);
   return std::exchange(shared_->reading, std::nullopt);
 }
--- a/src/statistics/statistics_store.h
+++ b/src/statistics/statistics_store.h
@@ -29,7 +29,7 @@
 };
 std::string_view text_of(ReadProblem problem);
 
-struct Reading {
+struct RecordReadResult {
   std::optional<StatisticsRecord> record;
   int failed_starts = 0;  // with this record
   ReadProblem problem = ReadProblem::kNone;
@@ -42,7 +42,7 @@
   explicit StatisticsFolder(store::FileSystem& file_system)
       : file_system_(file_system), file_(file_system, "knowledge", kRecordFormatVersion, kMaxRecordBytes) {}
 
-  Reading read();
+  RecordReadResult read();
   // A start with the record: until end_trial(), `failed_starts` are counted against it.
   void begin_trial(int failed_starts);
   void end_trial();
@@ -72,7 +72,7 @@
   // Waits until the record has been read, at most so many seconds.
   void wait_for_reading(double seconds);
   // What was read, once; nothing before it has been read.
-  std::optional<Reading> take_reading();
+  std::optional<RecordReadResult> take_reading();
   // Hands over a record to be written. One that is still pending is replaced.
   void write(std::string encoded);
   void begin_trial(int failed_starts);
--- a/tests/compatibility/stored_files_test.cpp
+++ b/tests/compatibility/stored_files_test.cpp
@@ -69,7 +69,7 @@
 
 TEST_F(StoredFiles, LearnedStatisticsAreReadWhole) {
   const std::unique_ptr<store::FileSystem> disk = store::open_folder(path("knowledge"));
-  const statistics::Reading reading = statistics::StatisticsFolder(*disk).read();
+  const statistics::RecordReadResult reading = statistics::StatisticsFolder(*disk).read();
   EXPECT_EQ(reading.problem, statistics::ReadProblem::kNone);
   EXPECT_EQ(reading.failed_starts, 0);
   EXPECT_FALSE(reading.is_previous);
--- a/tests/statistics/learned_statistics.cpp
+++ b/tests/statistics/learned_statistics.cpp
@@ -95,7 +95,7 @@
       if (steps <= returned) last = written_at;
     }
     RecordingFolder folder(std::move(files));
-    const Reading reading = StatisticsFolder(folder).read();
+    const RecordReadResult reading = StatisticsFolder(folder).read();
     const double found = reading.record ? reading.record->written_at : 0;
     const bool is_whole = !reading.record || encode(*reading.record) == encode(good(found));
     if (!is_whole || found > last + 1) ++garbage_;
@@ -314,7 +314,7 @@
 // ---- Corrupt and foreign files.
 
 void print_reading(const char* name, RecordingFolder& folder) {
-  const Reading reading = StatisticsFolder(folder).read();
+  const RecordReadResult reading = StatisticsFolder(folder).read();
   const std::string problem(text_of(reading.problem));
   std::printf("%-34s %s%s%s", name, reading.record ? "record of " : "nothing",
               reading.record ? std::to_string(static_cast<int>(reading.record->written_at)).c_str() : "",
