--- a/fuzz/ajp.cpp
+++ b/fuzz/ajp.cpp
@@ -45,7 +45,7 @@
 extern "C" int LLVMFuzzerTestOneInput(const unsigned char* data, std::size_t size) {
   const std::string_view input(reinterpret_cast<const char*>(data), size);
   for (const From from : {From::kGateway, From::kServer}) {
-    play(input, from, kUsualPacket);
+    play(input, from, kDefaultPacketBytes);
     play(input, from, kMostPacket);
   }
   return 0;
--- a/src/app/catalog_watch.cpp
+++ b/src/app/catalog_watch.cpp
@@ -31,9 +31,9 @@
   limits.allows_keyed_routes = choice.options.results.enabled;
   catalog_ = catalog::Catalog::from_settings(choice.config.site, limits, random_key());
   if (folder_.empty()) return;
-  source_ =
-      std::make_unique<catalog::ThreadedSource>(std::make_unique<catalog::FolderSource>(folder_),
-                                                [this] { reactor_.post_from_elsewhere([this] { step(); }); });
+  source_ = std::make_unique<catalog::ThreadedSource>(
+      std::make_unique<catalog::FolderSource>(folder_),
+      [this] { reactor_.post_from_other_thread([this] { step(); }); });
   follower_ = std::make_unique<catalog::Follower>(*catalog_, *source_, net::monotonic_now);
   load_at_start();
 }
--- a/src/app/serve_command.cpp
+++ b/src/app/serve_command.cpp
@@ -41,7 +41,7 @@
 
 OperatorOptions options_of(const Chosen& chosen) {
   OperatorOptions options = chosen.operators ? chosen.operators->options : OperatorOptions{};
-  enable_required_results(chosen.config, std::string(wire::kMarkParam), options);
+  enable_required_results(chosen.config, std::string(wire::kDefaultIdempotencyKeyParam), options);
   return options;
 }
 
@@ -52,7 +52,7 @@
   const OperatorOptions options = options_of(chosen);
   if (const auto unsupported = find_unsupported(chosen.config, options))
     throw SettingsError(to_string(*unsupported));
-  if (options.results.enabled && wire::is_param(options.results.key_field)) {
+  if (options.results.enabled && wire::is_protocol_param(options.results.key_field)) {
     throw SettingsError(
         fmt::format("results: key-field '{}' is the protocol's own", options.results.key_field));
   }
--- a/src/control/server.cpp
+++ b/src/control/server.cpp
@@ -143,7 +143,7 @@
 
 void Server::on_output_sent(net::Connection& connection) { connection.end(); }
 
-void Server::on_end(net::Connection& connection, net::End) {
+void Server::on_end(net::Connection& connection, net::CloseReason) {
   const auto found = queries_.find(connection.tag);
   if (found == queries_.end()) return;
   reactor_.cancel(found->second.timeout);
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -56,15 +56,15 @@
     has_socket = false;  // out of descriptors: told as refused, so that who asked tries again later
   }
   std::shared_ptr<Connection> made(new Connection(reactor, owner, socket, State::kConnecting, limits));
-  if (!has_socket) return made->close(End::kRefused), made;
+  if (!has_socket) return made->close(CloseReason::kRefused), made;
   const int fd = made->fd();
   made->socket_.setBlocking(false);
   no_delay(fd);
-  if (from && ::bind(fd, from->addr(), from->length()) != 0) return made->close(End::kRefused), made;
+  if (from && ::bind(fd, from->addr(), from->length()) != 0) return made->close(CloseReason::kRefused), made;
   if (::connect(fd, address.addr(), address.length()) == 0 || errno == EINPROGRESS) {
     made->want_write(true);
   } else {
-    made->close(End::kRefused);
+    made->close(CloseReason::kRefused);
   }
   return made;
 }
@@ -117,14 +117,14 @@
 
 void Connection::send(std::string_view bytes) {
   if (state_ == State::kClosed) return;
-  if (waiting() + bytes.size() > limits_.output) return close(End::kOverflow);
+  if (waiting() + bytes.size() > limits_.output) return close(CloseReason::kOverflow);
   if (state_ == State::kOpen && waiting() == 0) {
     const ssize_t wrote = ::send(fd(), bytes.data(), bytes.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
     if (wrote >= 0) {
       bytes.remove_prefix(static_cast<std::size_t>(wrote));
       bytes_out_ += static_cast<std::uint64_t>(wrote);
     } else if (errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR) {
-      return close(End::kBroken);
+      return close(CloseReason::kBroken);
     }
     if (bytes.empty()) return;
   }
@@ -132,7 +132,7 @@
     out_.erase(0, out_at_);
     out_at_ = 0;
   }
-  if (limits_.pool != nullptr && !limits_.pool->fits(bytes.size())) return close(End::kOverflow);
+  if (limits_.pool != nullptr && !limits_.pool->fits(bytes.size())) return close(CloseReason::kOverflow);
   out_.append(bytes);
   charge(bytes.size());
   if (state_ == State::kOpen) want_write(true);
@@ -143,7 +143,7 @@
     const ssize_t wrote = ::send(fd(), out_.data() + out_at_, waiting(), MSG_NOSIGNAL | MSG_DONTWAIT);
     if (wrote < 0) {
       if (errno == EINTR) continue;
-      if (errno != EAGAIN && errno != EWOULDBLOCK) close(End::kBroken);
+      if (errno != EAGAIN && errno != EWOULDBLOCK) close(CloseReason::kBroken);
       return;
     }
     out_at_ += static_cast<std::size_t>(wrote);
@@ -173,7 +173,7 @@
   if (limits_.pool != nullptr) limits_.pool->release(bytes);
 }
 
-void Connection::close(End why) {
+void Connection::close(CloseReason why) {
   if (state_ == State::kClosed) return;
   watch(false, false, false);
   state_ = State::kClosed;
@@ -197,7 +197,7 @@
   watch(false, false, false);
   state_ = State::kClosed;
   LingeringClose::begin(reactor_, socket_);
-  reactor_.post([self = shared_from_this()] { self->owner_.on_end(*self, End::kInOrder); });
+  reactor_.post([self = shared_from_this()] { self->owner_.on_end(*self, CloseReason::kOrderly); });
 }
 
 void Connection::read_now() {
@@ -225,7 +225,7 @@
   if (state_ != State::kOpen || paused_ || input_over_) return;
   const ssize_t got = ::recv(fd(), bytes, sizeof bytes, MSG_DONTWAIT);
   if (got < 0) {
-    if (errno != EINTR && errno != EAGAIN && errno != EWOULDBLOCK) close(End::kBroken);
+    if (errno != EINTR && errno != EAGAIN && errno != EWOULDBLOCK) close(CloseReason::kBroken);
     return;
   }
   if (got == 0) {
@@ -255,7 +255,7 @@
   delivering_ = false;
   in_.erase(0, used);
   if (in_.capacity() > in_.size() + kKeptCapacity) in_.shrink_to_fit();
-  if (in_.size() > limits_.input) close(End::kOverflow);
+  if (in_.size() > limits_.input) close(CloseReason::kOverflow);
 }
 
 void Connection::on_readable(ReadableNotification* notification) {
@@ -272,7 +272,7 @@
       int error = 0;
       socklen_t size = sizeof error;
       ::getsockopt(fd(), SOL_SOCKET, SO_ERROR, &error, &size);
-      if (error != 0) return close(End::kRefused);
+      if (error != 0) return close(CloseReason::kRefused);
       state_ = State::kOpen;
       want_read(!paused_);
       owner_.on_connected(*this);
@@ -285,7 +285,7 @@
 void Connection::on_error(ErrorNotification* notification) {
   notification->release();
   const auto self = shared_from_this();
-  guarded("error", [this] { close(End::kBroken); });
+  guarded("error", [this] { close(CloseReason::kBroken); });
 }
 
 }  // namespace damsonspoke::net
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -15,9 +15,9 @@
 
 namespace damsonspoke::net {
 
-enum class End {
+enum class CloseReason {
   kRefused,   // never connected: nothing that was written has left
-  kInOrder,   // the peer closed, or we did
+  kOrderly,   // the peer closed, or we did
   kBroken,    // reset, or another error
   kOverflow,  // more output waits than is allowed
 };
@@ -33,7 +33,7 @@
   // The peer will write no more; what it asked may still be answered.
   virtual void on_end_of_input(Connection& connection) = 0;
   // Once, the last call for this connection, never from inside one of its own methods.
-  virtual void on_end(Connection& connection, End why) = 0;
+  virtual void on_end(Connection& connection, CloseReason why) = 0;
   // All output has left.
   virtual void on_output_sent(Connection&) {}
 };
@@ -73,7 +73,7 @@
   ~Connection();
 
   void send(std::string_view bytes);
-  void close(End why = End::kInOrder);  // at once; on_end follows on the next turn
+  void close(CloseReason why = CloseReason::kOrderly);  // at once; on_end follows on the next turn
   // In order: nothing more is read, what waits is written, then the socket takes its leave (net/farewell.h).
   // Its owner hears of the end as of a close, once all is written.
   void end();
--- a/src/net/reactor.cpp
+++ b/src/net/reactor.cpp
@@ -80,7 +80,7 @@
   timer.number = 0;
 }
 
-void Reactor::post_from_elsewhere(Task task) {
+void Reactor::post_from_other_thread(Task task) {
   bool first = false;
   {
     const std::lock_guard lock(elsewhere_lock_);
--- a/src/net/reactor.h
+++ b/src/net/reactor.h
@@ -40,7 +40,7 @@
   void post(Task task) { at(monotonic_now(), std::move(task)); }
   void cancel(TimerId& timer);
   // From any thread: the task runs on this one, after the next poll. The reactor has to outlive the caller.
-  void post_from_elsewhere(Task task);
+  void post_from_other_thread(Task task);
 
   // Sockets that we have ended and whose peers have not yet; the oldest first. See net/farewell.h.
   std::list<std::shared_ptr<LingeringClose>>& lingering_closes() { return lingering_closes_; }
--- a/src/peers/ajp/dependency_client.cpp
+++ b/src/peers/ajp/dependency_client.cpp
@@ -206,7 +206,7 @@
     if (found->second.state != State::kPinging) return close_broken(found->second, "incomplete answer");
     log_.info("dependency", "ping not answered, connection closed");
     found->second.is_retired = true;
-    found->second.connection->close(net::End::kBroken);
+    found->second.connection->close(net::CloseReason::kBroken);
   });
 }
 
@@ -215,7 +215,7 @@
   counters_.add(Count::kBelowBad);
   log_.warn("dependency", "{}, connection closed", reason);
   link.is_retired = true;
-  link.connection->close(net::End::kBroken);
+  link.connection->close(net::CloseReason::kBroken);
 }
 
 void AjpDependencyClient::on_connected(net::Connection& connection) {
@@ -300,12 +300,12 @@
 }
 
 void AjpDependencyClient::on_end_of_input(net::Connection& connection) {
-  connection.close(net::End::kBroken);
+  connection.close(net::CloseReason::kBroken);
 }
 
 // A call that was sent may have run. One that was not goes to another link while there is time, unless this
 // one could not be connected: the next would fare no better.
-void AjpDependencyClient::on_end(net::Connection& connection, net::End why) {
+void AjpDependencyClient::on_end(net::Connection& connection, net::CloseReason why) {
   const auto found = links_.find(connection.tag);
   if (found == links_.end()) return;
   const RequestId id = found->second.call;
@@ -318,7 +318,7 @@
     log_.warn("dependency", "connection lost with a call in flight");
     return finish_call(id, Outcome::kReset, {});
   }
-  if (why == net::End::kRefused) return finish_call(id, Outcome::kUnreachable, {});
+  if (why == net::CloseReason::kRefused) return finish_call(id, Outcome::kUnreachable, {});
   call->second.link = 0;
   waiting_.push_front(id);
   dispatch_waiting();
--- a/src/peers/ajp/dependency_client.h
+++ b/src/peers/ajp/dependency_client.h
@@ -73,7 +73,7 @@
   void on_connected(net::Connection& connection) override;
   std::size_t on_input(net::Connection& connection, std::string_view bytes) override;
   void on_end_of_input(net::Connection& connection) override;
-  void on_end(net::Connection& connection, net::End why) override;
+  void on_end(net::Connection& connection, net::CloseReason why) override;
 
   void dispatch_waiting();
   [[nodiscard]] std::uint64_t find_or_open_link();
--- a/src/peers/ajp/server.cpp
+++ b/src/peers/ajp/server.cpp
@@ -369,7 +369,7 @@
   if (client->state != State::kOpen) close_after_output(*client);
 }
 
-void AjpServer::on_end(net::Connection& connection, net::End why) {
+void AjpServer::on_end(net::Connection& connection, net::CloseReason why) {
   if (clients_.find(connection.tag) == nullptr) return;
   const Client client = clients_.extract(connection.tag);
   admission_.on_closed(client, why);
@@ -391,7 +391,7 @@
   net::Connection& connection = *client.connection;
   if (client.check_output_overdue(now) || admission_.is_output_too_slow(client, now)) {
     admission_.penalize(client, conns::Penalty::kSlowTransfer);
-    return connection.close(net::End::kOverflow);
+    return connection.close(net::CloseReason::kOverflow);
   }
   if (client.state == State::kClosing || client.state == State::kOpen) return;
   const bool is_input_late = client.is_message_incomplete() &&
--- a/src/peers/ajp/server.h
+++ b/src/peers/ajp/server.h
@@ -76,7 +76,7 @@
 
   std::size_t on_input(net::Connection& connection, std::string_view bytes) override;
   void on_end_of_input(net::Connection& connection) override;
-  void on_end(net::Connection& connection, net::End why) override;
+  void on_end(net::Connection& connection, net::CloseReason why) override;
   void on_output_sent(net::Connection& connection) override;
 
   void on_accept(const net::Accepted& accepted);
--- a/src/peers/dependency/client.cpp
+++ b/src/peers/dependency/client.cpp
@@ -176,7 +176,7 @@
 void DependencyClient::close_broken(Link& link, std::string_view reason) {
   counters_.add(Count::kBelowBad);
   log_.warn("dependency", "{}, connection closed", reason);
-  link.connection->close(net::End::kBroken);
+  link.connection->close(net::CloseReason::kBroken);
 }
 
 void DependencyClient::on_reply(std::uint64_t tag, RequestId id, Outcome outcome, std::string_view body) {
@@ -217,24 +217,26 @@
   });
 }
 
-void DependencyClient::on_end_of_input(net::Connection& connection) { connection.close(net::End::kBroken); }
+void DependencyClient::on_end_of_input(net::Connection& connection) {
+  connection.close(net::CloseReason::kBroken);
+}
 
 // A connection that was never made proves that its calls did not run; one that broke proves nothing.
-void DependencyClient::on_end(net::Connection& connection, net::End why) {
+void DependencyClient::on_end(net::Connection& connection, net::CloseReason why) {
   const auto found = links_.find(connection.tag);
   if (found == links_.end()) return;
   const std::vector<RequestId> calls = found->second.calls;
   reactor_.cancel(found->second.reply_timer);
   links_.erase(found);
   if (calls.empty()) return;
-  if (why != net::End::kRefused) {
+  if (why != net::CloseReason::kRefused) {
     counters_.add(Count::kBelowBroken);
     log_.warn("dependency", "connection lost with {} calls in flight", calls.size());
   }
   for (const RequestId id : calls) {
     const auto call = calls_.find(id);
     if (call == calls_.end() || call->second.link != connection.tag) continue;  // ended meanwhile
-    const bool was_never_sent = why == net::End::kRefused && !call->second.may_be_sent;
+    const bool was_never_sent = why == net::CloseReason::kRefused && !call->second.may_be_sent;
     finish_call(id, was_never_sent ? Outcome::kUnreachable : Outcome::kReset, {});
   }
 }
--- a/src/peers/dependency/client.h
+++ b/src/peers/dependency/client.h
@@ -57,7 +57,7 @@
   void on_connected(net::Connection& connection) override;
   std::size_t on_input(net::Connection& connection, std::string_view bytes) override;
   void on_end_of_input(net::Connection& connection) override;
-  void on_end(net::Connection& connection, net::End why) override;
+  void on_end(net::Connection& connection, net::CloseReason why) override;
 
   [[nodiscard]] std::uint64_t link_for_call(RequestId id);
   [[nodiscard]] std::uint64_t find_reusable_link(RequestId id);
--- a/src/peers/json_rpc/server.cpp
+++ b/src/peers/json_rpc/server.cpp
@@ -214,7 +214,7 @@
   counters_.add(Count::kChecksRead);
   on_valid_message(client);
   client.requests[message.id] = {};
-  events_.on_health_check({client.connection->tag, message.id}, message.wants_work);
+  events_.on_health_check({client.connection->tag, message.id}, message.requires_self_test);
 }
 
 void JsonRpcServer::handle_request(Client& client, wire::RpcRequest& message) {
@@ -301,7 +301,7 @@
   close_if_done(*client);
 }
 
-void JsonRpcServer::on_end(net::Connection& connection, net::End why) {
+void JsonRpcServer::on_end(net::Connection& connection, net::CloseReason why) {
   if (clients_.find(connection.tag) == nullptr) return;
   const Client client = clients_.extract(connection.tag);
   admission_.on_closed(client, why);
@@ -329,7 +329,7 @@
 void JsonRpcServer::check_byte_rates(Client& client, double now) {
   if (admission_.is_output_too_slow(client, now)) {
     admission_.penalize(client, conns::Penalty::kSlowTransfer);
-    return client.connection->close(net::End::kOverflow);
+    return client.connection->close(net::CloseReason::kOverflow);
   }
   if (!client.is_message_incomplete() || !admission_.is_input_too_slow(client, now)) return;
   counters_.add(Count::kHalfClosed);
@@ -343,7 +343,7 @@
   const double idle_seconds = now - client.last_traffic_at;
   if (client.check_output_overdue(now)) {
     admission_.penalize(client, conns::Penalty::kSlowTransfer);
-    connection.close(net::End::kOverflow);
+    connection.close(net::CloseReason::kOverflow);
   } else if (!client.has_requested && idle_seconds > kFirstRequestTimeoutSeconds && is_idle(client)) {
     counters_.add(Count::kSilentClosed);
     admission_.penalize(client, conns::Penalty::kSilent);
--- a/src/peers/listener_admission.cpp
+++ b/src/peers/listener_admission.cpp
@@ -7,12 +7,12 @@
 namespace damsonspoke::peers {
 namespace {
 
-Count counter_of(net::End why) {
+Count counter_of(net::CloseReason why) {
   switch (why) {
-    case net::End::kInOrder: return Count::kCallersClosed;
-    case net::End::kOverflow: return Count::kSlowPeers;
-    case net::End::kRefused:
-    case net::End::kBroken: break;
+    case net::CloseReason::kOrderly: return Count::kCallersClosed;
+    case net::CloseReason::kOverflow: return Count::kSlowPeers;
+    case net::CloseReason::kRefused:
+    case net::CloseReason::kBroken: break;
   }
   return Count::kCallersReset;
 }
@@ -54,10 +54,10 @@
   client.is_evicted = true;
 }
 
-void ListenerAdmission::on_closed(const ClientConnection& client, net::End why) {
+void ListenerAdmission::on_closed(const ClientConnection& client, net::CloseReason why) {
   const std::uint64_t tag = client.connection->tag;
   if (is_by_client()) {
-    if (!client.has_requested && why == net::End::kBroken)
+    if (!client.has_requested && why == net::CloseReason::kBroken)
       limits_.admission->penalize(tag, conns::Penalty::kReset);
     limits_.admission->on_closed(tag);
   } else if (limits_.quota != nullptr && !client.is_evicted) {
--- a/src/peers/listener_admission.h
+++ b/src/peers/listener_admission.h
@@ -49,7 +49,7 @@
   // Closes a connection in order and frees its place at once.
   void evict(ClientConnection& client);
   // After the connection was removed from the listener's table.
-  void on_closed(const ClientConnection& client, net::End why);
+  void on_closed(const ClientConnection& client, net::CloseReason why);
 
   // The following tell ConnectionAdmission about the client and do nothing without one.
   void penalize(const ClientConnection& client, conns::Penalty penalty);
--- a/src/peers/members/transport.cpp
+++ b/src/peers/members/transport.cpp
@@ -196,7 +196,7 @@
   push_pull.is_initiator = is_initiator;
   push_pull.timeout = reactor_.after(kPushPullTimeoutSeconds, [this, tag] {
     const auto found = push_pulls_.find(tag);
-    if (found != push_pulls_.end()) found->second.connection->close(net::End::kBroken);
+    if (found != push_pulls_.end()) found->second.connection->close(net::CloseReason::kBroken);
   });
   return push_pull;
 }
@@ -225,7 +225,7 @@
   if (!is_known_network) counters_.add(Count::kMembersStrangers);
   const bool has_capacity = push_pulls_.size() < 2 * kMaxPushPulls;
   PushPull& push_pull = add_push_pull(std::move(connection), false);
-  if (!is_known_network || !has_capacity) push_pull.connection->close(net::End::kBroken);
+  if (!is_known_network || !has_capacity) push_pull.connection->close(net::CloseReason::kBroken);
 }
 
 void MembershipTransport::send_records(net::Connection& connection, double now) {
@@ -245,7 +245,7 @@
   if (decoded.error != wm::DecodeError::kNone) {
     counters_.add(Count::kMembersBad);
     log_.debug("members", "invalid push-pull: {}", wm::text_of(decoded.error));
-    connection.close(net::End::kBroken);
+    connection.close(net::CloseReason::kBroken);
     return bytes.size();
   }
   if (!decoded.is_complete) return 0;
@@ -269,10 +269,10 @@
 // An answer that is still being sent goes on.
 void MembershipTransport::on_end_of_input(net::Connection& connection) {
   const PushPull* push_pull = find_push_pull(connection);
-  if (push_pull == nullptr || !push_pull->is_complete) connection.close(net::End::kBroken);
+  if (push_pull == nullptr || !push_pull->is_complete) connection.close(net::CloseReason::kBroken);
 }
 
-void MembershipTransport::on_end(net::Connection& connection, net::End /*why*/) {
+void MembershipTransport::on_end(net::Connection& connection, net::CloseReason /*why*/) {
   PushPull* push_pull = find_push_pull(connection);
   if (push_pull == nullptr) return;
   reactor_.cancel(push_pull->timeout);
--- a/src/peers/ports.h
+++ b/src/peers/ports.h
@@ -33,7 +33,7 @@
   double work_hint = 0;         // s of work on a standard core, estimated by the caller; 0: not known
   std::string idempotency_key;  // empty: none
   std::string body;
-  bool known_only = false;  // a lookup: answered from the remembered result of its key; never runs
+  bool is_lookup_only = false;  // a lookup: answered from the remembered result of its key; never runs
   ReplyAddress reply_to;
 };
 
@@ -59,8 +59,8 @@
   virtual void on_request_read(IncomingRequest request) = 0;
   // Nobody waits for the answer to this request any more.
   virtual void on_caller_disconnected(RequestId id) = 0;
-  // A health check, which gets exactly one answer. `wants_work`: by a run of the self-test.
-  virtual void on_health_check(ReplyAddress reply_to, bool wants_work) = 0;
+  // A health check, which gets exactly one answer. `requires_self_test`: by a run of the self-test.
+  virtual void on_health_check(ReplyAddress reply_to, bool requires_self_test) = 0;
 };
 
 // What the runtime reports. Times are seconds.
@@ -75,7 +75,7 @@
   // `body`: of the call; valid during this one.
   virtual void on_call_requested(RequestId id, std::uint64_t notice, std::string_view body) = 0;
   // `tag`: the one that was given to RuntimePort::self_test.
-  virtual void on_self_test_result(std::uint64_t tag, bool is_good) = 0;
+  virtual void on_self_test_result(std::uint64_t tag, bool has_passed) = 0;
   // A start or a resumption was not carried out: nothing runs.
   virtual void on_not_started(RequestId id) = 0;
   // The start of the run, or a reply that it waits for, may have been lost, its request is due, and no end is
@@ -169,7 +169,7 @@
   virtual void send_reply(RequestId id, std::string_view reply, const RequestedCall& call) = 0;
   virtual void skip_call(RequestId id, std::uint64_t notice) = 0;
   // No more commands will follow for the run of this request.
-  virtual void on_run_over(RequestId id) = 0;
+  virtual void forget_run(RequestId id) = 0;
   // Asks for a run of the self-test; on_self_test_result() reports it under the tag.
   virtual void self_test(std::uint64_t tag) = 0;
   // Asks for a new reading of the gauges.
@@ -193,7 +193,7 @@
  public:
   virtual ~RegistryPort() = default;
   // Reports whether this backend takes work, at once, and again before the entry expires.
-  virtual void report(bool takes_work) = 0;
+  virtual void report(bool is_accepting_requests) = 0;
 };
 
 // The peers as the stages see them. Filled in once all exist, before the first event: peers and stages refer
--- a/src/peers/registry/reporter.cpp
+++ b/src/peers/registry/reporter.cpp
@@ -21,8 +21,8 @@
 
 RegistryReporter::~RegistryReporter() { reactor_.cancel(report_timer_); }
 
-void RegistryReporter::report(bool takes_work) {
-  takes_work_ = takes_work;
+void RegistryReporter::report(bool is_accepting_requests) {
+  takes_work_ = is_accepting_requests;
   has_reported_ = true;
   reactor_.cancel(report_timer_);
   send();
--- a/src/peers/registry/reporter.h
+++ b/src/peers/registry/reporter.h
@@ -20,7 +20,7 @@
   RegistryReporter(const RegistryReporter&) = delete;
   RegistryReporter& operator=(const RegistryReporter&) = delete;
 
-  void report(bool takes_work) override;
+  void report(bool is_accepting_requests) override;
   // Reports to another address from now on, and there at once where anything was reported before.
   void move_to(const std::string& address);
 
--- a/src/peers/runtime/client.cpp
+++ b/src/peers/runtime/client.cpp
@@ -70,7 +70,7 @@
                                            {kMaxInputBytes, output_bytes_});
   connect_timer_ = reactor_.after(kConnectTimeoutSeconds, [this] {
     has_connect_hung_ = true;
-    if (next_link_) next_link_->close(net::End::kRefused);
+    if (next_link_) next_link_->close(net::CloseReason::kRefused);
   });
   if (is_moving_) move_timer_ = reactor_.after(kMoveSeconds, [this] { release_commands(); });
 }
@@ -135,9 +135,11 @@
   greeting_timer_ = reactor_.after(kGreetingLookSeconds, [this] { look_for_greeting(); });
 }
 
-void RuntimeClient::on_end_of_input(net::Connection& connection) { connection.close(net::End::kBroken); }
+void RuntimeClient::on_end_of_input(net::Connection& connection) {
+  connection.close(net::CloseReason::kBroken);
+}
 
-void RuntimeClient::on_end(net::Connection& connection, net::End /*why*/) {
+void RuntimeClient::on_end(net::Connection& connection, net::CloseReason /*why*/) {
   if (&connection == next_link_.get()) {  // refused
     next_link_.reset();
     reactor_.cancel(connect_timer_);
@@ -174,7 +176,7 @@
   const double waiting_since = std::max(gauges_requested_at_, last_input_at_);
   if (owes_answer && net::monotonic_now() - waiting_since > kSilenceTimeoutSeconds) {
     counters_.add(Count::kRuntimeSilent);
-    link_->close(net::End::kBroken);
+    link_->close(net::CloseReason::kBroken);
   }
   silence_timer_ = reactor_.after(kSilenceCheckSeconds, [this] { check_silence(); });
 }
@@ -190,7 +192,7 @@
     if (read.state == wire::LineState::kBroken) {
       counters_.add(Count::kRuntimeBad);
       log_.warn("runtime", "invalid framing, reconnecting");
-      connection.close(net::End::kBroken);
+      connection.close(net::CloseReason::kBroken);
       break;
     }
     used += read.length;
@@ -206,9 +208,9 @@
       handle_ready(notice);
       return request_gauges();  // the answer marks the end of the missed notices
     case wire::NoticeKind::kRunEnd: return handle_run_end(notice);
-    case wire::NoticeKind::kCallWanted: return handle_call_wanted(notice);
+    case wire::NoticeKind::kCallRequested: return handle_call_wanted(notice);
     case wire::NoticeKind::kGauges: return handle_gauges(notice);
-    case wire::NoticeKind::kSelfTestResult: return events_.on_self_test_result(notice.tag, notice.is_good);
+    case wire::NoticeKind::kSelfTestResult: return events_.on_self_test_result(notice.tag, notice.has_passed);
     case wire::NoticeKind::kRejection: return handle_rejection(notice);
     case wire::NoticeKind::kRemark:
       counters_.add(Count::kRuntimeInfos);
@@ -236,7 +238,7 @@
     // The missing ones are requested once, by a new link; if they don't come then, the runtime has lost them.
     if (requested_notice_ != last_notice_ + 1) {
       requested_notice_ = last_notice_ + 1;
-      link_->close(net::End::kBroken);
+      link_->close(net::CloseReason::kBroken);
       return false;
     }
     ledger_.on_notices_lost();
@@ -363,7 +365,7 @@
 // written there would be in doubt.
 void RuntimeClient::send(const CommandLedger::Outgoing& command) {
   if (!link_ || !link_->connected()) return;
-  if (link_->peer_has_closed()) return link_->close(net::End::kBroken);
+  if (link_->peer_has_closed()) return link_->close(net::CloseReason::kBroken);
   write(command.text);
   ledger_.mark_sent(command.key, stream_bytes_, net::monotonic_now());
 }
--- a/src/peers/runtime/client.h
+++ b/src/peers/runtime/client.h
@@ -44,7 +44,7 @@
   void send_reply(RequestId id, std::string_view reply, const RequestedCall& call) override;
   void skip_call(RequestId id, std::uint64_t notice) override;
   // Forgets the commands of the run: none of them is sent again.
-  void on_run_over(RequestId id) override { ledger_.erase(id); }
+  void forget_run(RequestId id) override { ledger_.erase(id); }
   // Does nothing while the link is not synchronized.
   void self_test(std::uint64_t tag) override;
   // Does nothing while the runtime is not up on this link, or an earlier request is unanswered.
@@ -55,7 +55,7 @@
   void on_connected(net::Connection& connection) override;
   std::size_t on_input(net::Connection& connection, std::string_view bytes) override;
   void on_end_of_input(net::Connection& connection) override;
-  void on_end(net::Connection& connection, net::End why) override;
+  void on_end(net::Connection& connection, net::CloseReason why) override;
 
   void connect();
   void on_link_lost(const net::Connection& link, bool by_peer);
--- a/src/peers/tier/forwarder_server.cpp
+++ b/src/peers/tier/forwarder_server.cpp
@@ -57,7 +57,7 @@
         (static_cast<double>(submit.age_us) + submit.remaining_us) * kSecondsPerMicrosecond;
   request.idempotency_key = std::move(submit.idempotency_key);
   request.body = std::move(submit.body);
-  request.known_only = submit.lookup_only;
+  request.is_lookup_only = submit.is_lookup_only;
   request.reply_to = reply_to;
   return request;
 }
@@ -111,14 +111,14 @@
     if (frame.state == wt::Framing::kBroken) {
       counters_.add(Count::kBadFrames);
       log_.warn("forwarders", "{}: invalid frame, link closed", found->second.name);
-      connection.close(net::End::kBroken);
+      connection.close(net::CloseReason::kBroken);
       return bytes.size();
     }
     used += frame.length;
     found->second.last_message_at = net::monotonic_now();
     if (!handle_message(connection.tag, frame.message)) {
       counters_.add(Count::kBadRequests);
-      connection.close(net::End::kBroken);
+      connection.close(net::CloseReason::kBroken);
       return bytes.size();
     }
   }
@@ -128,7 +128,7 @@
 
 void ForwarderServer::on_end_of_input(net::Connection& connection) { connection.close(); }
 
-void ForwarderServer::on_end(net::Connection& connection, net::End why) {
+void ForwarderServer::on_end(net::Connection& connection, net::CloseReason why) {
   const auto found = links_.find(connection.tag);
   if (found == links_.end()) return;
   const Link& link = found->second;
@@ -139,7 +139,7 @@
     if (!sessions_.is_linked(link.forwarder)) windows_.remove_forwarder(link.forwarder, net::monotonic_now());
   }
   links_.erase(found);
-  counters_.add(why == net::End::kInOrder ? Count::kCallersClosed : Count::kCallersReset);
+  counters_.add(why == net::CloseReason::kOrderly ? Count::kCallersClosed : Count::kCallersReset);
 }
 
 // Closes links that stall within a frame or whose forwarder is gone without having closed them.
@@ -150,7 +150,7 @@
     if (!link.connection->open() || now - link.last_message_at <= timeout) continue;
     counters_.add(Count::kSilentClosed);
     log_.warn("forwarders", "{}: timed out, link closed", link.name);
-    link.connection->close(net::End::kBroken);
+    link.connection->close(net::CloseReason::kBroken);
   }
   const std::vector<RequestId> expired = sessions_.take_expired(now);
   for (const RequestId request : expired)
--- a/src/peers/tier/forwarder_server.h
+++ b/src/peers/tier/forwarder_server.h
@@ -84,7 +84,7 @@
 
   std::size_t on_input(net::Connection& connection, std::string_view bytes) override;
   void on_end_of_input(net::Connection& connection) override;
-  void on_end(net::Connection& connection, net::End why) override;
+  void on_end(net::Connection& connection, net::CloseReason why) override;
 
   void on_accept(const net::Accepted& accepted);
   // False: the message violates the protocol.
--- a/src/peers/tier/planner_client.cpp
+++ b/src/peers/tier/planner_client.cpp
@@ -138,7 +138,7 @@
     if (frame.state == wt::Framing::kBroken || !handle_message(planner, frame.message)) {
       counters_.add(Count::kTierBad);
       log_.warn("planners", "{}: invalid message, reconnecting", at(planner).address);
-      connection.close(net::End::kBroken);
+      connection.close(net::CloseReason::kBroken);
       return bytes.size();
     }
   }
@@ -174,7 +174,9 @@
   return true;
 }
 
-void PlannerClient::on_end_of_input(net::Connection& connection) { connection.close(net::End::kBroken); }
+void PlannerClient::on_end_of_input(net::Connection& connection) {
+  connection.close(net::CloseReason::kBroken);
+}
 
 // The attempts of which no complete frame has left over a connection that has ended.
 std::vector<std::uint64_t> PlannerClient::unwritten_attempts(const Link& link) {
@@ -187,7 +189,7 @@
   return unwritten;
 }
 
-void PlannerClient::on_end(net::Connection& connection, net::End /*why*/) {
+void PlannerClient::on_end(net::Connection& connection, net::CloseReason /*why*/) {
   const int planner = static_cast<int>(connection.tag);
   Link& link = at(planner);
   if (link.connection.get() != &connection) return;
@@ -217,7 +219,7 @@
     if (has_timed_out) {
       counters_.add(Count::kTierSilent);
       log_.warn("planners", "{}: timed out, reconnecting", link->address);
-      link->connection->close(net::End::kBroken);
+      link->connection->close(net::CloseReason::kBroken);
     } else if (link->is_up) {
       send(*link, wt::Ping{next_ping_++});
     }
--- a/src/results/store.cpp
+++ b/src/results/store.cpp
@@ -76,7 +76,7 @@
 void Store::Worker::post_to_store(std::function<void(Store&)> action) {
   const std::lock_guard guard(mutex);
   if (store == nullptr) return;
-  reactor->post_from_elsewhere([self = shared_from_this(), action = std::move(action)] {
+  reactor->post_from_other_thread([self = shared_from_this(), action = std::move(action)] {
     Store* target = nullptr;
     {
       const std::lock_guard inner(self->mutex);
--- a/src/stages/in_flight_requests.cpp
+++ b/src/stages/in_flight_requests.cpp
@@ -90,7 +90,7 @@
   if (!request.answered || !run_is_over) return;
   const RequestId id = request.id;
   if (release_listener_) release_listener_(request);
-  peers_.runtime->on_run_over(id);
+  peers_.runtime->forget_run(id);
   requests_.erase(id);
 }
 
--- a/src/stages/request_forwarder.cpp
+++ b/src/stages/request_forwarder.cpp
@@ -181,7 +181,7 @@
   take_completed(id, Count::kRequestsGone);
 }
 
-void RequestForwarder::on_health_check(peers::ReplyAddress reply_to, bool /*wants_work*/) {
+void RequestForwarder::on_health_check(peers::ReplyAddress reply_to, bool /*requires_self_test*/) {
   ports_.callers->answer_health_check(reply_to, dispatch_->is_healthy(net::monotonic_now()));
 }
 
@@ -240,7 +240,7 @@
 // ---- The dispatch's acts.
 
 void RequestForwarder::send(int planner, tier::Attempt attempt, RequestId id, double remaining_time,
-                            bool lookup_only) {
+                            bool is_lookup_only) {
   const peers::IncomingRequest& request = open_.at(id).request;
   wt::Submit submit;
   submit.attempt = attempt;
@@ -252,7 +252,7 @@
       static_cast<std::uint32_t>(std::clamp(request.size_kb * kSixteenthsPerKb, 1.0, kMaxWireSize));
   submit.age_us = microseconds(net::unix_now() - request.received_at);
   submit.remaining_us = microseconds(remaining_time);
-  submit.lookup_only = lookup_only;
+  submit.is_lookup_only = is_lookup_only;
   submit.idempotency_key = request.idempotency_key;
   submit.body = request.body;
   log_.debug("forward", "request {:016x} sent as attempt {} to planner {}", id, attempt, planner);
--- a/src/stages/request_forwarder.h
+++ b/src/stages/request_forwarder.h
@@ -58,7 +58,7 @@
   bool has_started(RequestId) const override { return false; }  // nothing runs here
   void on_request_read(peers::IncomingRequest request) override;
   void on_caller_disconnected(RequestId id) override;
-  void on_health_check(peers::ReplyAddress reply_to, bool wants_work) override;
+  void on_health_check(peers::ReplyAddress reply_to, bool requires_self_test) override;
 
   // ---- Planners.
   void on_link_up(int planner, std::uint64_t epoch, std::uint32_t window) override;
@@ -75,7 +75,7 @@
 
   // ---- The dispatch's acts.
   void send(int planner, tier::Attempt attempt, RequestId request, double remaining_time,
-            bool lookup_only) override;
+            bool is_lookup_only) override;
   void cancel(int planner, tier::Attempt attempt) override;
   void fence(int planner, tier::Attempt attempt) override;
   void reply(RequestId request, tier::LocalReply how, double retry_after, bool no_retry) override;
--- a/src/stages/request_intake.cpp
+++ b/src/stages/request_intake.cpp
@@ -39,7 +39,7 @@
 void RequestIntake::decide(Request request, peers::IncomingRequest& incoming, InFlightRequest& entered) {
   if (stages_.replay.answer_if_known(request, incoming, entered))
     return stages_.in_flight.release_if_over(entered);
-  if (incoming.known_only && request.duplicate_of == 0) {
+  if (incoming.is_lookup_only && request.duplicate_of == 0) {
     // Nothing is remembered here, so nobody can say whether the key is known: the request never runs.
     stages_.in_flight.reject(entered, 0, true);
     return stages_.in_flight.release_if_over(entered);
@@ -133,10 +133,10 @@
   if (request != nullptr) stages_.in_flight.release_if_over(*request);
 }
 
-void RequestIntake::on_health_check(peers::ReplyAddress reply_to, bool wants_work) {
+void RequestIntake::on_health_check(peers::ReplyAddress reply_to, bool requires_self_test) {
   const bool healthy = stages_.admission.is_started() && stages_.sender.healthy();
-  const bool needs_self_test =
-      healthy && wants_work && site_.admission.deep_health_checks && !stages_.sender.answers_from_store();
+  const bool needs_self_test = healthy && requires_self_test && site_.admission.deep_health_checks &&
+                               !stages_.sender.answers_from_store();
   if (!needs_self_test || pending_checks_.size() >= kMaxPendingChecks)
     return peers_.callers->answer_health_check(reply_to, healthy);
   const std::uint64_t tag = next_tag_++;
--- a/src/stages/request_intake.h
+++ b/src/stages/request_intake.h
@@ -42,8 +42,8 @@
   [[nodiscard]] bool has_started(RequestId id) const override;
   void on_request_read(peers::IncomingRequest request) override;
   void on_caller_disconnected(RequestId id) override;
-  // `wants_work`: the check asks for a self test where the settings have deep checks.
-  void on_health_check(peers::ReplyAddress reply_to, bool wants_work) override;
+  // `requires_self_test`: the check asks for a self test where the settings have deep checks.
+  void on_health_check(peers::ReplyAddress reply_to, bool requires_self_test) override;
   // The runtime's first `ready`, once the admission controller has begun: what waited for it is decided.
   void on_runtime_ready();
   // The server shuts down gracefully: what still waits for the runtime is rejected.
--- a/src/stages/result_replay.cpp
+++ b/src/stages/result_replay.cpp
@@ -150,7 +150,7 @@
   const results::Lookup lookup = cache_.look_up(now, identity->key, identity->fingerprint, identity->kind);
   switch (lookup.outcome) {
     case LookupOutcome::kMiss:
-      if (answer_unknown_key(*identity, incoming.known_only, entered, now)) return true;
+      if (answer_unknown_key(*identity, incoming.is_lookup_only, entered, now)) return true;
       break;
     case LookupOutcome::kDuplicate: request.duplicate_of = lookup.original_id; break;
     case LookupOutcome::kOutcomeUnknown:
@@ -162,7 +162,7 @@
       in_flight_.fail(entered, peers::FailureReason::kKeyConflict);
       return true;
     case LookupOutcome::kNoCapacity:
-      if (incoming.known_only) {
+      if (incoming.is_lookup_only) {
         fail_query(entered);
         return true;
       }
--- a/src/tier/dispatch.cpp
+++ b/src/tier/dispatch.cpp
@@ -146,7 +146,7 @@
 void Dispatch::send(RequestId id, int planner, double now) {
   PendingRequest& request = requests_.at(id);
   const double remaining = request.deadline - now;
-  const bool lookup_only = request.key_route.is_lookup();
+  const bool is_lookup_only = request.key_route.is_lookup();
   const Attempt attempt = attempts_.begin(id, planner, link(planner).epoch, attempt_step());
   picker_.on_attempt_sent(planner);
   if (request.attempts_begun == 0) {
@@ -158,8 +158,8 @@
   ++request.attempts_begun;
   request.sent_at = now;
   requests_.schedule_fence(id, now + options_.fence_after_share * remaining);
-  if (lookup_only) ++counters_.key_lookups;
-  sink_.send(planner, attempt, id, remaining - options_.hop_time, lookup_only);
+  if (is_lookup_only) ++counters_.key_lookups;
+  sink_.send(planner, attempt, id, remaining - options_.hop_time, is_lookup_only);
 }
 
 // The request's attempt is proven never to have run: it may go to another planner if one has capacity, the
--- a/src/tier/dispatch_sink.h
+++ b/src/tier/dispatch_sink.h
@@ -35,10 +35,10 @@
   DispatchSink(const DispatchSink&) = delete;
   DispatchSink& operator=(const DispatchSink&) = delete;
 
-  // Sends an attempt to a planner, which gets `remaining_time` s for it. `lookup_only`: the planner is only
-  // asked whether it knows the request's key, and runs nothing.
+  // Sends an attempt to a planner, which gets `remaining_time` s for it. `is_lookup_only`: the planner is
+  // only asked whether it knows the request's key, and runs nothing.
   virtual void send(int planner, Attempt attempt, RequestId request, double remaining_time,
-                    bool lookup_only) = 0;
+                    bool is_lookup_only) = 0;
   // Nobody waits for the attempt any more.
   virtual void cancel(int planner, Attempt attempt) = 0;
   // Asks the planner to prove that the attempt never ran and to never run it.
--- a/src/wire/ajp.h
+++ b/src/wire/ajp.h
@@ -17,8 +17,8 @@
 
 namespace damsonspoke::wire::ajp {
 
-constexpr std::size_t kHead = 4;                // bytes: magic, length
-constexpr std::size_t kUsualPacket = 8 * 1024;  // bytes, head and all
+constexpr std::size_t kHead = 4;                       // bytes: magic, length
+constexpr std::size_t kDefaultPacketBytes = 8 * 1024;  // bytes, head and all
 constexpr std::size_t kMostPacket = 64 * 1024;
 constexpr std::size_t kBodyHead = 6;  // of a packet that carries a piece of a body: head, length of the piece
 constexpr std::size_t kMostHeaders = 64, kMostAttributes = 32;
--- a/src/wire/rpc.cpp
+++ b/src/wire/rpc.cpp
@@ -102,7 +102,7 @@
     if (name == "limit") return read_number(out_.client_timeout_ms, 0, kMaxDurationMs);
     if (name == "ram") return read_number(out_.size_kb, 0, kMaxSizeKb);
     if (name == "cpu" || name == "work") return read_number(out_.work_ms, 0, kMaxDurationMs);
-    if (name == "probe") return read_boolean(out_.wants_work);
+    if (name == "probe") return read_boolean(out_.requires_self_test);
     if (name == "arg") return read_body();
     if (name == "team") return read_text(out_.tenant);
     if (name == "second") return read_flag(out_.is_retry);
@@ -258,7 +258,7 @@
   return frame;
 }
 
-bool is_param(std::string_view name) {
+bool is_protocol_param(std::string_view name) {
   static constexpr std::array<std::string_view, 13> kNames = {"txn",  "door",     "lb",   "limit", "ram",
                                                               "work", "standing", "item", "probe", "arg",
                                                               "team", "second",   "cpu"};
--- a/src/wire/rpc.h
+++ b/src/wire/rpc.h
@@ -43,12 +43,12 @@
   bool has_request_id = false;
   bool has_subject = false;
   bool has_idempotency_key = false;
-  bool wants_work = false;  // of a health check: answered by a run of the self-test
-  bool is_retry = false;    // where callers mark those
+  bool requires_self_test = false;  // of a health check: answered by a run of the self-test
+  bool is_retry = false;            // where callers mark those
 };
 
 // The member of the params that holds a request's idempotency key, unless operators name another.
-inline constexpr std::string_view kMarkParam = "unique";
+inline constexpr std::string_view kDefaultIdempotencyKeyParam = "unique";
 
 // Reads one message into a new request. On a problem the id is filled in where it can be told, so that the
 // request can be answered. `key_param`: the member of the params that holds the idempotency key, a string;
@@ -57,7 +57,7 @@
                                         std::string_view key_param = {});
 
 // Whether the protocol has a member of that name among its params already.
-[[nodiscard]] bool is_param(std::string_view name);
+[[nodiscard]] bool is_protocol_param(std::string_view name);
 
 // The codes of errors: those of JSON-RPC, and from -32000 down those of the service.
 enum class RpcError {
--- a/src/wire/runtime_lines.cpp
+++ b/src/wire/runtime_lines.cpp
@@ -50,8 +50,8 @@
 
 bool read_self_test_result(const Words& words, Notice& out) {
   if (words.size() != 3 || !parse_number(words[1], out.tag)) return false;
-  out.is_good = words[2] == "complete";
-  return out.is_good || words[2] == "error";
+  out.has_passed = words[2] == "complete";
+  return out.has_passed || words[2] == "error";
 }
 
 bool read_rejection(const Words& words, Notice& out) {
@@ -68,7 +68,7 @@
   const std::string_view verb = words[0];
   if (verb == "ready" && read_ready(words, out)) return NoticeKind::kReady;
   if (verb == "end" && read_run_end(words, out)) return NoticeKind::kRunEnd;
-  if (verb == "wants" && read_call_wanted(words, out)) return NoticeKind::kCallWanted;
+  if (verb == "wants" && read_call_wanted(words, out)) return NoticeKind::kCallRequested;
   if (verb == "load" && read_gauges(words, out)) return NoticeKind::kGauges;
   if (verb == "verdict" && read_self_test_result(words, out)) return NoticeKind::kSelfTestResult;
   if (verb == "nack" && read_rejection(words, out)) return NoticeKind::kRejection;
--- a/src/wire/runtime_lines.h
+++ b/src/wire/runtime_lines.h
@@ -15,7 +15,7 @@
 enum class NoticeKind {
   kReady,           // the runtime is up
   kRunEnd,          // a run is over or was stopped
-  kCallWanted,      // a run waits for a call to the dependency
+  kCallRequested,   // a run waits for a call to the dependency
   kGauges,          // a reading that was asked for
   kSelfTestResult,  // of a self-test that was asked for
   kRejection,       // of a command
@@ -34,10 +34,10 @@
   bool is_cold = false;        // kReady
   double ms = 0;               // kReady: since its start; kRunEnd: the run took
   std::uint64_t tag = 0;       // kGauges, kSelfTestResult: of the command that asked for it
-  bool is_good = false;        // kSelfTestResult
+  bool has_passed = false;     // kSelfTestResult
   std::vector<double> gauges;  // in the order of the platform's settings
   std::string_view command;    // kRejection: its first word
-  std::string_view body;       // kRunEnd: the result; kCallWanted: of the call
+  std::string_view body;       // kRunEnd: the result; kCallRequested: of the call
 };
 
 // One notice, as far as it has come.
--- a/src/wire/tier.cpp
+++ b/src/wire/tier.cpp
@@ -113,7 +113,7 @@
     writer.number(message.size_sixteenth_kb);
     writer.number(message.age_us);
     writer.number(message.remaining_us);
-    writer.flag(message.lookup_only);
+    writer.flag(message.is_lookup_only);
     writer.text<std::uint8_t>(message.idempotency_key, kMaxKeyBytes);
     writer.text<std::uint32_t>(message.body, kMaxBodyBytes);
     return writer.finish();
@@ -184,7 +184,7 @@
   reader.number(message.size_sixteenth_kb);
   reader.number(message.age_us);
   reader.number(message.remaining_us);
-  reader.flag(message.lookup_only);
+  reader.flag(message.is_lookup_only);
   reader.require(message.attempt != 0 && message.request != 0);
   reader.text<std::uint8_t>(message.idempotency_key, kMaxKeyBytes);
   reader.text<std::uint32_t>(message.body, kMaxBodyBytes);
--- a/src/wire/tier.h
+++ b/src/wire/tier.h
@@ -45,7 +45,7 @@
   std::uint32_t size_sixteenth_kb = 0;        // 1/16 kB
   std::uint32_t age_us = 0;                   // since the request arrived at the forwarder
   std::uint32_t remaining_us = kNoTimeLimit;  // that its caller goes on waiting
-  bool lookup_only = false;                   // runs nothing: asks what is remembered of the key
+  bool is_lookup_only = false;                // runs nothing: asks what is remembered of the key
   std::string idempotency_key;
   std::string body;
 };
--- a/standins/hollow.cpp
+++ b/standins/hollow.cpp
@@ -34,7 +34,7 @@
   template <typename Work>
   void run(Work&& work) {
     std::promise<void> done;
-    reactor.post_from_elsewhere([&] {
+    reactor.post_from_other_thread([&] {
       work();
       done.set_value();
     });
@@ -57,7 +57,7 @@
 HollowMembers::~HollowMembers() {
   for (const auto& worker : workers_) {
     worker->run([&] { worker->members.clear(); });
-    worker->reactor.post_from_elsewhere([&] { worker->reactor.stop(); });
+    worker->reactor.post_from_other_thread([&] { worker->reactor.stop(); });
     worker->thread.join();
   }
 }
@@ -75,7 +75,7 @@
   seeds.insert(seeds.end(), options_.seeds.begin(), options_.seeds.end());
   for (int i = 0; i < options_.count; ++i) {
     Worker* worker = workers_[static_cast<std::size_t>(i) % workers_.size()].get();
-    worker->reactor.post_from_elsewhere([this, worker, i, seeds] {
+    worker->reactor.post_from_other_thread([this, worker, i, seeds] {
       worker->reactor.after(i / options_.starts_per_second,
                             [this, worker, i, seeds] { start_member(*worker, i, seeds); });
     });
--- a/tests/ajp.cpp
+++ b/tests/ajp.cpp
@@ -89,8 +89,8 @@
   request("cping", bare::cping());
   request("what servers send", bare::packet("\x05\x01"));
   request("nothing", bare::packet(""));
-  const auto framing = [](const char* what, std::string_view input, std::size_t most = wa::kUsualPacket,
-                          wa::From from = wa::From::kGateway) {
+  const auto framing = [](const char* what, std::string_view input,
+                          std::size_t most = wa::kDefaultPacketBytes, wa::From from = wa::From::kGateway) {
     fmt::print("{}: {}\n", what, name_of(wa::next_packet(input, from, most).state));
   };
   framing("a packet", sound);
--- a/tests/compatibility/wire_messages_test.cpp
+++ b/tests/compatibility/wire_messages_test.cpp
@@ -81,19 +81,19 @@
   EXPECT_EQ(all.caller, 3u);
   EXPECT_FALSE(all.is_notification);
   EXPECT_TRUE(all.has_id && all.has_request_id && all.has_subject && all.has_idempotency_key);
-  EXPECT_FALSE(all.wants_work);
+  EXPECT_FALSE(all.requires_self_test);
   EXPECT_TRUE(all.is_retry);
 
   const RpcRequest least = decoded("least_params");
   EXPECT_EQ(least.id, 43u);
   EXPECT_EQ(least.method, "avail-read");
-  EXPECT_FALSE(least.has_subject || least.has_idempotency_key || least.is_retry || least.wants_work);
+  EXPECT_FALSE(least.has_subject || least.has_idempotency_key || least.is_retry || least.requires_self_test);
   EXPECT_EQ(least.client_timeout_ms, 0);
 
   const RpcRequest work = decoded("work_param");
   EXPECT_EQ(work.work_ms, 8);
 
-  EXPECT_TRUE(decoded("probe").wants_work);
+  EXPECT_TRUE(decoded("probe").requires_self_test);
   EXPECT_TRUE(decoded("notification").is_notification);
   EXPECT_EQ(recorded.size(), 5u);
 }
@@ -137,13 +137,13 @@
   EXPECT_EQ(decoded("end_unknown").end, RunEnd::kUnknown);
 
   const Notice wants = decoded("wants");
-  EXPECT_EQ(wants.kind, NoticeKind::kCallWanted);
+  EXPECT_EQ(wants.kind, NoticeKind::kCallRequested);
   EXPECT_EQ(wants.number, 7u);
   EXPECT_EQ(wants.body, "question");
   EXPECT_EQ(decoded("load").gauges, (std::vector<double>{0.5, 3, 0.25, 17}));
   EXPECT_EQ(decoded("load").tag, 4u);
-  EXPECT_TRUE(decoded("verdict_good").is_good);
-  EXPECT_FALSE(decoded("verdict_bad").is_good);
+  EXPECT_TRUE(decoded("verdict_good").has_passed);
+  EXPECT_FALSE(decoded("verdict_bad").has_passed);
   EXPECT_EQ(decoded("nack").kind, NoticeKind::kRejection);
   EXPECT_EQ(decoded("nack").command, "start");
   EXPECT_EQ(decoded("info").kind, NoticeKind::kRemark);
@@ -206,7 +206,7 @@
   submit.idempotency_key = "key-1";
   submit.body = "body";
   Submit question = submit;
-  question.lookup_only = true;
+  question.is_lookup_only = true;
   std::map<std::string, Message> messages = {{"hello_planner", planner},
                                              {"hello_forwarder", forwarder},
                                              {"submit", submit},
@@ -278,7 +278,7 @@
   for (const auto& [name, message] : gateway_messages()) encoded[name] = encode(message);
   expect_recorded("ajp_gateway.txt", encoded);
   for (const auto& [name, bytes] : recorded_messages("ajp_gateway.txt")) {
-    const Packet packet = next_packet(bytes, From::kGateway, kUsualPacket);
+    const Packet packet = next_packet(bytes, From::kGateway, kDefaultPacketBytes);
     ASSERT_EQ(packet.state, Framing::kPacket) << name;
     const std::optional<FromGateway> message = decode_from_gateway(packet.payload);
     ASSERT_TRUE(message.has_value()) << name;
@@ -292,7 +292,7 @@
   for (const auto& [name, message] : server_messages()) encoded[name] = encode(message);
   expect_recorded("ajp_server.txt", encoded);
   for (const auto& [name, bytes] : recorded_messages("ajp_server.txt")) {
-    const Packet packet = next_packet(bytes, From::kServer, kUsualPacket);
+    const Packet packet = next_packet(bytes, From::kServer, kDefaultPacketBytes);
     ASSERT_EQ(packet.state, Framing::kPacket) << name;
     const std::optional<FromServer> message = decode_from_server(packet.payload);
     ASSERT_TRUE(message.has_value()) << name;
@@ -304,8 +304,9 @@
   using namespace wire::ajp;
   expect_recorded("ajp_body.txt", {{"piece", encode_body("hello")}, {"end", encode_body_end()}});
   const Messages recorded = recorded_messages("ajp_body.txt");
-  EXPECT_EQ(decode_body(next_packet(recorded.at("piece"), From::kGateway, kUsualPacket).payload), "hello");
-  EXPECT_EQ(decode_body(next_packet(recorded.at("end"), From::kGateway, kUsualPacket).payload), "");
+  EXPECT_EQ(decode_body(next_packet(recorded.at("piece"), From::kGateway, kDefaultPacketBytes).payload),
+            "hello");
+  EXPECT_EQ(decode_body(next_packet(recorded.at("end"), From::kGateway, kDefaultPacketBytes).payload), "");
 }
 
 // ---- Members.
--- a/tests/control.cpp
+++ b/tests/control.cpp
@@ -123,8 +123,8 @@
       for (const int one_fd : waiting)
         std::printf("who asks nothing for a second: '%s'\n", rest_of(one_fd).c_str());
       std::printf("and then: %s\n", said(folder, {"hello", "again"}).c_str());
-      reactor.post_from_elsewhere([&] { refused("a second process in the same folder"); });
-      reactor.post_from_elsewhere([&] { reactor.stop(); });
+      reactor.post_from_other_thread([&] { refused("a second process in the same folder"); });
+      reactor.post_from_other_thread([&] { reactor.stop(); });
     });
     reactor.run();
     asker.join();
--- a/tests/net/listener_test.cpp
+++ b/tests/net/listener_test.cpp
@@ -90,7 +90,7 @@
   stepped.run_for([&] {
     const auto until = std::chrono::steady_clock::now() + kPatience;
     while (is_open && std::chrono::steady_clock::now() < until) {
-      stepped.reactor.post_from_elsewhere([&] { is_open = listener.is_open(); });
+      stepped.reactor.post_from_other_thread([&] { is_open = listener.is_open(); });
       std::this_thread::sleep_for(kNewcomerCost);
     }
   });
--- a/tests/results/results_store.cpp
+++ b/tests/results/results_store.cpp
@@ -307,7 +307,7 @@
     // Shared, because the reactor may still be in the task's call when the result arrives here.
     const auto task = std::make_shared<std::packaged_task<decltype(function())()>>(std::move(function));
     auto result = task->get_future();
-    reactor_.post_from_elsewhere([task] { (*task)(); });
+    reactor_.post_from_other_thread([task] { (*task)(); });
     return result.get();
   }
 
--- a/tests/stages.cpp
+++ b/tests/stages.cpp
@@ -51,7 +51,7 @@
   void skip_call(RequestId id, std::uint64_t notice) override {
     std::printf("  runtime: omit %d, notice %d\n", number(id), number(notice));
   }
-  void on_run_over(RequestId id) override { std::printf("  runtime: %d is over\n", number(id)); }
+  void forget_run(RequestId id) override { std::printf("  runtime: %d is over\n", number(id)); }
   void self_test(std::uint64_t tag) override { std::printf("  runtime: self test %d\n", number(tag)); }
   void request_gauges() override {}
   Gauges gauges(double) const override { return {}; }
@@ -65,7 +65,9 @@
 };
 
 struct RecordedRoster : peers::RegistryPort {
-  void report(bool takes_work) override { std::printf("  roster: %s\n", takes_work ? "on" : "off"); }
+  void report(bool is_accepting_requests) override {
+    std::printf("  roster: %s\n", is_accepting_requests ? "on" : "off");
+  }
 };
 
 StartSettings site(Preemption halt) {
--- a/tests/stepped_reactor.h
+++ b/tests/stepped_reactor.h
@@ -29,7 +29,7 @@
     if (!thread_.joinable()) thread_ = std::thread([this] { reactor.run(); });
     release();
     meanwhile();
-    reactor.post_from_elsewhere([this] { stand_still(); });
+    reactor.post_from_other_thread([this] { stand_still(); });
     std::unique_lock guard(lock_);
     changed_.wait(guard, [this] { return stands_still_; });
   }
--- a/tests/tier/dispatch_traces.cpp
+++ b/tests/tier/dispatch_traces.cpp
@@ -17,8 +17,8 @@
 
 // ---- A forwarder's acts, told one by one.
 struct Told : DispatchSink {
-  void send(int planner, Attempt attempt, RequestId request, double left, bool known_only) override {
-    std::printf("  %s op %d as %d to p%d, %.2f s left\n", known_only ? "ask about" : "send",
+  void send(int planner, Attempt attempt, RequestId request, double left, bool is_lookup_only) override {
+    std::printf("  %s op %d as %d to p%d, %.2f s left\n", is_lookup_only ? "ask about" : "send",
                 static_cast<int>(request), static_cast<int>(attempt), planner, left);
   }
   void cancel(int planner, Attempt attempt) override {
--- a/tests/tier/fault_history.h
+++ b/tests/tier/fault_history.h
@@ -121,9 +121,9 @@
                                kKeyWindowSeconds + 2 * kLongestWaitSeconds};
       return options;
     }
-    void send(int planner, Attempt attempt, RequestId request, double left, bool known_only) override {
+    void send(int planner, Attempt attempt, RequestId request, double left, bool is_lookup_only) override {
       wt::Submit submit;
-      submit.lookup_only = known_only;
+      submit.is_lookup_only = is_lookup_only;
       submit.attempt = attempt;
       submit.request = request;
       submit.remaining_us = static_cast<std::uint32_t>(left * kMicrosecondsPerSecond);
@@ -195,7 +195,7 @@
   void planner_hears_submit(Planner& planner, const Link& link, const wt::Submit& submit);
   // Whether the request may run: its key is not known yet, and it is no lookup. Otherwise it is answered, or
   // waits for the run of its key.
-  bool reserve_key(Planner& planner, const Held& held, bool lookup_only);
+  bool reserve_key(Planner& planner, const Held& held, bool is_lookup_only);
   void run_more(int p);
   void start_run(int p, const Held& held);
   void end_run(int p, std::uint64_t epoch, const Held& held);
--- a/tests/tier/fault_history_planners.cpp
+++ b/tests/tier/fault_history_planners.cpp
@@ -107,8 +107,8 @@
   if (planner.open.contains(submit.request)) return tell(planner, held, wt::Result::kFailed);
   if (planner.manner == Manner::kRejections) return tell(planner, held, wt::Result::kRejected);
   if (requests_[held.request].mark != 0) {
-    if (!reserve_key(planner, held, submit.lookup_only)) return;
-  } else if (submit.lookup_only) {
+    if (!reserve_key(planner, held, submit.is_lookup_only)) return;
+  } else if (submit.is_lookup_only) {
     fail(fmt::format("op {} has no key and was asked about", held.request));
   }
   planner.open[held.request] = held;
@@ -116,7 +116,7 @@
   run_more(link.planner);
 }
 
-bool History::reserve_key(Planner& planner, const Held& held, bool lookup_only) {
+bool History::reserve_key(Planner& planner, const Held& held, bool is_lookup_only) {
   const std::uint64_t mark = requests_[held.request].mark;
   const auto known = planner.memory.find(mark);
   const bool over = known != planner.memory.end() && known->second.state > Memory::kRunning &&
@@ -132,7 +132,7 @@
     }
     return false;
   }
-  if (lookup_only) {
+  if (is_lookup_only) {
     tell(planner, held, wt::Result::kKeyUnknown);
     return false;
   }
--- a/tests/wire.cpp
+++ b/tests/wire.cpp
@@ -91,7 +91,7 @@
     if (r.has_request_id) std::printf(", txn %s", format_id(r.request_id).c_str());
     if (r.has_subject) std::printf(", item %s", format_id(r.subject).c_str());
     std::printf(", door %.0f, limit %.0f, caller %u, %.1f kB, probe %d, body '%s'", r.received_at_ms,
-                r.client_timeout_ms, r.caller, r.size_kb, r.wants_work, shown(r.body).c_str());
+                r.client_timeout_ms, r.caller, r.size_kb, r.requires_self_test, shown(r.body).c_str());
     if (r.work_ms > 0) std::printf(", work %.1f ms", r.work_ms);
   }
   std::printf("\n");
@@ -170,7 +170,7 @@
     std::printf(
         ", number %llu, id %s, end %d, cold %d, ms %.1f, tag %llu, good %d, command '%s', body '%s', gauges",
         static_cast<unsigned long long>(n.number), format_id(n.id).c_str(), static_cast<int>(n.end),
-        n.is_cold, n.ms, static_cast<unsigned long long>(n.tag), n.is_good, std::string(n.command).c_str(),
+        n.is_cold, n.ms, static_cast<unsigned long long>(n.tag), n.has_passed, std::string(n.command).c_str(),
         shown(n.body).c_str());
     for (const double value : n.gauges) std::printf(" %.2f", value);
   }
