--- a/fuzz/control_lines.cpp
+++ b/fuzz/control_lines.cpp
@@ -8,20 +8,20 @@
 extern "C" int LLVMFuzzerTestOneInput(const unsigned char* data, std::size_t size) {
   using namespace damsonspoke::control;
   const std::string_view input(reinterpret_cast<const char*>(data), size);
-  const Request request = read_request(input);
-  if (request.state == Reading::kComplete) {
-    const Request again = read_request(encode_request(request.words));
-    if (again.state != Reading::kComplete || again.words != request.words) std::abort();
+  const Query request = parse_query(input);
+  if (request.state == ParseStatus::kComplete) {
+    const Query again = parse_query(encode_query(request.tokens));
+    if (again.state != ParseStatus::kComplete || again.tokens != request.tokens) std::abort();
   }
   for (std::size_t n = 0; n < size && n < 300; ++n) {
-    const Request part = read_request(input.substr(0, n));
-    if (part.state == Reading::kComplete && part.words != request.words) std::abort();
+    const Query part = parse_query(input.substr(0, n));
+    if (part.state == ParseStatus::kComplete && part.tokens != request.tokens) std::abort();
   }
-  const Answer answer = read_answer(input);
-  if (answer.text.size() > kMaxAnswerBytes) std::abort();
-  if (answer.state == Reading::kComplete && answer.good) {
-    const Answer again = read_answer(encode_answer(answer.text));
-    if (again.state != Reading::kComplete || again.text != answer.text) std::abort();
+  const Response answer = parse_response(input);
+  if (answer.text.size() > kMaxResponseBytes) std::abort();
+  if (answer.state == ParseStatus::kComplete && answer.is_ok) {
+    const Response again = parse_response(encode_response(answer.text));
+    if (again.state != ParseStatus::kComplete || again.text != answer.text) std::abort();
   }
   return 0;
 }
--- a/src/app/backend.cpp
+++ b/src/app/backend.cpp
@@ -7,9 +7,9 @@
 
 #include "app/deferred_signals.h"
 #include "app/forwarder.h"
-#include "app/leaving.h"
+#include "app/idempotency_key_options.h"
 #include "app/limits.h"
-#include "app/marks.h"
+#include "app/shutdown_timing.h"
 #include "peers/combined_server.h"
 #include "peers/json_rpc/server.h"
 #include "peers/tier/forwarder_server.h"
--- a/src/app/catalog_command.cpp
+++ b/src/app/catalog_command.cpp
@@ -112,7 +112,7 @@
 int catalog_command(const cxxopts::ParseResult& flags) {
   const std::string action = flags.count("action") > 0 ? flags["action"].as<std::string>() : "";
   if (action == "show") {
-    fmt::print("{}", control::ask(control_folder(flags), {"catalog"}, kControlTimeoutSeconds));
+    fmt::print("{}", control::send_query(control_folder(flags), {"catalog"}, kControlTimeoutSeconds));
     return kDone;
   }
   if (action == "check") return check(choose_folder(flags));
--- a/src/app/catalog_watch.cpp
+++ b/src/app/catalog_watch.cpp
@@ -69,8 +69,8 @@
 void CatalogWatch::step() {
   const double begin = net::monotonic_now();
   const catalog::Follower::State state = follower_->step(kStepSeconds);
-  counters_.most(Count::kCatalogMostUs,
-                 static_cast<std::uint64_t>((net::monotonic_now() - begin) * kMicrosecondsPerSecond));
+  counters_.update_max(Count::kCatalogMaxStepUs,
+                       static_cast<std::uint64_t>((net::monotonic_now() - begin) * kMicrosecondsPerSecond));
   log_messages();
   reactor_.cancel(timer_);
   if (state == catalog::Follower::State::kWorking) timer_ = reactor_.after(kPauseSeconds, [this] { step(); });
@@ -99,7 +99,7 @@
   counters_.set(Count::kCatalogTenants, catalog_->tenant_count());
   counters_.set(Count::kCatalogBytes, catalog_->memory_bytes());
   counters_.set(Count::kCatalogApplied, counts.applied);
-  counters_.set(Count::kCatalogRefused, counts.rejected);
+  counters_.set(Count::kCatalogRejected, counts.rejected);
   counters_.set(Count::kCatalogSnapshots, counts.snapshots);
 }
 
--- a/src/app/conns_command.cpp
+++ b/src/app/conns_command.cpp
@@ -24,8 +24,8 @@
 
 int conns_command(const cxxopts::ParseResult& flags) {
   const auto max_clients = flags["limit"].as<std::size_t>();
-  fmt::print("{}", control::ask(control_folder(flags), {"conns", std::to_string(max_clients)},
-                                kControlTimeoutSeconds));
+  fmt::print("{}", control::send_query(control_folder(flags), {"conns", std::to_string(max_clients)},
+                                       kControlTimeoutSeconds));
   return kDone;
 }
 
--- a/src/app/forwarder.cpp
+++ b/src/app/forwarder.cpp
@@ -4,9 +4,9 @@
 #include <random>
 
 #include "app/deferred_signals.h"
-#include "app/leaving.h"
+#include "app/idempotency_key_options.h"
 #include "app/limits.h"
-#include "app/marks.h"
+#include "app/shutdown_timing.h"
 #include "net/address.h"
 
 namespace damsonspoke {
--- a/src/app/members_command.cpp
+++ b/src/app/members_command.cpp
@@ -24,7 +24,7 @@
   if (flags.count("json") > 0) question.emplace_back("json");
   const bool watch = flags.count("watch") > 0;
   for (;;) {
-    const std::string answer = control::ask(folder, question, kPatience);
+    const std::string answer = control::send_query(folder, question, kPatience);
     if (watch && ::isatty(STDOUT_FILENO) != 0) fmt::print("\033[H\033[2J");
     fmt::print("{}", answer);
     std::fflush(stdout);
--- a/src/control/lines.cpp
+++ b/src/control/lines.cpp
@@ -16,25 +16,25 @@
 
 }  // namespace
 
-Request read_request(std::string_view input) {
-  const std::size_t end = input.substr(0, kMaxRequestBytes).find('\n');
+Query parse_query(std::string_view input) {
+  const std::size_t end = input.substr(0, kMaxQueryBytes).find('\n');
   if (end == std::string_view::npos)
-    return {input.size() >= kMaxRequestBytes ? Reading::kMalformed : Reading::kNeedMore, {}};
+    return {input.size() >= kMaxQueryBytes ? ParseStatus::kMalformed : ParseStatus::kNeedMore, {}};
   const std::string_view line = input.substr(0, end);
-  Request out{Reading::kComplete, {}};
+  Query out{ParseStatus::kComplete, {}};
   for (std::size_t at = 0; at < line.size();) {
     const std::size_t blank = std::min(line.find(' ', at), line.size());
-    if (blank > at) out.words.emplace_back(line.substr(at, blank - at));
+    if (blank > at) out.tokens.emplace_back(line.substr(at, blank - at));
     at = blank + 1;
   }
-  if (out.words.empty() || out.words.size() > kMaxWords || !is_printable(line))
-    return {Reading::kMalformed, {}};
+  if (out.tokens.empty() || out.tokens.size() > kMaxWords || !is_printable(line))
+    return {ParseStatus::kMalformed, {}};
   return out;
 }
 
-std::string encode_request(const std::vector<std::string>& words) {
+std::string encode_query(const std::vector<std::string>& tokens) {
   std::string out;
-  for (const std::string& word : words) {
+  for (const std::string& word : tokens) {
     if (!out.empty()) out += ' ';
     out += word;
   }
@@ -42,37 +42,37 @@
   return out;
 }
 
-Answer read_answer(std::string_view input) {
+Response parse_response(std::string_view input) {
   const std::size_t end = input.find('\n');
   if (input.substr(0, kError.size()) == kError) {
     if (end == std::string_view::npos)
-      return {input.size() > kMaxAnswerBytes ? Reading::kMalformed : Reading::kNeedMore, false, {}};
-    return {Reading::kComplete, false, std::string(input.substr(kError.size(), end - kError.size()))};
+      return {input.size() > kMaxResponseBytes ? ParseStatus::kMalformed : ParseStatus::kNeedMore, false, {}};
+    return {ParseStatus::kComplete, false, std::string(input.substr(kError.size(), end - kError.size()))};
   }
   if (end == std::string_view::npos)
-    return {input.size() > kMaxHeadBytes ? Reading::kMalformed : Reading::kNeedMore, false, {}};
-  if (input.substr(0, kOk.size()) != kOk) return {Reading::kMalformed, false, {}};
+    return {input.size() > kMaxHeadBytes ? ParseStatus::kMalformed : ParseStatus::kNeedMore, false, {}};
+  if (input.substr(0, kOk.size()) != kOk) return {ParseStatus::kMalformed, false, {}};
   std::size_t length = 0;
   const char* first = input.data() + kOk.size();
   const char* last = input.data() + end;
   const auto read = std::from_chars(first, last, length);
-  if (read.ec != std::errc() || read.ptr != last || first == last || length > kMaxAnswerBytes)
-    return {Reading::kMalformed, false, {}};
-  if (input.size() - end - 1 < length) return {Reading::kNeedMore, false, {}};
-  return {Reading::kComplete, true, std::string(input.substr(end + 1, length))};
+  if (read.ec != std::errc() || read.ptr != last || first == last || length > kMaxResponseBytes)
+    return {ParseStatus::kMalformed, false, {}};
+  if (input.size() - end - 1 < length) return {ParseStatus::kNeedMore, false, {}};
+  return {ParseStatus::kComplete, true, std::string(input.substr(end + 1, length))};
 }
 
-std::string encode_answer(std::string_view text) {
-  if (text.size() > kMaxAnswerBytes) {
-    const std::size_t line = text.substr(0, kMaxAnswerBytes).rfind('\n');
-    text = text.substr(0, line == std::string_view::npos ? kMaxAnswerBytes : line + 1);
+std::string encode_response(std::string_view text) {
+  if (text.size() > kMaxResponseBytes) {
+    const std::size_t line = text.substr(0, kMaxResponseBytes).rfind('\n');
+    text = text.substr(0, line == std::string_view::npos ? kMaxResponseBytes : line + 1);
   }
   return std::string(kOk) + std::to_string(text.size()) + "\n" + std::string(text);
 }
 
 std::string encode_error(std::string_view text) {
   std::string out(kError);
-  for (const char c : text.substr(0, kMaxRequestBytes)) out += c == '\n' ? ' ' : c;
+  for (const char c : text.substr(0, kMaxQueryBytes)) out += c == '\n' ? ' ' : c;
   return out + "\n";
 }
 
--- a/src/control/server.cpp
+++ b/src/control/server.cpp
@@ -102,7 +102,7 @@
   const std::uint64_t tag = next_tag_++;
   OpenQuery& query = queries_[tag];
   query.connection = net::Connection::accepted(reactor_, *this, accepted.fd,
-                                               {kMaxRequestBytes, 2 * kMaxAnswerBytes, nullptr});
+                                               {kMaxQueryBytes, 2 * kMaxResponseBytes, nullptr});
   query.connection->tag = tag;
   query.timeout = reactor_.after(kQueryTimeoutSeconds, [this, tag] {
     const auto found = queries_.find(tag);
@@ -114,7 +114,7 @@
   const auto found = answerers_.find(words.front());
   if (found == answerers_.end()) return encode_error("'" + words.front() + "' is not answered here");
   try {
-    return encode_answer(found->second(words));
+    return encode_response(found->second(words));
   } catch (const std::exception& error) {
     return encode_error(error.what());
   }
@@ -123,14 +123,14 @@
 std::size_t Server::on_input(net::Connection& connection, std::string_view bytes) {
   const auto found = queries_.find(connection.tag);
   if (found == queries_.end() || found->second.answered) return bytes.size();
-  const Request request = read_request(bytes);
-  if (request.state == Reading::kNeedMore) return 0;
+  const Query request = parse_query(bytes);
+  if (request.state == ParseStatus::kNeedMore) return 0;
   found->second.answered = true;
-  if (request.state == Reading::kMalformed) {
+  if (request.state == ParseStatus::kMalformed) {
     log_.debug("control", "a question that can't be read");
     connection.send(encode_error("no question: one line of words"));
   } else {
-    connection.send(answer(request.words));
+    connection.send(answer(request.tokens));
   }
   if (connection.waiting() == 0) connection.end();
   return bytes.size();
@@ -150,7 +150,7 @@
   queries_.erase(found);
 }
 
-std::string ask(const std::string& folder, const std::vector<std::string>& words, double seconds) {
+std::string send_query(const std::string& folder, const std::vector<std::string>& words, double seconds) {
   const std::string path = socket_in(folder);
   Socket socket;
   const timeval timeout{static_cast<time_t>(seconds),
@@ -159,16 +159,16 @@
   ::setsockopt(socket.fd, SOL_SOCKET, SO_SNDTIMEO, &timeout, sizeof timeout);
   if (connect_to(path, socket.fd) != 0)
     throw std::runtime_error("nobody answers at '" + path + "': " + std::strerror(errno));
-  const std::string query = encode_request(words);
+  const std::string query = encode_query(words);
   std::string in;
   if (::send(socket.fd, query.data(), query.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(query.size())) {
     char bytes[16384];
     for (ssize_t got = 0; (got = ::recv(socket.fd, bytes, sizeof bytes, 0)) > 0;) {
       in.append(bytes, static_cast<std::size_t>(got));
-      const Answer answer = read_answer(in);
-      if (answer.state == Reading::kMalformed) break;
-      if (answer.state == Reading::kNeedMore) continue;
-      if (!answer.good) throw std::runtime_error(answer.text);
+      const Response answer = parse_response(in);
+      if (answer.state == ParseStatus::kMalformed) break;
+      if (answer.state == ParseStatus::kNeedMore) continue;
+      if (!answer.is_ok) throw std::runtime_error(answer.text);
       return answer.text;
     }
   }
--- a/src/control/server.h
+++ b/src/control/server.h
@@ -56,6 +56,6 @@
 std::string socket_in(const std::string& folder);
 // Sends a query to a running process and waits for its answer, at most so long. Throws std::runtime_error
 // with one plain line where nobody listens, or no complete answer arrives.
-std::string ask(const std::string& folder, const std::vector<std::string>& words, double seconds);
+std::string send_query(const std::string& folder, const std::vector<std::string>& words, double seconds);
 
 }  // namespace damsonspoke::control
--- a/src/observability/counters.h
+++ b/src/observability/counters.h
@@ -23,7 +23,9 @@
   // For gauges: the present value.
   void set(Count counter, std::uint64_t value_now) { value(counter) = value_now; }
   // Raises the counter to the value where that is higher.
-  void most(Count counter, std::uint64_t candidate) { value(counter) = std::max(value(counter), candidate); }
+  void update_max(Count counter, std::uint64_t candidate) {
+    value(counter) = std::max(value(counter), candidate);
+  }
   std::uint64_t operator[](Count counter) const { return values_[static_cast<std::size_t>(counter)]; }
   // All counters, one a line, below the line "counters:".
   [[nodiscard]] std::string report() const;
--- a/src/observability/invariants.h
+++ b/src/observability/invariants.h
@@ -8,9 +8,9 @@
 namespace damsonspoke {
 
 // Returns whether the invariant holds, so that a release build can take the safe way where it does not.
-inline bool must_hold(bool holds, Counters& counters) {
+inline bool check_invariant(bool holds, Counters& counters) {
   assert(holds);
-  if (!holds) counters.add(Count::kBroken);
+  if (!holds) counters.add(Count::kInvariantsBroken);
   return holds;
 }
 
--- a/src/peers/ajp/dependency_client.cpp
+++ b/src/peers/ajp/dependency_client.cpp
@@ -212,15 +212,15 @@
 
 // Nothing on the link can be trusted any more.
 void AjpDependencyClient::close_broken(Link& link, std::string_view reason) {
-  counters_.add(Count::kBelowBad);
+  counters_.add(Count::kDependencyInvalid);
   log_.warn("dependency", "{}, connection closed", reason);
   link.is_retired = true;
   link.connection->close(net::CloseReason::kBroken);
 }
 
 void AjpDependencyClient::on_connected(net::Connection& connection) {
-  counters_.add(Count::kBelowLinks);
-  counters_.most(Count::kBelowMost, links_.size());
+  counters_.add(Count::kDependencyConnections);
+  counters_.update_max(Count::kDependencyMaxOpen, links_.size());
   Link& link = links_.at(connection.tag);
   link.state = State::kIdle;
   link.idle_since = net::monotonic_now();
@@ -314,7 +314,7 @@
   const auto call = calls_.find(id);
   if (id == 0 || call == calls_.end()) return dispatch_waiting();
   if (call->second.may_be_sent) {
-    counters_.add(Count::kBelowBroken);
+    counters_.add(Count::kDependencyBroken);
     log_.warn("dependency", "connection lost with a call in flight");
     return finish_call(id, Outcome::kReset, {});
   }
--- a/src/peers/ajp/server.cpp
+++ b/src/peers/ajp/server.cpp
@@ -139,7 +139,7 @@
       return bytes.size();
     }
   }
-  counters_.add(Count::kBytesIn, used);
+  counters_.add(Count::kCallersBytesIn, used);
   return used;
 }
 
@@ -259,7 +259,7 @@
   if (!client.connection->open()) return;
   const std::string bytes = wa::encode(message);
   client.connection->send(bytes);
-  if (client.connection->open()) counters_.add(Count::kBytesOut, bytes.size());
+  if (client.connection->open()) counters_.add(Count::kCallersBytesOut, bytes.size());
 }
 
 void AjpServer::respond(Client& client, std::uint16_t status, std::vector<wa::Header> headers,
@@ -288,7 +288,7 @@
 
 // Answers without a request. Where a body may still follow, nothing after it is read.
 void AjpServer::refuse(Client& client, std::uint16_t status, bool body_may_follow) {
-  counters_.add(Count::kAjpRefused);
+  counters_.add(Count::kAjpRejected);
   client.mapped = {};
   respond(client, status, {}, {}, !body_may_follow && !is_draining_);
 }
@@ -398,13 +398,13 @@
                              (client.is_message_overdue(now) || admission_.is_input_too_slow(client, now));
   const double idle_seconds = now - client.last_traffic_at;
   if (is_input_late) {
-    counters_.add(Count::kHalfClosed);
+    counters_.add(Count::kCallersIncomplete);
     admission_.penalize(client, conns::Penalty::kIncompleteRequest);
     refuse(client, http_status::kRequestTimeout, true);
   } else if (!is_idle(client)) {
     return;  // what lies unread is read first
   } else if (!client.has_requested && idle_seconds > kFirstRequestTimeoutSeconds) {
-    counters_.add(Count::kSilentClosed);
+    counters_.add(Count::kCallersSilent);
     admission_.penalize(client, conns::Penalty::kSilent);
     connection.end();
   } else if (idle_seconds > options_.idle) {
--- a/src/peers/connection_admission.cpp
+++ b/src/peers/connection_admission.cpp
@@ -39,7 +39,7 @@
   return address;
 }
 
-std::size_t configured_connections(const GateOptions& options, std::size_t max_connections) {
+std::size_t configured_connections(const ConnectionAdmissionOptions& options, std::size_t max_connections) {
   return options.connections == 0 ? max_connections : std::min(max_connections, options.connections);
 }
 
@@ -55,7 +55,7 @@
 
 }  // namespace
 
-ConnectionAdmission::ConnectionAdmission(net::Reactor& reactor, const GateOptions& options,
+ConnectionAdmission::ConnectionAdmission(net::Reactor& reactor, const ConnectionAdmissionOptions& options,
                                          std::size_t max_connections, const std::vector<double>& shares,
                                          std::vector<double> priority_weights, Counters& counters,
                                          Logger& log)
@@ -121,7 +121,7 @@
   known_clients_file_->write(conns::encode_known_clients(known_clients_.entries()));
 }
 
-void ConnectionAdmission::reconfigure(const GateOptions& options) {
+void ConnectionAdmission::reconfigure(const ConnectionAdmissionOptions& options) {
   if (options.known_folder != options_.known_folder || options.enabled != options_.enabled)
     log_.warn("admission", "enabled and known-folder take effect at the next start only");
   const std::string folder = options_.known_folder;
@@ -141,7 +141,7 @@
       limiter_.admit(tag, listener, from, net::monotonic_now(), net::unix_now(), accepted.scarce);
   if (accepted.scarce) on_descriptor_shortage();
   if (!result.is_admitted) {
-    counters_.add(Count::kCallersTurnedAway);
+    counters_.add(Count::kCallersRejected);
     reject(listeners_[listener], accepted, result.retry_after);
     return false;
   }
@@ -196,7 +196,7 @@
 // The process has no descriptor left, whatever the limits say: the table shrinks to what is open, less a few
 // that other parts of the process need. Otherwise the reserve for known clients could not be used.
 void ConnectionAdmission::on_descriptor_shortage() {
-  counters_.add(Count::kGateScarce);
+  counters_.add(Count::kAdmissionLastDescriptor);
   const double now = net::monotonic_now();
   const std::size_t open = limiter_.open_count();
   if (last_shortage_at_ < 0 || now - last_shortage_at_ > kShortageSeconds) {
@@ -236,7 +236,7 @@
 }
 
 void ConnectionAdmission::penalize(std::uint64_t tag, conns::Penalty penalty) {
-  counters_.add(Count::kGateWasted);
+  counters_.add(Count::kAdmissionPenalties);
   limiter_.penalize(tag, penalty, net::monotonic_now());
 }
 
--- a/src/peers/connection_admission.h
+++ b/src/peers/connection_admission.h
@@ -36,9 +36,9 @@
 
   // `max_connections`: that the limits of the process allow; `shares`: the guaranteed share of each listener;
   // `priority_weights`: by route.
-  ConnectionAdmission(net::Reactor& reactor, const GateOptions& options, std::size_t max_connections,
-                      const std::vector<double>& shares, std::vector<double> priority_weights,
-                      Counters& counters, Logger& log);
+  ConnectionAdmission(net::Reactor& reactor, const ConnectionAdmissionOptions& options,
+                      std::size_t max_connections, const std::vector<double>& shares,
+                      std::vector<double> priority_weights, Counters& counters, Logger& log);
   ~ConnectionAdmission();
   ConnectionAdmission(const ConnectionAdmission&) = delete;
   ConnectionAdmission& operator=(const ConnectionAdmission&) = delete;
@@ -53,7 +53,7 @@
   // Writes the list now, for a process that is about to end.
   void save_known_clients();
   // Applies new limits; connections beyond them are evicted over the next checks.
-  void reconfigure(const GateOptions& options);
+  void reconfigure(const ConnectionAdmissionOptions& options);
 
   // True: the listener owns the connection, whose answers are charged to output_pool(tag). False: the client
   // was told so and the socket is closed.
@@ -104,7 +104,7 @@
   void evict_excess();
 
   net::Reactor& reactor_;
-  GateOptions options_;
+  ConnectionAdmissionOptions options_;
   const std::size_t max_connections_;
   const std::vector<double> priority_weights_;
   Counters& counters_;
--- a/src/peers/dependency/client.cpp
+++ b/src/peers/dependency/client.cpp
@@ -166,15 +166,15 @@
 }
 
 void DependencyClient::on_connected(net::Connection& connection) {
-  counters_.add(Count::kBelowLinks);
-  counters_.most(Count::kBelowMost, links_.size());
+  counters_.add(Count::kDependencyConnections);
+  counters_.update_max(Count::kDependencyMaxOpen, links_.size());
   for (const RequestId id : links_.at(connection.tag).calls) calls_.at(id).may_be_sent = true;
 }
 
 // After an invalid reply nothing on the link can be trusted: it is closed, and the end of its calls proves
 // nothing.
 void DependencyClient::close_broken(Link& link, std::string_view reason) {
-  counters_.add(Count::kBelowBad);
+  counters_.add(Count::kDependencyInvalid);
   log_.warn("dependency", "{}, connection closed", reason);
   link.connection->close(net::CloseReason::kBroken);
 }
@@ -183,7 +183,7 @@
   const auto found = calls_.find(id);
   if (found != calls_.end() && found->second.link == tag) return finish_call(id, outcome, body);
   // A second copy, or a reply to nothing: ignored, but the link takes no new call.
-  counters_.add(Count::kBelowLate);
+  counters_.add(Count::kDependencyLate);
   Link& link = links_.at(tag);
   link.is_retired = true;
   if (link.calls.empty()) link.connection->close();
@@ -230,7 +230,7 @@
   links_.erase(found);
   if (calls.empty()) return;
   if (why != net::CloseReason::kRefused) {
-    counters_.add(Count::kBelowBroken);
+    counters_.add(Count::kDependencyBroken);
     log_.warn("dependency", "connection lost with {} calls in flight", calls.size());
   }
   for (const RequestId id : calls) {
--- a/src/peers/json_rpc/request_builder.cpp
+++ b/src/peers/json_rpc/request_builder.cpp
@@ -30,7 +30,7 @@
                                                           const catalog::Catalog& catalog,
                                                           const IdempotencyKeyOptions& keys) {
   const int route = catalog.find_route(message.method);
-  if (route < 0) return RequestError{Count::kBadTypes, wire::RpcError::kMethod, "unknown op type"};
+  if (route < 0) return RequestError{Count::kBadRoutes, wire::RpcError::kMethod, "unknown op type"};
   if (const auto error = check_key(message, catalog.route(route), keys)) return *error;
   // A request of an unknown tenant would use up another tenant's quota.
   const int tenant = catalog.find_tenant(message.tenant);
--- a/src/peers/json_rpc/server.cpp
+++ b/src/peers/json_rpc/server.cpp
@@ -59,7 +59,7 @@
                                 {kMaxInputBytes, kMaxOutputBytes, admission_.output_pool(tag)}),
       net::monotonic_now());
   counters_.add(Count::kCallersAccepted);
-  counters_.most(Count::kCallersMost, clients_.size());
+  counters_.update_max(Count::kCallersMaxOpen, clients_.size());
   if (is_draining_) announce_drain(client);
 }
 
@@ -130,13 +130,13 @@
     if (!read_frame(*client, frame.body)) return bytes.size();
     if (connection.waiting() > kPauseReadingBytes) {
       connection.pause_reading(true);
-      counters_.add(Count::kBytesIn, used);
+      counters_.add(Count::kCallersBytesIn, used);
       return used;
     }
   }
   if (used < bytes.size() && !client->is_message_incomplete())
     client->start_message(net::monotonic_now(), bytes.size() - used);
-  counters_.add(Count::kBytesIn, used);
+  counters_.add(Count::kCallersBytesIn, used);
   return used;
 }
 
@@ -147,7 +147,7 @@
   update_busy(client);
   if (client.invalid_messages < kMaxInvalidMessages) return true;
   admission_.penalize(client, conns::Penalty::kInvalidRequests);
-  counters_.add(Count::kFaultsClosed);
+  counters_.add(Count::kCallersInvalid);
   refuse_input(client, wire::encode_error(0, wire::RpcError::kRequest, "too many of no use"));
   return false;
 }
@@ -196,7 +196,7 @@
   }
   if (is_number_in_use) return send_error(client, 0, {Count::kBadIds, wire::RpcError::kRequest, "id in use"});
   if (client.requests.size() >= kMaxOpenRequests) {
-    counters_.add(Count::kTooMany);
+    counters_.add(Count::kBadTooMany);
     return send(client, wire::encode_rejection(message.id, 0, false));
   }
   const bool has_bad_params = problem == wire::RpcProblem::kBadParams;
@@ -234,7 +234,7 @@
 void JsonRpcServer::send(Client& client, const std::string& text) {
   if (!client.connection->open()) return;
   client.connection->send(text);
-  if (client.connection->open()) counters_.add(Count::kBytesOut, text.size());
+  if (client.connection->open()) counters_.add(Count::kCallersBytesOut, text.size());
 }
 
 void JsonRpcServer::answer(ReplyAddress reply_to, const std::string& text, bool is_success) {
@@ -332,7 +332,7 @@
     return client.connection->close(net::CloseReason::kOverflow);
   }
   if (!client.is_message_incomplete() || !admission_.is_input_too_slow(client, now)) return;
-  counters_.add(Count::kHalfClosed);
+  counters_.add(Count::kCallersIncomplete);
   admission_.penalize(client, conns::Penalty::kIncompleteRequest);
   client.finish_message();
   refuse_input(client, wire::encode_error(0, wire::RpcError::kParse, "too slow"));
@@ -345,11 +345,11 @@
     admission_.penalize(client, conns::Penalty::kSlowTransfer);
     connection.close(net::CloseReason::kOverflow);
   } else if (!client.has_requested && idle_seconds > kFirstRequestTimeoutSeconds && is_idle(client)) {
-    counters_.add(Count::kSilentClosed);
+    counters_.add(Count::kCallersSilent);
     admission_.penalize(client, conns::Penalty::kSilent);
     connection.end();
   } else if (client.is_message_overdue(now)) {
-    counters_.add(Count::kHalfClosed);
+    counters_.add(Count::kCallersIncomplete);
     admission_.penalize(client, conns::Penalty::kIncompleteRequest);
     client.finish_message();
     refuse_input(client, wire::encode_error(0, wire::RpcError::kParse, "not whole in time"));
@@ -364,7 +364,7 @@
 void JsonRpcServer::announce_drain(Client& client) {
   if (client.drain_announced_at >= 0) return;
   client.drain_announced_at = net::monotonic_now();
-  counters_.add(Count::kCallersAsked);
+  counters_.add(Count::kCallersDrained);
   send(client, wire::encode_drain_notice());
 }
 
--- a/src/peers/listener_admission.cpp
+++ b/src/peers/listener_admission.cpp
@@ -10,7 +10,7 @@
 Count counter_of(net::CloseReason why) {
   switch (why) {
     case net::CloseReason::kOrderly: return Count::kCallersClosed;
-    case net::CloseReason::kOverflow: return Count::kSlowPeers;
+    case net::CloseReason::kOverflow: return Count::kBadSlowPeers;
     case net::CloseReason::kRefused:
     case net::CloseReason::kBroken: break;
   }
@@ -38,7 +38,7 @@
     if (limits_.quota != nullptr) limits_.quota->on_opened(limits_.listener);
     return true;
   }
-  counters_.add(Count::kCallersTurnedAway);
+  counters_.add(Count::kCallersRejected);
   net::LingeringClose::begin(reactor_, accepted.fd);
   return false;
 }
@@ -86,7 +86,7 @@
 bool ListenerAdmission::try_read(net::Connection& connection) {
   if (limits_.quota == nullptr || limits_.quota->try_read(limits_.listener, net::monotonic_now()))
     return true;
-  counters_.add(Count::kReadsHeld);
+  counters_.add(Count::kQuotaReadsDelayed);
   connection.pause_reading_until(limits_.quota->next_period_at());
   return false;
 }
--- a/src/peers/members/transport.cpp
+++ b/src/peers/members/transport.cpp
@@ -111,13 +111,13 @@
   try {
     const Poco::Net::SocketAddress parsed = net::parse_address(address);
     if (!is_allowed(parsed)) {
-      counters_.add(Count::kMembersStrangers);
+      counters_.add(Count::kMembersUnknownSenders);
       return nullptr;
     }
     if (resolved_addresses_.size() >= kMaxResolvedAddresses) resolved_addresses_.clear();
     return &resolved_addresses_.emplace(address, parsed).first->second;
   } catch (const std::exception&) {
-    counters_.add(Count::kMembersBad);
+    counters_.add(Count::kMembersInvalid);
     return nullptr;
   }
 }
@@ -170,13 +170,13 @@
   if (received < 0) return false;
   const Poco::Net::SocketAddress source(reinterpret_cast<const sockaddr*>(&from), size);
   if (!is_allowed(source)) {
-    counters_.add(Count::kMembersStrangers);
+    counters_.add(Count::kMembersUnknownSenders);
     return true;
   }
   const wm::DecodedMessage decoded =
       wm::decode(options_.cluster, {buffer.data(), static_cast<std::size_t>(received)});
   if (decoded.error != wm::DecodeError::kNone) {
-    counters_.add(Count::kMembersBad);
+    counters_.add(Count::kMembersInvalid);
     log_.debug("members", "invalid datagram from {}: {}", source.toString(), wm::text_of(decoded.error));
     return true;
   }
@@ -222,7 +222,7 @@
   const net::BufferLimits limits{kPushPullBufferBytes, kPushPullBufferBytes, nullptr};
   auto connection = net::Connection::accepted(reactor_, *this, accepted.fd, limits);
   const bool is_known_network = is_allowed(source);
-  if (!is_known_network) counters_.add(Count::kMembersStrangers);
+  if (!is_known_network) counters_.add(Count::kMembersUnknownSenders);
   const bool has_capacity = push_pulls_.size() < 2 * kMaxPushPulls;
   PushPull& push_pull = add_push_pull(std::move(connection), false);
   if (!is_known_network || !has_capacity) push_pull.connection->close(net::CloseReason::kBroken);
@@ -243,14 +243,14 @@
   if (push_pull == nullptr || push_pull->is_complete) return bytes.size();
   const wm::DecodedPushPull decoded = wm::decode_push_pull(options_.cluster, bytes);
   if (decoded.error != wm::DecodeError::kNone) {
-    counters_.add(Count::kMembersBad);
+    counters_.add(Count::kMembersInvalid);
     log_.debug("members", "invalid push-pull: {}", wm::text_of(decoded.error));
     connection.close(net::CloseReason::kBroken);
     return bytes.size();
   }
   if (!decoded.is_complete) return 0;
   push_pull->is_complete = true;
-  counters_.add(Count::kMembersExchanges);
+  counters_.add(Count::kMembersPushPulls);
   const double now = net::monotonic_now();
   const bool is_initiator = push_pull->is_initiator;
   if (!is_initiator) send_records(connection, now);
@@ -304,7 +304,7 @@
   counters_.set(Count::kMembersDeaths, counts.deaths);
   counters_.set(Count::kMembersPauses, counts.pauses);
   counters_.set(Count::kMembersRefuted, counts.refutations);
-  counters_.set(Count::kMembersThere, view_.alive_count() + 1);
+  counters_.set(Count::kMembersAlive, view_.alive_count() + 1);
 }
 
 std::vector<MemberStatus> MembershipTransport::known_members() const {
--- a/src/peers/registry/reporter.cpp
+++ b/src/peers/registry/reporter.cpp
@@ -34,7 +34,7 @@
 }
 
 void RegistryReporter::send() {
-  if (datagrams_.send(wire::encode_report(name_, takes_work_))) counters_.add(Count::kRosterReports);
+  if (datagrams_.send(wire::encode_report(name_, takes_work_))) counters_.add(Count::kRegistryReports);
   report_timer_ = reactor_.after(kReportSeconds, [this] { send(); });
 }
 
--- a/src/peers/runtime/client.cpp
+++ b/src/peers/runtime/client.cpp
@@ -190,7 +190,7 @@
     const wire::NoticeRead read = wire::next_notice(bytes.substr(used));
     if (read.state == wire::LineState::kNeedMore) break;
     if (read.state == wire::LineState::kBroken) {
-      counters_.add(Count::kRuntimeBad);
+      counters_.add(Count::kRuntimeInvalid);
       log_.warn("runtime", "invalid framing, reconnecting");
       connection.close(net::CloseReason::kBroken);
       break;
@@ -213,11 +213,11 @@
     case wire::NoticeKind::kSelfTestResult: return events_.on_self_test_result(notice.tag, notice.has_passed);
     case wire::NoticeKind::kRejection: return handle_rejection(notice);
     case wire::NoticeKind::kRemark:
-      counters_.add(Count::kRuntimeInfos);
+      counters_.add(Count::kRuntimeRemarks);
       if (notice.number == last_notice_ + 1) last_notice_ = notice.number;  // any other is ignored
       return;
     case wire::NoticeKind::kUnknown:
-      counters_.add(Count::kRuntimeBad);
+      counters_.add(Count::kRuntimeInvalid);
       log_.warn("runtime", "unknown notice");
       return;
   }
@@ -229,7 +229,7 @@
   // late to be seen.
   if (number <= synced_notice_ && ledger_.is_new_start(id)) on_restart();
   if (number <= last_notice_) {
-    counters_.add(Count::kRuntimeRepeats);
+    counters_.add(Count::kRuntimeDuplicates);
     return false;
   }
   if (number != last_notice_ + 1) {
@@ -277,7 +277,7 @@
 // notices must not pass for duplicates, requests must not wait for runs that are lost, and what the former
 // process ran must not be started a second time.
 void RuntimeClient::on_restart() {
-  counters_.add(Count::kRuntimeAnew);
+  counters_.add(Count::kRuntimeRestarts);
   log_.warn("runtime", "restarted, its runs are lost");
   last_notice_ = 0;
   synced_notice_ = 0;
@@ -308,7 +308,7 @@
   if (gauges_requested_at_ < 0 || notice.tag != gauges_tag_) return;
   const double now = net::monotonic_now();
   const double wait_us = (now - gauges_requested_at_) * kUsPerSecond;
-  counters_.most(Count::kGaugesMostUs, static_cast<std::uint64_t>(wait_us));
+  counters_.update_max(Count::kGaugesMaxDelayUs, static_cast<std::uint64_t>(wait_us));
   process_.on_answer(gauges_requested_at_);
   link_alive_at_ = gauges_requested_at_;
   gauges_requested_at_ = -1;
@@ -407,7 +407,7 @@
 }
 
 void RuntimeClient::self_test(std::uint64_t tag) {
-  counters_.add(Count::kSelfTests);
+  counters_.add(Count::kChecksSelfTests);
   if (is_synchronized_) write(wire::encode_self_test(tag));
 }
 
--- a/src/peers/tier/forwarder_server.cpp
+++ b/src/peers/tier/forwarder_server.cpp
@@ -87,7 +87,7 @@
 void ForwarderServer::on_accept(const net::Accepted& accepted) {
   const int fd = accepted.fd;
   if (static_cast<int>(links_.size()) >= limits_.links) {
-    counters_.add(Count::kCallersTurnedAway);
+    counters_.add(Count::kCallersRejected);
     ::close(fd);
     return;
   }
@@ -98,7 +98,7 @@
   link.connection->tag = tag;
   link.last_message_at = net::monotonic_now();
   counters_.add(Count::kCallersAccepted);
-  counters_.most(Count::kCallersMost, links_.size());
+  counters_.update_max(Count::kCallersMaxOpen, links_.size());
 }
 
 std::size_t ForwarderServer::on_input(net::Connection& connection, std::string_view bytes) {
@@ -122,7 +122,7 @@
       return bytes.size();
     }
   }
-  counters_.add(Count::kBytesIn, used);
+  counters_.add(Count::kCallersBytesIn, used);
   return used;
 }
 
@@ -148,7 +148,7 @@
   for (auto& [tag, link] : links_) {
     const double timeout = link.forwarder == 0 ? kHelloTimeoutSeconds : kSilenceTimeoutSeconds;
     if (!link.connection->open() || now - link.last_message_at <= timeout) continue;
-    counters_.add(Count::kSilentClosed);
+    counters_.add(Count::kCallersSilent);
     log_.warn("forwarders", "{}: timed out, link closed", link.name);
     link.connection->close(net::CloseReason::kBroken);
   }
@@ -164,7 +164,7 @@
   if (!link.connection->open()) return;
   const std::string bytes = wt::encode(message);
   link.connection->send(bytes);
-  counters_.add(Count::kBytesOut, bytes.size());
+  counters_.add(Count::kCallersBytesOut, bytes.size());
 }
 
 // ---- Messages.
@@ -237,7 +237,7 @@
   const int route = link.route_of(submit);
   const SubmitResult result = sessions_.submit(link.forwarder, submit.attempt, submit.request, route);
   if (result == SubmitResult::kFenced) {
-    counters_.add(Count::kTierFenced);
+    counters_.add(Count::kTierFencedAttempts);
     return;
   }
   const bool has_capacity = result != SubmitResult::kTooMany;
@@ -266,7 +266,7 @@
   refusal.result = wt::Result::kRejected;
   if (!has_capacity) return refusal;
   if (route >= 0) return std::nullopt;
-  counters_.add(Count::kBadTypes);
+  counters_.add(Count::kBadRoutes);
   refusal.no_retry = true;
   return refusal;
 }
@@ -279,7 +279,7 @@
 void ForwarderServer::handle_fence(Link& link, const wt::Fence& fence) {
   const auto result = sessions_.fence(link.forwarder, fence.attempt,
                                       [this](RequestId request) { return events_.has_started(request); });
-  counters_.add(Count::kTierFences);
+  counters_.add(Count::kTierFencesReceived);
   // The request goes first: the proof holds only once nothing can start it any more.
   if (result.abandoned) events_.on_caller_disconnected(*result.abandoned);
   send(link, result.answer);
--- a/src/peers/tier/planner_client.cpp
+++ b/src/peers/tier/planner_client.cpp
@@ -136,7 +136,7 @@
     used += frame.length;
     at(planner).last_message_at = net::monotonic_now();
     if (frame.state == wt::Framing::kBroken || !handle_message(planner, frame.message)) {
-      counters_.add(Count::kTierBad);
+      counters_.add(Count::kTierInvalid);
       log_.warn("planners", "{}: invalid message, reconnecting", at(planner).address);
       connection.close(net::CloseReason::kBroken);
       return bytes.size();
--- a/src/settings/config_validation.cpp
+++ b/src/settings/config_validation.cpp
@@ -83,7 +83,7 @@
   return std::nullopt;
 }
 
-Unsupported check_knowledge(const KnowledgeOptions& knowledge) {
+Unsupported check_knowledge(const StatisticsPersistenceOptions& knowledge) {
   if (knowledge.enabled && knowledge.folder.empty())
     return UnsupportedConfig{"knowledge", "enabled, but no folder is named"};
   return std::nullopt;
--- a/src/settings/operator_options.h
+++ b/src/settings/operator_options.h
@@ -29,7 +29,7 @@
 };
 
 // Section `knowledge`: learned statistics that survive a restart; see src/statistics.
-struct KnowledgeOptions {
+struct StatisticsPersistenceOptions {
   bool enabled = false;
   std::string folder;
   double interval = 0;   // seconds between two records
@@ -68,7 +68,7 @@
 };
 
 // Section `gate`: admission of connections; see src/conns and src/peers/connection_admission.h.
-struct GateOptions {
+struct ConnectionAdmissionOptions {
   bool enabled = false;
   std::size_t connections = 0;  // 0: as many as the process can have
   conns::ConnectionLimiterOptions limiter;
@@ -110,10 +110,10 @@
 struct OperatorOptions {
   CatalogOptions catalog;
   MembersOptions members;
-  GateOptions gate;
+  ConnectionAdmissionOptions gate;
   ControlOptions control;
   ResultsOptions results;
-  KnowledgeOptions knowledge;
+  StatisticsPersistenceOptions knowledge;
   ForwardOptions forward;
   AjpOptions ajp;
 };
--- a/src/settings/operator_values.cpp
+++ b/src/settings/operator_values.cpp
@@ -69,9 +69,9 @@
   return results;
 }
 
-KnowledgeOptions read_knowledge(const OperatorValues& given) {
+StatisticsPersistenceOptions read_knowledge(const OperatorValues& given) {
   const SectionReader section(given, "knowledge");
-  KnowledgeOptions knowledge;
+  StatisticsPersistenceOptions knowledge;
   knowledge.enabled = section.flag("enabled");
   knowledge.folder = section.text("folder");
   knowledge.interval = section.number("interval");
@@ -140,9 +140,9 @@
   return limiter;
 }
 
-GateOptions read_gate(const OperatorValues& given) {
+ConnectionAdmissionOptions read_gate(const OperatorValues& given) {
   const SectionReader section(given, "gate");
-  GateOptions gate;
+  ConnectionAdmissionOptions gate;
   gate.enabled = section.flag("enabled");
   gate.connections = section.integer("connections");
   gate.limiter = read_limiter(section);
--- a/src/stages/admission_driver.cpp
+++ b/src/stages/admission_driver.cpp
@@ -44,9 +44,9 @@
 void AdmissionDriver::on_timer(double scheduled_at, std::uint64_t token) {
   const double now = net::monotonic_now();
   const double late = now - scheduled_at;
-  counters_.add(Count::kWakes);
-  if (late > kLateTimerSeconds) counters_.add(Count::kWakesLate);
-  counters_.most(Count::kWakeMostUs, static_cast<std::uint64_t>(late * kMicrosecondsPerSecond));
+  counters_.add(Count::kTimersFired);
+  if (late > kLateTimerSeconds) counters_.add(Count::kTimersLate);
+  counters_.update_max(Count::kTimersMaxDelayUs, static_cast<std::uint64_t>(late * kMicrosecondsPerSecond));
   const Gauges gauges = peers_.runtime->gauges(now);
   if (gauges.cpu_busy < 0) counters_.add(Count::kGaugesStale);
   controller_->on_timer(now, token, gauges);
--- a/src/stages/command_sender.cpp
+++ b/src/stages/command_sender.cpp
@@ -40,7 +40,7 @@
 }
 
 void CommandSender::skip_call(InFlightRequest& request) {
-  counters_.add(Count::kCallsOmitted);
+  counters_.add(Count::kCallsSkipped);
   request.run = RunStage::kRunning;
   request.call_body.clear();
   peers_.runtime->skip_call(request.id, request.call_notice);
--- a/src/stages/completion_handler.cpp
+++ b/src/stages/completion_handler.cpp
@@ -5,10 +5,10 @@
 
 Count count_of(Outcome outcome) {
   switch (outcome) {
-    case Outcome::kOk: return Count::kRunsComplete;
-    case Outcome::kError: return Count::kRunsError;
+    case Outcome::kOk: return Count::kRunsSucceeded;
+    case Outcome::kError: return Count::kRunsFailed;
     case Outcome::kCancelled: return Count::kRunsCancelled;
-    default: return Count::kRunsUnknown;
+    default: return Count::kRunsNotStarted;
   }
 }
 
--- a/src/stages/decision_executor.cpp
+++ b/src/stages/decision_executor.cpp
@@ -7,7 +7,7 @@
 // The controller decides nothing about requests that are over; a decision that does is counted and ignored.
 InFlightRequest* DecisionExecutor::find(RequestId id) {
   InFlightRequest* request = in_flight_.find(id);
-  must_hold(request != nullptr, counters_);
+  check_invariant(request != nullptr, counters_);
   return request;
 }
 
@@ -43,30 +43,30 @@
 
 void DecisionExecutor::call(RequestId id, double timeout) {
   InFlightRequest* request = find(id);
-  if (request != nullptr && must_hold(request->run == RunStage::kInCall, counters_))
+  if (request != nullptr && check_invariant(request->run == RunStage::kInCall, counters_))
     sender_.call(*request, timeout);
 }
 
 void DecisionExecutor::skip_call(RequestId id) {
   InFlightRequest* request = find(id);
-  if (request != nullptr && must_hold(request->run == RunStage::kInCall, counters_))
+  if (request != nullptr && check_invariant(request->run == RunStage::kInCall, counters_))
     sender_.skip_call(*request);
 }
 
 // Settings under which the controller would decide what nobody carries out are refused at the start
 // (unserved() in settings/config.h), so that none of these comes without its counterpart.
 void DecisionExecutor::remember(RequestId id, double ttl) {
-  if (must_hold(replay_.is_enabled(), counters_)) replay_.remember_key(id, ttl);
+  if (check_invariant(replay_.is_enabled(), counters_)) replay_.remember_key(id, ttl);
 }
 
 void DecisionExecutor::forget(RequestId id) {
-  if (must_hold(replay_.is_enabled(), counters_)) replay_.forget_key(id);
+  if (check_invariant(replay_.is_enabled(), counters_)) replay_.forget_key(id);
 }
 
 void DecisionExecutor::join(RequestId id) {
-  if (must_hold(replay_.is_enabled(), counters_)) replay_.join_original(id);
+  if (check_invariant(replay_.is_enabled(), counters_)) replay_.join_original(id);
 }
 
-void DecisionExecutor::publish_load_feedback(double) { must_hold(false, counters_); }
+void DecisionExecutor::publish_load_feedback(double) { check_invariant(false, counters_); }
 
 }  // namespace damsonspoke::stages
--- a/src/stages/in_flight_requests.cpp
+++ b/src/stages/in_flight_requests.cpp
@@ -22,7 +22,7 @@
 InFlightRequest& InFlightRequests::enter(InFlightRequest request) {
   const RequestId id = request.id;
   counters_.add(Count::kRequestsRead);
-  must_hold(!requests_.contains(id), counters_);
+  check_invariant(!requests_.contains(id), counters_);
   ++unanswered_;
   return requests_[id] = std::move(request);
 }
@@ -36,14 +36,14 @@
 bool InFlightRequests::mark_answered(InFlightRequest& request, Count counter) {
   if (request.answered) return false;
   request.answered = true;
-  must_hold(unanswered_ > 0, counters_);
+  check_invariant(unanswered_ > 0, counters_);
   --unanswered_;
   counters_.add(counter);
   if (log_ != nullptr) {
     log_->debug("request", "{:016x} {} by version {}.{}, route {}", request.id, text_of(counter),
                 request.version.epoch, request.version.sequence, request.route_name);
   }
-  if (counter != Count::kRequestsGone && net::unix_now() > request.deadline)
+  if (counter != Count::kRequestsCallerGone && net::unix_now() > request.deadline)
     counters_.add(Count::kRequestsOverdue);
   return true;
 }
@@ -55,7 +55,7 @@
 
 void InFlightRequests::reject(InFlightRequest& request, double retry_after, bool no_retry) {
   // A rejection says that the request never ran: one that has may only fail.
-  if (!must_hold(request.run == RunStage::kNone, counters_)) return fail(request);
+  if (!check_invariant(request.run == RunStage::kNone, counters_)) return fail(request);
   if (mark_answered(request, Count::kRequestsRejected))
     peers_.callers->answer_rejected(request.reply_to, retry_after, no_retry);
 }
@@ -64,7 +64,9 @@
   if (mark_answered(request, Count::kRequestsFailed)) peers_.callers->answer_failed(request.reply_to, reason);
 }
 
-void InFlightRequests::caller_gone(InFlightRequest& request) { mark_answered(request, Count::kRequestsGone); }
+void InFlightRequests::caller_gone(InFlightRequest& request) {
+  mark_answered(request, Count::kRequestsCallerGone);
+}
 
 std::vector<RequestId> InFlightRequests::at_runtime() const {
   std::vector<RequestId> ids;
--- a/src/stages/request_forwarder.cpp
+++ b/src/stages/request_forwarder.cpp
@@ -171,14 +171,15 @@
   open_.erase(found);
   body_bytes_ -= memory_of(out.request);
   counters_.add(as);
-  if (as != Count::kRequestsGone && net::unix_now() > out.deadline) counters_.add(Count::kRequestsOverdue);
+  if (as != Count::kRequestsCallerGone && net::unix_now() > out.deadline)
+    counters_.add(Count::kRequestsOverdue);
   return out;
 }
 
 void RequestForwarder::on_caller_disconnected(RequestId id) {
   if (!open_.contains(id)) return;
   dispatch_->on_caller_disconnected(id, net::monotonic_now());
-  take_completed(id, Count::kRequestsGone);
+  take_completed(id, Count::kRequestsCallerGone);
 }
 
 void RequestForwarder::on_health_check(peers::ReplyAddress reply_to, bool /*requires_self_test*/) {
@@ -393,18 +394,18 @@
 
 void RequestForwarder::report() {
   const tier::DispatchCounters& c = dispatch_->counters();
-  counters_.set(Count::kTierFirst, c.first_attempts);
-  counters_.set(Count::kTierSecond, c.retries);
-  counters_.set(Count::kTierAsked, c.fences);
-  counters_.set(Count::kTierProven, c.proven_not_run);
-  counters_.set(Count::kTierDropped, c.stale_answers);
-  counters_.set(Count::kTierAdrift, c.disconnected);
+  counters_.set(Count::kTierFirstAttempts, c.first_attempts);
+  counters_.set(Count::kTierRetries, c.retries);
+  counters_.set(Count::kTierProofsRequested, c.fences);
+  counters_.set(Count::kTierProvenNotRun, c.proven_not_run);
+  counters_.set(Count::kTierAnswersDropped, c.stale_answers);
+  counters_.set(Count::kTierDisconnected, c.disconnected);
   counters_.set(Count::kTierLost, c.unprovable_attempts);
-  counters_.set(Count::kTierHere, c.rejected_locally);
+  counters_.set(Count::kTierRejectedLocally, c.rejected_locally);
   counters_.set(Count::kTierEvicted, c.evicted);
   counters_.set(Count::kTierOverdue, c.overdue);
-  counters_.set(Count::kTierQuestions, c.key_lookups);
-  counters_.set(Count::kTierKnown, c.key_lookup_hits);
+  counters_.set(Count::kTierKeyQueries, c.key_lookups);
+  counters_.set(Count::kTierKeyQueriesKnown, c.key_lookup_hits);
   counters_.set(Count::kTierEjections, dispatch_->picker().ejections());
   counters_.set(Count::kTierWaiting, dispatch_->waiting_requests());
   counters_.set(Count::kTierPlanners, ports_.planners->linked_planners());
--- a/src/stages/request_intake.cpp
+++ b/src/stages/request_intake.cpp
@@ -102,8 +102,8 @@
 
 void RequestIntake::count_read_delay(double seconds) {
   const auto microseconds = static_cast<std::uint64_t>(seconds * kMicrosecondsPerSecond);
-  counters_.add(Count::kReadSumUs, microseconds);
-  counters_.most(Count::kReadMostUs, microseconds);
+  counters_.add(Count::kReadsSumDelayUs, microseconds);
+  counters_.update_max(Count::kReadsMaxDelayUs, microseconds);
   if (seconds > kLateReadSeconds) counters_.add(Count::kReadsLate);
 }
 
--- a/src/stages/result_replay.cpp
+++ b/src/stages/result_replay.cpp
@@ -166,7 +166,7 @@
         fail_query(entered);
         return true;
       }
-      counters_.add(Count::kResultsNoRoom);
+      counters_.add(Count::kResultsNoCapacity);
       replies_.reject(entered, lookup.retry_after);
       return true;
   }
@@ -187,7 +187,7 @@
     return true;
   }
   if (identity.kind != EntryKind::kKeyed || is_store_ready) return false;
-  counters_.add(Count::kResultsNoStore);
+  counters_.add(Count::kResultsStoreUnavailable);
   replies_.reject(request, store_->retry_after(now));
   return true;
 }
@@ -201,14 +201,14 @@
 // ---- Decisions of the admission controller.
 
 void ResultReplay::remember_key(RequestId id, double ttl) {
-  if (!must_hold(candidate_ && candidate_->id == id, counters_)) return;
+  if (!check_invariant(candidate_ && candidate_->id == id, counters_)) return;
   const RequestIdentity& identity = candidate_->identity;
   const double now = net::monotonic_now();
   const bool is_remembered =
       cache_.reserve(now, id, identity.key, identity.fingerprint, identity.kind, now + ttl);
-  if (is_remembered) counters_.add(Count::kResultsKept);
+  if (is_remembered) counters_.add(Count::kResultsRemembered);
   // look_up() has just found capacity for a keyed request; a shared read need not be remembered.
-  must_hold(is_remembered || identity.kind == EntryKind::kSharedRead, counters_);
+  check_invariant(is_remembered || identity.kind == EntryKind::kSharedRead, counters_);
 }
 
 void ResultReplay::forget_key(RequestId id) {
@@ -216,9 +216,9 @@
 }
 
 void ResultReplay::join_original(RequestId id) {
-  if (!must_hold(candidate_ && candidate_->id == id, counters_)) return;
+  if (!check_invariant(candidate_ && candidate_->id == id, counters_)) return;
   const results::Key key = candidate_->identity.key;
-  counters_.add(Count::kResultsJoined);
+  counters_.add(Count::kResultsCoalesced);
   switch (cache_.join(id, key)) {
     case JoinOutcome::kCoalesced: return;
     case JoinOutcome::kInMemory:
@@ -251,7 +251,7 @@
   const bool is_keyed = request.route_settings.idempotency == Idempotency::kWithKey;
   if (entry == nullptr) {
     // A keyed request that is not remembered must not run: its duplicates would run again.
-    if (must_hold(!is_keyed, counters_)) return false;
+    if (check_invariant(!is_keyed, counters_)) return false;
     reactor_.post([this, id] { reject_unstarted(id, {}, 0); });
     return true;
   }
@@ -441,7 +441,7 @@
   counters_.set(Count::kResultsEvicted, cache_.evicted_count());
   if (!store_) return;
   const double microseconds = store_->max_commit_seconds() * kMicrosecondsPerSecond;
-  counters_.set(Count::kResultsCommitMostUs, static_cast<std::uint64_t>(microseconds));
+  counters_.set(Count::kResultsMaxCommitUs, static_cast<std::uint64_t>(microseconds));
 }
 
 }  // namespace damsonspoke::stages
--- a/src/stages/statistics_persistence.cpp
+++ b/src/stages/statistics_persistence.cpp
@@ -14,7 +14,8 @@
 
 StatisticsPersistence::StatisticsPersistence(net::Reactor& reactor, const AdmissionDriver& admission,
                                              const StartSettings& site, std::string server_name,
-                                             const KnowledgeOptions& options, Counters& counters, Logger& log)
+                                             const StatisticsPersistenceOptions& options, Counters& counters,
+                                             Logger& log)
     : reactor_(reactor),
       admission_(admission),
       site_(site),
@@ -50,7 +51,7 @@
   statistics::Prior prior = derive_prior(*reading);
   if (!prior.is_usable) return {};
   store_->begin_trial(reading->failed_starts + 1);
-  counters_.add(Count::kKnowledgeUsed);
+  counters_.add(Count::kStatisticsRestored);
   log_.event(Level::kInfo, "knowledge", "starting with learned statistics",
              {{"age_s", net::unix_now() - reading->record->written_at},
               {"share", prior.weight_share},
@@ -91,14 +92,14 @@
   const LearnedStatistics learned = admission_.learned();
   store_->end_trial();
   if (learned.under_pressure) {
-    counters_.add(Count::kKnowledgeSkipped);
+    counters_.add(Count::kStatisticsSkipped);
   } else {
     store_->write(
         encode(statistics::make_record(learned, site_, server_name_, net::unix_now(), began - began_at_)));
-    counters_.add(Count::kKnowledgeWrites);
+    counters_.add(Count::kStatisticsWrites);
   }
   const double microseconds = (net::monotonic_now() - began) * kMicrosecondsPerSecond;
-  counters_.most(Count::kKnowledgeMostUs, static_cast<std::uint64_t>(microseconds));
+  counters_.update_max(Count::kStatisticsMaxWriteUs, static_cast<std::uint64_t>(microseconds));
 }
 
 void StatisticsPersistence::on_drain() {
--- a/src/stages/statistics_persistence.h
+++ b/src/stages/statistics_persistence.h
@@ -21,8 +21,8 @@
 class StatisticsPersistence {
  public:
   StatisticsPersistence(net::Reactor& reactor, const AdmissionDriver& admission, const StartSettings& site,
-                        std::string server_name, const KnowledgeOptions& options, Counters& counters,
-                        Logger& log);
+                        std::string server_name, const StatisticsPersistenceOptions& options,
+                        Counters& counters, Logger& log);
   ~StatisticsPersistence();
   StatisticsPersistence(const StatisticsPersistence&) = delete;
   StatisticsPersistence& operator=(const StatisticsPersistence&) = delete;
@@ -46,7 +46,7 @@
   const AdmissionDriver& admission_;
   const StartSettings& site_;
   const std::string server_name_;
-  const KnowledgeOptions options_;
+  const StatisticsPersistenceOptions options_;
   Counters& counters_;
   Logger& log_;
   double began_at_ = -1;  // monotonic seconds
--- a/standins/hollow.cpp
+++ b/standins/hollow.cpp
@@ -119,7 +119,7 @@
       totals.running += static_cast<int>(worker->members.size());
       for (const auto& [number, member] : worker->members) {
         member->report();
-        const auto alive = static_cast<std::size_t>(worker->counters[Count::kMembersThere]);
+        const auto alive = static_cast<std::size_t>(worker->counters[Count::kMembersAlive]);
         totals.min_alive = totals.min_alive == 0 ? alive : std::min(totals.min_alive, alive);
         totals.max_alive = std::max(totals.max_alive, alive);
         totals.deaths += worker->counters[Count::kMembersDeaths];
--- a/standins/rehearsal_verdict.cpp
+++ b/standins/rehearsal_verdict.cpp
@@ -135,7 +135,8 @@
     if (!one->up) continue;
     nlohmann::json view;
     try {
-      view = nlohmann::json::parse(control::ask(one->server->folder(), {"members", "json"}, kAskPatience));
+      view = nlohmann::json::parse(
+          control::send_query(one->server->folder(), {"members", "json"}, kAskPatience));
     } catch (const std::exception& error) {
       return fmt::format("{} does not tell its view: {}", one->name, error.what());
     }
--- a/tests/compatibility/wire_messages_test.cpp
+++ b/tests/compatibility/wire_messages_test.cpp
@@ -388,16 +388,16 @@
 // ---- The control socket.
 TEST(ControlMessages, AreEncodedAsRecordedAndDecodeAgain) {
   using namespace control;
-  const std::vector<std::string> words = {"members", "show", "all"};
-  expect_recorded("control.txt", {{"request", encode_request(words)},
-                                  {"answer", encode_answer("two\nlines\n")},
+  const std::vector<std::string> tokens = {"members", "show", "all"};
+  expect_recorded("control.txt", {{"request", encode_query(tokens)},
+                                  {"answer", encode_response("two\nlines\n")},
                                   {"error", control::encode_error("no such question")}});
   const Messages recorded = recorded_messages("control.txt");
-  EXPECT_EQ(read_request(recorded.at("request")).words, words);
-  EXPECT_TRUE(read_answer(recorded.at("answer")).good);
-  EXPECT_EQ(read_answer(recorded.at("answer")).text, "two\nlines\n");
-  EXPECT_FALSE(read_answer(recorded.at("error")).good);
-  EXPECT_EQ(read_answer(recorded.at("error")).text, "no such question");
+  EXPECT_EQ(parse_query(recorded.at("request")).tokens, tokens);
+  EXPECT_TRUE(parse_response(recorded.at("answer")).is_ok);
+  EXPECT_EQ(parse_response(recorded.at("answer")).text, "two\nlines\n");
+  EXPECT_FALSE(parse_response(recorded.at("error")).is_ok);
+  EXPECT_EQ(parse_response(recorded.at("error")).text, "no such question");
 }
 
 }  // namespace
--- a/tests/control.cpp
+++ b/tests/control.cpp
@@ -20,8 +20,8 @@
 
 namespace {
 
-const char* text_of(Reading state) {
-  return state == Reading::kComplete ? "whole" : state == Reading::kMalformed ? "broken" : "more";
+const char* text_of(ParseStatus state) {
+  return state == ParseStatus::kComplete ? "whole" : state == ParseStatus::kMalformed ? "broken" : "more";
 }
 
 void lines() {
@@ -30,28 +30,28 @@
        {std::string("conns 20\n"), std::string("  conns   20  \nmore"), std::string("conns"),
         std::string("\n"), std::string("   \n"), std::string("a\tb\n"), std::string("a\x80\n"), words9,
         long_one, long_one.substr(0, 255) + "\n", long_one.substr(0, 256) + "\n"}) {
-    const Request request = read_request(input);
+    const Query request = parse_query(input);
     std::printf("request of %3zu: %s, %zu words\n", input.size(), text_of(request.state),
-                request.words.size());
+                request.tokens.size());
   }
   for (const std::string& input :
        {std::string("ok 5\nhello"), std::string("ok 5\nhell"), std::string("ok 0\n"), std::string("ok \n"),
         std::string("ok -1\n"), std::string("ok 5x\nhello"), std::string("ok 262144\n"),
         std::string("ok 262145\n"), std::string("error no such\n"), std::string("error no such"),
         std::string("hello\n"), long_one}) {
-    const Answer answer = read_answer(input);
+    const Response answer = parse_response(input);
     std::printf("answer %-14.14s: %s, %s, %zu bytes\n", input.substr(0, input.find('\n')).c_str(),
-                text_of(answer.state), answer.good ? "good" : "not good", answer.text.size());
+                text_of(answer.state), answer.is_ok ? "good" : "not good", answer.text.size());
   }
-  const std::string large(kMaxAnswerBytes, 'a');
+  const std::string large(kMaxResponseBytes, 'a');
   std::printf("an answer over the bound is cut at a line's end: %zu\n",
-              read_answer(encode_answer("line\n" + large)).text.size());
+              parse_response(encode_response("line\n" + large)).text.size());
   std::printf("an error is one line: %s", encode_error("two\nlines").c_str());
 }
 
 std::string said(const std::string& folder, const std::vector<std::string>& words) {
   try {
-    return "answer '" + ask(folder, words, 2) + "'";
+    return "answer '" + send_query(folder, words, 2) + "'";
   } catch (const std::exception& error) {
     std::string text = error.what();
     if (const std::size_t at = text.find(folder); at != std::string::npos)
--- a/tests/link_ends.cpp
+++ b/tests/link_ends.cpp
@@ -318,7 +318,7 @@
   }
   // Lets the client run until it has read what it missed, as answered gauges tell it.
   void catches_up() {
-    for (int i = 0; i < 200 && counters[Count::kGaugesMostUs] == 0; ++i) {
+    for (int i = 0; i < 200 && counters[Count::kGaugesMaxDelayUs] == 0; ++i) {
       stepped.run_for(0.01);
       in += BareListener::heard(bare.newest());
       answer_gauges(bare.newest());
--- a/tests/stages.cpp
+++ b/tests/stages.cpp
@@ -135,20 +135,20 @@
   void sums() {
     const auto read = counters[Count::kRequestsRead], succeeded = counters[Count::kRequestsSucceeded],
                rejected = counters[Count::kRequestsRejected], failed = counters[Count::kRequestsFailed],
-               gone = counters[Count::kRequestsGone];
+               gone = counters[Count::kRequestsCallerGone];
     std::printf(
         "read %d = acked %d + nacked %d + failed %d + gone %d + open %d: %s; in the book %d; broken %d\n",
         number(read), number(succeeded), number(rejected), number(failed), number(gone),
         static_cast<int>(in_flight.unanswered()),
         read == succeeded + rejected + failed + gone + in_flight.unanswered() ? "holds" : "does not hold",
-        static_cast<int>(in_flight.size()), number(counters[Count::kBroken]));
+        static_cast<int>(in_flight.size()), number(counters[Count::kInvariantsBroken]));
   }
 
  private:
   StartSettings site_;
   const std::unique_ptr<catalog::Catalog> catalog_ = catalog::Catalog::from_settings(site_, {}, 1);
   ResultsOptions options_;
-  KnowledgeOptions knowledge_;
+  StatisticsPersistenceOptions knowledge_;
   Logger log_{Level::kError};
   RecordedCallers callers_;
   RecordedRuntime runtime_;
