--- a/src/admission/admission_check.cpp
+++ b/src/admission/admission_check.cpp
@@ -6,35 +6,35 @@
 namespace damsonspoke {
 namespace {
 
-constexpr int kProbesPerCore = 1;          // requests that an unhealthy server takes
-constexpr double kFairShare = 0.5;         // of the queued bytes, for one caller or subject
-constexpr double kFinishShare = 0.85;      // of the time left: predictions are means
-constexpr double kLeastWeightShare = 0.5;  // of that time for the lowest weight
+constexpr int kProbesPerCore = 1;             // requests that an unhealthy server takes
+constexpr double kMaxQueuedBytesShare = 0.5;  // of the queued bytes, for one caller or subject
+constexpr double kUsableTimeShare = 0.85;     // of the time left: predictions are means
+constexpr double kMinWeightTimeShare = 0.5;   // of that time for the lowest weight
 
 }  // namespace
 
-std::optional<RejectReason> AdmissionCheck::reject_reason(const Newcomer& newcomer, double now) const {
-  const RequestState& state = newcomer.state;
+std::optional<RejectReason> AdmissionCheck::reject_reason(const NewRequest& new_request, double now) const {
+  const RequestState& state = new_request.state;
   const DrainState& drain = view_.drain;
-  if (drain.draining() && newcomer.arrived_at > drain.notified_at + view_.options.drain_grace)
+  if (drain.draining() && new_request.arrived_at > drain.notified_at + view_.options.drain_grace)
     return RejectReason::kDraining;
   if (state.deadline <= now) return RejectReason::kDeadlinePassed;
   if (!view_.pool.fits(state.request.size_kb)) return RejectReason::kTooLarge;
   if (view_.pool.exhausted() || view_.run_queue.full()) return RejectReason::kNoCapacity;
   if (state.route.idempotency == Idempotency::kWithKey && !view_.keys.has_capacity())
     return RejectReason::kNoKeyCapacity;
-  const int in_service = view_.run_queue.running() + view_.calls.at_calls() + view_.run_queue.size();
+  const int in_service = view_.run_queue.running() + view_.calls.pending_calls() + view_.run_queue.size();
   if (view_.health.unhealthy() && in_service >= kProbesPerCore * view_.options.cores)
     return RejectReason::kUnhealthy;
-  if (!work_waits(now)) return std::nullopt;
+  if (!has_waiting_work(now)) return std::nullopt;
   if (exceeds_fair_share(state.request)) return RejectReason::kNoCapacity;
-  if (view_.statistics.of(state).run_times.empty()) return std::nullopt;
-  if (!newcomer.within_quota) return RejectReason::kNoCapacity;  // beyond it, idle capacity only
-  if (newcomer.queue_wait > queue_time_allowed(state, now)) return RejectReason::kNoCapacity;
+  if (view_.statistics.for_request(state).run_times.empty()) return std::nullopt;
+  if (!new_request.within_quota) return RejectReason::kNoCapacity;  // beyond it, idle capacity only
+  if (new_request.queue_wait > queue_time_allowed(state, now)) return RejectReason::kNoCapacity;
   return std::nullopt;
 }
 
-bool AdmissionCheck::work_waits(double now) const {
+bool AdmissionCheck::has_waiting_work(double now) const {
   return view_.run_queue.size() > 0 || view_.calls.queued() > 0 || view_.run_queue.saturated(now);
 }
 
@@ -53,21 +53,22 @@
     if (request.subject != 0 && other.subject == request.subject) of_subject += other.size_kb;
   }
   if (view_.run_queue.size() < view_.options.cores) return false;
-  return (has_others && of_caller > total * kFairShare) || of_subject > total * kFairShare;
+  return (has_others && of_caller > total * kMaxQueuedBytesShare) ||
+         of_subject > total * kMaxQueuedBytesShare;
 }
 
 // The lower a request's weight against the highest, the shorter the queue that it may join. It is measured by
 // the route with the least time for queueing, or routes with short objectives would pay alone.
 double AdmissionCheck::queue_time_allowed(const RequestState& state, double now) const {
   const double left = state.useful_until - now - view_.estimator.processing_time(state, now);
-  const double share = kLeastWeightShare + (1 - kLeastWeightShare) * state.route.priority_weight /
-                                               view_.directory.highest_priority_weight();
-  if (share >= 1) return kFinishShare * left;
-  return kFinishShare *
+  const double share = kMinWeightTimeShare + (1 - kMinWeightTimeShare) * state.route.priority_weight /
+                                                 view_.directory.highest_priority_weight();
+  if (share >= 1) return kUsableTimeShare * left;
+  return kUsableTimeShare *
          (share * std::min(left, view_.statistics.shortest_queue_time(view_.service_rate.value())));
 }
 
-std::vector<const RequestState*> AdmissionCheck::queued_below(double priority_weight) const {
+std::vector<const RequestState*> AdmissionCheck::queued_with_lower_weight(double priority_weight) const {
   std::vector<const RequestState*> found;
   for (const RequestId id : view_.run_queue.ids()) {
     const RequestState& state = view_.requests.at(id);
@@ -84,18 +85,18 @@
   return found;
 }
 
-std::optional<std::vector<RequestId>> AdmissionCheck::preemptable(const Newcomer& newcomer,
-                                                                  double now) const {
-  const RequestState& state = newcomer.state;
-  if (view_.pool.exhausted() || view_.statistics.of(state).run_times.empty() ||
+std::optional<std::vector<RequestId>> AdmissionCheck::requests_to_preempt(const NewRequest& new_request,
+                                                                          double now) const {
+  const RequestState& state = new_request.state;
+  if (view_.pool.exhausted() || view_.statistics.for_request(state).run_times.empty() ||
       exceeds_fair_share(state.request))
     return std::nullopt;
   const double allowed = queue_time_allowed(state, now);
-  double wait = newcomer.queue_wait;
+  double wait = new_request.queue_wait;
   double weight_left = state.route.priority_weight;
   int queued = view_.run_queue.size();
   std::vector<RequestId> preempted;
-  for (const RequestState* other : queued_below(state.route.priority_weight)) {
+  for (const RequestState* other : queued_with_lower_weight(state.route.priority_weight)) {
     if (wait <= allowed && !view_.run_queue.full_with(queued)) break;
     weight_left -= other->route.priority_weight;
     if (weight_left <= 0) return std::nullopt;
--- a/src/admission/admission_check.h
+++ b/src/admission/admission_check.h
@@ -1,4 +1,4 @@
-// Whether a newcomer is admitted, and which queued requests make place for it.
+// Whether a new_request is admitted, and which queued requests make place for it.
 #pragma once
 
 #include <optional>
@@ -25,8 +25,8 @@
   kUnhealthy,       // an unhealthy server takes only as many requests as show whether it has recovered
 };
 
-// The newcomer as the controller has read it; times are seconds on the controller's clock.
-struct Newcomer {
+// The new_request as the controller has read it; times are seconds on the controller's clock.
+struct NewRequest {
   const RequestState& state;
   double arrived_at = 0;  // at this machine
   double queue_wait = 0;  // predicted
@@ -52,17 +52,18 @@
   };
   explicit AdmissionCheck(const View& view) : view_(view) {}
 
-  // Why the newcomer is rejected; none: it is admitted.
-  [[nodiscard]] std::optional<RejectReason> reject_reason(const Newcomer& newcomer, double now) const;
-  // Queued requests of lower weight that have to go for the newcomer to be in time: the least weight first,
-  // of those the latest. None where that does not suffice, or they weigh more together.
-  [[nodiscard]] std::optional<std::vector<RequestId>> preemptable(const Newcomer& newcomer, double now) const;
+  // Why the new_request is rejected; none: it is admitted.
+  [[nodiscard]] std::optional<RejectReason> reject_reason(const NewRequest& new_request, double now) const;
+  // Queued requests of lower weight that have to go for the new_request to be in time: the least weight
+  // first, of those the latest. None where that does not suffice, or they weigh more together.
+  [[nodiscard]] std::optional<std::vector<RequestId>> requests_to_preempt(const NewRequest& new_request,
+                                                                          double now) const;
 
  private:
-  [[nodiscard]] bool work_waits(double now) const;
+  [[nodiscard]] bool has_waiting_work(double now) const;
   [[nodiscard]] bool exceeds_fair_share(const Request& request) const;
   [[nodiscard]] double queue_time_allowed(const RequestState& state, double now) const;
-  [[nodiscard]] std::vector<const RequestState*> queued_below(double priority_weight) const;
+  [[nodiscard]] std::vector<const RequestState*> queued_with_lower_weight(double priority_weight) const;
 
   const View view_;
 };
--- a/src/admission/byte_pool.cpp
+++ b/src/admission/byte_pool.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr double kCapacityShare = 0.92;  // of memory; the rest is not the controller's to count
-constexpr double kKeyShare = 0.4;        // of memory, for remembered keys: requests need the larger part
+constexpr double kMaxKeyShare = 0.4;     // of memory, for remembered keys: requests need the larger part
 
 }  // namespace
 
@@ -26,7 +26,7 @@
 }
 
 bool BytePool::has_key_capacity() const {
-  return keys_kb_ + key_kb_ <= memory_kb_ * kKeyShare &&
+  return keys_kb_ + key_kb_ <= memory_kb_ * kMaxKeyShare &&
          used_kb_ + keys_kb_ + key_kb_ + largest_size_kb_ * running_size_factor_ <= capacity_kb_;
 }
 
--- a/src/admission/call_concurrency_limit.cpp
+++ b/src/admission/call_concurrency_limit.cpp
@@ -5,8 +5,8 @@
 namespace damsonspoke {
 namespace {
 
-constexpr double kDropFactor = 0.7;
-constexpr double kDropIntervalSeconds = 0.5;
+constexpr double kDecreaseFactor = 0.7;
+constexpr double kMinDecreaseIntervalSeconds = 0.5;
 
 }  // namespace
 
@@ -17,10 +17,10 @@
 }
 
 CallConcurrencyLimit::Change CallConcurrencyLimit::lower(double now) {
-  if (now < next_drop_at_) return Change::kNone;
+  if (now < next_decrease_at_) return Change::kNone;
   const Change change = lowered() ? Change::kNone : Change::kLowered;
-  limit_ = std::max(1.0, limit_ * kDropFactor);
-  next_drop_at_ = now + kDropIntervalSeconds;
+  limit_ = std::max(1.0, limit_ * kDecreaseFactor);
+  next_decrease_at_ = now + kMinDecreaseIntervalSeconds;
   return change;
 }
 
--- a/src/admission/call_concurrency_limit.h
+++ b/src/admission/call_concurrency_limit.h
@@ -22,7 +22,7 @@
  private:
   const double ceiling_;
   double limit_;
-  double next_drop_at_ = 0;  // s
+  double next_decrease_at_ = 0;  // s
 };
 
 }  // namespace damsonspoke
--- a/src/admission/controller.cpp
+++ b/src/admission/controller.cpp
@@ -19,8 +19,8 @@
                                          DecisionSink& sink, double now, const LearnedStatistics& prior,
                                          const RouteDirectory* directory)
     : options_(options),
-      own_directory_(options_),
-      directory_(directory != nullptr ? *directory : own_directory_),
+      fixed_directory_(options_),
+      directory_(directory != nullptr ? *directory : fixed_directory_),
       sink_(sink),
       random_(seed),
       wakeup_(sink),
@@ -43,7 +43,7 @@
   calls_.restore(prior.calls);
   if (prior.returning_share >= 0) idle_connections_.restore(prior.returning_share);
   if (options_.deep_health_checks) sink_.set_health(true, true);
-  signals_.begin(slow_start_.least_speed(now), avoided_by_callers(), directory_.route_count());
+  signals_.initialize(slow_start_.min_speed(now), should_be_avoided(), directory_.route_count());
   wakeup_.schedule(now + kTickSeconds);
 }
 
@@ -61,13 +61,13 @@
 
 void AdmissionController::on_request(double now, const Request& request) {
   advance_to(now);
-  const RequestState state = read(request);
+  const RequestState state = register_arrival(request);
   if (request.duplicate_of != 0 && state.route.idempotency != Idempotency::kNonIdempotent)
     return join_original(state);
   const double queue_wait = estimator_.queue_wait();
   const bool within_quota = !quotas_.enabled() || quotas_.observe(request.tenant, now);
-  const Newcomer newcomer{state, now - request.age, queue_wait, within_quota};
-  const std::optional<RejectReason> reason = check(newcomer);
+  const NewRequest new_request{state, now - request.age, queue_wait, within_quota};
+  const std::optional<RejectReason> reason = check_admission(new_request);
   if (reason) {
     const bool over_quota = !within_quota && *reason == RejectReason::kNoCapacity;
     return reject(request.id, within_quota ? queue_wait : 0, over_quota);
@@ -77,7 +77,7 @@
   start_queued_requests();
 }
 
-RequestState AdmissionController::read(const Request& request) {
+RequestState AdmissionController::register_arrival(const Request& request) {
   RouteStatistics& statistics = statistics_.entry(request.route);
   RequestState state;
   state.request = request;
@@ -95,8 +95,8 @@
   health_.observe_read(request.age, route.latency_objective, now_);
   idle_connections_.observe_caller(request.caller, now_);
   const bool is_retry =
-      request.is_retry ||
-      (request.remaining_timeout > 0 && statistics.timeouts.observe(request.remaining_timeout + request.age));
+      request.is_retry || (request.remaining_timeout > 0 &&
+                           statistics.timeout_detector.observe(request.remaining_timeout + request.age));
   signals_.observe_read(is_retry);
   return is_retry;
 }
@@ -111,7 +111,7 @@
   if (drain_.draining())
     state.deadline = std::min(state.deadline, std::max(now_, drain_.stop_at - kStopMarginSeconds));
   state.useful_until = state.deadline;
-  if (route.late_answer_counts()) return;
+  if (route.has_value_when_late()) return;
   // The objective counts from the first attempt: a retry has spent a part of it, at most what its caller no
   // longer waits.
   double spent = is_retry ? kRetrySpentShare * route.latency_objective : 0;
@@ -122,41 +122,41 @@
 
 // A duplicate never runs beside its original: it waits for that one's outcome.
 void AdmissionController::join_original(const RequestState& state) {
-  RequestState& held = hold(state);
-  held.stage = RequestStage::kAwaitingOriginal;
+  RequestState& tracked = track(state);
+  tracked.stage = RequestStage::kAwaitingOriginal;
   // Its original may have run: it is failed, never rejected.
-  if (pool_.used_kb() > pool_.request_capacity_kb()) return fail(held);
+  if (pool_.used_kb() > pool_.request_capacity_kb()) return fail(tracked);
   sink_.join(state.request.id);
 }
 
-std::optional<RejectReason> AdmissionController::check(const Newcomer& newcomer) {
-  std::optional<RejectReason> reason = check_.reject_reason(newcomer, now_);
-  if (reason == RejectReason::kNoCapacity && newcomer.within_quota) {
-    if (const auto preempted = check_.preemptable(newcomer, now_)) {
+std::optional<RejectReason> AdmissionController::check_admission(const NewRequest& new_request) {
+  std::optional<RejectReason> reason = check_.reject_reason(new_request, now_);
+  if (reason == RejectReason::kNoCapacity && new_request.within_quota) {
+    if (const auto preempted = check_.requests_to_preempt(new_request, now_)) {
       for (const RequestId id : *preempted) reject(id, estimator_.queue_wait(), false);
       reason = std::nullopt;
     }
   }
   // Stale requests also count toward the shortage, rejected or not: they show that reading has fallen behind.
-  const bool short_of_capacity = reason == RejectReason::kNoCapacity ||
-                                 reason == RejectReason::kDeadlinePassed || health_.reads_stale_requests();
-  if (newcomer.within_quota) signals_.observe_capacity(short_of_capacity);
+  const bool lacked_capacity = reason == RejectReason::kNoCapacity ||
+                               reason == RejectReason::kDeadlinePassed || health_.reads_stale_requests();
+  if (new_request.within_quota) signals_.observe_capacity(lacked_capacity);
   if (reason == RejectReason::kNoCapacity) signals_.count_rejection_for_capacity();
   return reason;
 }
 
 void AdmissionController::admit(const RequestState& state) {
-  RequestState& held = hold(state);
-  remember_key(held);
-  run_queue_.push_back(held.request.id);
+  RequestState& tracked = track(state);
+  remember_key(tracked);
+  run_queue_.push_back(tracked.request.id);
 }
 
-RequestState& AdmissionController::hold(const RequestState& state) {
-  RequestState& held = requests_[state.request.id] = state;
-  pool_.charge(held.charged_kb, state.request.size_kb);
-  deadlines_.add(held.deadline, state.request.id);
-  wakeup_.schedule(held.deadline);
-  return held;
+RequestState& AdmissionController::track(const RequestState& state) {
+  RequestState& tracked = requests_[state.request.id] = state;
+  pool_.charge(tracked.charged_kb, state.request.size_kb);
+  deadlines_.add(tracked.deadline, state.request.id);
+  wakeup_.schedule(tracked.deadline);
+  return tracked;
 }
 
 void AdmissionController::remember_key(RequestState& state) {
@@ -175,9 +175,9 @@
 // ---- Starts and ends.
 
 void AdmissionController::start_queued_requests() {
-  while (run_queue_.has_run_capacity(calls_.at_calls(), now_) && start_next_request()) {
+  while (run_queue_.has_run_capacity(calls_.pending_calls(), now_) && start_next_request()) {
   }
-  run_queue_.note_saturation(now_);
+  run_queue_.update_saturation(now_);
 }
 
 // False where none is left that can start now.
@@ -185,9 +185,9 @@
   const std::optional<RequestId> id = run_queue_.most_urgent(now_, calls_.saturated());
   if (!id) return false;
   RequestState& state = requests_.at(*id);
-  if (give_up_late(state)) return true;
+  if (reject_if_late(state)) return true;
   const double running_kb = pool_.running_kb(state.request.size_kb);
-  const bool runs_alone = run_queue_.running() + calls_.at_calls() == 0;
+  const bool runs_alone = run_queue_.running() + calls_.pending_calls() == 0;
   if (!runs_alone && !pool_.has_capacity(state.charged_kb, running_kb)) return false;
   run_queue_.remove(*id);
   pool_.charge(state.charged_kb, running_kb);
@@ -198,7 +198,7 @@
 }
 
 // Rejects a request that can't be in time any more, while others run.
-bool AdmissionController::give_up_late(const RequestState& state) {
+bool AdmissionController::reject_if_late(const RequestState& state) {
   const bool never_ran = state.stage == RequestStage::kQueued && !state.has_run;
   if (!never_ran || run_queue_.running() == 0) return false;
   if (now_ + estimator_.processing_time(state, now_) <= state.useful_until) return false;
@@ -286,16 +286,16 @@
 void AdmissionController::dispatch_calls() {
   for (;;) {
     const DependencyCalls::Next next = calls_.next(now_);
-    if (next.look_again_at) wakeup_.schedule(*next.look_again_at);
+    if (next.check_again_at) wakeup_.schedule(*next.check_again_at);
     if (!next.call) break;
     calls_.begin_call(requests_.at(*next.call), next.reservation, now_);
     sink_.call(*next.call, next.reservation.timeout);
   }
   std::size_t from = 0;
-  while (const auto hopeless = calls_.take_hopeless(from, now_)) {
-    from = hopeless->place;
-    RequestState& state = requests_.at(hopeless->id);
-    hopeless->skip ? skip_call(state) : fail(state);
+  while (const auto late_call = calls_.take_late_call(from, now_)) {
+    from = late_call->index;
+    RequestState& state = requests_.at(late_call->id);
+    late_call->skip ? skip_call(state) : fail(state);
   }
 }
 
@@ -306,7 +306,7 @@
   RequestState& state = found->second;
   const double seconds = now - state.stage_since;
   calls_.end_call(state, outcome == Outcome::kTimeout, now);
-  log_limit_change(calls_.learn(outcome, seconds, now));
+  log_limit_change(calls_.record_outcome(outcome, seconds, now));
   if (outcome == Outcome::kOk)
     run_queue_.begin_run(state, now);
   else
@@ -346,7 +346,7 @@
 void AdmissionController::reject(RequestId id, double queue_wait, bool no_retry) {
   const auto found = requests_.find(id);
   if (found != requests_.end()) keys_.drop(found->second, now_);
-  const double retry_after = signals_.retry_after(queue_wait, avoided_by_callers());
+  const double retry_after = signals_.retry_after(queue_wait, should_be_avoided());
   // Being unhealthy is this server's own fault: others may well have capacity.
   const bool others_lack_capacity = !health_.unhealthy() && (no_retry || signals_.retry_storm());
   sink_.reject(id, retry_after, others_lack_capacity);
@@ -365,13 +365,14 @@
   state.answered = true;
   deadlines_.remove(state.deadline, id);
   calls_.remove(id);
-  const bool holds_no_run = state.stage == RequestStage::kQueued || state.stage == RequestStage::kPaused ||
-                            state.stage == RequestStage::kAwaitingOriginal;
-  if (holds_no_run) return release(id);
+  const bool has_no_active_run = state.stage == RequestStage::kQueued ||
+                                 state.stage == RequestStage::kPaused ||
+                                 state.stage == RequestStage::kAwaitingOriginal;
+  if (has_no_active_run) return release(id);
   // A run with a key goes on for the duplicates that will come: stopped half way, they could not be answered.
-  const bool stops =
+  const bool is_interrupted =
       options_.preemption != Preemption::kOff && state.route.idempotency != Idempotency::kWithKey;
-  if (state.stage == RequestStage::kRunning && stops) sink_.interrupt(id);
+  if (state.stage == RequestStage::kRunning && is_interrupted) sink_.interrupt(id);
 }
 
 void AdmissionController::release(RequestId id) {
@@ -437,8 +438,8 @@
   run_queue_.adjust_run_limit(gauges.cpu_busy, now_);
   health_.tick(idle);
   assess_health();
-  signals_.note_overload();
-  signals_.tick(idle, slow_start_.least_speed(now_), avoided_by_callers(), directory_.route_count());
+  signals_.log_overload_change();
+  signals_.tick(idle, slow_start_.min_speed(now_), should_be_avoided(), directory_.route_count());
   idle_connections_.tick(gauges.runnable - run_queue_.running(), signals_.has_capacity_for_callers());
 }
 
--- a/src/admission/controller.h
+++ b/src/admission/controller.h
@@ -61,19 +61,19 @@
   void advance_to(double now);
 
   // ---- Arrival.
-  RequestState read(const Request& request);
+  RequestState register_arrival(const Request& request);
   bool observe_read(const Request& request, const Route& route, RouteStatistics& statistics);
   void set_deadlines(RequestState& state, bool is_retry) const;
   void join_original(const RequestState& state);
-  std::optional<RejectReason> check(const Newcomer& newcomer);
+  std::optional<RejectReason> check_admission(const NewRequest& new_request);
   void admit(const RequestState& state);
-  RequestState& hold(const RequestState& state);
+  RequestState& track(const RequestState& state);
   void remember_key(RequestState& state);
 
   // ---- Starts and ends.
   void start_queued_requests();
   bool start_next_request();
-  bool give_up_late(const RequestState& state);
+  bool reject_if_late(const RequestState& state);
   void requeue(RequestState& state);
   void learn_from_run(const RequestState& state);
   void assess_health();
@@ -94,10 +94,10 @@
   void answer_overdue_requests();
   void tick(const Gauges& gauges);
   void schedule_next_wakeup();
-  [[nodiscard]] bool avoided_by_callers() const { return health_.unhealthy() || drain_.draining(); }
+  [[nodiscard]] bool should_be_avoided() const { return health_.unhealthy() || drain_.draining(); }
 
   const AdmissionOptions options_;
-  const FixedRouteDirectory own_directory_;
+  const FixedRouteDirectory fixed_directory_;
   const RouteDirectory& directory_;
   DecisionSink& sink_;
   RandomGenerator random_;
--- a/src/admission/dependency_calls.cpp
+++ b/src/admission/dependency_calls.cpp
@@ -6,14 +6,16 @@
 namespace damsonspoke {
 namespace {
 
-constexpr double kAtCallsPerCore = 2;          // beside the run limit: all may return at one moment
+constexpr double kMaxPendingCallsPerCore = 2;  // beside the run limit: all may return at one moment
 constexpr int kMaxAttempts = 3;                // more only add to an overload of the dependency
 constexpr double kFirstBackoffSeconds = 0.05;  // doubled with each attempt, with full jitter on top
 
-double ceiling_of(const AdmissionOptions& options) { return kAtCallsPerCore * options.cores; }
+double max_calls_in_flight(const AdmissionOptions& options) {
+  return kMaxPendingCallsPerCore * options.cores;
+}
 
-double pace_ceiling_of(const AdmissionOptions& options, const CallBudget& budget) {
-  return budget.shared() ? budget.inflow() : ceiling_of(options);
+double max_paced_calls(const AdmissionOptions& options, const CallBudget& budget) {
+  return budget.shared() ? budget.refill_rate() : max_calls_in_flight(options);
 }
 
 }  // namespace
@@ -24,28 +26,28 @@
       requests_(requests),
       statistics_(statistics),
       service_rate_(service_rate),
-      limit_(ceiling_of(options)),
+      limit_(max_calls_in_flight(options)),
       budget_(options),
-      pacer_(pace_ceiling_of(options, budget_)) {}
+      pacer_(max_paced_calls(options, budget_)) {}
 
 void DependencyCalls::advance(double seconds) {
   budget_.refill(seconds);
-  pacer_.advance(seconds, in_flight_, latency_.known() && !latency_.slow(), latency_.recent());
+  pacer_.advance(seconds, in_flight_, latency_.has_samples() && !latency_.slow(), latency_.recent_mean());
 }
 
 DependencyCalls::Next DependencyCalls::next(double now) {
   Next next;
   if (in_flight_ >= static_cast<int>(limit_.value())) return next;
   if (latency_.slow() && pacer_.delay(now) > 0) {
-    if (!queue_.empty()) next.look_again_at = now + std::max(options_.timer_resolution, pacer_.delay(now));
+    if (!queue_.empty()) next.check_again_at = now + std::max(options_.timer_resolution, pacer_.delay(now));
     return next;
   }
-  const std::optional<RequestId> chosen = choose(now);
+  const std::optional<RequestId> chosen = select_call(now);
   if (!chosen) return next;
-  const double timeout = timeout_of(requests_.at(*chosen), now);
+  const double timeout = timeout_for(requests_.at(*chosen), now);
   const std::optional<CallBudget::Reservation> reservation = budget_.reserve(timeout);
   if (!reservation) {
-    next.look_again_at = now + options_.timer_resolution + budget_.seconds_until(timeout);
+    next.check_again_at = now + options_.timer_resolution + budget_.seconds_until_available(timeout);
     return next;
   }
   next.call = chosen;
@@ -55,8 +57,8 @@
 
 // In the order of arrival, but under pressure by priority weight. Of equals the one goes first that has had
 // more calls: they were made in vain without this one.
-std::optional<RequestId> DependencyCalls::choose(double now) const {
-  const bool by_priority = under_pressure();
+std::optional<RequestId> DependencyCalls::select_call(double now) const {
+  const bool by_priority = is_overloaded();
   const RequestState* chosen = nullptr;
   for (const RequestId id : queue_) {
     const RequestState& state = requests_.at(id);
@@ -70,13 +72,13 @@
   return chosen->request.id;
 }
 
-double DependencyCalls::timeout_of(const RequestState& state, double now) const {
+double DependencyCalls::timeout_for(const RequestState& state, double now) const {
   double timeout = state.deadline - now;
   if (state.route.value_without_call > 0) {
-    const double run_time = statistics_.mean_run_time(statistics_.of(state)) / service_rate_.value();
+    const double run_time = statistics_.mean_run_time(statistics_.for_request(state)) / service_rate_.value();
     timeout = state.useful_until - run_time - now;
   }
-  if (latency_.known()) timeout = std::min(timeout, latency_.longest_useful_timeout());
+  if (latency_.has_samples()) timeout = std::min(timeout, latency_.longest_useful_timeout());
   return std::max(options_.timer_resolution, timeout);
 }
 
@@ -92,39 +94,40 @@
   pacer_.call_started(now);
 }
 
-std::optional<DependencyCalls::Hopeless> DependencyCalls::take_hopeless(std::size_t from, double now) {
-  for (std::size_t place = from; place < queue_.size(); ++place) {
-    const RequestState& state = requests_.at(queue_[place]);
-    const double run_time = statistics_.mean_run_time(statistics_.of(state)) / service_rate_.value();
-    const bool skip = state.route.value_without_call > 0 && time_after_call(place, now) < run_time;
+std::optional<DependencyCalls::LateCall> DependencyCalls::take_late_call(std::size_t from, double now) {
+  for (std::size_t index = from; index < queue_.size(); ++index) {
+    const RequestState& state = requests_.at(queue_[index]);
+    const double run_time = statistics_.mean_run_time(statistics_.for_request(state)) / service_rate_.value();
+    const bool skip = state.route.value_without_call > 0 && time_after_call(index, now) < run_time;
     // It can't be in time any more, and others wait for the same scarce calls.
-    const bool fail = under_pressure() && state.useful_until < now + latency_.recent() && !state.answered;
+    const bool fail = is_overloaded() && state.useful_until < now + latency_.recent_mean() && !state.answered;
     if (!skip && !fail) continue;
-    const RequestId id = queue_[place];
-    queue_.erase(queue_.begin() + static_cast<std::ptrdiff_t>(place));
-    return Hopeless{id, place, skip};
+    const RequestId id = queue_[index];
+    queue_.erase(queue_.begin() + static_cast<std::ptrdiff_t>(index));
+    return LateCall{id, index, skip};
   }
   return std::nullopt;
 }
 
-// What would be left of the request's useful time after the call at that place of the queue.
-double DependencyCalls::time_after_call(std::size_t place, double now) const {
-  const RequestState& state = requests_.at(queue_[place]);
+// What would be left of the request's useful time after the call at that index of the queue.
+double DependencyCalls::time_after_call(std::size_t index, double now) const {
+  const RequestState& state = requests_.at(queue_[index]);
   // The mean of many calls lags behind a dependency that has just become slow.
-  const double call_time = latency_.known() ? std::max(latency_.mean(), latency_.recent()) : 0;
+  const double call_time = latency_.has_samples() ? std::max(latency_.mean(), latency_.recent_mean()) : 0;
   const double left = state.useful_until - now - call_time;
-  if (latency_.slow()) return left - (calls_before(place) * slow_interval() + slow_delay(now));
+  if (latency_.slow()) return left - (calls_ahead(index) * slow_interval() + slow_delay(now));
   if (!limit_.lowered()) return left;
-  return left - calls_before(place) * latency_.recent() / (limit_.value() * (1 - latency_.rejected_share()));
+  return left -
+         calls_ahead(index) * latency_.recent_mean() / (limit_.value() * (1 - latency_.rejected_share()));
 }
 
 // How many in the queue go first when priority weight decides.
-double DependencyCalls::calls_before(std::size_t place) const {
-  const double weight = requests_.at(queue_[place]).route.priority_weight;
+double DependencyCalls::calls_ahead(std::size_t index) const {
+  const double weight = requests_.at(queue_[index]).route.priority_weight;
   double before = 0;
   for (std::size_t i = 0; i < queue_.size(); ++i) {
     const double other = requests_.at(queue_[i]).route.priority_weight;
-    if (other > weight || (other == weight && i < place)) before += 1;
+    if (other > weight || (other == weight && i < index)) before += 1;
   }
   return before;
 }
@@ -138,14 +141,15 @@
   state.reserved_call_time = 0;
 }
 
-CallConcurrencyLimit::Change DependencyCalls::learn(Outcome outcome, double seconds, double now) {
+CallConcurrencyLimit::Change DependencyCalls::record_outcome(Outcome outcome, double seconds, double now) {
   using Change = CallConcurrencyLimit::Change;
   latency_.record(outcome, seconds);
   Change raised = Change::kNone;
   if (outcome == Outcome::kOk && !latency_.slow()) raised = limit_.raise();
   // Only signs of overload lower the limit: a dependency that fails quickly is not helped by fewer calls.
-  const bool overloaded = outcome == Outcome::kTimeout || outcome == Outcome::kRejected || latency_.slow();
-  return overloaded ? limit_.lower(now) : raised;
+  const bool shows_overload =
+      outcome == Outcome::kTimeout || outcome == Outcome::kRejected || latency_.slow();
+  return shows_overload ? limit_.lower(now) : raised;
 }
 
 double DependencyCalls::backoff(const RequestState& state, RandomGenerator& random) {
--- a/src/admission/dependency_calls.h
+++ b/src/admission/dependency_calls.h
@@ -32,9 +32,9 @@
   [[nodiscard]] std::size_t queued() const { return queue_.size(); }
   [[nodiscard]] int in_flight() const { return in_flight_; }
   // Requests at calls: waiting for one or in one.
-  [[nodiscard]] int at_calls() const { return static_cast<int>(queue_.size()) + in_flight_; }
+  [[nodiscard]] int pending_calls() const { return static_cast<int>(queue_.size()) + in_flight_; }
   // No more requests that need calls should start: all at calls may want a core at the same moment.
-  [[nodiscard]] bool saturated() const { return at_calls() >= limit_.ceiling(); }
+  [[nodiscard]] bool saturated() const { return pending_calls() >= limit_.ceiling(); }
   // False where this server may make no calls at all.
   [[nodiscard]] bool allowed() const { return budget_.allows_calls(); }
 
@@ -43,45 +43,45 @@
   // call comes first.
   struct Next {
     std::optional<RequestId> call;
-    std::optional<double> look_again_at;
+    std::optional<double> check_again_at;
     CallBudget::Reservation reservation;  // of the call
   };
   [[nodiscard]] Next next(double now);
   void begin_call(RequestState& state, const CallBudget::Reservation& reservation, double now);
 
-  // From that place of the queue on, the first call that could only return too late: it is taken off the
+  // From that index of the queue on, the first call that could only return too late: it is taken off the
   // queue. `skip`: the run goes on without it; otherwise the request fails.
-  struct Hopeless {
+  struct LateCall {
     RequestId id = 0;
-    std::size_t place = 0;
+    std::size_t index = 0;
     bool skip = false;
   };
-  [[nodiscard]] std::optional<Hopeless> take_hopeless(std::size_t from, double now);
+  [[nodiscard]] std::optional<LateCall> take_late_call(std::size_t from, double now);
 
   // ---- Ends of calls.
   // The request's call is over, whatever came of it. `abandoned`: the dependency still works on it.
   void end_call(RequestState& state, bool abandoned, double now);
   // What the end of a call, after so long, tells about the dependency.
-  CallConcurrencyLimit::Change learn(Outcome outcome, double seconds, double now);
+  CallConcurrencyLimit::Change record_outcome(Outcome outcome, double seconds, double now);
   // Backoff before the request's next attempt. Consumes randomness whether there is one or not.
   [[nodiscard]] static double backoff(const RequestState& state, RandomGenerator& random);
   [[nodiscard]] static bool may_retry(const RequestState& state, Outcome outcome, double retry_at);
 
   // ---- For predictions and reports.
   // The dependency is overloaded: important calls go first.
-  [[nodiscard]] bool under_pressure() const { return latency_.slow() || limit_.lowered(); }
+  [[nodiscard]] bool is_overloaded() const { return latency_.slow() || limit_.lowered(); }
   [[nodiscard]] bool limit_lowered() const { return limit_.lowered(); }
   [[nodiscard]] const DependencyLatency& latency() const { return latency_; }
   [[nodiscard]] double concurrency_limit() const { return limit_.value(); }
   // While calls are slow: the time between two calls, and until the next one.
-  [[nodiscard]] double slow_interval() const { return pacer_.interval(latency_.recent()); }
+  [[nodiscard]] double slow_interval() const { return pacer_.interval(latency_.recent_mean()); }
   [[nodiscard]] double slow_delay(double now) const { return pacer_.delay(now); }
 
  private:
-  [[nodiscard]] std::optional<RequestId> choose(double now) const;
-  [[nodiscard]] double timeout_of(const RequestState& state, double now) const;
-  [[nodiscard]] double time_after_call(std::size_t place, double now) const;
-  [[nodiscard]] double calls_before(std::size_t place) const;
+  [[nodiscard]] std::optional<RequestId> select_call(double now) const;
+  [[nodiscard]] double timeout_for(const RequestState& state, double now) const;
+  [[nodiscard]] double time_after_call(std::size_t index, double now) const;
+  [[nodiscard]] double calls_ahead(std::size_t index) const;
 
   const AdmissionOptions& options_;
   const RequestTable& requests_;
--- a/src/admission/dependency_latency.cpp
+++ b/src/admission/dependency_latency.cpp
@@ -9,32 +9,36 @@
 constexpr double kTimeoutFactor = 4;  // x the 95th percentile, or the recent mean
 constexpr double kMedian = 0.5;
 constexpr double kHighQuantile = 0.95;
-constexpr double kMostRejectedShare = 0.9;
-constexpr double kMemoryCalls = 12;
-constexpr double kMemoryCallsFalling = 2;   // a dependency that has recovered shows it in a few calls
-constexpr double kMemoryCallsTimedOut = 4;  // a call that was given up tells more than one that is late
+constexpr double kMaxRejectedShare = 0.9;
+constexpr double kSmoothingCalls = 12;
+constexpr double kSmoothingCallsFalling = 2;   // a dependency that has recovered shows it in a few calls
+constexpr double kSmoothingCallsTimedOut = 4;  // a call that was given up tells more than one that is late
 
 }  // namespace
 
 void DependencyLatency::restore(const LearnedDurations& prior) {
   calls_.restore(prior);
-  recent_ = calls_.mean();
+  recent_mean_ = calls_.mean();
 }
 
 void DependencyLatency::record(Outcome outcome, double seconds) {
   rejected_share_ +=
-      ((outcome == Outcome::kRejected ? kMostRejectedShare : 0) - rejected_share_) / kMemoryCalls;
-  if (outcome == Outcome::kTimeout) recent_ += std::max(0.0, seconds - recent_) / kMemoryCallsTimedOut;
+      ((outcome == Outcome::kRejected ? kMaxRejectedShare : 0) - rejected_share_) / kSmoothingCalls;
+  if (outcome == Outcome::kTimeout)
+    recent_mean_ += std::max(0.0, seconds - recent_mean_) / kSmoothingCallsTimedOut;
   if (outcome != Outcome::kOk) return;
   calls_.add(seconds);
-  recent_ += (seconds - recent_) / (seconds < recent_ ? kMemoryCallsFalling : kMemoryCalls);
+  recent_mean_ +=
+      (seconds - recent_mean_) / (seconds < recent_mean_ ? kSmoothingCallsFalling : kSmoothingCalls);
 }
 
-bool DependencyLatency::slow() const { return known() && recent_ > kSlowFactor * calls_.quantile(kMedian); }
+bool DependencyLatency::slow() const {
+  return has_samples() && recent_mean_ > kSlowFactor * calls_.quantile(kMedian);
+}
 
 double DependencyLatency::longest_useful_timeout() const {
   return std::max(
-      {kLeastTimeoutSeconds, kTimeoutFactor * calls_.quantile(kHighQuantile), kTimeoutFactor * recent_});
+      {kMinTimeoutSeconds, kTimeoutFactor * calls_.quantile(kHighQuantile), kTimeoutFactor * recent_mean_});
 }
 
 }  // namespace damsonspoke
--- a/src/admission/dependency_latency.h
+++ b/src/admission/dependency_latency.h
@@ -15,10 +15,10 @@
   // A call has ended after so long.
   void record(Outcome outcome, double seconds);
 
-  [[nodiscard]] bool known() const { return !calls_.empty(); }
+  [[nodiscard]] bool has_samples() const { return !calls_.empty(); }
   [[nodiscard]] double mean() const { return calls_.mean(); }
   // A mean of the last calls, which shows a change sooner than the mean of all.
-  [[nodiscard]] double recent() const { return recent_; }
+  [[nodiscard]] double recent_mean() const { return recent_mean_; }
   // Calls take much longer than they usually do: the dependency is overloaded.
   [[nodiscard]] bool slow() const;
   // After this a call hardly ever returns.
@@ -26,12 +26,12 @@
   // Share of the recent calls that the dependency has rejected; under 1, since some are accepted.
   [[nodiscard]] double rejected_share() const { return rejected_share_; }
 
-  static constexpr double kLeastTimeoutSeconds =
+  static constexpr double kMinTimeoutSeconds =
       0.25;  // shorter ones would burden a slow dependency with retries
 
  private:
   DurationHistogram calls_;
-  double recent_ = 0;
+  double recent_mean_ = 0;
   double rejected_share_ = 0;
 };
 
--- a/src/admission/health.cpp
+++ b/src/admission/health.cpp
@@ -6,25 +6,25 @@
 namespace {
 
 // Thresholds to become unhealthy, and lower ones to be healthy again, so that it does not flap.
-constexpr double kSlowEnter = 0.9;  // objective use: nothing would be in time
-constexpr double kSlowLeave = 0.6;
-constexpr double kStaleEnter = 1;  // staleness: nothing that is read can be in time
-constexpr double kStaleLeave = 0.3;
-constexpr double kErrorsEnter = 0.35;  // share of the runs
-constexpr int kSuccessesToLeave = 6;   // in a row
-constexpr double kErrorMemoryRuns = 12;
-constexpr double kStalenessMemoryRequests = 8;
-constexpr double kMostStaleness = 1.5;  // that one request counts as
+constexpr double kUnhealthyObjectiveUse = 0.9;  // objective use: nothing would be in time
+constexpr double kRecoveredObjectiveUse = 0.6;
+constexpr double kUnhealthyStaleness = 1;  // staleness: nothing that is read can be in time
+constexpr double kRecoveredStaleness = 0.3;
+constexpr double kUnhealthyErrorShare = 0.35;  // share of the runs
+constexpr int kSuccessesToRecover = 6;         // in a row
+constexpr double kErrorSmoothingRuns = 12;
+constexpr double kStalenessSmoothingRequests = 8;
+constexpr double kMaxStalenessPerRequest = 1.5;  // that one request counts as
 constexpr double kStalenessFadePerTick = 0.97;
-constexpr double kPublishAfterSeconds = 0.5;  // a shorter spell is not published
+constexpr double kPublishDelaySeconds = 0.5;  // a shorter spell is not published
 constexpr double kIdleResetSeconds = 2;
 
 }  // namespace
 
 void HealthMonitor::observe_read(double age, double latency_objective, double now) {
   if (latency_objective > 0) {
-    const double share = std::min(age / latency_objective, kMostStaleness);
-    staleness_ += (share - staleness_) / kStalenessMemoryRequests;
+    const double share = std::min(age / latency_objective, kMaxStalenessPerRequest);
+    staleness_ += (share - staleness_) / kStalenessSmoothingRequests;
   }
   last_read_at_ = now;
 }
@@ -32,7 +32,7 @@
 void HealthMonitor::observe_run(Outcome outcome) {
   if (outcome == Outcome::kOk) ++successes_in_a_row_;
   if (outcome == Outcome::kError) successes_in_a_row_ = 0;
-  error_share_ += ((outcome == Outcome::kError ? 1 : 0) - error_share_) / kErrorMemoryRuns;
+  error_share_ += ((outcome == Outcome::kError ? 1 : 0) - error_share_) / kErrorSmoothingRuns;
 }
 
 void HealthMonitor::tick(bool cores_idle) {
@@ -40,16 +40,17 @@
   staleness_ *= kStalenessFadePerTick;
 }
 
-bool HealthMonitor::reads_stale_requests() const { return staleness_ > kStaleLeave; }
+bool HealthMonitor::reads_stale_requests() const { return staleness_ > kRecoveredStaleness; }
 
 void HealthMonitor::assess(std::optional<double> objective_use, double now) {
-  const bool slow = objective_use && *objective_use > (unhealthy_ ? kSlowLeave : kSlowEnter);
-  const bool stale = staleness_ > (unhealthy_ ? kStaleLeave : kStaleEnter);
-  if (failing_ && successes_in_a_row_ >= kSuccessesToLeave) {
+  const bool slow =
+      objective_use && *objective_use > (unhealthy_ ? kRecoveredObjectiveUse : kUnhealthyObjectiveUse);
+  const bool stale = staleness_ > (unhealthy_ ? kRecoveredStaleness : kUnhealthyStaleness);
+  if (failing_ && successes_in_a_row_ >= kSuccessesToRecover) {
     failing_ = false;
     error_share_ = 0;
   }
-  if (error_share_ > kErrorsEnter) failing_ = true;
+  if (error_share_ > kUnhealthyErrorShare) failing_ = true;
   const bool was_unhealthy = unhealthy_;
   unhealthy_ = slow || failing_ || stale;
   if (unhealthy_ && !was_unhealthy) unhealthy_since_ = now;
@@ -66,7 +67,7 @@
   // Where the registry follows health, an unhealthy server gets no requests that could show its recovery. So
   // after a silence it is published as healthy until some requests arrive and show how it is.
   const bool idle = now >= last_read_at_ + kIdleResetSeconds;
-  const bool persists = unhealthy_ && !idle && now >= unhealthy_since_ + kPublishAfterSeconds;
+  const bool persists = unhealthy_ && !idle && now >= unhealthy_since_ + kPublishDelaySeconds;
   const bool healthy = !drain_.draining() && !persists;
   if (healthy == published_healthy_) return;
   published_healthy_ = healthy;
--- a/src/admission/histogram.cpp
+++ b/src/admission/histogram.cpp
@@ -12,7 +12,7 @@
   bins_[static_cast<std::size_t>(std::min(bin, kBins - 1))] += 1;
   count_ += 1;
   sum_ += seconds;
-  if (count_ < kFullCount) return;
+  if (count_ < kMaxCount) return;
   for (double& n : bins_) n /= 2;
   count_ /= 2;
   sum_ /= 2;
--- a/src/admission/histogram.h
+++ b/src/admission/histogram.h
@@ -22,7 +22,7 @@
  private:
   static constexpr int kBins = 13;
   static constexpr double kFirstBinSeconds = 0.005;
-  static constexpr double kFullCount = 64;
+  static constexpr double kMaxCount = 64;
 
   std::array<double, kBins> bins_{};
   double count_ = 0;
--- a/src/admission/idle_connections.cpp
+++ b/src/admission/idle_connections.cpp
@@ -8,15 +8,15 @@
 
 constexpr std::size_t kCallerEntries = 1024;
 constexpr double kNever = -1e9;  // s
-constexpr double kMemoryRequests = 30;
+constexpr double kSmoothingRequests = 30;
 // Of the callers' idle timeout: a connection that is open longer costs as much as a new one.
 constexpr double kReturnSoonShare = 1.0 / 6;
-constexpr double kKeepFromReturningShare = 0.5;
-constexpr double kLeastTimeoutSeconds = 0.3;   // a retry still finds its connection
-constexpr double kUnreadPerCore = 6;           // threads; above, reading falls behind
-constexpr double kGrowthPerTick = 2;           // while reading falls behind
-constexpr double kDecayPerTick = 0.95;         // slower, or all callers would connect at once
-constexpr double kLeastPublishedChange = 0.2;  // of the published timeout
+constexpr double kMaxTimeoutReturningShare = 0.5;
+constexpr double kMinTimeoutSeconds = 0.3;       // a retry still finds its connection
+constexpr double kMaxWaitingThreadsPerCore = 6;  // threads; above, reading falls behind
+constexpr double kGrowthPerTick = 2;             // while reading falls behind
+constexpr double kDecayPerTick = 0.95;           // slower, or all callers would connect at once
+constexpr double kMinPublishedChange = 0.2;      // of the published timeout
 
 }  // namespace
 
@@ -30,20 +30,21 @@
   LastRequest& last = last_requests_[caller % kCallerEntries];
   const bool returned =
       last.caller == caller && now - last.at < kReturnSoonShare * options_.caller_idle_timeout;
-  returning_share_ += ((returned ? 1 : 0) - returning_share_) / kMemoryRequests;
+  returning_share_ += ((returned ? 1 : 0) - returning_share_) / kSmoothingRequests;
   last = {caller, now};
 }
 
-void IdleConnections::tick(double unread, bool has_capacity) {
+void IdleConnections::tick(double waiting_threads, bool has_capacity) {
   if (options_.caller_idle_timeout <= 0) return;
-  if (unread > kUnreadPerCore * options_.cores)
+  if (waiting_threads > kMaxWaitingThreadsPerCore * options_.cores)
     timeout_ *= kGrowthPerTick;
   else if (has_capacity)
     timeout_ *= kDecayPerTick;
-  timeout_ = std::clamp(timeout_, std::min(kLeastTimeoutSeconds, options_.caller_idle_timeout),
+  timeout_ = std::clamp(timeout_, std::min(kMinTimeoutSeconds, options_.caller_idle_timeout),
                         options_.caller_idle_timeout);
-  const double timeout = returning_share_ > kKeepFromReturningShare ? options_.caller_idle_timeout : timeout_;
-  if (std::abs(timeout - published_) <= kLeastPublishedChange * published_) return;
+  const double timeout =
+      returning_share_ > kMaxTimeoutReturningShare ? options_.caller_idle_timeout : timeout_;
+  if (std::abs(timeout - published_) <= kMinPublishedChange * published_) return;
   published_ = timeout;
   sink_.set_idle_timeout(timeout);
 }
--- a/src/admission/idle_connections.h
+++ b/src/admission/idle_connections.h
@@ -18,9 +18,9 @@
 
   // A caller's request was read.
   void observe_caller(std::uint32_t caller, double now);
-  // Once a tick. `unread`: threads that want a core beside the runs; `has_capacity`: there is capacity for
-  // more callers.
-  void tick(double unread, bool has_capacity);
+  // Once a tick. `waiting_threads`: threads that want a core beside the runs; `has_capacity`: there is
+  // capacity for more callers.
+  void tick(double waiting_threads, bool has_capacity);
 
   // Share of the requests from callers that came back soon.
   [[nodiscard]] double returning_share() const { return returning_share_; }
--- a/src/admission/latency_estimator.cpp
+++ b/src/admission/latency_estimator.cpp
@@ -17,11 +17,11 @@
 double LatencyEstimator::processing_time(const RequestState& state, double now) const {
   const DependencyLatency& latency = calls_.latency();
   const double run_time = statistics_.expected_run_time(state) / service_rate_.value();
-  double call_time = statistics_.of(state).call_times.mean();
-  if (call_time > 0 && latency.known() && state.route.value_without_call <= 0) {
+  double call_time = statistics_.for_request(state).call_times.mean();
+  if (call_time > 0 && latency.has_samples() && state.route.value_without_call <= 0) {
     if (latency.slow()) return run_time + slow_call_time(state, now);
-    call_time *= std::max(1.0, latency.recent() / latency.mean());
-    call_time += static_cast<double>(calls_.queued()) * latency.recent() / calls_.concurrency_limit();
+    call_time *= std::max(1.0, latency.recent_mean() / latency.mean());
+    call_time += static_cast<double>(calls_.queued()) * latency.recent_mean() / calls_.concurrency_limit();
   }
   return run_time + call_time;
 }
@@ -37,10 +37,10 @@
     const bool both_queued = other.stage == RequestStage::kQueued && state.stage == RequestStage::kQueued;
     if (both_queued && other.stage_since > state.stage_since) continue;
     ahead += other.stage == RequestStage::kAwaitingCall ? 1 : 0;
-    ahead += std::max(0.0, statistics_.of(other).calls_per_run - other.calls);
+    ahead += std::max(0.0, statistics_.for_request(other).calls_per_run - other.calls);
   }
-  const double own = statistics_.of(state).calls_per_run;
-  return own * calls_.latency().recent() + calls_.slow_delay(now) +
+  const double own = statistics_.for_request(state).calls_per_run;
+  return own * calls_.latency().recent_mean() + calls_.slow_delay(now) +
          (ahead + own - 1) * calls_.slow_interval();
 }
 
--- a/src/admission/latency_estimator.h
+++ b/src/admission/latency_estimator.h
@@ -20,7 +20,7 @@
         run_queue_(run_queue),
         calls_(calls) {}
 
-  // That a newcomer would wait for a core.
+  // That a new_request would wait for a core.
   [[nodiscard]] double queue_wait() const;
   // By which a queued request's place lengthens the wait of others.
   [[nodiscard]] double queue_wait_of(const RequestState& state) const {
--- a/src/admission/options.h
+++ b/src/admission/options.h
@@ -29,8 +29,8 @@
   Idempotency idempotency = Idempotency::kIdempotent;
 
   // Whether an answer after the latency objective still earns much of the weight.
-  [[nodiscard]] bool late_answer_counts() const { return late_value >= kLateCountsFrom; }
-  static constexpr double kLateCountsFrom = 0.5;  // of the priority weight
+  [[nodiscard]] bool has_value_when_late() const { return late_value >= kMinLateValue; }
+  static constexpr double kMinLateValue = 0.5;  // of the priority weight
 };
 
 struct Tenant {
--- a/src/admission/overload_signals.h
+++ b/src/admission/overload_signals.h
@@ -18,7 +18,7 @@
 
   void observe_read(bool is_retry);
   // A request within its quota found capacity, or not.
-  void observe_capacity(bool short_of_capacity);
+  void observe_capacity(bool lacked_capacity);
   // A queued request was given up.
   void observe_given_up() { observe_capacity(true); }
   void count_rejection_for_capacity() { ++rejections_in_tick_; }
@@ -32,18 +32,18 @@
 
   // s that a rejected caller should stay away; 0: no advice. `queue_wait`: the predicted one, s. `longest`:
   // it can't be served before long, whatever the wait.
-  double retry_after(double queue_wait, bool longest);
+  double retry_after(double queue_wait, bool use_max);
 
-  // Once a tick. `least_speed`: share of full speed that the server has at least; `avoid`: it is unhealthy or
+  // Once a tick. `min_speed`: share of full speed that the server has at least; `avoid`: it is unhealthy or
   // draining; `route_count`: so many kinds of requests can be asked to stay away.
-  void tick(bool cores_idle, double least_speed, bool avoid, std::size_t route_count);
+  void tick(bool cores_idle, double min_speed, bool should_be_avoided, std::size_t route_count);
   // Before the first tick: a server that warms up asks for what its speed allows.
-  void begin(double least_speed, bool avoid, std::size_t route_count);
+  void initialize(double min_speed, bool should_be_avoided, std::size_t route_count);
   // Logs the begin and the end of an overload.
-  void note_overload();
+  void log_overload_change();
 
  private:
-  void publish(bool avoid);
+  void publish(bool should_be_avoided);
 
   const AdmissionOptions& options_;
   RandomGenerator& random_;
--- a/src/admission/route_statistics.cpp
+++ b/src/admission/route_statistics.cpp
@@ -6,11 +6,11 @@
 namespace damsonspoke {
 namespace {
 
-constexpr std::size_t kMaxRecentRoutes = 64;  // bounds the work of means over routes
-constexpr double kHintSpread = 8;             // x the mean run time: a false hint moves it no further
-constexpr double kCallsPerRunMemory = 12;     // runs
-constexpr int kComparedRuns = 4;              // against a prior: one odd run is chance
-constexpr double kContradictingFactor = 2;    // either way, between mean run time and prior
+constexpr std::size_t kMaxRecentRoutes = 64;      // bounds the work of means over routes
+constexpr double kMaxHintFactor = 8;              // x the mean run time: a false hint moves it no further
+constexpr double kCallsPerRunSmoothingRuns = 12;  // runs
+constexpr int kComparedRuns = 4;                  // against a prior: one odd run is chance
+constexpr double kContradictingFactor = 2;        // either way, between mean run time and prior
 
 }  // namespace
 
@@ -22,7 +22,7 @@
     restored.call_times.restore(prior.routes[i].call);
     restored.prior_run_time = restored.run_times.mean();
     has_prior_ = has_prior_ || restored.prior_run_time > 0;
-    if (!restored.run_times.empty()) note_learned(position, now);
+    if (!restored.run_times.empty()) mark_recent(position, now);
   }
 }
 
@@ -45,14 +45,14 @@
   return *entries_[i];
 }
 
-RouteStatistics& RouteStatisticsTable::entry_of(const RequestState& state) {
+RouteStatistics& RouteStatisticsTable::entry_for(const RequestState& state) {
   RouteStatistics& present = at(state.request.route);
-  return present.route.generation == state.route.generation ? present : replaced_;
+  return present.route.generation == state.route.generation ? present : replaced_route_;
 }
 
-const RouteStatistics& RouteStatisticsTable::of(const RequestState& state) const {
+const RouteStatistics& RouteStatisticsTable::for_request(const RequestState& state) const {
   const RouteStatistics& present = at(state.request.route);
-  return present.route.generation == state.route.generation ? present : replaced_;
+  return present.route.generation == state.route.generation ? present : replaced_route_;
 }
 
 double RouteStatisticsTable::mean_run_time(const RouteStatistics& entry) const {
@@ -69,12 +69,12 @@
 }
 
 double RouteStatisticsTable::expected_run_time(const RequestState& state) const {
-  const RouteStatistics& entry = of(state);
+  const RouteStatistics& entry = for_request(state);
   const double mean = mean_run_time(entry);
   if (state.request.work_hint <= 0 || entry.work_hints.empty() || entry.work_hints.mean() <= 0) return mean;
   // The caller estimates for another machine, but what it takes for larger is larger.
   return std::clamp(state.request.work_hint * entry.hinted_run_times.mean() / entry.work_hints.mean(),
-                    mean / kHintSpread, mean * kHintSpread);
+                    mean / kMaxHintFactor, mean * kMaxHintFactor);
 }
 
 std::optional<double> RouteStatisticsTable::mean_objective_use(double service_rate) const {
@@ -96,22 +96,22 @@
     const RouteStatistics& entry = at(position);
     if (entry.run_times.empty()) continue;
     const Route& route = entry.route;
-    const double end = route.late_answer_counts() ? route.timeout : route.latency_objective;
+    const double end = route.has_value_when_late() ? route.timeout : route.latency_objective;
     const double left = std::max(end - entry.run_times.mean() / service_rate - entry.call_times.mean(), 0.0);
     shortest = shortest < 0 ? left : std::min(shortest, left);
   }
   return shortest;
 }
 
-std::optional<ContradictedPrior> RouteStatisticsTable::record_run(const RequestState& state, bool judge_prior,
+std::optional<ContradictedPrior> RouteStatisticsTable::record_run(const RequestState& state, bool check_prior,
                                                                   double now) {
-  RouteStatistics& entry = entry_of(state);
+  RouteStatistics& entry = entry_for(state);
   entry.run_times.add(state.run_time);
   entry.call_times.add(state.call_time);
-  if (&entry != &replaced_) note_learned(state.request.route, now);
+  if (&entry != &replaced_route_) mark_recent(state.request.route, now);
   if (state.route.calls_dependency)
-    entry.calls_per_run += (state.calls - entry.calls_per_run) / kCallsPerRunMemory;
-  if (!judge_prior || entry.prior_run_time <= 0) return std::nullopt;
+    entry.calls_per_run += (state.calls - entry.calls_per_run) / kCallsPerRunSmoothingRuns;
+  if (!check_prior || entry.prior_run_time <= 0) return std::nullopt;
   return compare_with_prior(entry, state);
 }
 
@@ -130,13 +130,13 @@
 
 void RouteStatisticsTable::record_work_hint(const RequestState& state) {
   if (state.request.work_hint <= 0) return;
-  RouteStatistics& entry = entry_of(state);
+  RouteStatistics& entry = entry_for(state);
   entry.hinted_run_times.add(state.run_time);
   entry.work_hints.add(state.request.work_hint);
 }
 
 // Of more routes than means are taken over, the one is left out that has not learned for longest.
-void RouteStatisticsTable::note_learned(int position, double now) {
+void RouteStatisticsTable::mark_recent(int position, double now) {
   at(position).learned_at = now;
   const auto place = std::lower_bound(recent_.begin(), recent_.end(), position);
   if (place != recent_.end() && *place == position) return;
--- a/src/admission/route_statistics.h
+++ b/src/admission/route_statistics.h
@@ -19,7 +19,7 @@
   DurationHistogram run_times;   // on the cores
   DurationHistogram call_times;  // waiting for and in dependency calls
   double calls_per_run = 1;      // a fading mean
-  TimeoutHabits timeouts;
+  UnusualTimeoutDetector timeout_detector;
   // Of runs whose request told its work: time on the cores, and the work that was told.
   DurationHistogram hinted_run_times, work_hints;
   // While a prior is compared with the first runs: the mean run time that it promises, and what they take.
@@ -49,7 +49,7 @@
   RouteStatistics& entry(int position);
   // The entry that a request counts for. Where another route has taken its position meanwhile, one that
   // nothing else goes by.
-  [[nodiscard]] const RouteStatistics& of(const RequestState& state) const;
+  [[nodiscard]] const RouteStatistics& for_request(const RequestState& state) const;
 
   // Of a route with no runs yet, the mean over the routes that learned lately; 0: nothing is known.
   [[nodiscard]] double mean_run_time(const RouteStatistics& entry) const;
@@ -62,26 +62,26 @@
   // The time for queueing that the route with the least of it has; negative: nothing is learned.
   [[nodiscard]] double shortest_queue_time(double service_rate) const;
 
-  // A run has succeeded. `judge_prior`: it counts for the comparison with the prior, which is given up and
+  // A run has succeeded. `check_prior`: it counts for the comparison with the prior, which is given up and
   // returned where it is contradicted.
-  std::optional<ContradictedPrior> record_run(const RequestState& state, bool judge_prior, double now);
+  std::optional<ContradictedPrior> record_run(const RequestState& state, bool check_prior, double now);
   // To be called after record_run, once the run's expected time was taken.
   void record_work_hint(const RequestState& state);
 
  private:
-  RouteStatistics& entry_of(const RequestState& state);
+  RouteStatistics& entry_for(const RequestState& state);
   RouteStatistics& at(int position) { return *entries_[static_cast<std::size_t>(position)]; }
   [[nodiscard]] const RouteStatistics& at(int position) const {
     return *entries_[static_cast<std::size_t>(position)];
   }
-  void note_learned(int position, double now);
+  void mark_recent(int position, double now);
   static std::optional<ContradictedPrior> compare_with_prior(RouteStatistics& entry,
                                                              const RequestState& state);
 
   const RouteDirectory& directory_;
   std::vector<std::unique_ptr<RouteStatistics>> entries_;  // by position; null: no request of it was read
-  std::vector<int> recent_;   // positions of those that learned lately, ascending
-  RouteStatistics replaced_;  // of requests whose route has lost its position
+  std::vector<int> recent_;         // positions of those that learned lately, ascending
+  RouteStatistics replaced_route_;  // of requests whose route has lost its position
   bool has_prior_ = false;
 };
 
--- a/src/admission/service_rate.cpp
+++ b/src/admission/service_rate.cpp
@@ -6,17 +6,17 @@
 namespace damsonspoke {
 namespace {
 
-constexpr double kMemorySeconds = 1.5;
+constexpr double kDecayTimeSeconds = 1.5;
 constexpr double kPriorCoreSeconds =
     0.1;                              // at the usual rate: with nothing measured the rate is the usual one
-constexpr double kLeastRate = 0.02;   // a standstill still gives finite predictions
-constexpr double kHighestRate = 3;    // a warmed-up server is faster than what it learned before
+constexpr double kMinRate = 0.02;     // a standstill still gives finite predictions
+constexpr double kMaxRate = 3;        // a warmed-up server is faster than what it learned before
 constexpr double kOverdueFactor = 2;  // x the expected time; a run past this is no progress any more
 
 }  // namespace
 
 void ServiceRate::advance(double seconds, int running) {
-  const double fade = std::exp(-seconds / kMemorySeconds);
+  const double fade = std::exp(-seconds / kDecayTimeSeconds);
   core_time_ = core_time_ * fade + running * seconds;
   work_done_ *= fade;
 }
@@ -30,9 +30,9 @@
     if (spent <= kOverdueFactor * expected) done += std::min(spent, expected);
   }
   // A server that warms up, and knows how long warm runs take, begins at the speed that its settings state.
-  const double usual = statistics_.has_prior() ? slow_start_.least_speed(now) : 1;
-  value_ = std::clamp((done + kPriorCoreSeconds * usual) / (core_time_ + kPriorCoreSeconds), kLeastRate,
-                      kHighestRate);
+  const double usual = statistics_.has_prior() ? slow_start_.min_speed(now) : 1;
+  value_ =
+      std::clamp((done + kPriorCoreSeconds * usual) / (core_time_ + kPriorCoreSeconds), kMinRate, kMaxRate);
 }
 
 }  // namespace damsonspoke
--- a/src/admission/slow_start.cpp
+++ b/src/admission/slow_start.cpp
@@ -5,14 +5,14 @@
 namespace damsonspoke {
 namespace {
 
-constexpr double kLeastRampSeconds = 0.1;  // a ramp without length would divide by 0
+constexpr double kMinRampSeconds = 0.1;  // a ramp without length would divide by 0
 
 }  // namespace
 
-double SlowStart::least_speed(double now) const {
+double SlowStart::min_speed(double now) const {
   if (!warming_up(now)) return 1;
   return options_.slow_start_speed + (1 - options_.slow_start_speed) * (now - started_at_) /
-                                         std::max(options_.slow_start_time, kLeastRampSeconds);
+                                         std::max(options_.slow_start_time, kMinRampSeconds);
 }
 
 }  // namespace damsonspoke
--- a/src/admission/slow_start.h
+++ b/src/admission/slow_start.h
@@ -14,10 +14,10 @@
     return options_.slow_start && now < started_at_ + options_.slow_start_time;
   }
   // The share of full speed that the server has at least; its true speed is not known.
-  [[nodiscard]] double least_speed(double now) const;
+  [[nodiscard]] double min_speed(double now) const;
   // Concurrent requests that the server survives at that speed.
   [[nodiscard]] double survivable_concurrency(double now) const {
-    return (1 + (options_.max_concurrency_factor - 1) * least_speed(now)) * options_.cores;
+    return (1 + (options_.max_concurrency_factor - 1) * min_speed(now)) * options_.cores;
   }
 
  private:
--- a/src/admission/tenant_quotas.cpp
+++ b/src/admission/tenant_quotas.cpp
@@ -9,12 +9,12 @@
 
 constexpr double kUnevennessFactor = 1.1;  // x the even share of a quota: callers don't spread evenly
 constexpr double kBurstSeconds = 1.5;      // of quota that a tenant may send at once
-constexpr double kMemoryRequests = 60;
+constexpr double kSmoothingRequests = 60;
 constexpr double kShareFactor = 1.1;  // x its share of the quotas: small numbers are uneven by chance
 constexpr double kExtraTokens = 6;    // requests: a small quota split over many servers comes in clumps
 constexpr std::size_t kWays = 4;      // entries of a set; the longest unseen one is replaced
 constexpr std::size_t kMaxSets = 1 << 14;
-constexpr double kLeastTotalQuota = 1e-9;  // requests a second; never a divisor of 0
+constexpr double kMinTotalQuotaPerSecond = 1e-9;  // requests a second; never a divisor of 0
 
 }  // namespace
 
@@ -24,7 +24,7 @@
       entries_(kWays * std::min(kMaxSets, (directory.max_tenant_positions() + kWays - 1) / kWays)) {}
 
 double TenantQuotas::quota_share(const Tenant& settings) const {
-  return settings.quota_per_second / std::max(kLeastTotalQuota, directory_.total_quota_per_second());
+  return settings.quota_per_second / std::max(kMinTotalQuotaPerSecond, directory_.total_quota_per_second());
 }
 
 double TenantQuotas::refill_per_second(const Tenant& settings) const {
@@ -55,8 +55,8 @@
       std::min(entry.tokens + (now - entry.refilled_at) * refill, kExtraTokens + refill * kBurstSeconds);
   entry.refilled_at = now;
   // The shares of all others fade with each request; that is made up for when they are seen again.
-  entry.share *= std::pow(1 - 1 / kMemoryRequests, static_cast<double>(reads_ - entry.reads));
-  entry.share += (1 - entry.share) / kMemoryRequests;
+  entry.share *= std::pow(1 - 1 / kSmoothingRequests, static_cast<double>(reads_ - entry.reads));
+  entry.share += (1 - entry.share) / kSmoothingRequests;
   entry.reads = ++reads_;
   return entry.tokens >= 1 || entry.share <= kShareFactor * quota_share(settings);
 }
--- a/src/admission/unusual_timeout_detector.h
+++ b/src/admission/unusual_timeout_detector.h
@@ -7,17 +7,17 @@
 
 // Callers give first attempts one of few timeouts, and retries what is left of them, which may be anything.
 // Keeps the timeouts that were usual on one route of late.
-class TimeoutHabits {
+class UnusualTimeoutDetector {
  public:
   // Counts a request with this timeout (s, from its arrival). Whether the timeout is unusual.
   bool observe(double timeout);
 
  private:
-  struct Habit {
+  struct TimeoutCount {
     double timeout = 0;  // s
     double count = 0;    // fades with each request
   };
-  std::array<Habit, 6> habits_{};
+  std::array<TimeoutCount, 6> counts_{};
 };
 
 }  // namespace damsonspoke
--- a/tests/admission/call_budget_test.cpp
+++ b/tests/admission/call_budget_test.cpp
@@ -32,7 +32,7 @@
   EXPECT_TRUE(budget.reserve(0.8).has_value());
   EXPECT_TRUE(budget.reserve(0.8).has_value());
   EXPECT_FALSE(budget.reserve(0.8).has_value());
-  const double wait = budget.seconds_until(0.8);
+  const double wait = budget.seconds_until_available(0.8);
   EXPECT_GT(wait, 0);
   budget.refill(wait + 0.001);
   EXPECT_TRUE(budget.reserve(0.8).has_value());
--- a/tests/admission/overload_signals_test.cpp
+++ b/tests/admission/overload_signals_test.cpp
@@ -68,7 +68,7 @@
 TEST_F(OverloadSignalsTest, AsksForLessLoadWhileRequestsAreRejected) {
   options.load_feedback = LoadFeedback::kLevel;
   OverloadSignals signals(options, random, sink);
-  signals.begin(1, false, 1);
+  signals.initialize(1, false, 1);
   for (int i = 0; i < 10; ++i) {
     signals.count_rejection_for_capacity();
     signals.tick(false, 1, false, 1);
--- a/tests/admission/unusual_timeout_detector_test.cpp
+++ b/tests/admission/unusual_timeout_detector_test.cpp
@@ -6,24 +6,24 @@
 namespace damsonspoke {
 namespace {
 
-TEST(TimeoutHabits, NothingIsUnusualAtFirst) {
-  TimeoutHabits habits;
-  for (int i = 0; i < 8; ++i) EXPECT_FALSE(habits.observe(0.1 * (i + 1))) << i;
+TEST(UnusualTimeoutDetector, NothingIsUnusualAtFirst) {
+  UnusualTimeoutDetector detector;
+  for (int i = 0; i < 8; ++i) EXPECT_FALSE(detector.observe(0.1 * (i + 1))) << i;
 }
 
-TEST(TimeoutHabits, WhatIsLeftOfATimeoutIsUnusual) {
-  TimeoutHabits habits;
-  for (int i = 0; i < 50; ++i) habits.observe(1);
-  EXPECT_FALSE(habits.observe(1));
-  EXPECT_FALSE(habits.observe(1.01));  // within the tolerance
-  EXPECT_TRUE(habits.observe(0.6));
+TEST(UnusualTimeoutDetector, WhatIsLeftOfATimeoutIsUnusual) {
+  UnusualTimeoutDetector detector;
+  for (int i = 0; i < 50; ++i) detector.observe(1);
+  EXPECT_FALSE(detector.observe(1));
+  EXPECT_FALSE(detector.observe(1.01));  // within the tolerance
+  EXPECT_TRUE(detector.observe(0.6));
 }
 
-TEST(TimeoutHabits, SeveralTimeoutsMayBeUsual) {
-  TimeoutHabits habits;
-  for (int i = 0; i < 100; ++i) habits.observe(i % 2 == 0 ? 1 : 2.5);
-  EXPECT_FALSE(habits.observe(1));
-  EXPECT_FALSE(habits.observe(2.5));
+TEST(UnusualTimeoutDetector, SeveralTimeoutsMayBeUsual) {
+  UnusualTimeoutDetector detector;
+  for (int i = 0; i < 100; ++i) detector.observe(i % 2 == 0 ? 1 : 2.5);
+  EXPECT_FALSE(detector.observe(1));
+  EXPECT_FALSE(detector.observe(2.5));
 }
 
 }  // namespace
