--- a/tests/admission/decision_scenarios.h
+++ b/tests/admission/decision_scenarios.h
@@ -7,7 +7,7 @@
 
 struct Scenario {
   const char* name;  // of its trace
-  void (*play)();
+  void (*run)();
 };
 
 std::span<const Scenario> intake_scenarios();
--- a/tests/admission/decision_traces.cpp
+++ b/tests/admission/decision_traces.cpp
@@ -11,7 +11,7 @@
        {intake_scenarios(), dependency_call_scenarios(), overload_scenarios(), priority_scenarios()}) {
     for (const Scenario& scenario : scenarios) {
       if (argc == 2 && std::strcmp(argv[1], scenario.name) == 0) {
-        scenario.play();
+        scenario.run();
         return 0;
       }
     }
--- a/tests/admission/priority_scenarios.cpp
+++ b/tests/admission/priority_scenarios.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 // A request of the route, all else plain.
-Request of_route(Backend& server, RequestId id, int route) {
+Request request_on_route(ScriptedBackend& server, RequestId id, int route) {
   Request request = server.request(id);
   request.route = route;
   return request;
@@ -14,100 +14,107 @@
 
 // Two routes, the second worth more, of which one run each was seen to take so long; then `cheap` requests of
 // the first, then `dear` ones of the second.
-void line_of_two(double priority_weight, double first_takes, double second_takes, int cheap, int dear) {
-  AdmissionOptions settings = plain_settings();
+void queue_two_routes(double priority_weight, double first_run_seconds, double second_run_seconds, int cheap,
+                      int important) {
+  AdmissionOptions settings = default_options();
   settings.routes = {settings.routes[0], settings.routes[0]};
   settings.routes[0].priority_weight = 1;
   settings.routes[1].priority_weight = priority_weight;
-  Backend server(settings);
-  for (RequestId id = 1; id <= 2; ++id) server.arrives(of_route(server, id, static_cast<int>(id) - 1));
-  server.until(first_takes);
-  server.ends(1);
-  server.until(second_takes);
-  server.ends(2);
+  ScriptedBackend server(settings);
+  for (RequestId id = 1; id <= 2; ++id)
+    server.send_request(request_on_route(server, id, static_cast<int>(id) - 1));
+  server.advance_to(first_run_seconds);
+  server.finish_run(1);
+  server.advance_to(second_run_seconds);
+  server.finish_run(2);
   for (RequestId id = 3; id < 3 + static_cast<RequestId>(cheap); ++id)
-    server.arrives(of_route(server, id, 0));
-  for (RequestId id = 100; id < 100 + static_cast<RequestId>(dear); ++id)
-    server.arrives(of_route(server, id, 1));
+    server.send_request(request_on_route(server, id, 0));
+  for (RequestId id = 100; id < 100 + static_cast<RequestId>(important); ++id)
+    server.send_request(request_on_route(server, id, 1));
 }
 
 // Where the line is full, a request that is worth more takes the place of the cheap one that came last; cheap
 // ones displace nobody, nor does anything its like.
-void displaced() { line_of_two(3, 0.1, 0.1, 16, 16); }
+void preempted_requests() { queue_two_routes(3, 0.1, 0.1, 16, 16); }
 // It takes no place of two that are worth more together, however long its own run.
-void displaced_few() { line_of_two(1.5, 0.05, 0.5, 12, 8); }
+void preemption_by_total_weight() { queue_two_routes(1.5, 0.05, 0.5, 12, 8); }
 
 // What has run is not displaced, though it waits again and is worth least: it may not be rejected.
-void displaced_run() {
-  AdmissionOptions settings = plain_settings();
+void started_runs_not_preempted() {
+  AdmissionOptions settings = default_options();
   settings.routes = {settings.routes[0], settings.routes[0]};
   settings.routes[0].priority_weight = 1;
   settings.routes[1].priority_weight = 3;
   settings.routes[1].latency_objective = 0.6;
-  Backend server(settings);
-  for (RequestId id = 1; id <= 2; ++id) server.arrives(of_route(server, id, static_cast<int>(id) - 1));
-  server.until(0.1);
-  server.ends(2);
-  server.until(0.4);
-  server.ends(1);
-  for (RequestId id = 3; id <= 4; ++id) server.arrives(of_route(server, id, 0));
-  for (RequestId id = 100; id <= 107; ++id) server.arrives(of_route(server, id, 1));
-  server.ends(3, Outcome::kCancelled);
-  for (RequestId id = 108; id <= 116; ++id) server.arrives(of_route(server, id, 1));
+  ScriptedBackend server(settings);
+  for (RequestId id = 1; id <= 2; ++id)
+    server.send_request(request_on_route(server, id, static_cast<int>(id) - 1));
+  server.advance_to(0.1);
+  server.finish_run(2);
+  server.advance_to(0.4);
+  server.finish_run(1);
+  for (RequestId id = 3; id <= 4; ++id) server.send_request(request_on_route(server, id, 0));
+  for (RequestId id = 100; id <= 107; ++id) server.send_request(request_on_route(server, id, 1));
+  server.finish_run(3, Outcome::kCancelled);
+  for (RequestId id = 108; id <= 116; ++id) server.send_request(request_on_route(server, id, 1));
 }
 
 // Of the held requests the important one starts first, though it came last.
 void important_first() {
-  Backend server(plain_settings());
-  for (const int route : {0, 1}) server.learn(route, 0.3);
-  for (RequestId id = 1; id <= 5; ++id) server.arrives(server.request(id, id == 5 ? 1 : 0));
-  server.until(0.9);
-  server.ends(1);
+  ScriptedBackend server(default_options());
+  for (const int route : {0, 1}) server.learn_run_time(route, 0.3);
+  for (RequestId id = 1; id <= 5; ++id) server.send_request(server.request(id, id == 5 ? 1 : 0));
+  server.advance_to(0.9);
+  server.finish_run(1);
 }
 
 // A marked further try has spent part of its target: the same line is too long for it.
-void further_try() {
-  Backend server(plain_settings());
-  server.learn(1, 0.5);
-  for (RequestId id = 1; id <= 4; ++id) server.arrives(server.request(id, 1));
+void marked_retry() {
+  ScriptedBackend server(default_options());
+  server.learn_run_time(1, 0.5);
+  for (RequestId id = 1; id <= 4; ++id) server.send_request(server.request(id, 1));
   Request again = server.request(5, 1);
   again.is_retry = true;
-  server.arrives(again);
-  server.arrives(server.request(6, 1));
+  server.send_request(again);
+  server.send_request(server.request(6, 1));
   again.id = 7;
   again.remaining_timeout = 3.9;  // of 4 s of its client's patience: next to nothing is spent
-  server.arrives(again);
+  server.send_request(again);
 }
 
 // Under shortage a tenant over its quota, or one caller that holds most of the bytes, loses room first.
 void shares() {
-  AdmissionOptions settings = plain_settings();
+  AdmissionOptions settings = default_options();
   settings.tenants = {{0}, {10}};
   settings.routes[0].latency_objective = 20;
   settings.routes[0].timeout = 20;
-  Backend server(settings);
-  server.learn(0, 0.5);  // takes one of the six that tenant 0 may send at once
+  ScriptedBackend server(settings);
+  server.learn_run_time(0, 0.5);  // takes one of the six that tenant 0 may send at once
   for (RequestId id = 1; id <= 9; ++id) {
     Request request = server.request(id);
     request.tenant = id == 9 ? 1 : 0;
-    server.arrives(request);
+    server.send_request(request);
   }
-  for (RequestId id = 1; id <= 5; ++id) server.ends(id);
-  server.ends(9);
-  server.arrives(server.request(10));  // idle room is free for anyone
+  for (RequestId id = 1; id <= 5; ++id) server.finish_run(id);
+  server.finish_run(9);
+  server.send_request(server.request(10));  // idle room is free for anyone
   settings.tenants.clear();
-  Backend crowded(settings);
+  ScriptedBackend contended(settings);
   for (RequestId id = 1; id <= 8; ++id) {
-    Request request = crowded.request(id);
+    Request request = contended.request(id);
     request.caller = id == 4 || id == 8 ? 2 : 1;
-    crowded.quiet(id < 5);
-    crowded.arrives(request);
+    contended.set_quiet(id < 5);
+    contended.send_request(request);
   }
 }
 
 constexpr Scenario kScenarios[] = {
-    {"shares", shares},       {"important_first", important_first}, {"further_try", further_try},
-    {"displaced", displaced}, {"displaced_few", displaced_few},     {"displaced_run", displaced_run},
+    {"shares", shares},
+    {"important_first", important_first},
+    {"marked_retry", marked_retry},
+    {"preempted_requests", preempted_requests},
+    {"preemption_by_total_weight", preemption_by_total_weight},
+    {"started_runs_not_preempted", started_runs_not_preempted},
 };
 
 }  // namespace
--- a/tests/admission/slow_start_calls.cpp
+++ b/tests/admission/slow_start_calls.cpp
@@ -1,7 +1,7 @@
 // The concurrent calls of many servers to a shared dependency that hangs, fails and recovers, while servers
 // die and are replaced: the real decisions, many times, on one clock. Each server's share is what its
 // settings say; beyond the N call seconds that the shares add up to in a window, 2 sqrt(N) + 2 are allowed
-// for chance. CTest compares with tests/traces/cold_calls.txt.
+// for chance. CTest compares with tests/traces/slow_start_calls.txt.
 #include <algorithm>
 #include <cmath>
 #include <cstdio>
@@ -22,7 +22,7 @@
 constexpr double kWindowSeconds = 5;
 constexpr double kAbandonedCallSeconds = 0.2;  // that the dependency works on an abandoned call
 constexpr double kTotalShare = 30;             // concurrent calls on the mean, of all servers
-constexpr double kPlaySeconds = 38;
+constexpr double kSimulatedSeconds = 38;
 
 enum class DependencyState { kHealthy, kHanging, kDown, kSlow };
 DependencyState dependency_state_at(double t) {
@@ -54,53 +54,53 @@
 // One server from its start to its end: requests arrive, run, need a call, and go on.
 class SimulatedServer : public standins::SilentSink {
  public:
-  SimulatedServer(int fleet_size, bool cold, double now, std::uint64_t seed)
-      : settings_(settings(fleet_size, cold)), now_(now) {
-    controller_ = std::make_unique<AdmissionController>(settings_, seed, *this, now);
+  SimulatedServer(int fleet_size, bool has_slow_start, double now, std::uint64_t seed)
+      : options_(make_options(fleet_size, has_slow_start)), now_(now) {
+    controller_ = std::make_unique<AdmissionController>(options_, seed, *this, now);
     last_call_ = now;
   }
-  static AdmissionOptions settings(int fleet_size, bool cold) {
-    AdmissionOptions s;
-    Route type;
-    type.latency_objective = 2;
-    type.timeout = 4;
-    type.calls_dependency = true;
-    s.routes = {type};
-    s.servers = fleet_size;
-    s.cores = 8;
-    s.memory_kb = 100000;
-    s.running_size_factor = 2;
-    s.preemption = Preemption::kDrop;
-    s.max_concurrency_factor = 8;
-    s.drain_grace = 1;
-    s.timer_resolution = 0.002;
-    s.dependency = DependencyKind::kShared;
-    s.dependency_share = kTotalShare / fleet_size;
-    s.dependency_share_window = kWindowSeconds;
-    s.abandoned_call_time = kAbandonedCallSeconds;
-    s.slow_start = cold;
-    s.slow_start_speed = 0.3;
-    s.slow_start_time = 8;
-    return s;
+  static AdmissionOptions make_options(int fleet_size, bool has_slow_start) {
+    AdmissionOptions options;
+    Route route;
+    route.latency_objective = 2;
+    route.timeout = 4;
+    route.calls_dependency = true;
+    options.routes = {route};
+    options.servers = fleet_size;
+    options.cores = 8;
+    options.memory_kb = 100000;
+    options.running_size_factor = 2;
+    options.preemption = Preemption::kDrop;
+    options.max_concurrency_factor = 8;
+    options.drain_grace = 1;
+    options.timer_resolution = 0.002;
+    options.dependency = DependencyKind::kShared;
+    options.dependency_share = kTotalShare / fleet_size;
+    options.dependency_share_window = kWindowSeconds;
+    options.abandoned_call_time = kAbandonedCallSeconds;
+    options.slow_start = has_slow_start;
+    options.slow_start_speed = 0.3;
+    options.slow_start_time = 8;
+    return options;
   }
   void step(double now, DependencyState dependency, Random& random, double arrivals) {
     now_ = now;
     dependency_ = dependency;
-    while (!wakes_.empty() && wakes_.begin()->first <= now) {
-      const auto [at, token] = *wakes_.begin();
-      wakes_.erase(wakes_.begin());
+    while (!wakeups_.empty() && wakeups_.begin()->first <= now) {
+      const auto [at, token] = *wakeups_.begin();
+      wakeups_.erase(wakeups_.begin());
       controller_->on_timer(now, token, {});
     }
-    for (arrivals_owed_ += arrivals * kStepSeconds * 2 * random.next(); arrivals_owed_ >= 1;
-         arrivals_owed_ -= 1) {
+    for (pending_arrivals_ += arrivals * kStepSeconds * 2 * random.next(); pending_arrivals_ >= 1;
+         pending_arrivals_ -= 1) {
       Request request;
       request.id = next_id_++;
       request.size_kb = 10;
       request.caller = static_cast<std::uint32_t>(request.id);
       controller_->on_request(now, request);
     }
-    for (const RequestId id : take_due(runs_)) controller_->on_call_needed(now, id);
-    for (const RequestId id : take_due(remainders_))
+    for (const RequestId id : take_finished(runs_)) controller_->on_call_needed(now, id);
+    for (const RequestId id : take_finished(runs_after_call_))
       controller_->on_run_finished(now, id, Outcome::kOk, 0.02);
     std::vector<std::pair<RequestId, Outcome>> finished;
     for (auto it = calls_.begin(); it != calls_.end();) {
@@ -112,7 +112,7 @@
       it = calls_.erase(it);
     }
     for (const auto& [id, outcome] : finished) {
-      if (outcome == Outcome::kOk) remainders_.emplace(id, now + 0.01);
+      if (outcome == Outcome::kOk) runs_after_call_.emplace(id, now + 0.01);
       controller_->on_call_finished(now, id, outcome, 0);
     }
   }
@@ -120,13 +120,13 @@
   std::vector<CallInFlight> calls;
   double last_call() const { return last_call_; }
   // Its connections end, and with them its calls.
-  void die(double now) {
+  void kill(double now) {
     for (CallInFlight& call : calls) call.ends = std::min(call.ends, now + kAbandonedCallSeconds);
   }
 
   void start(RequestId id) override { runs_.emplace(id, now_ + 0.02); }
   void interrupt(RequestId id) override {
-    if (runs_.erase(id) + remainders_.erase(id) > 0) to_cancel_.push_back(id);
+    if (runs_.erase(id) + runs_after_call_.erase(id) > 0) to_cancel_.push_back(id);
   }
   void fail(RequestId id) override {
     abandon_call(id);
@@ -150,8 +150,8 @@
       calls.push_back(
           {now_, now_ + seconds + (outcome == Outcome::kTimeout ? kAbandonedCallSeconds : 0), id, false});
   }
-  void skip_call(RequestId id) override { remainders_.emplace(id, now_ + 0.01); }
-  void schedule_wakeup(double time, std::uint64_t token) override { wakes_.emplace(time, token); }
+  void skip_call(RequestId id) override { runs_after_call_.emplace(id, now_ + 0.01); }
+  void schedule_wakeup(double time, std::uint64_t token) override { wakeups_.emplace(time, token); }
 
   // Runs that were stopped, or waited for a call, end on the next step.
   void finish_cancelled_runs(double now) {
@@ -159,18 +159,18 @@
     finished.swap(to_cancel_);
     for (const RequestId id : finished) {
       runs_.erase(id);
-      remainders_.erase(id);
+      runs_after_call_.erase(id);
       controller_->on_run_finished(now, id, Outcome::kCancelled, 0);
     }
   }
 
  private:
-  std::vector<RequestId> take_due(std::map<RequestId, double>& fleet_size) const {
+  std::vector<RequestId> take_finished(std::map<RequestId, double>& ends_by_request) const {
     std::vector<RequestId> ids;
-    for (const auto& [id, at] : fleet_size) {
+    for (const auto& [id, at] : ends_by_request) {
       if (at <= now_) ids.push_back(id);
     }
-    for (const RequestId id : ids) fleet_size.erase(id);
+    for (const RequestId id : ids) ends_by_request.erase(id);
     return ids;
   }
   void abandon_call(RequestId id) {
@@ -179,24 +179,24 @@
         std::find_if(calls.rbegin(), calls.rend(), [&](const CallInFlight& c) { return c.request == id; });
     if (call != calls.rend()) call->ends = std::min(call->ends, now_ + kAbandonedCallSeconds);
   }
-  const AdmissionOptions settings_;
-  double now_ = 0, arrivals_owed_ = 0, last_call_ = 0;
+  const AdmissionOptions options_;
+  double now_ = 0, pending_arrivals_ = 0, last_call_ = 0;
   DependencyState dependency_ = DependencyState::kHealthy;
   RequestId next_id_ = 1;
   std::unique_ptr<AdmissionController> controller_;
-  std::multimap<double, std::uint64_t> wakes_;
-  std::map<RequestId, double> runs_, remainders_;
+  std::multimap<double, std::uint64_t> wakeups_;
+  std::map<RequestId, double> runs_, runs_after_call_;
   std::map<RequestId, std::pair<double, Outcome>> calls_;
   std::vector<RequestId> to_cancel_;
 };
 
 struct Result {
-  double most_call_seconds = 0;  // of all servers in any window
+  double max_call_seconds = 0;  // of all servers in any window
   double calls = 0;
-  double longest_silence = 0;  // s in which a server made no call after the recovery
+  double longest_gap_seconds = 0;  // s in which a server made no call after the recovery
 };
 
-Result play(int server_count, std::uint64_t seed, bool servers_die) {
+Result simulate(int server_count, std::uint64_t seed, bool servers_die) {
   Random random(seed);
   std::vector<std::unique_ptr<SimulatedServer>> servers;
   std::vector<CallInFlight> finished;
@@ -208,19 +208,20 @@
   std::deque<double> in_flight_by_step;
   double sum = 0;
   double t = kStepSeconds;
-  while (t < kPlaySeconds) {
+  while (t < kSimulatedSeconds) {
     // Six in ten servers are replaced within two seconds, while the dependency hangs and as it recovers.
-    const bool wave = (t > 14 && t < 16) || (t > 25 && t < 27);
+    const bool many_servers_die = (t > 14 && t < 16) || (t > 25 && t < 27);
     for (auto& server : servers) {
-      if (servers_die && random.next() < kStepSeconds * (wave ? 0.45 : 0.01)) {
-        server->die(t);
+      if (servers_die && random.next() < kStepSeconds * (many_servers_die ? 0.45 : 0.01)) {
+        server->kill(t);
         finished.insert(finished.end(), server->calls.begin(), server->calls.end());
         server = std::make_unique<SimulatedServer>(server_count, true, t, ++servers_started);
       }
       server->step(t, dependency_state_at(t), random, 400.0 / server_count);
       server->finish_cancelled_runs(t);
       if (t > 34)
-        result.longest_silence = std::max(result.longest_silence, t - std::max(server->last_call(), 32.0));
+        result.longest_gap_seconds =
+            std::max(result.longest_gap_seconds, t - std::max(server->last_call(), 32.0));
     }
     double in_flight = 0;
     const auto count = [&](std::vector<CallInFlight>& calls) {
@@ -235,7 +236,7 @@
       sum -= in_flight_by_step.front();
       in_flight_by_step.pop_front();
     }
-    result.most_call_seconds = std::max(result.most_call_seconds, sum * kStepSeconds);
+    result.max_call_seconds = std::max(result.max_call_seconds, sum * kStepSeconds);
     t += kStepSeconds;
   }
   return result;
@@ -248,18 +249,18 @@
     for (const int server_count : {1, 5, 20, 30}) {
       Result worst;
       for (std::uint64_t seed = 1; seed <= 2; ++seed) {
-        const Result result = play(server_count, seed, servers_die);
-        worst.most_call_seconds = std::max(worst.most_call_seconds, result.most_call_seconds);
-        worst.longest_silence = std::max(worst.longest_silence, result.longest_silence);
+        const Result result = simulate(server_count, seed, servers_die);
+        worst.max_call_seconds = std::max(worst.max_call_seconds, result.max_call_seconds);
+        worst.longest_gap_seconds = std::max(worst.longest_gap_seconds, result.longest_gap_seconds);
       }
 
       const double budget = kTotalShare * kWindowSeconds, allowed = budget + 2 * std::sqrt(budget) + 2;
       std::fprintf(stderr, "%d backends%s: %.1f of %.0f (%.1f)\n", server_count,
-                   servers_die ? ", deaths" : "", worst.most_call_seconds, budget, allowed);
+                   servers_die ? ", deaths" : "", worst.max_call_seconds, budget, allowed);
       std::printf(
           "%d backends%s: within the sum of their parts and chance: %s; all call again within 3 s: %s\n",
           server_count, servers_die ? " that die and come back" : "",
-          worst.most_call_seconds <= allowed ? "yes" : "NO", worst.longest_silence < 3 ? "yes" : "NO");
+          worst.max_call_seconds <= allowed ? "yes" : "NO", worst.longest_gap_seconds < 3 ? "yes" : "NO");
     }
   }
   return 0;
