--- a/src/admission/admission_check.cpp
+++ b/src/admission/admission_check.cpp
@@ -6,10 +6,10 @@
 namespace damsonspoke {
 namespace {
 
-constexpr int kProbesPerCore = 1;             // requests that an unhealthy server takes
+constexpr int kProbesPerCore = 1;             // requests that an unhealthy server serves at once
 constexpr double kMaxQueuedBytesShare = 0.5;  // of the queued bytes, for one caller or subject
-constexpr double kUsableTimeShare = 0.85;     // of the time left: predictions are means
-constexpr double kMinWeightTimeShare = 0.5;   // of that time for the lowest weight
+constexpr double kUsableTimeShare = 0.85;     // of the time left, because predictions are means
+constexpr double kMinWeightTimeShare = 0.5;   // of that time, for a request of weight 0
 
 }  // namespace
 
@@ -29,7 +29,8 @@
   if (!has_waiting_work(now)) return std::nullopt;
   if (exceeds_fair_share(state.request)) return RejectReason::kNoCapacity;
   if (view_.statistics.for_request(state).run_times.empty()) return std::nullopt;
-  if (!new_request.within_quota) return RejectReason::kNoCapacity;  // beyond it, idle capacity only
+  // Beyond its quota a tenant gets only idle capacity.
+  if (!new_request.within_quota) return RejectReason::kNoCapacity;
   if (new_request.queue_wait > queue_time_allowed(state, now)) return RejectReason::kNoCapacity;
   return std::nullopt;
 }
@@ -38,7 +39,7 @@
   return view_.run_queue.size() > 0 || view_.calls.queued() > 0 || view_.run_queue.saturated(now);
 }
 
-// The pool counts bytes, not callers: while work waits, one caller or subject that holds over half of the
+// The pool does not tell callers apart. So while work waits, a caller or subject that holds over half of the
 // queued bytes gets no more capacity.
 bool AdmissionCheck::exceeds_fair_share(const Request& request) const {
   double of_caller = 0;
@@ -57,8 +58,9 @@
          of_subject > total * kMaxQueuedBytesShare;
 }
 
-// The lower a request's weight against the highest, the shorter the queue that it may join. It is measured by
-// the route with the least time for queueing, or routes with short objectives would pay alone.
+// The lower a request's weight relative to the highest, the shorter the queue that it may join. The limit
+// follows the route with the shortest queue time; otherwise only routes with short objectives would be
+// rejected.
 double AdmissionCheck::queue_time_allowed(const RequestState& state, double now) const {
   const double left = state.useful_until - now - view_.estimator.processing_time(state, now);
   const double share = kMinWeightTimeShare + (1 - kMinWeightTimeShare) * state.route.priority_weight /
--- a/src/admission/admission_check.h
+++ b/src/admission/admission_check.h
@@ -1,4 +1,4 @@
-// Whether a new_request is admitted, and which queued requests make place for it.
+// Decides whether a new request is admitted, and which queued requests are preempted for it.
 #pragma once
 
 #include <optional>
@@ -17,25 +17,25 @@
 namespace damsonspoke {
 
 enum class RejectReason {
-  kDraining,        // it arrived after the drain grace
-  kDeadlinePassed,  // its caller has stopped waiting
-  kTooLarge,        // it could never run here
-  kNoCapacity,      // the pool is exhausted, or it would not be done in time
-  kNoKeyCapacity,   // its idempotency key could not be remembered
-  kUnhealthy,       // an unhealthy server takes only as many requests as show whether it has recovered
+  kDraining,        // the request arrived after the drain grace period
+  kDeadlinePassed,  // its caller no longer waits
+  kTooLarge,        // it would not fit into the byte pool even alone
+  kNoCapacity,      // no memory, queue place, share or quota is left, or it would finish too late
+  kNoKeyCapacity,   // no memory is left for its idempotency key
+  kUnhealthy,       // an unhealthy server admits only a few requests, to probe its recovery
 };
 
-// The new_request as the controller has read it; times are seconds on the controller's clock.
+// A request that awaits its admission decision. Times are seconds on the controller's clock.
 struct NewRequest {
   const RequestState& state;
-  double arrived_at = 0;  // at this machine
-  double queue_wait = 0;  // predicted
+  double arrived_at = 0;  // when this machine received it
+  double queue_wait = 0;  // predicted wait for a core
   bool within_quota = true;
 };
 
 class AdmissionCheck {
  public:
-  // What the check looks at; all outlive it.
+  // The state that the check reads. All of it outlives the check.
   struct View {
     const AdmissionOptions& options;
     const RouteDirectory& directory;
@@ -52,10 +52,11 @@
   };
   explicit AdmissionCheck(const View& view) : view_(view) {}
 
-  // Why the new_request is rejected; none: it is admitted.
+  // The reason for rejecting the request, or nullopt if it is admitted.
   [[nodiscard]] std::optional<RejectReason> reject_reason(const NewRequest& new_request, double now) const;
-  // Queued requests of lower weight that have to go for the new_request to be in time: the least weight
-  // first, of those the latest. None where that does not suffice, or they weigh more together.
+  // The queued requests of lower priority weight to reject so that the new request finishes in time: the
+  // lowest weight first, among equal weights the latest first. nullopt if that is not enough, or if together
+  // they weigh at least as much as the new request.
   [[nodiscard]] std::optional<std::vector<RequestId>> requests_to_preempt(const NewRequest& new_request,
                                                                           double now) const;
 
--- a/src/admission/byte_pool.cpp
+++ b/src/admission/byte_pool.cpp
@@ -5,8 +5,8 @@
 namespace damsonspoke {
 namespace {
 
-constexpr double kCapacityShare = 0.92;  // of memory; the rest is not the controller's to count
-constexpr double kMaxKeyShare = 0.4;     // of memory, for remembered keys: requests need the larger part
+constexpr double kCapacityShare = 0.92;  // of memory; the rest is for what the controller does not count
+constexpr double kMaxKeyShare = 0.4;     // of memory, for idempotency keys; requests need the larger part
 
 }  // namespace
 
--- a/src/admission/byte_pool.h
+++ b/src/admission/byte_pool.h
@@ -1,5 +1,5 @@
-// The memory budget of admission after KIP-72: each request's bytes are charged to a pool when it is admitted
-// and released when it is over. While there is capacity, requests are admitted.
+// Memory budget for admission, modelled on Apache Kafka's KIP-72: a request's bytes are charged to a pool
+// when the request is admitted and released when it ends. Requests are admitted while the pool has capacity.
 #pragma once
 
 #include "admission/options.h"
@@ -11,23 +11,23 @@
  public:
   explicit BytePool(const AdmissionOptions& options);
 
-  // Whether a request of this size could run here at all.
+  // Whether a request of this size could run with the pool to itself.
   [[nodiscard]] bool fits(double size_kb) const { return size_kb * running_size_factor_ <= capacity_kb_; }
-  // Capacity is kept back for the largest request that was seen to become a running one. Sizes that don't
-  // fit are ignored: they must not shrink the capacity for the rest.
+  // Records the size of a request that was read. The pool reserves the memory to run the largest one seen.
+  // Sizes that don't fit are ignored, because they would shrink the capacity for all other requests.
   void observe_size(double size_kb);
 
   // Changes a charge to `kb`; 0 releases it.
   void charge(double& charged_kb, double kb);
-  // To be called when nothing is charged any more: discards what rounding has left in the sum.
+  // Clears the rounding error that has accumulated in the sum. Call only while nothing is charged.
   void reset() { used_kb_ = 0; }
 
-  // The bytes of remembered idempotency keys shrink the capacity for requests.
+  // Stored idempotency keys reduce the capacity for requests.
   [[nodiscard]] bool has_key_capacity() const;
   void charge_key() { keys_kb_ += key_kb_; }
   void release_key() { keys_kb_ -= key_kb_; }
 
-  // What requests may use.
+  // The part of the memory that requests may use.
   [[nodiscard]] double request_capacity_kb() const {
     return capacity_kb_ - keys_kb_ - largest_size_kb_ * running_size_factor_;
   }
--- a/src/admission/call_budget.cpp
+++ b/src/admission/call_budget.cpp
@@ -7,7 +7,7 @@
 namespace damsonspoke {
 namespace {
 
-constexpr double kRefillShare = 0.6;  // of the share flows in evenly, the rest may be used at once
+constexpr double kRefillShare = 0.6;  // of the share is added evenly; the rest may be used at once
 
 // At least one call fits, however small the share is.
 double capacity_of(const AdmissionOptions& options) {
--- a/src/admission/call_budget.h
+++ b/src/admission/call_budget.h
@@ -1,4 +1,4 @@
-// This server's share of a shared dependency.
+// Limits the server to its share of the calls to a shared dependency.
 #pragma once
 
 #include <optional>
@@ -7,27 +7,30 @@
 
 namespace damsonspoke {
 
-// A token bucket in call seconds: the share is a mean number of concurrent calls over a window, so what may
-// be used at once and what flows in add up to it. Each call reserves what it may use at most. Protects the
-// dependency while it is slow, hangs or rejects. Where the dependency is not shared everything is granted.
+// A token bucket of call seconds. The share is the mean number of concurrent calls over a window; the call
+// seconds that it allows in one window are the bucket's capacity plus its refill in that time. Each call
+// reserves the most it can use, so the share also holds while the dependency is slow, hangs or rejects
+// calls. If the dependency is not shared, every reservation is granted.
 class CallBudget {
  public:
   explicit CallBudget(const AdmissionOptions& options);
 
   void refill(double seconds);
-  // False where this server has no share at all.
+  // False if this server's share is 0.
   [[nodiscard]] bool allows_calls() const { return !shared_ || share_ > 0; }
-  // Reserves what a call with this timeout (s) may use. None: it has to wait, see seconds_until_available().
+  // Reserves the call seconds that a call with this timeout (s) can use. nullopt if too few are left;
+  // seconds_until_available() gives the wait.
   struct Reservation {
-    double timeout = 0;   // s, shortened to what the budget can hold
+    double timeout = 0;   // s, shortened to what the bucket can hold
     double reserved = 0;  // call seconds
   };
   std::optional<Reservation> reserve(double timeout);
-  // s until a call with this timeout can be reserved.
+  // Time (s) until a call with this timeout can be reserved.
   [[nodiscard]] double seconds_until_available(double timeout) const;
-  // A call ended that had reserved so much and took so long (s). An abandoned one goes on for a while.
+  // Returns the unused part of a reservation when its call ends after `seconds`. The dependency keeps
+  // working on an abandoned call for a while, so that time stays charged.
   void release(double reserved, double seconds, bool abandoned);
-  // Call seconds that flow in each second.
+  // Call seconds that are added per second.
   [[nodiscard]] double refill_rate() const;
 
   [[nodiscard]] bool shared() const { return shared_; }
--- a/src/admission/call_concurrency_limit.h
+++ b/src/admission/call_concurrency_limit.h
@@ -1,4 +1,4 @@
-// How many dependency calls may be in flight at once.
+// Adaptive limit on the number of dependency calls in flight.
 #pragma once
 
 namespace damsonspoke {
@@ -10,9 +10,10 @@
   explicit CallConcurrencyLimit(double ceiling) : ceiling_(ceiling), limit_(ceiling) {}
 
   enum class Change { kNone, kLowered, kRestored };
-  // A call has succeeded while calls take their usual time.
+  // Call after a success while calls take their usual time.
   Change raise();
-  // A call shows that the dependency is overloaded; counts once in the time that a drop takes to show.
+  // Call after a sign that the dependency is overloaded. Lowers the limit at most once per interval, because
+  // a decrease takes time to show its effect.
   Change lower(double now);
 
   [[nodiscard]] bool lowered() const { return limit_ < ceiling_; }
--- a/src/admission/controller.cpp
+++ b/src/admission/controller.cpp
@@ -10,8 +10,10 @@
 
 constexpr double kTickSeconds = 0.1;  // between two readings of the gauges
 constexpr double kDeadlineMarginSeconds = 0.010;
-constexpr double kStopMarginSeconds = 0.200;  // before the stop: all answers are out even after a slow batch
-constexpr double kRetrySpentShare = 0.4;      // of the objective, before a marked retry arrives
+// Requests are answered at the latest this long before the stop, so that all answers are sent even after a
+// slow batch.
+constexpr double kStopMarginSeconds = 0.200;
+constexpr double kRetrySpentShare = 0.4;  // of the objective, spent before a retry arrives
 
 }  // namespace
 
@@ -47,7 +49,7 @@
   wakeup_.schedule(now + kTickSeconds);
 }
 
-// Brings all that depends on the time up to date; every event begins with it.
+// Updates all state that depends on the time. Every event handler begins with it.
 void AdmissionController::advance_to(double now) {
   const double seconds = std::max(0.0, now - now_);
   now_ = now;
@@ -88,7 +90,7 @@
   return state;
 }
 
-// Whether the request is taken for a retry.
+// Returns whether the request is taken for a retry.
 bool AdmissionController::observe_read(const Request& request, const Route& route,
                                        RouteStatistics& statistics) {
   pool_.observe_size(request.size_kb);
@@ -112,19 +114,19 @@
     state.deadline = std::min(state.deadline, std::max(now_, drain_.stop_at - kStopMarginSeconds));
   state.useful_until = state.deadline;
   if (route.has_value_when_late()) return;
-  // The objective counts from the first attempt: a retry has spent a part of it, at most what its caller no
-  // longer waits.
+  // The objective counts from the first attempt. A retry has spent a part of it, at most the part of the
+  // timeout that is over for its caller.
   double spent = is_retry ? kRetrySpentShare * route.latency_objective : 0;
   if (request.remaining_timeout > 0)
     spent = std::clamp(route.timeout - request.remaining_timeout - request.age, 0.0, spent);
   state.useful_until = std::min(state.deadline, arrived_at + route.latency_objective - spent);
 }
 
-// A duplicate never runs beside its original: it waits for that one's outcome.
+// A duplicate never runs beside its original: it waits for the original's outcome.
 void AdmissionController::join_original(const RequestState& state) {
   RequestState& tracked = track(state);
   tracked.stage = RequestStage::kAwaitingOriginal;
-  // Its original may have run: it is failed, never rejected.
+  // The original may have run, so the duplicate is failed, never rejected.
   if (pool_.used_kb() > pool_.request_capacity_kb()) return fail(tracked);
   sink_.join(state.request.id);
 }
@@ -180,7 +182,7 @@
   run_queue_.update_saturation(now_);
 }
 
-// False where none is left that can start now.
+// Returns false if no queued request can start now.
 bool AdmissionController::start_next_request() {
   const std::optional<RequestId> id = run_queue_.most_urgent(now_, calls_.saturated());
   if (!id) return false;
@@ -197,7 +199,7 @@
   return true;
 }
 
-// Rejects a request that can't be in time any more, while others run.
+// Rejects a queued request that can no longer finish in time, if other requests run. Returns whether it did.
 bool AdmissionController::reject_if_late(const RequestState& state) {
   const bool never_ran = state.stage == RequestStage::kQueued && !state.has_run;
   if (!never_ran || run_queue_.running() == 0) return false;
@@ -223,7 +225,7 @@
   start_queued_requests();
 }
 
-// The run was stopped although its request still waits for an answer.
+// Called if a run was stopped although its request still waits for an answer.
 void AdmissionController::requeue(RequestState& state) {
   calls_.remove(state.request.id);
   const bool keeps_progress = options_.preemption == Preemption::kPause;
@@ -249,7 +251,7 @@
 }
 
 void AdmissionController::assess_health() {
-  // While it warms up, slow runs are expected.
+  // Slow runs are expected while the server warms up.
   const auto objective_use =
       slow_start_.warming_up(now_) ? std::nullopt : statistics_.mean_objective_use(service_rate_.value());
   health_.assess(objective_use, now_);
@@ -282,7 +284,7 @@
   start_queued_requests();
 }
 
-// Makes the calls that may be made now, and gives up those that could only return too late.
+// Makes the calls that may be made now, and drops those that could only return too late.
 void AdmissionController::dispatch_calls() {
   for (;;) {
     const DependencyCalls::Next next = calls_.next(now_);
@@ -347,7 +349,7 @@
   const auto found = requests_.find(id);
   if (found != requests_.end()) keys_.drop(found->second, now_);
   const double retry_after = signals_.retry_after(queue_wait, should_be_avoided());
-  // Being unhealthy is this server's own fault: others may well have capacity.
+  // An unhealthy server says nothing about the others: they may have capacity.
   const bool others_lack_capacity = !health_.unhealthy() && (no_retry || signals_.retry_storm());
   sink_.reject(id, retry_after, others_lack_capacity);
   release(id);
@@ -358,8 +360,8 @@
   abandon(state);
 }
 
-// Nobody waits for the request any more. What is queued goes; what runs is stopped, or keeps its charge and
-// its core until its end.
+// The request needs no answer any more. If it is queued it is released; if it runs, the run is stopped, or
+// keeps its charge and its core until it ends.
 void AdmissionController::abandon(RequestState& state) {
   const RequestId id = state.request.id;
   state.answered = true;
@@ -369,7 +371,8 @@
                                  state.stage == RequestStage::kPaused ||
                                  state.stage == RequestStage::kAwaitingOriginal;
   if (has_no_active_run) return release(id);
-  // A run with a key goes on for the duplicates that will come: stopped half way, they could not be answered.
+  // A run with an idempotency key continues: if it were stopped half way, later duplicates could not be
+  // answered.
   const bool is_interrupted =
       options_.preemption != Preemption::kOff && state.route.idempotency != Idempotency::kWithKey;
   if (state.stage == RequestStage::kRunning && is_interrupted) sink_.interrupt(id);
--- a/src/admission/controller.h
+++ b/src/admission/controller.h
@@ -1,7 +1,8 @@
 // The admission controller of one server: decides for each request whether it is admitted, when it runs and
-// calls its dependency, and what its caller is told. Pure: it does no I/O, and time is handed in.
+// calls its dependency, and how its caller is answered. Pure: it does no I/O and receives the time as a
+// parameter.
 //
-// The mechanism is byte-pool admission after KIP-72; docs/design.md explains it.
+// The mechanism is byte-pool admission, modelled on Apache Kafka's KIP-72; docs/design.md explains it.
 #pragma once
 
 #include <cstdint>
@@ -30,13 +31,14 @@
 
 namespace damsonspoke {
 
-// Each method is told the time (s, on a clock that never steps back) and acts at once through the sink.
+// Each method receives the time (s, on a monotonic clock) and acts through the sink before it returns.
 // Invariant: every request gets one answer (reject, fail, or the result of its run) by its deadline, unless
-// its caller has gone.
+// its caller has disconnected.
 class AdmissionController {
  public:
-  // `directory` null: the routes and tenants of the options; otherwise it has to outlive this, as the sink.
-  // A prior counts as much as its histograms hold, until the first runs contradict it.
+  // If `directory` is null, the routes and tenants of the options are used. The sink and a given directory
+  // must outlive the controller. The counts in the prior's histograms are its weight; a route's prior is
+  // dropped if the first runs contradict it.
   AdmissionController(const AdmissionOptions& options, std::uint64_t seed, DecisionSink& sink, double now,
                       const LearnedStatistics& prior = {}, const RouteDirectory* directory = nullptr);
   ~AdmissionController() = default;
@@ -44,14 +46,14 @@
   AdmissionController& operator=(const AdmissionController&) = delete;
 
   void on_request(double now, const Request& request);
-  // `spent` (s): what the server measured; the controller goes by its own clock.
+  // `spent` is the duration (s) that the server measured. It is ignored: the controller uses its own clock.
   void on_run_finished(double now, RequestId id, Outcome outcome, double spent);
   void on_call_needed(double now, RequestId id);
   void on_call_finished(double now, RequestId id, Outcome outcome, double spent);
   void on_caller_disconnected(double now, RequestId id);
-  // The drain notice: the server stops `time_left` (s) from now.
+  // Starts draining: the server stops `time_left` (s) from now.
   void on_drain(double now, double time_left);
-  // A scheduled wakeup; tokens of superseded ones are ignored.
+  // A wakeup scheduled through the sink. Tokens of superseded wakeups are ignored.
   void on_timer(double now, std::uint64_t token, const Gauges& gauges);
 
   [[nodiscard]] LearnedStatistics learned() const;
--- a/src/admission/deadline_queue.h
+++ b/src/admission/deadline_queue.h
@@ -20,7 +20,7 @@
     if (deadlines_.empty()) return std::nullopt;
     return deadlines_.begin()->first;
   }
-  // The request with the earliest deadline, where that has passed.
+  // The request with the earliest deadline, if that deadline has passed.
   [[nodiscard]] std::optional<RequestId> overdue(double now) const {
     if (deadlines_.empty() || deadlines_.begin()->first > now) return std::nullopt;
     return deadlines_.begin()->second;
--- a/src/admission/decision_sink.h
+++ b/src/admission/decision_sink.h
@@ -1,4 +1,4 @@
-// What the admission controller's decisions are carried out by.
+// Interface that carries out the admission controller's decisions.
 #pragma once
 
 #include <cstdint>
@@ -14,27 +14,28 @@
   virtual ~DecisionSink() = default;
   // Starts the request's run, or resumes it where it is paused.
   virtual void start(RequestId id) = 0;
-  // Stops its run; on_run_finished with kCancelled follows.
+  // Stops the request's run; on_run_finished with kCancelled follows.
   virtual void interrupt(RequestId id) = 0;
-  // Answers the request, which never ran. `retry_after` 0: no advice. `no_retry`: others lack capacity too.
+  // Rejects a request that never ran. `retry_after` 0 gives no advice. `no_retry` tells the caller not to
+  // retry on another server, because the others lack capacity too.
   virtual void reject(RequestId id, double retry_after, bool no_retry) = 0;
-  // Answers the request, which may have run.
+  // Answers a request, which may have run, with an error.
   virtual void fail(RequestId id) = 0;
-  // Makes the dependency call that its run waits for, with that timeout.
+  // Makes the dependency call that the request's run waits for.
   virtual void call(RequestId id, double timeout) = 0;
-  // Lets its run go on without the call.
+  // Continues the request's run without the call.
   virtual void skip_call(RequestId id) = 0;
-  // Remembers the request's key, and its result once there is one, for that long.
+  // Stores the request's idempotency key, and its result once there is one, for `ttl`.
   virtual void remember(RequestId id, double ttl) = 0;
   virtual void forget(RequestId id) = 0;
-  // Answers a duplicate as its original is answered.
+  // Gives a duplicate the same answer as its original request.
   virtual void join(RequestId id) = 0;
-  // `from_store`: health checks are to be answered from this state, without work.
+  // `from_store`: health checks are answered from this stored state instead of doing work.
   virtual void set_health(bool healthy, bool from_store) = 0;
   virtual void publish_load_feedback(double value) = 0;
-  // Connections that carried nothing for that long are to be closed.
+  // Sets how long a connection may be idle before it is closed.
   virtual void set_idle_timeout(double seconds) = 0;
-  // on_timer is to be called with the token at that time; only the latest token counts.
+  // Asks for a call of on_timer with this token at this time. Only the latest token is valid.
   virtual void schedule_wakeup(double time, std::uint64_t token) = 0;
   virtual void log(const std::string& line) = 0;
 };
--- a/src/admission/dependency_calls.cpp
+++ b/src/admission/dependency_calls.cpp
@@ -6,9 +6,9 @@
 namespace damsonspoke {
 namespace {
 
-constexpr double kMaxPendingCallsPerCore = 2;  // beside the run limit: all may return at one moment
+constexpr double kMaxPendingCallsPerCore = 2;  // in addition to the run limit; all may return at one moment
 constexpr int kMaxAttempts = 3;                // more only add to an overload of the dependency
-constexpr double kFirstBackoffSeconds = 0.05;  // doubled with each attempt, with full jitter on top
+constexpr double kFirstBackoffSeconds = 0.05;  // doubled with each attempt, plus up to 100 % jitter
 
 double max_calls_in_flight(const AdmissionOptions& options) {
   return kMaxPendingCallsPerCore * options.cores;
@@ -55,8 +55,9 @@
   return next;
 }
 
-// In the order of arrival, but under pressure by priority weight. Of equals the one goes first that has had
-// more calls: they were made in vain without this one.
+// Selects in the order of arrival, but by priority weight while the dependency is overloaded. Of requests
+// with equal weight, the one with more calls goes first, because its earlier calls would be wasted without
+// this one.
 std::optional<RequestId> DependencyCalls::select_call(double now) const {
   const bool by_priority = is_overloaded();
   const RequestState* chosen = nullptr;
@@ -99,7 +100,7 @@
     const RequestState& state = requests_.at(queue_[index]);
     const double run_time = statistics_.mean_run_time(statistics_.for_request(state)) / service_rate_.value();
     const bool skip = state.route.value_without_call > 0 && time_after_call(index, now) < run_time;
-    // It can't be in time any more, and others wait for the same scarce calls.
+    // The request can no longer finish in time, and others wait for the same scarce calls.
     const bool fail = is_overloaded() && state.useful_until < now + latency_.recent_mean() && !state.answered;
     if (!skip && !fail) continue;
     const RequestId id = queue_[index];
@@ -109,7 +110,7 @@
   return std::nullopt;
 }
 
-// What would be left of the request's useful time after the call at that index of the queue.
+// The part of the request's useful time that would be left after the call at this index of the queue.
 double DependencyCalls::time_after_call(std::size_t index, double now) const {
   const RequestState& state = requests_.at(queue_[index]);
   // The mean of many calls lags behind a dependency that has just become slow.
@@ -121,7 +122,7 @@
          calls_ahead(index) * latency_.recent_mean() / (limit_.value() * (1 - latency_.rejected_share()));
 }
 
-// How many in the queue go first when priority weight decides.
+// Number of queued calls that go before the one at this index when priority weight decides.
 double DependencyCalls::calls_ahead(std::size_t index) const {
   const double weight = requests_.at(queue_[index]).route.priority_weight;
   double before = 0;
--- a/src/admission/dependency_calls.h
+++ b/src/admission/dependency_calls.h
@@ -1,5 +1,5 @@
-// The dependency calls of running requests: which call goes first, how many are in flight, timeouts, backoff,
-// and which calls are left out.
+// Schedules the dependency calls of running requests: their order, the number in flight, timeouts, backoff,
+// and which calls are skipped.
 #pragma once
 
 #include <cstddef>
@@ -26,31 +26,32 @@
   void restore(const LearnedDurations& prior) { latency_.restore(prior); }
   void advance(double seconds);
 
-  // ---- The queue of calls to be made.
+  // ---- The queue of calls.
   void enqueue(RequestId id) { queue_.push_back(id); }
   void remove(RequestId id) { std::erase(queue_, id); }
   [[nodiscard]] std::size_t queued() const { return queue_.size(); }
   [[nodiscard]] int in_flight() const { return in_flight_; }
-  // Requests at calls: waiting for one or in one.
+  // Calls that are queued or in flight.
   [[nodiscard]] int pending_calls() const { return static_cast<int>(queue_.size()) + in_flight_; }
-  // No more requests that need calls should start: all at calls may want a core at the same moment.
+  // True if no more requests that need calls should start: all pending calls may return, and their runs need
+  // a core, at the same moment.
   [[nodiscard]] bool saturated() const { return pending_calls() >= limit_.ceiling(); }
-  // False where this server may make no calls at all.
+  // False if this server may make no calls at all.
   [[nodiscard]] bool allowed() const { return budget_.allows_calls(); }
 
   // ---- Making calls.
-  // The next call to be made now. Otherwise when to look again, or neither: nothing waits, or an end of a
-  // call comes first.
+  // The call to make now, or else the time at which one may become possible. Neither is set if no call is
+  // ready, or if a call in flight must end first.
   struct Next {
     std::optional<RequestId> call;
     std::optional<double> check_again_at;
-    CallBudget::Reservation reservation;  // of the call
+    CallBudget::Reservation reservation;  // for the call
   };
   [[nodiscard]] Next next(double now);
   void begin_call(RequestState& state, const CallBudget::Reservation& reservation, double now);
 
-  // From that index of the queue on, the first call that could only return too late: it is taken off the
-  // queue. `skip`: the run goes on without it; otherwise the request fails.
+  // Removes from the queue the first call at or after index `from` that could only return too late. `skip`:
+  // the run continues without the call; otherwise the request fails.
   struct LateCall {
     RequestId id = 0;
     std::size_t index = 0;
@@ -58,22 +59,22 @@
   };
   [[nodiscard]] std::optional<LateCall> take_late_call(std::size_t from, double now);
 
-  // ---- Ends of calls.
-  // The request's call is over, whatever came of it. `abandoned`: the dependency still works on it.
+  // ---- The end of a call.
+  // The request's call has ended, with whatever outcome. `abandoned`: the dependency may still work on it.
   void end_call(RequestState& state, bool abandoned, double now);
-  // What the end of a call, after so long, tells about the dependency.
+  // Updates the latency and the concurrency limit after a call that took `seconds`.
   CallConcurrencyLimit::Change record_outcome(Outcome outcome, double seconds, double now);
-  // Backoff before the request's next attempt. Consumes randomness whether there is one or not.
+  // Backoff before the request's next attempt. Draws a random number even if no attempt follows.
   [[nodiscard]] static double backoff(const RequestState& state, RandomGenerator& random);
   [[nodiscard]] static bool may_retry(const RequestState& state, Outcome outcome, double retry_at);
 
   // ---- For predictions and reports.
-  // The dependency is overloaded: important calls go first.
+  // The dependency is overloaded: calls of requests with a higher priority weight go first.
   [[nodiscard]] bool is_overloaded() const { return latency_.slow() || limit_.lowered(); }
   [[nodiscard]] bool limit_lowered() const { return limit_.lowered(); }
   [[nodiscard]] const DependencyLatency& latency() const { return latency_; }
   [[nodiscard]] double concurrency_limit() const { return limit_.value(); }
-  // While calls are slow: the time between two calls, and until the next one.
+  // While calls are slow: the time between two calls, and the time until the next one may start.
   [[nodiscard]] double slow_interval() const { return pacer_.interval(latency_.recent_mean()); }
   [[nodiscard]] double slow_delay(double now) const { return pacer_.delay(now); }
 
--- a/src/admission/dependency_latency.cpp
+++ b/src/admission/dependency_latency.cpp
@@ -12,7 +12,7 @@
 constexpr double kMaxRejectedShare = 0.9;
 constexpr double kSmoothingCalls = 12;
 constexpr double kSmoothingCallsFalling = 2;   // a dependency that has recovered shows it in a few calls
-constexpr double kSmoothingCallsTimedOut = 4;  // a call that was given up tells more than one that is late
+constexpr double kSmoothingCallsTimedOut = 4;  // a timed-out call is a stronger sign than a slow one
 
 }  // namespace
 
--- a/src/admission/dependency_latency.h
+++ b/src/admission/dependency_latency.h
@@ -1,4 +1,4 @@
-// How long dependency calls take, and how many are rejected.
+// Statistics of dependency calls: how long they take, and how many are rejected.
 #pragma once
 
 #include "admission/histogram.h"
@@ -12,22 +12,23 @@
   void restore(const LearnedDurations& prior);
   [[nodiscard]] LearnedDurations snapshot() const { return calls_.snapshot(); }
 
-  // A call has ended after so long.
+  // Records a call that ended after `seconds`.
   void record(Outcome outcome, double seconds);
 
   [[nodiscard]] bool has_samples() const { return !calls_.empty(); }
   [[nodiscard]] double mean() const { return calls_.mean(); }
-  // A mean of the last calls, which shows a change sooner than the mean of all.
+  // A smoothed mean of the latest calls, which follows a change sooner than mean().
   [[nodiscard]] double recent_mean() const { return recent_mean_; }
-  // Calls take much longer than they usually do: the dependency is overloaded.
+  // True if calls take much longer than usual, which means that the dependency is overloaded.
   [[nodiscard]] bool slow() const;
-  // After this a call hardly ever returns.
+  // The time (s) after which a call hardly ever returns.
   [[nodiscard]] double longest_useful_timeout() const;
-  // Share of the recent calls that the dependency has rejected; under 1, since some are accepted.
+  // Share of the recent calls that the dependency rejected. It is capped below 1, because some calls are
+  // accepted.
   [[nodiscard]] double rejected_share() const { return rejected_share_; }
 
-  static constexpr double kMinTimeoutSeconds =
-      0.25;  // shorter ones would burden a slow dependency with retries
+  // Shorter timeouts would burden a slow dependency with retries.
+  static constexpr double kMinTimeoutSeconds = 0.25;
 
  private:
   DurationHistogram calls_;
--- a/src/admission/drain.h
+++ b/src/admission/drain.h
@@ -1,4 +1,4 @@
-// Graceful shutdown as the decisions see it.
+// State of the graceful shutdown.
 #pragma once
 
 namespace damsonspoke {
--- a/src/admission/fixed_route_directory.h
+++ b/src/admission/fixed_route_directory.h
@@ -1,4 +1,4 @@
-// A route directory that never changes: the routes and tenants of one server's settings.
+// A route directory that never changes: the routes and tenants of the server's settings.
 #pragma once
 
 #include <algorithm>
--- a/src/admission/health.cpp
+++ b/src/admission/health.cpp
@@ -5,18 +5,18 @@
 namespace damsonspoke {
 namespace {
 
-// Thresholds to become unhealthy, and lower ones to be healthy again, so that it does not flap.
-constexpr double kUnhealthyObjectiveUse = 0.9;  // objective use: nothing would be in time
+// Thresholds for becoming unhealthy, and lower ones for recovery, so that the state does not flap.
+constexpr double kUnhealthyObjectiveUse = 0.9;  // objective use; above it, hardly any run finishes in time
 constexpr double kRecoveredObjectiveUse = 0.6;
-constexpr double kUnhealthyStaleness = 1;  // staleness: nothing that is read can be in time
+constexpr double kUnhealthyStaleness = 1;  // staleness; above it, no request that is read can finish in time
 constexpr double kRecoveredStaleness = 0.3;
 constexpr double kUnhealthyErrorShare = 0.35;  // share of the runs
 constexpr int kSuccessesToRecover = 6;         // in a row
 constexpr double kErrorSmoothingRuns = 12;
 constexpr double kStalenessSmoothingRequests = 8;
-constexpr double kMaxStalenessPerRequest = 1.5;  // that one request counts as
+constexpr double kMaxStalenessPerRequest = 1.5;  // counted for one request
 constexpr double kStalenessFadePerTick = 0.97;
-constexpr double kPublishDelaySeconds = 0.5;  // a shorter spell is not published
+constexpr double kPublishDelaySeconds = 0.5;  // a shorter unhealthy period is not published
 constexpr double kIdleResetSeconds = 2;
 
 }  // namespace
@@ -36,7 +36,7 @@
 }
 
 void HealthMonitor::tick(bool cores_idle) {
-  if (cores_idle) staleness_ = 0;  // nothing stands unread
+  if (cores_idle) staleness_ = 0;  // no request is waiting to be read
   staleness_ *= kStalenessFadePerTick;
 }
 
@@ -64,8 +64,8 @@
 }
 
 void HealthMonitor::publish(double now) {
-  // Where the registry follows health, an unhealthy server gets no requests that could show its recovery. So
-  // after a silence it is published as healthy until some requests arrive and show how it is.
+  // If the registry follows health, an unhealthy server gets no requests that could show its recovery. So
+  // after a time without requests it is published as healthy, until new requests show its state.
   const bool idle = now >= last_read_at_ + kIdleResetSeconds;
   const bool persists = unhealthy_ && !idle && now >= unhealthy_since_ + kPublishDelaySeconds;
   const bool healthy = !drain_.draining() && !persists;
--- a/src/admission/health.h
+++ b/src/admission/health.h
@@ -1,4 +1,4 @@
-// Whether this server is healthy, by what it observes of itself.
+// Decides whether this server is healthy, from its own observations.
 #pragma once
 
 #include <optional>
@@ -10,29 +10,29 @@
 
 namespace damsonspoke {
 
-// Unhealthy while runs are too slow for their objectives, fail, or requests are stale when they are read. The
-// last protects against reading that takes all the cores: then no run starts, and none is seen to be slow.
-// Times are seconds on the controller's clock.
+// The server is unhealthy while runs are too slow for their latency objectives, while too many runs fail, or
+// while requests are stale when they are read. Staleness covers the case that reading takes all the cores:
+// no run starts then, so none can be seen to be slow. Times are seconds on the controller's clock.
 class HealthMonitor {
  public:
   HealthMonitor(const AdmissionOptions& options, const DrainState& drain, DecisionSink& sink)
       : options_(options), drain_(drain), sink_(sink) {}
 
-  // A request was read, this old; `latency_objective` 0: none.
+  // Records a request that was `age` old when it was read. `latency_objective` 0: its route has none.
   void observe_read(double age, double latency_objective, double now);
-  // A run has ended; cancelled ones are not to be told.
+  // Records the end of a run. Not to be called for cancelled runs.
   void observe_run(Outcome outcome);
-  // Once a tick: what is old in the backlog fades, at once where cores idle.
+  // Called once a tick. Staleness decays, or is cleared if cores idle.
   void tick(bool cores_idle);
 
-  // `objective_use`: mean share of their latency objective that runs take now; none: not known, or it does
-  // not count since the server warms up.
+  // Updates the health. `objective_use` is the mean share of the latency objective that runs take now;
+  // nullopt if it is unknown, or does not count because the server warms up.
   void assess(std::optional<double> objective_use, double now);
-  // Publishes the health where it has changed.
+  // Publishes the health if it has changed.
   void publish(double now);
 
   [[nodiscard]] bool unhealthy() const { return unhealthy_; }
-  // Requests are so old when read that reading has fallen behind.
+  // True if requests are so old when they are read that reading has fallen behind.
   [[nodiscard]] bool reads_stale_requests() const;
 
  private:
--- a/src/admission/histogram.h
+++ b/src/admission/histogram.h
@@ -1,4 +1,4 @@
-// A small histogram of durations in which older values fade.
+// A small histogram of durations in which older values decay.
 #pragma once
 
 #include <array>
@@ -7,7 +7,8 @@
 
 namespace damsonspoke {
 
-// Values in seconds, in bins each twice as wide as the one before. When it is full all counts are halved.
+// Values are seconds. The upper end of each bin is twice that of the bin before. When the count reaches
+// kMaxCount, all counts are halved.
 class DurationHistogram {
  public:
   void add(double seconds);
@@ -16,7 +17,7 @@
   // The upper end of the bin that holds the quantile; `share` from 0 to 1.
   [[nodiscard]] double quantile(double share) const;
   [[nodiscard]] LearnedDurations snapshot() const { return {{bins_.begin(), bins_.end()}, sum_}; }
-  // Takes a snapshot with the same number of bins; another one is ignored. To be called while empty.
+  // Loads a snapshot into an empty histogram. A snapshot with another number of bins is ignored.
   void restore(const LearnedDurations& snapshot);
 
  private:
--- a/src/admission/idempotency_keys.h
+++ b/src/admission/idempotency_keys.h
@@ -1,5 +1,4 @@
-// The idempotency keys that are remembered, and the reads whose answers are shared: entries that outlive
-// their request.
+// Stored idempotency keys and reads with shared answers: entries that outlive their request.
 #pragma once
 
 #include <set>
@@ -18,7 +17,7 @@
 
   [[nodiscard]] bool has_capacity() const { return pool_.has_key_capacity(); }
   void remember(RequestState& state, double ttl, double now);
-  // Forgets the key of a request that never ran; nothing where its entry has expired or never was.
+  // Removes the entry of a request that never ran. Does nothing if the entry has expired or never existed.
   void drop(const RequestState& state, double now);
   void expire(double now);
 
--- a/src/admission/idle_connections.cpp
+++ b/src/admission/idle_connections.cpp
@@ -7,15 +7,15 @@
 namespace {
 
 constexpr std::size_t kCallerEntries = 1024;
-constexpr double kNever = -1e9;  // s
+constexpr double kNever = -1e9;  // s; earlier than any request
 constexpr double kSmoothingRequests = 30;
-// Of the callers' idle timeout: a connection that is open longer costs as much as a new one.
+// Share of the callers' idle timeout. A connection that is kept open for longer costs as much as a new one.
 constexpr double kReturnSoonShare = 1.0 / 6;
 constexpr double kMaxTimeoutReturningShare = 0.5;
-constexpr double kMinTimeoutSeconds = 0.3;       // a retry still finds its connection
-constexpr double kMaxWaitingThreadsPerCore = 6;  // threads; above, reading falls behind
+constexpr double kMinTimeoutSeconds = 0.3;       // a retry still finds its connection open
+constexpr double kMaxWaitingThreadsPerCore = 6;  // threads; with more, reading falls behind
 constexpr double kGrowthPerTick = 2;             // while reading falls behind
-constexpr double kDecayPerTick = 0.95;           // slower, or all callers would connect at once
+constexpr double kDecayPerTick = 0.95;           // slow, so that callers don't all reconnect at once
 constexpr double kMinPublishedChange = 0.2;      // of the published timeout
 
 }  // namespace
--- a/src/admission/idle_connections.h
+++ b/src/admission/idle_connections.h
@@ -1,4 +1,4 @@
-// How long callers' connections may stay idle.
+// Decides how long callers' connections may stay idle.
 #pragma once
 
 #include <cstdint>
@@ -9,20 +9,20 @@
 
 namespace damsonspoke {
 
-// Open connections take a part of the cores, and a full table denies the next caller, while a new connection
-// costs work. So connections are kept for the longest time where callers come back soon, and otherwise as
-// briefly as reading keeps up. Times are seconds.
+// Open connections cost CPU time, and a full connection table shuts out the next caller; on the other hand,
+// each new connection costs work. So the idle timeout is the configured maximum while callers return soon,
+// and otherwise as short as it can be without reading falling behind. Times are seconds.
 class IdleConnections {
  public:
   IdleConnections(const AdmissionOptions& options, DecisionSink& sink);
 
-  // A caller's request was read.
+  // Records that a request of this caller was read.
   void observe_caller(std::uint32_t caller, double now);
-  // Once a tick. `waiting_threads`: threads that want a core beside the runs; `has_capacity`: there is
-  // capacity for more callers.
+  // Called once a tick. `waiting_threads`: threads that run or wait for a core, without the runs.
+  // `has_capacity`: the server can serve more callers.
   void tick(double waiting_threads, bool has_capacity);
 
-  // Share of the requests from callers that came back soon.
+  // Share of the requests whose caller returned soon.
   [[nodiscard]] double returning_share() const { return returning_share_; }
   void restore(double returning_share) { returning_share_ = returning_share; }
 
@@ -37,7 +37,7 @@
   double timeout_ = 0;
   double published_;
   double returning_share_ = 1;
-  std::vector<LastRequest> last_requests_;  // by a part of the caller's number
+  std::vector<LastRequest> last_requests_;  // indexed by the caller's number modulo the size
 };
 
 }  // namespace damsonspoke
--- a/src/admission/latency_estimator.cpp
+++ b/src/admission/latency_estimator.cpp
@@ -8,7 +8,7 @@
   double ahead = 0;
   for (const RequestId id : run_queue_.ids()) ahead += statistics_.expected_run_time(requests_.at(id));
   for (const auto& [id, state] : requests_) {
-    // On the mean half of a run in progress is left.
+    // On average half of a run in progress is left.
     if (state.stage == RequestStage::kRunning) ahead += statistics_.expected_run_time(state) / 2;
   }
   return ahead / (run_queue_.run_limit() * service_rate_.value());
@@ -26,8 +26,8 @@
   return run_time + call_time;
 }
 
-// How long the calls of a request take while calls are slow: those of requests with at least its weight, and
-// no later arrival, go first.
+// Time that the calls of a request take while calls are slow. Calls of requests with at least its weight go
+// first, unless both requests are queued and the other one was queued later.
 double LatencyEstimator::slow_call_time(const RequestState& state, double now) const {
   double ahead = 0;
   for (const auto& [id, other] : requests_) {
--- a/src/admission/latency_estimator.h
+++ b/src/admission/latency_estimator.h
@@ -1,4 +1,4 @@
-// Predictions of when requests will be done.
+// Predicts how long requests wait and how long they take.
 #pragma once
 
 #include "admission/dependency_calls.h"
@@ -20,14 +20,14 @@
         run_queue_(run_queue),
         calls_(calls) {}
 
-  // That a new_request would wait for a core.
+  // How long a new request would wait for a core.
   [[nodiscard]] double queue_wait() const;
-  // By which a queued request's place lengthens the wait of others.
+  // How much a queued request adds to the wait of others.
   [[nodiscard]] double queue_wait_of(const RequestState& state) const {
     return statistics_.expected_run_time(state) / (run_queue_.run_limit() * service_rate_.value());
   }
-  // From the start of the request's run to its end. A slow dependency lengthens it at once, but not where the
-  // call can be left out.
+  // Time from the start of the request's run to its end. It includes a slowdown of the dependency at once,
+  // unless the route allows its calls to be skipped.
   [[nodiscard]] double processing_time(const RequestState& state, double now) const;
 
  private:
--- a/src/admission/learned_statistics.h
+++ b/src/admission/learned_statistics.h
@@ -1,4 +1,4 @@
-// What one life of the server has learned that its successor may begin with.
+// Statistics that one incarnation of the server has learned, as a prior for the next one.
 #pragma once
 
 #include <vector>
@@ -11,15 +11,15 @@
   double sum = 0;            // s, of all values
 };
 
-// The counts in the histograms say how much each part weighs.
+// The counts in a histogram are its weight as a prior.
 struct LearnedStatistics {
   struct Times {
-    LearnedDurations run, call;  // on the cores; waiting for and in dependency calls
+    LearnedDurations run, call;  // on the cores; queued for and in dependency calls
   };
-  std::vector<Times> routes;  // by position, as the routes
+  std::vector<Times> routes;  // by position in the route directory
   LearnedDurations calls;
-  double returning_share = -1;  // of requests from callers that came back soon; negative: not known
-  // Learned while the server was unhealthy or warming up, or the dependency under pressure.
+  double returning_share = -1;  // of the requests whose caller returned soon; negative: unknown
+  // Learned while the server was unhealthy or warming up, or while calls to the dependency were limited.
   bool under_pressure = false;
 };
 
--- a/src/admission/options.h
+++ b/src/admission/options.h
@@ -1,5 +1,5 @@
-// Plain data that configures the admission controller: routes, tenants and the figures of one server.
-// Durations are seconds and sizes kilobytes unless a name says otherwise.
+// Settings of the admission controller: routes, tenants and the parameters of one server. Durations are
+// seconds and sizes kilobytes unless a name says otherwise.
 #pragma once
 
 #include <cstdint>
@@ -7,28 +7,29 @@
 
 namespace damsonspoke {
 
-// Whether a request may run twice: always, only under the protection of its idempotency key, or never.
+// Whether a request may be run again: always, only if an idempotency key protects it, or never.
 enum class Idempotency { kIdempotent, kWithKey, kNonIdempotent };
-// What becomes of a run that is stopped: it can't be stopped, its progress is lost, or it is paused.
+// Whether a run can be stopped: never, with its progress lost, or paused and resumed later.
 enum class Preemption { kOff, kDrop, kPause };
-// The form in which callers are told how much load to send: a level of avoidance, a credit or a weight.
+// The form of the load feedback to callers: none, the share of load to send elsewhere, a credit of requests,
+// or a weight.
 enum class LoadFeedback { kOff, kLevel, kCredit, kWeight };
 // The dependency that runs call: none, one shared with the other servers, or a second tier of this service.
 enum class DependencyKind { kOff, kShared, kTier };
 
-// A kind of request: its objective, what it is worth and how it may be repeated.
+// A kind of request: its latency objective, its priority and whether it may be repeated.
 struct Route {
   std::uint32_t generation = 0;   // changes when another route takes this one's position
   double latency_objective = 0;   // 0: none
-  double timeout = 0;             // that callers wait when they don't say how long
-  double idempotency_window = 0;  // with a key: time in which a duplicate may arrive
+  double timeout = 0;             // of callers that don't send one
+  double idempotency_window = 0;  // with an idempotency key: time in which a duplicate may arrive
   double priority_weight = 1;
-  double late_value = 0;          // share of the priority weight that a late answer earns
-  double value_without_call = 0;  // share earned when the dependency call was left out
+  double late_value = 0;          // share of the priority weight that a late answer keeps
+  double value_without_call = 0;  // share that an answer without the dependency call keeps
   bool calls_dependency = false;
   Idempotency idempotency = Idempotency::kIdempotent;
 
-  // Whether an answer after the latency objective still earns much of the weight.
+  // Whether an answer after the latency objective keeps much of the priority weight.
   [[nodiscard]] bool has_value_when_late() const { return late_value >= kMinLateValue; }
   static constexpr double kMinLateValue = 0.5;  // of the priority weight
 };
@@ -55,12 +56,12 @@
   DependencyKind dependency = DependencyKind::kOff;
   double dependency_share = 0;         // mean number of concurrent calls that this server may have
   double dependency_share_window = 0;  // over which that mean is taken
-  double abandoned_call_time = 0;      // that the dependency goes on working after a call was given up
+  double abandoned_call_time = 0;      // how long the dependency keeps working on an abandoned call
   bool slow_start = false;
   double slow_start_speed = 1;        // share of full speed at the start
   double slow_start_time = 0;         // until full speed is reached
-  double max_concurrency_factor = 1;  // concurrent requests a core that the server survives at full speed
-  double drain_grace = 0;             // after the drain notice, requests that arrive are still served
+  double max_concurrency_factor = 1;  // concurrent requests per core that the server survives at full speed
+  double drain_grace = 0;  // requests that arrive this soon after the drain notice are still served
   bool sends_retry_after = false;
   double max_retry_after = 0;
   double timer_resolution = 0;
--- a/src/admission/overload_signals.cpp
+++ b/src/admission/overload_signals.cpp
@@ -10,25 +10,28 @@
 
 constexpr double kSmoothingRequests = 30;
 
-constexpr double kOverloadShortage = 0.5;              // most of what is read then are retries
-constexpr double kRecoveredShortage = 0.3;             // there is capacity again
-constexpr double kStormShortageWithoutRetries = 0.35;  // in a large fleet where no retries are seen
-constexpr double kStormRetryShare = 0.05;  // while others have capacity hardly any retries come here
+constexpr double kOverloadShortage = 0.5;              // above it, most requests read are retries
+constexpr double kRecoveredShortage = 0.3;             // below it, there is capacity again
+constexpr double kStormShortageWithoutRetries = 0.35;  // in a large fleet, if no retries are seen
+// Hardly any retries arrive here while other servers have capacity.
+constexpr double kStormRetryShare = 0.05;
 // Callers of a larger fleet try more of its servers in turn, so each of them sees less of the shortage.
 constexpr double kLargeFleetServers = 25;
 
 constexpr double kMinRetryAfterSeconds = 0.05;
-constexpr double kMinJitter = 0.75;  // x the advice; callers should not come back together
+constexpr double kMinJitter = 0.75;  // x the advice, so that callers don't return together
 constexpr double kJitterRange = 0.5;
-constexpr double kAdviceDecreasePerTick =
-    0.1;  // while cores idle: long advice that all heed leaves them idle
+// Applies while cores idle, because long advice that all callers follow keeps them idle.
+constexpr double kAdviceDecreasePerTick = 0.1;
 constexpr double kAdviceIncreasePerTick = 0.02;
 
-constexpr double kAvoidanceIncreasePerTick = 0.04;  // while newcomers are rejected
+constexpr double kAvoidanceIncreasePerTick = 0.04;  // while requests are rejected
 constexpr double kAvoidanceDecreasePerTick = 0.008;
-constexpr double kAvoidanceDecreasePerIdleTick = 0.02;  // less than the rise, or it would oscillate
-constexpr double kMaxAvoidance = 0.9;         // of one route's part: no route is asked away altogether
-constexpr double kUnhealthyAvoidance = 0.98;  // a few requests still come and show a recovery
+constexpr double kAvoidanceDecreasePerIdleTick = 0.02;  // less than the increase, to avoid oscillation
+// Maximum share of one route's load that callers are asked to send elsewhere, so that no route is sent
+// elsewhere entirely.
+constexpr double kMaxAvoidance = 0.9;
+constexpr double kUnhealthyAvoidance = 0.98;  // a few requests still arrive and can show a recovery
 constexpr double kMinPublishedChange = 0.02;
 
 }  // namespace
--- a/src/admission/random.h
+++ b/src/admission/random.h
@@ -1,4 +1,4 @@
-// The random numbers of the decisions.
+// Random numbers for the admission decisions.
 #pragma once
 
 #include <cstdint>
--- a/src/admission/route_statistics.cpp
+++ b/src/admission/route_statistics.cpp
@@ -6,11 +6,11 @@
 namespace damsonspoke {
 namespace {
 
-constexpr std::size_t kMaxRecentRoutes = 64;      // bounds the work of means over routes
-constexpr double kMaxHintFactor = 8;              // x the mean run time: a false hint moves it no further
+constexpr std::size_t kMaxRecentRoutes = 64;      // bounds the cost of averaging over routes
+constexpr double kMaxHintFactor = 8;              // x the mean run time; limits the effect of a wrong hint
 constexpr double kCallsPerRunSmoothingRuns = 12;  // runs
-constexpr int kComparedRuns = 4;                  // against a prior: one odd run is chance
-constexpr double kContradictingFactor = 2;        // either way, between mean run time and prior
+constexpr int kComparedRuns = 4;            // compared with a prior, since a single unusual run may be chance
+constexpr double kContradictingFactor = 2;  // either way, between mean run time and prior
 
 }  // namespace
 
@@ -72,7 +72,7 @@
   const RouteStatistics& entry = for_request(state);
   const double mean = mean_run_time(entry);
   if (state.request.work_hint <= 0 || entry.work_hints.empty() || entry.work_hints.mean() <= 0) return mean;
-  // The caller estimates for another machine, but what it takes for larger is larger.
+  // The caller's estimate is for another machine, so the hint counts only relative to the mean of all hints.
   return std::clamp(state.request.work_hint * entry.hinted_run_times.mean() / entry.work_hints.mean(),
                     mean / kMaxHintFactor, mean * kMaxHintFactor);
 }
@@ -135,7 +135,8 @@
   entry.work_hints.add(state.request.work_hint);
 }
 
-// Of more routes than means are taken over, the one is left out that has not learned for longest.
+// Adds a route to the recently updated ones. If they become too many, the least recently updated one is
+// removed.
 void RouteStatisticsTable::mark_recent(int position, double now) {
   at(position).learned_at = now;
   const auto place = std::lower_bound(recent_.begin(), recent_.end(), position);
--- a/src/admission/route_statistics.h
+++ b/src/admission/route_statistics.h
@@ -1,4 +1,4 @@
-// What is learned of each route from the runs of its requests.
+// Statistics of each route, learned from the runs of its requests.
 #pragma once
 
 #include <memory>
@@ -14,15 +14,16 @@
 namespace damsonspoke {
 
 struct RouteStatistics {
-  Route route;  // as it was when a request of it was read last
+  Route route;  // as of its latest request
   double learned_at = 0;
   DurationHistogram run_times;   // on the cores
-  DurationHistogram call_times;  // waiting for and in dependency calls
-  double calls_per_run = 1;      // a fading mean
+  DurationHistogram call_times;  // queued for and in dependency calls
+  double calls_per_run = 1;      // a smoothed mean
   UnusualTimeoutDetector timeout_detector;
-  // Of runs whose request told its work: time on the cores, and the work that was told.
+  // Of runs whose request had a work hint: the time on the cores, and the hint.
   DurationHistogram hinted_run_times, work_hints;
-  // While a prior is compared with the first runs: the mean run time that it promises, and what they take.
+  // While a prior is compared with the first runs: the mean run time of the prior (0: no comparison), and
+  // the times of these runs.
   double prior_run_time = 0;
   int compared_runs = 0;
   DurationHistogram compared_run_times, compared_call_times;
@@ -40,32 +41,34 @@
  public:
   explicit RouteStatisticsTable(const RouteDirectory& directory) : directory_(directory) {}
 
-  // Begins with what an earlier life has learned.
+  // Starts with the statistics of an earlier incarnation.
   void restore(const LearnedStatistics& prior, double now);
   [[nodiscard]] bool has_prior() const { return has_prior_; }
   [[nodiscard]] std::vector<LearnedStatistics::Times> snapshot() const;
 
-  // A request of the route at this position was read: the entry for it, begun anew for a new route.
+  // The entry for a new request of the route at this position. It is reset if another route has taken the
+  // position.
   RouteStatistics& entry(int position);
-  // The entry that a request counts for. Where another route has taken its position meanwhile, one that
-  // nothing else goes by.
+  // The entry that a request counts for. If another route has taken its position since, this is an entry
+  // that only such requests use.
   [[nodiscard]] const RouteStatistics& for_request(const RequestState& state) const;
 
-  // Of a route with no runs yet, the mean over the routes that learned lately; 0: nothing is known.
+  // For a route without runs, the mean over the recently updated routes; 0 if nothing is known.
   [[nodiscard]] double mean_run_time(const RouteStatistics& entry) const;
-  // A request that tells its work takes the learned time of its route in proportion.
+  // Scales the learned run time of the route by the request's work hint, if it has one.
   [[nodiscard]] double expected_run_time(const RequestState& state) const;
 
-  // Mean over the routes that learned lately of run time, at this service rate, as a share of the latency
-  // objective. None where no such route has an objective.
+  // Run time at this service rate as a share of the latency objective, averaged over the recently updated
+  // routes. nullopt if none of them has an objective.
   [[nodiscard]] std::optional<double> mean_objective_use(double service_rate) const;
-  // The time for queueing that the route with the least of it has; negative: nothing is learned.
+  // The time that a request may spend in the queue, for the route where it is shortest; negative if nothing
+  // is learned.
   [[nodiscard]] double shortest_queue_time(double service_rate) const;
 
-  // A run has succeeded. `check_prior`: it counts for the comparison with the prior, which is given up and
-  // returned where it is contradicted.
+  // Records a successful run. `check_prior`: the run is also compared with the prior. A contradicted prior
+  // is dropped and returned.
   std::optional<ContradictedPrior> record_run(const RequestState& state, bool check_prior, double now);
-  // To be called after record_run, once the run's expected time was taken.
+  // Call after record_run(), and after expected_run_time() was read for this run.
   void record_work_hint(const RequestState& state);
 
  private:
@@ -80,8 +83,8 @@
 
   const RouteDirectory& directory_;
   std::vector<std::unique_ptr<RouteStatistics>> entries_;  // by position; null: no request of it was read
-  std::vector<int> recent_;         // positions of those that learned lately, ascending
-  RouteStatistics replaced_route_;  // of requests whose route has lost its position
+  std::vector<int> recent_;         // positions of the recently updated routes, ascending
+  RouteStatistics replaced_route_;  // for requests whose route has lost its position
   bool has_prior_ = false;
 };
 
--- a/src/admission/run_queue.cpp
+++ b/src/admission/run_queue.cpp
@@ -7,11 +7,11 @@
 namespace damsonspoke {
 namespace {
 
-constexpr double kSafeConcurrencyShare =
-    0.6;                             // of the survivable concurrency: returns from calls come on top
-constexpr double kMinWeight = 1e-3;  // a request of no weight waits for a finite time
-constexpr double kRunLimitGrowthPerTick = 1.25;  // a tick
-constexpr double kGaugeWindowSeconds = 0.5;      // over which the busy gauge is measured
+// Share of the survivable concurrency; runs that resume after a call are added to it.
+constexpr double kSafeConcurrencyShare = 0.6;
+constexpr double kMinWeight = 1e-3;  // keeps the wait of a request with weight 0 finite
+constexpr double kRunLimitGrowthPerTick = 1.25;
+constexpr double kGaugeWindowSeconds = 0.5;  // over which the gauge of busy cores is averaged
 
 }  // namespace
 
@@ -59,7 +59,7 @@
 }
 
 void RunQueue::adjust_run_limit(double cpu_busy, double now) {
-  // The gauge looks back: cores that it saw idle before the work came are no reason to run more.
+  // The gauge covers the recent past: cores that idled before the work arrived are no reason to run more.
   if (cores_idle(cpu_busy) && now - saturated_since_ >= kGaugeWindowSeconds)
     run_limit_ = run_limit_ * kRunLimitGrowthPerTick;
   else if (cores_saturated(cpu_busy) || queue_.empty())
--- a/src/admission/run_queue.h
+++ b/src/admission/run_queue.h
@@ -1,4 +1,4 @@
-// The requests that wait for a core, and how many may have one.
+// The queue of requests that wait for a core, and the limit on concurrent runs.
 #pragma once
 
 #include <deque>
@@ -10,11 +10,11 @@
 
 namespace damsonspoke {
 
-// The run limit begins at the number of cores, rises while cores idle although work waits, and stays within
-// what the server survives. Times are seconds.
+// The run limit starts at the number of cores, rises while cores idle although requests are queued, and
+// stays within the safe concurrency of the server. Times are seconds.
 class RunQueue {
  public:
-  // At most so many requests are queued, beside the bound of the byte pool.
+  // Maximum length of the queue per core; the byte pool bounds it as well.
   static constexpr int kMaxQueuedPerCore = 8;
 
   RunQueue(const AdmissionOptions& options, const RequestTable& requests,
@@ -36,22 +36,23 @@
 
   [[nodiscard]] int running() const { return running_; }
   [[nodiscard]] double run_limit() const { return run_limit_; }
-  // Whether all cores that may be used are in use.
+  // Whether as many requests run as the limit allows.
   [[nodiscard]] bool saturated(double now) const;
-  // Whether one more may run beside those at dependency calls.
+  // Whether one more request may run, given the requests with pending dependency calls.
   [[nodiscard]] bool has_run_capacity(int pending_calls, double now) const;
-  // Among the queued the one with the least time left to start by, in proportion to its priority weight, so
-  // that few important requests are not late behind many others. `skip_calling_routes`: leaves those out that
-  // need dependency calls.
+  // The queued request with the least slack in proportion to its priority weight, so that a few important
+  // requests are not late behind many others. Slack is the time left until the run must start.
+  // `skip_calling_routes`: leaves out requests that need dependency calls.
   [[nodiscard]] std::optional<RequestId> most_urgent(double now, bool skip_calling_routes) const;
 
-  // A request gets a core, gives it back, or is given it back after a call.
+  // begin_run(): a request gets a core, at its start or after a call. end_run(): it releases the core.
   void begin_run(RequestState& state, double now);
   void end_run(RequestState& state, double now);
 
-  // To be called after each change: remembers since when the queue is not empty and all cores are in use.
+  // Call after each change: tracks since when the queue has not been empty and the run limit has been
+  // reached.
   void update_saturation(double now);
-  // Once a tick, with the share of the cores that was busy; negative: not known.
+  // Called once a tick with the share of the cores that was busy; negative: unknown.
   void adjust_run_limit(double cpu_busy, double now);
 
  private:
--- a/src/admission/service_rate.cpp
+++ b/src/admission/service_rate.cpp
@@ -7,11 +7,11 @@
 namespace {
 
 constexpr double kDecayTimeSeconds = 1.5;
-constexpr double kPriorCoreSeconds =
-    0.1;                              // at the usual rate: with nothing measured the rate is the usual one
-constexpr double kMinRate = 0.02;     // a standstill still gives finite predictions
-constexpr double kMaxRate = 3;        // a warmed-up server is faster than what it learned before
-constexpr double kOverdueFactor = 2;  // x the expected time; a run past this is no progress any more
+// Assumed time at the usual rate, so that the rate is the usual one while nothing is measured.
+constexpr double kPriorCoreSeconds = 0.1;
+constexpr double kMinRate = 0.02;     // keeps predictions finite at a standstill
+constexpr double kMaxRate = 3;        // a warm server is faster than the run times it learned while cold
+constexpr double kOverdueFactor = 2;  // x the expected time; a longer run no longer counts as progress
 
 }  // namespace
 
@@ -29,7 +29,8 @@
     const double spent = state.run_time + now - state.stage_since;
     if (spent <= kOverdueFactor * expected) done += std::min(spent, expected);
   }
-  // A server that warms up, and knows how long warm runs take, begins at the speed that its settings state.
+  // A prior holds the run times of a warm server. So a server with a prior starts at the speed that its
+  // slow-start settings state.
   const double usual = statistics_.has_prior() ? slow_start_.min_speed(now) : 1;
   value_ =
       std::clamp((done + kPriorCoreSeconds * usual) / (core_time_ + kPriorCoreSeconds), kMinRate, kMaxRate);
--- a/src/admission/service_rate.h
+++ b/src/admission/service_rate.h
@@ -1,4 +1,4 @@
-// How fast the server gets its work done.
+// Measures how fast the server works.
 #pragma once
 
 #include "admission/request_state.h"
@@ -7,19 +7,19 @@
 
 namespace damsonspoke {
 
-// Learned work done per second on the cores: 1 while runs take as long as they were learned to take, less
-// where they take longer, whatever the cause.
+// Learned run time that is completed per second on the cores: 1 while runs take their learned time, less if
+// they take longer, whatever the cause.
 class ServiceRate {
  public:
   ServiceRate(const RequestTable& requests, const RouteStatisticsTable& statistics,
               const SlowStart& slow_start)
       : requests_(requests), statistics_(statistics), slow_start_(slow_start) {}
 
-  // `seconds` have passed in which so many requests had a core.
+  // Accounts for `seconds` in which `running` requests had a core.
   void advance(double seconds, int running);
-  // A run has succeeded that was expected to take so long (s).
+  // Records a successful run and its expected run time (s).
   void work_done(double expected_run_time) { work_done_ += expected_run_time; }
-  // Takes the progress of the present runs into account.
+  // Recomputes the rate, including the progress of the present runs.
   void update(double now);
   [[nodiscard]] double value() const { return value_; }
 
@@ -27,8 +27,8 @@
   const RequestTable& requests_;
   const RouteStatisticsTable& statistics_;
   const SlowStart& slow_start_;
-  double core_time_ = 0;  // s on the cores, fading
-  double work_done_ = 0;  // s of learned run times, fading as core_time_ does
+  double core_time_ = 0;  // s on the cores, decaying
+  double work_done_ = 0;  // s of learned run times, decaying as core_time_ does
   double value_ = 1;
 };
 
--- a/src/admission/slow_call_pacer.cpp
+++ b/src/admission/slow_call_pacer.cpp
@@ -7,11 +7,12 @@
 namespace {
 
 constexpr double kDecayTimeSeconds = 20;
-constexpr double kMinObservedSeconds = 1;  // before, the ceiling is assumed
-constexpr double kMinConcurrency = 0.01;   // calls; a small load still gives a finite delay
-// A server that used to call little still has to hear when the dependency has recovered.
+constexpr double kMinObservedSeconds = 1;  // until then, the ceiling is assumed
+constexpr double kMinConcurrency = 0.01;   // calls; keeps the delay finite at a low load
+// A server that makes few calls still has to notice when the dependency has recovered.
 constexpr double kMaxDelaySeconds = 5;
-constexpr double kCreditSeconds = 0.5;  // of the usual load may be saved up; call seconds owed at most
+// Seconds of the usual load that may be saved up; also the maximum debt in call seconds.
+constexpr double kCreditSeconds = 0.5;
 
 }  // namespace
 
@@ -28,7 +29,8 @@
     usual_seconds_ = usual_seconds_ * fade + seconds;
   }
   const double concurrency = usual_concurrency();
-  const double max_credit = std::max(call_seconds, kCreditSeconds * concurrency);  // one call is always ready
+  // Enough for at least one call.
+  const double max_credit = std::max(call_seconds, kCreditSeconds * concurrency);
   credit_ = std::clamp(credit_ + (concurrency - in_flight) * seconds, -kCreditSeconds, max_credit);
 }
 
--- a/src/admission/slow_start.cpp
+++ b/src/admission/slow_start.cpp
@@ -5,7 +5,7 @@
 namespace damsonspoke {
 namespace {
 
-constexpr double kMinRampSeconds = 0.1;  // a ramp without length would divide by 0
+constexpr double kMinRampSeconds = 0.1;  // avoids a division by 0
 
 }  // namespace
 
--- a/src/admission/slow_start.h
+++ b/src/admission/slow_start.h
@@ -1,4 +1,4 @@
-// The warm-up of a server that has just started, as its settings describe it.
+// The warm-up of a server that has just started, according to its settings.
 #pragma once
 
 #include "admission/options.h"
@@ -13,7 +13,7 @@
   [[nodiscard]] bool warming_up(double now) const {
     return options_.slow_start && now < started_at_ + options_.slow_start_time;
   }
-  // The share of full speed that the server has at least; its true speed is not known.
+  // Lower bound of the server's speed as a share of full speed; the true speed is unknown.
   [[nodiscard]] double min_speed(double now) const;
   // Concurrent requests that the server survives at that speed.
   [[nodiscard]] double survivable_concurrency(double now) const {
--- a/src/admission/tenant_quotas.cpp
+++ b/src/admission/tenant_quotas.cpp
@@ -7,14 +7,15 @@
 namespace damsonspoke {
 namespace {
 
-constexpr double kUnevennessFactor = 1.1;  // x the even share of a quota: callers don't spread evenly
-constexpr double kBurstSeconds = 1.5;      // of quota that a tenant may send at once
+// Allowed multiple of the even share of a quota, because callers don't spread requests evenly.
+constexpr double kUnevennessFactor = 1.1;
+constexpr double kBurstSeconds = 1.5;  // of quota that a tenant may send at once
 constexpr double kSmoothingRequests = 60;
-constexpr double kShareFactor = 1.1;  // x its share of the quotas: small numbers are uneven by chance
-constexpr double kExtraTokens = 6;    // requests: a small quota split over many servers comes in clumps
-constexpr std::size_t kWays = 4;      // entries of a set; the longest unseen one is replaced
+constexpr double kShareFactor = 1.1;  // x its share of the quotas, because small numbers vary by chance
+constexpr double kExtraTokens = 6;    // requests, because a small quota over many servers arrives in bursts
+constexpr std::size_t kWays = 4;      // entries per set; the least recently seen one is replaced
 constexpr std::size_t kMaxSets = 1 << 14;
-constexpr double kMinTotalQuotaPerSecond = 1e-9;  // requests a second; never a divisor of 0
+constexpr double kMinTotalQuotaPerSecond = 1e-9;  // avoids a division by 0
 
 }  // namespace
 
@@ -31,7 +32,8 @@
   return kUnevennessFactor * settings.quota_per_second / servers_;
 }
 
-// Successive positions are in successive sets: up to the size of the table nobody loses an entry.
+// Successive positions map to successive sets, so no tenant loses its entry while there are no more
+// positions than entries.
 TenantQuotas::Entry& TenantQuotas::entry(int tenant, const Tenant& settings) {
   const std::size_t set = static_cast<std::size_t>(tenant) % (entries_.size() / kWays);
   const auto begin = entries_.begin() + static_cast<std::ptrdiff_t>(set * kWays);
@@ -45,8 +47,9 @@
   return *found;
 }
 
-// Traffic that is spread unevenly over the fleet brings more of every tenant to some servers. So only a
-// tenant whose share of what is read here exceeds its share of all quotas can be over its quota.
+// Traffic that is spread unevenly over the fleet brings more requests of every tenant to some servers. So a
+// tenant can only be over its quota if its share of the requests read here also exceeds its share of all
+// quotas.
 bool TenantQuotas::observe(int tenant, double now) {
   const Tenant settings = directory_.tenant(tenant);
   Entry& entry = this->entry(tenant, settings);
@@ -54,7 +57,7 @@
   entry.tokens =
       std::min(entry.tokens + (now - entry.refilled_at) * refill, kExtraTokens + refill * kBurstSeconds);
   entry.refilled_at = now;
-  // The shares of all others fade with each request; that is made up for when they are seen again.
+  // Each request decays the shares of all other tenants; a tenant's decay is applied when it is seen again.
   entry.share *= std::pow(1 - 1 / kSmoothingRequests, static_cast<double>(reads_ - entry.reads));
   entry.share += (1 - entry.share) / kSmoothingRequests;
   entry.reads = ++reads_;
--- a/src/admission/unusual_timeout_detector.cpp
+++ b/src/admission/unusual_timeout_detector.cpp
@@ -7,8 +7,8 @@
 namespace {
 
 constexpr double kFadePerRequest = 0.98;
-constexpr double kToleranceShare = 0.015;  // of the timeout: what clocks and the network add
-constexpr double kMinRequests = 10;        // before, no timeout is unusual
+constexpr double kToleranceShare = 0.015;  // of the timeout, for what clocks and the network add
+constexpr double kMinRequests = 10;        // until then, no timeout is unusual
 constexpr double kUsualShare = 0.1;        // of the requests
 
 }  // namespace
--- a/src/admission/unusual_timeout_detector.h
+++ b/src/admission/unusual_timeout_detector.h
@@ -1,21 +1,21 @@
-// Tells unmarked retries by their timeouts.
+// Detects unmarked retries by their timeouts.
 #pragma once
 
 #include <array>
 
 namespace damsonspoke {
 
-// Callers give first attempts one of few timeouts, and retries what is left of them, which may be anything.
-// Keeps the timeouts that were usual on one route of late.
+// Callers give first attempts one of a few timeouts, and give retries the remainder, which can be any value.
+// Tracks the timeouts that were recently usual on one route.
 class UnusualTimeoutDetector {
  public:
-  // Counts a request with this timeout (s, from its arrival). Whether the timeout is unusual.
+  // Counts a request with this timeout (s, from its arrival). Returns whether the timeout is unusual.
   bool observe(double timeout);
 
  private:
   struct TimeoutCount {
     double timeout = 0;  // s
-    double count = 0;    // fades with each request
+    double count = 0;    // decays with each request
   };
   std::array<TimeoutCount, 6> counts_{};
 };
