--- a/src/admission/controller.cpp
+++ b/src/admission/controller.cpp
@@ -241,9 +241,9 @@
 void AdmissionController::learn_from_run(const RequestState& state) {
   const auto contradicted = statistics_.record_run(state, !slow_start_.warming_up(now_), now_);
   if (contradicted) {
-    sink_.log("learned statistics: dropped for route " + std::to_string(contradicted->route) +
-              ", runs take " + std::to_string(contradicted->run_time) + " s, not " +
-              std::to_string(contradicted->prior_run_time));
+    sink_.log("learned statistics dropped for route " + std::to_string(contradicted->route) +
+              ": mean run time is " + std::to_string(contradicted->run_time) + " s, learned was " +
+              std::to_string(contradicted->prior_run_time) + " s");
   }
   service_rate_.work_done(statistics_.expected_run_time(state));
   statistics_.record_work_hint(state);
@@ -319,8 +319,8 @@
 
 void AdmissionController::log_limit_change(CallConcurrencyLimit::Change change) {
   using Change = CallConcurrencyLimit::Change;
-  if (change == Change::kLowered) sink_.log("dependency calls: overloaded, concurrency limit lowered");
-  if (change == Change::kRestored) sink_.log("dependency calls: concurrency limit restored");
+  if (change == Change::kLowered) sink_.log("dependency overloaded: concurrency limit of calls lowered");
+  if (change == Change::kRestored) sink_.log("dependency recovered: concurrency limit of calls restored");
 }
 
 void AdmissionController::retry_call_or_give_up(RequestState& state, Outcome outcome) {
--- a/src/admission/health.cpp
+++ b/src/admission/health.cpp
@@ -55,8 +55,8 @@
   unhealthy_ = slow || failing_ || stale;
   if (unhealthy_ && !was_unhealthy) unhealthy_since_ = now;
   if (unhealthy_ != was_unhealthy) {
-    sink_.log(!unhealthy_ ? "unhealthy: over"
-              : failing_  ? "unhealthy: runs fail"
+    sink_.log(!unhealthy_ ? "healthy again"
+              : failing_  ? "unhealthy: too many runs fail"
               : stale     ? "unhealthy: requests are stale when read"
                           : "unhealthy: runs are too slow for their latency objectives");
   }
--- a/src/admission/overload_signals.cpp
+++ b/src/admission/overload_signals.cpp
@@ -96,7 +96,7 @@
 void OverloadSignals::log_overload_change() {
   const bool overloaded = shortage_ > (overloaded_ ? kRecoveredShortage : kOverloadShortage);
   if (overloaded != overloaded_)
-    sink_.log(overloaded ? "overload: most requests are rejected for lack of capacity" : "overload: over");
+    sink_.log(overloaded ? "overload: most requests are rejected for lack of capacity" : "overload ended");
   overloaded_ = overloaded;
 }
 
--- a/tests/admission/intake_scenarios.cpp
+++ b/tests/admission/intake_scenarios.cpp
@@ -165,7 +165,7 @@
   settings.caller_idle_timeout = 30;
   for (const bool returning : {false, true}) {
     ScriptedBackend server(settings);
-    server.print("(%s)", returning ? "one caller returns" : "each op comes from another caller");
+    server.print("(%s)", returning ? "one caller returns" : "each request comes from another caller");
     server.gauges.runnable = 2;
     server.set_quiet(true);
     for (RequestId id = 1; id <= 40; ++id) {
--- a/tests/admission/overload_scenarios.cpp
+++ b/tests/admission/overload_scenarios.cpp
@@ -45,7 +45,7 @@
   server.advance_to(1);
   for (RequestId id = 1; id <= 8; ++id) server.send_request(server.request(id));
   server.advance_to(1.45);
-  server.print("(the gauge has seen nothing but waiting work)");
+  server.print("(soon the gauge window covers only time with queued work)");
   server.advance_to(2);
 }
 
@@ -117,7 +117,7 @@
     server.finish_run(id, Outcome::kError);
   }
   server.advance_to(4);
-  server.print("(a probe)");
+  server.print("(a probe request)");
   server.send_request(server.request(10));
   server.advance_to(5);
 }
@@ -199,7 +199,7 @@
   };
   for (const bool with : {false, true}) {
     ScriptedBackend next(settings, with ? scaled(4) : LearnedStatistics{});
-    next.print("-- %s, and 14 ops at once", with ? "with what was learned" : "without");
+    next.print("-- %s learned statistics, 14 requests at once", with ? "with" : "without");
     for (RequestId id = 1; id <= 14; ++id) next.send_request(next.request(id));
   }
   ScriptedBackend same(settings, scaled(4)), slower(settings, scaled(4));
@@ -211,7 +211,8 @@
   cold_settings.slow_start_time = 100;
   ScriptedBackend cold(cold_settings, scaled(4));
   for (int i = 0; i < 4; ++i) cold.learn_run_time(0, 1.6);
-  std::printf("troubled: warm %d, cold %d\n", same.learned().under_pressure, cold.learned().under_pressure);
+  std::printf("under pressure: warm %d, in slow start %d\n", same.learned().under_pressure,
+              cold.learned().under_pressure);
 }
 
 constexpr Scenario kScenarios[] = {
--- a/tests/admission/scripted_backend.h
+++ b/tests/admission/scripted_backend.h
@@ -68,17 +68,17 @@
     return request;
   }
   void send_request(const Request& request) {
-    if (!is_quiet_) print("-- op %d of type %d arrives", static_cast<int>(request.id), request.route);
+    if (!is_quiet_) print("-- request %d on route %d arrives", static_cast<int>(request.id), request.route);
     controller_.on_request(now_, request);
   }
   void finish_run(RequestId id, Outcome outcome = Outcome::kOk) {
-    static const char* const kNames[] = {"ok",          "error", "refused",   "timeout",
-                                         "unreachable", "reset", "cancelled", "moot"};
+    static const char* const kNames[] = {"ok",          "error", "rejected",  "timeout",
+                                         "unreachable", "reset", "cancelled", "obsolete"};
     if (!is_quiet_) print("-- run of %d ends: %s", static_cast<int>(id), kNames[static_cast<int>(outcome)]);
     controller_.on_run_finished(now_, id, outcome, 0);
   }
   void need_call(RequestId id) {
-    if (!is_quiet_) print("-- %d needs a call", static_cast<int>(id));
+    if (!is_quiet_) print("-- run of %d needs a call", static_cast<int>(id));
     controller_.on_call_needed(now_, id);
   }
   void finish_call(RequestId id, Outcome outcome) {
@@ -86,11 +86,11 @@
     controller_.on_call_finished(now_, id, outcome, 0);
   }
   void disconnect_caller(RequestId id) {
-    print("-- caller of %d has gone", static_cast<int>(id));
+    print("-- caller of %d disconnects", static_cast<int>(id));
     controller_.on_caller_disconnected(now_, id);
   }
   void begin_drain(double time_left) {
-    print("-- notice to leave, stop in %.1f s", time_left);
+    print("-- shutdown notice, stop in %.1f s", time_left);
     controller_.on_drain(now_, time_left);
   }
   void set_quiet(bool quiet) { is_quiet_ = quiet; }
@@ -103,20 +103,21 @@
     advance_to(now_ + run_time);
     controller_.on_run_finished(now_, id, Outcome::kOk, 0);
     is_quiet_ = false;
-    print("(type %d has been seen to run %.1f s)", route, run_time);
+    print("(route %d: a run of %.1f s is learned)", route, run_time);
   }
 
   void start(RequestId id) override { print_action("start", id); }
   void interrupt(RequestId id) override { print_action("interrupt", id); }
   void reject(RequestId id, double retry_after, bool no_retry) override {
-    const char* advice = retry_after >= options_.max_retry_after / 2 ? ", come back much later"
-                         : retry_after > 0                           ? ", come back later"
+    const char* advice = retry_after >= options_.max_retry_after / 2 ? ", long Retry-After"
+                         : retry_after > 0                           ? ", short Retry-After"
                                                                      : "";
-    if (!is_quiet_) print("nack %d%s%s", static_cast<int>(id), advice, no_retry ? ", not elsewhere" : "");
+    if (!is_quiet_)
+      print("reject %d%s%s", static_cast<int>(id), advice, no_retry ? ", no retry elsewhere" : "");
   }
   void fail(RequestId id) override { print_action("fail", id); }
   void call(RequestId id, double timeout) override {
-    if (!is_quiet_) print("call for %d, patience %.2f s", static_cast<int>(id), timeout);
+    if (!is_quiet_) print("call for %d, timeout %.2f s", static_cast<int>(id), timeout);
   }
   void skip_call(RequestId id) override { print_action("skip the call of", id); }
   void remember(RequestId id, double ttl) override {
@@ -124,8 +125,8 @@
   }
   void forget(RequestId id) override { print_action("forget", id); }
   void join(RequestId id) override { print_action("join", id); }
-  void set_health(bool healthy, bool) override { print("health %s", healthy ? "good" : "bad"); }
-  void publish_load_feedback(double value) override { print("announce %.2f", value); }
+  void set_health(bool healthy, bool) override { print("set health: %s", healthy ? "healthy" : "unhealthy"); }
+  void publish_load_feedback(double value) override { print("load feedback %.2f", value); }
   void set_idle_timeout(double seconds) override { print("close connections idle for %.2f s", seconds); }
   void schedule_wakeup(double time, std::uint64_t token) override { wakeups_.emplace(time, token); }
   void log(const std::string& line) override { print("log: %s", line.c_str()); }
--- a/tests/admission/slow_start_calls.cpp
+++ b/tests/admission/slow_start_calls.cpp
@@ -255,11 +255,13 @@
       }
 
       const double budget = kTotalShare * kWindowSeconds, allowed = budget + 2 * std::sqrt(budget) + 2;
-      std::fprintf(stderr, "%d backends%s: %.1f of %.0f (%.1f)\n", server_count,
-                   servers_die ? ", deaths" : "", worst.max_call_seconds, budget, allowed);
+      std::fprintf(stderr, "%d backends%s: at most %.1f of %.0f call seconds in a window (%.1f allowed)\n",
+                   server_count, servers_die ? ", deaths" : "", worst.max_call_seconds, budget, allowed);
       std::printf(
-          "%d backends%s: within the sum of their parts and chance: %s; all call again within 3 s: %s\n",
-          server_count, servers_die ? " that die and come back" : "",
+          "%d backends%s: calls within the sum of the shares plus the allowance: %s; no backend without "
+          "calls for 3 s "
+          "after the recovery: %s\n",
+          server_count, servers_die ? " that are killed and replaced" : "",
           worst.max_call_seconds <= allowed ? "yes" : "NO", worst.longest_gap_seconds < 3 ? "yes" : "NO");
     }
   }
