--- a/src/admission/admission_check.h
+++ b/src/admission/admission_check.h
@@ -20,7 +20,7 @@
   kDraining,        // the request arrived after the drain grace period
   kDeadlinePassed,  // its caller no longer waits
   kTooLarge,        // it would not fit into the byte pool even alone
-  kNoCapacity,      // no memory, queue place, share or quota is left, or it would finish too late
+  kNoCapacity,      // no memory, queue slot, share or quota is left, or it would finish too late
   kNoKeyCapacity,   // no memory is left for its idempotency key
   kUnhealthy,       // an unhealthy server admits only a few requests, to probe its recovery
 };
--- a/tests/admission/byte_pool_test.cpp
+++ b/tests/admission/byte_pool_test.cpp
@@ -1,5 +1,5 @@
-// The byte pool's invariant: used bytes are the sum of the charges, and capacity is what is left of the
-// memory.
+// The byte pool's invariant: the used bytes are the sum of the charges, and the capacity for requests is the
+// memory without its reserves.
 #include "admission/byte_pool.h"
 
 #include <gtest/gtest.h>
@@ -22,7 +22,7 @@
   pool.charge(first, 100);
   pool.charge(second, 50);
   EXPECT_EQ(pool.used_kb(), 150);
-  pool.charge(first, 400);  // it runs now, and takes more
+  pool.charge(first, 400);  // the request runs now and needs more memory
   EXPECT_EQ(pool.used_kb(), 450);
   EXPECT_EQ(first, 400);
   pool.charge(first, 0);
--- a/tests/admission/call_budget_test.cpp
+++ b/tests/admission/call_budget_test.cpp
@@ -1,4 +1,4 @@
-// A server's share of a shared dependency holds over every window, also while calls hang.
+// A server's share of a shared dependency holds in every window, also while calls hang.
 #include "admission/call_budget.h"
 
 #include <gtest/gtest.h>
@@ -50,7 +50,7 @@
   CallBudget budget(shared_options(1));
   const auto reservation = budget.reserve(0.8);
   ASSERT_TRUE(reservation.has_value());
-  budget.release(reservation->reserved, 0.8, true);  // nothing is left to give back
+  budget.release(reservation->reserved, 0.8, true);  // no part of the reservation is left to return
   EXPECT_TRUE(budget.reserve(0.8).has_value());
   EXPECT_FALSE(budget.reserve(0.8).has_value());
 }
--- a/tests/admission/decision_scenarios.h
+++ b/tests/admission/decision_scenarios.h
@@ -1,4 +1,4 @@
-// The scenarios of the decision traces, a file a concern.
+// The scenarios of the decision traces, grouped by concern, with one source file for each group.
 #pragma once
 
 #include <span>
--- a/tests/admission/dependency_call_scenarios.cpp
+++ b/tests/admission/dependency_call_scenarios.cpp
@@ -1,11 +1,11 @@
-// Calls to the dependency: which go, which wait, which are left out.
+// Calls to the dependency: which are made, which wait, and which are skipped.
 #include "decision_scenarios.h"
 #include "scripted_backend.h"
 
 namespace damsonspoke::testing {
 namespace {
 
-// Calls: a non-retryable request repeats its call only when the last is proven not run.
+// A non-idempotent request retries its call only if the last attempt is proven not to have run.
 void calls() {
   AdmissionOptions settings = default_options();
   settings.dependency = DependencyKind::kShared;
@@ -16,7 +16,7 @@
   ScriptedBackend server(settings);
   for (RequestId id = 1; id <= 2; ++id) server.send_request(server.request(id, 0));
   server.need_call(1);
-  server.need_call(2);  // over the bound: waits off the cores
+  server.need_call(2);  // over the limit: waits without a core
   server.finish_call(1, Outcome::kRejected);
   server.finish_call(2, Outcome::kTimeout);
   server.finish_run(2, Outcome::kCancelled);
@@ -28,15 +28,15 @@
   server.send_request(server.request(5, 1));
   server.need_call(3);
   server.need_call(4);
-  server.need_call(5);  // slow below: the important one goes before 4
+  server.need_call(5);  // the dependency is slow: the call of the important request goes before that of 4
   server.finish_call(3, Outcome::kOk);
-  server.disconnect_caller(4);  // so that its call is not made when the way below is free again
-  server.advance_to(2.8);       // 5 is answered without its call when that can no longer be in time
+  server.disconnect_caller(4);  // so that its call is not made when the dependency is free again
+  server.advance_to(2.8);       // 5 continues without its call once the call can no longer end in time
   server.finish_call(5, Outcome::kError);
 }
 
-// A part below under one call: calls that return soon follow each other without rest, one that is abandoned
-// uses the budget up. No part at all: nothing is called.
+// With a share of less than one concurrent call, short calls follow each other without a pause, and an
+// abandoned call uses up the budget. With a share of 0, no call is made.
 void small_dependency_share() {
   AdmissionOptions settings = default_options();
   settings.dependency = DependencyKind::kShared;
@@ -50,7 +50,7 @@
     if (share <= 0) continue;
     server.advance_to(0.02);
     server.finish_call(1, Outcome::kOk);
-    server.need_call(1);  // its next call has room beside that of 2
+    server.need_call(1);  // the budget allows its next call in addition to that of 2
     server.advance_to(0.6);
     server.finish_call(2, Outcome::kTimeout);
     server.finish_call(1, Outcome::kTimeout);
@@ -58,8 +58,9 @@
   }
 }
 
-// A layer below that has just turned slow: the recent calls tell how long the next takes, and who would get a
-// turn too late, the less important first, goes on without at once instead of standing in line.
+// A dependency that has just become slow: the recent calls predict the duration of the next one. A request
+// whose call would end too late, the less important ones first, continues without the call at once instead
+// of waiting.
 void run_with_slowing_dependency(double rest_seconds, double value_without_call, double observed_seconds) {
   AdmissionOptions settings = default_options();
   settings.dependency = DependencyKind::kShared;
@@ -95,8 +96,9 @@
 }
 void slow_calls() { run_with_slowing_dependency(0, 0.5, 0.4); }
 
-// Calls go with rests between, so that it gets no more than it bore when well: longer ones where few had
-// gone, yet of 5 s at most. Who gets no turn in time is not started.
+// Calls are paced, so that the slow dependency gets no more concurrent calls than it sustained before: the
+// pauses are longer if there were few calls before, but at most 5 s. A request whose call could not be made
+// in time is not started.
 void paced_calls() {
   run_with_slowing_dependency(0.1, 0.5, 1);
   run_with_slowing_dependency(0.1, 0, 1);
--- a/tests/admission/histogram_test.cpp
+++ b/tests/admission/histogram_test.cpp
@@ -1,4 +1,4 @@
-// The histogram of durations: means, quantiles by bin, fading, and snapshots.
+// The histogram of durations: means, quantiles by bin, decay, and snapshots.
 #include "admission/histogram.h"
 
 #include <gtest/gtest.h>
--- a/tests/admission/intake_scenarios.cpp
+++ b/tests/admission/intake_scenarios.cpp
@@ -1,18 +1,18 @@
-// What is admitted, held, charged and remembered, and which connections stay.
+// Admission of requests: memory charges, deadlines, idempotency keys, work hints, and idle connections.
 #include "decision_scenarios.h"
 #include "scripted_backend.h"
 
 namespace damsonspoke::testing {
 namespace {
 
-// A request that tells how many seconds of work it is.
+// A request with a work hint in seconds.
 Request request_with_hint(ScriptedBackend& server, RequestId id, double work_seconds) {
   Request request = server.request(id);
   request.work_hint = work_seconds;
   return request;
 }
 
-// Every way in which a request can end gives its bytes back, once.
+// A request releases its bytes exactly once, in whatever way it ends.
 void pool() {
   ScriptedBackend server(default_options());
   for (RequestId id = 1; id <= 5; ++id) server.send_request(server.request(id));
@@ -20,21 +20,21 @@
   server.advance_to(0.1);
   server.finish_run(1);
   server.finish_run(2, Outcome::kError);
-  server.disconnect_caller(3);  // runs: stopped, its bytes stay until the run is over
+  server.disconnect_caller(3);  // its run is stopped, but its bytes stay charged until the run ends
   server.print_pool();
   server.finish_run(3, Outcome::kCancelled);
-  server.finish_run(4,
-                    Outcome::kCancelled);  // stopped by nobody's wish: back in the hold, then started again
+  // Run 4 was stopped although the controller did not ask for it, so it is queued and started again.
+  server.finish_run(4, Outcome::kCancelled);
   server.print_pool();
   server.disconnect_caller(5);
   server.finish_run(5, Outcome::kCancelled);
-  server.advance_to(4.5);  // 4 comes due while it runs
+  server.advance_to(4.5);  // the deadline of 4 passes while it runs
   server.print_pool();
   server.finish_run(4, Outcome::kCancelled);
   server.print_pool();
 }
 
-// An empty pool refuses newcomers, though one run may go when none is running.
+// An exhausted pool rejects new requests, but a single request may start when no other one runs.
 void empty_pool() {
   AdmissionOptions settings = default_options();
   settings.memory_kb = 200;
@@ -48,7 +48,7 @@
   server.print_pool();
 }
 
-// One request that could never run here is rejected, and those after it find the room as it was.
+// A request that could never run here is rejected and does not reduce the capacity for later requests.
 void oversized_request() {
   ScriptedBackend server(default_options());
   Request oversized = server.request(1);
@@ -58,8 +58,8 @@
   server.print_pool();
 }
 
-// Nothing learned: held. Learned: a request that cannot be in time is rejected on intake, the important one
-// is not.
+// While no run time is learned, requests are queued. Afterwards a request that cannot finish in time is
+// rejected on arrival, while one of the important route is admitted.
 void finish_check() {
   ScriptedBackend server(default_options());
   for (RequestId id = 1; id <= 6; ++id) server.send_request(server.request(id));
@@ -75,7 +75,7 @@
   server.send_request(short_timeout_request);
 }
 
-// The answer owed leaves by the due time, whatever the work does.
+// Every request is answered by its deadline, whatever its run does.
 void answer_deadlines() {
   AdmissionOptions settings = default_options();
   for (const Preemption preemption : {Preemption::kDrop, Preemption::kOff}) {
@@ -90,11 +90,12 @@
     server.send_request(without_timeout);
     server.send_request(server.request(3));
     server.advance_to(5);
-    server.print_pool();  // with halt off the unfinished runs keep their charge and their cores
+    server.print_pool();  // without preemption, unfinished runs keep their charge and their cores
   }
 }
 
-// A stopped run: dropped work goes back to the hold at its held size, paused work keeps its running bytes.
+// A stopped run is queued again: with kDrop it is charged its queued size, with kPause it keeps the charge
+// of a running request.
 void stopped_runs() {
   AdmissionOptions settings = default_options();
   for (const Preemption preemption : {Preemption::kDrop, Preemption::kPause}) {
@@ -110,7 +111,8 @@
   }
 }
 
-// Keyed: the entry is kept from intake, a repeat joins, what has run is never rejected nor run again.
+// Requests with idempotency keys: the key is stored on arrival, a duplicate joins its original, and a
+// request that has run is neither rejected nor run again.
 void keyed() {
   AdmissionOptions settings = default_options();
   settings.routes[0].idempotency = Idempotency::kWithKey;
@@ -123,17 +125,17 @@
   duplicate.duplicate_of = 1;
   server.send_request(duplicate);
   server.send_request(server.request(3));
-  server.send_request(server.request(4));  // no room for its entry
+  server.send_request(server.request(4));  // no capacity for its key
   server.finish_run(1, Outcome::kCancelled);
   server.finish_run(2, Outcome::kError);
   server.advance_to(4.0);
   server.advance_to(4.6);
   server.print_pool();
-  server.send_request(server.request(5));  // the first entry has expired
+  server.send_request(server.request(5));  // the first key has expired
 }
 
-// A request that tells its work is judged by it: the long one misses and is rejected at once, the short one
-// and the untold one wait, though the three are of one route.
+// The work hint decides whether a request can finish in time: of three requests on one route, the one with
+// the large hint is rejected at once, the one with the small hint and the one without a hint are queued.
 void hints() {
   ScriptedBackend server(default_options());
   for (RequestId id = 1; id <= 2; ++id) server.send_request(request_with_hint(server, id, 0.1));
@@ -145,8 +147,8 @@
   server.send_request(server.request(7));
 }
 
-// Two requests told a thousandth of their work: an honest one after them is not taken for a thousand times
-// its own.
+// Two requests understate their work by a factor of a thousand. A later request with a correct hint is not
+// expected to take a thousand times its run time.
 void understated_work_hints() {
   AdmissionOptions settings = default_options();
   settings.routes[0].latency_objective = 10;
@@ -158,8 +160,9 @@
   for (RequestId id = 3; id <= 6; ++id) server.send_request(request_with_hint(server, id, 0.6));
 }
 
-// Many callers that seldom return: their idle connections go soon, but stay when reading falls behind, until
-// newcomers find room again. A caller that returns keeps its connection.
+// With many callers that seldom return, idle connections are closed soon; while reading falls behind they
+// are kept for longer, until there is capacity for new requests again. With a returning caller, connections
+// are kept.
 void connections() {
   AdmissionOptions settings = default_options();
   settings.caller_idle_timeout = 30;
--- a/tests/admission/overload_scenarios.cpp
+++ b/tests/admission/overload_scenarios.cpp
@@ -1,11 +1,12 @@
-// Start, shutdown, overload and health: what callers are told and what is learned.
+// Start, shutdown, overload and health: the signals to callers, and what the controller learns.
 #include "decision_scenarios.h"
 #include "scripted_backend.h"
 
 namespace damsonspoke::testing {
 namespace {
 
-// Leaving: bad health at once, late newcomers never run, everything is answered before the stop.
+// Graceful shutdown: the server is unhealthy at once, requests that arrive after the grace period never run,
+// and every request is answered before the stop.
 void graceful_shutdown() {
   ScriptedBackend server(default_options());
   server.send_request(server.request(1));
@@ -14,29 +15,30 @@
   server.send_request(server.request(2));
   server.advance_to(1.5);
   Request in_time = server.request(3);
-  in_time.age = 0.6;  // read late, but it arrived within the grace
+  in_time.age = 0.6;  // read late, but it arrived within the grace period
   server.send_request(in_time);
   server.send_request(server.request(4));
   server.advance_to(3);
   server.print_pool();
 }
 
-// Cold: the survivable crowd is counted from the speed floor, so fewer start than there are cores.
+// During slow start the survivable concurrency follows from the lower bound of the speed, so fewer requests
+// start than there are cores.
 void slow_start_limits() {
   AdmissionOptions settings = default_options();
   settings.cores = 6;
   settings.slow_start = true;
   settings.slow_start_speed = 0.0;
   settings.slow_start_time = 10;
-  settings.load_feedback = LoadFeedback::kLevel;  // and callers are asked for little until cores idle
+  settings.load_feedback = LoadFeedback::kLevel;  // callers are asked for little load until cores idle
   ScriptedBackend server(settings);
   server.gauges.cpu_busy = 0.5;
   for (RequestId id = 1; id <= 7; ++id) server.send_request(server.request(id));
   server.advance_to(0.35);
 }
 
-// A burst after a lull: the gauge still tells of idle cores, but only work that has waited for the gauge's
-// span makes the run limit grow.
+// A burst after an idle time: the gauge still shows idle cores, but the run limit grows only once requests
+// have been queued for the gauge's whole window.
 void burst() {
   AdmissionOptions settings = default_options();
   settings.memory_kb = 100000;
@@ -49,7 +51,8 @@
   server.advance_to(2);
 }
 
-// Runs that do not end: health bad, newcomers rejected; when one ends, probes bring it back.
+// Runs that do not end: the server becomes unhealthy and rejects new requests. After a run has ended, probe
+// requests make it healthy again.
 void stalled() {
   ScriptedBackend server(default_options());
   server.learn_run_time(0, 0.2);
@@ -67,8 +70,8 @@
   server.finish_run(id);
 }
 
-// Requests that are stale when they are read: nothing here can be in time, so callers are sent away until
-// cores idle.
+// Requests are stale when they are read, so none can finish in time: the server is unhealthy until cores
+// idle.
 void stale_requests() {
   ScriptedBackend server(default_options());
   server.gauges.cpu_busy = 1;
@@ -86,7 +89,7 @@
   server.advance_to(2.2);
 }
 
-// Runs that mostly fail: the same answer, and good probes in a row end it.
+// Most runs fail: the server is unhealthy until several probe requests in a row succeed.
 void failing() {
   ScriptedBackend server(default_options());
   RequestId id = 1;
@@ -107,7 +110,8 @@
   }
 }
 
-// Bad health that sends all callers away also ends the probes: after a silence it is good again for a while.
+// If an unhealthy server gets no requests at all, none can show its recovery. So after a time without
+// requests it is published as healthy for a while.
 void health_without_traffic() {
   ScriptedBackend server(default_options());
   server.set_quiet(true);
@@ -122,8 +126,8 @@
   server.advance_to(5);
 }
 
-// Tenants that keep to their parts of what comes are within their shares, though each sends more than an
-// even part.
+// Tenants whose shares of the requests equal their shares of the quotas are within their quotas, although
+// each sends more to this server than its even part.
 void uneven_tenants() {
   AdmissionOptions settings = default_options();
   settings.tenants = {{20}, {20}};
@@ -137,8 +141,8 @@
   }
 }
 
-// Most newcomers rejected: callers are asked to stay away longer and not to try elsewhere, but for less long
-// while cores idle all the same.
+// Most requests are rejected: callers get a longer Retry-After and no retry elsewhere, but a shorter
+// Retry-After while cores idle nevertheless.
 void retry_storm() {
   ScriptedBackend server(default_options());
   server.learn_run_time(0, 1.0);
@@ -152,8 +156,8 @@
   for (RequestId id = 29; id <= 31; ++id) server.send_request(server.request(id));
 }
 
-// One of 300: rejections leave callers free to try elsewhere until requests come that have been, by the wait
-// that they tell.
+// One of 300 servers: callers may retry elsewhere until requests arrive whose timeouts show that they are
+// retries from other servers.
 void large_fleet_retry_storm() {
   AdmissionOptions settings = default_options();
   settings.servers = 300;
@@ -166,7 +170,7 @@
   }
 }
 
-// What is announced under pressure means something else for each kind of free value.
+// The value of the load feedback under overload depends on the form of the feedback.
 void load_feedback() {
   AdmissionOptions settings = default_options();
   for (const LoadFeedback say :
@@ -182,8 +186,8 @@
   }
 }
 
-// What an earlier life learned: its times are used from the first request on; a few runs that take other
-// times outweigh it, and while the backend is cold nothing speaks against it.
+// A prior from an earlier incarnation: its run times are used from the first request on. A few runs with
+// different times replace it, but not during slow start.
 void prior() {
   const AdmissionOptions settings = default_options();
   ScriptedBackend first(settings);
--- a/tests/admission/overload_signals_test.cpp
+++ b/tests/admission/overload_signals_test.cpp
@@ -1,4 +1,4 @@
-// What callers are told: Retry-After, retry storms, and load feedback.
+// Overload signals to callers: Retry-After, retry storms, and load feedback.
 #include "admission/overload_signals.h"
 
 #include <gtest/gtest.h>
--- a/tests/admission/priority_scenarios.cpp
+++ b/tests/admission/priority_scenarios.cpp
@@ -1,19 +1,19 @@
-// Which request goes first, and which loses its place to another.
+// Which request runs first, and which queued request is preempted by another.
 #include "decision_scenarios.h"
 #include "scripted_backend.h"
 
 namespace damsonspoke::testing {
 namespace {
 
-// A request of the route, all else plain.
+// A request on this route with default values otherwise.
 Request request_on_route(ScriptedBackend& server, RequestId id, int route) {
   Request request = server.request(id);
   request.route = route;
   return request;
 }
 
-// Two routes, the second worth more, of which one run each was seen to take so long; then `cheap` requests of
-// the first, then `dear` ones of the second.
+// Two routes, the second with a higher priority weight. The first run of each takes the given time. Then
+// `cheap` requests arrive on the first route, then `important` ones on the second.
 void queue_two_routes(double priority_weight, double first_run_seconds, double second_run_seconds, int cheap,
                       int important) {
   AdmissionOptions settings = default_options();
@@ -33,13 +33,15 @@
     server.send_request(request_on_route(server, id, 1));
 }
 
-// Where the line is full, a request that is worth more takes the place of the cheap one that came last; cheap
-// ones displace nobody, nor does anything its like.
+// If the queue is full, a request with a higher weight preempts the latest request with a lower weight. A
+// request preempts none of the same or a higher weight.
 void preempted_requests() { queue_two_routes(3, 0.1, 0.1, 16, 16); }
-// It takes no place of two that are worth more together, however long its own run.
+// A request does not preempt two requests that together have a higher weight, however long its own run
+// takes.
 void preemption_by_total_weight() { queue_two_routes(1.5, 0.05, 0.5, 12, 8); }
 
-// What has run is not displaced, though it waits again and is worth least: it may not be rejected.
+// A request that has run is not preempted, even if it is queued again and has the lowest weight, because it
+// must not be rejected.
 void started_runs_not_preempted() {
   AdmissionOptions settings = default_options();
   settings.routes = {settings.routes[0], settings.routes[0]};
@@ -59,7 +61,7 @@
   for (RequestId id = 108; id <= 116; ++id) server.send_request(request_on_route(server, id, 1));
 }
 
-// Of the held requests the important one starts first, though it came last.
+// Of the queued requests the important one starts first, although it arrived last.
 void important_first() {
   ScriptedBackend server(default_options());
   for (const int route : {0, 1}) server.learn_run_time(route, 0.3);
@@ -68,7 +70,8 @@
   server.finish_run(1);
 }
 
-// A marked further try has spent part of its target: the same line is too long for it.
+// A marked retry has spent a part of its latency objective, so a queue that is short enough for a first
+// attempt is too long for it.
 void marked_retry() {
   ScriptedBackend server(default_options());
   server.learn_run_time(1, 0.5);
@@ -78,18 +81,19 @@
   server.send_request(again);
   server.send_request(server.request(6, 1));
   again.id = 7;
-  again.remaining_timeout = 3.9;  // of 4 s of its client's patience: next to nothing is spent
+  again.remaining_timeout = 3.9;  // of the 4 s that its caller waits: hardly any time is spent
   server.send_request(again);
 }
 
-// Under shortage a tenant over its quota, or one caller that holds most of the bytes, loses room first.
+// Under shortage a tenant over its quota is rejected first, and so is a caller that holds most of the queued
+// bytes.
 void shares() {
   AdmissionOptions settings = default_options();
   settings.tenants = {{0}, {10}};
   settings.routes[0].latency_objective = 20;
   settings.routes[0].timeout = 20;
   ScriptedBackend server(settings);
-  server.learn_run_time(0, 0.5);  // takes one of the six that tenant 0 may send at once
+  server.learn_run_time(0, 0.5);  // uses one of the six requests that tenant 0 may send at once
   for (RequestId id = 1; id <= 9; ++id) {
     Request request = server.request(id);
     request.tenant = id == 9 ? 1 : 0;
@@ -97,7 +101,7 @@
   }
   for (RequestId id = 1; id <= 5; ++id) server.finish_run(id);
   server.finish_run(9);
-  server.send_request(server.request(10));  // idle room is free for anyone
+  server.send_request(server.request(10));  // idle capacity is free for every tenant
   settings.tenants.clear();
   ScriptedBackend contended(settings);
   for (RequestId id = 1; id <= 8; ++id) {
--- a/tests/admission/scripted_backend.h
+++ b/tests/admission/scripted_backend.h
@@ -1,5 +1,5 @@
-// A server for the tests of decisions: a DecisionSink that prints its calls, and a hand on an
-// AdmissionController's clock and events.
+// A server for the decision tests: a DecisionSink that prints its calls, with control over the clock and the
+// events of its AdmissionController.
 #pragma once
 
 #include <cstdarg>
@@ -11,7 +11,8 @@
 
 namespace damsonspoke::testing {
 
-// Two routes (0 cheap, 1 important) on two cores; a test changes what it is about.
+// Two routes (0 with the low priority weight, 1 with the high one) on two cores. Each test changes the
+// options that it covers.
 inline AdmissionOptions default_options() {
   AdmissionOptions options;
   Route cheap;
@@ -41,7 +42,7 @@
       : options_(options), controller_(options, 7, *this, 0, prior) {}
   LearnedStatistics learned() const { return controller_.learned(); }
 
-  // Lets time pass, with the wakes that the AdmissionController asked for.
+  // Advances the clock and delivers the wakeups that the AdmissionController has scheduled.
   void advance_to(double time) {
     while (!wakeups_.empty() && wakeups_.begin()->first <= time) {
       const auto [at, token] = *wakeups_.begin();
@@ -95,7 +96,7 @@
   }
   void set_quiet(bool quiet) { is_quiet_ = quiet; }
   void print_pool() { print("pool in use: %.0f kB", controller_.pool_used_kb()); }
-  // Runs one request of a type to its end, so that its run time is learned.
+  // Runs one request of a route to its end, so that its run time is learned.
   void learn_run_time(int route, double run_time) {
     const RequestId id = 900 + learned_runs_++;
     is_quiet_ = true;
--- a/tests/admission/slow_call_pacer_test.cpp
+++ b/tests/admission/slow_call_pacer_test.cpp
@@ -1,4 +1,4 @@
-// While the dependency is slow it gets no more concurrent calls than it is known to bear.
+// A slow dependency gets no more concurrent calls than it is known to sustain.
 #include "admission/slow_call_pacer.h"
 
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
   SlowCallPacer pacer(4);
   for (int i = 0; i < 100; ++i) pacer.advance(0.1, 2, true, 0.1);
   EXPECT_NEAR(pacer.interval(2), 1, 1e-6);
-  // What is in flight while calls are slow teaches nothing.
+  // Nothing is learned from the calls in flight while calls are slow.
   for (int i = 0; i < 100; ++i) pacer.advance(0.1, 4, false, 2);
   EXPECT_NEAR(pacer.interval(2), 1, 1e-6);
 }
@@ -26,7 +26,7 @@
   pacer.call_started(10);
   for (int i = 0; i < 20; ++i) pacer.advance(0.1, 4, false, 2);
   EXPECT_GT(pacer.delay(12), 0);
-  EXPECT_EQ(pacer.delay(15), 0);  // the longest delay is over
+  EXPECT_EQ(pacer.delay(15), 0);  // the maximum delay has passed
 }
 
 }  // namespace
--- a/tests/admission/slow_start_calls.cpp
+++ b/tests/admission/slow_start_calls.cpp
@@ -1,7 +1,7 @@
-// The concurrent calls of many servers to a shared dependency that hangs, fails and recovers, while servers
-// die and are replaced: the real decisions, many times, on one clock. Each server's share is what its
-// settings say; beyond the N call seconds that the shares add up to in a window, 2 sqrt(N) + 2 are allowed
-// for chance. CTest compares with tests/traces/slow_start_calls.txt.
+// Simulates the concurrent calls of many servers to a shared dependency that hangs, fails and recovers,
+// while servers are killed and replaced. All servers make the real decisions on one simulated clock. Each
+// server's share is that of its settings. The shares add up to N call seconds in a window; 2 sqrt(N) + 2
+// more are allowed for chance. CTest compares the output with tests/traces/slow_start_calls.txt.
 #include <algorithm>
 #include <cmath>
 #include <cstdio>
@@ -20,8 +20,8 @@
 
 constexpr double kStepSeconds = 0.02;
 constexpr double kWindowSeconds = 5;
-constexpr double kAbandonedCallSeconds = 0.2;  // that the dependency works on an abandoned call
-constexpr double kTotalShare = 30;             // concurrent calls on the mean, of all servers
+constexpr double kAbandonedCallSeconds = 0.2;  // for which the dependency works on an abandoned call
+constexpr double kTotalShare = 30;             // mean concurrent calls of all servers together
 constexpr double kSimulatedSeconds = 38;
 
 enum class DependencyState { kHealthy, kHanging, kDown, kSlow };
@@ -51,7 +51,7 @@
   bool abandoned = false;
 };
 
-// One server from its start to its end: requests arrive, run, need a call, and go on.
+// One server from its start to its end: its requests arrive, run, make a call, and resume.
 class SimulatedServer : public standins::SilentSink {
  public:
   SimulatedServer(int fleet_size, bool has_slow_start, double now, std::uint64_t seed)
@@ -116,10 +116,10 @@
       controller_->on_call_finished(now, id, outcome, 0);
     }
   }
-  // What the dependency works on, from when to when.
+  // The calls that the dependency works on, with their begin and end.
   std::vector<CallInFlight> calls;
   double last_call() const { return last_call_; }
-  // Its connections end, and with them its calls.
+  // Its connections are closed, which ends its calls.
   void kill(double now) {
     for (CallInFlight& call : calls) call.ends = std::min(call.ends, now + kAbandonedCallSeconds);
   }
@@ -153,7 +153,7 @@
   void skip_call(RequestId id) override { runs_after_call_.emplace(id, now_ + 0.01); }
   void schedule_wakeup(double time, std::uint64_t token) override { wakeups_.emplace(time, token); }
 
-  // Runs that were stopped, or waited for a call, end on the next step.
+  // Ends the runs that were interrupted, or whose request was failed, since the last step.
   void finish_cancelled_runs(double now) {
     std::vector<RequestId> finished;
     finished.swap(to_cancel_);
@@ -191,9 +191,9 @@
 };
 
 struct Result {
-  double max_call_seconds = 0;  // of all servers in any window
+  double max_call_seconds = 0;  // of all servers together, in any window
   double calls = 0;
-  double longest_gap_seconds = 0;  // s in which a server made no call after the recovery
+  double longest_gap_seconds = 0;  // without a call of a server, after the recovery
 };
 
 Result simulate(int server_count, std::uint64_t seed, bool servers_die) {
--- a/tests/admission/unusual_timeout_detector_test.cpp
+++ b/tests/admission/unusual_timeout_detector_test.cpp
@@ -1,4 +1,4 @@
-// Unmarked retries are told by timeouts that are unusual on their route.
+// Unmarked retries are detected by timeouts that are unusual on their route.
 #include "admission/unusual_timeout_detector.h"
 
 #include <gtest/gtest.h>
