--- a/src/admission/health.cpp
+++ b/src/admission/health.cpp
@@ -15,7 +15,7 @@
 constexpr double kErrorSmoothingRuns = 12;
 constexpr double kStalenessSmoothingRequests = 8;
 constexpr double kMaxStalenessPerRequest = 1.5;  // counted for one request
-constexpr double kStalenessFadePerTick = 0.97;
+constexpr double kStalenessDecayPerTick = 0.97;
 constexpr double kPublishDelaySeconds = 0.5;  // a shorter unhealthy period is not published
 constexpr double kIdleResetSeconds = 2;
 
@@ -37,7 +37,7 @@
 
 void HealthMonitor::tick(bool cores_idle) {
   if (cores_idle) staleness_ = 0;  // no request is waiting to be read
-  staleness_ *= kStalenessFadePerTick;
+  staleness_ *= kStalenessDecayPerTick;
 }
 
 bool HealthMonitor::reads_stale_requests() const { return staleness_ > kRecoveredStaleness; }
--- a/src/admission/service_rate.cpp
+++ b/src/admission/service_rate.cpp
@@ -16,9 +16,9 @@
 }  // namespace
 
 void ServiceRate::advance(double seconds, int running) {
-  const double fade = std::exp(-seconds / kDecayTimeSeconds);
-  core_time_ = core_time_ * fade + running * seconds;
-  work_done_ *= fade;
+  const double decay = std::exp(-seconds / kDecayTimeSeconds);
+  core_time_ = core_time_ * decay + running * seconds;
+  work_done_ *= decay;
 }
 
 void ServiceRate::update(double now) {
--- a/src/admission/slow_call_pacer.cpp
+++ b/src/admission/slow_call_pacer.cpp
@@ -24,9 +24,9 @@
 
 void SlowCallPacer::advance(double seconds, int in_flight, bool usual, double call_seconds) {
   if (usual) {
-    const double fade = std::exp(-seconds / kDecayTimeSeconds);
-    call_seconds_ = call_seconds_ * fade + in_flight * seconds;
-    usual_seconds_ = usual_seconds_ * fade + seconds;
+    const double decay = std::exp(-seconds / kDecayTimeSeconds);
+    call_seconds_ = call_seconds_ * decay + in_flight * seconds;
+    usual_seconds_ = usual_seconds_ * decay + seconds;
   }
   const double concurrency = usual_concurrency();
   // Enough for at least one call.
--- a/src/admission/unusual_timeout_detector.cpp
+++ b/src/admission/unusual_timeout_detector.cpp
@@ -6,7 +6,7 @@
 namespace damsonspoke {
 namespace {
 
-constexpr double kFadePerRequest = 0.98;
+constexpr double kDecayPerRequest = 0.98;
 constexpr double kToleranceShare = 0.015;  // of the timeout, for what clocks and the network add
 constexpr double kMinRequests = 10;        // until then, no timeout is unusual
 constexpr double kUsualShare = 0.1;        // of the requests
@@ -17,7 +17,7 @@
   auto match = counts_.end();
   double total = 1;
   for (auto entry = counts_.begin(); entry != counts_.end(); ++entry) {
-    entry->count *= kFadePerRequest;
+    entry->count *= kDecayPerRequest;
     total += entry->count;
     if (std::abs(entry->timeout - timeout) < kToleranceShare * timeout) match = entry;
   }
--- a/tests/admission/call_budget_test.cpp
+++ b/tests/admission/call_budget_test.cpp
@@ -46,7 +46,7 @@
   EXPECT_NEAR(reservation->reserved, 2, 1e-9);
 }
 
-TEST(CallBudget, AnAbandonedCallGoesOnBeingCharged) {
+TEST(CallBudget, AnAbandonedCallStaysCharged) {
   CallBudget budget(shared_options(1));
   const auto reservation = budget.reserve(0.8);
   ASSERT_TRUE(reservation.has_value());
--- a/tests/admission/call_concurrency_limit_test.cpp
+++ b/tests/admission/call_concurrency_limit_test.cpp
@@ -8,7 +8,7 @@
 
 using Change = CallConcurrencyLimit::Change;
 
-TEST(CallConcurrencyLimit, FallsOnceInTheTimeThatADropTakesToShow) {
+TEST(CallConcurrencyLimit, FallsAtMostOncePerInterval) {
   CallConcurrencyLimit limit(8);
   EXPECT_EQ(limit.lower(1.0), Change::kLowered);
   const double lowered = limit.value();
--- a/tests/admission/overload_scenarios.cpp
+++ b/tests/admission/overload_scenarios.cpp
@@ -201,9 +201,9 @@
     weak.routes[0].run.sum *= values / count;
     return weak;
   };
-  for (const bool with : {false, true}) {
-    ScriptedBackend next(settings, with ? scaled(4) : LearnedStatistics{});
-    next.print("-- %s learned statistics, 14 requests at once", with ? "with" : "without");
+  for (const bool has_prior : {false, true}) {
+    ScriptedBackend next(settings, has_prior ? scaled(4) : LearnedStatistics{});
+    next.print("-- %s learned statistics, 14 requests at once", has_prior ? "with" : "without");
     for (RequestId id = 1; id <= 14; ++id) next.send_request(next.request(id));
   }
   ScriptedBackend same(settings, scaled(4)), slower(settings, scaled(4));
--- a/tests/admission/priority_scenarios.cpp
+++ b/tests/admission/priority_scenarios.cpp
@@ -76,13 +76,13 @@
   ScriptedBackend server(default_options());
   server.learn_run_time(1, 0.5);
   for (RequestId id = 1; id <= 4; ++id) server.send_request(server.request(id, 1));
-  Request again = server.request(5, 1);
-  again.is_retry = true;
-  server.send_request(again);
+  Request retry = server.request(5, 1);
+  retry.is_retry = true;
+  server.send_request(retry);
   server.send_request(server.request(6, 1));
-  again.id = 7;
-  again.remaining_timeout = 3.9;  // of the 4 s that its caller waits: hardly any time is spent
-  server.send_request(again);
+  retry.id = 7;
+  retry.remaining_timeout = 3.9;  // of the 4 s that its caller waits: hardly any time is spent
+  server.send_request(retry);
 }
 
 // Under shortage a tenant over its quota is rejected first, and so is a caller that holds most of the queued
--- a/tests/admission/unusual_timeout_detector_test.cpp
+++ b/tests/admission/unusual_timeout_detector_test.cpp
@@ -11,7 +11,7 @@
   for (int i = 0; i < 8; ++i) EXPECT_FALSE(detector.observe(0.1 * (i + 1))) << i;
 }
 
-TEST(UnusualTimeoutDetector, WhatIsLeftOfATimeoutIsUnusual) {
+TEST(UnusualTimeoutDetector, RemainderOfATimeoutIsUnusual) {
   UnusualTimeoutDetector detector;
   for (int i = 0; i < 50; ++i) detector.observe(1);
   EXPECT_FALSE(detector.observe(1));
