--- a/src/fleet/health_check_budget.cpp
+++ b/src/fleet/health_check_budget.cpp
@@ -60,9 +60,9 @@
   const double rate = checks_per_second(dependency, now);
   CheckerState& state = states_[dependency];
   // Each instance starts with a credit of its own: with small rates all would else send at the same moment.
-  const auto place =
+  const auto rank =
       static_cast<double>(std::distance(last_usable_at_.begin(), last_usable_at_.lower_bound(self_)));
-  const double phase = last_usable_at_.empty() ? 0 : place / static_cast<double>(last_usable_at_.size());
+  const double phase = last_usable_at_.empty() ? 0 : rank / static_cast<double>(last_usable_at_.size());
   state.credit = rate <= 0 ? phase : std::min(1.0, state.credit + rate * (now - state.credited_at));
   state.credited_at = now;
   if (state.credit < 1) return false;
--- a/src/fleet/retry_budget.cpp
+++ b/src/fleet/retry_budget.cpp
@@ -19,7 +19,7 @@
   std::erase_if(borrowed_, has_expired);
   // At most one second of the rate is saved up, or a single retry: the budget must not feed a retry storm.
   credit_ = std::min(credit_ + std::max(0.0, rate) * elapsed, std::max(1.0, rate));
-  const double decay = std::exp(-elapsed / options_.rate_memory_seconds);
+  const double decay = std::exp(-elapsed / options_.rate_averaging_seconds);
   first_attempts_per_second_ *= decay;
   wanted_per_second_ *= decay;
   advanced_to_ = now;
@@ -27,12 +27,12 @@
 
 void FleetRetryBudget::record_first_attempt(double now) {
   advance(now);
-  first_attempts_per_second_ += 1 / options_.rate_memory_seconds;
+  first_attempts_per_second_ += 1 / options_.rate_averaging_seconds;
 }
 
 bool FleetRetryBudget::try_retry(double now) {
   advance(now);
-  wanted_per_second_ += 1 / options_.rate_memory_seconds;
+  wanted_per_second_ += 1 / options_.rate_averaging_seconds;
   if (credit_ < 1) return false;
   credit_ -= 1;
   return true;
--- a/src/fleet/retry_budget.h
+++ b/src/fleet/retry_budget.h
@@ -13,11 +13,11 @@
 namespace damsonspoke::fleet {
 
 struct FleetRetryBudgetOptions {
-  double retry_share = 0.1;         // retries, of first attempts
-  double rate_memory_seconds = 5;   // over which rates are averaged
-  double lease_seconds = 5;         // that a lease may be used, from its arrival
-  double max_delivery_seconds = 3;  // that a lease may take to arrive; later it is worth nothing
-  double reserved_share = 0.25;     // of its own budget that a lender keeps for sudden needs
+  double retry_share = 0.1;           // retries, of first attempts
+  double rate_averaging_seconds = 5;  // over which rates are averaged
+  double lease_seconds = 5;           // that a lease may be used, from its arrival
+  double max_delivery_seconds = 3;    // that a lease may take to arrive; later it is worth nothing
+  double reserved_share = 0.25;       // of its own budget that a lender keeps for sudden needs
 };
 
 class FleetRetryBudget {
--- a/src/members/member_table.h
+++ b/src/members/member_table.h
@@ -22,9 +22,9 @@
   static constexpr double kNever = -1e9;
 
   Record record;
-  double since = 0;           // when its condition changed, as seen here
-  double load_report_at = 0;  // when its load report was made, by the local clock
-  double last_heard_at = -1;  // when its last datagram arrived here
+  double since = 0;              // when its condition changed, as seen here
+  double load_report_at = 0;     // when its load report was made, by the local clock
+  double last_datagram_at = -1;  // when its last datagram arrived here
 
   // While it is suspected.
   double suspicion_deadline = -1;
@@ -37,7 +37,7 @@
   LinkHealth link;
   double last_ping_at = -1;        // when its last direct ping arrived
   std::uint32_t last_ping_id = 0;  // the probe id of that ping
-  std::string last_relay;          // the member that last reached it for this one
+  std::string last_helper;         // the member that last reached it for this one
 
   // Flap damping.
   double flap_count = 0;  // returns, decaying
--- a/src/members/membership_view.cpp
+++ b/src/members/membership_view.cpp
@@ -8,12 +8,12 @@
 namespace damsonspoke::members {
 namespace {
 
-constexpr double kTimerShare = 0.15;             // of the probe interval, between two timers
-constexpr double kGossipSeconds = 0.1;           // between two rounds of gossip
-constexpr double kBrokenLinkMemorySeconds = 30;  // that a report of broken links counts
-constexpr double kPauseMemorySeconds = 300;      // that a pause is reported
-constexpr double kReportedPauseSeconds = 0.5;    // shorter pauses are not reported
-constexpr double kCatchUpSeconds = 0.3;          // after a pause, in which nobody is accused
+constexpr double kTimerShare = 0.15;                // of the probe interval, between two timers
+constexpr double kGossipSeconds = 0.1;              // between two rounds of gossip
+constexpr double kBrokenLinkRetentionSeconds = 30;  // that a report of broken links counts
+constexpr double kPauseRetentionSeconds = 300;      // that a pause is reported
+constexpr double kReportedPauseSeconds = 0.5;       // shorter pauses are not reported
+constexpr double kCatchUpSeconds = 0.3;             // after a pause, in which nobody is accused
 
 std::uint32_t milliseconds(double seconds) {
   return static_cast<std::uint32_t>(std::max(0.0, seconds) * 1000);
@@ -28,7 +28,7 @@
       sink_(sink),
       random_(random_seed),
       self_(std::move(self)),
-      reported_links_(kBrokenLinkMemorySeconds),
+      reported_links_(kBrokenLinkRetentionSeconds),
       gossip_rate_limiter_(options.gossip_bytes_per_second, options.gossip_burst_bytes) {}
 
 // ---- Time.
@@ -85,7 +85,7 @@
     table_[index].suspicion_deadline += pause_seconds + kCatchUpSeconds;
   probe_period_ends_at_ = now + kCatchUpSeconds;
   if (pause_seconds < kReportedPauseSeconds) return;
-  if (now - longest_pause_at_ > kPauseMemorySeconds) longest_pause_ = 0;
+  if (now - longest_pause_at_ > kPauseRetentionSeconds) longest_pause_ = 0;
   longest_pause_ = std::max(longest_pause_, pause_seconds);
   longest_pause_at_ = now;
   sink_.on_notice({.kind = Notice::Kind::kPaused, .address = {}, .pause_seconds = pause_seconds});
@@ -118,7 +118,8 @@
   record.conflicting_epoch = conflicting_epoch_;
   record.incarnation = incarnation_;
   record.condition = is_leaving_ ? Condition::kLeft : Condition::kAlive;
-  if (now - longest_pause_at_ < kPauseMemorySeconds) record.longest_pause_ms = milliseconds(longest_pause_);
+  if (now - longest_pause_at_ < kPauseRetentionSeconds)
+    record.longest_pause_ms = milliseconds(longest_pause_);
   record.load_report = load_report_;
   for (const MemberIndex index : unreachable_) {
     if (record.broken_links.size() >= kMaxBrokenLinks) break;
--- a/src/members/membership_view.h
+++ b/src/members/membership_view.h
@@ -185,7 +185,7 @@
   // membership_view_suspicion.cpp
   void accuse(MemberIndex index, std::vector<std::string> accusers, double now);
   void shorten_suspicion(MemberIndex index);
-  void note_evidence(MemberIndex index, std::uint32_t datagram_number, double now);
+  void record_evidence(MemberIndex index, std::uint32_t datagram_number, double now);
   [[nodiscard]] double suspicion_deadline(const Member& member, double from) const;
   [[nodiscard]] SilentShare silent_share(MemberIndex suspect, double now) const;
   void check_suspicions(double now);
--- a/src/members/membership_view_messages.cpp
+++ b/src/members/membership_view_messages.cpp
@@ -35,9 +35,9 @@
   if (!from) return;
   if (table_[*from].record.epoch != message.sender_epoch)  // a former process, or one in conflict
     return send_record(from_address, *from, now);
-  table_[*from].last_heard_at = now;
+  table_[*from].last_datagram_at = now;
   compare_digest(from_address, message.membership_digest, now);
-  note_evidence(*from, message.datagram_number, now);
+  record_evidence(*from, message.datagram_number, now);
   switch (message.kind) {
     case MessageKind::kPing: return handle_ping(from_address, *from, message, now);
     case MessageKind::kAck: return handle_ack(*from, message, now);
@@ -104,7 +104,7 @@
   if (message.sender == target.record.name) {
     probe_->inbound_works = true;
   } else if (message.target == target.record.name) {
-    target.last_relay = message.sender;
+    target.last_helper = message.sender;
   } else {
     return;
   }
--- a/src/members/membership_view_probes.cpp
+++ b/src/members/membership_view_probes.cpp
@@ -66,10 +66,10 @@
   const auto wanted =
       static_cast<std::size_t>(looks_broken ? 2 * options_.indirect_probes : options_.indirect_probes);
   std::vector<MemberIndex> helpers;
-  const std::optional<MemberIndex> last_relay = table_.find(target.last_relay);
-  if (last_relay && table_[*last_relay].is_alive()) helpers.push_back(*last_relay);
+  const std::optional<MemberIndex> last_helper = table_.find(target.last_helper);
+  if (last_helper && table_[*last_helper].is_alive()) helpers.push_back(*last_helper);
   const auto is_wanted = [&](const Member& member) {
-    return member.record.name != target.record.name && member.record.name != target.last_relay &&
+    return member.record.name != target.record.name && member.record.name != target.last_helper &&
            !member.link.is_broken();
   };
   for (const MemberIndex helper : random_members(wanted, is_wanted)) {
--- a/src/members/membership_view_records.cpp
+++ b/src/members/membership_view_records.cpp
@@ -16,7 +16,7 @@
 constexpr double kMaxDampingSeconds = 60;
 
 // Flap damping: a member that comes and goes counts as alive only after it has stayed for a while.
-void note_return(Member& member, double now) {
+void record_return(Member& member, double now) {
   const double half_lives = (now - member.flap_counted_at) / kFlapHalfLifeSeconds;
   member.flap_count = member.flap_count * std::exp2(-half_lives) + 1;
   member.flap_counted_at = now;
@@ -33,7 +33,7 @@
   member.last_ping_at = -1;
   member.last_evidence_number = 0;
   member.last_evidence_at = Member::kNever;
-  member.last_relay.clear();
+  member.last_helper.clear();
 }
 
 }  // namespace
@@ -109,7 +109,7 @@
 bool MembershipView::merge_equal_record(MemberIndex index, const Record& record, double now) {
   Member& member = table_[index];
   if (record.condition == Condition::kSuspected && member.is_suspected()) {
-    note_evidence(index, record.last_datagram_number, now);
+    record_evidence(index, record.last_datagram_number, now);
     const bool has_more = add_accusers(member.record, record.accusers);
     if (has_more) shorten_suspicion(index);
     return has_more;
@@ -126,7 +126,7 @@
   table_.update_activity(index);
   if (!was_active && member.is_active()) {
     schedule_.append(index);
-    note_return(member, now);
+    record_return(member, now);
   }
   if (before != member.record.condition) member.since = now;
   if (member.is_suspected()) {
--- a/src/members/membership_view_send.cpp
+++ b/src/members/membership_view_send.cpp
@@ -122,11 +122,11 @@
     if (std::find(chosen.begin(), chosen.end(), index) == chosen.end()) chosen.push_back(index);
   };
   // A few draws are cheap in a large fleet; the scan from a random place completes them in a small one.
-  const std::size_t place = random_.index(round.size());
+  const std::size_t start = random_.index(round.size());
   for (std::size_t i = 0; i < kDrawsPerMember * limit && chosen.size() < limit; ++i)
     try_add(round[random_.index(round.size())]);
   for (std::size_t i = 0; i < round.size() && chosen.size() < limit; ++i)
-    try_add(round[(place + i) % round.size()]);
+    try_add(round[(start + i) % round.size()]);
   return chosen;
 }
 
--- a/src/members/membership_view_suspicion.cpp
+++ b/src/members/membership_view_suspicion.cpp
@@ -51,7 +51,7 @@
 // Somebody heard from a suspected member, so it lives, even if this member can't reach it. The evidence is
 // gossiped, and compared by the number of the datagram: by times, a report that travels late would keep a
 // dead member alive for ever.
-void MembershipView::note_evidence(MemberIndex index, std::uint32_t datagram_number, double now) {
+void MembershipView::record_evidence(MemberIndex index, std::uint32_t datagram_number, double now) {
   Member& member = table_[index];
   if (!member.is_suspected() || datagram_number <= member.last_evidence_number) return;
   if (now - member.last_evidence_at > kEvidenceGossipSeconds) queue_gossip(index);
@@ -76,7 +76,7 @@
 MembershipView::SilentShare MembershipView::silent_share(MemberIndex suspect, double now) const {
   std::size_t others = 0;
   std::size_t silent = 0;
-  std::size_t not_heard = 0;
+  std::size_t without_datagram = 0;
   const double since = table_[suspect].since;
   for (const MemberIndex index : table_.indices()) {
     const Member& member = table_[index];
@@ -86,11 +86,11 @@
     ++others;
     if (condition != Condition::kAlive || index == suspect)
       ++silent;
-    else if (member.last_heard_at < since)
-      ++not_heard;
+    else if (member.last_datagram_at < since)
+      ++without_datagram;
   }
   const bool over_quarter = silent > 1 && silent * 4 > others;
-  if (over_quarter && others <= kSmallFleetMembers && now > since + kQuietSeconds) silent += not_heard;
+  if (over_quarter && others <= kSmallFleetMembers && now > since + kQuietSeconds) silent += without_datagram;
   if (silent * 2 > others) return SilentShare::kOverHalf;
   return over_quarter ? SilentShare::kOverQuarter : SilentShare::kFew;
 }
--- a/src/members/probe_schedule.cpp
+++ b/src/members/probe_schedule.cpp
@@ -11,8 +11,8 @@
 }  // namespace
 
 void ProbeSchedule::insert(MemberIndex member, RandomSource& random) {
-  const std::size_t place = position_ + random.index(round_.size() - position_ + 1);
-  round_.insert(round_.begin() + static_cast<std::ptrdiff_t>(place), member);
+  const std::size_t position = position_ + random.index(round_.size() - position_ + 1);
+  round_.insert(round_.begin() + static_cast<std::ptrdiff_t>(position), member);
 }
 
 void ProbeSchedule::append(MemberIndex member) {
--- a/src/peers/members/transport.cpp
+++ b/src/peers/members/transport.cpp
@@ -21,7 +21,7 @@
 using members::MemberState;
 using members::MemberStatus;
 
-constexpr int kMaxDatagramsPerTurn = 256;
+constexpr int kMaxDatagramsPerIteration = 256;
 constexpr int kMaxStaleDatagrams = 8192;       // in the turn after a pause: all that waits
 constexpr std::size_t kMaxPushPulls = 4;       // that this member starts; twice as many in all
 constexpr double kPushPullTimeoutSeconds = 2;  // for both directions
@@ -154,7 +154,7 @@
     is_stale = view_.on_timer(now);
     schedule_timer();
   }
-  const int limit = is_stale ? kMaxStaleDatagrams : kMaxDatagramsPerTurn;
+  const int limit = is_stale ? kMaxStaleDatagrams : kMaxDatagramsPerIteration;
   for (int i = 0; i < limit; ++i) {
     if (!receive_datagram(now, is_stale)) return;
   }
@@ -272,7 +272,7 @@
   if (push_pull == nullptr || !push_pull->is_complete) connection.close(net::CloseReason::kBroken);
 }
 
-void MembershipTransport::on_end(net::Connection& connection, net::CloseReason /*why*/) {
+void MembershipTransport::on_end(net::Connection& connection, net::CloseReason /*reason*/) {
   PushPull* push_pull = find_push_pull(connection);
   if (push_pull == nullptr) return;
   reactor_.cancel(push_pull->timeout);
--- a/src/peers/members/transport.h
+++ b/src/peers/members/transport.h
@@ -69,7 +69,7 @@
   void on_connected(net::Connection& connection) override;
   std::size_t on_input(net::Connection& connection, std::string_view bytes) override;
   void on_end_of_input(net::Connection& connection) override;
-  void on_end(net::Connection& connection, net::CloseReason why) override;
+  void on_end(net::Connection& connection, net::CloseReason reason) override;
   void on_output_sent(net::Connection& connection) override;
 
   void on_readable(Poco::Net::ReadableNotification* notification);
--- a/src/peers/tier/forwarder_server.cpp
+++ b/src/peers/tier/forwarder_server.cpp
@@ -128,7 +128,7 @@
 
 void ForwarderServer::on_end_of_input(net::Connection& connection) { connection.close(); }
 
-void ForwarderServer::on_end(net::Connection& connection, net::CloseReason why) {
+void ForwarderServer::on_end(net::Connection& connection, net::CloseReason reason) {
   const auto found = links_.find(connection.tag);
   if (found == links_.end()) return;
   const Link& link = found->second;
@@ -139,7 +139,7 @@
     if (!sessions_.is_linked(link.forwarder)) windows_.remove_forwarder(link.forwarder, net::monotonic_now());
   }
   links_.erase(found);
-  counters_.add(why == net::CloseReason::kOrderly ? Count::kCallersClosed : Count::kCallersReset);
+  counters_.add(reason == net::CloseReason::kOrderly ? Count::kCallersClosed : Count::kCallersReset);
 }
 
 // Closes links that stall within a frame or whose forwarder is gone without having closed them.
@@ -200,16 +200,16 @@
   if (session.forwarder == 0) return false;
   link.forwarder = session.forwarder;
   link.name = hello.name;
-  link.routes = routes_here(hello.routes);
+  link.routes = local_routes(hello.routes);
   log_.info("forwarders", "{}: connected", hello.name);
   windows_.add_forwarder(link.forwarder);
   rebalance_windows(net::monotonic_now());
-  introduce(link, session.planner_epoch);
+  send_hello(link, session.planner_epoch);
   send_load_reports(false);
   return true;
 }
 
-std::vector<int> ForwarderServer::routes_here(const std::vector<std::string>& names) const {
+std::vector<int> ForwarderServer::local_routes(const std::vector<std::string>& names) const {
   std::vector<int> routes;
   for (const std::string& name : names) {
     const auto found = std::find(self_.routes.begin(), self_.routes.end(), name);
@@ -219,7 +219,7 @@
 }
 
 // This planner's first messages on a link.
-void ForwarderServer::introduce(Link& link, std::uint64_t planner_epoch) {
+void ForwarderServer::send_hello(Link& link, std::uint64_t planner_epoch) {
   link.reported = load_report(link);
   wt::Hello hello;
   hello.is_planner = true;
@@ -242,33 +242,33 @@
   }
   const bool has_capacity = result != SubmitResult::kTooMany;
   const ReplyAddress reply_to{link.forwarder, submit.attempt};
-  const std::optional<wt::Answer> refusal = refusal_of(submit, route, has_capacity);
-  if (!refusal) {
+  const std::optional<wt::Answer> early_answer = early_answer_to(submit, route, has_capacity);
+  if (!early_answer) {
     events_.on_request_read(incoming_request(submit, route, reply_to));
   } else if (has_capacity) {
-    answer(reply_to, *refusal);
+    answer(reply_to, *early_answer);
   } else {
-    send(link, *refusal);  // the attempt was not opened
+    send(link, *early_answer);  // the attempt was not opened
   }
 }
 
 // The answer to a submit that is not taken; none where it is.
-std::optional<wt::Answer> ForwarderServer::refusal_of(const wt::Submit& submit, int route,
-                                                      bool has_capacity) {
-  wt::Answer refusal;
-  refusal.attempt = submit.attempt;
+std::optional<wt::Answer> ForwarderServer::early_answer_to(const wt::Submit& submit, int route,
+                                                           bool has_capacity) {
+  wt::Answer early_answer;
+  early_answer.attempt = submit.attempt;
   // First: a rejection would prove that the request never ran, but another attempt at it is here.
   if (events_.is_in_use(submit.request)) {
     counters_.add(Count::kBadIds);
-    refusal.result = wt::Result::kFailed;
-    return refusal;
+    early_answer.result = wt::Result::kFailed;
+    return early_answer;
   }
-  refusal.result = wt::Result::kRejected;
-  if (!has_capacity) return refusal;
+  early_answer.result = wt::Result::kRejected;
+  if (!has_capacity) return early_answer;
   if (route >= 0) return std::nullopt;
   counters_.add(Count::kBadRoutes);
-  refusal.no_retry = true;
-  return refusal;
+  early_answer.no_retry = true;
+  return early_answer;
 }
 
 void ForwarderServer::handle_cancel(const Link& link, const wt::Cancel& cancel) {
--- a/src/peers/tier/forwarder_server.h
+++ b/src/peers/tier/forwarder_server.h
@@ -84,19 +84,19 @@
 
   std::size_t on_input(net::Connection& connection, std::string_view bytes) override;
   void on_end_of_input(net::Connection& connection) override;
-  void on_end(net::Connection& connection, net::CloseReason why) override;
+  void on_end(net::Connection& connection, net::CloseReason reason) override;
 
   void on_accept(const net::Accepted& accepted);
   // False: the message violates the protocol.
   [[nodiscard]] bool handle_message(std::uint64_t tag, wire::tier::Message& message);
   [[nodiscard]] bool handle_hello(std::uint64_t tag, const wire::tier::Hello& hello);
   void handle_submit(Link& link, wire::tier::Submit& submit);
-  [[nodiscard]] std::optional<wire::tier::Answer> refusal_of(const wire::tier::Submit& submit, int route,
-                                                             bool has_capacity);
+  [[nodiscard]] std::optional<wire::tier::Answer> early_answer_to(const wire::tier::Submit& submit, int route,
+                                                                  bool has_capacity);
   void handle_cancel(const Link& link, const wire::tier::Cancel& cancel);
   void handle_fence(Link& link, const wire::tier::Fence& fence);
-  void introduce(Link& link, std::uint64_t planner_epoch);
-  [[nodiscard]] std::vector<int> routes_here(const std::vector<std::string>& names) const;
+  void send_hello(Link& link, std::uint64_t planner_epoch);
+  [[nodiscard]] std::vector<int> local_routes(const std::vector<std::string>& names) const;
   void answer(ReplyAddress reply_to, wire::tier::Answer answer);
   void send(Link& link, const wire::tier::Message& message);
   void rebalance_windows(double now);
--- a/src/peers/tier/planner_client.cpp
+++ b/src/peers/tier/planner_client.cpp
@@ -189,7 +189,7 @@
   return unwritten;
 }
 
-void PlannerClient::on_end(net::Connection& connection, net::CloseReason /*why*/) {
+void PlannerClient::on_end(net::Connection& connection, net::CloseReason /*reason*/) {
   const int planner = static_cast<int>(connection.tag);
   Link& link = at(planner);
   if (link.connection.get() != &connection) return;
--- a/src/peers/tier/planner_client.h
+++ b/src/peers/tier/planner_client.h
@@ -98,7 +98,7 @@
   void on_connected(net::Connection& connection) override;
   std::size_t on_input(net::Connection& connection, std::string_view bytes) override;
   void on_end_of_input(net::Connection& connection) override;
-  void on_end(net::Connection& connection, net::CloseReason why) override;
+  void on_end(net::Connection& connection, net::CloseReason reason) override;
 
   void connect(int planner);
   [[nodiscard]] static std::vector<std::uint64_t> unwritten_attempts(const Link& link);
--- a/src/tier/dispatch.cpp
+++ b/src/tier/dispatch.cpp
@@ -183,10 +183,10 @@
 // ---- Answers.
 
 std::optional<RequestId> Dispatch::on_answer(int planner, std::uint64_t epoch, Attempt attempt,
-                                             AnswerKind how, double retry_after, bool no_retry, double now) {
+                                             AnswerKind kind, double retry_after, bool no_retry, double now) {
   const AttemptRecord* record = attempts_.find(attempt);
   const bool is_current = record != nullptr && record->planner == planner && record->epoch == epoch;
-  if (is_current && how == AnswerKind::kRunning) return std::nullopt;
+  if (is_current && kind == AnswerKind::kRunning) return std::nullopt;
   const std::optional<RequestId> id = attempts_.record_answer(planner, epoch, attempt);
   if (!id) {
     ++counters_.stale_answers;
@@ -194,7 +194,7 @@
   }
   wait_estimator_.on_capacity_freed(now);
   std::optional<RequestId> completed;
-  switch (how) {
+  switch (kind) {
     case AnswerKind::kSucceeded:
       on_success(*id, planner, now);
       completed = id;
--- a/src/tier/dispatch.h
+++ b/src/tier/dispatch.h
@@ -46,7 +46,7 @@
   // A planner answered an attempt. Returns the request that is complete and whose success or failure the
   // caller has to pass on. None where the answer was dropped or dealt with here. `retry_after`: s, 0: none
   // was given.
-  std::optional<RequestId> on_answer(int planner, std::uint64_t epoch, Attempt attempt, AnswerKind how,
+  std::optional<RequestId> on_answer(int planner, std::uint64_t epoch, Attempt attempt, AnswerKind kind,
                                      double retry_after, bool no_retry, double now);
 
   void on_timer(double now);
--- a/src/tier/dispatch_sink.h
+++ b/src/tier/dispatch_sink.h
@@ -45,7 +45,7 @@
   virtual void fence(int planner, Attempt attempt) = 0;
   // The request's one reply, where it comes from the forwarder and not from a planner; the request is
   // complete. `retry_after`: s.
-  virtual void reply(RequestId request, LocalReply how, double retry_after, bool no_retry) = 0;
+  virtual void reply(RequestId request, LocalReply kind, double retry_after, bool no_retry) = 0;
   // on_timer() is to be called at `time`; the latest call counts.
   virtual void schedule_wakeup(double time) = 0;
 };
--- a/src/tier/slot_value.h
+++ b/src/tier/slot_value.h
@@ -14,25 +14,25 @@
 class SlotValue {
  public:
   void on_rejected(double priority_weight, double now) {
-    fade(now);
+    decay(now);
     value_ += (priority_weight - value_) / kMeanRequests;
   }
   void on_admitted(double now) {
-    fade(now);
+    decay(now);
     value_ -= value_ / kMeanRequests;
   }
   // In units of priority weight; 0 where nothing was rejected recently.
   [[nodiscard]] double value(double now) {
-    fade(now);
+    decay(now);
     return value_;
   }
 
  private:
   static constexpr double kMeanRequests = 12;
-  static constexpr double kFadeSeconds = 1;  // a planner that rejected a moment ago may have capacity now
+  static constexpr double kDecaySeconds = 1;  // a planner that rejected a moment ago may have capacity now
 
-  void fade(double now) {
-    value_ *= std::exp(-std::max(0.0, now - updated_at_) / kFadeSeconds);
+  void decay(double now) {
+    value_ *= std::exp(-std::max(0.0, now - updated_at_) / kDecaySeconds);
     updated_at_ = now;
   }
 
--- a/src/tier/slow_start_shares.cpp
+++ b/src/tier/slow_start_shares.cpp
@@ -54,14 +54,14 @@
                                      std::uint64_t remainder, double now) const {
   for (const auto& [member, allotment] : present) {
     const bool keeps_extra = now - allotment->raised_at < options_.rotation_seconds;
-    const std::uint32_t most = even + (keeps_extra ? 1 : 0);
+    const std::uint32_t max_share = even + (keeps_extra ? 1 : 0);
     if (allotment->share > even)
-      remainder -= std::min<std::uint64_t>(remainder, allotment->share > most ? 0 : 1);
-    if (allotment->share <= most) continue;
+      remainder -= std::min<std::uint64_t>(remainder, allotment->share > max_share ? 0 : 1);
+    if (allotment->share <= max_share) continue;
     const bool settling = now - allotment->lowered_at < options_.settle_seconds;
     allotment->previous_share =
         settling ? std::max(allotment->previous_share, allotment->share) : allotment->share;
-    allotment->share = most;
+    allotment->share = max_share;
     allotment->lowered_at = now;
   }
   return remainder;
--- a/src/tier/wait_estimator.cpp
+++ b/src/tier/wait_estimator.cpp
@@ -19,17 +19,17 @@
     : options_(options), updated_at_(now), mean_latency_(routes), no_planner_since_(now) {}
 
 void WaitEstimator::set_busy(bool any_open, double now) {
-  fade(now);
+  decay(now);
   busy_ = any_open;
 }
 
 void WaitEstimator::on_capacity_freed(double now) {
-  fade(now);
+  decay(now);
   freed_recently_ += 1;
   freed_total_ += 1;
 }
 
-void WaitEstimator::fade(double now) {
+void WaitEstimator::decay(double now) {
   const double elapsed = busy_ ? std::max(0.0, now - updated_at_) : 0;
   const double kept_share = std::exp(-elapsed / options_.rate_window_seconds);
   freed_recently_ *= kept_share;
@@ -56,7 +56,7 @@
 // becomes free has to go to those that can still finish in time.
 bool WaitEstimator::can_finish_in_time(std::size_t route, std::size_t ahead, double remaining, double now) {
   if (remaining <= 0) return false;
-  fade(now);
+  decay(now);
   double wait = 0;
   if (ahead > 0 && rate_is_known())
     wait = static_cast<double>(ahead) / std::max(capacity_freed_per_second(), kMinRatePerSecond);
@@ -64,7 +64,7 @@
 }
 
 double WaitEstimator::retry_after_seconds(std::size_t ahead, double now, double random) {
-  fade(now);
+  decay(now);
   double wait = options_.min_retry_after;
   if (rate_is_known())
     wait = static_cast<double>(ahead) / std::max(capacity_freed_per_second(), kMinRetryRatePerSecond);
--- a/src/tier/wait_estimator.h
+++ b/src/tier/wait_estimator.h
@@ -38,7 +38,7 @@
   [[nodiscard]] bool is_healthy(double now) const;
 
  private:
-  void fade(double now);
+  void decay(double now);
   [[nodiscard]] double capacity_freed_per_second() const;
   [[nodiscard]] bool rate_is_known() const;
 
--- a/src/tier/wait_queue.cpp
+++ b/src/tier/wait_queue.cpp
@@ -8,7 +8,7 @@
                                          std::size_t bytes) {
   Priority& priority = priorities_[priority_weight];
   std::deque<RequestId>& of_caller = priority.by_caller[caller];
-  if (of_caller.empty()) priority.turns.push_back(caller);
+  if (of_caller.empty()) priority.rotation.push_back(caller);
   of_caller.push_back(request);
   ++priority.count;
   waiting_[request] = {priority_weight, caller, bytes};
@@ -24,7 +24,7 @@
 RequestId WaitQueue::eviction_candidate() const {
   const Priority& lowest = priorities_.rbegin()->second;
   const std::deque<RequestId>* longest = nullptr;
-  for (const std::uint32_t caller : lowest.turns) {
+  for (const std::uint32_t caller : lowest.rotation) {
     const std::deque<RequestId>& requests = lowest.by_caller.at(caller);
     if (longest == nullptr || requests.size() >= longest->size()) longest = &requests;
   }
@@ -34,7 +34,7 @@
 std::optional<RequestId> WaitQueue::front() const {
   if (priorities_.empty()) return std::nullopt;
   const Priority& highest = priorities_.begin()->second;
-  return highest.by_caller.at(highest.turns.front()).front();
+  return highest.by_caller.at(highest.rotation.front()).front();
 }
 
 bool WaitQueue::remove(RequestId request) {
@@ -44,7 +44,7 @@
 }
 
 // A caller that had its turn goes behind the other callers of its priority.
-void WaitQueue::erase(RequestId request, bool had_its_turn) {
+void WaitQueue::erase(RequestId request, bool was_served) {
   const Waiting entry = waiting_.at(request);
   waiting_.erase(request);
   bytes_ -= entry.bytes;
@@ -52,12 +52,12 @@
   Priority& priority = found->second;
   std::deque<RequestId>& of_caller = priority.by_caller.at(entry.caller);
   of_caller.erase(std::find(of_caller.begin(), of_caller.end(), request));
-  const auto turn = std::find(priority.turns.begin(), priority.turns.end(), entry.caller);
+  const auto place_in_rotation = std::find(priority.rotation.begin(), priority.rotation.end(), entry.caller);
   if (of_caller.empty()) {
-    priority.turns.erase(turn);
+    priority.rotation.erase(place_in_rotation);
     priority.by_caller.erase(entry.caller);
-  } else if (had_its_turn) {
-    priority.turns.splice(priority.turns.end(), priority.turns, turn);
+  } else if (was_served) {
+    priority.rotation.splice(priority.rotation.end(), priority.rotation, place_in_rotation);
   }
   --priority.count;
   if (priority.count == 0) priorities_.erase(found);
--- a/src/tier/wait_queue.h
+++ b/src/tier/wait_queue.h
@@ -39,7 +39,7 @@
  private:
   // The requests of one priority weight.
   struct Priority {
-    std::list<std::uint32_t> turns;  // callers with something waiting, the next one first
+    std::list<std::uint32_t> rotation;  // callers with something waiting, the next one first
     std::unordered_map<std::uint32_t, std::deque<RequestId>> by_caller;  // the oldest request first
     std::size_t count = 0;
   };
@@ -49,7 +49,7 @@
     std::size_t bytes = 0;
   };
   [[nodiscard]] RequestId eviction_candidate() const;
-  void erase(RequestId request, bool had_its_turn);
+  void erase(RequestId request, bool was_served);
 
   const std::size_t max_requests_;
   const std::size_t max_bytes_;
--- a/tests/fleet/health_check_budget.cpp
+++ b/tests/fleet/health_check_budget.cpp
@@ -48,17 +48,17 @@
   HealthCheckBudget& budget(int number) { return *at(number).budget; }
 
   void draw_fault(double now) {
-    const int who = static_cast<int>(random_unit() * count_);
+    const int instance = static_cast<int>(random_unit() * count_);
     const double kind = random_unit();
     has_changed_ = true;
     if (kind < 0.4)
-      at(who).is_up = !at(who).is_up;
+      at(instance).is_up = !at(instance).is_up;
     else if (kind < 0.6)
-      at(who).paused_until = now + 5 * random_unit();
+      at(instance).paused_until = now + 5 * random_unit();
     else if (kind < 0.8)
       is_split_ = !is_split_;
     else
-      sees_nobody_ = !sees_nobody_;
+      sees_no_others_ = !sees_no_others_;
   }
   void stop(int number) {
     at(number).is_up = false;
@@ -66,7 +66,7 @@
   }
   void heal() {
     is_split_ = false;
-    sees_nobody_ = false;
+    sees_no_others_ = false;
     has_changed_ = true;
   }
 
@@ -103,7 +103,7 @@
     View names;
     for (int i = 0; i < count_; ++i) {
       const bool is_same_side = !is_split_ || number % 3 == i % 3;
-      if (at(i).is_up && is_same_side && !sees_nobody_) names.push_back(instance_name(i));
+      if (at(i).is_up && is_same_side && !sees_no_others_) names.push_back(instance_name(i));
     }
     return names;
   }
@@ -123,7 +123,7 @@
   pcg64 random_;
   const int count_;
   bool is_split_ = false;
-  bool sees_nobody_ = false;
+  bool sees_no_others_ = false;
   bool has_changed_ = true;
   std::vector<Instance> instances_;
   std::deque<double> checks_;
@@ -211,7 +211,7 @@
       is_idle && waits && successor.checks_per_second("ledger", 13.1) > 0);
 }
 
-void turns() {
+void takeover() {
   say_takeover_after_a_death();
   say_waits_before_checking();
 }
@@ -220,5 +220,6 @@
 
 int main(int argc, char** argv) {
   std::string unused;
-  return run_scenario(argc, argv, unused, {{"bound", bound}, {"same_rate", same_rate}, {"turns", turns}});
+  return run_scenario(argc, argv, unused,
+                      {{"bound", bound}, {"same_rate", same_rate}, {"takeover", takeover}});
 }
--- a/tests/members/failure_detection.cpp
+++ b/tests/members/failure_detection.cpp
@@ -16,9 +16,9 @@
 
 namespace {
 
-constexpr int kIll = 4;  // the accuser in ill()
+constexpr int kFaulty = 4;  // the accuser in ill()
 
-void third() {
+void third_lost() {
   const int count = 30;
   MembersSim sim(fleet_options(count));
   trace(sim);
@@ -54,7 +54,7 @@
 }
 
 // What a member sends in a second at most is the same at any fleet size, also when a sixth is lost.
-void sixth() {
+void sixth_lost() {
   for (const int count : {60, 120, 240}) {
     MembersSim sim(fleet_options(count, 17, 0.01));
     trace(sim);
@@ -80,7 +80,7 @@
 // in time, beside all the suspicions.
 void third_paused() {
   const int count = 360;
-  std::size_t wrong = 0;
+  std::size_t false_deaths = 0;
   for (std::uint64_t seed = 1; seed <= 2; ++seed) {
     MembersSim sim(fleet_options(count, seed, 0.01));
     trace(sim);
@@ -88,10 +88,10 @@
     sim.run_until(5);
     for (int i = 0; i < count; i += 3) sim.pause(i, 2);
     sim.run_until(20);
-    wrong += sim.false_deaths().size();
+    false_deaths += sim.false_deaths().size();
   }
-  if (std::getenv("MEMBERS_TRACE") != nullptr) std::fprintf(stderr, "%zu wrong\n", wrong);
-  say("a third of 360 stands still for 2 s: nobody is called dead", wrong == 0);
+  if (std::getenv("MEMBERS_TRACE") != nullptr) std::fprintf(stderr, "%zu wrong\n", false_deaths);
+  say("a third of 360 stands still for 2 s: nobody is called dead", false_deaths == 0);
 }
 
 void lossy() {
@@ -134,14 +134,15 @@
   say("one that stands still for half a minute is called dead", sim.state(0, "n3") == MemberState::kDead);
   sim.run_until(60);
   say("and is there again", sim.state(0, "n3") == MemberState::kAlive && sim.views_agree());
-  const auto wrong = sim.false_deaths().size();
+  const auto false_deaths = sim.false_deaths().size();
   sim.pause(3, 5);
   sim.run_until(75);
-  say("a second pause of 5 s is borne: it is known to stand still", sim.false_deaths().size() == wrong);
+  say("a second pause of 5 s is borne: it is known to stand still",
+      sim.false_deaths().size() == false_deaths);
   for (int i = 0; i < 30; ++i) sim.pause(i, 30);
   sim.run_until(120);
   say("all stand still for half a minute: nobody is called dead",
-      sim.false_deaths().size() == wrong && sim.views_agree());
+      sim.false_deaths().size() == false_deaths && sim.views_agree());
 }
 
 void pauses() {
@@ -150,20 +151,23 @@
 }
 
 // An accuser with a fault of its own: nine in ten of its datagrams, both ways, are lost.
-void ill() {
+void faulty_accuser() {
   MembersSim sim(fleet_options(30, 11));
   pcg64 random(5);
-  bool is_ill = false;
-  sim.is_cut = [&](int from, int to) { return is_ill && (from == kIll || to == kIll) && random() % 10 != 0; };
+  bool is_faulty = false;
+  sim.is_cut = [&](int from, int to) {
+    return is_faulty && (from == kFaulty || to == kFaulty) && random() % 10 != 0;
+  };
   trace(sim);
   sim.start_all(true);
   sim.run_until(5);
-  is_ill = true;
+  is_faulty = true;
   sim.run_until(125);
-  const bool others_called_dead = std::any_of(sim.false_deaths().begin(), sim.false_deaths().end(),
-                                              [](const auto& wrong) { return wrong.of != kIll; });
+  const bool others_called_dead =
+      std::any_of(sim.false_deaths().begin(), sim.false_deaths().end(),
+                  [](const auto& false_deaths) { return false_deaths.of != kFaulty; });
   say("one that is ill itself has nobody called dead", !others_called_dead);
-  say("it knows", sim.view(kIll).local_health_score() > 2);
+  say("it knows", sim.view(kFaulty).local_health_score() > 2);
 }
 
 }  // namespace
@@ -171,10 +175,10 @@
 int main(int argc, char** argv) {
   std::string unused;
   return run_scenario(argc, argv, unused,
-                      {{"third", third},
-                       {"sixth", sixth},
+                      {{"third_lost", third_lost},
+                       {"sixth_lost", sixth_lost},
                        {"third_paused", third_paused},
                        {"lossy", lossy},
                        {"pauses", pauses},
-                       {"ill", ill}});
+                       {"faulty_accuser", faulty_accuser}});
 }
--- a/tests/members/gossip.cpp
+++ b/tests/members/gossip.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 // Which update is sent next.
-void news() {
+void gossip_queue() {
   GossipQueue gossip;
   for (int member = 1; member <= 4; ++member) gossip.add(member, 2);
   say("of equals the newest go first", gossip.take(2) == std::vector<int>({4, 3}));
@@ -31,7 +31,7 @@
 }
 
 // The debt of what exceeded the rate is bounded.
-void pace() {
+void gossip_rate_limit() {
   GossipRateLimiter limiter(1000, 500);
   limiter.charge(500);
   say("what is spent is not there, and comes with time", !limiter.has_budget(0) && limiter.has_budget(0.1));
@@ -44,5 +44,6 @@
 
 int main(int argc, char** argv) {
   std::string unused;
-  return run_scenario(argc, argv, unused, {{"news", news}, {"pace", pace}});
+  return run_scenario(argc, argv, unused,
+                      {{"gossip_queue", gossip_queue}, {"gossip_rate_limit", gossip_rate_limit}});
 }
--- a/tests/members/joins_and_leaves.cpp
+++ b/tests/members/joins_and_leaves.cpp
@@ -68,7 +68,7 @@
   say_same_views(sim, "one that joins during a split is known to all after it");
 }
 
-void clones() {
+void duplicate_names() {
   MembersSim sim(fleet_options(12, 14));
   trace(sim);
   sim.start_all(true);
@@ -155,7 +155,7 @@
                       {{"flapping", flapping},
                        {"replaced", replaced},
                        {"joins", joins},
-                       {"clones", clones},
+                       {"duplicate_names", duplicate_names},
                        {"leaves", leaves},
                        {"forged", forged}});
 }
--- a/tests/members/network_splits.cpp
+++ b/tests/members/network_splits.cpp
@@ -36,7 +36,7 @@
   return unreachable;
 }
 
-void say_who_sees_the_cut(MembersSim& sim) {
+void say_cut_visibility(MembersSim& sim) {
   int unaffected = 0;
   for (int member = 1; member < 30; member += kZones) {
     const bool both_alive = sim.state(member, "n2") == MemberState::kAlive &&
@@ -73,7 +73,7 @@
   is_cut = true;
   sim.run_until(35);
   say("a one-sided cut between two zones of three: nobody is called dead", sim.false_deaths().empty());
-  say_who_sees_the_cut(sim);
+  say_cut_visibility(sim);
   std::swap(from_zone, to_zone);
   sim.run_until(65);
   say("it turns round: nobody is called dead", sim.false_deaths().empty());
@@ -83,25 +83,25 @@
 }
 
 // One that is heard by all and hears nobody, then one that hears all and is heard by nobody.
-void deaf() {
-  enum class Fault { kNone, kHearsNobody, kHeardByNobody };
+void one_way_faults() {
+  enum class Fault { kNone, kReceivesNothing, kSendsNothing };
   MembersSim sim(fleet_options(12, 8));
   Fault fault = Fault::kNone;
   sim.is_cut = [&](int from, int to) {
-    if (fault == Fault::kHearsNobody) return to == kFaulty;
-    return fault == Fault::kHeardByNobody && from == kFaulty;
+    if (fault == Fault::kReceivesNothing) return to == kFaulty;
+    return fault == Fault::kSendsNothing && from == kFaulty;
   };
   trace(sim);
   sim.start_all(true);
   sim.run_until(5);
-  fault = Fault::kHearsNobody;
+  fault = Fault::kReceivesNothing;
   sim.run_until(40);
   say("one that hears nobody is heard, and lives", sim.false_deaths().empty());
   say("it shows as cut", sim.state(0, "n4") == MemberState::kUnreachable);
   fault = Fault::kNone;
   sim.run_until(70);
   say("and is there again", sim.views_agree());
-  fault = Fault::kHeardByNobody;
+  fault = Fault::kSendsNothing;
   sim.run_until(85);
   say("one that nobody hears can't be told from a dead one", sim.state(0, "n4") == MemberState::kDead);
   say("it calls nobody dead", sim.state(kFaulty, "n0") != MemberState::kDead);
@@ -133,5 +133,6 @@
 
 int main(int argc, char** argv) {
   std::string unused;
-  return run_scenario(argc, argv, unused, {{"zones", zones}, {"deaf", deaf}, {"halves", halves}});
+  return run_scenario(argc, argv, unused,
+                      {{"zones", zones}, {"one_way_faults", one_way_faults}, {"halves", halves}});
 }
--- a/tests/members/single_view.cpp
+++ b/tests/members/single_view.cpp
@@ -213,7 +213,7 @@
   say("and forgotten after two hours", !is_known);
 }
 
-void alone() {
+void single_view() {
   only_accusers_declare_deaths();
   final_probe_spares_a_refuted_suspect();
   own_pause_is_noticed();
@@ -231,5 +231,5 @@
 
 int main(int argc, char** argv) {
   std::string unused;
-  return run_scenario(argc, argv, unused, {{"alone", alone}});
+  return run_scenario(argc, argv, unused, {{"single_view", single_view}});
 }
--- a/tests/tier/dispatch_traces.cpp
+++ b/tests/tier/dispatch_traces.cpp
@@ -16,10 +16,11 @@
 namespace {
 
 // ---- A forwarder's acts, told one by one.
-struct Told : DispatchSink {
-  void send(int planner, Attempt attempt, RequestId request, double left, bool is_lookup_only) override {
+struct PrintingSink : DispatchSink {
+  void send(int planner, Attempt attempt, RequestId request, double remaining_time,
+            bool is_lookup_only) override {
     std::printf("  %s op %d as %d to p%d, %.2f s left\n", is_lookup_only ? "ask about" : "send",
-                static_cast<int>(request), static_cast<int>(attempt), planner, left);
+                static_cast<int>(request), static_cast<int>(attempt), planner, remaining_time);
   }
   void cancel(int planner, Attempt attempt) override {
     std::printf("  cancel %d at p%d\n", static_cast<int>(attempt), planner);
@@ -27,9 +28,10 @@
   void fence(int planner, Attempt attempt) override {
     std::printf("  fence %d at p%d\n", static_cast<int>(attempt), planner);
   }
-  void reply(RequestId request, LocalReply how, double retry_after, bool no_retry) override {
-    std::printf("  op %d: %s", static_cast<int>(request), how == LocalReply::kRejected ? "nacked" : "failed");
-    if (how == LocalReply::kRejected)
+  void reply(RequestId request, LocalReply kind, double retry_after, bool no_retry) override {
+    std::printf("  op %d: %s", static_cast<int>(request),
+                kind == LocalReply::kRejected ? "nacked" : "failed");
+    if (kind == LocalReply::kRejected)
       std::printf(", back in %.2f s%s", retry_after, no_retry ? ", nowhere else" : "");
     std::printf("\n");
   }
@@ -38,42 +40,44 @@
 };
 
 void dispatch() {
-  Told told;
-  DispatchOptions terms;
-  terms.picker.slow_start_seconds = 0;
-  terms.retry_burst = 3;
-  terms.retry_share = 0;
-  terms.max_waiting_requests = 2;
-  Dispatch d(
-      terms, 1, {"p0", "p1"}, told, [] { return 0.5; }, 0);
+  PrintingSink sink;
+  DispatchOptions options;
+  options.picker.slow_start_seconds = 0;
+  options.retry_burst = 3;
+  options.retry_share = 0;
+  options.max_waiting_requests = 2;
+  Dispatch dispatcher(
+      options, 1, {"p0", "p1"}, sink, [] { return 0.5; }, 0);
   double now = 0;
-  const auto request = [&](RequestId id, double left, double priority_weight = 1, std::uint64_t mark = 0) {
-    ForwardedRequest o;
-    o.id = id;
-    o.remaining_time = left;
-    o.priority_weight = priority_weight;
-    o.idempotency_key_hash = mark;
-    o.bytes = 10;
-    d.on_request(o, now);
+  const auto request = [&](RequestId id, double remaining_time, double priority_weight = 1,
+                           std::uint64_t key_hash = 0) {
+    ForwardedRequest details;
+    details.id = id;
+    details.remaining_time = remaining_time;
+    details.priority_weight = priority_weight;
+    details.idempotency_key_hash = key_hash;
+    details.bytes = 10;
+    dispatcher.on_request(details, now);
   };
-  const auto answer = [&](int planner, std::uint64_t epoch, Attempt attempt, AnswerKind how,
+  const auto answer = [&](int planner, std::uint64_t epoch, Attempt attempt, AnswerKind kind,
                           bool no_retry = false) {
-    const auto over = d.on_answer(planner, epoch, attempt, how, 0.3, no_retry, now);
-    std::printf("  answer to %d: %s\n", static_cast<int>(attempt),
-                over ? ("op " + std::to_string(*over) + " is over").c_str() : "nothing is passed on");
+    const auto completed = dispatcher.on_answer(planner, epoch, attempt, kind, 0.3, no_retry, now);
+    std::printf(
+        "  answer to %d: %s\n", static_cast<int>(attempt),
+        completed ? ("op " + std::to_string(*completed) + " is over").c_str() : "nothing is passed on");
   };
-  const auto until = [&](double time) {
-    while (told.next > now && told.next <= time) {
-      now = told.next;
-      told.next = 0;
-      d.on_timer(now);
+  const auto run_until = [&](double time) {
+    while (sink.next > now && sink.next <= time) {
+      now = sink.next;
+      sink.next = 0;
+      dispatcher.on_timer(now);
     }
     now = time;
   };
   std::printf("no planner yet\n");
   request(1, 1);
   std::printf("one comes up, with room for two\n");
-  d.on_link_up(0, 100, 2, now);
+  dispatcher.on_link_up(0, 100, 2, now);
   request(2, 1);
   request(3, 1);
   request(4, 1);
@@ -82,7 +86,7 @@
   request(6, 1, 3);
   request(7, 1);
   std::printf("the other comes up: who waits goes there\n");
-  d.on_link_up(1, 200, 2, now);
+  dispatcher.on_link_up(1, 200, 2, now);
   std::printf("acked, by the wrong life, by the right one\n");
   answer(0, 99, 1, AnswerKind::kSucceeded);
   answer(0, 100, 1, AnswerKind::kSucceeded);
@@ -96,20 +100,20 @@
   answer(1, 200, 4, AnswerKind::kRejected, true);
   std::printf("a planner that does not answer in half of the time is asked for proof\n");
   now = 10;
-  d.on_timer(now);
+  dispatcher.on_timer(now);
   request(20, 2);
-  until(11.2);
+  run_until(11.2);
   answer(0, 100, 7, AnswerKind::kRunning);
   answer(1, 200, 7, AnswerKind::kRunning);
-  until(12.5);
+  run_until(12.5);
   std::printf("proven: tried elsewhere\n");
   now = 20;
   request(21, 2);
-  until(21.2);
+  run_until(21.2);
   answer(0, 100, 8, AnswerKind::kNeverRan);
   answer(1, 200, 8, AnswerKind::kNeverRan);
   std::printf("the budget of second tries is used up\n");
-  until(30);
+  run_until(30);
   request(22, 2);
   answer(0, 100, 10, AnswerKind::kRejected);
   answer(1, 200, 10, AnswerKind::kRejected);
@@ -117,91 +121,93 @@
       "a link is lost: what never left goes elsewhere if it may, the rest waits for proof, then fails\n");
   request(23, 5);
   request(24, 5);
-  d.on_link_lost(0, {11}, now);
-  d.on_link_lost(1, {}, now);
+  dispatcher.on_link_lost(0, {11}, now);
+  dispatcher.on_link_lost(1, {}, now);
   request(25, 5);
-  until(30.9);
+  run_until(30.9);
   std::printf("back in the same life, and the other in a new one\n");
-  d.on_link_up(1, 200, 2, now);
-  d.on_link_up(0, 101, 2, now);
-  until(33);
+  dispatcher.on_link_up(1, 200, 2, now);
+  dispatcher.on_link_up(0, 101, 2, now);
+  run_until(33);
   std::printf("lost, and not back in time\n");
   request(26, 5);
-  d.on_link_lost(0, {}, now);
-  d.on_link_lost(1, {}, now);
-  until(36);
+  dispatcher.on_link_lost(0, {}, now);
+  dispatcher.on_link_lost(1, {}, now);
+  run_until(36);
   std::printf("keyed ops go to one planner or nowhere\n");
-  d.on_link_up(0, 101, 1, now);
-  for (std::uint64_t mark = 1; mark <= 4; ++mark) request(30 + mark, 0.2, 1, mark);
+  dispatcher.on_link_up(0, 101, 1, now);
+  for (std::uint64_t key_hash = 1; key_hash <= 4; ++key_hash) request(30 + key_hash, 0.2, 1, key_hash);
   std::printf("callers go; the notice to leave; late comers\n");
-  d.on_caller_disconnected(31, now);
-  d.on_caller_disconnected(32, now);
-  d.on_caller_disconnected(33, now);
-  d.on_caller_disconnected(34, now);
+  dispatcher.on_caller_disconnected(31, now);
+  dispatcher.on_caller_disconnected(32, now);
+  dispatcher.on_caller_disconnected(33, now);
+  dispatcher.on_caller_disconnected(34, now);
   request(40, 5);
-  d.on_drain(2, 0.3, now);
+  dispatcher.on_drain(2, 0.3, now);
   now += 0.4;
   request(41, 5);
-  until(39);
-  std::printf("open at the end: %zu\n", d.open_requests());
+  run_until(39);
+  std::printf("open at the end: %zu\n", dispatcher.open_requests());
 }
 
 // What waits for a planner that goes: told at once.
 void waiting() {
-  Told told;
-  DispatchOptions terms;
-  terms.picker.slow_start_seconds = 0;
-  Dispatch d(
-      terms, 1, {"p0", "p1"}, told, [] { return 0.5; }, 0);
-  const auto request = [&](RequestId id, std::uint64_t mark, double now) {
-    ForwardedRequest o;
-    o.id = id;
-    o.remaining_time = 5;
-    o.idempotency_key_hash = mark;
-    o.bytes = 10;
-    d.on_request(o, now);
+  PrintingSink sink;
+  DispatchOptions options;
+  options.picker.slow_start_seconds = 0;
+  Dispatch dispatcher(
+      options, 1, {"p0", "p1"}, sink, [] { return 0.5; }, 0);
+  const auto request = [&](RequestId id, std::uint64_t key_hash, double now) {
+    ForwardedRequest details;
+    details.id = id;
+    details.remaining_time = 5;
+    details.idempotency_key_hash = key_hash;
+    details.bytes = 10;
+    dispatcher.on_request(details, now);
   };
-  d.on_link_up(0, 7, 1, 0);
-  d.on_link_up(1, 7, 1, 0);
+  dispatcher.on_link_up(0, 7, 1, 0);
+  dispatcher.on_link_up(1, 7, 1, 0);
   std::printf("two go, a keyed one and a plain one wait\n");
   request(1, 0, 0);
   request(2, 0, 0);
   request(3, 1, 0);
   request(4, 0, 0);
   std::printf("a planner answers what the other was given\n");
-  const bool believed =
-      d.on_answer(d.attempts().find(1)->planner == 0 ? 1 : 0, 7, 1, AnswerKind::kSucceeded, 0, false, 0)
-          .has_value();
-  std::printf("  believed: %s\n", believed ? "yes" : "no");
+  const bool accepted = dispatcher
+                            .on_answer(dispatcher.attempts().find(1)->planner == 0 ? 1 : 0, 7, 1,
+                                       AnswerKind::kSucceeded, 0, false, 0)
+                            .has_value();
+  std::printf("  believed: %s\n", accepted ? "yes" : "no");
   std::printf("both leave\n");
-  d.on_planner_draining(0, 0.1);
-  d.on_planner_draining(1, 0.1);
+  dispatcher.on_planner_draining(0, 0.1);
+  dispatcher.on_planner_draining(1, 0.1);
   request(5, 0, 0.1);
   std::printf("back, and full; a link is lost under a keyed one that waits\n");
-  d.on_link_up(0, 8, 1, 0.2);
-  d.on_link_up(1, 8, 1, 0.2);
+  dispatcher.on_link_up(0, 8, 1, 0.2);
+  dispatcher.on_link_up(1, 8, 1, 0.2);
   request(6, 0, 0.2);
   request(7, 0, 0.2);
   request(8, 1, 0.2);
-  d.on_link_lost(0, {}, 0.3);
-  d.on_link_lost(1, {}, 0.3);
+  dispatcher.on_link_lost(0, {}, 0.3);
+  dispatcher.on_link_lost(1, {}, 0.3);
   std::printf("a keyed one whose planner is no longer wanted goes to the other\n");
-  d.on_timer(5);
-  d.on_link_up(0, 8, 4, 6);
-  d.on_link_up(1, 8, 4, 6);
+  dispatcher.on_timer(5);
+  dispatcher.on_link_up(0, 8, 4, 6);
+  dispatcher.on_link_up(1, 8, 4, 6);
   request(9, 1, 6);
-  d.set_planners({d.attempts().find(*d.attempts().current_attempt(9))->planner == 0 ? "p1" : "p0"}, 6);
+  dispatcher.set_planners(
+      {dispatcher.attempts().find(*dispatcher.attempts().current_attempt(9))->planner == 0 ? "p1" : "p0"}, 6);
   request(10, 1, 6);
   std::printf("room comes free twice a second: four ahead leave no time for one of a second\n");
   Dispatch slow(
-      terms, 1, {"p0"}, told, [] { return 0.5; }, 0);
+      options, 1, {"p0"}, sink, [] { return 0.5; }, 0);
   slow.on_link_up(0, 9, 1, 0);
   for (RequestId id = 1; id <= 12; ++id) {
-    ForwardedRequest o;
-    o.id = 100 + id;
-    o.remaining_time = 20;
-    o.bytes = 10;
-    slow.on_request(o, 0);
+    ForwardedRequest details;
+    details.id = 100 + id;
+    details.remaining_time = 20;
+    details.bytes = 10;
+    slow.on_request(details, 0);
   }
   for (Attempt attempt = 1; attempt <= 8; ++attempt)
     slow.on_answer(0, 9, attempt, AnswerKind::kSucceeded, 0, false, 0.5 * static_cast<double>(attempt));
@@ -211,92 +217,94 @@
   late.bytes = 10;
   slow.on_request(late, 4.1);
   std::printf("the notice to leave, and one that comes in its grace\n");
-  d.on_drain(2, 0.3, 7);
+  dispatcher.on_drain(2, 0.3, 7);
   request(11, 0, 7.1);
-  d.on_timer(8.79);
-  std::printf("just before the stop's margin: open %zu\n", d.open_requests());
-  d.on_timer(8.81);
-  std::printf("and behind it: open %zu\n", d.open_requests());
+  dispatcher.on_timer(8.79);
+  std::printf("just before the stop's margin: open %zu\n", dispatcher.open_requests());
+  dispatcher.on_timer(8.81);
+  std::printf("and behind it: open %zu\n", dispatcher.open_requests());
 }
 
 // Keyed requests while the list changes, told one by one.
-void moving() {
-  Told told;
-  DispatchOptions terms;
-  terms.picker.slow_start_seconds = 0;
-  terms.key_ownership = {2, 10};
-  Dispatch d(
-      terms, 1, {"p0", "p1"}, told, [] { return 0.5; }, 0);
-  d.on_link_up(0, 7, 1, 0);
-  d.on_link_up(1, 7, 1, 0);
+void key_migration() {
+  PrintingSink sink;
+  DispatchOptions options;
+  options.picker.slow_start_seconds = 0;
+  options.key_ownership = {2, 10};
+  Dispatch dispatcher(
+      options, 1, {"p0", "p1"}, sink, [] { return 0.5; }, 0);
+  dispatcher.on_link_up(0, 7, 1, 0);
+  dispatcher.on_link_up(1, 7, 1, 0);
   KeyOwnership before({2, 10});
   before.set_planners({{0, "p0"}, {1, "p1"}}, 0);
-  std::uint64_t stays = 0, moves = 0;  // keys of p0 and p1
-  for (std::uint64_t mark = 1; stays == 0 || moves == 0; ++mark)
-    (before.route(mark, 0).owner == 0 ? stays : moves) = mark;
+  std::uint64_t unmoved_key = 0, moved_key = 0;  // keys of p0 and p1
+  for (std::uint64_t key_hash = 1; unmoved_key == 0 || moved_key == 0; ++key_hash)
+    (before.route(key_hash, 0).owner == 0 ? unmoved_key : moved_key) = key_hash;
   double now = 0;
-  const auto request = [&](RequestId id, std::uint64_t mark, double left = 1) {
-    ForwardedRequest o;
-    o.id = id;
-    o.remaining_time = left;
-    o.idempotency_key_hash = mark;
-    o.bytes = 10;
-    d.on_request(o, now);
+  const auto request = [&](RequestId id, std::uint64_t key_hash, double remaining_time = 1) {
+    ForwardedRequest details;
+    details.id = id;
+    details.remaining_time = remaining_time;
+    details.idempotency_key_hash = key_hash;
+    details.bytes = 10;
+    dispatcher.on_request(details, now);
   };
-  const auto answer = [&](int planner, Attempt attempt, AnswerKind how) {
-    const auto over = d.on_answer(planner, 7, attempt, how, 0.3, false, now);
-    std::printf("  answer to %d: %s\n", static_cast<int>(attempt),
-                over ? ("op " + std::to_string(*over) + " is over").c_str() : "nothing is passed on");
+  const auto answer = [&](int planner, Attempt attempt, AnswerKind kind) {
+    const auto completed = dispatcher.on_answer(planner, 7, attempt, kind, 0.3, false, now);
+    std::printf(
+        "  answer to %d: %s\n", static_cast<int>(attempt),
+        completed ? ("op " + std::to_string(*completed) + " is over").c_str() : "nothing is passed on");
   };
   std::printf("one runs at p1, one waits for it; then p1 is taken off the list\n");
-  request(1, moves);
-  request(2, moves);
-  d.set_planners({"p0"}, now = 0.1);
+  request(1, moved_key);
+  request(2, moved_key);
+  dispatcher.set_planners({"p0"}, now = 0.1);
   std::printf("whether p1 could be let go of with those open, whenever: %s\n",
-              d.can_disconnect(1, 99) ? "yes" : "no");
+              dispatcher.can_disconnect(1, 99) ? "yes" : "no");
   std::printf("p1 answers the first, and that it does not know the second: nothing new may run yet\n");
   answer(1, 1, AnswerKind::kSucceeded);
   answer(1, 2, AnswerKind::kKeyUnknown);
   std::printf("a key that stays, and plain ones, go to p0\n");
-  request(3, stays);
+  request(3, unmoved_key);
   request(4, 0);
   answer(0, 3, AnswerKind::kSucceeded);
   answer(0, 4, AnswerKind::kSucceeded);
   std::printf("all have the list: asked first, and known\n");
   now = 3;
-  request(5, moves);
+  request(5, moved_key);
   answer(1, 5, AnswerKind::kSucceeded);
   std::printf("asked first, not known, run at p0\n");
-  request(6, moves);
+  request(6, moved_key);
   answer(1, 6, AnswerKind::kKeyUnknown);
   answer(0, 7, AnswerKind::kSucceeded);
   std::printf("a plain nack is no answer to the question\n");
-  request(7, moves);
+  request(7, moved_key);
   answer(1, 8, AnswerKind::kRejected);
   std::printf("asked by a list that is no longer in force: asked anew\n");
-  request(8, moves);
-  d.set_planners({"p0", "p2"}, now = 3.1);
+  request(8, moved_key);
+  dispatcher.set_planners({"p0", "p2"}, now = 3.1);
   answer(1, 9, AnswerKind::kKeyUnknown);
   answer(0, 10, AnswerKind::kKeyUnknown);
   answer(1, 11, AnswerKind::kKeyUnknown);
-  std::printf("whether p1 can be let go of: %s, later: %s\n", d.can_disconnect(1, now) ? "yes" : "no",
-              d.can_disconnect(1, 13) ? "yes" : "no");
+  std::printf("whether p1 can be let go of: %s, later: %s\n",
+              dispatcher.can_disconnect(1, now) ? "yes" : "no",
+              dispatcher.can_disconnect(1, 13) ? "yes" : "no");
   std::printf("who would have to be asked is not there: nobody may run it\n");
   now = 6;
-  d.on_link_lost(1, {}, now);
-  request(9, moves);
+  dispatcher.on_link_lost(1, {}, now);
+  request(9, moved_key);
   answer(0, 12, AnswerKind::kKeyUnknown);
   std::printf(
       "nothing can be remembered any more; what is said to a question that was none counts for nothing\n");
   now = 30;
-  d.on_link_up(2, 7, 1, now);
-  request(10, moves);
+  dispatcher.on_link_up(2, 7, 1, now);
+  request(10, moved_key);
   answer(2, 13, AnswerKind::kKeyUnknown);
-  std::printf("open at the end: %zu\n", d.open_requests());
+  std::printf("open at the end: %zu\n", dispatcher.open_requests());
 }
 
 // A planner acks the numbers after the last that it has read, while the next four are on their way to it.
-struct Numbers : DispatchSink {
+struct AttemptCollector : DispatchSink {
   void send(int, Attempt attempt, RequestId, double, bool) override { sent.push_back(attempt); }
   void cancel(int, Attempt) override {}
   void fence(int, Attempt) override {}
@@ -304,33 +312,34 @@
   void schedule_wakeup(double) override {}
   std::vector<Attempt> sent;
 };
-void guessed() {
-  for (const std::uint64_t steps : {1, 1 << 24}) {
-    Numbers numbers;
-    DispatchOptions terms;
-    terms.picker.slow_start_seconds = 0;
-    terms.max_attempt_step = steps;
+void forged_answers() {
+  for (const std::uint64_t max_step : {1, 1 << 24}) {
+    AttemptCollector sink;
+    DispatchOptions options;
+    options.picker.slow_start_seconds = 0;
+    options.max_attempt_step = max_step;
     pcg64 random(9);
-    Dispatch d(
-        terms, 1, {"p0"}, numbers, [&] { return std::ldexp(static_cast<double>(random() >> 11), -53); }, 0);
-    d.on_link_up(0, 7, 8, 0);
+    Dispatch dispatcher(
+        options, 1, {"p0"}, sink, [&] { return std::ldexp(static_cast<double>(random() >> 11), -53); }, 0);
+    dispatcher.on_link_up(0, 7, 8, 0);
     const auto answer = [&](Attempt attempt) {
-      return d.on_answer(0, 7, attempt, AnswerKind::kSucceeded, 0, false, 0).has_value();
+      return dispatcher.on_answer(0, 7, attempt, AnswerKind::kSucceeded, 0, false, 0).has_value();
     };
-    int believed = 0, truly = 0;
+    int accepted_forged = 0, accepted_valid = 0;
     Attempt read = 0;
     for (RequestId id = 1; id <= 4000; ++id) {
       ForwardedRequest request;
       request.id = id;
       request.remaining_time = 1;
-      d.on_request(request, 0);
+      dispatcher.on_request(request, 0);
       if (id % 4 != 0) continue;
-      for (Attempt guess = read + 1; guess <= read + 100; ++guess) believed += answer(guess);
-      for (const Attempt attempt : numbers.sent) truly += answer(read = attempt);
-      numbers.sent.clear();
+      for (Attempt guess = read + 1; guess <= read + 100; ++guess) accepted_forged += answer(guess);
+      for (const Attempt attempt : sink.sent) accepted_valid += answer(read = attempt);
+      sink.sent.clear();
     }
     std::printf("steps of at most %d: %s of 4000 false answers were believed, %s of the true ones\n",
-                static_cast<int>(steps), believed == 0 ? "none" : "some", truly == 4000 ? "all" : "not all");
+                static_cast<int>(max_step), accepted_forged == 0 ? "none" : "some",
+                accepted_valid == 4000 ? "all" : "not all");
   }
 }
 
@@ -338,37 +347,37 @@
 // hello: they wait for it a quarter of a second, counted from the first of them; after that, and once a
 // planner is lost, requests without a planner are rejected at once, as ever.
 void startup() {
-  DispatchOptions terms;
-  terms.picker.slow_start_seconds = 0;
-  terms.startup_wait = 0.25;
+  DispatchOptions options;
+  options.picker.slow_start_seconds = 0;
+  options.startup_wait = 0.25;
   for (const bool connects : {true, false}) {
-    Told told;
-    Dispatch d(
-        terms, 1, {"p0", "p1"}, told, [] { return 0.5; }, 0);
-    const auto request = [&](RequestId id, double left, double now, std::uint64_t mark = 0) {
-      ForwardedRequest o;
-      o.id = id;
-      o.remaining_time = left;
-      o.idempotency_key_hash = mark;
-      o.bytes = 10;
-      d.on_request(o, now);
+    PrintingSink sink;
+    Dispatch dispatcher(
+        options, 1, {"p0", "p1"}, sink, [] { return 0.5; }, 0);
+    const auto request = [&](RequestId id, double remaining_time, double now, std::uint64_t key_hash = 0) {
+      ForwardedRequest details;
+      details.id = id;
+      details.remaining_time = remaining_time;
+      details.idempotency_key_hash = key_hash;
+      details.bytes = 10;
+      dispatcher.on_request(details, now);
     };
     std::printf("-- planners connect: %s\n", connects ? "yes" : "no");
     request(1, 1, 5);
     request(2, 1, 5, 77);
     request(3, 0.04, 5);
     std::printf("the third has no time left\n");
-    d.on_timer(5.03);
+    dispatcher.on_timer(5.03);
     if (connects) {
-      d.on_link_up(0, 100, 2, 5.1);
-      d.on_link_up(1, 200, 2, 5.11);
+      dispatcher.on_link_up(0, 100, 2, 5.1);
+      dispatcher.on_link_up(1, 200, 2, 5.11);
     }
     std::printf("a quarter of a second is over\n");
-    d.on_timer(5.26);
+    dispatcher.on_timer(5.26);
     std::printf("later\n");
     if (connects) {
-      d.on_link_lost(0, {}, 6);
-      d.on_link_lost(1, {}, 6);
+      dispatcher.on_link_lost(0, {}, 6);
+      dispatcher.on_link_lost(1, {}, 6);
     }
     request(4, 1, 6);
   }
@@ -381,7 +390,7 @@
   return run_scenario(argc, argv, unused,
                       {{"dispatch", dispatch},
                        {"waiting", waiting},
-                       {"moving", moving},
-                       {"guessed", guessed},
+                       {"key_migration", key_migration},
+                       {"forged_answers", forged_answers},
                        {"startup", startup}});
 }
--- a/tests/tier/fault_histories.cpp
+++ b/tests/tier/fault_histories.cpp
@@ -20,12 +20,12 @@
   for (const int requests : {5, 20, 60, 200, 600}) {
     for (std::uint64_t seed = 1; seed <= (requests < 200 ? 500u : 40u); ++seed, ++count) {
       History history(seed * 1000 + static_cast<std::uint64_t>(requests), requests, false);
-      const std::string broken = history.play();
-      if (!broken.empty()) {
+      const std::string violation = history.run();
+      if (!violation.empty()) {
         std::printf("%d ops, seed %llu: %s\n", requests, static_cast<unsigned long long>(seed),
-                    broken.c_str());
+                    violation.c_str());
         History again(seed * 1000 + static_cast<std::uint64_t>(requests), requests, true);
-        again.play();
+        again.run();
         return;
       }
       const History::Totals totals = history.totals();
@@ -44,8 +44,8 @@
   }
   std::printf("%d histories: one answer each and in time, no second run, credits right, windows kept\n",
               count);
-  const auto share = [&](int n, double least) {
-    return static_cast<double>(n) > least * all.requests ? "enough" : "too few";
+  const auto share = [&](int n, double min_share) {
+    return static_cast<double>(n) > min_share * all.requests ? "enough" : "too few";
   };
   std::printf("acked %s, nacked %s, failed %s\n", share(all.succeeded, 0.5), share(all.rejected, 0.02),
               share(all.failed, 0.005));
@@ -62,7 +62,7 @@
   if (argc == 4 && std::strcmp(argv[1], "history") == 0) {
     History history(std::strtoull(argv[2], nullptr, 10) * 1000 + std::strtoull(argv[3], nullptr, 10),
                     std::atoi(argv[3]), true);
-    std::printf("%s\n", history.play().c_str());
+    std::printf("%s\n", history.run().c_str());
     return 0;
   }
   std::string unused;
--- a/tests/tier/fault_history.cpp
+++ b/tests/tier/fault_history.cpp
@@ -8,35 +8,36 @@
 
 namespace damsonspoke::tier {
 
-History::History(std::uint64_t seed, int requests, bool tell)
-    : random_(seed), max_requests_(requests), tell_(tell) {
+History::History(std::uint64_t seed, int requests, bool print_trace)
+    : random_(seed), max_requests_(requests), print_trace_(print_trace) {
   for (int p = 0; p < kPlanners; ++p) {
     planners_.push_back(std::make_unique<Planner>());
-    begin_life(p);
+    start_planner(p);
   }
   for (int f = 0; f < kForwarders; ++f) forwarders_.push_back(std::make_unique<Forwarder>(*this, f));
   for (int f = 0; f < kForwarders; ++f) {
-    for (int p = 0; p < kPlanners; ++p) at(chance() * 0.05, [this, f, p] { connect(f, p); });
+    for (int p = 0; p < kPlanners; ++p) at(random_unit() * 0.05, [this, f, p] { connect(f, p); });
   }
   at(0.02, [this] { next_request(); });
-  at(0.5 + chance(), [this] { trouble(); });
-  at(0.3 + chance(), [this] { relist(); });
+  at(0.5 + random_unit(), [this] { inject_fault(); });
+  at(0.3 + random_unit(), [this] { change_endpoint_list(); });
 }
 
-std::string History::play() {
-  while (!events_.empty() && broken_.empty() && now_ < kMaxHistorySeconds) {
+std::string History::run() {
+  while (!events_.empty() && violation_.empty() && now_ < kMaxHistorySeconds) {
     const Event event = events_.top();
     events_.pop();
     now_ = std::max(now_, event.at);
-    event.what();
-    check_credits();
+    event.action();
+    check_open_attempts();
   }
-  if (broken_.empty()) {
+  if (violation_.empty()) {
     for (const auto& [id, request] : requests_) {
-      if (request.answers == 0 && !request.gone) fail(fmt::format("op {} was never answered", id));
+      if (request.answers == 0 && !request.caller_disconnected)
+        fail(fmt::format("op {} was never answered", id));
     }
   }
-  return broken_;
+  return violation_;
 }
 
 History::Totals History::totals() const {
@@ -60,23 +61,23 @@
   return sums;
 }
 
-double History::chance() { return random_() / 4294967296.0; }
+double History::random_unit() { return random_() / 4294967296.0; }
 
-void History::at(double time, std::function<void()> what) {
-  events_.push({time, next_event_++, std::move(what)});
+void History::at(double time, std::function<void()> action) {
+  events_.push({time, next_event_++, std::move(action)});
 }
 
-void History::after(double delay, std::function<void()> what) { at(now_ + delay, std::move(what)); }
+void History::after(double delay, std::function<void()> action) { at(now_ + delay, std::move(action)); }
 
-void History::note(const std::string& what) {
-  if (tell_) std::printf("%8.4f  %s\n", now_, what.c_str());
+void History::trace(const std::string& action) {
+  if (print_trace_) std::printf("%8.4f  %s\n", now_, action.c_str());
 }
 
-void History::fail(const std::string& why) {
-  if (broken_.empty()) broken_ = why;
+void History::fail(const std::string& reason) {
+  if (violation_.empty()) violation_ = reason;
 }
 
-void History::check_credits() {
+void History::check_open_attempts() {
   for (const auto& f : forwarders_) {
     for (int p = 0; p < kPlanners; ++p) {
       if (f->dispatch.picker().open_attempts(p) != f->dispatch.attempts().open_attempts_at(p))
@@ -94,41 +95,41 @@
   request.caller = random_() % 5;
   request.subject = random_() % 3 == 0 ? 1 + random_() % 4 : 0;
   request.idempotency_key_hash = random_() % 5 == 0 ? 1 + random_() % 12 : 0;
-  requests_[id].mark = request.idempotency_key_hash;
+  requests_[id].key_hash = request.idempotency_key_hash;
   request.priority_weight = random_() % 4 == 0 ? 3 : 1;
-  request.remaining_time = 0.1 + chance() * 1.2;
+  request.remaining_time = 0.1 + random_unit() * 1.2;
   request.bytes = 100;
-  requests_[id].due = now_ + request.remaining_time;
+  requests_[id].deadline = now_ + request.remaining_time;
   const int f = static_cast<int>(random_() % kForwarders);
-  note(fmt::format("op {} at f{}", id, f));
+  trace(fmt::format("op {} at f{}", id, f));
   Dispatch& dispatch = forwarders_[static_cast<std::size_t>(f)]->dispatch;
   dispatch.on_request(request, now_);
   if (random_() % 40 == 0) {
-    after(chance() * 0.3, [this, id, &dispatch] {
+    after(random_unit() * 0.3, [this, id, &dispatch] {
       if (requests_[id].answers > 0) return;
-      note(fmt::format("caller of {} goes", id));
-      requests_[id].gone = true;
+      trace(fmt::format("caller of {} goes", id));
+      requests_[id].caller_disconnected = true;
       dispatch.on_caller_disconnected(id, now_);
     });
   }
-  after(-std::log(1 - chance()) / 150, [this] { next_request(); });
+  after(-std::log(1 - random_unit()) / 150, [this] { next_request(); });
 }
 
-void History::answered(RequestId id, char how) {
-  RequestSeen& request = requests_[id];
-  note(fmt::format("op {} is answered {}", id, how));
-  request.succeeded = how == 'a';
-  request.rejected = how == 'n';
-  request.failed = how == 'f';
+void History::record_reply(RequestId id, char outcome) {
+  ObservedRequest& request = requests_[id];
+  trace(fmt::format("op {} is answered {}", id, outcome));
+  request.succeeded = outcome == 'a';
+  request.rejected = outcome == 'n';
+  request.failed = outcome == 'f';
   if (++request.answers > 1) fail(fmt::format("op {} was answered twice", id));
-  if (request.gone) fail(fmt::format("op {} was answered to nobody", id));
-  if (now_ > request.due + 1e-6) fail(fmt::format("op {} was answered late", id));
-  if (how == 'n' && request.runs > 0) fail(fmt::format("op {} was nacked and had run", id));
-  if (how == 'a' && request.runs == 0 && !ran_.contains(request.mark))
+  if (request.caller_disconnected) fail(fmt::format("op {} was answered to nobody", id));
+  if (now_ > request.deadline + 1e-6) fail(fmt::format("op {} was answered late", id));
+  if (outcome == 'n' && request.runs > 0) fail(fmt::format("op {} was nacked and had run", id));
+  if (outcome == 'a' && request.runs == 0 && !last_run_admitted_at_.contains(request.key_hash))
     fail(fmt::format("op {} was acked and had not run", id));
 }
 
-void History::trouble() {
+void History::inject_fault() {
   const int p = static_cast<int>(random_() % kPlanners);
   switch (random_() % 9) {
     case 0: kill(p); break;
@@ -139,20 +140,21 @@
       }
       break;
     }
-    case 2: planners_[static_cast<std::size_t>(p)]->manner = Manner::kMute; break;
-    case 3: planners_[static_cast<std::size_t>(p)]->manner = Manner::kRejections; break;
-    case 4: planners_[static_cast<std::size_t>(p)]->manner = Manner::kSlow; break;
+    case 2: planners_[static_cast<std::size_t>(p)]->behavior = PlannerBehavior::kSilent; break;
+    case 3: planners_[static_cast<std::size_t>(p)]->behavior = PlannerBehavior::kRejections; break;
+    case 4: planners_[static_cast<std::size_t>(p)]->behavior = PlannerBehavior::kSlow; break;
     case 5:
-      for (const auto& planner : planners_) planner->manner = Manner::kSound;
-      for (int i = 0; i < kPlanners; ++i) run_more(i);
+      for (const auto& planner : planners_) planner->behavior = PlannerBehavior::kNormal;
+      for (int i = 0; i < kPlanners; ++i) start_queued_runs(i);
       break;
-    case 6: lose_at_planner(forwarders_[random_() % kForwarders]->links[p]); break;
+    case 6: break_at_planner_first(forwarders_[random_() % kForwarders]->links[p]); break;
     default: break_link(forwarders_[random_() % kForwarders]->links[p]);
   }
-  if (static_cast<int>(requests_.size()) < max_requests_) after(chance() * 0.3, [this] { trouble(); });
+  if (static_cast<int>(requests_.size()) < max_requests_)
+    after(random_unit() * 0.3, [this] { inject_fault(); });
 }
 
-void History::relist() {
+void History::change_endpoint_list() {
   std::vector<std::string> names;
   while (names.empty()) {
     for (int p = 0; p < kPlanners; ++p) {
@@ -161,13 +163,13 @@
     }
   }
   for (const auto& f : forwarders_) {
-    after(chance() * kReloadSpreadSeconds, [this, &f, names] {
-      note(fmt::format("f{} has a list of {}, with {} first", f->number, names.size(), names.front()));
+    after(random_unit() * kReloadSpreadSeconds, [this, &f, names] {
+      trace(fmt::format("f{} has a list of {}, with {} first", f->number, names.size(), names.front()));
       f->dispatch.set_planners(names, now_);
     });
   }
   if (static_cast<int>(requests_.size()) < max_requests_)
-    after(kReloadSpreadSeconds + chance() * 4, [this] { relist(); });
+    after(kReloadSpreadSeconds + random_unit() * 4, [this] { change_endpoint_list(); });
 }
 
 }  // namespace damsonspoke::tier
--- a/tests/tier/fault_history.h
+++ b/tests/tier/fault_history.h
@@ -22,14 +22,14 @@
 
 namespace wt = damsonspoke::wire::tier;
 
-enum class Manner { kSound, kMute, kRejections, kSlow };
+enum class PlannerBehavior { kNormal, kSilent, kRejections, kSlow };
 
 class History {
  public:
-  History(std::uint64_t seed, int requests, bool tell);
+  History(std::uint64_t seed, int requests, bool print_trace);
 
   // What broke first; empty: nothing did.
-  std::string play();
+  std::string run();
 
   struct Totals {
     int requests = 0;
@@ -52,58 +52,60 @@
   static constexpr int kCores = 2;
   static constexpr double kKeyWindowSeconds = 1;
   static constexpr double kReloadSpreadSeconds = 0.5;
-  static constexpr double kLongestWaitSeconds = 1.3;     // of a request
-  static constexpr double kForwarderSilenceSeconds = 1;  // without a frame after which it gives a link up
-  static constexpr double kSessionGraceSeconds = 0.75;   // that a planner keeps a session without a link
+  static constexpr double kMaxRemainingSeconds = 1.3;  // of a request
+  static constexpr double kForwarderSilenceTimeoutSeconds =
+      1;                                                // without a frame after which it gives a link up
+  static constexpr double kSessionGraceSeconds = 0.75;  // that a planner keeps a session without a link
   static constexpr double kMaxHistorySeconds = 60;
   static constexpr double kNever = 1e18;  // s
   static constexpr double kMicrosecondsPerSecond = 1e6;
   struct Event {
     double at = 0;
     std::uint64_t number = 0;
-    std::function<void()> what;
+    std::function<void()> action;
     bool operator<(const Event& other) const {
       return at > other.at || (at == other.at && number > other.number);
     }
   };
-  struct RequestSeen {
-    double due = 0;
+  struct ObservedRequest {
+    double deadline = 0;
     int answers = 0, runs = 0;
-    std::uint64_t mark = 0;
-    bool gone = false, succeeded = false, rejected = false, failed = false;
+    std::uint64_t key_hash = 0;
+    bool caller_disconnected = false, succeeded = false, rejected = false, failed = false;
   };
   // One link, two ways; what is under way on it comes in order.
   struct Link {
     int forwarder = 0, planner = 0;
     std::uint64_t number = 0;
-    bool there = true, here = true;  // whether the planner, the forwarder, still has it open
-    ForwarderId known_as = 0;
-    double last_out = 0, last_in = 0;
-    int cut_out = 1 << 30;  // frames to the planner that arrive all the same
-    int sent_out = 0, heard_out = 0;
+    bool open_at_planner = true,
+         open_at_forwarder = true;  // whether the planner, the forwarder, still has it open
+    ForwarderId session_id = 0;
+    double last_arrival_at_planner = 0, last_arrival_at_forwarder = 0;
+    int delivered_frames = 1 << 30;  // frames to the planner that arrive all the same
+    int frames_sent = 0, frames_received = 0;
     std::vector<std::pair<int, Attempt>> submits;  // by number of the frame
   };
-  struct Held {
+  struct HeldRequest {
     RequestId request = 0;
     ForwarderId forwarder = 0;
     Attempt attempt = 0;
-    double due = 0;
+    double deadline = 0;
   };
   // What a planner remembers of a key: in its store from when it runs.
-  struct Memory {
+  struct KeyRecord {
     RequestId request = 0;
     double admitted = 0;
     enum { kReserved, kRunning, kEnded, kUnknown } state = kReserved;
-    std::vector<Held> waits;  // repeats
+    std::vector<HeldRequest> duplicates;  // repeats
   };
   struct Planner {
     std::uint64_t epoch = 0;
     bool up = false;
-    Manner manner = Manner::kSound;
-    std::unique_ptr<ForwarderSessions> holdings;
-    std::deque<Held> line;
-    std::map<RequestId, Held> open;  // held and running
-    std::map<std::uint64_t, Memory> memory;
+    PlannerBehavior behavior = PlannerBehavior::kNormal;
+    std::unique_ptr<ForwarderSessions> sessions;
+    std::deque<HeldRequest> queue;
+    std::map<RequestId, HeldRequest> open;  // held and running
+    std::map<std::uint64_t, KeyRecord> keys;
     std::map<RequestId, bool> started;
     int running = 0;
   };
@@ -112,34 +114,37 @@
         : history(of),
           number(its_number),
           dispatch(
-              options(), 1, {"p1", "p2", "p3", "p4"}, *this, [&of] { return of.chance(); }, 0) {}
+              options(), 1, {"p1", "p2", "p3", "p4"}, *this, [&of] { return of.random_unit(); }, 0) {}
     static DispatchOptions options() {
       DispatchOptions options;
       options.route_by_subject = true;
       options.startup_wait = 0.25;
-      options.key_ownership = {kReloadSpreadSeconds + kLongestWaitSeconds,
-                               kKeyWindowSeconds + 2 * kLongestWaitSeconds};
+      options.key_ownership = {kReloadSpreadSeconds + kMaxRemainingSeconds,
+                               kKeyWindowSeconds + 2 * kMaxRemainingSeconds};
       return options;
     }
-    void send(int planner, Attempt attempt, RequestId request, double left, bool is_lookup_only) override {
+    void send(int planner, Attempt attempt, RequestId request, double remaining_time,
+              bool is_lookup_only) override {
       wt::Submit submit;
       submit.is_lookup_only = is_lookup_only;
       submit.attempt = attempt;
       submit.request = request;
-      submit.remaining_us = static_cast<std::uint32_t>(left * kMicrosecondsPerSecond);
+      submit.remaining_us = static_cast<std::uint32_t>(remaining_time * kMicrosecondsPerSecond);
       const auto& picker = dispatch.picker();
       if (picker.open_attempts(planner) > static_cast<int>(window[planner]))
         history.fail(fmt::format("planner {} was sent more than its window", planner));
-      history.note(fmt::format("f{} sends op {} as {} to p{}", number, request, attempt, planner));
-      history.out(links[planner], submit, attempt);
+      history.trace(fmt::format("f{} sends op {} as {} to p{}", number, request, attempt, planner));
+      history.send_to_planner(links[planner], submit, attempt);
+    }
+    void cancel(int planner, Attempt attempt) override {
+      history.send_to_planner(links[planner], wt::Cancel{attempt});
     }
-    void cancel(int planner, Attempt attempt) override { history.out(links[planner], wt::Cancel{attempt}); }
     void fence(int planner, Attempt attempt) override {
-      history.note(fmt::format("f{} fences {}", number, attempt));
-      history.out(links[planner], wt::Fence{attempt});
+      history.trace(fmt::format("f{} fences {}", number, attempt));
+      history.send_to_planner(links[planner], wt::Fence{attempt});
     }
     void reply(RequestId request, LocalReply how, double, bool) override {
-      history.answered(request, how == LocalReply::kRejected ? 'n' : 'f');
+      history.record_reply(request, how == LocalReply::kRejected ? 'n' : 'f');
     }
     void schedule_wakeup(double time) override {
       if (time >= wake_time) return;  // it asks anew when it is woken
@@ -158,58 +163,58 @@
     Dispatch dispatch;
   };
 
-  double chance();  // from 0 to under 1
-  void at(double time, std::function<void()> what);
-  void after(double delay, std::function<void()> what);
-  void note(const std::string& what);
-  void fail(const std::string& why);
-  void check_credits();
+  double random_unit();  // from 0 to under 1
+  void at(double time, std::function<void()> action);
+  void after(double delay, std::function<void()> action);
+  void trace(const std::string& action);
+  void fail(const std::string& reason);
+  void check_open_attempts();
 
   // ---- Callers.
   void next_request();
   // `how`: 'a' succeeded, 'n' rejected, 'f' failed.
-  void answered(RequestId id, char how);
+  void record_reply(RequestId id, char outcome);
 
   // ---- Links.
   void connect(int f, int p);
   double delay();  // s, of a frame on its way
-  void out(const std::shared_ptr<Link>& link, const wt::Message& message, Attempt attempt = 0);
-  void in(const std::shared_ptr<Link>& link, const wt::Message& message);
+  void send_to_planner(const std::shared_ptr<Link>& link, const wt::Message& message, Attempt attempt = 0);
+  void send_to_forwarder(const std::shared_ptr<Link>& link, const wt::Message& message);
   // The forwarder hears of the break now, the planner some time later or by the next hello. Of what was under
   // way some arrives; of that a part is known never to have been written.
   void break_link(const std::shared_ptr<Link>& link);
   // The planner hears of the break first. The forwarder goes on sending until it does too, so that the
   // planner may have given up the session long before the forwarder gives up its attempts.
-  void lose_at_planner(const std::shared_ptr<Link>& link);
-  void planner_loses(const std::shared_ptr<Link>& link);
+  void break_at_planner_first(const std::shared_ptr<Link>& link);
+  void close_at_planner(const std::shared_ptr<Link>& link);
   // Where nothing of it has run, its key is free again, and its repeats are told so.
   void release(Planner& planner, RequestId request);
-  void gone(Planner& planner, const std::vector<RequestId>& requests);
+  void abandon(Planner& planner, const std::vector<RequestId>& requests);
 
   // ---- Planners.
-  void begin_life(int p);
+  void start_planner(int p);
   void kill(int p);
-  void tell(Planner& planner, const Held& held, wt::Result result);
-  void planner_hears(const std::shared_ptr<Link>& link, const wt::Message& message);
-  void planner_hears_hello(Planner& planner, const std::shared_ptr<Link>& link, const wt::Hello& hello);
-  void planner_hears_submit(Planner& planner, const Link& link, const wt::Submit& submit);
+  void send_answer(Planner& planner, const HeldRequest& held, wt::Result result);
+  void planner_receives(const std::shared_ptr<Link>& link, const wt::Message& message);
+  void planner_receives_hello(Planner& planner, const std::shared_ptr<Link>& link, const wt::Hello& hello);
+  void planner_receives_submit(Planner& planner, const Link& link, const wt::Submit& submit);
   // Whether the request may run: its key is not known yet, and it is no lookup. Otherwise it is answered, or
   // waits for the run of its key.
-  bool reserve_key(Planner& planner, const Held& held, bool is_lookup_only);
-  void run_more(int p);
-  void start_run(int p, const Held& held);
-  void end_run(int p, std::uint64_t epoch, const Held& held);
-  void forwarder_hears(const std::shared_ptr<Link>& link, const wt::Message& message);
+  bool reserve_key(Planner& planner, const HeldRequest& held, bool is_lookup_only);
+  void start_queued_runs(int p);
+  void start_run(int p, const HeldRequest& held);
+  void end_run(int p, std::uint64_t epoch, const HeldRequest& held);
+  void forwarder_receives(const std::shared_ptr<Link>& link, const wt::Message& message);
 
   // ---- What goes wrong.
-  void trouble();
+  void inject_fault();
 
   // Another list of planners, which forwarders get one after the other.
-  void relist();
+  void change_endpoint_list();
 
   pcg32 random_;
   const int max_requests_;
-  const bool tell_;
+  const bool print_trace_;
   double now_ = 0;
   std::priority_queue<Event> events_;
   std::uint64_t next_event_ = 0, next_link_ = 0, next_epoch_ = 0;
@@ -217,9 +222,9 @@
   std::vector<std::unique_ptr<Forwarder>> forwarders_;
   std::map<std::uint64_t, std::shared_ptr<Link>> links_;  // as planners know them
   std::map<std::uint64_t, std::uint64_t> epoch_of_;       // of the planner, by link
-  std::map<RequestId, RequestSeen> requests_;
-  std::map<std::uint64_t, double> ran_;  // when the last run of a key was admitted
-  std::string broken_;
+  std::map<RequestId, ObservedRequest> requests_;
+  std::map<std::uint64_t, double> last_run_admitted_at_;  // when the last run of a key was admitted
+  std::string violation_;
 };
 
 }  // namespace damsonspoke::tier
--- a/tests/tier/fault_history_links.cpp
+++ b/tests/tier/fault_history_links.cpp
@@ -10,7 +10,7 @@
 void History::connect(int f, int p) {
   Forwarder& forwarder = *forwarders_[static_cast<std::size_t>(f)];
   if (!planners_[static_cast<std::size_t>(p)]->up)
-    return after(0.05 + chance() * 0.1, [this, f, p] { connect(f, p); });
+    return after(0.05 + random_unit() * 0.1, [this, f, p] { connect(f, p); });
   auto link = std::make_shared<Link>();
   link->forwarder = f;
   link->planner = p;
@@ -19,70 +19,74 @@
   wt::Hello hello;
   hello.epoch = static_cast<std::uint64_t>(f) + 1;
   hello.name = fmt::format("f{}", f);
-  out(link, hello);
+  send_to_planner(link, hello);
 }
 
-double History::delay() { return 0.0002 + (random_() % 20 == 0 ? chance() * 0.15 : chance() * 0.002); }
+double History::delay() {
+  return 0.0002 + (random_() % 20 == 0 ? random_unit() * 0.15 : random_unit() * 0.002);
+}
 
-void History::out(const std::shared_ptr<Link>& link, const wt::Message& message, Attempt attempt) {
-  if (!link || !link->here) return fail("a frame was sent on a link that is down");
-  const int number = link->sent_out++;
+void History::send_to_planner(const std::shared_ptr<Link>& link, const wt::Message& message,
+                              Attempt attempt) {
+  if (!link || !link->open_at_forwarder) return fail("a frame was sent on a link that is down");
+  const int number = link->frames_sent++;
   if (attempt != 0) link->submits.emplace_back(number, attempt);
-  link->last_out = std::max(link->last_out, now_ + delay());
-  at(link->last_out, [this, link, number, message] {
-    if (!link->there || number >= link->cut_out) return;
-    link->heard_out = number + 1;
-    planner_hears(link, message);
+  link->last_arrival_at_planner = std::max(link->last_arrival_at_planner, now_ + delay());
+  at(link->last_arrival_at_planner, [this, link, number, message] {
+    if (!link->open_at_planner || number >= link->delivered_frames) return;
+    link->frames_received = number + 1;
+    planner_receives(link, message);
   });
 }
 
-void History::in(const std::shared_ptr<Link>& link, const wt::Message& message) {
-  link->last_in = std::max(link->last_in, now_ + delay());
-  at(link->last_in, [this, link, message] {
-    if (link->here) forwarder_hears(link, message);
+void History::send_to_forwarder(const std::shared_ptr<Link>& link, const wt::Message& message) {
+  link->last_arrival_at_forwarder = std::max(link->last_arrival_at_forwarder, now_ + delay());
+  at(link->last_arrival_at_forwarder, [this, link, message] {
+    if (link->open_at_forwarder) forwarder_receives(link, message);
   });
 }
 
 void History::break_link(const std::shared_ptr<Link>& link) {
-  if (!link || !link->here) return;
-  note(fmt::format("link of f{} and p{} breaks", link->forwarder, link->planner));
-  link->here = false;
-  const int under_way = static_cast<int>(random_() % 6);
-  link->cut_out = std::max(link->heard_out, link->sent_out - static_cast<int>(random_() % 4));
-  const int written = std::min(link->sent_out, link->cut_out + under_way);
+  if (!link || !link->open_at_forwarder) return;
+  trace(fmt::format("link of f{} and p{} breaks", link->forwarder, link->planner));
+  link->open_at_forwarder = false;
+  const int frames_in_flight = static_cast<int>(random_() % 6);
+  link->delivered_frames =
+      std::max(link->frames_received, link->frames_sent - static_cast<int>(random_() % 4));
+  const int written = std::min(link->frames_sent, link->delivered_frames + frames_in_flight);
   std::vector<Attempt> unwritten;
   for (const auto& [number, attempt] : link->submits) {
     if (number >= written) unwritten.push_back(attempt);
   }
-  after(chance() * 0.6, [this, link] { planner_loses(link); });
+  after(random_unit() * 0.6, [this, link] { close_at_planner(link); });
   const int f = link->forwarder, p = link->planner;
   forwarders_[static_cast<std::size_t>(f)]->dispatch.on_link_lost(p, unwritten, now_);
-  after(0.02 + chance() * (random_() % 4 == 0 ? 2 : 0.2), [this, f, p] { connect(f, p); });
+  after(0.02 + random_unit() * (random_() % 4 == 0 ? 2 : 0.2), [this, f, p] { connect(f, p); });
 }
 
-void History::lose_at_planner(const std::shared_ptr<Link>& link) {
-  if (!link || !link->here || !link->there) return;
-  note(fmt::format("p{} loses the link of f{}", link->planner, link->forwarder));
-  planner_loses(link);
-  after(chance() * kForwarderSilenceSeconds, [this, link] { break_link(link); });
+void History::break_at_planner_first(const std::shared_ptr<Link>& link) {
+  if (!link || !link->open_at_forwarder || !link->open_at_planner) return;
+  trace(fmt::format("p{} loses the link of f{}", link->planner, link->forwarder));
+  close_at_planner(link);
+  after(random_unit() * kForwarderSilenceTimeoutSeconds, [this, link] { break_link(link); });
 }
 
-void History::planner_loses(const std::shared_ptr<Link>& link) {
-  if (!link->there) return;
-  link->there = false;
+void History::close_at_planner(const std::shared_ptr<Link>& link) {
+  if (!link->open_at_planner) return;
+  link->open_at_planner = false;
   Planner& planner = *planners_[static_cast<std::size_t>(link->planner)];
   if (!planner.up) return;
-  planner.holdings->on_link_lost(link->number, now_);
+  planner.sessions->on_link_lost(link->number, now_);
   links_[link->number] = nullptr;
   const int p = link->planner;
   const std::uint64_t epoch = planner.epoch;
   after(0.8, [this, p, epoch] {
     Planner& later = *planners_[static_cast<std::size_t>(p)];
-    if (later.up && later.epoch == epoch) gone(later, later.holdings->take_expired(now_));
+    if (later.up && later.epoch == epoch) abandon(later, later.sessions->take_expired(now_));
   });
 }
 
-void History::forwarder_hears(const std::shared_ptr<Link>& link, const wt::Message& message) {
+void History::forwarder_receives(const std::shared_ptr<Link>& link, const wt::Message& message) {
   Forwarder& forwarder = *forwarders_[static_cast<std::size_t>(link->forwarder)];
   const int p = link->planner;
   if (const auto* hello = std::get_if<wt::Hello>(&message)) {
@@ -97,9 +101,9 @@
     if (answer->result == wt::Result::kRunning) kind = AnswerKind::kRunning;
     if (answer->result == wt::Result::kOutcomeEvicted) kind = AnswerKind::kOutcomeEvicted;
     if (answer->result == wt::Result::kKeyUnknown) kind = AnswerKind::kKeyUnknown;
-    const std::optional<RequestId> over = forwarder.dispatch.on_answer(
+    const std::optional<RequestId> completed = forwarder.dispatch.on_answer(
         p, epoch_of_[link->number], answer->attempt, kind, answer->retry_after_us * 1e-6, false, now_);
-    if (over) answered(*over, kind == AnswerKind::kSucceeded ? 'a' : 'f');
+    if (completed) record_reply(*completed, kind == AnswerKind::kSucceeded ? 'a' : 'f');
   }
 }
 
--- a/tests/tier/fault_history_planners.cpp
+++ b/tests/tier/fault_history_planners.cpp
@@ -9,184 +9,186 @@
 namespace damsonspoke::tier {
 
 void History::release(Planner& planner, RequestId request) {
-  const auto found = planner.memory.find(requests_[request].mark);
-  if (found == planner.memory.end() || found->second.request != request ||
-      found->second.state != Memory::kReserved)
+  const auto found = planner.keys.find(requests_[request].key_hash);
+  if (found == planner.keys.end() || found->second.request != request ||
+      found->second.state != KeyRecord::kReserved)
     return;
-  const std::vector<Held> waits = std::move(found->second.waits);
-  planner.memory.erase(found);
-  for (const Held& held : waits) tell(planner, held, wt::Result::kRejected);
+  const std::vector<HeldRequest> duplicates = std::move(found->second.duplicates);
+  planner.keys.erase(found);
+  for (const HeldRequest& held : duplicates) send_answer(planner, held, wt::Result::kRejected);
 }
 
-void History::gone(Planner& planner, const std::vector<RequestId>& requests) {
+void History::abandon(Planner& planner, const std::vector<RequestId>& requests) {
   for (const RequestId request : requests) {
     if (!planner.started[request]) release(planner, request);
-    std::erase_if(planner.line, [&](const Held& held) { return held.request == request; });
+    std::erase_if(planner.queue, [&](const HeldRequest& held) { return held.request == request; });
     if (!planner.started[request]) planner.open.erase(request);
   }
 }
 
-void History::begin_life(int p) {
+void History::start_planner(int p) {
   Planner& planner = *planners_[static_cast<std::size_t>(p)];
-  std::map<std::uint64_t, Memory> kept = std::move(planner.memory);
-  std::erase_if(kept, [](const auto& one) { return one.second.state == Memory::kReserved; });
-  for (auto& [mark, one] : kept) {
-    if (one.state == Memory::kRunning) one.state = Memory::kUnknown;
-    one.waits.clear();
+  std::map<std::uint64_t, KeyRecord> keys = std::move(planner.keys);
+  std::erase_if(keys, [](const auto& one) { return one.second.state == KeyRecord::kReserved; });
+  for (auto& [key_hash, one] : keys) {
+    if (one.state == KeyRecord::kRunning) one.state = KeyRecord::kUnknown;
+    one.duplicates.clear();
   }
   planner = Planner{};
-  planner.memory = std::move(kept);
+  planner.keys = std::move(keys);
   planner.up = true;
   planner.epoch = ++next_epoch_ << 32;  // far apart, as random ones are
-  planner.holdings = std::make_unique<ForwarderSessions>(
+  planner.sessions = std::make_unique<ForwarderSessions>(
       ForwarderSessionsOptions{kSessionGraceSeconds, 4096, 8, 64}, planner.epoch);
 }
 
 void History::kill(int p) {
   Planner& planner = *planners_[static_cast<std::size_t>(p)];
   if (!planner.up) return;
-  note(fmt::format("p{} dies", p));
+  trace(fmt::format("p{} dies", p));
   planner.up = false;
   planner.epoch = 0;
   for (const auto& f : forwarders_) {
-    if (f->links[p]) f->links[p]->there = false;
+    if (f->links[p]) f->links[p]->open_at_planner = false;
     break_link(f->links[p]);
   }
-  after(0.05 + chance(), [this, p] { begin_life(p); });
+  after(0.05 + random_unit(), [this, p] { start_planner(p); });
 }
 
-void History::tell(Planner& planner, const Held& held, wt::Result result) {
+void History::send_answer(Planner& planner, const HeldRequest& held, wt::Result result) {
   planner.open.erase(held.request);
   wt::Answer answer;
   answer.attempt = held.attempt;
   answer.result = result;
   answer.retry_after_us = 100000;
-  const std::uint64_t link = planner.holdings->record_answer(held.forwarder, answer);
-  if (link != 0 && links_[link]) in(links_[link], answer);
+  const std::uint64_t link = planner.sessions->record_answer(held.forwarder, answer);
+  if (link != 0 && links_[link]) send_to_forwarder(links_[link], answer);
 }
 
-void History::planner_hears(const std::shared_ptr<Link>& link, const wt::Message& message) {
+void History::planner_receives(const std::shared_ptr<Link>& link, const wt::Message& message) {
   Planner& planner = *planners_[static_cast<std::size_t>(link->planner)];
   if (!planner.up) return;
   if (const auto* hello = std::get_if<wt::Hello>(&message)) {
-    planner_hears_hello(planner, link, *hello);
+    planner_receives_hello(planner, link, *hello);
   } else if (const auto* submit = std::get_if<wt::Submit>(&message)) {
-    planner_hears_submit(planner, *link, *submit);
+    planner_receives_submit(planner, *link, *submit);
   } else if (const auto* cancel = std::get_if<wt::Cancel>(&message)) {
-    if (const auto request = planner.holdings->cancel(link->known_as, cancel->attempt))
-      gone(planner, {*request});
+    if (const auto request = planner.sessions->cancel(link->session_id, cancel->attempt))
+      abandon(planner, {*request});
   } else if (const auto* fence = std::get_if<wt::Fence>(&message)) {
-    const ForwarderSessions::FenceResult result = planner.holdings->fence(
-        link->known_as, fence->attempt, [&](RequestId request) { return planner.started[request]; });
-    if (result.abandoned) gone(planner, {*result.abandoned});
-    in(link, result.answer);
+    const ForwarderSessions::FenceResult result = planner.sessions->fence(
+        link->session_id, fence->attempt, [&](RequestId request) { return planner.started[request]; });
+    if (result.abandoned) abandon(planner, {*result.abandoned});
+    send_to_forwarder(link, result.answer);
   }
 }
 
-void History::planner_hears_hello(Planner& planner, const std::shared_ptr<Link>& link,
-                                  const wt::Hello& hello) {
+void History::planner_receives_hello(Planner& planner, const std::shared_ptr<Link>& link,
+                                     const wt::Hello& hello) {
   const ForwarderSessions::SessionStart session =
-      planner.holdings->open_session(hello.name, hello.epoch, link->number);
+      planner.sessions->open_session(hello.name, hello.epoch, link->number);
   if (session.superseded_link != 0 && links_[session.superseded_link])
-    links_[session.superseded_link]->there = false;
-  gone(planner, session.abandoned);
-  link->known_as = session.forwarder;
+    links_[session.superseded_link]->open_at_planner = false;
+  abandon(planner, session.abandoned);
+  link->session_id = session.forwarder;
   links_[link->number] = link;
-  wt::Hello mine;
-  mine.is_planner = true;
-  mine.epoch = session.planner_epoch;
-  mine.window = 8;
-  in(link, mine);
+  wt::Hello reply_hello;
+  reply_hello.is_planner = true;
+  reply_hello.epoch = session.planner_epoch;
+  reply_hello.window = 8;
+  send_to_forwarder(link, reply_hello);
 }
 
-void History::planner_hears_submit(Planner& planner, const Link& link, const wt::Submit& submit) {
-  if (planner.holdings->submit(link.known_as, submit.attempt, submit.request, 0) !=
+void History::planner_receives_submit(Planner& planner, const Link& link, const wt::Submit& submit) {
+  if (planner.sessions->submit(link.session_id, submit.attempt, submit.request, 0) !=
       ForwarderSessions::SubmitResult::kAccepted)
     return;
-  const Held held{submit.request, link.known_as, submit.attempt, now_ + submit.remaining_us * 1e-6};
-  if (planner.open.contains(submit.request)) return tell(planner, held, wt::Result::kFailed);
-  if (planner.manner == Manner::kRejections) return tell(planner, held, wt::Result::kRejected);
-  if (requests_[held.request].mark != 0) {
+  const HeldRequest held{submit.request, link.session_id, submit.attempt, now_ + submit.remaining_us * 1e-6};
+  if (planner.open.contains(submit.request)) return send_answer(planner, held, wt::Result::kFailed);
+  if (planner.behavior == PlannerBehavior::kRejections)
+    return send_answer(planner, held, wt::Result::kRejected);
+  if (requests_[held.request].key_hash != 0) {
     if (!reserve_key(planner, held, submit.is_lookup_only)) return;
   } else if (submit.is_lookup_only) {
     fail(fmt::format("op {} has no key and was asked about", held.request));
   }
   planner.open[held.request] = held;
-  planner.line.push_back(held);
-  run_more(link.planner);
+  planner.queue.push_back(held);
+  start_queued_runs(link.planner);
 }
 
-bool History::reserve_key(Planner& planner, const Held& held, bool is_lookup_only) {
-  const std::uint64_t mark = requests_[held.request].mark;
-  const auto known = planner.memory.find(mark);
-  const bool over = known != planner.memory.end() && known->second.state > Memory::kRunning &&
-                    now_ >= known->second.admitted + kKeyWindowSeconds;
-  if (known != planner.memory.end() && !over) {
-    if (known->second.state == Memory::kEnded) {
-      tell(planner, held, wt::Result::kSucceeded);
-    } else if (known->second.state == Memory::kUnknown) {
-      tell(planner, held, wt::Result::kUnknown);
+bool History::reserve_key(Planner& planner, const HeldRequest& held, bool is_lookup_only) {
+  const std::uint64_t key_hash = requests_[held.request].key_hash;
+  const auto known = planner.keys.find(key_hash);
+  const bool is_expired = known != planner.keys.end() && known->second.state > KeyRecord::kRunning &&
+                          now_ >= known->second.admitted + kKeyWindowSeconds;
+  if (known != planner.keys.end() && !is_expired) {
+    if (known->second.state == KeyRecord::kEnded) {
+      send_answer(planner, held, wt::Result::kSucceeded);
+    } else if (known->second.state == KeyRecord::kUnknown) {
+      send_answer(planner, held, wt::Result::kUnknown);
     } else {
       planner.open[held.request] = held;
-      known->second.waits.push_back(held);
+      known->second.duplicates.push_back(held);
     }
     return false;
   }
   if (is_lookup_only) {
-    tell(planner, held, wt::Result::kKeyUnknown);
+    send_answer(planner, held, wt::Result::kKeyUnknown);
     return false;
   }
-  planner.memory[mark] = {held.request, now_, Memory::kReserved, {}};
+  planner.keys[key_hash] = {held.request, now_, KeyRecord::kReserved, {}};
   return true;
 }
 
-void History::run_more(int p) {
+void History::start_queued_runs(int p) {
   Planner& planner = *planners_[static_cast<std::size_t>(p)];
-  while (planner.manner != Manner::kMute && planner.running < kCores && !planner.line.empty()) {
-    const Held held = planner.line.front();
-    planner.line.pop_front();
-    if (now_ > held.due) {
+  while (planner.behavior != PlannerBehavior::kSilent && planner.running < kCores && !planner.queue.empty()) {
+    const HeldRequest held = planner.queue.front();
+    planner.queue.pop_front();
+    if (now_ > held.deadline) {
       release(planner, held.request);
-      tell(planner, held, wt::Result::kRejected);
+      send_answer(planner, held, wt::Result::kRejected);
       continue;
     }
     start_run(p, held);
   }
 }
 
-void History::start_run(int p, const Held& held) {
+void History::start_run(int p, const HeldRequest& held) {
   Planner& planner = *planners_[static_cast<std::size_t>(p)];
   planner.started[held.request] = true;
   ++planner.running;
   if (++requests_[held.request].runs > 1) fail(fmt::format("op {} ran twice", held.request));
-  if (const std::uint64_t mark = requests_[held.request].mark; mark != 0) {
-    Memory& memory = planner.memory.at(mark);
-    memory.state = Memory::kRunning;
-    const auto before = ran_.find(mark);
-    if (before != ran_.end() && memory.admitted < before->second + kKeyWindowSeconds)
-      fail(fmt::format("key {} ran twice within its window", mark));
-    ran_[mark] = memory.admitted;
+  if (const std::uint64_t key_hash = requests_[held.request].key_hash; key_hash != 0) {
+    KeyRecord& record = planner.keys.at(key_hash);
+    record.state = KeyRecord::kRunning;
+    const auto before = last_run_admitted_at_.find(key_hash);
+    if (before != last_run_admitted_at_.end() && record.admitted < before->second + kKeyWindowSeconds)
+      fail(fmt::format("key {} ran twice within its window", key_hash));
+    last_run_admitted_at_[key_hash] = record.admitted;
   }
   if (requests_[held.request].rejected) fail(fmt::format("op {} ran after it was nacked", held.request));
-  note(fmt::format("p{} runs op {}", p, held.request));
+  trace(fmt::format("p{} runs op {}", p, held.request));
   const std::uint64_t epoch = planner.epoch;
-  const double takes = -std::log(1 - chance()) * 0.02 * (planner.manner == Manner::kSlow ? 10 : 1);
-  after(takes, [this, p, epoch, held] { end_run(p, epoch, held); });
+  const double run_seconds =
+      -std::log(1 - random_unit()) * 0.02 * (planner.behavior == PlannerBehavior::kSlow ? 10 : 1);
+  after(run_seconds, [this, p, epoch, held] { end_run(p, epoch, held); });
 }
 
-void History::end_run(int p, std::uint64_t epoch, const Held& held) {
+void History::end_run(int p, std::uint64_t epoch, const HeldRequest& held) {
   Planner& planner = *planners_[static_cast<std::size_t>(p)];
   if (planner.epoch != epoch) return;
   --planner.running;
-  const bool good = random_() % 50 != 0;
-  tell(planner, held, good ? wt::Result::kSucceeded : wt::Result::kFailed);
-  if (const std::uint64_t mark = requests_[held.request].mark; mark != 0) {
-    Memory& memory = planner.memory.at(mark);
-    memory.state = good ? Memory::kEnded : Memory::kUnknown;
-    for (const Held& wait : std::exchange(memory.waits, {}))
-      tell(planner, wait, good ? wt::Result::kSucceeded : wt::Result::kUnknown);
+  const bool succeeded = random_() % 50 != 0;
+  send_answer(planner, held, succeeded ? wt::Result::kSucceeded : wt::Result::kFailed);
+  if (const std::uint64_t key_hash = requests_[held.request].key_hash; key_hash != 0) {
+    KeyRecord& record = planner.keys.at(key_hash);
+    record.state = succeeded ? KeyRecord::kEnded : KeyRecord::kUnknown;
+    for (const HeldRequest& duplicate : std::exchange(record.duplicates, {}))
+      send_answer(planner, duplicate, succeeded ? wt::Result::kSucceeded : wt::Result::kUnknown);
   }
-  run_more(p);
+  start_queued_runs(p);
 }
 
 }  // namespace damsonspoke::tier
--- a/tests/tier/forwarder_program.cpp
+++ b/tests/tier/forwarder_program.cpp
@@ -25,7 +25,7 @@
   return s;
 }
 
-Callers::Options load_of(double reads, double closes, int retries = 1) {
+Callers::Options caller_load(double reads, double closes, int retries = 1) {
   Callers::Options load;
   load.flows = {{"read", reads, 1}, {"close", closes, 1}};
   for (Flow& flow : load.flows) {
@@ -39,14 +39,14 @@
 }
 
 struct Tally {
-  int asked = 0, succeeded = 0, rejected = 0, failed = 0;
+  int attempts = 0, succeeded = 0, rejected = 0, failed = 0;
   double longest_rejection = 0;  // s
 };
 Tally tally(const Journal& journal, double from = 0, const char* type = nullptr) {
   Tally out;
   for (const auto& [request, t] : journal.attempts) {
     if (t.sent < from || (type != nullptr && t.type != type)) continue;
-    ++out.asked;
+    ++out.attempts;
     for (const Answer& a : t.answers) {
       out.succeeded += a.kind == AnswerKind::kSucceeded;
       out.failed += a.kind == AnswerKind::kFailed;
@@ -58,16 +58,16 @@
   return out;
 }
 
-void verdict(const Journal& journal, const RuleLimits& limits) {
+void print_rules_verdict(const Journal& journal, const RuleLimits& limits) {
   const Verdict v = check_rules(journal, limits);
   for (const std::string& line : v.broken) std::printf("%s\n", line.c_str());
   std::printf("rules: %s\n", v.kept() ? "kept" : "BROKEN");
 }
 
 // ---- Scripted planners.
-struct Scripted {
-  Scripted(Planner::Options first, Planner::Options second, const std::string& more = "")
-      : callers(loop, journal, load_of(60, 20)),
+struct ScriptedFixture {
+  ScriptedFixture(Planner::Options first, Planner::Options second, const std::string& more = "")
+      : callers(loop, journal, caller_load(60, 20)),
         planners{std::make_unique<Planner>(loop, journal, first),
                  std::make_unique<Planner>(loop, journal, second)} {
     SiteSpec spec = site();
@@ -90,7 +90,7 @@
     say("no invariant broken", count("invariants.broken") == 0);
     say("the forwarder leaves in order", forwarder->leave());
     RuleLimits limits;
-    verdict(journal, limits);
+    print_rules_verdict(journal, limits);
   }
   Loop loop;
   Journal journal;
@@ -99,104 +99,108 @@
   std::unique_ptr<Server> forwarder;
 };
 
-Planner::Options of(PlannerManner manner) { return {manner, 0.005, 64}; }
-
-void mute() {
-  Scripted play(of(PlannerManner::kMute), of(PlannerManner::kSound));
-  play.loop.run_for(1.5);
-  const double later = now();
-  play.loop.run_for(1.5);
-  say("it is asked for proof", play.planners[0]->fences() > 0);
-  say("few ops stick to it: the better of two is the other", play.planners[0]->taken() < 12);
-  const Tally t = tally(play.journal, later);
-  play.end();
-  say("of what comes later nine tenths are served", t.succeeded > 0.9 * (t.asked - 8));
+Planner::Options planner_options(PlannerManner manner) { return {manner, 0.005, 64}; }
+
+void silent_planner() {
+  ScriptedFixture fixture(planner_options(PlannerManner::kMute), planner_options(PlannerManner::kSound));
+  fixture.loop.run_for(1.5);
+  const double measured_from = now();
+  fixture.loop.run_for(1.5);
+  say("it is asked for proof", fixture.planners[0]->fences() > 0);
+  say("few ops stick to it: the better of two is the other", fixture.planners[0]->taken() < 12);
+  const Tally t = tally(fixture.journal, measured_from);
+  fixture.end();
+  say("of what comes later nine tenths are served", t.succeeded > 0.9 * (t.attempts - 8));
 }
 
-void rejections() {
-  Scripted play(of(PlannerManner::kRejections), of(PlannerManner::kSound));
-  play.loop.run_for(2);
-  say("further tries were made", play.count("tier.retries") > 0);
-  say("they keep to their share", play.count("tier.retries") <= 12 + play.count("tier.first_attempts") / 10);
-  say("it is left out", play.count("tier.ejections") > 0);
-  play.end();
-  const Tally t = tally(play.journal);
-  say("three quarters are served", t.succeeded > 0.75 * t.asked);
+void rejecting_planner() {
+  ScriptedFixture fixture(planner_options(PlannerManner::kRejections),
+                          planner_options(PlannerManner::kSound));
+  fixture.loop.run_for(2);
+  say("further tries were made", fixture.count("tier.retries") > 0);
+  say("they keep to their share",
+      fixture.count("tier.retries") <= 12 + fixture.count("tier.first_attempts") / 10);
+  say("it is left out", fixture.count("tier.ejections") > 0);
+  fixture.end();
+  const Tally t = tally(fixture.journal);
+  say("three quarters are served", t.succeeded > 0.75 * t.attempts);
 }
 
-void half() {
-  Scripted play(of(PlannerManner::kHalf), of(PlannerManner::kSound));
-  play.loop.run_for(3.5);
-  say("the link that stalls in a frame is opened anew", play.count("tier.silent") > 0);
-  play.end();
+void stalled_frame() {
+  ScriptedFixture fixture(planner_options(PlannerManner::kHalf), planner_options(PlannerManner::kSound));
+  fixture.loop.run_for(3.5);
+  say("the link that stalls in a frame is opened anew", fixture.count("tier.silent") > 0);
+  fixture.end();
 }
 
-void lies() {
-  Scripted play(of(PlannerManner::kLies), of(PlannerManner::kSound));
-  play.loop.run_for(2);
-  say("answers behind a fence are dropped", play.count("tier.answers_dropped") > 0);
-  play.end();
+void false_fence_answers() {
+  ScriptedFixture fixture(planner_options(PlannerManner::kLies), planner_options(PlannerManner::kSound));
+  fixture.loop.run_for(2);
+  say("answers behind a fence are dropped", fixture.count("tier.answers_dropped") > 0);
+  fixture.end();
 }
 
-void stranger() {
-  Scripted play(of(PlannerManner::kStranger), of(PlannerManner::kStranger));
-  play.loop.run_for(1);
-  say("answers to what was never sent are dropped", play.count("tier.answers_dropped") > 0);
-  play.end();
-  const Tally t = tally(play.journal);
-  say("all are served", t.succeeded == t.asked);
+void forged_answers() {
+  ScriptedFixture fixture(planner_options(PlannerManner::kStranger),
+                          planner_options(PlannerManner::kStranger));
+  fixture.loop.run_for(1);
+  say("answers to what was never sent are dropped", fixture.count("tier.answers_dropped") > 0);
+  fixture.end();
+  const Tally t = tally(fixture.journal);
+  say("all are served", t.succeeded == t.attempts);
 }
 
-void slow() {
-  Planner::Options ten_times = of(PlannerManner::kSound);
-  ten_times.takes = 0.3;
-  Scripted play(ten_times, of(PlannerManner::kSound));
-  play.loop.run_for(3);
-  say("it is left out", play.count("tier.ejections") > 0);
-  play.end();
-  const Tally t = tally(play.journal);
-  say("nearly all are served", t.succeeded > 0.97 * t.asked);
+void slow_planner() {
+  Planner::Options slow_options = planner_options(PlannerManner::kSound);
+  slow_options.takes = 0.3;
+  ScriptedFixture fixture(slow_options, planner_options(PlannerManner::kSound));
+  fixture.loop.run_for(3);
+  say("it is left out", fixture.count("tier.ejections") > 0);
+  fixture.end();
+  const Tally t = tally(fixture.journal);
+  say("nearly all are served", t.succeeded > 0.97 * t.attempts);
 }
 
-void all_gone() {
-  Scripted play(of(PlannerManner::kSound), of(PlannerManner::kSound));
-  play.loop.run_for(0.5);
-  const std::uint16_t ports[2] = {play.planners[0]->port(), play.planners[1]->port()};
-  for (auto& planner : play.planners) planner.reset();
-  play.loop.run_for(0.3);
-  const double gone = now();
-  play.loop.run_for(1.5);
-  say("off the list after a grace", !play.forwarder->registry.is_listed());
-  const Tally t = tally(play.journal, gone);
+void all_planners_closed() {
+  ScriptedFixture fixture(planner_options(PlannerManner::kSound), planner_options(PlannerManner::kSound));
+  fixture.loop.run_for(0.5);
+  const std::uint16_t ports[2] = {fixture.planners[0]->port(), fixture.planners[1]->port()};
+  for (auto& planner : fixture.planners) planner.reset();
+  fixture.loop.run_for(0.3);
+  const double closed_at = now();
+  fixture.loop.run_for(1.5);
+  say("off the list after a grace", !fixture.forwarder->registry.is_listed());
+  const Tally t = tally(fixture.journal, closed_at);
   say("meanwhile all are nacked, at once",
-      t.asked > 50 && t.rejected >= t.asked - 2 && t.longest_rejection < 0.1);
+      t.attempts > 50 && t.rejected >= t.attempts - 2 && t.longest_rejection < 0.1);
   for (int i = 0; i < 2; ++i)
-    play.planners[i] =
-        std::make_unique<Planner>(play.loop, play.journal, of(PlannerManner::kSound), ports[i]);
-  say("on the list again", play.loop.run_until([&] { return play.forwarder->registry.is_listed(); }, 3));
-  const double back = now();
-  play.loop.run_for(1);
-  const Tally later = tally(play.journal, back);
-  say("and served", later.succeeded > 0.8 * later.asked);
-  play.end();
+    fixture.planners[i] = std::make_unique<Planner>(fixture.loop, fixture.journal,
+                                                    planner_options(PlannerManner::kSound), ports[i]);
+  say("on the list again",
+      fixture.loop.run_until([&] { return fixture.forwarder->registry.is_listed(); }, 3));
+  const double restored_at = now();
+  fixture.loop.run_for(1);
+  const Tally after_restore = tally(fixture.journal, restored_at);
+  say("and served", after_restore.succeeded > 0.8 * after_restore.attempts);
+  fixture.end();
 }
 
 // ---- Real planners.
-Runtime::Options work_of(double seconds) {
+Runtime::Options runtime_options(double seconds) {
   Runtime::Options o;
   o.work = seconds;
   return o;
 }
 
-struct Real {
-  Real(const std::string& operators, const char* close, double reads, double closes, int forwarders = 2,
-       int planners = 3, double work = 0.01)
-      : Real(with(operators, close), load_of(reads, closes, 2), forwarders, planners, work) {}
-  Real(const SiteSpec& spec, const Callers::Options& load, int forwarders, int planners, double work)
-      : fleet(binary, spec, work_of(work), load, forwarders, planners) {
+struct RealFixture {
+  RealFixture(const std::string& operators, const char* close, double reads, double closes,
+              int forwarders = 2, int planners = 3, double work = 0.01)
+      : RealFixture(site_with(operators, close), caller_load(reads, closes, 2), forwarders, planners, work) {}
+  RealFixture(const SiteSpec& spec, const Callers::Options& load, int forwarders, int planners, double work)
+      : fleet(binary, spec, runtime_options(work), load, forwarders, planners) {
     if (!fleet.start()) std::printf("the fleet does not start\n");
   }
-  static SiteSpec with(const std::string& operators, const char* close) {
+  static SiteSpec site_with(const std::string& operators, const char* close) {
     SiteSpec s = site(close);
     s.operators = operators;
     return s;
@@ -211,115 +215,116 @@
     }
     say("no invariant broken", broken == 0);
     say("all leave in order", fleet.leave());
-    verdict(fleet.journal, fleet.limits());
+    print_rules_verdict(fleet.journal, fleet.limits());
   }
   TwoLevel fleet;
 };
 
-void kills() {
-  Real play("", "retryable", 300, 100);
+void planner_kills() {
+  RealFixture fixture("", "retryable", 300, 100);
   for (int i = 0; i < 3; ++i) {
-    play.fleet.loop.run_for(0.8);
-    play.fleet.planners[static_cast<std::size_t>(i)]->kill();
-    play.fleet.loop.run_for(0.2);
-    play.fleet.planners[static_cast<std::size_t>(i)]->start();
+    fixture.fleet.loop.run_for(0.8);
+    fixture.fleet.planners[static_cast<std::size_t>(i)]->kill();
+    fixture.fleet.loop.run_for(0.2);
+    fixture.fleet.planners[static_cast<std::size_t>(i)]->start();
   }
-  play.fleet.loop.run_for(1);
-  play.end();
-  const Tally t = tally(play.fleet.journal);
-  say("nine tenths of what is asked are served", t.succeeded > 0.9 * t.asked);
+  fixture.fleet.loop.run_for(1);
+  fixture.end();
+  const Tally t = tally(fixture.fleet.journal);
+  say("nine tenths of what is asked are served", t.succeeded > 0.9 * t.attempts);
 }
 
-void all_killed() {
-  Real play("", "retryable", 200, 60);
-  play.fleet.loop.run_for(0.7);
-  for (const auto& planner : play.fleet.planners) planner->kill();
-  play.fleet.loop.run_for(0.5);
-  for (const auto& planner : play.fleet.planners) planner->start();
-  play.fleet.loop.run_for(0.7);
-  const double back = now();
-  play.fleet.loop.run_for(1);
-  const Tally t = tally(play.fleet.journal, back);
-  play.end();
-  say("served again", t.succeeded > 0.8 * (t.asked - 20));
+void all_planners_killed() {
+  RealFixture fixture("", "retryable", 200, 60);
+  fixture.fleet.loop.run_for(0.7);
+  for (const auto& planner : fixture.fleet.planners) planner->kill();
+  fixture.fleet.loop.run_for(0.5);
+  for (const auto& planner : fixture.fleet.planners) planner->start();
+  fixture.fleet.loop.run_for(0.7);
+  const double restored_at = now();
+  fixture.fleet.loop.run_for(1);
+  const Tally t = tally(fixture.fleet.journal, restored_at);
+  fixture.end();
+  say("served again", t.succeeded > 0.8 * (t.attempts - 20));
 }
 
 // Keyed requests are remembered by one planner each, across its deaths.
-void keyed() {
-  Real play("results\n    enabled on\n    store STORE\n", "dedup", 100, 100);
+void keyed_requests() {
+  RealFixture fixture("results\n    enabled on\n    store STORE\n", "dedup", 100, 100);
   for (int i = 0; i < 4; ++i) {
-    play.fleet.loop.run_for(0.6);
-    Server& planner = *play.fleet.planners[static_cast<std::size_t>(i % 3)];
+    fixture.fleet.loop.run_for(0.6);
+    Server& planner = *fixture.fleet.planners[static_cast<std::size_t>(i % 3)];
     planner.kill();
-    play.fleet.loop.run_for(0.1);
+    fixture.fleet.loop.run_for(0.1);
     planner.start();
   }
-  play.fleet.forwarders[0]->kill();  // what it had in hand ends in the stores
-  play.fleet.loop.run_for(0.3);
-  play.fleet.forwarders[0]->start();
-  play.fleet.loop.run_for(0.6);
-  play.end();
+  fixture.fleet.forwarders[0]->kill();  // what it had in hand ends in the stores
+  fixture.fleet.loop.run_for(0.3);
+  fixture.fleet.forwarders[0]->start();
+  fixture.fleet.loop.run_for(0.6);
+  fixture.end();
 }
 
-void forty() {
-  Real play("", "retryable", 400, 130, 40, 3);
-  play.fleet.loop.run_for(1.5);
-  play.fleet.planners[0]->kill();
-  play.fleet.loop.run_for(0.2);
-  play.fleet.planners[0]->start();
-  play.fleet.loop.run_for(1.5);
-  play.end();
-  const Tally t = tally(play.fleet.journal);
-  say("four fifths of what is asked are served", t.succeeded > 0.8 * t.asked);
+void forty_forwarders() {
+  RealFixture fixture("", "retryable", 400, 130, 40, 3);
+  fixture.fleet.loop.run_for(1.5);
+  fixture.fleet.planners[0]->kill();
+  fixture.fleet.loop.run_for(0.2);
+  fixture.fleet.planners[0]->start();
+  fixture.fleet.loop.run_for(1.5);
+  fixture.end();
+  const Tally t = tally(fixture.fleet.journal);
+  say("four fifths of what is asked are served", t.succeeded > 0.8 * t.attempts);
 }
 
 // A planner's process stands still: pings stay unanswered; it goes on and is asked about what it held.
-void stops() {
-  Real play("", "retryable", 150, 50);
-  play.fleet.loop.run_for(0.7);
-  Server& planner = *play.fleet.planners[0];
+void paused_planner() {
+  RealFixture fixture("", "retryable", 150, 50);
+  fixture.fleet.loop.run_for(0.7);
+  Server& planner = *fixture.fleet.planners[0];
   planner.process->signal(SIGSTOP);
-  play.fleet.loop.run_for(1.6);
-  const double later = now();
-  play.fleet.loop.run_for(0.6);
-  const Tally t = tally(play.fleet.journal, later);
+  fixture.fleet.loop.run_for(1.6);
+  const double measured_from = now();
+  fixture.fleet.loop.run_for(0.6);
+  const Tally t = tally(fixture.fleet.journal, measured_from);
   planner.process->signal(SIGCONT);
-  play.fleet.loop.run_for(1);
-  play.end();
-  say("the others serve meanwhile", t.succeeded > 0.7 * t.asked);
+  fixture.fleet.loop.run_for(1);
+  fixture.end();
+  say("the others serve meanwhile", t.succeeded > 0.7 * t.attempts);
 }
 
 void drains() {
-  Real play("", "retryable", 150, 50);
-  play.fleet.loop.run_for(0.7);
-  Server& planner = *play.fleet.planners[0];
-  const double told = now();
+  RealFixture fixture("", "retryable", 150, 50);
+  fixture.fleet.loop.run_for(0.7);
+  Server& planner = *fixture.fleet.planners[0];
+  const double notified_at = now();
   planner.notice();
   say("a planner leaves in order", planner.ended());
-  say("at once, as forwarders let go of it", now() - told < 1.2);
-  play.fleet.loop.run_for(0.3);
+  say("at once, as forwarders let go of it", now() - notified_at < 1.2);
+  fixture.fleet.loop.run_for(0.3);
   say("it starts again", planner.start());
-  play.fleet.loop.run_for(0.7);
-  Server& forwarder = *play.fleet.forwarders[0];
+  fixture.fleet.loop.run_for(0.7);
+  Server& forwarder = *fixture.fleet.forwarders[0];
   forwarder.notice();
-  play.fleet.callers.avoid(0);
+  fixture.fleet.callers.avoid(0);
   say("a forwarder leaves in order", forwarder.ended());
   say("it starts again", forwarder.start());
-  play.fleet.loop.run_for(0.5);
-  const Tally t = tally(play.fleet.journal);
+  fixture.fleet.loop.run_for(0.5);
+  const Tally t = tally(fixture.fleet.journal);
   say("nothing failed", t.failed == 0);
-  play.end();
+  fixture.end();
 }
 
-constexpr double kLongPatience = 2;  // s; settling waits for two tries of it
+constexpr double kLongTimeoutSeconds = 2;  // s; settling waits for two tries of it
 
-constexpr double kFreshSeconds = 0.05;  // of a run that has just begun
+constexpr double kRecentRunSeconds = 0.05;  // of a run that has just begun
 
 // Whether a run that callers asked this forwarder for has just begun.
-bool has_fresh_run(const Journal& journal, int life) {
+bool has_recent_run(const Journal& journal, int life) {
   return std::any_of(journal.runs.begin(), journal.runs.end(), [&](const RunSeen& run) {
     const auto found = journal.attempts.find(run.request);
-    return found != journal.attempts.end() && found->second.life == life && run.began > now() - kFreshSeconds;
+    return found != journal.attempts.end() && found->second.life == life &&
+           run.began > now() - kRecentRunSeconds;
   });
 }
 
@@ -327,46 +332,46 @@
 // or there may be none by then; and callers wait for several runs, or none but the first would be admitted.
 void forwarder_killed() {
   SiteSpec spec = site();
-  Callers::Options load = load_of(12, 8, 1);
-  for (RouteSpec& route : spec.types) route.target = route.timeout = kLongPatience;
-  for (Flow& flow : load.flows) flow.timeout = kLongPatience;
-  Real play(spec, load, 2, 3, 0.9);
-  play.fleet.loop.run_for(1.5);
-  const int life = play.fleet.forwarders[0]->life_number();
-  if (!play.fleet.loop.run_until([&] { return has_fresh_run(play.fleet.journal, life); }, 5))
+  Callers::Options load = caller_load(12, 8, 1);
+  for (RouteSpec& route : spec.types) route.target = route.timeout = kLongTimeoutSeconds;
+  for (Flow& flow : load.flows) flow.timeout = kLongTimeoutSeconds;
+  RealFixture fixture(spec, load, 2, 3, 0.9);
+  fixture.fleet.loop.run_for(1.5);
+  const int life = fixture.fleet.forwarders[0]->life_number();
+  if (!fixture.fleet.loop.run_until([&] { return has_recent_run(fixture.fleet.journal, life); }, 5))
     std::printf("no run of its callers begins\n");
-  play.fleet.forwarders[0]->kill();
-  play.fleet.loop.run_for(1.2);
-  std::uint64_t gone = 0;
-  for (const auto& planner : play.fleet.planners)
-    gone += planner->process->counters()["requests.caller_gone"];
-  say("planners learn that its callers are gone", gone > 0);
-  say("it starts again", play.fleet.forwarders[0]->start());
-  play.fleet.loop.run_for(0.5);
-  play.end();
+  fixture.fleet.forwarders[0]->kill();
+  fixture.fleet.loop.run_for(1.2);
+  std::uint64_t closed_at = 0;
+  for (const auto& planner : fixture.fleet.planners)
+    closed_at += planner->process->counters()["requests.caller_gone"];
+  say("planners learn that its callers are gone", closed_at > 0);
+  say("it starts again", fixture.fleet.forwarders[0]->start());
+  fixture.fleet.loop.run_for(0.5);
+  fixture.end();
 }
 
 void reload() {
-  Real play("", "retryable", 150, 50, 1, 3);
-  play.fleet.loop.run_for(0.5);
-  Server& forwarder = *play.fleet.forwarders[0];
+  RealFixture fixture("", "retryable", 150, 50, 1, 3);
+  fixture.fleet.loop.run_for(0.5);
+  Server& forwarder = *fixture.fleet.forwarders[0];
   const auto planners = [&](const std::string& addresses) {
     forwarder.write_operators("forward\n    planners " + addresses + "\n");
     forwarder.process->signal(SIGHUP);
-    play.fleet.loop.run_for(0.6);
+    fixture.fleet.loop.run_for(0.6);
     std::printf("planners linked: %d\n", static_cast<int>(forwarder.process->counters()["tier.planners"]));
   };
-  planners(play.fleet.planners[0]->address());
+  planners(fixture.fleet.planners[0]->address());
   planners("nonsense");
-  planners(play.fleet.planners[1]->address() + " " + play.fleet.planners[2]->address());
-  const Tally t = tally(play.fleet.journal);
-  say("nothing failed", t.failed == 0 && t.asked > 100);
-  play.end();
+  planners(fixture.fleet.planners[1]->address() + " " + fixture.fleet.planners[2]->address());
+  const Tally t = tally(fixture.fleet.journal);
+  say("nothing failed", t.failed == 0 && t.attempts > 100);
+  fixture.end();
 }
 
 // Planners whose clocks are set half a second apart from the forwarders': nothing that is told between them
 // depends on what either takes the time to be, nor does what they remember over a restart.
-void clocks() {
+void clock_skew() {
   const auto shifted = [](const char* shift) {
     return std::vector<std::string>{"/usr/bin/env", std::string("CLOCK_SHIFT=") + shift,
                                     std::string("LD_PRELOAD=") + CLOCK_SHIFT_LIBRARY,
@@ -374,14 +379,14 @@
   };
   SiteSpec spec = site("dedup");
   spec.operators = "results\n    enabled on\n    store STORE\n";
-  Callers::Options load = load_of(150, 60, 1);
+  Callers::Options load = caller_load(150, 60, 1);
   load.flows[1].copies = 2;
   load.flows[1].spread = 1.5;
-  TwoLevel fleet(binary, spec, work_of(0.005), load, 2, 3, "", {shifted("-0.5"), shifted("0.5")});
+  TwoLevel fleet(binary, spec, runtime_options(0.005), load, 2, 3, "", {shifted("-0.5"), shifted("0.5")});
   if (!fleet.start()) std::printf("the fleet does not start\n");
   fleet.loop.run_for(1.5);
   const Tally t = tally(fleet.journal);
-  say("nearly all are served", t.succeeded > 0.97 * (t.asked - 20));
+  say("nearly all are served", t.succeeded > 0.97 * (t.attempts - 20));
   for (const auto& planner : fleet.planners) {
     auto counters = planner->process->counters();
     say("each planner serves", counters["requests.succeeded"] > 30);
@@ -393,42 +398,43 @@
   fleet.loop.run_for(1);
   say("all tries end", fleet.settle(5));
   say("all leave in order", fleet.leave());
-  verdict(fleet.journal, fleet.limits());
+  print_rules_verdict(fleet.journal, fleet.limits());
 }
 
 // Keys move between planners while their things are asked for again and again, by a list that forwarders get
 // one after the other and a forwarder that starts with another list than it ended with.
-void moving() {
+void key_migration() {
   const std::string results = "results\n    enabled on\n    store STORE\n";
-  Callers::Options load = load_of(40, 120, 1);
+  Callers::Options load = caller_load(40, 120, 1);
   load.flows[1].copies = 3;  // of each thing, over a time in which lists change
   load.flows[1].spread = 2.5;
   SiteSpec spec = site("dedup");
   spec.types[1].window = 4;
   spec.operators = results;
-  TwoLevel fleet(binary, spec, work_of(0.005), load, 2, 3, "    reload-spread 300ms\n    folder FOLDER\n");
+  TwoLevel fleet(binary, spec, runtime_options(0.005), load, 2, 3,
+                 "    reload-spread 300ms\n    folder FOLDER\n");
   if (!fleet.start()) std::printf("the fleet does not start\n");
-  const auto list = [&](std::size_t forwarder, std::initializer_list<std::size_t> planners) {
+  const auto write_list = [&](std::size_t forwarder, std::initializer_list<std::size_t> planners) {
     std::string text = results + "forward\n    reload-spread 300ms\n    folder FOLDER\n    planners";
     for (const std::size_t i : planners) text += ' ' + fleet.planners[i]->address();
     fleet.forwarders[forwarder]->write_operators(text + '\n');
   };
-  const auto both = [&](std::initializer_list<std::size_t> planners) {
+  const auto set_both_lists = [&](std::initializer_list<std::size_t> planners) {
     for (std::size_t f = 0; f < 2; ++f) {
-      list(f, planners);
+      write_list(f, planners);
       fleet.forwarders[f]->process->signal(SIGHUP);
       fleet.loop.run_for(0.15);
     }
   };
   fleet.loop.run_for(1);
-  both({0, 1});
+  set_both_lists({0, 1});
   fleet.loop.run_for(1.5);
-  both({1, 2});
+  set_both_lists({1, 2});
   fleet.loop.run_for(1.5);
-  std::uint64_t questions = 0, known = 0;
+  std::uint64_t lookups = 0, known = 0;
   const auto count = [&](Server& forwarder) {
     auto counters = forwarder.process->counters();
-    questions += counters["tier.key_queries"];
+    lookups += counters["tier.key_queries"];
     known += counters["tier.key_queries_known"];
     return counters["tier.key_queries"];
   };
@@ -438,39 +444,39 @@
   restarted.notice();
   fleet.callers.avoid(1);
   say("a forwarder leaves", restarted.ended());
-  list(1, {0, 1, 2});
-  list(0, {0, 1, 2});
+  write_list(1, {0, 1, 2});
+  write_list(0, {0, 1, 2});
   fleet.forwarders[0]->process->signal(SIGHUP);
   say("it starts with another list", restarted.start());
   fleet.loop.run_for(2);
   say("it asks former homes as well", count(restarted) > 5);
-  say("former homes were asked, and some knew", questions > 50 && known > 10);
+  say("former homes were asked, and some knew", lookups > 50 && known > 10);
   say("all tries end", fleet.settle(5));
   say("all leave in order", fleet.leave());
-  verdict(fleet.journal, fleet.limits());
+  print_rules_verdict(fleet.journal, fleet.limits());
   const Tally t = tally(fleet.journal, 0, "close");
-  say("half of the keyed ops are served all the same", t.succeeded > t.asked / 2);
+  say("half of the keyed ops are served all the same", t.succeeded > t.attempts / 2);
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
   return run_scenario(argc, argv, binary,
-                      {{"mute", mute},
-                       {"nacks", rejections},
-                       {"half", half},
-                       {"lies", lies},
-                       {"stranger", stranger},
-                       {"slow", slow},
-                       {"all_gone", all_gone},
-                       {"kills", kills},
-                       {"keyed", keyed},
-                       {"all_killed", all_killed},
-                       {"stops", stops},
+                      {{"silent_planner", silent_planner},
+                       {"rejecting_planner", rejecting_planner},
+                       {"stalled_frame", stalled_frame},
+                       {"false_fence_answers", false_fence_answers},
+                       {"forged_answers", forged_answers},
+                       {"slow_planner", slow_planner},
+                       {"all_planners_closed", all_planners_closed},
+                       {"planner_kills", planner_kills},
+                       {"keyed_requests", keyed_requests},
+                       {"all_planners_killed", all_planners_killed},
+                       {"paused_planner", paused_planner},
                        {"drains", drains},
                        {"forwarder_killed", forwarder_killed},
                        {"reload", reload},
-                       {"moving", moving},
-                       {"clocks", clocks},
-                       {"forty", forty}});
+                       {"key_migration", key_migration},
+                       {"clock_skew", clock_skew},
+                       {"forty_forwarders", forty_forwarders}});
 }
--- a/tests/tier/planner_client.cpp
+++ b/tests/tier/planner_client.cpp
@@ -27,7 +27,7 @@
 
 namespace {
 
-struct Seen : peers::PlannerEvents {
+struct RecordedEvents : peers::PlannerEvents {
   void on_link_up(int, std::uint64_t, std::uint32_t) override { up = true; }
   void on_link_lost(int, const std::vector<std::uint64_t>& attempts) override {
     lost = true;
@@ -41,32 +41,32 @@
 };
 
 constexpr std::uint64_t kSubmits = 400;
-constexpr std::size_t kBody = 60000;  // bytes; together more than the system keeps for a connection
+constexpr std::size_t kBodyBytes = 60000;  // bytes; together more than the system keeps for a connection
 
 void read_some(int fd, std::string& into) {
   char bytes[65536];
-  for (ssize_t got; (got = ::recv(fd, bytes, sizeof bytes, MSG_DONTWAIT)) > 0;)
-    into.append(bytes, static_cast<std::size_t>(got));
+  for (ssize_t received; (received = ::recv(fd, bytes, sizeof bytes, MSG_DONTWAIT)) > 0;)
+    into.append(bytes, static_cast<std::size_t>(received));
 }
 
 // `late`: bytes that the planner still reads before it goes.
 // `memory`: of the forwarder's, for what waits.
-void play(const char* what, std::size_t late, std::size_t memory = 64 << 20) {
+void lose_link(const char* description, std::size_t bytes_before_close, std::size_t memory = 64 << 20) {
   net::Reactor reactor;
   Counters counters;
   Logger log(Level::kError);
-  Seen seen;
+  RecordedEvents events;
   std::uint16_t port = 0;
   const int listener = standins::listening_socket(port);
-  peers::PlannerClient planners(reactor, {"f1", 7, {"read"}}, memory, seen, counters, log);
+  peers::PlannerClient planners(reactor, {"f1", 7, {"read"}}, memory, events, counters, log);
   planners.add(fmt::format("127.0.0.1:{}", port));
   int fd = -1;
   std::string arrived;
-  bool given = false;
+  bool submitted = false;
   int step = 0;
-  const std::function<void()> look = [&] {
+  const std::function<void()> poll = [&] {
     if (fd < 0) fd = ::accept(listener, nullptr, nullptr);
-    if (fd >= 0 && !seen.up && step == 0) {
+    if (fd >= 0 && !events.up && step == 0) {
       wt::Hello hello;
       hello.is_planner = true;
       hello.epoch = 9;
@@ -75,19 +75,19 @@
       const std::string bytes = wt::encode(hello);
       if (::send(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL) > 0) step = 1;
     }
-    if (seen.up && !given) {
-      given = true;
+    if (events.up && !submitted) {
+      submitted = true;
       wt::Submit submit;
       submit.request = 1;
-      submit.body.assign(kBody, 'b');
+      submit.body.assign(kBodyBytes, 'b');
       for (std::uint64_t n = 1; n <= kSubmits; ++n) {
         submit.attempt = n;
         planners.submit(0, submit);
       }
     }
     // Some turns later nothing moves any more; it reads a part, perhaps, and goes.
-    if (given && fd >= 0 && ++step > 20) {
-      while (arrived.size() < late) {
+    if (submitted && fd >= 0 && ++step > 20) {
+      while (arrived.size() < bytes_before_close) {
         const std::size_t before = arrived.size();
         read_some(fd, arrived);
         if (arrived.size() == before) break;
@@ -98,48 +98,51 @@
         fd = -2;
       }
     }
-    if (seen.lost) return reactor.stop();
-    reactor.after(0.01, look);
+    if (events.lost) return reactor.stop();
+    reactor.after(0.01, poll);
   };
   ::fcntl(listener, F_SETFL, O_NONBLOCK);
-  reactor.after(0, look);
+  reactor.after(0, poll);
   reactor.after(10, [&] { reactor.stop(); });
   reactor.run();
   ::close(listener);
-  std::set<std::uint64_t> whole;
+  std::set<std::uint64_t> complete_attempts;
   for (std::string_view rest = arrived;;) {
     const wt::DecodedFrame taken = wt::decode_next_frame(rest);
     if (taken.state != wt::Framing::kFrame) break;
-    if (const auto* submit = std::get_if<wt::Submit>(&taken.message)) whole.insert(submit->attempt);
+    if (const auto* submit = std::get_if<wt::Submit>(&taken.message))
+      complete_attempts.insert(submit->attempt);
     rest.remove_prefix(taken.length);
   }
-  const bool both = std::any_of(seen.unwritten.begin(), seen.unwritten.end(),
-                                [&](std::uint64_t attempt) { return whole.contains(attempt); });
-  std::printf("%s: the link was lost: %s; some arrived: %s, some are known never to have left: %s\n", what,
-              seen.lost ? "yes" : "no", !whole.empty() ? "yes" : "no",
-              !seen.unwritten.empty() ? "yes" : "no");
+  const bool has_overlap =
+      std::any_of(events.unwritten.begin(), events.unwritten.end(),
+                  [&](std::uint64_t attempt) { return complete_attempts.contains(attempt); });
+  std::printf("%s: the link was lost: %s; some arrived: %s, some are known never to have left: %s\n",
+              description, events.lost ? "yes" : "no", !complete_attempts.empty() ? "yes" : "no",
+              !events.unwritten.empty() ? "yes" : "no");
   std::printf("  arrived and told to have never left: %s; in order, the last ones: %s\n",
-              both ? "SOME" : "none",
-              std::is_sorted(seen.unwritten.begin(), seen.unwritten.end()) &&
-                      (seen.unwritten.empty() || seen.unwritten.back() == kSubmits)
+              has_overlap ? "SOME" : "none",
+              std::is_sorted(events.unwritten.begin(), events.unwritten.end()) &&
+                      (events.unwritten.empty() || events.unwritten.back() == kSubmits)
                   ? "yes"
                   : "no");
 }
 
 // A planner by hand: says what it is told to once it is connected to, and looks what comes.
-struct Peer {
-  Peer(net::Reactor& reactor, std::string words) : reactor_(reactor), words_(std::move(words)) {
+struct ScriptedPeer {
+  ScriptedPeer(net::Reactor& reactor, std::string greeting)
+      : reactor_(reactor), greeting_(std::move(greeting)) {
     listener_ = standins::listening_socket(port);
-    look();
+    poll();
   }
-  Peer(const Peer&) = delete;
-  Peer& operator=(const Peer&) = delete;
-  ~Peer() {
+  ScriptedPeer(const ScriptedPeer&) = delete;
+  ScriptedPeer& operator=(const ScriptedPeer&) = delete;
+  ~ScriptedPeer() {
     reactor_.cancel(timer_);
     ::close(listener_);
     if (fd_ >= 0) ::close(fd_);
   }
-  void say(const wt::Message& message) {
+  void send(const wt::Message& message) {
     const std::string bytes = wt::encode(message);
     if (fd_ >= 0) ::send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL);
   }
@@ -148,16 +151,16 @@
   double connected_at = 0, closed_at = 0;  // s, the last time
 
  private:
-  void look() {
+  void poll() {
     if (fd_ < 0 && (fd_ = standins::accepted_socket(listener_)) >= 0) {
       ++accepted;
       connected_at = standins::now();
-      if (accepted == 1) ::send(fd_, words_.data(), words_.size(), MSG_NOSIGNAL);
+      if (accepted == 1) ::send(fd_, greeting_.data(), greeting_.size(), MSG_NOSIGNAL);
     }
     char bytes[65536];
-    const ssize_t got = fd_ < 0 ? -1 : ::recv(fd_, bytes, sizeof bytes, MSG_DONTWAIT);
-    if (got > 0) in_.append(bytes, static_cast<std::size_t>(got));
-    if (got == 0 || (got < 0 && fd_ >= 0 && errno == ECONNRESET)) {
+    const ssize_t received = fd_ < 0 ? -1 : ::recv(fd_, bytes, sizeof bytes, MSG_DONTWAIT);
+    if (received > 0) in_.append(bytes, static_cast<std::size_t>(received));
+    if (received == 0 || (received < 0 && fd_ >= 0 && errno == ECONNRESET)) {
       closed_at = standins::now();
       ::close(fd_);
       fd_ = -1;
@@ -166,98 +169,98 @@
       pings += std::holds_alternative<wt::Ping>(taken.message);
       in_.erase(0, taken.length);
     }
-    timer_ = reactor_.after(0.005, [this] { look(); });
+    timer_ = reactor_.after(0.005, [this] { poll(); });
   }
   net::Reactor& reactor_;
-  std::string words_, in_;
+  std::string greeting_, in_;
   int listener_ = -1, fd_ = -1;
   net::Reactor::TimerId timer_;
 };
 
-struct Play {
-  explicit Play(std::string words) : log(Level::kError), peer(stepped.reactor, std::move(words)) {
+struct Fixture {
+  explicit Fixture(std::string greeting) : log(Level::kError), peer(stepped.reactor, std::move(greeting)) {
     planners = std::make_unique<peers::PlannerClient>(
-        stepped.reactor, peers::PlannerClient::Self{"f1", 7, {"read"}}, 1 << 20, seen, counters, log);
+        stepped.reactor, peers::PlannerClient::Self{"f1", 7, {"read"}}, 1 << 20, events, counters, log);
     planners->add(fmt::format("127.0.0.1:{}", peer.port));
   }
-  ~Play() { stepped.end(); }
-  Play(const Play&) = delete;
-  Play& operator=(const Play&) = delete;
+  ~Fixture() { stepped.end(); }
+  Fixture(const Fixture&) = delete;
+  Fixture& operator=(const Fixture&) = delete;
   void run_for(double seconds) { stepped.run_for(seconds); }
   SteppedReactor stepped;
   Counters counters;
   Logger log;
-  Seen seen;
-  Peer peer;
+  RecordedEvents events;
+  ScriptedPeer peer;
   std::unique_ptr<peers::PlannerClient> planners;
 };
 
-const char* yes(bool is) { return is ? "yes" : "no"; }
+const char* yes_no(bool is) { return is ? "yes" : "no"; }
 
 // What is no planner's greeting ends the link, which is opened anew after a pause.
-void greetings() {
-  wt::Hello sound;
-  sound.is_planner = true;
-  sound.epoch = 9;
-  sound.name = "p";
-  sound.window = 10;
-  wt::Hello other = sound, forwarder = sound;
+void hello_validation() {
+  wt::Hello valid;
+  valid.is_planner = true;
+  valid.epoch = 9;
+  valid.name = "p";
+  valid.window = 10;
+  wt::Hello other = valid, forwarder = valid;
   other.version = 99;
   forwarder.is_planner = false;
-  const std::pair<const char*, std::string> greetings_sent[] = {
+  const std::pair<const char*, std::string> greetings[] = {
       {"another version", wt::encode(other)},
       {"a forwarder", wt::encode(forwarder)},
       {"an answer first", wt::encode(wt::Answer{})},
-      {"two hellos", wt::encode(sound) + wt::encode(sound)},
-      {"what only forwarders say", wt::encode(sound) + wt::encode(wt::Cancel{1})},
+      {"two hellos", wt::encode(valid) + wt::encode(valid)},
+      {"what only forwarders say", wt::encode(valid) + wt::encode(wt::Cancel{1})},
       {"no frame at all", std::string(64, 'x')},
-      {"a sound hello", wt::encode(sound)}};
-  for (const auto& [what, words] : greetings_sent) {
-    Play g(words);
-    g.run_for(0.35);
-    std::printf("%s: up %s, lost %s, opened again %s\n", what, yes(g.seen.up), yes(g.seen.lost),
-                yes(g.peer.accepted > 1));
+      {"a sound hello", wt::encode(valid)}};
+  for (const auto& [description, greeting] : greetings) {
+    Fixture fixture(greeting);
+    fixture.run_for(0.35);
+    std::printf("%s: up %s, lost %s, opened again %s\n", description, yes_no(fixture.events.up),
+                yes_no(fixture.events.lost), yes_no(fixture.peer.accepted > 1));
   }
-  Play mute("");
-  mute.run_for(0.8);
-  const int before = mute.peer.accepted;
-  mute.run_for(0.8);
+  Fixture silent("");
+  silent.run_for(0.8);
+  const int before = silent.peer.accepted;
+  silent.run_for(0.8);
   std::printf("nothing said: after 0.8 s %d connection, after 1.6 s more: %s\n", before,
-              yes(mute.peer.accepted > before));
-  Play sounds(wt::encode(sound));
+              yes_no(silent.peer.accepted > before));
+  Fixture fixture(wt::encode(valid));
   for (int i = 0; i < 12; ++i) {
-    sounds.run_for(0.1);
-    sounds.peer.say(wt::Pong{1});
+    fixture.run_for(0.1);
+    fixture.peer.send(wt::Pong{1});
   }
   std::printf("pings in 1.2 s: %s; the link holds: %s\n",
-              yes(sounds.peer.pings >= 3 && sounds.peer.pings <= 12), yes(!sounds.seen.lost));
-  sounds.peer.say(wt::Draining{});
-  sounds.run_for(0.1);
-  std::printf("it leaves, with an op open: the link holds: %s\n", yes(!sounds.seen.lost));
-  sounds.planners->close_if_draining(0);
-  sounds.run_for(0.1);
-  std::printf("with none: it ends: %s", yes(sounds.seen.lost));
-  const double closed = sounds.peer.closed_at;
-  sounds.run_for(0.8);
+              yes_no(fixture.peer.pings >= 3 && fixture.peer.pings <= 12), yes_no(!fixture.events.lost));
+  fixture.peer.send(wt::Draining{});
+  fixture.run_for(0.1);
+  std::printf("it leaves, with an op open: the link holds: %s\n", yes_no(!fixture.events.lost));
+  fixture.planners->close_if_draining(0);
+  fixture.run_for(0.1);
+  std::printf("with none: it ends: %s", yes_no(fixture.events.lost));
+  const double closed = fixture.peer.closed_at;
+  fixture.run_for(0.8);
   std::printf("; opened again after half a second: %s\n",
-              yes(sounds.peer.accepted == 2 && sounds.peer.connected_at - closed > 0.4));
-  sounds.planners->remove(0);
-  sounds.planners->close_if_draining(0);
-  sounds.run_for(1.5);
-  const int links = sounds.peer.accepted;
-  sounds.planners->restore(0);
-  sounds.run_for(0.2);
-  std::printf("not wanted, not linked: %s; wanted again, linked: %s\n", yes(links == 2),
-              yes(sounds.peer.accepted == 3));
+              yes_no(fixture.peer.accepted == 2 && fixture.peer.connected_at - closed > 0.4));
+  fixture.planners->remove(0);
+  fixture.planners->close_if_draining(0);
+  fixture.run_for(1.5);
+  const int links = fixture.peer.accepted;
+  fixture.planners->restore(0);
+  fixture.run_for(0.2);
+  std::printf("not wanted, not linked: %s; wanted again, linked: %s\n", yes_no(links == 2),
+              yes_no(fixture.peer.accepted == 3));
 }
 
 }  // namespace
 
 int main() {
   std::signal(SIGPIPE, SIG_IGN);
-  play("it reads what came and goes", 0);
-  play("it reads on for a while, then goes", 8 << 20);
-  play("more waits than there is memory for", 0, 1 << 20);
-  greetings();
+  lose_link("it reads what came and goes", 0);
+  lose_link("it reads on for a while, then goes", 8 << 20);
+  lose_link("more waits than there is memory for", 0, 1 << 20);
+  hello_validation();
   return 0;
 }
--- a/tests/tier/policy_traces.cpp
+++ b/tests/tier/policy_traces.cpp
@@ -29,7 +29,7 @@
   return out;
 }
 
-using Chance = std::function<double()>;
+using RandomUnit = std::function<double()>;
 
 PickerOptions without_slow_start() {
   PickerOptions options;
@@ -37,29 +37,29 @@
   return options;
 }
 
-void picker_subjects(pcg32& random, const Chance& chance) {
-  const PickerOptions terms = without_slow_start();
+void picker_subjects(pcg32& random, const RandomUnit& random_unit) {
+  const PickerOptions options = without_slow_start();
   {  // A subject stays where it is while planners come and go.
-    Picker five(terms, names(5));
+    Picker five(options, names(5));
     for (int i = 0; i < 5; ++i) five.on_link_up(i, 100, 0);
     std::map<std::uint64_t, int> before;
-    for (std::uint64_t key = 1; key <= 5000; ++key) before[key] = *five.pick(key, 1, chance);
+    for (std::uint64_t key = 1; key <= 5000; ++key) before[key] = *five.pick(key, 1, random_unit);
     five.on_link_down(2);
     int moved = 0, of_it = 0;
     for (const auto& [key, planner] : before) {
       of_it += planner == 2;
-      moved += planner != 2 && *five.pick(key, 1, chance) != planner;
+      moved += planner != 2 && *five.pick(key, 1, random_unit) != planner;
     }
     std::printf("subjects of a planner that went: about a fifth %s; of others moved: %d\n",
                 of_it > 850 && of_it < 1150 ? "yes" : "no", moved);
   }
   {  // Half of all requests are of one subject: no planner is far above the mean.
-    Picker four(terms, names(4));
+    Picker four(options, names(4));
     for (int i = 0; i < 4; ++i) four.on_link_up(i, 100, 0);
     std::deque<int> open;
     double worst = 0;
     for (int i = 0; i < 20000; ++i) {
-      const int to = *four.pick(random() % 2 ? 7 : 1 + random() % 1000, 1, chance);
+      const int to = *four.pick(random() % 2 ? 7 : 1 + random() % 1000, 1, random_unit);
       four.on_attempt_sent(to);
       open.push_back(to);
       if (open.size() > 80) {
@@ -73,14 +73,14 @@
   }
 }
 
-void picker_capacity(const Chance& chance) {
-  const PickerOptions terms = without_slow_start();
+void picker_capacity(const RandomUnit& random_unit) {
+  const PickerOptions options = without_slow_start();
   {  // Without subjects the emptier of two.
-    Picker eight(terms, names(8));
+    Picker eight(options, names(8));
     for (int i = 0; i < 8; ++i) eight.on_link_up(i, 100, 0);
     int most = 0;
     for (int i = 0; i < 400; ++i) {
-      const int to = *eight.pick(0, 1, chance);
+      const int to = *eight.pick(0, 1, random_unit);
       eight.on_attempt_sent(to);
       most = std::max(most, eight.open_attempts(to));
     }
@@ -98,13 +98,13 @@
 
 // Outliers go, for longer each time, but never more than half.
 void picker_outliers() {
-  const PickerOptions terms = without_slow_start();
-  Picker four(terms, names(4));
+  const PickerOptions options = without_slow_start();
+  Picker four(options, names(4));
   for (int i = 0; i < 4; ++i) four.on_link_up(i, 1000, 0);
-  const auto round = [&](int planner, AttemptOutcome how, double took, double now) {
+  const auto round = [&](int planner, AttemptOutcome how, double latency, double now) {
     for (int i = 0; i < 20; ++i) {
       four.on_attempt_sent(planner);
-      four.on_attempt_ended(planner, how, took, now);
+      four.on_attempt_ended(planner, how, latency, now);
     }
   };
   for (const int sound : {0, 1, 2}) round(sound, AttemptOutcome::kSucceeded, 0.02, 1);
@@ -127,8 +127,8 @@
 
 // What all do, or one only in its latency.
 void picker_comparisons() {
-  const PickerOptions terms = without_slow_start();
-  Picker all(terms, names(2));
+  const PickerOptions options = without_slow_start();
+  Picker all(options, names(2));
   for (int i = 0; i < 2; ++i) all.on_link_up(i, 1000, 0);
   for (int i = 0; i < 64; ++i) {
     for (int p = 0; p < 2; ++p) {
@@ -137,7 +137,7 @@
     }
   }
   std::printf("all fail alike: left out %d\n", all.ejected_count(1));
-  Picker lag(terms, names(3));
+  Picker lag(options, names(3));
   for (int i = 0; i < 3; ++i) lag.on_link_up(i, 1000, 0);
   for (int i = 0; i < 20; ++i) {
     for (int p = 0; p < 3; ++p) {
@@ -148,12 +148,12 @@
   std::printf("one is ten times slower: left out %s\n", lag.is_ejected(1, 1) ? "yes" : "no");
 }
 
-void picker_choice(const Chance& chance) {
+void picker_choice(const RandomUnit& random_unit) {
   Picker choice(without_slow_start(), names(2));
   for (int i = 0; i < 2; ++i) choice.on_link_up(i, 100, 0);
   const auto to_first = [&] {
     int first = 0;
-    for (int i = 0; i < 100; ++i) first += *choice.pick(0, 1, chance) == 0;
+    for (int i = 0; i < 100; ++i) first += *choice.pick(0, 1, random_unit) == 0;
     return first;
   };
   choice.on_load_report(0, 100, 3, true);
@@ -165,67 +165,69 @@
   choice.on_draining(0);
   std::printf("and leaves: it gets %d of 100\n", to_first());
   choice.remove(1);
-  std::printf("and nobody wants the second: %s\n", choice.pick(0, 1, chance) ? "picked" : "none");
+  std::printf("and nobody wants the second: %s\n", choice.pick(0, 1, random_unit) ? "picked" : "none");
 }
 
 void picker() {
   pcg32 random(5);
-  const Chance chance = [&] { return random() / 4294967296.0; };
-  picker_subjects(random, chance);
-  picker_capacity(chance);
+  const RandomUnit random_unit = [&] { return random() / 4294967296.0; };
+  picker_subjects(random, random_unit);
+  picker_capacity(random_unit);
   picker_outliers();
   picker_comparisons();
-  picker_choice(chance);
+  picker_choice(random_unit);
 }
 
 // ---- The line and the outlook.
-void line() {
-  WaitQueue waits(6, 10000);
-  for (RequestId id = 1; id <= 4; ++id) waits.push(id, 1, 1, 10);  // a heavy caller
-  waits.push(5, 1, 2, 10);
-  waits.push(6, 3, 1, 10);
-  std::printf("ahead of one of importance 1: %zu, of 3: %zu\n", waits.count_ahead(1), waits.count_ahead(3));
-  const auto goes = waits.push(7, 3, 3, 10);
-  std::printf("full: op %llu goes for op 7\n", static_cast<unsigned long long>(goes.value_or(0)));
-  const auto self = waits.push(8, 0.5, 4, 10);
+void wait_queue() {
+  WaitQueue queue(6, 10000);
+  for (RequestId id = 1; id <= 4; ++id) queue.push(id, 1, 1, 10);  // a heavy caller
+  queue.push(5, 1, 2, 10);
+  queue.push(6, 3, 1, 10);
+  std::printf("ahead of one of importance 1: %zu, of 3: %zu\n", queue.count_ahead(1), queue.count_ahead(3));
+  const auto evicted = queue.push(7, 3, 3, 10);
+  std::printf("full: op %llu goes for op 7\n", static_cast<unsigned long long>(evicted.value_or(0)));
+  const auto evicted_new = queue.push(8, 0.5, 4, 10);
   std::printf("one of less importance than all: op %llu goes\n",
-              static_cast<unsigned long long>(self.value_or(0)));
+              static_cast<unsigned long long>(evicted_new.value_or(0)));
   std::printf("in turn:");
-  while (const auto id = waits.front()) {
-    waits.remove(*id);
+  while (const auto id = queue.front()) {
+    queue.remove(*id);
     std::printf(" %llu", static_cast<unsigned long long>(*id));
   }
-  std::printf("; left over %zu ops, %zu bytes\n", waits.size(), waits.bytes());
+  std::printf("; left over %zu ops, %zu bytes\n", queue.size(), queue.bytes());
   WaitQueue small(100, 100);
   small.push(1, 1, 1, 60);
   std::printf("bytes full: op %llu goes\n",
               static_cast<unsigned long long>(small.push(2, 1, 2, 60).value_or(0)));
 }
 
-void outlook() {
-  WaitEstimator sees({}, 2, 0);
-  sees.on_planner_available();
-  sees.set_busy(true, 0);
+void wait_estimator() {
+  WaitEstimator estimator({}, 2, 0);
+  estimator.on_planner_available();
+  estimator.set_busy(true, 0);
   std::printf("nothing known, 50 ahead, 0.1 s left: %s\n",
-              sees.can_finish_in_time(0, 50, 0.1, 0.1) ? "may" : "no");
-  for (int i = 1; i <= 300; ++i) sees.on_capacity_freed(i * 0.01), sees.on_success(0, 0.05);  // 100 a second
+              estimator.can_finish_in_time(0, 50, 0.1, 0.1) ? "may" : "no");
+  for (int i = 1; i <= 300; ++i)
+    estimator.on_capacity_freed(i * 0.01), estimator.on_success(0, 0.05);  // 100 a second
   std::printf("100 a second, 40 ahead, 0.3 s left: %s, 0.8 s left: %s\n",
-              sees.can_finish_in_time(0, 40, 0.3, 3) ? "may" : "no",
-              sees.can_finish_in_time(0, 40, 0.8, 3) ? "may" : "no");
+              estimator.can_finish_in_time(0, 40, 0.3, 3) ? "may" : "no",
+              estimator.can_finish_in_time(0, 40, 0.8, 3) ? "may" : "no");
   std::printf("a type that nothing is known of, none ahead, 0.03 s left: %s\n",
-              sees.can_finish_in_time(1, 0, 0.03, 3) ? "may" : "no");
-  std::printf("come back behind 40: %.2f to %.2f s\n", sees.retry_after_seconds(40, 3, 0),
-              sees.retry_after_seconds(40, 3, 0.999));
-  sees.set_busy(false, 3);
+              estimator.can_finish_in_time(1, 0, 0.03, 3) ? "may" : "no");
+  std::printf("come back behind 40: %.2f to %.2f s\n", estimator.retry_after_seconds(40, 3, 0),
+              estimator.retry_after_seconds(40, 3, 0.999));
+  estimator.set_busy(false, 3);
   std::printf("after a calm of 60 s, 40 ahead, 0.8 s left: %s\n",
-              sees.can_finish_in_time(0, 40, 0.8, 63) ? "may" : "no");
-  sees.set_busy(true, 63);
-  std::printf("and nothing comes free for 3 s: %s\n", sees.can_finish_in_time(0, 40, 0.8, 66) ? "may" : "no");
-  sees.on_no_planner(3);
+              estimator.can_finish_in_time(0, 40, 0.8, 63) ? "may" : "no");
+  estimator.set_busy(true, 63);
+  std::printf("and nothing comes free for 3 s: %s\n",
+              estimator.can_finish_in_time(0, 40, 0.8, 66) ? "may" : "no");
+  estimator.on_no_planner(3);
   std::printf(
       "no planner: healthy after 0.5 s %s, after 1.5 s %s; come back after 0.5 s about %.2f, 5 s %.2f\n",
-      sees.is_healthy(3.5) ? "yes" : "no", sees.is_healthy(4.5) ? "yes" : "no",
-      sees.retry_after_seconds(0, 3.5, 0.5), sees.retry_after_seconds(0, 8, 0.5));
+      estimator.is_healthy(3.5) ? "yes" : "no", estimator.is_healthy(4.5) ? "yes" : "no",
+      estimator.retry_after_seconds(0, 3.5, 0.5), estimator.retry_after_seconds(0, 8, 0.5));
   RetryBudget budget(0.1, 3);
   int taken = 0;
   for (int i = 0; i < 1000; ++i) {
@@ -244,73 +246,73 @@
   return names[static_cast<int>(result)];
 }
 
-void holdings_full(ForwarderSessions& holds) {
+void forwarder_sessions_full(ForwarderSessions& sessions) {
   wt::Answer answer;
-  holds.open_session("a", 1, 4);
-  holds.open_session("b", 1, 5);
+  sessions.open_session("a", 1, 4);
+  sessions.open_session("b", 1, 5);
   std::printf("a third forwarder of two: %s\n",
-              holds.open_session("c", 1, 6).forwarder == 0 ? "no room" : "taken");
-  holds.on_link_lost(4, 30);
-  const auto third = holds.open_session("c", 1, 6).forwarder;
+              sessions.open_session("c", 1, 6).forwarder == 0 ? "no room" : "taken");
+  sessions.on_link_lost(4, 30);
+  const auto third = sessions.open_session("c", 1, 6).forwarder;
   std::printf("where one of them is away: %s\n", third == 0 ? "no room" : "taken");
   answer.attempt = 77;
   std::printf("an answer to what was never taken: to link %llu\n",
-              static_cast<unsigned long long>(holds.record_answer(third, answer)));
+              static_cast<unsigned long long>(sessions.record_answer(third, answer)));
 }
 
-void holdings() {
-  ForwarderSessions holds({0.75, 1024, 2, 3}, 500);
-  const auto f = holds.open_session("f1", 7, 1).forwarder;
+void forwarder_sessions() {
+  ForwarderSessions sessions({0.75, 1024, 2, 3}, 500);
+  const auto f = sessions.open_session("f1", 7, 1).forwarder;
   bool started = false;
   const auto fence = [&](std::uint64_t attempt) {
-    const auto proof = holds.fence(f, attempt, [&](RequestId) { return started; });
+    const auto proof = sessions.fence(f, attempt, [&](RequestId) { return started; });
     std::printf("fence %llu: %s%s\n", static_cast<unsigned long long>(attempt), text(proof.answer.result),
                 proof.abandoned ? ", its op is dropped" : "");
   };
-  holds.submit(f, 1, 101, 0);
+  sessions.submit(f, 1, 101, 0);
   fence(1);
-  holds.submit(f, 2, 102, 0);
+  sessions.submit(f, 2, 102, 0);
   started = true;
   fence(2);
   fence(5);
   std::printf(
       "submitted all the same: %s\n",
-      holds.submit(f, 5, 105, 0) == ForwarderSessions::SubmitResult::kFenced ? "fenced off" : "taken");
-  holds.on_link_lost(1, 10);
+      sessions.submit(f, 5, 105, 0) == ForwarderSessions::SubmitResult::kFenced ? "fenced off" : "taken");
+  sessions.on_link_lost(1, 10);
   wt::Answer answer;
   answer.attempt = 2;
   answer.result = wt::Result::kSucceeded;
   answer.body = "done";
   std::printf("answered while away: to link %llu\n",
-              static_cast<unsigned long long>(holds.record_answer(f, answer)));
-  const auto back = holds.open_session("f1", 7, 2);
+              static_cast<unsigned long long>(sessions.record_answer(f, answer)));
+  const auto back = sessions.open_session("f1", 7, 2);
   std::printf("back in the same life: known %s, lost %zu\n", back.forwarder == f ? "yes" : "no",
               back.abandoned.size());
   fence(2);
   for (std::uint64_t i = 10; i < 30; ++i) {
-    holds.submit(f, i, 100 + i, 0);
+    sessions.submit(f, i, 100 + i, 0);
     answer.attempt = i;
-    holds.record_answer(f, answer);
+    sessions.record_answer(f, answer);
   }
   fence(2);
   fence(29);
-  holds.open_session("f2", 1, 9);
+  sessions.open_session("f2", 1, 9);
   std::printf("a second forwarder halves what is kept\n");
   fence(23);
-  for (std::uint64_t i = 40; i < 43; ++i) holds.submit(f, i, 100 + i, 0);
+  for (std::uint64_t i = 40; i < 43; ++i) sessions.submit(f, i, 100 + i, 0);
   std::printf(
       "a fourth open one: %s\n",
-      holds.submit(f, 43, 143, 0) == ForwarderSessions::SubmitResult::kTooMany ? "too many" : "taken");
-  const auto anew = holds.open_session("f1", 8, 3);
+      sessions.submit(f, 43, 143, 0) == ForwarderSessions::SubmitResult::kTooMany ? "too many" : "taken");
+  const auto restarted = sessions.open_session("f1", 8, 3);
   std::printf("a new life: known %s, old link %llu, ops without a caller %zu\n",
-              anew.forwarder == f ? "yes" : "no", static_cast<unsigned long long>(anew.superseded_link),
-              anew.abandoned.size());
-  holds.submit(anew.forwarder, 1, 201, 0);
-  std::printf("its numbers begin anew: open %zu\n", holds.open_attempts());
-  holds.on_link_lost(3, 20);
-  std::printf("away for 0.5 s: %zu ops gone, for 0.8 s: %zu\n", holds.take_expired(20.5).size(),
-              holds.take_expired(20.8).size());
-  holdings_full(holds);
+              restarted.forwarder == f ? "yes" : "no",
+              static_cast<unsigned long long>(restarted.superseded_link), restarted.abandoned.size());
+  sessions.submit(restarted.forwarder, 1, 201, 0);
+  std::printf("its numbers begin anew: open %zu\n", sessions.open_attempts());
+  sessions.on_link_lost(3, 20);
+  std::printf("away for 0.5 s: %zu ops gone, for 0.8 s: %zu\n", sessions.take_expired(20.5).size(),
+              sessions.take_expired(20.8).size());
+  forwarder_sessions_full(sessions);
 }
 
 // The longest result that a runtime may give passes whole; nothing longer is read.
@@ -340,72 +342,74 @@
 constexpr std::uint64_t kKeyCount = 4000;
 
 // Prints where keys belong.
-void tell(const char* when, const KeyOwnership& homes, double now) {
-  int asks = 0, barred = 0, twice = 0, none = 0;
+void print_routes(const char* when, const KeyOwnership& ownership, double now) {
+  int asked_first = 0, not_allowed = 0, two_former_owners = 0, without_owner = 0;
   std::vector<int> at(4);
-  for (std::uint64_t mark = 1; mark <= kKeyCount; ++mark) {
-    const KeyRoute way = homes.route(mark, now);
-    asks += !way.former_owners.empty();
-    barred += !way.may_run;
-    twice += way.former_owners.size() > 1;
-    none += way.owner < 0;
-    if (way.owner >= 0) ++at[static_cast<std::size_t>(way.owner)];
-    if (std::find(way.former_owners.begin(), way.former_owners.end(), way.owner) != way.former_owners.end())
+  for (std::uint64_t key_hash = 1; key_hash <= kKeyCount; ++key_hash) {
+    const KeyRoute route = ownership.route(key_hash, now);
+    asked_first += !route.former_owners.empty();
+    not_allowed += !route.may_run;
+    two_former_owners += route.former_owners.size() > 1;
+    without_owner += route.owner < 0;
+    if (route.owner >= 0) ++at[static_cast<std::size_t>(route.owner)];
+    if (std::find(route.former_owners.begin(), route.former_owners.end(), route.owner) !=
+        route.former_owners.end())
       std::printf("asks where it belongs\n");
   }
   std::printf(
       "%-32s %4.0f%% %4.0f%% %4.0f%% %4.0f%%, asked first %3.0f%%, of two %3.0f%%, not yet %3.0f%%%s\n", when,
       at[0] * 100.0 / kKeyCount, at[1] * 100.0 / kKeyCount, at[2] * 100.0 / kKeyCount,
-      at[3] * 100.0 / kKeyCount, asks * 100.0 / kKeyCount, twice * 100.0 / kKeyCount,
-      barred * 100.0 / kKeyCount, none > 0 ? ", nowhere" : "");
+      at[3] * 100.0 / kKeyCount, asked_first * 100.0 / kKeyCount, two_former_owners * 100.0 / kKeyCount,
+      not_allowed * 100.0 / kKeyCount, without_owner > 0 ? ", nowhere" : "");
 }
 
 // Where keys belong while lists change.
-void homes() {
+void key_ownership() {
   const std::vector<std::pair<int, std::string>> three = {{0, "p1"}, {1, "p2"}, {2, "p3"}},
                                                  four = {{0, "p1"}, {1, "p2"}, {2, "p3"}, {3, "p4"}},
                                                  two = {{0, "p1"}, {2, "p3"}};
-  KeyOwnership homes({2, 10});
-  homes.set_planners(three, 0);
-  tell("three", homes, 0);
-  homes.set_planners(four, 100);
-  tell("a fourth one", homes, 100);
-  tell("not all may know it yet", homes, 101.9);
-  tell("all know it", homes, 102);
-  tell("the last may be remembered", homes, 111.9);
-  tell("over", homes, 112);
-  homes.set_planners(two, 200);
-  tell("two of them go", homes, 200);
-  homes.set_planners(three, 203);
-  tell("one is back", homes, 203);
-  tell("the later change is in force", homes, 205);
-  tell("the first one is over", homes, 212);
-  tell("both are", homes, 215);
-  std::printf("settled at %.0f; p2 may be asked at 211 %s, p4 at 212 %s\n", homes.migration_ends_at(),
-              homes.may_remember_keys(1, 211) ? "yes" : "no", homes.may_remember_keys(3, 212) ? "yes" : "no");
-  homes.set_planners({}, 300);
-  tell("nobody", homes, 300);
+  KeyOwnership ownership({2, 10});
+  ownership.set_planners(three, 0);
+  print_routes("three", ownership, 0);
+  ownership.set_planners(four, 100);
+  print_routes("a fourth one", ownership, 100);
+  print_routes("not all may know it yet", ownership, 101.9);
+  print_routes("all know it", ownership, 102);
+  print_routes("the last may be remembered", ownership, 111.9);
+  print_routes("over", ownership, 112);
+  ownership.set_planners(two, 200);
+  print_routes("two of them go", ownership, 200);
+  ownership.set_planners(three, 203);
+  print_routes("one is back", ownership, 203);
+  print_routes("the later change is in force", ownership, 205);
+  print_routes("the first one is over", ownership, 212);
+  print_routes("both are", ownership, 215);
+  std::printf("settled at %.0f; p2 may be asked at 211 %s, p4 at 212 %s\n", ownership.migration_ends_at(),
+              ownership.may_remember_keys(1, 211) ? "yes" : "no",
+              ownership.may_remember_keys(3, 212) ? "yes" : "no");
+  ownership.set_planners({}, 300);
+  print_routes("nobody", ownership, 300);
   KeyOwnership again({2, 10});
   again.add_former_list(two, 295);
   again.set_planners(three, 300);
-  tell("another list before the start", again, 300);
-  KeyOwnership blind({2, 10});
-  blind.set_planners(three, 0);
-  blind.assume_unknown_history(0);
-  tell("nobody knows what was before", blind, 11.9);
-  tell("and nothing matters of it now", blind, 12);
-  KeyOwnership restless({2, 10});
-  for (int i = 0; i < 10; ++i) restless.set_planners(i % 2 ? three : four, i);
-  tell("more lists than are kept", restless, 9);
-  tell("the first of them is over", restless, 14);
-  KeyOwnership plain({2, 0});
-  plain.set_planners(three, 0);
-  plain.set_planners(four, 1);
-  tell("nothing is ever remembered", plain, 1);
+  print_routes("another list before the start", again, 300);
+  KeyOwnership unknown_history({2, 10});
+  unknown_history.set_planners(three, 0);
+  unknown_history.assume_unknown_history(0);
+  print_routes("nobody knows what was before", unknown_history, 11.9);
+  print_routes("and nothing matters of it now", unknown_history, 12);
+  KeyOwnership frequent_changes({2, 10});
+  for (int i = 0; i < 10; ++i) frequent_changes.set_planners(i % 2 ? three : four, i);
+  print_routes("more lists than are kept", frequent_changes, 9);
+  print_routes("the first of them is over", frequent_changes, 14);
+  KeyOwnership without_retention({2, 0});
+  without_retention.set_planners(three, 0);
+  without_retention.set_planners(four, 1);
+  print_routes("nothing is ever remembered", without_retention, 1);
 }
 
 // The lists as they are kept.
-void lists() {
+void endpoint_list_history() {
   EndpointListHistory record{{"10.0.0.1:7100", "10.0.0.2:7100"}, {{1000.5, {"10.0.0.1:7100"}}, {2000, {}}}};
   const std::string bytes = encode(record);
   const auto read = decode_endpoint_list_history(bytes);
@@ -418,10 +422,10 @@
   for (std::size_t i = 0; i < bytes.size(); ++i) {
     if (decode_endpoint_list_history(std::string_view(bytes).substr(0, i))) ++taken;
     for (int bit = 0; bit < 8; ++bit) {
-      std::string spoilt = bytes;
-      spoilt[i] = static_cast<char>(spoilt[i] ^ (1 << bit));
-      const auto got = decode_endpoint_list_history(spoilt);
-      other += got && encode(*got).size() > kMaxEndpointListHistoryBytes;
+      std::string corrupted = bytes;
+      corrupted[i] = static_cast<char>(corrupted[i] ^ (1 << bit));
+      const auto corrupted_history = decode_endpoint_list_history(corrupted);
+      other += corrupted_history && encode(*corrupted_history).size() > kMaxEndpointListHistoryBytes;
     }
   }
   std::printf("cut short and taken: %d; spoilt and out of bounds: %d\n", taken, other);
@@ -438,14 +442,14 @@
               decode_endpoint_list_history(encode(record)) ? "taken" : "no list");
   record.current = {""};
   std::printf("an empty one: %s\n", decode_endpoint_list_history(encode(record)) ? "taken" : "no list");
-  std::string many =
+  std::string encoded =
       "\xa2\x68in_force\x80\x66"
       "former\x91";  // CBOR: no list in force, 17 former ones
-  for (int i = 0; i < 17; ++i) many += "\xa2\x65until\x01\x68planners\x80";
-  std::printf("17 former ones: %s", decode_endpoint_list_history(many) ? "taken" : "no list");
-  many[18] = '\x90';
-  many.resize(many.size() - 18);
-  std::printf("; 16: %s\n", decode_endpoint_list_history(many) ? "taken" : "no list");
+  for (int i = 0; i < 17; ++i) encoded += "\xa2\x65until\x01\x68planners\x80";
+  std::printf("17 former ones: %s", decode_endpoint_list_history(encoded) ? "taken" : "no list");
+  encoded[18] = '\x90';
+  encoded.resize(encoded.size() - 18);
+  std::printf("; 16: %s\n", decode_endpoint_list_history(encoded) ? "taken" : "no list");
   record = {{"a"}, {{std::nan(""), {"b"}}}};
   std::printf("a time that is none: %s\n",
               decode_endpoint_list_history(encode(record)) ? "taken" : "no list");
@@ -457,10 +461,10 @@
   std::string unused;
   return run_scenario(argc, argv, unused,
                       {{"picker", picker},
-                       {"line", line},
-                       {"outlook", outlook},
-                       {"holdings", holdings},
+                       {"wait_queue", wait_queue},
+                       {"wait_estimator", wait_estimator},
+                       {"forwarder_sessions", forwarder_sessions},
                        {"frames", frames},
-                       {"homes", homes},
-                       {"lists", lists}});
+                       {"key_ownership", key_ownership},
+                       {"endpoint_list_history", endpoint_list_history}});
 }
--- a/tests/tier/slow_start.cpp
+++ b/tests/tier/slow_start.cpp
@@ -26,107 +26,113 @@
 
 std::string binary;
 
-double chance_over(double budget) { return 2 * std::sqrt(budget) + 2; }
+double random_tolerance(double budget) { return 2 * std::sqrt(budget) + 2; }
 
 // ---- The policy alone: forwarders that always have something to send, parts that are heard late, attempts
 // on their way, forwarders that die and others that join.
-class History {
+class ForwarderSimulation {
  public:
-  History(int forwarders, std::uint64_t seed, bool rejections, double slow_start_seconds)
-      : random_(seed), wanted_(forwarders), rejections_(rejections), cold_time_(slow_start_seconds) {}
+  ForwarderSimulation(int forwarders, std::uint64_t seed, bool rejections, double slow_start_seconds)
+      : random_(seed),
+        target_count_(forwarders),
+        rejections_(rejections),
+        slow_start_seconds_(slow_start_seconds) {}
 
-  void play(double seconds) {
-    for (now_ = 0; now_ < seconds; now_ += kStep) {
-      budget_ = tier::slow_start_budget(kCores, kFrom, cold_time_, now_);
-      come_and_go();
-      planner_looks();
-      hear();
+  void run(double seconds) {
+    for (now_ = 0; now_ < seconds; now_ += kStepSeconds) {
+      budget_ = tier::slow_start_budget(kCores, kInitialSpeed, slow_start_seconds_, now_);
+      connect_and_disconnect();
+      rebalance_shares();
+      deliver_reports();
       send();
       finish();
-      judge();
+      check_budget();
     }
   }
-  double worst_over = -1e9;    // attempts beyond the budget, of any instant
-  double worst_chance = -1e9;  // and beyond what is put down to chance
-  double longest_none = 0;     // s in which a forwarder sent nothing, of any
+  double worst_over = -1e9;              // attempts beyond the budget, of any instant
+  double worst_beyond_tolerance = -1e9;  // and beyond what is put down to chance
+  double longest_idle_seconds = 0;       // s in which a forwarder sent nothing, of any
   std::uint64_t sent = 0;
 
  private:
-  static constexpr double kStep = 0.01, kFrom = 0.2, kLate = 0.2, kWay = 0.04;
+  static constexpr double kStepSeconds = 0.01, kInitialSpeed = 0.2, kMaxReportDelaySeconds = 0.2,
+                          kMaxTransitSeconds = 0.04;
   static constexpr int kCores = 2;
   struct Forwarder {
-    tier::Picker picker{terms(), {"p"}};
-    std::vector<std::pair<double, std::uint32_t>> words;  // on their way to it
+    tier::Picker picker{picker_options(), {"p"}};
+    std::vector<std::pair<double, std::uint32_t>> pending_reports;  // on their way to it
     double last_sent = 0;
-    std::uint32_t told = 0;
+    std::uint32_t announced_share = 0;
   };
   struct Attempt {
     std::uint64_t forwarder = 0;
-    double comes = 0, ends = 0;
+    double arrives_at = 0, ends_at = 0;
   };
-  static tier::PickerOptions terms() {
-    tier::PickerOptions terms;
-    terms.rejection_cooldown_seconds = 0.25;  // as forwarders have it
-    return terms;
+  static tier::PickerOptions picker_options() {
+    tier::PickerOptions picker_options;
+    picker_options.rejection_cooldown_seconds = 0.25;  // as forwarders have it
+    return picker_options;
   }
   double uniform() { return static_cast<double>(random_()) / 4294967296.0; }
 
-  void come_and_go() {
-    while (static_cast<int>(forwarders_.size()) < wanted_ && (now_ < kStep || uniform() < 0.5)) {
+  void connect_and_disconnect() {
+    while (static_cast<int>(forwarders_.size()) < target_count_ && (now_ < kStepSeconds || uniform() < 0.5)) {
       const std::uint64_t id = next_++;
       auto& one = forwarders_[id];
       one = std::make_unique<Forwarder>();
       one->picker.on_link_up(0, 0, now_);
       one->last_sent = now_;
-      parts_.add(id);
+      shares_.add(id);
     }
     if (uniform() < 0.02 && forwarders_.size() > 1) {  // what it has open goes on
-      auto gone = std::next(forwarders_.begin(),
-                            static_cast<long>(random_(static_cast<unsigned>(forwarders_.size()))));
-      parts_.remove(gone->first, now_);
-      forwarders_.erase(gone);
+      auto removed = std::next(forwarders_.begin(),
+                               static_cast<long>(random_(static_cast<unsigned>(forwarders_.size()))));
+      shares_.remove(removed->first, now_);
+      forwarders_.erase(removed);
     }
   }
-  void planner_looks() {
-    if (now_ < next_look_) return;
-    next_look_ = now_ + 0.05;
-    parts_.rebalance(now_, budget_, [this](std::uint64_t id) {
+  void rebalance_shares() {
+    if (now_ < next_rebalance_at_) return;
+    next_rebalance_at_ = now_ + 0.05;
+    shares_.rebalance(now_, budget_, [this](std::uint64_t id) {
       return static_cast<std::size_t>(
           std::count_if(attempts_.begin(), attempts_.end(),
-                        [&](const Attempt& a) { return a.forwarder == id && a.comes <= now_; }));
+                        [&](const Attempt& a) { return a.forwarder == id && a.arrives_at <= now_; }));
     });
     for (auto& [id, one] : forwarders_) {
-      if (parts_.share(id) == one->told) continue;
-      one->told = parts_.share(id);
-      const double at = std::max(now_ + kLate * uniform(), one->words.empty() ? 0 : one->words.back().first);
-      one->words.emplace_back(at, one->told);
+      if (shares_.share(id) == one->announced_share) continue;
+      one->announced_share = shares_.share(id);
+      const double at = std::max(now_ + kMaxReportDelaySeconds * uniform(),
+                                 one->pending_reports.empty() ? 0 : one->pending_reports.back().first);
+      one->pending_reports.emplace_back(at, one->announced_share);
     }
   }
-  void hear() {
+  void deliver_reports() {
     for (auto& [id, one] : forwarders_) {
-      for (const auto& [at, part] : one->words) {
-        if (at <= now_) one->picker.on_load_report(0, part, 0, true);
+      for (const auto& [at, share] : one->pending_reports) {
+        if (at <= now_) one->picker.on_load_report(0, share, 0, true);
       }
-      std::erase_if(one->words, [&](const auto& word) { return word.first <= now_; });
+      std::erase_if(one->pending_reports, [&](const auto& report) { return report.first <= now_; });
     }
   }
   void send() {
     for (auto& [id, one] : forwarders_) {
       while (one->picker.pick(0, now_, [this] { return uniform(); })) {
         one->picker.on_attempt_sent(0);
-        const double comes = now_ + kWay * uniform();
+        const double arrives_at = now_ + kMaxTransitSeconds * uniform();
         attempts_.push_back(
-            {id, comes, comes + (rejections_ ? 0.001 : 0.02 + (uniform() < 0.3 ? 2.0 : 0.3) * uniform())});
+            {id, arrives_at,
+             arrives_at + (rejections_ ? 0.001 : 0.02 + (uniform() < 0.3 ? 2.0 : 0.3) * uniform())});
         one->last_sent = now_;
         ++sent;
-        came_.push_back(comes);
+        recent_arrivals_.push_back(arrives_at);
       }
-      longest_none = std::max(longest_none, now_ - one->last_sent);
+      longest_idle_seconds = std::max(longest_idle_seconds, now_ - one->last_sent);
     }
   }
   void finish() {
     std::erase_if(attempts_, [&](const Attempt& a) {
-      if (a.ends > now_) return false;
+      if (a.ends_at > now_) return false;
       const auto found = forwarders_.find(a.forwarder);
       if (found != forwarders_.end())
         found->second->picker.on_attempt_ended(
@@ -134,42 +140,42 @@
       return true;
     });
   }
-  void judge() {
+  void check_budget() {
     // Nacked at once, an attempt still counts for the quarter of a second in which its room rests.
-    std::erase_if(came_, [&](double at) { return at < now_ - 0.25; });
+    std::erase_if(recent_arrivals_, [&](double at) { return at < now_ - 0.25; });
     const double open =
-        rejections_ ? static_cast<double>(came_.size()) : static_cast<double>(attempts_.size());
+        rejections_ ? static_cast<double>(recent_arrivals_.size()) : static_cast<double>(attempts_.size());
     worst_over = std::max(worst_over, open - budget_);
-    worst_chance = std::max(worst_chance, open - budget_ - chance_over(budget_));
+    worst_beyond_tolerance = std::max(worst_beyond_tolerance, open - budget_ - random_tolerance(budget_));
   }
 
   pcg32 random_;
-  const int wanted_;
+  const int target_count_;
   const bool rejections_;
-  const double cold_time_;  // s
-  double now_ = 0, budget_ = 0, next_look_ = 0;
+  const double slow_start_seconds_;  // s
+  double now_ = 0, budget_ = 0, next_rebalance_at_ = 0;
   std::uint64_t next_ = 1;
-  tier::SlowStartShares parts_;
+  tier::SlowStartShares shares_;
   std::map<std::uint64_t, std::unique_ptr<Forwarder>> forwarders_;
   std::vector<Attempt> attempts_;
-  std::vector<double> came_;
+  std::vector<double> recent_arrivals_;
 };
 
 void histories() {
   for (const double slow_start_seconds : {8.0, 60.0}) {
     for (const bool rejections : {false, true}) {
       for (const int forwarders : {1, 5, 20, 30}) {
-        double over = -1e9, beyond = -1e9, none = 0;
-        std::uint64_t least = ~std::uint64_t{0};
+        double over = -1e9, beyond = -1e9, idle = 0;
+        std::uint64_t min_sent = ~std::uint64_t{0};
         for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-          History history(forwarders, seed, rejections, slow_start_seconds);
-          history.play(10);
+          ForwarderSimulation history(forwarders, seed, rejections, slow_start_seconds);
+          history.run(10);
           over = std::max(over, history.worst_over);
-          beyond = std::max(beyond, history.worst_chance);
-          none = std::max(none, history.longest_none);
-          least = std::min(least, history.sent);
+          beyond = std::max(beyond, history.worst_beyond_tolerance);
+          idle = std::max(idle, history.longest_idle_seconds);
+          min_sent = std::min(min_sent, history.sent);
         }
-        const auto told = [](bool good, double value) {
+        const auto verdict = [](bool good, double value) {
           return good ? "yes" : fmt::format("NO, {:.1f}", value);
         };
         // What is rejected may come a little sooner than it went, as ways differ: that is put down to chance.
@@ -178,27 +184,28 @@
             "used: {}\n",
             slow_start_seconds, forwarders, rejections ? "all nacked" : "all served",
             rejections ? " and chance" : "",
-            told((rejections ? beyond : over) <= 0, rejections ? beyond : over), told(none < 6, none),
-            told(least > 100, static_cast<double>(least)));
+            verdict((rejections ? beyond : over) <= 0, rejections ? beyond : over), verdict(idle < 6, idle),
+            verdict(min_sent > 100, static_cast<double>(min_sent)));
       }
     }
   }
 }
 
 // Forwarders that come back under new lives without end leave nothing behind, warm or cold.
-void lives() {
+void reconnects() {
   for (const bool cold : {false, true}) {
     tier::ConcurrencyWindows windows({2, 0.2, 1e9});
     windows.on_runtime_started(cold, 0);
-    std::size_t most = 0;
-    for (std::uint64_t life = 1; life <= 10000; ++life) {
-      const double now = static_cast<double>(life) * 0.05;
-      windows.add_forwarder(life);
-      if (life > 1) windows.remove_forwarder(life - 1, now);
+    std::size_t max_tracked = 0;
+    for (std::uint64_t session = 1; session <= 10000; ++session) {
+      const double now = static_cast<double>(session) * 0.05;
+      windows.add_forwarder(session);
+      if (session > 1) windows.remove_forwarder(session - 1, now);
       windows.rebalance(now, [](std::uint64_t) { return std::size_t{0}; });
-      most = std::max(most, windows.tracked_forwarders());
+      max_tracked = std::max(max_tracked, windows.tracked_forwarders());
     }
-    say(fmt::format("{}: ten thousand lives, a few known at a time", cold ? "cold" : "warm"), most < 20);
+    say(fmt::format("{}: ten thousand lives, a few known at a time", cold ? "cold" : "warm"),
+        max_tracked < 20);
   }
 }
 
@@ -211,11 +218,11 @@
     Loop loop;
     Journal journal;
     journal.lives.emplace_back().began = now();
-    Planner::Options how;
-    how.manner = manner;
-    how.takes = 0.1;
-    how.cold = budget;
-    Planner planner(loop, journal, how);
+    Planner::Options planner_options;
+    planner_options.manner = manner;
+    planner_options.takes = 0.1;
+    planner_options.cold = budget;
+    Planner planner(loop, journal, planner_options);
     Callers::Options load;
     Flow pull{"pull", 400, 1};
     load.flows = {pull};
@@ -236,19 +243,20 @@
     loop.run_for(1);
     const std::uint64_t before = planner.taken();
     loop.run_for(4);
-    const double a_second = static_cast<double>(planner.taken() - before) / 4;
+    const double attempts_per_second = static_cast<double>(planner.taken() - before) / 4;
     say("twenty processes are linked", linked);
     say(fmt::format("{}: open at once within {} and chance",
                     manner == PlannerManner::kRejections ? "all nacked" : "all served", budget),
-        static_cast<double>(planner.most_open()) <= budget + chance_over(budget));
+        static_cast<double>(planner.most_open()) <= budget + random_tolerance(budget));
     // A rejected attempt keeps its room for a quarter of a second: four times the budget a second, and
     // chance.
     if (manner == PlannerManner::kRejections)
-      say("sent within four budgets a second and chance", a_second <= 4 * budget + chance_over(4 * budget));
+      say("sent within four budgets a second and chance",
+          attempts_per_second <= 4 * budget + random_tolerance(4 * budget));
     say("every one of them has sent some", planner.fewest_sent() >= 1);
-    say("the budget is used", a_second > budget);
-    std::fprintf(stderr, "most open %zu, %.1f a second, fewest sent %llu\n", planner.most_open(), a_second,
-                 static_cast<unsigned long long>(planner.fewest_sent()));
+    say("the budget is used", attempts_per_second > budget);
+    std::fprintf(stderr, "most open %zu, %.1f a second, fewest sent %llu\n", planner.most_open(),
+                 attempts_per_second, static_cast<unsigned long long>(planner.fewest_sent()));
   }
 }
 
@@ -286,7 +294,7 @@
       const double age = now() - began;
       const double budget =
           damsonspoke::tier::slow_start_budget(spec.cores, initial_speed, warm_up_seconds, age + 0.5);
-      if (age < warm_up_seconds - 0.5) over = std::max(over, sum - budget - chance_over(budget));
+      if (age < warm_up_seconds - 0.5) over = std::max(over, sum - budget - random_tolerance(budget));
     }
   };
   const std::uint16_t port = server.port();
@@ -321,5 +329,5 @@
 int main(int argc, char** argv) {
   return run_scenario(
       argc, argv, binary,
-      {{"histories", histories}, {"lives", lives}, {"processes", processes}, {"planner", planner}});
+      {{"histories", histories}, {"reconnects", reconnects}, {"processes", processes}, {"planner", planner}});
 }
