--- a/src/fleet/health_check_budget.cpp
+++ b/src/fleet/health_check_budget.cpp
@@ -47,7 +47,7 @@
 
 double HealthCheckBudget::checks_per_second(const std::string& dependency, double now) {
   const CheckerState& state = state_of(dependency, now);
-  // An instance that has just started does not know the size of the fleet yet.
+  // An instance that has just started does not yet know the size of the fleet.
   const bool knows_fleet = started_at_ >= 0 && now - started_at_ >= options_.takeover_seconds;
   const bool has_taken_over = state.is_checker && now - state.checker_since >= options_.takeover_seconds;
   if (!knows_fleet || !has_taken_over) return 0;
@@ -59,7 +59,8 @@
 bool HealthCheckBudget::try_check(const std::string& dependency, double now) {
   const double rate = checks_per_second(dependency, now);
   CheckerState& state = states_[dependency];
-  // Each instance starts with a credit of its own: with small rates all would else send at the same moment.
+  // Each instance starts with a different credit: otherwise all instances with a small rate would send at the
+  // same time.
   const auto rank =
       static_cast<double>(std::distance(last_usable_at_.begin(), last_usable_at_.lower_bound(self_)));
   const double phase = last_usable_at_.empty() ? 0 : rank / static_cast<double>(last_usable_at_.size());
--- a/src/fleet/health_check_budget.h
+++ b/src/fleet/health_check_budget.h
@@ -1,12 +1,13 @@
-// Which instances send health checks to an unhealthy dependency, and how often: all instances together send a
-// configured number a second, however many they are and whatever each believes of the others. Pure policy:
-// the membership goes in, this instance's rate comes out; no clock is shared and nothing is agreed.
+// Decides which instances send health checks to an unhealthy dependency, and how often: all instances
+// together send a configured number per second, independent of their number and of differences between their
+// views of the membership. Pure policy: the input is the membership, the output this instance's rate; it
+// needs no shared clock and no agreement between instances.
 //
 // The checkers of a dependency are the few usable instances that rank first by rendezvous hashing (Thaler and
-// Ravishankar 1998). When one of them dies, pauses or is cut off, the next in rank takes its place, after a
-// wait: the news of it may not have reached all yet. Each instance uses only the share of the rate that its
-// side's share of the known fleet allows, so that the sides of a split, or members that all believe that they
-// are alone, together stay within the rate.
+// Ravishankar 1998). When one of them dies, pauses or is disconnected, the next in rank takes its place after
+// a delay, because other instances may not yet know of the change. Each instance scales its rate by the
+// usable share of the fleet that it knows, so that the sides of a network split, or instances that each see
+// no others, together stay within the rate.
 #pragma once
 
 #include <cstddef>
@@ -17,34 +18,34 @@
 namespace damsonspoke::fleet {
 
 struct HealthCheckBudgetOptions {
-  double checks_per_second = 4;    // of all instances together
-  int checkers = 4;                // that share them
-  double takeover_seconds = 3;     // that a new checker waits; longer than gossip takes to reach all
-  double retention_seconds = 600;  // that an instance no longer usable counts as part of the fleet
+  double checks_per_second = 4;    // by all instances together
+  int checkers = 4;                // that share the checks
+  double takeover_seconds = 3;     // how long a new checker waits; exceeds the propagation time of gossip
+  double retention_seconds = 600;  // how long an unusable instance still counts as part of the fleet
 };
 
 class HealthCheckBudget {
  public:
   HealthCheckBudget(HealthCheckBudgetOptions options, std::string self);
 
-  // Sets the usable instances beside this one. To be called at each change of the membership, and now and
-  // then. `now`: seconds, monotonic, in all methods.
+  // Sets the other usable instances. Must be called at each change of the membership, and also periodically.
+  // `now`: seconds, monotonic, in all methods.
   void set_usable(const std::vector<std::string>& usable, double now);
-  // Checks a second of the given dependency that this instance may send now.
+  // Health checks per second that this instance may currently send to the dependency.
   [[nodiscard]] double checks_per_second(const std::string& dependency, double now);
-  // Whether a check may be sent now; it is charged then. At most one is saved up.
+  // Returns whether a check may be sent now, and charges it. At most one unused check accumulates.
   [[nodiscard]] bool try_check(const std::string& dependency, double now);
 
-  // Instances known lately, this one among them.
+  // Number of recently known instances, including this one.
   [[nodiscard]] std::size_t fleet_size() const { return last_usable_at_.size(); }
-  // The instances that check the dependency, by rank.
+  // The instances that check the dependency, in order of rank.
   [[nodiscard]] std::vector<std::string> checkers(const std::string& dependency) const;
 
  private:
   struct CheckerState {
-    bool is_current = false;  // computed for the present membership
+    bool is_current = false;  // computed for the current membership
     std::size_t checkers = 1;
-    bool is_checker = false;  // this instance is one of them
+    bool is_checker = false;  // this instance is one of the checkers
     double checker_since = 0;
     double credit = 0;  // checks
     double credited_at = 0;
@@ -53,10 +54,10 @@
 
   const HealthCheckBudgetOptions options_;
   const std::string self_;
-  std::vector<std::string> usable_;  // this instance among them
+  std::vector<std::string> usable_;  // including this instance
   std::map<std::string, double> last_usable_at_;
   std::map<std::string, CheckerState> states_;  // by dependency
-  double started_at_ = -1;                      // negative: not yet
+  double started_at_ = -1;                      // negative: not started
 };
 
 }  // namespace damsonspoke::fleet
--- a/src/fleet/retry_budget.cpp
+++ b/src/fleet/retry_budget.cpp
@@ -17,7 +17,7 @@
     rate += grant.retries_per_second * usable_share;
   }
   std::erase_if(borrowed_, has_expired);
-  // At most one second of the rate is saved up, or a single retry: the budget must not feed a retry storm.
+  // At most one second of the rate accumulates, or a single retry: the budget must not allow a retry storm.
   credit_ = std::min(credit_ + std::max(0.0, rate) * elapsed, std::max(1.0, rate));
   const double decay = std::exp(-elapsed / options_.rate_averaging_seconds);
   first_attempts_per_second_ *= decay;
--- a/src/members/broken_links.h
+++ b/src/members/broken_links.h
@@ -1,5 +1,5 @@
-// The broken links that other members report, each with its direction and age. A report replaces the former
-// one of the same member and expires. Pure; times are seconds, monotonic.
+// The broken links that other members report, each with its direction and age. A report replaces the previous
+// one of the same member and expires after a retention time. Pure; times are seconds, monotonic.
 #pragma once
 
 #include <map>
--- a/src/members/gossip_rate_limiter.h
+++ b/src/members/gossip_rate_limiter.h
@@ -1,5 +1,5 @@
 // A token bucket for the bytes of gossip about other members that one member sends. Without it these bytes
-// would grow with the number of members that change at once. Pure; times are seconds, monotonic.
+// would grow with the number of members that change at the same time. Pure; times are seconds, monotonic.
 #pragma once
 
 #include <algorithm>
@@ -12,15 +12,15 @@
   GossipRateLimiter(double bytes_per_second, double burst_bytes)
       : bytes_per_second_(bytes_per_second), burst_bytes_(burst_bytes), available_bytes_(burst_bytes) {}
 
-  // Whether a datagram may carry gossip now. A datagram may go beyond the budget; the next one waits for it.
-  // `now` must not decrease between calls.
+  // Whether a datagram may carry gossip now. A datagram may exceed the budget; the following ones then wait
+  // until it is refilled. `now` must not decrease between calls.
   [[nodiscard]] bool has_budget(double now) {
     available_bytes_ = std::min(burst_bytes_, available_bytes_ + (now - refilled_at_) * bytes_per_second_);
     refilled_at_ = now;
     return available_bytes_ > 0;
   }
-  // The debt is bounded by one burst: urgent updates, which don't wait for the budget, would else hold back
-  // all others for as long as they last.
+  // The debt is bounded by one burst: otherwise urgent updates, which do not wait for the budget, would block
+  // all others for as long as they continue.
   void charge(std::size_t bytes) {
     available_bytes_ = std::max(available_bytes_ - static_cast<double>(bytes), -burst_bytes_);
   }
--- a/src/members/link_health.h
+++ b/src/members/link_health.h
@@ -1,5 +1,5 @@
-// What this member's own probes show about its link to one other member, by direction. A direction is broken
-// after several failures in a row; fewer may be lost datagrams.
+// The health of this member's link to one other member, by direction, according to its own probes. A
+// direction is broken after several consecutive failures; fewer failures may be lost datagrams.
 #pragma once
 
 namespace damsonspoke::members {
@@ -18,14 +18,14 @@
   [[nodiscard]] bool is_uncertain() const {
     return !is_broken() && (inbound_.failures > 0 || outbound_.failures > 0);
   }
-  // When the current row of failures began.
+  // When the current sequence of failures began.
   [[nodiscard]] double inbound_broken_since() const { return inbound_.broken_since; }
   [[nodiscard]] double outbound_broken_since() const { return outbound_.broken_since; }
 
  private:
   static constexpr int kFailuresToBreak = 3;
   struct Direction {
-    int failures = 0;  // in a row
+    int failures = 0;  // consecutive
     double broken_since = 0;
     void record(bool works, double now) {
       if (!works && failures == 0) broken_since = now;
--- a/src/members/member_table.h
+++ b/src/members/member_table.h
@@ -1,6 +1,6 @@
-// The members that this one knows, with the number and a digest of those that are active: alive or suspected.
-// Members are addressed by an index that stays valid until they are removed. Pure; times are seconds,
-// monotonic.
+// The members known to this member, with the number and a digest of the active ones, which are alive or
+// suspected. Members are addressed by an index that stays valid until they are removed. Pure; times are
+// seconds, monotonic.
 #pragma once
 
 #include <cstddef>
@@ -17,32 +17,34 @@
 
 using MemberIndex = int;
 
-// What is known about one member: what it and others tell, and what this member found itself.
+// The state of one member: what it and others report, and what this member observed.
 struct Member {
   static constexpr double kNever = -1e9;
 
   Record record;
-  double since = 0;              // when its condition changed, as seen here
-  double load_report_at = 0;     // when its load report was made, by the local clock
-  double last_datagram_at = -1;  // when its last datagram arrived here
+  double since = 0;              // when this member learned of its current condition
+  double load_report_at = 0;     // when its load report was made, on the local clock
+  double last_datagram_at = -1;  // when this member last received a datagram from it
 
-  // While it is suspected.
+  // Valid while it is suspected.
   double suspicion_deadline = -1;
   bool is_accused_here = false;  // this member is one of its accusers
   bool final_probe_queued = false;
-  double last_evidence_at = kNever;        // when this member learned that anybody heard from it
-  std::uint32_t last_evidence_number = 0;  // the number of that datagram
+  // When this member last learned that any member had received a new datagram from it, and that datagram's
+  // number.
+  double last_evidence_at = kNever;
+  std::uint32_t last_evidence_number = 0;
 
   // Probes.
   LinkHealth link;
   double last_ping_at = -1;        // when its last direct ping arrived
   std::uint32_t last_ping_id = 0;  // the probe id of that ping
-  std::string last_helper;         // the member that last reached it for this one
+  std::string last_helper;         // the member whose indirect probe last reached it
 
   // Flap damping.
-  double flap_count = 0;  // returns, decaying
+  double flap_count = 0;  // decaying count of returns
   double flap_counted_at = 0;
-  double stable_at = 0;  // until then it counts as flapping
+  double stable_at = 0;  // end of the time in which it counts as flapping
 
   [[nodiscard]] bool exists() const { return !record.name.empty(); }
   [[nodiscard]] bool is_alive() const { return exists() && record.condition == Condition::kAlive; }
@@ -54,11 +56,11 @@
  public:
   static constexpr std::size_t kMaxMembers = 4096;
 
-  // None when the table is full. The name must be new.
+  // Returns none if the table is full. The name must not be in the table.
   [[nodiscard]] std::optional<MemberIndex> add(const Record& record, double now);
   void remove(MemberIndex index);
   [[nodiscard]] std::optional<MemberIndex> find(const std::string& name) const;
-  // To be called after each change of a member's condition or epoch.
+  // Must be called after each change of a member's condition or epoch.
   void update_activity(MemberIndex index);
 
   [[nodiscard]] Member& operator[](MemberIndex index) {
@@ -70,14 +72,14 @@
   // The indices in use, in ascending order.
   [[nodiscard]] std::vector<MemberIndex> indices() const;
   [[nodiscard]] std::size_t active_count() const { return active_count_; }
-  // Equal on two members that know the same active members in the same epochs.
+  // Equal at two members that know the same active members with the same epochs.
   [[nodiscard]] std::uint64_t digest() const { return digest_; }
-  // The part of one member in a digest; parts are combined by exclusive or.
+  // The digest of one member; the digests of members are combined by exclusive or.
   [[nodiscard]] static std::uint64_t digest_of(const std::string& name, std::uint64_t epoch);
 
  private:
   struct Slot {
-    Member member;  // one that does not exist marks a free slot
+    Member member;  // a member without a name marks a free slot
     bool is_counted = false;
     std::uint64_t digest = 0;
   };
--- a/src/members/membership_sink.h
+++ b/src/members/membership_sink.h
@@ -1,5 +1,4 @@
-// What a membership view does and reports: the interface of its owner, with typed states, reasons and
-// notices.
+// The output interface of a membership view: messages to send, state changes and notices.
 #pragma once
 
 #include <string>
@@ -8,16 +7,16 @@
 
 namespace damsonspoke::members {
 
-// What this member makes of another one.
+// The state of another member as this member sees it.
 enum class MemberState {
   kAlive,
-  kFlapping,     // alive, but it has left and returned too often lately
-  kUnreachable,  // alive by the word of others; or silent together with over half of the fleet
+  kFlapping,     // alive, but it has left and returned too often recently
+  kUnreachable,  // reported alive by others; or silent together with over half of the fleet
   kSuspected,
   kDead,
   kLeft
 };
-// The word that operators see.
+// The text that operators see.
 [[nodiscard]] const char* text_of(MemberState state);
 
 enum class StateChangeReason {
@@ -31,13 +30,13 @@
 };
 [[nodiscard]] const char* text_of(StateChangeReason reason);
 
-// Something that this member noticed about itself or its part of the fleet.
+// An event that concerns this member itself or its part of the fleet.
 struct Notice {
   enum class Kind {
-    kRefuted,           // a suspicion of this member
-    kYielded,           // to an older process under the same name, at `address`
-    kIdentityConflict,  // a younger process under the same name came up, at `address`
-    kEpochRaised,       // beyond that of a former process
+    kRefuted,           // this member refuted a suspicion of itself
+    kYielded,           // this process yields to an older one with the same name, at `address`
+    kIdentityConflict,  // a younger process with the same name has started, at `address`
+    kEpochRaised,       // this process raised its epoch above that of a former process
     kMassSilence,       // over half of the fleet is silent at once
     kPaused             // this process did not run for `pause_seconds`
   };
--- a/src/members/membership_view.cpp
+++ b/src/members/membership_view.cpp
@@ -10,10 +10,10 @@
 
 constexpr double kTimerShare = 0.15;                // of the probe interval, between two timers
 constexpr double kGossipSeconds = 0.1;              // between two rounds of gossip
-constexpr double kBrokenLinkRetentionSeconds = 30;  // that a report of broken links counts
-constexpr double kPauseRetentionSeconds = 300;      // that a pause is reported
+constexpr double kBrokenLinkRetentionSeconds = 30;  // how long a report of broken links is valid
+constexpr double kPauseRetentionSeconds = 300;      // how long a pause is reported
 constexpr double kReportedPauseSeconds = 0.5;       // shorter pauses are not reported
-constexpr double kCatchUpSeconds = 0.3;             // after a pause, in which nobody is accused
+constexpr double kCatchUpSeconds = 0.3;             // after a pause, in which no member is accused
 
 std::uint32_t milliseconds(double seconds) {
   return static_cast<std::uint32_t>(std::max(0.0, seconds) * 1000);
@@ -68,7 +68,7 @@
   return was_paused;
 }
 
-// The older process under this name may have ended meanwhile.
+// Joins again with a new epoch: the older process with this name may have ended in the meantime.
 void MembershipView::rejoin() {
   has_yielded_ = false;
   ++self_.epoch;
@@ -80,7 +80,7 @@
   ++counts_.pauses;
   probe_.reset();
   indirect_probes_.clear();
-  // Refutations could not arrive meanwhile.
+  // Refutations could not arrive during the pause.
   for (const MemberIndex index : suspected_)
     table_[index].suspicion_deadline += pause_seconds + kCatchUpSeconds;
   probe_period_ends_at_ = now + kCatchUpSeconds;
@@ -136,7 +136,7 @@
   return record;
 }
 
-// ---- What the view shows.
+// ---- Queries.
 
 MemberState MembershipView::state_of(const Member& member, double now) const {
   switch (member.record.condition) {
--- a/src/members/membership_view.h
+++ b/src/members/membership_view.h
@@ -1,11 +1,12 @@
 // The membership protocol of one member: SWIM's probes, suspicion and gossip with Lifeguard's extensions, as
-// pure policy. Time is handed in, messages come and go as values, push-pulls are requested; there is no
-// socket, thread or clock.
+// pure policy. The current time and received messages are passed in; messages and push-pulls are requested
+// through a sink; there is no socket, thread or clock.
 //
-// After "SWIM" (Das, Gupta, Motivala 2002) and "Lifeguard" (Dadgar, Phillips, Currey 2017). Beyond them: a
-// member that notices its own pause accuses nobody and refutes before it is accused; a broken link is told
-// apart from a death, with its direction; while over half of the fleet is silent at once nobody is declared
-// dead; of two processes under one name the younger yields. Design note: docs/notes/members.md.
+// After "SWIM" (Das, Gupta, Motivala 2002) and "Lifeguard" (Dadgar, Phillips, Currey 2017). Further
+// extensions: a member that notices its own pause accuses no other member and refutes before it is accused; a
+// broken link is distinguished from a death, by direction; while over half of the fleet is silent at the same
+// time no deaths are declared at first; of two processes with the same name the younger one yields. Design
+// note: docs/notes/members.md.
 //
 // All times are seconds of one monotonic clock and must not decrease.
 #pragma once
@@ -30,7 +31,7 @@
 
 namespace damsonspoke::members {
 
-// One member as this one sees it.
+// The status of another member as this member sees it.
 struct MemberStatus {
   std::string name;
   std::string address;
@@ -38,49 +39,49 @@
   std::uint32_t incarnation = 0;
   MemberState state = MemberState::kAlive;
   double since = 0;                       // when its condition changed
-  std::optional<LoadReport> load_report;  // none when it has expired
+  std::optional<LoadReport> load_report;  // none if it has expired
   double load_report_age = 0;
-  double longest_pause = 0;             // of its process, lately
-  std::uint64_t conflicting_epoch = 0;  // of a second process under its name; 0: none
+  double longest_pause = 0;             // longest recent pause of its process, s
+  std::uint64_t conflicting_epoch = 0;  // of a second process with its name; 0: none
   std::vector<std::string> accusers;
 };
 
 // The identity of this member.
 struct Self {
   std::string name;
-  std::string address;  // as others reach it
+  std::string address;  // at which other members reach it
   std::uint64_t epoch = 0;
 };
 
 class MembershipView {
  public:
-  // `seeds`: addresses of members to join by. `sink` must outlive the view.
+  // `seeds`: addresses of members used to join the cluster. `sink` must outlive the view.
   MembershipView(MembershipOptions options, Self self, std::vector<std::string> seeds,
                  std::uint64_t random_seed, MembershipSink& sink);
 
   void start(double now);
-  // `is_stale`: the message waited unread while this process was paused; only suspicions of this member
-  // count.
+  // `is_stale`: the message was queued while this process was paused; only suspicions of this member are
+  // processed.
   void on_message(const std::string& from_address, const Message& message, double now, bool is_stale = false);
-  // A push-pull brought the records of the other side.
+  // A push-pull received the records of the other member.
   void on_push_pull(const std::vector<Record>& records, double now);
-  // A push-pull that this member started was refused, broken or not complete in time.
+  // A push-pull that this member started was rejected, broke or timed out.
   void on_push_pull_failed(double now);
-  // To be called at next_timer_at(). A call that comes far too late shows that this process was paused: then
-  // it returns true, and what waits unread must be handed over as stale.
+  // Must be called at next_timer_at(). A call that is much too late shows that this process was paused: it
+  // then returns true, and the messages in the receive buffer must be passed in as stale.
   bool on_timer(double now);
   [[nodiscard]] double next_timer_at() const { return next_timer_at_; }
-  // Of this member; its version is set here.
+  // Sets this member's load report; the view assigns its version.
   void set_load_report(LoadReport load_report);
   void leave(double now);
 
-  // All members but this one, by name.
+  // All members except this one, sorted by name.
   [[nodiscard]] std::vector<MemberStatus> members(double now) const;
   [[nodiscard]] std::vector<ObservedLink> broken_links(double now) const;
   [[nodiscard]] Record self_record(double now) const;
-  // What this member sends in a push-pull.
+  // The records that this member sends in a push-pull.
   [[nodiscard]] std::vector<Record> full_state(double now) const;
-  // Whether this process is silent because an older one uses its name.
+  // Whether this process stays silent because an older process uses its name.
   [[nodiscard]] bool has_yielded() const { return has_yielded_; }
   [[nodiscard]] int local_health_score() const { return local_health_.score(); }
   // Members alive or suspected, without this one.
@@ -108,12 +109,12 @@
     std::uint32_t id = 0;
     double sent_at = 0;
     bool is_acked = false;          // the target answered the direct ping
-    bool indirect_started = false;  // helpers were asked
+    bool indirect_started = false;  // ping requests were sent to helpers
     bool is_reached_indirectly = false;
     bool inbound_works = false;  // the target itself sent an ack to an indirect ping
     bool direct_ping_received = false;
     int helpers = 0;
-    std::vector<std::string> negative_acks;  // helpers that got no answer either
+    std::vector<std::string> negative_acks;  // helpers that also got no answer
   };
   // A probe on behalf of another member.
   struct IndirectProbe {
@@ -219,10 +220,10 @@
   bool has_yielded_ = false;
   double rejoin_at_ = 0;
 
-  // The others.
+  // Other members.
   MemberTable table_;
   std::set<MemberIndex> suspected_;
-  std::set<MemberIndex> unreachable_;  // by this member's own probes
+  std::set<MemberIndex> unreachable_;  // according to this member's own probes
   BrokenLinks reported_links_;
   double newest_suspicion_at_ = Member::kNever;
   double mass_silence_since_ = -1;  // negative: none
@@ -236,7 +237,7 @@
   std::uint32_t next_probe_id_ = 1;
   std::uint32_t next_datagram_number_ = 1;
 
-  // What is due when.
+  // Deadlines.
   double next_timer_at_ = 0;
   double probe_period_ends_at_ = 0;
   double unreachable_probe_at_ = 0;
@@ -246,7 +247,7 @@
   double seed_contact_at_ = 0;
   double seed_backoff_ = 0;  // 0: no attempt has failed yet
   double dead_contact_at_ = 0;
-  double digest_differs_since_ = -1;  // negative: it does not
+  double digest_differs_since_ = -1;  // negative: it does not differ
   double digest_sync_at_ = 0;
 
   Counts counts_;
--- a/src/members/membership_view_messages.cpp
+++ b/src/members/membership_view_messages.cpp
@@ -1,4 +1,4 @@
-// MembershipView: datagrams in, and the probes that others request.
+// MembershipView: received datagrams, and probes on behalf of other members.
 #include <algorithm>
 #include <utility>
 
@@ -8,17 +8,17 @@
 namespace damsonspoke::members {
 namespace {
 
-constexpr std::size_t kMaxIndirectProbes = 64;    // at once
-constexpr double kIndirectProbeTimeShare = 0.75;  // of what the requester's probe period has left
-constexpr double kResendShare = 0.4;              // of that time, until the ping is sent again
+constexpr std::size_t kMaxIndirectProbes = 64;    // in progress at the same time
+constexpr double kIndirectProbeTimeShare = 0.75;  // of the rest of the requester's probe period
+constexpr double kResendShare = 0.4;              // of that time, after which the ping is sent again
 
 }  // namespace
 
 void MembershipView::on_message(const std::string& from_address, const Message& message, double now,
                                 bool is_stale) {
-  if (message.sender == self_.name) return;  // a second process or a forgery: records sort them out
+  if (message.sender == self_.name) return;  // a second process or a forgery: handled through its records
   if (!is_stale && now - next_timer_at_ > kPauseThresholdSeconds) {
-    // The timer has not come yet: the message waited during the pause, too.
+    // The timer has not been called since the pause: the message was also queued during it.
     on_timer(now);
     is_stale = true;
   }
@@ -33,8 +33,8 @@
   apply_records(from_address, message.records, now);
   const std::optional<MemberIndex> from = table_.find(message.sender);
   if (!from) return;
-  if (table_[*from].record.epoch != message.sender_epoch)  // a former process, or one in conflict
-    return send_record(from_address, *from, now);
+  // The sender is a former process, or a second one with the same name.
+  if (table_[*from].record.epoch != message.sender_epoch) return send_record(from_address, *from, now);
   table_[*from].last_datagram_at = now;
   compare_digest(from_address, message.membership_digest, now);
   record_evidence(*from, message.datagram_number, now);
@@ -47,7 +47,8 @@
   }
 }
 
-// A sender of outdated suspicions and deaths gets the current records: it may have missed the refutations.
+// Sends the current records to a sender of outdated suspicions and deaths: it may have missed the
+// refutations.
 void MembershipView::apply_records(const std::string& from_address, const std::vector<Record>& records,
                                    double now) {
   Message corrections;
@@ -61,7 +62,8 @@
   if (!corrections.records.empty()) send_to(from_address, std::move(corrections), now, std::nullopt);
 }
 
-// Corrections that tell a death count toward the rate limit: after a great loss they would be a flood.
+// Corrections that report a death count toward the rate limit: otherwise the loss of many members would cause
+// a flood of them.
 bool MembershipView::may_send_correction(MemberIndex about, double now) {
   const Record& record = table_[about].record;
   if (record.condition != Condition::kDead) return true;
@@ -72,7 +74,7 @@
 
 void MembershipView::handle_ping(const std::string& from_address, MemberIndex from, const Message& message,
                                  double now) {
-  if (message.target != self_.name) return;  // another member had this address before
+  if (message.target != self_.name) return;  // another member used this address before
   Message ack;
   ack.kind = MessageKind::kAck;
   ack.probe_id = message.probe_id;
@@ -85,7 +87,7 @@
     const Member& requester = table_[*index];
     ack.direct_ping_received =
         requester.last_ping_at >= 0 && requester.last_ping_id == message.direct_probe_id;
-    // A second ack goes to the requester itself: whether it arrives tells which direction is broken.
+    // A second ack goes to the requester itself: whether it arrives shows which direction is broken.
     Message direct_ack = ack;
     direct_ack.probe_id = message.direct_probe_id;
     send(*index, direct_ack, now);
@@ -112,7 +114,7 @@
   probe_->direct_ping_received |= message.direct_ping_received;
 }
 
-// Returns whether the ack answered a probe on behalf of another member.
+// Forwards the ack if it answers a probe on behalf of another member. Returns whether it did.
 bool MembershipView::forward_indirect_ack(MemberIndex from, const Message& message, double now) {
   const auto found = std::find_if(
       indirect_probes_.begin(), indirect_probes_.end(),
--- a/src/members/membership_view_probes.cpp
+++ b/src/members/membership_view_probes.cpp
@@ -1,4 +1,4 @@
-// MembershipView: this member's probes and what follows from their outcome.
+// MembershipView: this member's probes and their outcomes.
 #include <algorithm>
 #include <utility>
 
@@ -8,7 +8,7 @@
 namespace damsonspoke::members {
 namespace {
 
-constexpr double kUnreachableProbeSeconds = 1;  // between probes out of turn of members behind broken links
+constexpr double kUnreachableProbeSeconds = 1;  // between additional probes of members with broken links
 
 }  // namespace
 
@@ -59,8 +59,8 @@
   for (const MemberIndex helper : helpers) send(helper, request, now);
 }
 
-// The member that last reached the target comes first, then random ones: more of them while the link looks
-// broken, since a false suspicion is then more likely.
+// The member that last reached the target is chosen first, then random members: twice as many while the link
+// looks broken, because a false suspicion is then more likely.
 std::vector<MemberIndex> MembershipView::choose_helpers(const Member& target) {
   const bool looks_broken = target.link.is_broken() || target.link.is_uncertain();
   const auto wanted =
@@ -94,7 +94,7 @@
   }
   ++counts_.failed_probes;
   if (probe.is_reached_indirectly) return finish_indirectly_reached(probe, now);
-  // Helpers that send not even a negative ack point to a fault of this member (Lifeguard, section 3.A).
+  // Helpers that do not even send a negative ack indicate a fault of this member (Lifeguard, section 3.A).
   if (probe.helpers > 0) local_health_.degrade(probe.helpers - static_cast<int>(probe.negative_acks.size()));
   std::vector<std::string> accusers{self_.name};
   accusers.insert(accusers.end(), probe.negative_acks.begin(), probe.negative_acks.end());
--- a/src/members/membership_view_records.cpp
+++ b/src/members/membership_view_records.cpp
@@ -1,4 +1,4 @@
-// MembershipView: what records change, and refutation.
+// MembershipView: applying records, and refutation.
 #include <algorithm>
 #include <cmath>
 #include <utility>
@@ -9,13 +9,14 @@
 namespace damsonspoke::members {
 namespace {
 
-constexpr double kRejoinSeconds = 30;        // until a process that yielded tries again
+constexpr double kRejoinSeconds = 30;        // until a process that yielded joins again
 constexpr double kFlapHalfLifeSeconds = 60;  // of the count of returns
-constexpr double kFlapThreshold = 3;         // returns; more make a member flapping
-constexpr double kDampingSeconds = 5;        // that it has to stay then, doubled with each further return
+constexpr double kFlapThreshold = 3;         // returns; a member with more of them is flapping
+constexpr double kDampingSeconds = 5;        // how long it then has to stay, doubled with each further return
 constexpr double kMaxDampingSeconds = 60;
 
-// Flap damping: a member that comes and goes counts as alive only after it has stayed for a while.
+// Flap damping: a member that leaves and returns repeatedly counts as alive only after it has stayed for some
+// time.
 void record_return(Member& member, double now) {
   const double half_lives = (now - member.flap_counted_at) / kFlapHalfLifeSeconds;
   member.flap_count = member.flap_count * std::exp2(-half_lives) + 1;
@@ -25,7 +26,7 @@
   member.stable_at = now + std::min(kMaxDampingSeconds, kDampingSeconds * std::exp2(doublings));
 }
 
-// A new process under the name: what the former one told and what was found about it no longer holds.
+// Resets what was reported and observed about the former process: a new process uses its name.
 void forget_former_process(Member& member) {
   member.load_report_at = Member::kNever;
   member.record.load_report = {};
@@ -48,7 +49,7 @@
   member.load_report_at = made_at;
 }
 
-// Returns whether the record was news.
+// Returns whether the record contained an update.
 bool MembershipView::apply_record(const Record& record, double now) {
   if (record.name == self_.name) {
     apply_record_about_self(record, now);
@@ -67,7 +68,7 @@
   return is_equal && merge_equal_record(*index, record, now);
 }
 
-// Returns whether there was room for it.
+// Returns whether there was capacity for it.
 bool MembershipView::add_member(const Record& record, double now) {
   Record without_report = record;
   without_report.load_report = {};
@@ -104,8 +105,9 @@
   queue_gossip(index, is_refuted);
 }
 
-// A record of the same epoch and incarnation that replaces nothing may still add accusers, which shorten a
-// suspicion, evidence of life or broken links. Returns whether there were new accusers.
+// A record of the same epoch and incarnation that does not replace the known one may still add accusers,
+// which shorten a suspicion, evidence that the member is alive, or broken links. Returns whether there were
+// new accusers.
 bool MembershipView::merge_equal_record(MemberIndex index, const Record& record, double now) {
   Member& member = table_[index];
   if (record.condition == Condition::kSuspected && member.is_suspected()) {
@@ -151,7 +153,8 @@
     sink_.on_state_changed(member.record.name, state_of(member, now), reason);
 }
 
-// The record is about this process, about a former one of this name, or about a second one that runs.
+// The record describes this process, a former process with this name, or a second process with this name that
+// is running.
 void MembershipView::apply_record_about_self(const Record& record, double now) {
   if (has_yielded_) return;
   if (record.epoch == self_.epoch) return apply_suspicion_of_self(record, now);
@@ -164,7 +167,7 @@
   const bool is_former_process = record.newest_epoch() < self_.epoch;
   if (is_former_process || record.newest_epoch() >= kMaxEpoch) return;
   if (record.condition >= Condition::kDead || record.address == self_.address) {
-    // A former process had a higher epoch, since a clock was set back.
+    // A former process had a higher epoch, because a clock was set back.
     self_.epoch = record.newest_epoch() + 1;
     conflicting_epoch_ = 0;
     incarnation_ = 0;
@@ -187,9 +190,9 @@
   refute(record.accusers, now, kRefuteFanout);
 }
 
-// Accusers get the refutation first: they declare the death first.
+// The refutation is sent to the accusers first, because they are the first to declare the death.
 void MembershipView::refute(const std::vector<std::string>& accusers, double now, std::size_t others) {
-  // A suspicion may name the last incarnation, beyond which no record is accepted.
+  // A suspicion may name the last incarnation; records with a higher one are not accepted.
   if (++incarnation_ > kMaxIncarnation) {
     ++self_.epoch;
     incarnation_ = 0;
--- a/src/members/membership_view_send.cpp
+++ b/src/members/membership_view_send.cpp
@@ -1,5 +1,5 @@
-// MembershipView: datagrams out. Each begins with this member's own record; the record of the receiver
-// follows when it is suspected or dead, so that it can refute at once; gossip comes after them.
+// MembershipView: sent datagrams. Each begins with this member's own record; the record of the receiver
+// follows if it is suspected or dead, so that it can refute immediately; then comes gossip.
 #include <algorithm>
 #include <iterator>
 #include <utility>
@@ -11,9 +11,9 @@
 namespace damsonspoke::members {
 namespace {
 
-constexpr std::size_t kMaxUpdatesPerDatagram = 6;  // about others
+constexpr std::size_t kMaxUpdatesPerDatagram = 6;  // about other members
 constexpr std::size_t kGossipFanout = 3;
-constexpr std::size_t kDrawsPerMember = 3;        // of random_members, before it scans
+constexpr std::size_t kDrawsPerMember = 3;        // of random_members(), before it scans
 constexpr std::size_t kDatagramHeaderBytes = 75;  // of IP, UDP and the message
 
 bool is_probe(const Message& message) {
@@ -35,7 +35,7 @@
   if (is_probe(message)) message.membership_digest = membership_digest();
   if (message.records.empty() || message.records.front().name != self_.name) {
     Record self = self_record(now);
-    if (!is_probe(message)) self.load_report = {};  // probes carry it often enough
+    if (!is_probe(message)) self.load_report = {};  // probes transmit it often enough
     message.records.insert(message.records.begin(), std::move(self));
   }
   if (to && table_[*to].record.condition != Condition::kAlive) message.records.push_back(record_of(*to, now));
@@ -55,8 +55,8 @@
   for (const MemberIndex to : random_members(count)) send(to, message, now);
 }
 
-// Urgent updates ignore the rate limit: members that many suspect at once would else be declared dead while
-// their refutations wait.
+// Urgent updates ignore the rate limit: otherwise, when many members are suspected at once, they would be
+// declared dead while their refutations wait.
 void MembershipView::add_gossip(Message& message, std::optional<MemberIndex> to, double now) {
   const auto filter =
       gossip_rate_limiter_.has_budget(now) ? GossipQueue::Filter::kAll : GossipQueue::Filter::kUrgentOnly;
@@ -67,8 +67,8 @@
   }
 }
 
-// A suspicion goes along with every datagram, for anybody who knows better to correct it: the refutation may
-// have missed this member.
+// Adds one suspicion to every datagram, so that a receiver with a newer record can correct it: this member
+// may have missed the refutation.
 void MembershipView::add_random_suspect(Message& message, std::optional<MemberIndex> to, double now) {
   if (suspected_.empty()) return;
   const MemberIndex suspect = random_of(suspected_);
@@ -121,7 +121,7 @@
     if (!member.is_alive() || !is_wanted(member)) return;
     if (std::find(chosen.begin(), chosen.end(), index) == chosen.end()) chosen.push_back(index);
   };
-  // A few draws are cheap in a large fleet; the scan from a random place completes them in a small one.
+  // In a large fleet a few draws are cheap; in a small one the scan from a random position completes them.
   const std::size_t start = random_.index(round.size());
   for (std::size_t i = 0; i < kDrawsPerMember * limit && chosen.size() < limit; ++i)
     try_add(round[random_.index(round.size())]);
--- a/src/members/membership_view_suspicion.cpp
+++ b/src/members/membership_view_suspicion.cpp
@@ -1,4 +1,4 @@
-// MembershipView: suspicions, what spares a suspected member, and deaths.
+// MembershipView: suspicions, evidence against them, and deaths.
 #include <algorithm>
 #include <utility>
 
@@ -12,13 +12,14 @@
 constexpr double kEvidenceGossipSeconds = 1;   // after which new evidence of life is gossiped again
 constexpr double kPauseAllowanceFactor = 1.5;  // of the longest reported pause, added to a suspicion
 constexpr double kMaxPauseAllowanceSeconds = 5;
-constexpr double kNonAccuserWaitSeconds = 1.5;  // that members without findings of their own wait longer
-constexpr double kFinalProbeSeconds = 0.9;      // before the deadline, a refutation may have been missed
-constexpr double kRecheckSeconds = 0.5;         // until a postponed death is judged again
-constexpr double kRecentDeathSeconds = 10;      // that a death counts as silence at the same time
-constexpr double kQuietSeconds = 2.5;           // without a new suspicion, then the extent of a loss is known
-constexpr double kMaxQuietWaitSeconds = 6;      // in which that is awaited
-constexpr std::size_t kSmallFleetMembers = 40;  // each of which is heard from within kQuietSeconds
+constexpr double kNonAccuserWaitSeconds = 1.5;  // additional wait of members that are not accusers
+constexpr double kFinalProbeSeconds = 0.9;      // before the deadline: a refutation may have been missed
+constexpr double kRecheckSeconds = 0.5;         // until a postponed death is checked again
+constexpr double kRecentDeathSeconds = 10;      // how long a death counts as simultaneous silence
+constexpr double kQuietSeconds = 2.5;  // without a new suspicion, after which the extent of a loss is known
+constexpr double kMaxQuietWaitSeconds = 6;  // upper bound of the wait for that
+// In a fleet up to this size, every member sends a datagram to this one within kQuietSeconds.
+constexpr std::size_t kSmallFleetMembers = 40;
 
 }  // namespace
 
@@ -38,8 +39,8 @@
   queue_gossip(index);
 }
 
-// Further accusers are gossiped only where they shorten the suspicion, so that the gossip about a loss does
-// not grow with the number of members that notice it.
+// Further accusers are gossiped only where they shorten the suspicion, so that the gossip about a lost member
+// does not grow with the number of members that detect the loss.
 void MembershipView::shorten_suspicion(MemberIndex index) {
   Member& member = table_[index];
   const double deadline = suspicion_deadline(member, member.since);
@@ -48,9 +49,9 @@
   queue_gossip(index);
 }
 
-// Somebody heard from a suspected member, so it lives, even if this member can't reach it. The evidence is
-// gossiped, and compared by the number of the datagram: by times, a report that travels late would keep a
-// dead member alive for ever.
+// Some member received a datagram from a suspected member, so that member is alive even if this one can't
+// reach it. The evidence is gossiped, and compared by datagram number: if it were compared by time, a delayed
+// report could keep a dead member alive forever.
 void MembershipView::record_evidence(MemberIndex index, std::uint32_t datagram_number, double now) {
   Member& member = table_[index];
   if (!member.is_suspected() || datagram_number <= member.last_evidence_number) return;
@@ -59,8 +60,8 @@
   member.last_evidence_number = datagram_number;
 }
 
-// Accusers declare the death first, the others wait a little for them. A member that is known to pause gets
-// more time.
+// Accusers declare the death first; other members wait longer. A member that is known to pause gets more
+// time.
 double MembershipView::suspicion_deadline(const Member& member, double from) const {
   const std::size_t accusers = member.record.accusers.size();
   double time = suspicion_timeout(options_, fleet_size(), accusers);
@@ -71,8 +72,9 @@
   return from + time;
 }
 
-// How much of the fleet is silent at once. In a small fleet, where every member is heard from within seconds,
-// those not heard from since the suspect fell silent count too: they may not have been probed yet.
+// How much of the fleet is silent at the same time. In a small fleet, where every member sends a datagram to
+// this one within seconds, members without a datagram since the suspicion began count too: they may not have
+// been probed yet.
 MembershipView::SilentShare MembershipView::silent_share(MemberIndex suspect, double now) const {
   std::size_t others = 0;
   std::size_t silent = 0;
@@ -109,7 +111,7 @@
   if (!is_mass_silence && suspected_.empty()) mass_silence_since_ = -1;
 }
 
-// Declares the death or moves the deadline. Returns whether over half of the fleet is silent.
+// Declares the death or postpones the deadline. Returns whether over half of the fleet is silent.
 bool MembershipView::check_expired_suspicion(MemberIndex index, double now) {
   Member& member = table_[index];
   if (!member.is_accused_here) {  // only an accuser may declare the death
@@ -132,7 +134,7 @@
     declare_dead(index, now);
     return false;
   }
-  // So many members are more likely cut off from this one than dead.
+  // So many silent members are more likely disconnected from this one than dead.
   if (mass_silence_since_ < 0) {
     mass_silence_since_ = now;
     ++counts_.mass_silences;
--- a/src/members/membership_view_sync.cpp
+++ b/src/members/membership_view_sync.cpp
@@ -1,5 +1,5 @@
-// MembershipView: push-pull anti-entropy. Members exchange all their records now and then, after differing
-// digests, with seeds, and with dead members, so that a long split heals.
+// MembershipView: push-pull anti-entropy. Members exchange all their records periodically, after a digest
+// mismatch, with seeds, and with dead members, so that a long network split heals.
 #include <algorithm>
 
 #include "members/membership_view.h"
@@ -10,9 +10,9 @@
 namespace {
 
 constexpr double kDigestMismatchSeconds = 5;  // gossip settles most differences sooner
-constexpr double kMinDigestSyncSeconds = 3;   // between two push-pulls after differing digests
+constexpr double kMinDigestSyncSeconds = 3;   // between two push-pulls after digest mismatches
 constexpr double kMinSeedBackoffSeconds = 0.25;
-constexpr std::size_t kMaxGossipedUpdates = 16;  // of one push-pull
+constexpr std::size_t kMaxGossipedUpdates = 16;  // from one push-pull
 
 }  // namespace
 
@@ -20,8 +20,9 @@
   return is_leaving_ ? table_.digest() : table_.digest() ^ MemberTable::digest_of(self_.name, self_.epoch);
 }
 
-// A member whose digest differs for a while has missed updates, or this one has. After a great loss all find
-// a difference at once: each one's push-pull comes at a random moment, and few are still needed by then.
+// A digest that differs for some time shows that this member or the other one has missed updates. After the
+// loss of many members all members detect a difference at the same time: each schedules its push-pull at a
+// random time, by which few are still needed.
 void MembershipView::compare_digest(const std::string& address, std::uint64_t their_digest, double now) {
   if (their_digest == 0) return;  // not given
   if (their_digest == membership_digest()) {
@@ -42,7 +43,8 @@
 void MembershipView::run_push_pull(double now) {
   if (now < push_pull_at_) return;
   const double interval = push_pull_interval(options_, fleet_size());
-  // The first time was set before the size of the fleet was known: in a large fleet most members skip it.
+  // The first push-pull was scheduled before the size of the fleet was known: in a large fleet most members
+  // skip it.
   const bool is_due = has_push_pull_run_ || random_.unit() < options_.push_pull_interval / interval;
   has_push_pull_run_ = true;
   push_pull_at_ = now + random_.jittered(interval);
@@ -58,15 +60,15 @@
     if (apply_record(record, now)) ++updates;
   }
   if (updates <= kMaxGossipedUpdates) return;
-  // Many updates mean that this member is new or was apart, and that most others know them: gossip of them
-  // would be a flood when a fleet starts or heals.
+  // Many updates mean that this member is new or was disconnected, and that most other members know them:
+  // gossiping them would cause a flood when a fleet starts or a split heals.
   for (const Record& record : records) {
     if (const std::optional<MemberIndex> index = table_.find(record.name)) gossip_.forget(*index);
   }
 }
 
-// Seeds refuse push-pulls beyond their limit when many members start at once. A member that knows nobody yet
-// tries again with exponential backoff.
+// Seeds reject push-pulls beyond their limit when many members start at once. A member that knows no other
+// member yet retries with exponential backoff.
 void MembershipView::on_push_pull_failed(double now) {
   if (table_.active_count() > 0 || has_yielded_) return;
   seed_backoff_ =
--- a/src/members/probe_schedule.cpp
+++ b/src/members/probe_schedule.cpp
@@ -6,7 +6,7 @@
 namespace damsonspoke::members {
 namespace {
 
-constexpr int kRounds = 2;  // that next() looks at: the rest of the current one, then a new one
+constexpr int kRounds = 2;  // that next() searches: the rest of the current one, then a new one
 
 }  // namespace
 
--- a/src/members/probe_schedule.h
+++ b/src/members/probe_schedule.h
@@ -1,6 +1,6 @@
-// Which member is probed next. Active members are probed in rounds, each round in a new random order (SWIM,
-// section 4.3), so that each is probed once a round and a death is found within two. Some probes go out of
-// turn. Pure.
+// Selects the member that is probed next. Active members are probed in rounds, each round in a new random
+// order (SWIM, section 4.3), so that each is probed once a round and a death is detected within two rounds.
+// Some members are probed outside of that order. Pure.
 #pragma once
 
 #include <cstddef>
@@ -15,17 +15,17 @@
 
 class ProbeSchedule {
  public:
-  // Puts a new member at a random place of the current round.
+  // Inserts a new member at a random position of the current round.
   void insert(MemberIndex member, RandomSource& random);
-  // Puts a member that became active again at the end of the round, unless the round holds it.
+  // Appends a member that became active again to the round, unless the round already contains it.
   void append(MemberIndex member);
-  // Makes the member the next one: a single failed probe may be a lost datagram.
+  // Makes this member the next one to be probed, because a single failed probe may be a lost datagram.
   void probe_next(MemberIndex member) { next_out_of_turn_ = member; }
   // Queues the last probe of a suspected member before its deadline.
   void queue_final_probe(MemberIndex member) { final_probes_.push_back(member); }
-  // None when no member is active.
+  // Returns none if no member is active.
   [[nodiscard]] std::optional<MemberIndex> next(const MemberTable& table, RandomSource& random);
-  // The members of the round in their order; some of them may be gone.
+  // The members of the round in their order; some of them may have been removed.
   [[nodiscard]] const std::vector<MemberIndex>& round() const { return round_; }
 
  private:
--- a/src/members/random_source.h
+++ b/src/members/random_source.h
@@ -1,4 +1,4 @@
-// The random draws of one member. A given seed gives the same draws in the same order, so that simulated
+// The random number generator of one member. A given seed produces the same sequence, so that simulated
 // fleets can be replayed.
 #pragma once
 
--- a/src/members/timing.cpp
+++ b/src/members/timing.cpp
@@ -6,9 +6,9 @@
 namespace damsonspoke::members {
 namespace {
 
-constexpr double kGrowthPerTenfoldSize = 0.15;  // of the shortest timeout: updates travel more hops
+constexpr double kGrowthPerTenfoldSize = 0.15;  // of the shortest timeout: updates need more hops
 constexpr double kUnconfirmedFactor = 3;        // of the shortest timeout, for a single accuser
-constexpr double kMaxConfirmations = 3;         // further accusers that give the shortest timeout
+constexpr double kMaxConfirmations = 3;         // additional accusers that give the shortest timeout
 constexpr double kPushPullSecondsPerMember = 0.3;
 constexpr double kDigestSyncSecondsPerMember = 0.06;
 constexpr double kRetransmitFactor = 1.5;  // of log2 of the fleet size
--- a/src/peers/members/status_page.cpp
+++ b/src/peers/members/status_page.cpp
@@ -14,9 +14,9 @@
 
 constexpr std::size_t kMaxListedMembers = 600;
 constexpr int kPermillePerPercent = 10;
-constexpr int kUnhealthyScore = 2;  // beyond it, the first line warns
+constexpr int kUnhealthyScore = 2;  // above it, the first line warns
 
-// The words for DependencyState in the operators' interface.
+// The texts of DependencyState in the operators' interface.
 const char* dependency_text(members::DependencyState state) {
   switch (state) {
     case members::DependencyState::kUnknown: return "unknown";
@@ -55,9 +55,10 @@
 
 std::string remarks(const MemberStatus& member) {
   std::string text;
-  if (!member.accusers.empty()) text = fmt::format("silent to {}", fmt::join(member.accusers, " "));
-  if (member.conflicting_epoch != 0) text += " has a clone";
-  if (member.longest_pause > 0) text += fmt::format(" stood still {:.1f} s", member.longest_pause);
+  if (!member.accusers.empty())
+    text = fmt::format("unanswered probes from {}", fmt::join(member.accusers, " "));
+  if (member.conflicting_epoch != 0) text += " name used by a second process";
+  if (member.longest_pause > 0) text += fmt::format(" paused for {:.1f} s", member.longest_pause);
   return text;
 }
 
@@ -106,10 +107,11 @@
   const std::vector<MemberStatus> all = view.members(now);
   const members::Record self = view.self_record(now);
   const std::vector<members::ObservedLink> broken_links = view.broken_links(now);
-  std::string page = fmt::format("{} at {}, life {}, {} of {} there{}{}\n\n", self.name, self.address,
-                                 self.epoch, view.alive_count() + 1, all.size() + 1,
-                                 view.has_yielded() ? "; YIELDED to an older one" : "",
-                                 view.local_health_score() > kUnhealthyScore ? "; it may be ill itself" : "");
+  std::string page =
+      fmt::format("{} at {}, epoch {}, {} of {} members active{}{}\n\n", self.name, self.address, self.epoch,
+                  view.alive_count() + 1, all.size() + 1,
+                  view.has_yielded() ? "; YIELDED to an older process with this name" : "",
+                  view.local_health_score() > kUnhealthyScore ? "; this member may itself be unhealthy" : "");
   page += fmt::format("{:<16}{:<11}{:>8}  {:<10}{:<10}{:>6}{:>6}{:>7}  {}\n", "member", "state", "since",
                       "role", "zone", "load", "room", "age", "why");
   for (std::size_t i = 0; i < std::min(all.size(), kMaxListedMembers); ++i) page += table_row(all[i], now);
--- a/src/peers/members/status_page.h
+++ b/src/peers/members/status_page.h
@@ -1,5 +1,5 @@
-// What `damsonspoke members` shows: the members, their states and load reports, and the broken links, as one
-// member sees them.
+// The output of `damsonspoke members`: the members, their states and load reports, and the broken links, as
+// one member sees them.
 #pragma once
 
 #include <string>
@@ -10,7 +10,7 @@
 
 // One line of JSON. `now`: monotonic s. The keys are part of the operators' interface.
 [[nodiscard]] std::string status_json(const members::MembershipView& view, double now);
-// A table for people. `now`: monotonic s.
+// A table for operators to read. `now`: monotonic s.
 [[nodiscard]] std::string status_table(const members::MembershipView& view, double now);
 
 }  // namespace damsonspoke::peers
--- a/src/peers/members/transport.cpp
+++ b/src/peers/members/transport.cpp
@@ -22,8 +22,8 @@
 using members::MemberStatus;
 
 constexpr int kMaxDatagramsPerIteration = 256;
-constexpr int kMaxStaleDatagrams = 8192;       // in the turn after a pause: all that waits
-constexpr std::size_t kMaxPushPulls = 4;       // that this member starts; twice as many in all
+constexpr int kMaxStaleDatagrams = 8192;  // in the event-loop iteration after a pause: all that are queued
+constexpr std::size_t kMaxPushPulls = 4;  // started by this member; twice as many in total
 constexpr double kPushPullTimeoutSeconds = 2;  // for both directions
 constexpr std::size_t kMaxResolvedAddresses = 8192;
 constexpr std::size_t kPushPullBufferBytes = wm::kMaxPushPullBytes + wm::kLengthBytes;
@@ -36,7 +36,7 @@
   return membership;
 }
 
-// None for an address that is neither IPv4 nor IPv6.
+// Returns none for an address that is neither IPv4 nor IPv6.
 std::optional<conns::Address> client_address(const Poco::Net::SocketAddress& address) {
   return conns::parse_address(address.host().toString());
 }
@@ -77,7 +77,7 @@
 void MembershipTransport::start() {
   is_started_ = true;
   view_.start(net::monotonic_now());
-  log_.info("members", "{} of cluster {} at {}, {} seeds", view_.self().name, options_.cluster,
+  log_.info("members", "started as {} in cluster {} at {}, {} seeds", view_.self().name, options_.cluster,
             options_.advertised_address, options_.seeds.size());
   schedule_timer();
 }
@@ -104,7 +104,8 @@
                                [&](const conns::Prefix& prefix) { return prefix.contains(*client); });
 }
 
-// Members report addresses of one another: a forged one must not make this member write to anybody else.
+// Members report the addresses of one another: a forged address must not make this member send to a host
+// outside the configured networks.
 const Poco::Net::SocketAddress* MembershipTransport::resolve(const std::string& address) {
   const auto found = resolved_addresses_.find(address);
   if (found != resolved_addresses_.end()) return &found->second;
@@ -138,7 +139,7 @@
   const std::string bytes = wm::encode(options_.cluster, message);
   const ssize_t sent = ::sendto(socket_.impl()->sockfd(), bytes.data(), bytes.size(),
                                 MSG_DONTWAIT | MSG_NOSIGNAL, to->addr(), to->length());
-  if (sent < 0) return;  // lost, as any datagram may be
+  if (sent < 0) return;  // treated as lost; any datagram may be
   counters_.add(Count::kMembersSent);
   counters_.add(Count::kMembersBytes, bytes.size());
 }
@@ -147,7 +148,7 @@
   notification->release();
   if (!is_started_) return;
   const double now = net::monotonic_now();
-  // The view's timer comes first: it notices whether this process was paused, and then all that waits is
+  // The view's timer runs first: it detects whether this process was paused; then all queued datagrams are
   // stale.
   bool is_stale = false;
   if (now >= view_.next_timer_at()) {
@@ -162,7 +163,8 @@
 
 // Returns whether a datagram was waiting.
 bool MembershipTransport::receive_datagram(double now, bool is_stale) {
-  std::array<char, wm::kMaxDatagramBytes + 1> buffer;  // one byte more shows that a datagram is too long
+  // The additional byte shows that a datagram is too long.
+  std::array<char, wm::kMaxDatagramBytes + 1> buffer;
   sockaddr_storage from{};
   socklen_t size = sizeof from;
   const ssize_t received = ::recvfrom(socket_.impl()->sockfd(), buffer.data(), buffer.size(), MSG_DONTWAIT,
@@ -177,7 +179,8 @@
       wm::decode(options_.cluster, {buffer.data(), static_cast<std::size_t>(received)});
   if (decoded.error != wm::DecodeError::kNone) {
     counters_.add(Count::kMembersInvalid);
-    log_.debug("members", "invalid datagram from {}: {}", source.toString(), wm::text_of(decoded.error));
+    log_.debug("members", "invalid membership datagram from {}: {}", source.toString(),
+               wm::text_of(decoded.error));
     return true;
   }
   counters_.add(Count::kMembersRead);
@@ -211,7 +214,8 @@
   if (to == nullptr || push_pulls_.size() >= kMaxPushPulls) return;
   const Poco::Net::SocketAddress from(net::parse_address(options_.bind).host(), 0);
   const net::BufferLimits limits{kPushPullBufferBytes, kPushPullBufferBytes, nullptr};
-  // A connection that is refused at once says so on the next turn, so the view is not called from within.
+  // A connection that is refused immediately reports this in a later event-loop iteration, so the view is not
+  // re-entered.
   add_push_pull(net::Connection::connecting(reactor_, *this, *to, limits, from), true);
 }
 
@@ -244,7 +248,7 @@
   const wm::DecodedPushPull decoded = wm::decode_push_pull(options_.cluster, bytes);
   if (decoded.error != wm::DecodeError::kNone) {
     counters_.add(Count::kMembersInvalid);
-    log_.debug("members", "invalid push-pull: {}", wm::text_of(decoded.error));
+    log_.debug("members", "invalid push-pull, connection closed: {}", wm::text_of(decoded.error));
     connection.close(net::CloseReason::kBroken);
     return bytes.size();
   }
@@ -255,8 +259,8 @@
   const bool is_initiator = push_pull->is_initiator;
   if (!is_initiator) send_records(connection, now);
   view_.on_push_pull(decoded.records, now);
-  // An answer that the system took at once causes no on_output_sent: the push-pull would hold its place until
-  // its timeout.
+  // If the kernel accepted the whole answer, on_output_sent() is not called, and the push-pull would stay
+  // open until its timeout.
   if (is_initiator || connection.waiting() == 0) connection.close();
   return bytes.size();
 }
@@ -266,7 +270,7 @@
   if (push_pull != nullptr && !push_pull->is_initiator && push_pull->is_complete) connection.close();
 }
 
-// An answer that is still being sent goes on.
+// An answer that is still being sent is completed.
 void MembershipTransport::on_end_of_input(net::Connection& connection) {
   const PushPull* push_pull = find_push_pull(connection);
   if (push_pull == nullptr || !push_pull->is_complete) connection.close(net::CloseReason::kBroken);
@@ -281,7 +285,7 @@
   if (has_failed) view_.on_push_pull_failed(net::monotonic_now());
 }
 
-// ---- What the view reports, and what this class shows.
+// ---- Reports of the view, and queries.
 
 void MembershipTransport::on_state_changed(const std::string& name, MemberState state,
                                            members::StateChangeReason reason) {
--- a/src/peers/members/transport.h
+++ b/src/peers/members/transport.h
@@ -1,6 +1,6 @@
-// Carries the membership protocol over the network: one socket for datagrams, one for push-pulls by stream,
-// and the view that decides who is alive. Only addresses in the configured networks are heard and written to;
-// every buffer has a limit and every stream a timeout. Off without an operators' file.
+// Transports the membership protocol over the network: a socket for datagrams, a listener for push-pulls over
+// TCP, and the view that implements the protocol. It receives from and sends to addresses in the configured
+// networks only; every buffer has a limit and every stream a timeout. Disabled without an operator file.
 #pragma once
 
 #include <Poco/Net/DatagramSocket.h>
@@ -26,38 +26,38 @@
 // This process as a member: its sockets, its timers and its MembershipView.
 class MembershipTransport : private members::MembershipSink, private net::ConnectionOwner {
  public:
-  // `name` and `epoch` identify this member. Throws std::runtime_error with a message of one line when an
-  // address can't be used. The reactor, the counters and the log must outlive the transport.
+  // `name` and `epoch` identify this member. Throws std::runtime_error with a one-line message if an address
+  // can't be used. The reactor, the counters and the log must outlive the transport.
   MembershipTransport(net::Reactor& reactor, const MembersOptions& options, const std::string& name,
                       std::uint64_t epoch, std::uint64_t random_seed, Counters& counters, Logger& log);
   ~MembershipTransport() override;
   MembershipTransport(const MembershipTransport&) = delete;
   MembershipTransport& operator=(const MembershipTransport&) = delete;
 
-  // Listens, and joins the cluster over the seeds.
+  // Starts to receive, and joins the cluster through the seeds.
   void start();
-  // What this member reports of itself from now on.
+  // Sets the load report of this member.
   void set_load_report(members::LoadReport load_report) { view_.set_load_report(std::move(load_report)); }
-  // Notifies other members that this one leaves. It goes on answering until it is destroyed.
+  // Notifies other members that this one leaves. The transport continues to answer until it is destroyed.
   void leave();
-  // Brings the counters up to date.
+  // Updates the counters.
   void report();
-  // All but this member.
+  // All members except this one.
   [[nodiscard]] std::vector<members::MemberStatus> known_members() const;
-  // Whether the address is in one of the networks of members.
+  // Whether the address is in one of the configured networks of members.
   [[nodiscard]] bool may_reach(const std::string& address) const;
   // For operators, as JSON or as a table.
   [[nodiscard]] std::string status(bool as_json) const;
-  // Called on a later turn of the reactor when members have changed their states.
+  // Called in a later event-loop iteration after states of members have changed.
   std::function<void()> on_change;
 
  private:
-  // One push-pull by stream: the initiator sends first, the other side answers and closes.
+  // One push-pull over a stream: the initiator sends first, the other side answers and closes.
   struct PushPull {
     std::shared_ptr<net::Connection> connection;
     net::Reactor::TimerId timeout;
     bool is_initiator = false;
-    bool is_complete = false;  // the records of the other side have arrived
+    bool is_complete = false;  // the records of the other side have been received
   };
 
   void send(const std::string& address, const members::Message& message) override;
--- a/src/peers/tier/forwarder_server.cpp
+++ b/src/peers/tier/forwarder_server.cpp
@@ -16,7 +16,7 @@
 constexpr std::size_t kMaxLinkOutputBytes = 1 << 20;
 constexpr double kCheckIntervalSeconds = 0.05;
 constexpr double kHelloTimeoutSeconds = 1;
-constexpr double kSilenceTimeoutSeconds = 1.5;  // forwarders ping every 0.25 s
+constexpr double kSilenceTimeoutSeconds = 1.5;  // forwarders send a ping every 0.25 s
 constexpr double kSixteenthsPerKb = 16;
 constexpr double kMicrosecondsPerSecond = 1e6;
 constexpr double kSecondsPerMicrosecond = 1e-6;
@@ -110,7 +110,7 @@
     if (frame.state == wt::Framing::kNeedMore) break;
     if (frame.state == wt::Framing::kBroken) {
       counters_.add(Count::kBadFrames);
-      log_.warn("forwarders", "{}: invalid frame, link closed", found->second.name);
+      log_.warn("forwarders", "forwarder {}: invalid frame, link closed", found->second.name);
       connection.close(net::CloseReason::kBroken);
       return bytes.size();
     }
@@ -133,28 +133,29 @@
   if (found == links_.end()) return;
   const Link& link = found->second;
   if (link.forwarder != 0) {
-    log_.info("forwarders", "{}: disconnected", link.name);
+    log_.info("forwarders", "forwarder {} disconnected", link.name);
     sessions_.on_link_lost(connection.tag, net::monotonic_now());
-    // A link that superseded this one keeps the forwarder's window.
+    // If another link has superseded this one, the forwarder keeps its window.
     if (!sessions_.is_linked(link.forwarder)) windows_.remove_forwarder(link.forwarder, net::monotonic_now());
   }
   links_.erase(found);
   counters_.add(reason == net::CloseReason::kOrderly ? Count::kCallersClosed : Count::kCallersReset);
 }
 
-// Closes links that stall within a frame or whose forwarder is gone without having closed them.
+// Closes links that stall within a frame, or whose forwarder has stopped without closing them.
 void ForwarderServer::check_links() {
   const double now = net::monotonic_now();
   for (auto& [tag, link] : links_) {
     const double timeout = link.forwarder == 0 ? kHelloTimeoutSeconds : kSilenceTimeoutSeconds;
     if (!link.connection->open() || now - link.last_message_at <= timeout) continue;
     counters_.add(Count::kCallersSilent);
-    log_.warn("forwarders", "{}: timed out, link closed", link.name);
+    log_.warn("forwarders", "forwarder {}: no message within the timeout, link closed", link.name);
     link.connection->close(net::CloseReason::kBroken);
   }
   const std::vector<RequestId> expired = sessions_.take_expired(now);
   for (const RequestId request : expired)
-    log_.debug("forwarders", "request {:016x} is abandoned: its forwarder did not reconnect", request);
+    log_.debug("forwarders",
+               "request {:016x} abandoned: its forwarder did not reconnect within the grace period", request);
   abandon(expired);
   send_load_reports(false);
   check_timer_ = reactor_.after(kCheckIntervalSeconds, [this] { check_links(); });
@@ -201,7 +202,7 @@
   link.forwarder = session.forwarder;
   link.name = hello.name;
   link.routes = local_routes(hello.routes);
-  log_.info("forwarders", "{}: connected", hello.name);
+  log_.info("forwarders", "forwarder {} connected", hello.name);
   windows_.add_forwarder(link.forwarder);
   rebalance_windows(net::monotonic_now());
   send_hello(link, session.planner_epoch);
@@ -218,7 +219,7 @@
   return routes;
 }
 
-// This planner's first messages on a link.
+// Sends this planner's first messages on a link.
 void ForwarderServer::send_hello(Link& link, std::uint64_t planner_epoch) {
   link.reported = load_report(link);
   wt::Hello hello;
@@ -252,12 +253,13 @@
   }
 }
 
-// The answer to a submit that is not taken; none where it is.
+// The answer to a submit that is not accepted; none if it is accepted.
 std::optional<wt::Answer> ForwarderServer::early_answer_to(const wt::Submit& submit, int route,
                                                            bool has_capacity) {
   wt::Answer early_answer;
   early_answer.attempt = submit.attempt;
-  // First: a rejection would prove that the request never ran, but another attempt at it is here.
+  // Checked first, because a rejection would prove that the request never ran, but another attempt of it is
+  // in flight here.
   if (events_.is_in_use(submit.request)) {
     counters_.add(Count::kBadIds);
     early_answer.result = wt::Result::kFailed;
@@ -280,7 +282,8 @@
   const auto result = sessions_.fence(link.forwarder, fence.attempt,
                                       [this](RequestId request) { return events_.has_started(request); });
   counters_.add(Count::kTierFencesReceived);
-  // The request goes first: the proof holds only once nothing can start it any more.
+  // The request is cancelled before the answer is sent: the proof is valid only if the request can no longer
+  // start.
   if (result.abandoned) events_.on_caller_disconnected(*result.abandoned);
   send(link, result.answer);
 }
@@ -349,7 +352,7 @@
   return report;
 }
 
-// `to_all`: also to forwarders whose window and slot value have not changed.
+// Sends load reports to forwarders whose window or slot value has changed; with `to_all`, to all forwarders.
 void ForwarderServer::send_load_reports(bool to_all) {
   rebalance_windows(net::monotonic_now());
   for (auto& [tag, link] : links_) {
--- a/src/peers/tier/forwarder_server.h
+++ b/src/peers/tier/forwarder_server.h
@@ -1,6 +1,6 @@
-// A planner's server for its forwarders: requests come from the tier in front instead of from callers. Many
-// requests share a link. A request's reply address names its forwarder and attempt, so that its answer finds
-// the forwarder on whatever link it has by then.
+// A planner's server for its forwarders: it receives requests from forwarders instead of from callers. Many
+// requests share a link. A request's reply address consists of its forwarder and attempt, so that the answer
+// is sent on the link that the forwarder has at that time.
 #pragma once
 
 #include <cstddef>
@@ -26,26 +26,26 @@
 // Listens for forwarders and gives each a session, a concurrency window and load reports.
 class ForwarderServer : public RequestServer, private net::ConnectionOwner {
  public:
-  // Of one link.
+  // Of each link.
   static constexpr std::size_t kMaxInputBytes = wire::tier::kMaxFrameBytes + wire::tier::kHeaderBytes;
 
-  // What all forwarders together may take.
+  // Limits for all forwarders together.
   struct Limits {
     int links = 0;                       // open at a time
-    std::size_t output_bytes = 0;        // that wait to be read
-    std::size_t answer_cache_bytes = 0;  // of answers that may be asked for again
+    std::size_t output_bytes = 0;        // that wait to be sent
+    std::size_t answer_cache_bytes = 0;  // of answers that forwarders may request again
   };
-  // What this planner tells its forwarders about itself.
+  // The properties of this planner that it sends to its forwarders.
   struct Self {
     std::string name;
-    std::uint64_t epoch = 0;              // of this process, random
-    tier::SlowStartOptions slow_start;    // with the cores of this machine
-    double stop_after = 0;                // s from the notice to drain
-    std::vector<std::string> routes;      // their names; the position is the route's number
+    std::uint64_t epoch = 0;              // of this process; random
+    tier::SlowStartOptions slow_start;    // includes the cores of this machine
+    double stop_after = 0;                // s from the drain announcement until it stops
+    std::vector<std::string> routes;      // their names, by route number
     std::vector<double> priority_weight;  // by route
   };
 
-  // Throws std::runtime_error where the address can't be used.
+  // Throws std::runtime_error if the address can't be used.
   ForwarderServer(net::Reactor& reactor, const std::string& listen, Self self, Limits limits,
                   CallerEvents& events, Counters& counters, Logger& log);
   ~ForwarderServer() override;
@@ -55,8 +55,8 @@
   void answer_succeeded(ReplyAddress reply_to, std::string_view result) override;
   void answer_rejected(ReplyAddress reply_to, double retry_after, bool no_retry) override;
   void answer_failed(ReplyAddress reply_to, FailureReason reason) override;
-  void answer_health_check(ReplyAddress /*reply_to*/, bool /*is_healthy*/) override {}  // none is asked for
-  void set_idle_timeout(double /*seconds*/) override {}                                 // links stay
+  void answer_health_check(ReplyAddress /*reply_to*/, bool /*is_healthy*/) override {}  // never requested
+  void set_idle_timeout(double /*seconds*/) override {}                                 // links have none
   void announce_drain() override;
   void start_warm_up(bool is_cold, double seconds_ago) override;
   void set_healthy(bool is_healthy) override;
@@ -72,11 +72,11 @@
     std::shared_ptr<net::Connection> connection;
     tier::ForwarderId forwarder = 0;  // 0: no hello yet
     std::string name;
-    std::vector<int> routes;  // the forwarder's routes as routes here; < 0: not known here
+    std::vector<int> routes;  // this planner's routes by the forwarder's; < 0: unknown here
     double last_message_at = 0;
     wire::tier::LoadReport reported;
 
-    // The route here that a submit names; < 0: not known here.
+    // This planner's route of a submit; < 0: not configured here.
     [[nodiscard]] int route_of(const wire::tier::Submit& submit) const {
       return submit.route < routes.size() ? routes[submit.route] : -1;
     }
@@ -118,7 +118,7 @@
   tier::ConcurrencyWindows windows_;
   std::unordered_map<std::uint64_t, Link> links_;  // by the connection's tag
   std::uint64_t next_tag_ = 1;
-  bool is_healthy_ = false;  // a runtime that has not started runs nothing
+  bool is_healthy_ = false;  // until the runtime has started, nothing can run
   bool is_draining_ = false;
   net::Reactor::TimerId check_timer_;
 };
--- a/src/peers/tier/planner_client.cpp
+++ b/src/peers/tier/planner_client.cpp
@@ -14,7 +14,7 @@
 
 constexpr std::size_t kMaxInputBytes = wt::kMaxFrameBytes + wt::kHeaderBytes;
 constexpr double kPingIntervalSeconds = 0.25;
-constexpr double kSilenceTimeoutSeconds = 1;  // without a complete message
+constexpr double kSilenceTimeoutSeconds = 1;  // limit without a complete message
 constexpr double kHelloTimeoutSeconds = 1;    // from connecting to the planner's hello
 constexpr double kMinBackoffSeconds = 0.05;
 constexpr double kMaxBackoffSeconds = 1;
@@ -36,7 +36,7 @@
 PlannerClient::~PlannerClient() {
   reactor_.cancel(check_timer_);
   for (const auto& link : links_) reactor_.cancel(link->reconnect_timer);
-  links_.clear();  // before the output pool that they are charged to
+  links_.clear();  // before the output pool to which they are charged
 }
 
 // ---- The endpoint list.
@@ -59,7 +59,7 @@
   link.is_listed = true;
   link.is_draining = false;
   reactor_.cancel(link.reconnect_timer);
-  if (!link.connection) connect(planner);  // otherwise on_end() reconnects, if it is about to end
+  if (!link.connection) connect(planner);  // otherwise on_end() reconnects if the connection ends
 }
 
 void PlannerClient::close_if_draining(int planner) {
@@ -83,7 +83,8 @@
   return true;
 }
 
-// A frame that has left completely may have arrived; one that has not can't be read.
+// Tracks which submits have been written completely: a complete frame may have arrived, an incomplete one
+// can't be read.
 void PlannerClient::submit(int planner, const wt::Submit& submit) {
   Link& link = at(planner);
   const bool was_taken = send(link, submit);
@@ -137,7 +138,7 @@
     at(planner).last_message_at = net::monotonic_now();
     if (frame.state == wt::Framing::kBroken || !handle_message(planner, frame.message)) {
       counters_.add(Count::kTierInvalid);
-      log_.warn("planners", "{}: invalid message, reconnecting", at(planner).address);
+      log_.warn("planners", "planner {}: invalid message, reconnecting", at(planner).address);
       connection.close(net::CloseReason::kBroken);
       return bytes.size();
     }
@@ -155,7 +156,7 @@
     events_.on_load_report(planner, *report);
   } else if (std::holds_alternative<wt::Draining>(message)) {
     link.is_draining = true;
-    log_.info("planners", "{}: draining", link.address);
+    log_.info("planners", "planner {} is draining, no new requests are sent to it", link.address);
     events_.on_planner_draining(planner);
   } else {
     return std::holds_alternative<wt::Pong>(message);
@@ -169,7 +170,7 @@
   link.is_up = true;
   link.epoch = hello.epoch;
   link.backoff = 0;
-  log_.info("planners", "{}: connected to {}, {} cores", link.address, hello.name, hello.cores);
+  log_.info("planners", "connected to planner {} ({}), {} cores", link.address, hello.name, hello.cores);
   events_.on_link_up(planner, hello.epoch, hello.window);
   return true;
 }
@@ -178,7 +179,7 @@
   connection.close(net::CloseReason::kBroken);
 }
 
-// The attempts of which no complete frame has left over a connection that has ended.
+// The attempts whose frames were not completely written to a connection that has ended.
 std::vector<std::uint64_t> PlannerClient::unwritten_attempts(const Link& link) {
   const std::uint64_t written =
       link.sent_bytes - std::min<std::uint64_t>(link.sent_bytes, link.connection->unwritten());
@@ -203,13 +204,13 @@
   link.backoff = std::clamp(link.backoff * 2, kMinBackoffSeconds, kMaxBackoffSeconds);
   if (link.is_listed) link.reconnect_timer = reactor_.after(delay, [this, planner] { connect(planner); });
   if (!was_up) return;
-  log_.info("planners", "{}: disconnected", link.address);
+  log_.info("planners", "planner {} disconnected", link.address);
   counters_.add(Count::kTierBroken);
   events_.on_link_lost(planner, unwritten);
 }
 
-// Pings, and closes links that stall within a frame or whose planner hangs or is gone without having closed
-// them.
+// Sends pings, and closes links that stall within a frame, or whose planner hangs or has stopped without
+// closing them.
 void PlannerClient::check_links() {
   const double now = net::monotonic_now();
   for (const auto& link : links_) {
@@ -218,7 +219,7 @@
                                            : now - link->connecting_since > kHelloTimeoutSeconds;
     if (has_timed_out) {
       counters_.add(Count::kTierSilent);
-      log_.warn("planners", "{}: timed out, reconnecting", link->address);
+      log_.warn("planners", "planner {}: no message within the timeout, reconnecting", link->address);
       link->connection->close(net::CloseReason::kBroken);
     } else if (link->is_up) {
       send(*link, wt::Ping{next_ping_++});
--- a/src/tier/attempt_ledger.cpp
+++ b/src/tier/attempt_ledger.cpp
@@ -40,7 +40,8 @@
   return request;
 }
 
-// The epoch must match too: a restarted planner could answer numbers that its predecessor was given.
+// The epoch must match too: a restarted planner could answer attempts that were sent to its previous
+// incarnation.
 std::optional<RequestId> AttemptLedger::record_answer(int planner, std::uint64_t epoch, Attempt attempt) {
   const AttemptRecord* record = find(attempt);
   if (record == nullptr || record->planner != planner || record->epoch != epoch) return std::nullopt;
--- a/src/tier/attempt_ledger.h
+++ b/src/tier/attempt_ledger.h
@@ -1,12 +1,14 @@
-// The forwarder's record of attempts: which attempt at a request still counts. It ensures that a request gets
-// one answer and never runs a second time without proof that the first attempt did not run. Policy without
-// I/O.
+// The forwarder's record of attempts: which attempt of each request is current. It ensures that a request
+// gets one answer and never runs a second time without proof that the first attempt did not run. Policy
+// without I/O.
 //
-// Invariant: a request has at most one attempt that is not proven dead. A second attempt may begin only after
-// proof that the first never ran: its planner rejected it, it was never written to a link, or it was fenced
-// off. What was written to a planner whose epoch has ended can never be proven: its request fails.
+// Invariant: a request has at most one attempt that may have run or may still run. A second attempt may begin
+// only after proof that the first never ran: its planner rejected it, it was never written to a link, or it
+// was fenced. For an attempt that was written to a planner whose epoch has ended there can be no proof, so
+// its request fails.
 //
-// Fencing: tokens and epochs as in leases and replicated logs. Results by attempt: RIFL (SOSP 2015).
+// Fencing uses tokens and epochs as leases and replicated logs do. Results are identified by attempt as in
+// RIFL (SOSP 2015).
 #pragma once
 
 #include <cstdint>
@@ -37,34 +39,37 @@
 class AttemptLedger {
  public:
   // Begins an attempt. The request must not have a current one. `step` (at least 1) is the distance to the
-  // previous number; when it is random, a planner can't name an attempt that it was never given.
+  // previous number; when it is random, a planner can't guess the number of an attempt that it has not
+  // received.
   [[nodiscard]] Attempt begin(RequestId request, int planner, std::uint64_t epoch, std::uint64_t step = 1);
-  // The current attempt at a request, if there is one.
+  // The current attempt of a request, if there is one.
   [[nodiscard]] std::optional<Attempt> current_attempt(RequestId request) const;
-  // The record of an attempt that still counts, otherwise null.
+  // The record of an attempt that is current, otherwise null.
   [[nodiscard]] const AttemptRecord* find(Attempt attempt) const;
 
-  // An answer arrived from this epoch of this planner: ends the attempt and gives its request. None where the
-  // attempt was abandoned, belongs to another planner or epoch, or never existed: the answer is dropped.
+  // Ends the attempt that this epoch of this planner has answered and returns its request. Returns none if
+  // the attempt was abandoned, belongs to another planner or epoch, or never existed: the answer has to be
+  // dropped.
   [[nodiscard]] std::optional<RequestId> record_answer(int planner, std::uint64_t epoch, Attempt attempt);
-  // The planner has to prove that the attempt never ran. False where it was asked already or can't be asked.
+  // Starts fencing: the planner has to prove that the attempt never ran. Returns false if it was already
+  // asked or can't be asked.
   [[nodiscard]] bool start_fencing(Attempt attempt);
-  // A link was lost: the planner's attempts become disconnected. Returns them in the order of their numbers.
-  // The caller reports those that were never written with record_unwritten().
+  // A link was lost: marks the planner's attempts as disconnected. Returns them in the order of their
+  // numbers. The caller reports those that were never written with record_unwritten().
   std::vector<Attempt> on_link_lost(int planner);
-  // A link is up. Disconnected attempts of the same epoch are to be fenced; those of an earlier epoch can
-  // never be proven and are removed. Both are in the order of the attempts' numbers.
+  // A link is up. Disconnected attempts of the same epoch have to be fenced. For those of an earlier epoch
+  // there can be no proof, so they are removed. Both lists are in the order of the attempts' numbers.
   struct Reconnection {
     std::vector<Attempt> to_fence;
     std::vector<RequestId> lost;
   };
   [[nodiscard]] Reconnection on_link_up(int planner, std::uint64_t epoch);
-  // The caller has gone or was answered without proof: a later answer to the attempt is dropped.
+  // The caller has disconnected or was answered without proof: a later answer to the attempt is dropped.
   void abandon(RequestId request);
-  // The attempt was never written, which proves that it never ran: the request may have another one. None
-  // where the attempt no longer counts.
+  // The attempt was never written, which proves that it never ran: the request may be retried. Returns none
+  // if the attempt is no longer current.
   [[nodiscard]] std::optional<RequestId> record_unwritten(Attempt attempt);
-  // A planner has not reconnected in time: ends its attempts and gives their requests.
+  // A planner has not reconnected in time: ends its attempts and returns their requests.
   [[nodiscard]] std::vector<RequestId> abandon_attempts_at(int planner);
 
   [[nodiscard]] std::size_t open_attempts() const { return attempts_.size(); }
--- a/src/tier/concurrency_windows.cpp
+++ b/src/tier/concurrency_windows.cpp
@@ -8,8 +8,8 @@
   return started_at_ < 0 || (cold_ && now - started_at_ < options_.slow_start_seconds);
 }
 
-// A planner warms up once. Once it is warm the shares are dropped, so that forwarders which reconnect again
-// and again leave nothing behind.
+// A planner warms up once. When it is warm the shares are dropped, so that forwarders that reconnect
+// repeatedly do not accumulate entries.
 void ConcurrencyWindows::rebalance(double now, const std::function<std::size_t(Forwarder)>& open) {
   if (!is_warming_up(now)) {
     shares_.clear();
--- a/src/tier/dispatch.cpp
+++ b/src/tier/dispatch.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr double kPollSeconds = 0.05;       // while requests wait
-constexpr double kStopMarginSeconds = 0.2;  // before the stop, by when every reply has to leave
+constexpr double kStopMarginSeconds = 0.2;  // before the stop, when the last replies are sent
 constexpr double kFenceRecheckSeconds = 0.05;
 
 }  // namespace
@@ -54,14 +54,14 @@
   return wait_estimator_.retry_after_seconds(ahead, now, random_());
 }
 
-// Whether an attempt is worth beginning behind so many others.
+// Whether the request can still finish in time behind `ahead` waiting requests.
 bool Dispatch::can_finish(const PendingRequest& request, std::size_t ahead, double now) {
   const double remaining = request.deadline - now;
   return remaining >= options_.min_remaining_time &&
          wait_estimator_.can_finish_in_time(request.route(), ahead, remaining, now);
 }
 
-// Whether a planner that may take the request is up, with or without capacity.
+// Whether a planner that may accept the request is up, with or without capacity.
 bool Dispatch::has_destination(const PendingRequest& request) const {
   if (!request.details.is_keyed()) return is_starting_up() || picker_.any_accepts_requests();
   const int target = request.key_route.target();
@@ -70,8 +70,8 @@
   return request.key_route.is_lookup() ? picker_.is_reachable(target) : picker_.accepts_requests(target);
 }
 
-// A key's results are remembered by one planner, so the key belongs there whether that planner is up or not:
-// a retry could otherwise run again at a planner that has not seen the first request.
+// A key's results are remembered by one planner, so the key's requests go only to that planner, even while it
+// is down: a retry could otherwise run again at a planner that has not seen the first request.
 void Dispatch::route_by_key(PendingRequest& request, double now) {
   request.key_route =
       KeyRouteCursor(key_ownership_.route(request.details.idempotency_key_hash, now), list_version_);
@@ -130,7 +130,7 @@
   }
 }
 
-// What has waited for planners that did not connect is rejected.
+// Rejects the requests that have waited for planners that did not connect.
 void Dispatch::end_startup(double now) {
   if (startup_over_) return;
   startup_over_ = true;
@@ -218,7 +218,7 @@
       picker_.release(planner);
       if (requests_.at(*id).key_route.is_lookup()) {
         on_key_unknown(*id, now);
-      } else {  // against the protocol, but nothing ran
+      } else {  // violates the protocol, but nothing ran
         retry_or_reject(*id, planner, 0, false, now);
       }
       break;
@@ -244,7 +244,7 @@
   PendingRequest& request = requests_.at(id);
   if (request.key_route.list_version() == list_version_) {
     request.key_route.advance();
-  } else {  // nothing follows from an answer that rests on a superseded list
+  } else {  // the lookup was based on a superseded list
     route_by_key(request, now);
   }
   enqueue_or_reject(id, now);
@@ -283,8 +283,8 @@
 
 // ---- Time.
 
-// Late attempts are fenced if another planner could take the request. This covers planners that accept and
-// never answer, and planners that have become slow with many requests queued.
+// Fences late attempts if another planner could take the request. This covers planners that accept requests
+// and never answer, and planners that have become slow with many requests queued.
 void Dispatch::fence_late_attempts(double now) {
   while (const std::optional<RequestId> id = requests_.take_late(now)) {
     const PendingRequest& request = requests_.at(*id);
--- a/src/tier/dispatch.h
+++ b/src/tier/dispatch.h
@@ -1,11 +1,11 @@
 // A forwarder's decisions: which request goes to which planner, when, how often, and how its caller is
 // answered when no planner can take it. Policy without I/O over the attempt ledger, picker, wait queues, wait
-// estimator and retry budget: events come in with the time, acts go out through a sink. It holds no bodies
-// and no sockets. Times are seconds on one clock that never steps back.
+// estimator and retry budget: events come in with the current time, actions go out through a sink. It holds
+// no request bodies and no sockets. Times are seconds on one monotonic clock.
 //
 // Invariants: a request is answered once, has at most one open attempt, and gets another one only with proof
-// that the one before never ran. The dispatch does not decide who is served when planners are overloaded;
-// planners do.
+// that the previous one never ran. When planners are overloaded, the planners and not the dispatch decide
+// which requests are served.
 #pragma once
 
 #include <cstddef>
@@ -29,7 +29,7 @@
 
 class Dispatch {
  public:
-  // `random` gives numbers from 0 to below 1. The sink has to outlive this.
+  // `random` returns numbers in [0, 1). The sink has to outlive the dispatch.
   Dispatch(const DispatchOptions& options, std::size_t routes, const std::vector<std::string>& planners,
            DispatchSink& sink, std::function<double()> random, double now);
 
@@ -43,9 +43,9 @@
   // See Picker::on_load_report().
   void on_load_report(int planner, std::uint32_t window, double slot_value, bool is_healthy, double now);
   void on_planner_draining(int planner, double now);
-  // A planner answered an attempt. Returns the request that is complete and whose success or failure the
-  // caller has to pass on. None where the answer was dropped or dealt with here. `retry_after`: s, 0: none
-  // was given.
+  // A planner answered an attempt. Returns the request if it is complete; its success or failure then has to
+  // be forwarded to its caller. Returns none if the answer was dropped or handled here. `retry_after`: s; 0:
+  // none was given.
   std::optional<RequestId> on_answer(int planner, std::uint64_t epoch, Attempt attempt, AnswerKind kind,
                                      double retry_after, bool no_retry, double now);
 
@@ -53,14 +53,14 @@
   // The forwarder stops in `time_left` s. New requests are rejected after `grace` s.
   void on_drain(double time_left, double grace, double now);
 
-  // Sets the endpoint list. A planner keeps its position for as long as this lives; new ones come last.
-  // Planners that are no longer listed are only asked which keys they remember.
+  // Sets the endpoint list. A planner keeps its position for the lifetime of the dispatch; new ones are
+  // appended. Planners that are no longer listed are only asked which keys they remember.
   void set_planners(const std::vector<std::string>& names, double now);
-  // A list that was current before this process started, until `until`.
+  // Adds a list that was current before this process started, until `until`.
   void add_former_planners(const std::vector<std::string>& names, double until);
-  // The lists before are not known: no keyed request runs until they no longer matter.
+  // The previous lists are not known: no keyed request runs until they can no longer matter.
   void assume_unknown_history(double now) { key_ownership_.assume_unknown_history(now); }
-  // Whether the planner is unlisted, has nothing open and need not be asked about keys any more.
+  // Whether the planner is not listed, has no open attempts and no longer has to be asked about keys.
   [[nodiscard]] bool can_disconnect(int planner, double now) const;
 
   [[nodiscard]] bool is_healthy(double now) const {
@@ -75,7 +75,7 @@
  private:
   struct Link {
     std::uint64_t epoch = 0;
-    double disconnected_at = -1;  // with attempts open; < 0: none are disconnected
+    double disconnected_at = -1;  // when it disconnected with attempts open; < 0: it did not
   };
 
   // ---- Requests, in dispatch.cpp.
@@ -86,7 +86,7 @@
   [[nodiscard]] std::optional<int> pick(const PendingRequest& request, double now,
                                         std::optional<int> exclude = std::nullopt);
   [[nodiscard]] bool has_destination(const PendingRequest& request) const;
-  // Planners may still be about to connect for the first time: requests wait for them.
+  // Whether planners may still connect for the first time; requests wait for them.
   [[nodiscard]] bool is_starting_up() const { return !startup_over_ && options_.startup_wait > 0; }
   void end_startup(double now);
   void route_by_key(PendingRequest& request, double now);
@@ -124,11 +124,11 @@
   WaitEstimator wait_estimator_;
   RetryBudget retry_budget_;
   KeyOwnership key_ownership_;
-  int list_version_ = 0;  // rises with each endpoint list
+  int list_version_ = 0;  // incremented with each endpoint list
   PendingRequests requests_;
   WaitQueues queues_;
   std::vector<Link> links_;      // by planner
-  double startup_ends_at_ = -1;  // < 0: no request has come yet
+  double startup_ends_at_ = -1;  // < 0: no request has been received yet
   bool startup_over_ = false;
   double drain_at_ = -1;  // < 0: not draining
   double stop_at_ = 0;
--- a/src/tier/dispatch_planners.cpp
+++ b/src/tier/dispatch_planners.cpp
@@ -1,4 +1,4 @@
-// How the dispatch deals with planners that come and go: the endpoint list, links, load reports, draining.
+// The part of Dispatch that handles changes of planners: the endpoint list, links, load reports and draining.
 #include <algorithm>
 
 #include "tier/dispatch.h"
@@ -52,7 +52,8 @@
          !key_ownership_.may_remember_keys(planner, now);
 }
 
-// Keyed requests that may begin at the planner now. A planner that is not listed is only asked.
+// Attempts of keyed requests that may begin at the planner now. A planner that is not listed only gets
+// lookups.
 int Dispatch::keyed_capacity(int planner, double now) const {
   return picker_.is_listed(planner) ? picker_.free_capacity(planner, now)
                                     : picker_.lookup_capacity(planner, now);
@@ -65,7 +66,7 @@
   picker_.on_link_up(planner, window, now);
   const AttemptLedger::Reconnection reconnection = attempts_.on_link_up(planner, epoch);
   for (const Attempt attempt : reconnection.to_fence) sink_.fence(planner, attempt);
-  // Nothing can be proven any more about attempts of an earlier epoch.
+  // There can be no proof about attempts of an earlier epoch.
   fail_lost(reconnection.lost, planner);
   counters_.fences += reconnection.to_fence.size();
   check_availability(now);
@@ -109,7 +110,7 @@
   return released;
 }
 
-// Planners that have not reconnected in time: what is open there fails.
+// Fails the requests whose planners have not reconnected in time.
 void Dispatch::fail_disconnected(double now) {
   for (std::size_t i = 0; i < links_.size(); ++i) {
     Link& link = links_[i];
@@ -137,13 +138,13 @@
   schedule_wakeup(now);
 }
 
-// Keyed requests that only this planner may run: their callers hear at once that it is gone.
+// Rejects the waiting keyed requests that only this planner may run, without waiting for it to return.
 void Dispatch::reject_waiting_for(int planner, double now) {
   WaitQueue& queue = queues_.of_planner(planner);
   while (const std::optional<RequestId> id = queue.front()) reject(*id, retry_after(0, now), false);
 }
 
-// Without any planner, waiting requests are rejected instead of held.
+// Rejects the waiting requests if no planner accepts requests.
 void Dispatch::check_availability(double now) {
   if (picker_.any_accepts_requests()) {
     wait_estimator_.on_planner_available();
--- a/src/tier/dispatch_sink.h
+++ b/src/tier/dispatch_sink.h
@@ -1,5 +1,5 @@
-// What goes into and comes out of a forwarder's dispatch: requests, answers, the acts that it decides on and
-// the counters that it keeps. Plain data and one interface.
+// The inputs and outputs of a forwarder's dispatch: requests, answers, the actions that it decides on and its
+// counters. Plain data and one interface.
 #pragma once
 
 #include <cstddef>
@@ -10,7 +10,7 @@
 
 namespace damsonspoke::tier {
 
-// A request as far as the dispatch has to know it; its body stays with the sink.
+// The properties of a request that the dispatch needs; the sink stores the body.
 struct ForwardedRequest {
   RequestId id = 0;
   int route = 0;
@@ -18,8 +18,8 @@
   std::uint64_t subject = 0;               // 0: none
   std::uint64_t idempotency_key_hash = 0;  // 0: not keyed
   double priority_weight = 1;
-  double remaining_time = 0;  // s that its caller goes on waiting
-  std::size_t bytes = 0;      // that it takes while it waits
+  double remaining_time = 0;  // s that its caller will still wait
+  std::size_t bytes = 0;      // memory that it uses while it waits
 
   [[nodiscard]] bool is_keyed() const { return idempotency_key_hash != 0; }
 };
@@ -27,7 +27,7 @@
 // How the forwarder itself replies to a request.
 enum class LocalReply { kRejected, kFailed };
 
-// Carries out what the dispatch decides.
+// Carries out the dispatch's decisions.
 class DispatchSink {
  public:
   DispatchSink() = default;
@@ -35,18 +35,18 @@
   DispatchSink(const DispatchSink&) = delete;
   DispatchSink& operator=(const DispatchSink&) = delete;
 
-  // Sends an attempt to a planner, which gets `remaining_time` s for it. `is_lookup_only`: the planner is
+  // Sends an attempt to a planner, which has `remaining_time` s to answer. `is_lookup_only`: the planner is
   // only asked whether it knows the request's key, and runs nothing.
   virtual void send(int planner, Attempt attempt, RequestId request, double remaining_time,
                     bool is_lookup_only) = 0;
-  // Nobody waits for the attempt any more.
+  // The result of the attempt is no longer needed.
   virtual void cancel(int planner, Attempt attempt) = 0;
-  // Asks the planner to prove that the attempt never ran and to never run it.
+  // Asks the planner to prove that the attempt never ran and not to run it any more.
   virtual void fence(int planner, Attempt attempt) = 0;
-  // The request's one reply, where it comes from the forwarder and not from a planner; the request is
+  // Sends the request's only reply, which comes from the forwarder instead of a planner; the request is
   // complete. `retry_after`: s.
   virtual void reply(RequestId request, LocalReply kind, double retry_after, bool no_retry) = 0;
-  // on_timer() is to be called at `time`; the latest call counts.
+  // Schedules the call of on_timer() at `time`, in place of the time that was scheduled before.
   virtual void schedule_wakeup(double time) = 0;
 };
 
@@ -56,19 +56,19 @@
   kRejected,        // it did not run and never will
   kFailed,          // it may have run
   kNeverRan,        // proven by fencing
-  kRunning,         // not proven: it runs or has run, and its answer will follow
-  kOutcomeEvicted,  // it has ended, and its answer is no longer cached
-  kKeyUnknown,      // nothing is remembered of its key, and nothing ran
+  kRunning,         // not proven: it is running or has run, and its answer will follow
+  kOutcomeEvicted,  // it has ended, but its answer is no longer cached
+  kKeyUnknown,      // the planner does not know its key, and nothing ran
 };
 
-// Events since the start.
+// Counts of events since the start.
 struct DispatchCounters {
   std::uint64_t first_attempts = 0;
   std::uint64_t retries = 0;
   std::uint64_t fences = 0;
   std::uint64_t proven_not_run = 0;       // attempts, by fencing or because they were never written
-  std::uint64_t stale_answers = 0;        // to attempts that no longer counted
-  std::uint64_t unprovable_attempts = 0;  // attempts that can never be proven
+  std::uint64_t stale_answers = 0;        // to attempts that were not current
+  std::uint64_t unprovable_attempts = 0;  // attempts whose epoch ended, so that there can be no proof
   std::uint64_t disconnected = 0;         // attempts open when their link was lost
   std::uint64_t rejected_locally = 0;
   std::uint64_t evicted = 0;  // from a full queue
--- a/src/tier/endpoint_list_history.cpp
+++ b/src/tier/endpoint_list_history.cpp
@@ -27,7 +27,8 @@
   return std::isfinite(out.until) && decode_addresses(*planners, out.planners);
 }
 
-// None where the bytes are no CBOR. Lengths beyond all bounds throw even where exceptions are switched off.
+// Returns nullopt if the bytes are not valid CBOR. The parser throws on excessive lengths even with
+// exceptions disabled.
 std::optional<Json> parse_cbor(std::string_view bytes) {
   try {
     return std::optional<Json>(std::in_place, Json::from_cbor(bytes.begin(), bytes.end(), true, false));
--- a/src/tier/endpoint_list_history.h
+++ b/src/tier/endpoint_list_history.h
@@ -1,6 +1,5 @@
-// The endpoint lists that a forwarder has used, as they are stored across its restarts: a forwarder that
-// starts with another list than the one it ended with has to know which keys have moved. The codec writes
-// CBOR with bounded sizes.
+// The stored history of the endpoint lists that a forwarder has used: a forwarder that restarts with a
+// different list has to know which keys have moved. The codec writes CBOR with bounded sizes.
 #pragma once
 
 #include <cstddef>
@@ -13,7 +12,7 @@
 namespace damsonspoke::tier {
 
 struct FormerEndpointList {
-  double until = 0;  // Unix s, when it was superseded
+  double until = 0;  // Unix s at which it was superseded
   std::vector<std::string> planners;
 };
 
@@ -28,9 +27,9 @@
 constexpr std::size_t kMaxFormerLists = 16;
 constexpr std::size_t kMaxAddressBytes = 255;
 
-// Of more than kMaxFormerLists former lists the newest are encoded.
+// Encodes at most kMaxFormerLists former lists, the newest ones.
 [[nodiscard]] std::string encode(const EndpointListHistory& history);
-// None where the bytes are not a complete history within the bounds above.
+// Returns nullopt if the bytes are not a complete history within the bounds above.
 [[nodiscard]] std::optional<EndpointListHistory> decode_endpoint_list_history(std::string_view bytes);
 
 }  // namespace damsonspoke::tier
--- a/src/tier/forwarder_sessions.cpp
+++ b/src/tier/forwarder_sessions.cpp
@@ -44,7 +44,7 @@
     sessions_.erase(known);
   }
   if (sessions_.size() >= options_.max_forwarders) {
-    // A session without a link makes way for a forwarder that is there.
+    // Evicts a session without a link in favor of the connected forwarder.
     const auto unlinked = std::find_if(sessions_.begin(), sessions_.end(),
                                        [](const auto& entry) { return entry.second.link == 0; });
     if (unlinked == sessions_.end()) return out;
@@ -57,7 +57,7 @@
   fresh.name = name;
   fresh.epoch = epoch;
   fresh.link = link;
-  for (auto& [id, session] : sessions_) trim_cache(session);  // each now has a smaller share
+  for (auto& [id, session] : sessions_) trim_cache(session);  // each session now has a smaller share
   return out;
 }
 
@@ -137,7 +137,7 @@
   return session.link;
 }
 
-// The oldest answers go first: they are the least likely to be asked for.
+// Evicts the oldest answers first: they are the least likely to be requested.
 void ForwarderSessions::trim_cache(Session& session) const {
   const std::size_t share = options_.answer_cache_bytes / std::max<std::size_t>(1, sessions_.size());
   while (session.cached_bytes > share) {
--- a/src/tier/key_ownership.cpp
+++ b/src/tier/key_ownership.cpp
@@ -33,8 +33,8 @@
     drop_expired_lists(now);
     current_.until = now;
     former_.push_back(std::move(current_));
-    // The owners on a list that is dropped early can no longer be asked, so no moved key runs until that list
-    // would have expired. This bounds memory when the list changes all the time.
+    // The owners on a list that is dropped early can no longer be asked, so no key runs until that list would
+    // have expired. This bounds memory when the list changes continually.
     while (former_.size() > kMaxFormerLists) {
       blocked_until_ = std::max(blocked_until_, expires_at(former_.front()));
       former_.erase(former_.begin());
--- a/src/tier/key_route_cursor.h
+++ b/src/tier/key_route_cursor.h
@@ -1,5 +1,5 @@
-// How far a keyed request has come on its route: first the former owners of its key are asked in turn, then
-// the owner runs it.
+// The position of a keyed request on its route: first the former owners of its key are asked one after
+// another, then the owner runs it.
 #pragma once
 
 #include <cstddef>
@@ -11,12 +11,12 @@
 
 class KeyRouteCursor {
  public:
-  // A request without a key: no target.
+  // For a request without a key: no target.
   KeyRouteCursor() = default;
-  // `list_version`: of the endpoint list that the route was made from.
+  // `list_version`: of the endpoint list that the route was computed from.
   KeyRouteCursor(KeyRoute route, int list_version) : route_(std::move(route)), list_version_(list_version) {}
 
-  // Whether the target is only asked if it knows the key.
+  // Whether the target is only asked whether it knows the key.
   [[nodiscard]] bool is_lookup() const { return lookups_done_ < route_.former_owners.size(); }
   // The planner that has to be asked or that runs the request; < 0: none.
   [[nodiscard]] int target() const {
--- a/src/tier/pending_requests.h
+++ b/src/tier/pending_requests.h
@@ -1,5 +1,5 @@
 // The requests that a forwarder has to answer, with their deadlines and the times at which their attempts
-// are late. Times are seconds on one clock that never steps back.
+// are late. Times are seconds on one monotonic clock.
 #pragma once
 
 #include <cstddef>
@@ -16,7 +16,7 @@
 struct PendingRequest {
   ForwardedRequest details;
   KeyRouteCursor key_route;  // of a keyed request
-  double deadline = 0;       // when its reply leaves at the latest
+  double deadline = 0;       // latest time at which its reply is sent
   double sent_at = 0;        // of the current attempt
   int attempts_begun = 0;
 
@@ -32,18 +32,18 @@
   [[nodiscard]] const PendingRequest& at(RequestId id) const { return requests_.at(id).request; }
   [[nodiscard]] std::size_t size() const { return requests_.size(); }
 
-  // No deadline is later than `latest` from now on.
+  // Moves later deadlines to `latest`.
   void cap_deadlines(double latest);
-  // The request with the earliest deadline, if that has passed.
+  // The request with the earliest deadline, if that deadline has passed.
   [[nodiscard]] std::optional<RequestId> first_overdue(double now) const;
 
-  // The request's current attempt is late at `time`.
+  // The request's current attempt counts as late from `time` on.
   void schedule_fence(RequestId id, double time);
   void cancel_fence(RequestId id);
   // Takes the request whose attempt has been late for longest, if there is one.
   [[nodiscard]] std::optional<RequestId> take_late(double now);
 
-  // The earliest deadline or fence; none where nothing is scheduled.
+  // The earliest deadline or fence; none if nothing is scheduled.
   [[nodiscard]] std::optional<double> next_event() const;
 
  private:
--- a/src/tier/picker.cpp
+++ b/src/tier/picker.cpp
@@ -88,7 +88,7 @@
   eject_if_outlier(planner, now);
 }
 
-// None where there is no other planner to compare with.
+// Returns none if there is no other planner to compare with.
 std::optional<Picker::Baseline> Picker::baseline_without(int planner, double now) const {
   Baseline baseline;
   std::vector<double> failed;
@@ -121,9 +121,9 @@
   return fails || rejects_all || slow;
 }
 
-// A planner that accepts and never answers, rejects everything or is many times slower would otherwise look
-// empty and attract requests. It is compared with the others, because ejecting it helps nobody where all do
-// badly.
+// A planner that accepts requests and never answers, rejects everything or is many times slower than the
+// others would otherwise look idle and attract requests. It is compared with the others, because ejecting it
+// gains nothing if all perform badly.
 void Picker::eject_if_outlier(int planner, double now) {
   Planner& suspect = at(planner);
   if (!suspect.is_up || suspect.ejected_until > now || suspect.outcomes.total < options_.min_outcomes) return;
@@ -145,7 +145,7 @@
   }));
 }
 
-// The window as far as slow start allows.
+// The part of the window that slow start allows.
 double Picker::effective_window(const Planner& planner, double now) const {
   if (planner.window == 0) return 0;
   const double progress =
@@ -155,8 +155,9 @@
   return std::max(1.0, share * planner.window);
 }
 
-// Rejected attempts go on using capacity during their cooldown. A cold or full planner that rejects at once
-// would otherwise free its capacity at once too, and be flooded by many forwarders within its windows.
+// Rejected attempts keep using capacity during their cooldown. A cold or full planner that rejects
+// immediately would otherwise also free its capacity immediately, and many forwarders could flood it within
+// its windows.
 int Picker::free_capacity(int planner, double now) const {
   if (!accepts_requests(planner) || is_ejected(planner, now)) return 0;
   const Planner& candidate = at(planner);
@@ -183,14 +184,14 @@
   return false;
 }
 
-// Of the effective window, with one more attempt.
+// The utilization of the effective window with one more attempt.
 double Picker::utilization(int planner, double now) const {
   const double window = effective_window(at(planner), now);
   return window <= 0 ? kNoCapacityUtilization : (at(planner).open + 1) / window;
 }
 
-// A healthy planner comes before an unhealthy one; then the one whose next slot has the lower value, because
-// the request displaces nothing important there; then the less utilized one.
+// A healthy planner comes before an unhealthy one; then the one whose next free slot has the lower value,
+// because the request displaces less important requests there; then the less utilized one.
 bool Picker::is_better(int a, int b, double now) const {
   const Planner& first = at(a);
   const Planner& second = at(b);
@@ -200,8 +201,8 @@
   return utilization(a, now) < utilization(b, now);
 }
 
-// The planner with the highest hash of key and name that is within its load bound. Where none is, the least
-// utilized one.
+// The planner with the highest hash of key and name among those within their load bound; if there is none,
+// the least utilized planner.
 std::optional<int> Picker::pick_by_key(std::uint64_t key, double now,
                                        const std::vector<int>& candidates) const {
   double open = 1;
--- a/src/tier/picker.h
+++ b/src/tier/picker.h
@@ -1,12 +1,12 @@
 // Chooses the planner that a request is sent to, from the planners' load reports and the outcomes of their
-// attempts. Policy without I/O; times are seconds on one clock that never steps back.
+// attempts. Policy without I/O; times are seconds on one monotonic clock.
 //
-// With a key (sites with hot subjects): rendezvous hashing, so that a subject stays at one planner while
-// planners come and go, with bounded loads (Mirrokni, Thorup, Zadimoghaddam 2016), so that a hot subject does
-// not overload it. Otherwise the better of two random choices (Mitzenmacher 1996), by the value of the
-// planner's next free slot and by utilization. A planner that has come up gets more and more (slow start). An
-// outlier, whose attempts end much worse than those at the others, is ejected for a while; never more than
-// half of the planners are ejected.
+// With a key (sites with hot subjects): rendezvous hashing, so that a subject stays at one planner when
+// others are added or removed, with bounded loads (Mirrokni, Thorup, Zadimoghaddam 2016), so that a hot
+// subject does not overload its planner. Otherwise the better of two random choices (Mitzenmacher 1996), by
+// the value of the planner's next free slot and by utilization. A planner that has just connected gets a
+// growing part of its window (slow start). An outlier, whose attempts end much worse than those of the
+// others, is ejected for some time; by default never more than half of the planners are ejected.
 #pragma once
 
 #include <cstdint>
@@ -19,19 +19,19 @@
 namespace damsonspoke::tier {
 
 struct PickerOptions {
-  double slow_start_seconds = 1.5;     // until a planner that has come up gets its whole window
-  double initial_window_share = 0.25;  // of the window, when a planner has come up
-  double load_bound = 1.25;            // x the mean utilization that the planner of a key may have
-  double base_ejection_seconds = 2;    // doubled each time in a row up to max_ejection_seconds
+  double slow_start_seconds = 1.5;     // until a planner that has connected gets its full window
+  double initial_window_share = 0.25;  // of the window, when a planner has just connected
+  double load_bound = 1.25;            // x the mean utilization: limit for the planner of a key
+  double base_ejection_seconds = 2;    // doubled with each consecutive ejection, up to max_ejection_seconds
   double max_ejection_seconds = 30;
   double max_ejected_share = 0.5;         // of the planners that are up
-  int min_outcomes = 16;                  // before a planner can be ejected
+  int min_outcomes = 16;                  // outcomes before a planner can be ejected
   double failure_share_margin = 0.5;      // of failed attempts, above the others' median
   double slow_factor = 5;                 // x the median of the others' latencies
-  double rejection_cooldown_seconds = 0;  // that a rejected attempt goes on using capacity
+  double rejection_cooldown_seconds = 0;  // how long a rejected attempt keeps using capacity
 };
 
-// How an attempt ended, as far as it tells something about its planner.
+// The outcome of an attempt, if it says something about its planner.
 enum class AttemptOutcome { kSucceeded, kRejected, kFailed };
 
 // Planners are identified by their position, which never changes.
@@ -39,17 +39,17 @@
  public:
   Picker(PickerOptions options, const std::vector<std::string>& names);
 
-  // Adds a planner at the next position, which is returned.
+  // Adds a planner at the next position and returns that position.
   int add(const std::string& name);
-  // The endpoint list no longer has this planner: it is sent no more requests.
+  // The planner is no longer on the endpoint list: it is sent no more requests.
   void remove(int planner) { at(planner).is_listed = false; }
-  // The endpoint list has it again.
+  // The planner is on the endpoint list again.
   void restore(int planner) { at(planner).is_listed = true; }
 
-  // A planner that comes up starts without history. `window`: attempts that may be open there.
+  // The planner has connected and starts without history. `window`: attempts that may be open there.
   void on_link_up(int planner, std::uint32_t window, double now);
   void on_link_down(int planner) { at(planner).is_up = false; }
-  // The planner shuts down gracefully: it accepts no more requests, its open attempts go on.
+  // The planner shuts down gracefully: it accepts no more requests but completes its open attempts.
   void on_draining(int planner) { at(planner).is_draining = true; }
   // `slot_value`: of its next free slot, in units of priority weight.
   void on_load_report(int planner, std::uint32_t window, double slot_value, bool is_healthy);
@@ -57,13 +57,13 @@
   void on_attempt_sent(int planner) { ++at(planner).open; }
   // `latency`: s from sending to the answer; counts for successes only.
   void on_attempt_ended(int planner, AttemptOutcome outcome, double latency, double now);
-  // An attempt ended and tells nothing about its planner.
+  // An attempt ended, and its outcome says nothing about its planner.
   void release(int planner);
   // An attempt is late, which counts as a failure. It stays open.
   void on_attempt_late(int planner, double now);
 
-  // The planner for a request. None where no planner has capacity. `key`: 0 where the request may go
-  // anywhere. `random` gives numbers from 0 to below 1. `exclude`: the planner that the request was at.
+  // Chooses the planner for a request. Returns none if no planner has capacity. `key`: 0 if the request may
+  // go to any planner. `random` returns numbers in [0, 1). `exclude`: the planner of the previous attempt.
   [[nodiscard]] std::optional<int> pick(std::uint64_t key, double now, const std::function<double()>& random,
                                         std::optional<int> exclude = std::nullopt);
 
@@ -75,7 +75,7 @@
   [[nodiscard]] bool is_reachable(int planner) const { return at(planner).is_up && !at(planner).is_draining; }
   // Attempts that may be begun there now.
   [[nodiscard]] int free_capacity(int planner, double now) const;
-  // The same for questions about keys, which ejected and unlisted planners are asked too.
+  // The same for key lookups, which are also sent to ejected and unlisted planners.
   [[nodiscard]] int lookup_capacity(int planner, double now) const;
   [[nodiscard]] int open_attempts(int planner) const { return at(planner).open; }
   [[nodiscard]] bool is_ejected(int planner, double now) const { return at(planner).ejected_until > now; }
@@ -85,7 +85,7 @@
   [[nodiscard]] const std::string& name(int planner) const { return at(planner).name; }
 
  private:
-  // Fading counts of how attempts ended, and the mean latency of those that succeeded.
+  // Decaying counts of the outcomes of attempts, and the mean latency of those that succeeded.
   struct Outcomes {
     double total = 0;
     double failed = 0;
--- a/src/tier/planner_discovery.cpp
+++ b/src/tier/planner_discovery.cpp
@@ -4,8 +4,8 @@
 
 namespace damsonspoke::tier {
 
-// `alive_elsewhere`: another member is alive at the same address, as after a restart. Then the address has
-// not left.
+// `alive_elsewhere`: another member is alive at the same address, as after a restart. Then the planner at
+// this address has not left.
 void PlannerDiscovery::observe(const PlannerStatus& status, bool alive_elsewhere, double now) {
   const auto found = known_.find(status.address);
   if (status.has_left) {
@@ -38,7 +38,7 @@
   });
   std::vector<std::string> planners = listed;
   for (const auto& [address, known] : known_) {
-    // The first planner of all does not have to settle.
+    // While there are no planners, a new one is used without settling.
     const bool has_settled = current_.empty() || now - known.alive_since >= options_.settle_seconds;
     if (known.has_left || !has_settled || planners.size() >= options_.max_planners) continue;
     if (std::find(planners.begin(), planners.end(), address) != planners.end()) continue;
--- a/src/tier/planner_discovery.h
+++ b/src/tier/planner_discovery.h
@@ -1,6 +1,6 @@
-// Which planners a forwarder uses when it learns of planners from the fleet's membership: those on its
-// configured list, and members that serve as planners. A planner that falls silent is retained for a while,
-// so that a short absence moves no keys; one that has left is dropped at once. Policy without I/O.
+// Selects the planners of a forwarder that discovers them from the fleet's membership: those on its
+// configured list, and members that serve as planners. A planner that becomes silent is retained for some
+// time, so that a short absence moves no keys; one that has left is removed immediately. Policy without I/O.
 #pragma once
 
 #include <cstddef>
@@ -20,15 +20,15 @@
 class PlannerDiscovery {
  public:
   struct Options {
-    double settle_seconds = 1;      // that a new planner has to be alive before it gets requests
-    double retention_seconds = 60;  // that a silent planner is retained
+    double settle_seconds = 1;      // how long a new planner has to be alive before it gets requests
+    double retention_seconds = 60;  // how long a silent planner is retained
     std::size_t max_planners = 64;
   };
   explicit PlannerDiscovery(Options options) : options_(options) {}
 
-  // The planners from now on: `listed` first, in their order. The result is not empty once there was a
-  // planner: a membership view without any member is more likely to be wrong than right. `now`: s on a clock
-  // that never steps back.
+  // Returns the planners to use from now on: `listed` first, in their order. If no planner is left, the
+  // previous result is kept: a membership view without any member is more likely to be wrong than right.
+  // `now`: s on a monotonic clock.
   std::vector<std::string> update(const std::vector<std::string>& listed,
                                   const std::vector<PlannerStatus>& statuses, double now);
 
--- a/src/tier/retry_budget.h
+++ b/src/tier/retry_budget.h
@@ -1,5 +1,5 @@
-// Limits a forwarder's retries to a share of its first attempts, so that retries never multiply a fault.
-// Policy without I/O, after the retry budgets of Finagle and of Google's SRE book (cascading failures).
+// Limits a forwarder's retries to a share of its first attempts, so that retries do not amplify an overload.
+// Policy without I/O, modeled on the retry budgets of Finagle and of Google's SRE book (cascading failures).
 #pragma once
 
 #include <algorithm>
@@ -8,11 +8,12 @@
 
 class RetryBudget {
  public:
-  // `share`: retries for each first attempt. `burst`: retries that may be made at once after a calm period.
+  // `share`: retries for each first attempt. `burst`: retries that may be made at once after a period without
+  // retries.
   RetryBudget(double share, double burst) : share_(share), burst_(burst), tokens_(burst) {}
 
   void on_first_attempt() { tokens_ = std::min(burst_, tokens_ + share_); }
-  // Spends one retry; false where none is left.
+  // Spends one retry; returns false if none is left.
   [[nodiscard]] bool try_spend() {
     if (tokens_ < 1) return false;
     tokens_ -= 1;
--- a/src/tier/slot_value.h
+++ b/src/tier/slot_value.h
@@ -1,6 +1,6 @@
-// What a planner reports about its load: how many attempts each forwarder may have open there, and the value
-// of its next free slot, which is the priority weight of what it recently rejected for lack of capacity.
-// Policy without I/O.
+// The load that a planner reports: how many attempts each forwarder may have open there, and the value of its
+// next free slot, which is the mean priority weight of the requests that it recently rejected for lack of
+// capacity. Policy without I/O.
 #pragma once
 
 #include <algorithm>
@@ -10,7 +10,7 @@
 
 namespace damsonspoke::tier {
 
-// A mean of the rejected requests' priority weights that fades with time. Times are seconds on one clock.
+// A decaying mean of the rejected requests' priority weights. Times are seconds on one clock.
 class SlotValue {
  public:
   void on_rejected(double priority_weight, double now) {
@@ -21,7 +21,7 @@
     decay(now);
     value_ -= value_ / kMeanRequests;
   }
-  // In units of priority weight; 0 where nothing was rejected recently.
+  // In units of priority weight; 0 if nothing was rejected recently.
   [[nodiscard]] double value(double now) {
     decay(now);
     return value_;
@@ -29,7 +29,8 @@
 
  private:
   static constexpr double kMeanRequests = 12;
-  static constexpr double kDecaySeconds = 1;  // a planner that rejected a moment ago may have capacity now
+  // A planner that rejected requests a second ago may have capacity now.
+  static constexpr double kDecaySeconds = 1;
 
   void decay(double now) {
     value_ *= std::exp(-std::max(0.0, now - updated_at_) / kDecaySeconds);
@@ -44,7 +45,7 @@
 constexpr std::uint32_t kMinWindowAttempts = 4;
 
 // Attempts that each of `links` forwarders may have open at a warm planner: twice the even share, because
-// forwarders are not equally busy. The sum may exceed the planner's attempts; it rejects what is too much.
+// forwarders are not equally busy. The sum may exceed the planner's capacity; it rejects the excess.
 [[nodiscard]] inline std::uint32_t warm_window(int cores, std::size_t links) {
   const auto all = kAttemptsPerCore * static_cast<std::uint32_t>(std::max(1, cores));
   const auto even = all / static_cast<std::uint32_t>(std::max<std::size_t>(1, links));
--- a/src/tier/slow_start_shares.cpp
+++ b/src/tier/slow_start_shares.cpp
@@ -22,8 +22,8 @@
   return found == members_.end() ? 0 : found->second.share;
 }
 
-// What a member may have open now: its share, the previous one while the member may still act on it, or what
-// is open from before that.
+// Attempts that a member may have open now: its share, the previous share while the member may still use it,
+// or the open attempts if they are more.
 std::uint64_t SlowStartShares::reserved(const Allotment& allotment, std::size_t open, double now) const {
   const bool settling = now - allotment.lowered_at < options_.settle_seconds;
   const std::uint32_t allowed =
@@ -31,7 +31,8 @@
   return std::max<std::uint64_t>(allowed, open);
 }
 
-// Drops removed members that hold nothing any more. Gives the present ones and what all reserve together.
+// Drops removed members without reserved attempts. Collects the others in `present` and returns the sum of
+// all reserved attempts.
 std::uint64_t SlowStartShares::collect(double now, const std::function<std::size_t(Member)>& open,
                                        std::vector<Present>& present) {
   std::uint64_t total = 0;
@@ -48,8 +49,8 @@
   return total;
 }
 
-// Lowers shares that are above the even one, except those that rotate and have not had their time. Returns
-// how much of the remainder nobody holds.
+// Lowers shares that are above the even share, except an extra attempt of the rotation whose time is not
+// over. Returns the part of the remainder that no member holds.
 std::uint64_t SlowStartShares::lower(const std::vector<Present>& present, std::uint32_t even,
                                      std::uint64_t remainder, double now) const {
   for (const auto& [member, allotment] : present) {
@@ -75,7 +76,7 @@
   const auto even = static_cast<std::uint32_t>(total / present.size());
   std::uint64_t remainder = lower(present, even, total % present.size(), now);
 
-  // Only what nobody may act on any more is handed out again.
+  // Only attempts that no member may still begin are handed out again.
   std::uint64_t free = total - std::min(total, reserved_total);
   const auto raise = [&](Member member, Allotment& allotment, std::uint32_t to) {
     const std::uint64_t held = reserved(allotment, open(member), now);
@@ -85,8 +86,8 @@
     allotment.share = static_cast<std::uint32_t>(reachable);
     return allotment.share == to;
   };
-  // Even shares first, then the remainder. The member that has waited longest comes first, so that none is
-  // passed over whenever something is free.
+  // Even shares first, then the remainder. The member that has waited longest comes first, so that no member
+  // starves.
   std::stable_sort(present.begin(), present.end(), [](const Present& a, const Present& b) {
     return a.allotment->raised_at < b.allotment->raised_at;
   });
@@ -96,7 +97,7 @@
   for (const auto& [member, allotment] : present) {
     if (remainder == 0) return;
     if (allotment->share != even) continue;
-    // Nobody overtakes a member that waits for what it still reserves.
+    // No other member may overtake this one while it waits for reserved attempts to become free.
     if (!raise(member, *allotment, even + 1)) return;
     allotment->raised_at = now;
     --remainder;
--- a/src/tier/slow_start_shares.h
+++ b/src/tier/slow_start_shares.h
@@ -1,9 +1,9 @@
-// Hands out a warming planner's attempts to its forwarders. What they may have open sums to at most the
-// budget at any time, however many they are, while they connect and disconnect, and while some have not yet
-// heard of a smaller share. With fewer attempts than forwarders, shares of one rotate so that no forwarder
-// starves. Policy without I/O.
+// Divides the slow-start budget of a planner among its forwarders. The attempts that they may have open never
+// exceed the budget in total, however many forwarders there are, while forwarders connect and disconnect, and
+// while some have not yet received a smaller share. With fewer attempts than forwarders, shares of one rotate
+// so that no forwarder starves. Policy without I/O.
 //
-// The receiver hands out the shares because it knows all senders; the senders do not know each other.
+// The receiver assigns the shares because it knows all senders; the senders do not know each other.
 #pragma once
 
 #include <cstdint>
@@ -14,9 +14,10 @@
 namespace damsonspoke::tier {
 
 struct SlowStartSharesOptions {
-  // s after which a forwarder has certainly heard of a smaller share and what it sent before has arrived.
+  // s after which a forwarder has certainly received a smaller share, and the attempts that it sent before
+  // have arrived.
   double settle_seconds = 0.25;
-  double rotation_seconds = 0.25;  // s that a rotating share stays; at least settle_seconds
+  double rotation_seconds = 0.25;  // s for which a rotating share stays; at least settle_seconds
 };
 
 class SlowStartShares {
@@ -28,20 +29,21 @@
   // Its share becomes free once its open attempts have ended and those in flight have arrived.
   void remove(Member member, double now);
 
-  // Computes new shares of this budget (attempts, rounded down). `open` gives a member's open attempts.
+  // Computes the shares of this budget (attempts, rounded down). `open` returns a member's number of open
+  // attempts.
   void rebalance(double now, double budget, const std::function<std::size_t(Member)>& open);
-  // Attempts that the member may have open; 0 where it is unknown.
+  // Attempts that the member may have open; 0 for an unknown member.
   [[nodiscard]] std::uint32_t share(Member member) const;
-  // Members of which something is stored, removed ones with open attempts included.
+  // Stored members, including removed ones that still have attempts reserved.
   [[nodiscard]] std::size_t size() const { return members_.size(); }
   void clear() { members_.clear(); }
 
  private:
   struct Allotment {
     std::uint32_t share = 0;
-    std::uint32_t previous_share = 0;  // that the member may still act on
+    std::uint32_t previous_share = 0;  // which the member may still use
     double lowered_at = -1e9;
-    double raised_at = -1e9;  // by one above the even share
+    double raised_at = -1e9;  // when it was raised to one above the even share
     bool removed = false;
   };
   struct Present {
@@ -55,11 +57,11 @@
                       double now) const;
 
   const SlowStartSharesOptions options_;
-  std::map<Member, Allotment> members_;  // in the order in which they came
+  std::map<Member, Allotment> members_;  // in the order in which they were added
 };
 
-// Attempts that may be open at a planner which started `age` s ago: all that it takes when warm times its
-// speed by then, which grows evenly from `slow_start_speed` to 1 within `slow_start_seconds`.
+// Attempts that may be open at a planner that started `age` s ago: its limit when warm times its speed at
+// that age, which grows linearly from `slow_start_speed` to 1 within `slow_start_seconds`.
 [[nodiscard]] double slow_start_budget(int cores, double slow_start_speed, double slow_start_seconds,
                                        double age);
 
--- a/src/tier/wait_estimator.cpp
+++ b/src/tier/wait_estimator.cpp
@@ -52,8 +52,8 @@
   if (no_planner_since_ < 0) no_planner_since_ = now;
 }
 
-// Without this check, slow planners would let all waiting requests be answered too late: the capacity that
-// becomes free has to go to those that can still finish in time.
+// Without this check, slow planners would cause all waiting requests to be answered too late: the capacity
+// that becomes free has to be used for requests that can still finish in time.
 bool WaitEstimator::can_finish_in_time(std::size_t route, std::size_t ahead, double remaining, double now) {
   if (remaining <= 0) return false;
   decay(now);
--- a/src/tier/wait_queue.cpp
+++ b/src/tier/wait_queue.cpp
@@ -19,8 +19,8 @@
   return evicted;
 }
 
-// Of the least important requests, the newest one of the caller with the most of them. Not empty: push() has
-// just added one.
+// The newest request of the caller with the most requests of the lowest priority. The queue is not empty:
+// push() has just added a request.
 RequestId WaitQueue::eviction_candidate() const {
   const Priority& lowest = priorities_.rbegin()->second;
   const std::deque<RequestId>* longest = nullptr;
@@ -43,7 +43,7 @@
   return true;
 }
 
-// A caller that had its turn goes behind the other callers of its priority.
+// A caller that was served moves behind the other callers of its priority.
 void WaitQueue::erase(RequestId request, bool was_served) {
   const Waiting entry = waiting_.at(request);
   waiting_.erase(request);
--- a/src/tier/wait_queue.h
+++ b/src/tier/wait_queue.h
@@ -1,7 +1,7 @@
 // The requests that wait at a forwarder while no planner has capacity for them. Higher priority weights go
-// first. Among equals, callers take turns, so that one heavy caller delays only itself; of one caller the
-// oldest request goes first. When the queue is full, the least important request of the caller with the most
-// waiting is evicted. Policy without I/O.
+// first. Within a priority, callers are served round robin, so that one heavy caller delays only itself; the
+// oldest request of a caller goes first. When the queue is full, a request of the lowest priority is evicted:
+// the newest one of the caller with the most waiting requests of that priority. Policy without I/O.
 #pragma once
 
 #include <cstddef>
@@ -22,15 +22,15 @@
   WaitQueue(std::size_t max_requests, std::size_t max_bytes)
       : max_requests_(max_requests), max_bytes_(max_bytes) {}
 
-  // Adds a request. Returns the request that was evicted for it, which may be the new one; none where there
-  // was capacity.
+  // Adds a request. Returns the request that was evicted for it, which may be the new one; none if there was
+  // capacity.
   std::optional<RequestId> push(RequestId request, double priority_weight, std::uint32_t caller,
                                 std::size_t bytes);
-  // The request whose turn it is; none where nothing waits.
+  // The next request to be served; none if the queue is empty.
   [[nodiscard]] std::optional<RequestId> front() const;
-  // Removes a request. False where it does not wait here.
+  // Removes a request. Returns false if it is not in the queue.
   bool remove(RequestId request);
-  // Requests that would go before a new one of this priority weight.
+  // Number of requests that would be served before a new one of this priority weight.
   [[nodiscard]] std::size_t count_ahead(double priority_weight) const;
 
   [[nodiscard]] std::size_t size() const { return waiting_.size(); }
@@ -39,7 +39,7 @@
  private:
   // The requests of one priority weight.
   struct Priority {
-    std::list<std::uint32_t> rotation;  // callers with something waiting, the next one first
+    std::list<std::uint32_t> rotation;  // callers with waiting requests, the next one first
     std::unordered_map<std::uint32_t, std::deque<RequestId>> by_caller;  // the oldest request first
     std::size_t count = 0;
   };
--- a/src/tier/wait_queues.h
+++ b/src/tier/wait_queues.h
@@ -11,7 +11,7 @@
 
 class WaitQueues {
  public:
-  // The bounds hold for each queue.
+  // The limits apply to each queue.
   WaitQueues(std::size_t max_requests, std::size_t max_bytes)
       : max_requests_(max_requests), max_bytes_(max_bytes), shared_(max_requests, max_bytes) {}
 
@@ -24,7 +24,7 @@
   [[nodiscard]] int planners() const { return static_cast<int>(of_planners_.size()); }
   // Requests waiting in all queues.
   [[nodiscard]] std::size_t size() const;
-  // Empties the planners' queues; the requests in the order of their ids.
+  // Empties the planners' queues and returns their requests in the order of their ids.
   [[nodiscard]] std::vector<RequestId> take_keyed();
 
  private:
