--- a/tests/tier/dispatch_traces.cpp
+++ b/tests/tier/dispatch_traces.cpp
@@ -1,6 +1,6 @@
-// A forwarder's dispatch without sockets, told act by act: links, waiting, leaving, keyed requests while the
-// list of planners changes, forged answers. CTest compares with tests/traces/tier_NAME.txt. usage:
-// tier_dispatch - NAME
+// A forwarder's dispatch without sockets; every action is printed: links, waiting requests, draining, keyed
+// requests while the endpoint list changes, forged answers. CTest compares the output with
+// tests/traces/tier_NAME.txt. usage: tier_dispatch_traces - NAME
 #include <cmath>
 #include <cstdio>
 #include <pcg_random.hpp>
@@ -15,24 +15,25 @@
 
 namespace {
 
-// ---- A forwarder's acts, told one by one.
+// Prints the dispatch's actions.
 struct PrintingSink : DispatchSink {
   void send(int planner, Attempt attempt, RequestId request, double remaining_time,
             bool is_lookup_only) override {
-    std::printf("  %s op %d as %d to p%d, %.2f s left\n", is_lookup_only ? "ask about" : "send",
-                static_cast<int>(request), static_cast<int>(attempt), planner, remaining_time);
+    std::printf("  %s request %d as attempt %d to p%d, %.2f s remaining\n",
+                is_lookup_only ? "look up" : "send", static_cast<int>(request), static_cast<int>(attempt),
+                planner, remaining_time);
   }
   void cancel(int planner, Attempt attempt) override {
-    std::printf("  cancel %d at p%d\n", static_cast<int>(attempt), planner);
+    std::printf("  cancel attempt %d at p%d\n", static_cast<int>(attempt), planner);
   }
   void fence(int planner, Attempt attempt) override {
-    std::printf("  fence %d at p%d\n", static_cast<int>(attempt), planner);
+    std::printf("  fence attempt %d at p%d\n", static_cast<int>(attempt), planner);
   }
   void reply(RequestId request, LocalReply kind, double retry_after, bool no_retry) override {
-    std::printf("  op %d: %s", static_cast<int>(request),
-                kind == LocalReply::kRejected ? "nacked" : "failed");
+    std::printf("  request %d: %s", static_cast<int>(request),
+                kind == LocalReply::kRejected ? "rejected" : "failed");
     if (kind == LocalReply::kRejected)
-      std::printf(", back in %.2f s%s", retry_after, no_retry ? ", nowhere else" : "");
+      std::printf(", retry after %.2f s%s", retry_after, no_retry ? ", no retry elsewhere" : "");
     std::printf("\n");
   }
   void schedule_wakeup(double time) override { next = time; }
@@ -63,8 +64,8 @@
                           bool no_retry = false) {
     const auto completed = dispatcher.on_answer(planner, epoch, attempt, kind, 0.3, no_retry, now);
     std::printf(
-        "  answer to %d: %s\n", static_cast<int>(attempt),
-        completed ? ("op " + std::to_string(*completed) + " is over").c_str() : "nothing is passed on");
+        "  answer to attempt %d: %s\n", static_cast<int>(attempt),
+        completed ? ("request " + std::to_string(*completed) + " complete").c_str() : "not forwarded");
   };
   const auto run_until = [&](double time) {
     while (sink.next > now && sink.next <= time) {
@@ -74,31 +75,31 @@
     }
     now = time;
   };
-  std::printf("no planner yet\n");
+  std::printf("no planner is connected\n");
   request(1, 1);
-  std::printf("one comes up, with room for two\n");
+  std::printf("p0 connects with a window of two\n");
   dispatcher.on_link_up(0, 100, 2, now);
   request(2, 1);
   request(3, 1);
   request(4, 1);
-  std::printf("a more important one finds the line full, then an equal one\n");
+  std::printf("the queue is full: a request of higher priority arrives, then one of equal priority\n");
   request(5, 1);
   request(6, 1, 3);
   request(7, 1);
-  std::printf("the other comes up: who waits goes there\n");
+  std::printf("p1 connects: the waiting requests are sent to it\n");
   dispatcher.on_link_up(1, 200, 2, now);
-  std::printf("acked, by the wrong life, by the right one\n");
+  std::printf("success from the wrong epoch, then from the right one\n");
   answer(0, 99, 1, AnswerKind::kSucceeded);
   answer(0, 100, 1, AnswerKind::kSucceeded);
-  std::printf("nacked, and the other has no room\n");
+  std::printf("rejected, and the other planner has no capacity\n");
   answer(0, 100, 2, AnswerKind::kRejected);
-  std::printf("nacked, the other has room\n");
+  std::printf("rejected, and the other planner has capacity\n");
   answer(1, 200, 3, AnswerKind::kRejected);
-  std::printf("nacked there as well\n");
+  std::printf("rejected by the other planner as well\n");
   answer(0, 100, 5, AnswerKind::kRejected);
-  std::printf("nacked, and nowhere else\n");
+  std::printf("rejected without permission to retry\n");
   answer(1, 200, 4, AnswerKind::kRejected, true);
-  std::printf("a planner that does not answer in half of the time is asked for proof\n");
+  std::printf("an attempt that is unanswered after half of the remaining time is fenced\n");
   now = 10;
   dispatcher.on_timer(now);
   request(20, 2);
@@ -106,38 +107,38 @@
   answer(0, 100, 7, AnswerKind::kRunning);
   answer(1, 200, 7, AnswerKind::kRunning);
   run_until(12.5);
-  std::printf("proven: tried elsewhere\n");
+  std::printf("proven not to have run: retried at the other planner\n");
   now = 20;
   request(21, 2);
   run_until(21.2);
   answer(0, 100, 8, AnswerKind::kNeverRan);
   answer(1, 200, 8, AnswerKind::kNeverRan);
-  std::printf("the budget of second tries is used up\n");
+  std::printf("the retry budget is exhausted\n");
   run_until(30);
   request(22, 2);
   answer(0, 100, 10, AnswerKind::kRejected);
   answer(1, 200, 10, AnswerKind::kRejected);
   std::printf(
-      "a link is lost: what never left goes elsewhere if it may, the rest waits for proof, then fails\n");
+      "links are lost: unwritten attempts are retried if possible, the others wait for proof, then fail\n");
   request(23, 5);
   request(24, 5);
   dispatcher.on_link_lost(0, {11}, now);
   dispatcher.on_link_lost(1, {}, now);
   request(25, 5);
   run_until(30.9);
-  std::printf("back in the same life, and the other in a new one\n");
+  std::printf("p1 reconnects with the same epoch, p0 with a new one\n");
   dispatcher.on_link_up(1, 200, 2, now);
   dispatcher.on_link_up(0, 101, 2, now);
   run_until(33);
-  std::printf("lost, and not back in time\n");
+  std::printf("links are lost and not reconnected in time\n");
   request(26, 5);
   dispatcher.on_link_lost(0, {}, now);
   dispatcher.on_link_lost(1, {}, now);
   run_until(36);
-  std::printf("keyed ops go to one planner or nowhere\n");
+  std::printf("keyed requests go to their owner only\n");
   dispatcher.on_link_up(0, 101, 1, now);
   for (std::uint64_t key_hash = 1; key_hash <= 4; ++key_hash) request(30 + key_hash, 0.2, 1, key_hash);
-  std::printf("callers go; the notice to leave; late comers\n");
+  std::printf("callers disconnect; the forwarder drains; requests arrive after the grace period\n");
   dispatcher.on_caller_disconnected(31, now);
   dispatcher.on_caller_disconnected(32, now);
   dispatcher.on_caller_disconnected(33, now);
@@ -147,10 +148,11 @@
   now += 0.4;
   request(41, 5);
   run_until(39);
-  std::printf("open at the end: %zu\n", dispatcher.open_requests());
+  std::printf("open requests at the end: %zu\n", dispatcher.open_requests());
 }
 
-// What waits for a planner that goes: told at once.
+// Guards against requests that keep waiting for a planner that drains or disconnects: they are rejected
+// immediately.
 void waiting() {
   PrintingSink sink;
   DispatchOptions options;
@@ -167,22 +169,22 @@
   };
   dispatcher.on_link_up(0, 7, 1, 0);
   dispatcher.on_link_up(1, 7, 1, 0);
-  std::printf("two go, a keyed one and a plain one wait\n");
+  std::printf("two requests are sent, one with a key and one without wait\n");
   request(1, 0, 0);
   request(2, 0, 0);
   request(3, 1, 0);
   request(4, 0, 0);
-  std::printf("a planner answers what the other was given\n");
+  std::printf("a planner answers an attempt of the other planner\n");
   const bool accepted = dispatcher
                             .on_answer(dispatcher.attempts().find(1)->planner == 0 ? 1 : 0, 7, 1,
                                        AnswerKind::kSucceeded, 0, false, 0)
                             .has_value();
-  std::printf("  believed: %s\n", accepted ? "yes" : "no");
-  std::printf("both leave\n");
+  std::printf("  accepted: %s\n", accepted ? "yes" : "no");
+  std::printf("both planners drain\n");
   dispatcher.on_planner_draining(0, 0.1);
   dispatcher.on_planner_draining(1, 0.1);
   request(5, 0, 0.1);
-  std::printf("back, and full; a link is lost under a keyed one that waits\n");
+  std::printf("both reconnect and are full; both links are lost while a keyed request waits\n");
   dispatcher.on_link_up(0, 8, 1, 0.2);
   dispatcher.on_link_up(1, 8, 1, 0.2);
   request(6, 0, 0.2);
@@ -190,7 +192,7 @@
   request(8, 1, 0.2);
   dispatcher.on_link_lost(0, {}, 0.3);
   dispatcher.on_link_lost(1, {}, 0.3);
-  std::printf("a keyed one whose planner is no longer wanted goes to the other\n");
+  std::printf("the owner of a key is removed from the list: the next keyed request goes to the new owner\n");
   dispatcher.on_timer(5);
   dispatcher.on_link_up(0, 8, 4, 6);
   dispatcher.on_link_up(1, 8, 4, 6);
@@ -198,7 +200,8 @@
   dispatcher.set_planners(
       {dispatcher.attempts().find(*dispatcher.attempts().current_attempt(9))->planner == 0 ? "p1" : "p0"}, 6);
   request(10, 1, 6);
-  std::printf("room comes free twice a second: four ahead leave no time for one of a second\n");
+  std::printf(
+      "capacity is freed twice a second: a request with 1 s remaining can't finish behind four others\n");
   Dispatch slow(
       options, 1, {"p0"}, sink, [] { return 0.5; }, 0);
   slow.on_link_up(0, 9, 1, 0);
@@ -216,16 +219,16 @@
   late.remaining_time = 1;
   late.bytes = 10;
   slow.on_request(late, 4.1);
-  std::printf("the notice to leave, and one that comes in its grace\n");
+  std::printf("the forwarder drains; a request arrives within the grace period\n");
   dispatcher.on_drain(2, 0.3, 7);
   request(11, 0, 7.1);
   dispatcher.on_timer(8.79);
-  std::printf("just before the stop's margin: open %zu\n", dispatcher.open_requests());
+  std::printf("just before the stop margin: open requests %zu\n", dispatcher.open_requests());
   dispatcher.on_timer(8.81);
-  std::printf("and behind it: open %zu\n", dispatcher.open_requests());
+  std::printf("within the stop margin: open requests %zu\n", dispatcher.open_requests());
 }
 
-// Keyed requests while the list changes, told one by one.
+// Keyed requests while the endpoint list changes.
 void key_migration() {
   PrintingSink sink;
   DispatchOptions options;
@@ -252,58 +255,59 @@
   const auto answer = [&](int planner, Attempt attempt, AnswerKind kind) {
     const auto completed = dispatcher.on_answer(planner, 7, attempt, kind, 0.3, false, now);
     std::printf(
-        "  answer to %d: %s\n", static_cast<int>(attempt),
-        completed ? ("op " + std::to_string(*completed) + " is over").c_str() : "nothing is passed on");
+        "  answer to attempt %d: %s\n", static_cast<int>(attempt),
+        completed ? ("request " + std::to_string(*completed) + " complete").c_str() : "not forwarded");
   };
-  std::printf("one runs at p1, one waits for it; then p1 is taken off the list\n");
+  std::printf("one request runs at p1, one waits for it; then p1 is removed from the list\n");
   request(1, moved_key);
   request(2, moved_key);
   dispatcher.set_planners({"p0"}, now = 0.1);
-  std::printf("whether p1 could be let go of with those open, whenever: %s\n",
+  std::printf("p1 may be disconnected with open attempts: %s\n",
               dispatcher.can_disconnect(1, 99) ? "yes" : "no");
-  std::printf("p1 answers the first, and that it does not know the second: nothing new may run yet\n");
+  std::printf("p1 completes the first request and does not know the second: no moved key may run yet\n");
   answer(1, 1, AnswerKind::kSucceeded);
   answer(1, 2, AnswerKind::kKeyUnknown);
-  std::printf("a key that stays, and plain ones, go to p0\n");
+  std::printf("a key that has not moved, and a request without a key, go to p0\n");
   request(3, unmoved_key);
   request(4, 0);
   answer(0, 3, AnswerKind::kSucceeded);
   answer(0, 4, AnswerKind::kSucceeded);
-  std::printf("all have the list: asked first, and known\n");
+  std::printf("all forwarders have the list: the former owner is asked and knows the key\n");
   now = 3;
   request(5, moved_key);
   answer(1, 5, AnswerKind::kSucceeded);
-  std::printf("asked first, not known, run at p0\n");
+  std::printf("the former owner does not know the key: the request runs at p0\n");
   request(6, moved_key);
   answer(1, 6, AnswerKind::kKeyUnknown);
   answer(0, 7, AnswerKind::kSucceeded);
-  std::printf("a plain nack is no answer to the question\n");
+  std::printf("a rejected lookup does not show whether the key is known\n");
   request(7, moved_key);
   answer(1, 8, AnswerKind::kRejected);
-  std::printf("asked by a list that is no longer in force: asked anew\n");
+  std::printf("a lookup according to a superseded list is repeated according to the current one\n");
   request(8, moved_key);
   dispatcher.set_planners({"p0", "p2"}, now = 3.1);
   answer(1, 9, AnswerKind::kKeyUnknown);
   answer(0, 10, AnswerKind::kKeyUnknown);
   answer(1, 11, AnswerKind::kKeyUnknown);
-  std::printf("whether p1 can be let go of: %s, later: %s\n",
-              dispatcher.can_disconnect(1, now) ? "yes" : "no",
+  std::printf("p1 may be disconnected: %s, later: %s\n", dispatcher.can_disconnect(1, now) ? "yes" : "no",
               dispatcher.can_disconnect(1, 13) ? "yes" : "no");
-  std::printf("who would have to be asked is not there: nobody may run it\n");
+  std::printf("a former owner is not connected: no planner may run the request\n");
   now = 6;
   dispatcher.on_link_lost(1, {}, now);
   request(9, moved_key);
   answer(0, 12, AnswerKind::kKeyUnknown);
   std::printf(
-      "nothing can be remembered any more; what is said to a question that was none counts for nothing\n");
+      "the retention has expired; an unexpected answer to a lookup that was not sent is treated as a "
+      "rejection\n");
   now = 30;
   dispatcher.on_link_up(2, 7, 1, now);
   request(10, moved_key);
   answer(2, 13, AnswerKind::kKeyUnknown);
-  std::printf("open at the end: %zu\n", dispatcher.open_requests());
+  std::printf("open requests at the end: %zu\n", dispatcher.open_requests());
 }
 
-// A planner acks the numbers after the last that it has read, while the next four are on their way to it.
+// Guards against a faulty planner that answers attempts it has not received: it guesses the next 100 numbers
+// while the next four attempts are in flight.
 struct AttemptCollector : DispatchSink {
   void send(int, Attempt attempt, RequestId, double, bool) override { sent.push_back(attempt); }
   void cancel(int, Attempt) override {}
@@ -337,15 +341,15 @@
       for (const Attempt attempt : sink.sent) accepted_valid += answer(read = attempt);
       sink.sent.clear();
     }
-    std::printf("steps of at most %d: %s of 4000 false answers were believed, %s of the true ones\n",
+    std::printf("steps of at most %d: %s of 4000 forged answers were accepted, %s of the valid ones\n",
                 static_cast<int>(max_step), accepted_forged == 0 ? "none" : "some",
                 accepted_valid == 4000 ? "all" : "not all");
   }
 }
 
 // Guards against requests that are rejected in the milliseconds between listening and the first planner's
-// hello: they wait for it a quarter of a second, counted from the first of them; after that, and once a
-// planner is lost, requests without a planner are rejected at once, as ever.
+// hello: they wait up to a quarter of a second, counted from the first request; after that, and after a
+// planner is lost, requests without a planner are rejected immediately.
 void startup() {
   DispatchOptions options;
   options.picker.slow_start_seconds = 0;
@@ -366,13 +370,13 @@
     request(1, 1, 5);
     request(2, 1, 5, 77);
     request(3, 0.04, 5);
-    std::printf("the third has no time left\n");
+    std::printf("the third request has no time left\n");
     dispatcher.on_timer(5.03);
     if (connects) {
       dispatcher.on_link_up(0, 100, 2, 5.1);
       dispatcher.on_link_up(1, 200, 2, 5.11);
     }
-    std::printf("a quarter of a second is over\n");
+    std::printf("the startup wait is over\n");
     dispatcher.on_timer(5.26);
     std::printf("later\n");
     if (connects) {
--- a/tests/tier/fault_histories.cpp
+++ b/tests/tier/fault_histories.cpp
@@ -1,6 +1,6 @@
-// Two levels without sockets: forwarders' decisions against planners' holdings over links that delay, break
-// and lose, in seeded histories. CTest compares with tests/traces/tier_histories.txt. usage: tier_histories -
-// histories, or tier_histories history SEED REQUESTS
+// Seeded fault histories without sockets: forwarders' dispatches and planners' sessions over links that
+// delay, break and lose frames. CTest compares the output with tests/traces/tier_histories.txt. usage:
+// tier_fault_histories - histories, or tier_fault_histories history SEED REQUESTS
 #include <cstdio>
 #include <cstdlib>
 #include <cstring>
@@ -13,7 +13,7 @@
 
 namespace {
 
-// Short histories first: the first that breaks is about the shortest there is.
+// Short histories run first, so that the first failing history is about the shortest one.
 void histories() {
   History::Totals all;
   int count = 0;
@@ -22,7 +22,7 @@
       History history(seed * 1000 + static_cast<std::uint64_t>(requests), requests, false);
       const std::string violation = history.run();
       if (!violation.empty()) {
-        std::printf("%d ops, seed %llu: %s\n", requests, static_cast<unsigned long long>(seed),
+        std::printf("%d requests, seed %llu: %s\n", requests, static_cast<unsigned long long>(seed),
                     violation.c_str());
         History again(seed * 1000 + static_cast<std::uint64_t>(requests), requests, true);
         again.run();
@@ -42,17 +42,19 @@
       all.key_lookup_hits += totals.key_lookup_hits;
     }
   }
-  std::printf("%d histories: one answer each and in time, no second run, credits right, windows kept\n",
-              count);
+  std::printf(
+      "%d histories: one answer per request and in time, no second run, open attempts counted correctly, "
+      "windows respected\n",
+      count);
   const auto share = [&](int n, double min_share) {
     return static_cast<double>(n) > min_share * all.requests ? "enough" : "too few";
   };
-  std::printf("acked %s, nacked %s, failed %s\n", share(all.succeeded, 0.5), share(all.rejected, 0.02),
+  std::printf("succeeded %s, rejected %s, failed %s\n", share(all.succeeded, 0.5), share(all.rejected, 0.02),
               share(all.failed, 0.005));
-  std::printf("second tries %s, fences %s, proofs %s, answers dropped %s, lost with a life %s\n",
+  std::printf("retries %s, fences %s, proofs %s, answers dropped %s, unprovable attempts %s\n",
               share(all.retries, 0.005), share(all.fences, 0.005), share(all.proven_not_run, 0.003),
               share(all.stale_answers, 0.001), share(all.unprovable_attempts, 0.002));
-  std::printf("former homes asked %s, answered by them %s\n", share(all.key_lookups, 0.005),
+  std::printf("key lookups %s, key lookup hits %s\n", share(all.key_lookups, 0.005),
               share(all.key_lookup_hits, 0.001));
 }
 
--- a/tests/tier/fault_history.cpp
+++ b/tests/tier/fault_history.cpp
@@ -1,4 +1,4 @@
-// A history as a whole: its callers, its troubles, and what is checked.
+// A history's event loop, callers, faults and checks.
 #include "fault_history.h"
 
 #include <fmt/format.h>
@@ -34,7 +34,7 @@
   if (violation_.empty()) {
     for (const auto& [id, request] : requests_) {
       if (request.answers == 0 && !request.caller_disconnected)
-        fail(fmt::format("op {} was never answered", id));
+        fail(fmt::format("request {} was never answered", id));
     }
   }
   return violation_;
@@ -81,7 +81,7 @@
   for (const auto& f : forwarders_) {
     for (int p = 0; p < kPlanners; ++p) {
       if (f->dispatch.picker().open_attempts(p) != f->dispatch.attempts().open_attempts_at(p))
-        fail(fmt::format("credits of f{} at p{}: {} taken, {} attempts in hand", f->number, p,
+        fail(fmt::format("open attempts of f{} at p{}: picker counts {}, ledger counts {}", f->number, p,
                          f->dispatch.picker().open_attempts(p), f->dispatch.attempts().open_attempts_at(p)));
     }
   }
@@ -101,13 +101,13 @@
   request.bytes = 100;
   requests_[id].deadline = now_ + request.remaining_time;
   const int f = static_cast<int>(random_() % kForwarders);
-  trace(fmt::format("op {} at f{}", id, f));
+  trace(fmt::format("request {} at f{}", id, f));
   Dispatch& dispatch = forwarders_[static_cast<std::size_t>(f)]->dispatch;
   dispatch.on_request(request, now_);
   if (random_() % 40 == 0) {
     after(random_unit() * 0.3, [this, id, &dispatch] {
       if (requests_[id].answers > 0) return;
-      trace(fmt::format("caller of {} goes", id));
+      trace(fmt::format("caller of request {} disconnects", id));
       requests_[id].caller_disconnected = true;
       dispatch.on_caller_disconnected(id, now_);
     });
@@ -117,16 +117,17 @@
 
 void History::record_reply(RequestId id, char outcome) {
   ObservedRequest& request = requests_[id];
-  trace(fmt::format("op {} is answered {}", id, outcome));
+  trace(fmt::format("request {} is answered {}", id, outcome));
   request.succeeded = outcome == 'a';
   request.rejected = outcome == 'n';
   request.failed = outcome == 'f';
-  if (++request.answers > 1) fail(fmt::format("op {} was answered twice", id));
-  if (request.caller_disconnected) fail(fmt::format("op {} was answered to nobody", id));
-  if (now_ > request.deadline + 1e-6) fail(fmt::format("op {} was answered late", id));
-  if (outcome == 'n' && request.runs > 0) fail(fmt::format("op {} was nacked and had run", id));
+  if (++request.answers > 1) fail(fmt::format("request {} was answered twice", id));
+  if (request.caller_disconnected)
+    fail(fmt::format("request {} was answered after its caller had disconnected", id));
+  if (now_ > request.deadline + 1e-6) fail(fmt::format("request {} was answered late", id));
+  if (outcome == 'n' && request.runs > 0) fail(fmt::format("request {} was rejected but had run", id));
   if (outcome == 'a' && request.runs == 0 && !last_run_admitted_at_.contains(request.key_hash))
-    fail(fmt::format("op {} was acked and had not run", id));
+    fail(fmt::format("request {} succeeded but had not run", id));
 }
 
 void History::inject_fault() {
@@ -164,7 +165,8 @@
   }
   for (const auto& f : forwarders_) {
     after(random_unit() * kReloadSpreadSeconds, [this, &f, names] {
-      trace(fmt::format("f{} has a list of {}, with {} first", f->number, names.size(), names.front()));
+      trace(fmt::format("f{} gets an endpoint list of {} planners, the first is {}", f->number, names.size(),
+                        names.front()));
       f->dispatch.set_planners(names, now_);
     });
   }
--- a/tests/tier/fault_history.h
+++ b/tests/tier/fault_history.h
@@ -1,5 +1,5 @@
-// Two levels without sockets: forwarders' decisions against planners' holdings over links that delay, break
-// and lose, in a seeded history.
+// A seeded fault history without sockets: forwarders' dispatches and planners' sessions over links that
+// delay, break and lose frames.
 #pragma once
 
 #include <fmt/format.h>
@@ -28,7 +28,7 @@
  public:
   History(std::uint64_t seed, int requests, bool print_trace);
 
-  // What broke first; empty: nothing did.
+  // Runs the history. Returns the first violation; empty if there is none.
   std::string run();
 
   struct Totals {
@@ -53,9 +53,9 @@
   static constexpr double kKeyWindowSeconds = 1;
   static constexpr double kReloadSpreadSeconds = 0.5;
   static constexpr double kMaxRemainingSeconds = 1.3;  // of a request
-  static constexpr double kForwarderSilenceTimeoutSeconds =
-      1;                                                // without a frame after which it gives a link up
-  static constexpr double kSessionGraceSeconds = 0.75;  // that a planner keeps a session without a link
+  // A forwarder closes a link without frames after this time.
+  static constexpr double kForwarderSilenceTimeoutSeconds = 1;
+  static constexpr double kSessionGraceSeconds = 0.75;  // how long a planner keeps a session without a link
   static constexpr double kMaxHistorySeconds = 60;
   static constexpr double kNever = 1e18;  // s
   static constexpr double kMicrosecondsPerSecond = 1e6;
@@ -73,17 +73,16 @@
     std::uint64_t key_hash = 0;
     bool caller_disconnected = false, succeeded = false, rejected = false, failed = false;
   };
-  // One link, two ways; what is under way on it comes in order.
+  // A link; frames in flight arrive in order in each direction.
   struct Link {
     int forwarder = 0, planner = 0;
     std::uint64_t number = 0;
-    bool open_at_planner = true,
-         open_at_forwarder = true;  // whether the planner, the forwarder, still has it open
+    bool open_at_planner = true, open_at_forwarder = true;
     ForwarderId session_id = 0;
     double last_arrival_at_planner = 0, last_arrival_at_forwarder = 0;
-    int delivered_frames = 1 << 30;  // frames to the planner that arrive all the same
+    int delivered_frames = 1 << 30;  // number of frames to the planner that arrive despite a break
     int frames_sent = 0, frames_received = 0;
-    std::vector<std::pair<int, Attempt>> submits;  // by number of the frame
+    std::vector<std::pair<int, Attempt>> submits;  // with the numbers of their frames
   };
   struct HeldRequest {
     RequestId request = 0;
@@ -91,12 +90,12 @@
     Attempt attempt = 0;
     double deadline = 0;
   };
-  // What a planner remembers of a key: in its store from when it runs.
+  // A planner's record of a key; it survives restarts of the planner from the start of the run.
   struct KeyRecord {
     RequestId request = 0;
     double admitted = 0;
     enum { kReserved, kRunning, kEnded, kUnknown } state = kReserved;
-    std::vector<HeldRequest> duplicates;  // repeats
+    std::vector<HeldRequest> duplicates;  // that wait for the run
   };
   struct Planner {
     std::uint64_t epoch = 0;
@@ -104,7 +103,7 @@
     PlannerBehavior behavior = PlannerBehavior::kNormal;
     std::unique_ptr<ForwarderSessions> sessions;
     std::deque<HeldRequest> queue;
-    std::map<RequestId, HeldRequest> open;  // held and running
+    std::map<RequestId, HeldRequest> open;  // queued and running
     std::map<std::uint64_t, KeyRecord> keys;
     std::map<RequestId, bool> started;
     int running = 0;
@@ -132,22 +131,23 @@
       submit.remaining_us = static_cast<std::uint32_t>(remaining_time * kMicrosecondsPerSecond);
       const auto& picker = dispatch.picker();
       if (picker.open_attempts(planner) > static_cast<int>(window[planner]))
-        history.fail(fmt::format("planner {} was sent more than its window", planner));
-      history.trace(fmt::format("f{} sends op {} as {} to p{}", number, request, attempt, planner));
+        history.fail(fmt::format("planner {} was sent more attempts than its window", planner));
+      history.trace(
+          fmt::format("f{} sends request {} as attempt {} to p{}", number, request, attempt, planner));
       history.send_to_planner(links[planner], submit, attempt);
     }
     void cancel(int planner, Attempt attempt) override {
       history.send_to_planner(links[planner], wt::Cancel{attempt});
     }
     void fence(int planner, Attempt attempt) override {
-      history.trace(fmt::format("f{} fences {}", number, attempt));
+      history.trace(fmt::format("f{} fences attempt {}", number, attempt));
       history.send_to_planner(links[planner], wt::Fence{attempt});
     }
-    void reply(RequestId request, LocalReply how, double, bool) override {
-      history.record_reply(request, how == LocalReply::kRejected ? 'n' : 'f');
+    void reply(RequestId request, LocalReply kind, double, bool) override {
+      history.record_reply(request, kind == LocalReply::kRejected ? 'n' : 'f');
     }
     void schedule_wakeup(double time) override {
-      if (time >= wake_time) return;  // it asks anew when it is woken
+      if (time >= wake_time) return;  // the dispatch schedules the next wakeup itself
       wake_time = time;
       history.at(std::max(time, history.now_), [this, time] {
         if (wake_time != time) return;
@@ -163,7 +163,7 @@
     Dispatch dispatch;
   };
 
-  double random_unit();  // from 0 to under 1
+  double random_unit();  // in [0, 1)
   void at(double time, std::function<void()> action);
   void after(double delay, std::function<void()> action);
   void trace(const std::string& action);
@@ -172,22 +172,22 @@
 
   // ---- Callers.
   void next_request();
-  // `how`: 'a' succeeded, 'n' rejected, 'f' failed.
+  // `outcome`: 'a' succeeded, 'n' rejected, 'f' failed.
   void record_reply(RequestId id, char outcome);
 
   // ---- Links.
   void connect(int f, int p);
-  double delay();  // s, of a frame on its way
+  double delay();  // transit time of a frame, s
   void send_to_planner(const std::shared_ptr<Link>& link, const wt::Message& message, Attempt attempt = 0);
   void send_to_forwarder(const std::shared_ptr<Link>& link, const wt::Message& message);
-  // The forwarder hears of the break now, the planner some time later or by the next hello. Of what was under
-  // way some arrives; of that a part is known never to have been written.
+  // The forwarder detects the break immediately, the planner later or by the next hello. Some of the frames
+  // in flight arrive; some of those that do not are known never to have been written.
   void break_link(const std::shared_ptr<Link>& link);
-  // The planner hears of the break first. The forwarder goes on sending until it does too, so that the
-  // planner may have given up the session long before the forwarder gives up its attempts.
+  // The planner detects the break first. The forwarder continues to send until it also detects the break, so
+  // that the planner may have ended the session long before the forwarder abandons its attempts.
   void break_at_planner_first(const std::shared_ptr<Link>& link);
   void close_at_planner(const std::shared_ptr<Link>& link);
-  // Where nothing of it has run, its key is free again, and its repeats are told so.
+  // Frees the key of a request that has not run, and rejects its duplicates.
   void release(Planner& planner, RequestId request);
   void abandon(Planner& planner, const std::vector<RequestId>& requests);
 
@@ -198,18 +198,18 @@
   void planner_receives(const std::shared_ptr<Link>& link, const wt::Message& message);
   void planner_receives_hello(Planner& planner, const std::shared_ptr<Link>& link, const wt::Hello& hello);
   void planner_receives_submit(Planner& planner, const Link& link, const wt::Submit& submit);
-  // Whether the request may run: its key is not known yet, and it is no lookup. Otherwise it is answered, or
-  // waits for the run of its key.
+  // Returns whether the request may run: its key is not known yet, and it is not a lookup. Otherwise answers
+  // it, or lets it wait for the run of its key.
   bool reserve_key(Planner& planner, const HeldRequest& held, bool is_lookup_only);
   void start_queued_runs(int p);
   void start_run(int p, const HeldRequest& held);
   void end_run(int p, std::uint64_t epoch, const HeldRequest& held);
   void forwarder_receives(const std::shared_ptr<Link>& link, const wt::Message& message);
 
-  // ---- What goes wrong.
+  // ---- Faults.
   void inject_fault();
 
-  // Another list of planners, which forwarders get one after the other.
+  // Changes the endpoint list; forwarders get the new one at different times.
   void change_endpoint_list();
 
   pcg32 random_;
@@ -220,10 +220,10 @@
   std::uint64_t next_event_ = 0, next_link_ = 0, next_epoch_ = 0;
   std::vector<std::unique_ptr<Planner>> planners_;
   std::vector<std::unique_ptr<Forwarder>> forwarders_;
-  std::map<std::uint64_t, std::shared_ptr<Link>> links_;  // as planners know them
-  std::map<std::uint64_t, std::uint64_t> epoch_of_;       // of the planner, by link
+  std::map<std::uint64_t, std::shared_ptr<Link>> links_;  // of the planners
+  std::map<std::uint64_t, std::uint64_t> epoch_of_;       // planner epoch by link
   std::map<RequestId, ObservedRequest> requests_;
-  std::map<std::uint64_t, double> last_run_admitted_at_;  // when the last run of a key was admitted
+  std::map<std::uint64_t, double> last_run_admitted_at_;  // by key
   std::string violation_;
 };
 
--- a/tests/tier/fault_history_links.cpp
+++ b/tests/tier/fault_history_links.cpp
@@ -1,4 +1,4 @@
-// The links of a history, and what forwarders hear on them.
+// The links of a history, and the messages that forwarders receive.
 #include <fmt/format.h>
 
 #include <algorithm>
--- a/tests/tier/fault_history_planners.cpp
+++ b/tests/tier/fault_history_planners.cpp
@@ -1,4 +1,4 @@
-// The planners of a history: lives, sessions, keys and runs.
+// The planners of a history: restarts, sessions, keys and runs.
 #include <fmt/format.h>
 
 #include <cmath>
@@ -37,7 +37,7 @@
   planner = Planner{};
   planner.keys = std::move(keys);
   planner.up = true;
-  planner.epoch = ++next_epoch_ << 32;  // far apart, as random ones are
+  planner.epoch = ++next_epoch_ << 32;  // far apart, like random epochs
   planner.sessions = std::make_unique<ForwarderSessions>(
       ForwarderSessionsOptions{kSessionGraceSeconds, 4096, 8, 64}, planner.epoch);
 }
@@ -110,7 +110,7 @@
   if (requests_[held.request].key_hash != 0) {
     if (!reserve_key(planner, held, submit.is_lookup_only)) return;
   } else if (submit.is_lookup_only) {
-    fail(fmt::format("op {} has no key and was asked about", held.request));
+    fail(fmt::format("request {} has no key and was looked up", held.request));
   }
   planner.open[held.request] = held;
   planner.queue.push_back(held);
@@ -159,7 +159,7 @@
   Planner& planner = *planners_[static_cast<std::size_t>(p)];
   planner.started[held.request] = true;
   ++planner.running;
-  if (++requests_[held.request].runs > 1) fail(fmt::format("op {} ran twice", held.request));
+  if (++requests_[held.request].runs > 1) fail(fmt::format("request {} ran twice", held.request));
   if (const std::uint64_t key_hash = requests_[held.request].key_hash; key_hash != 0) {
     KeyRecord& record = planner.keys.at(key_hash);
     record.state = KeyRecord::kRunning;
@@ -168,8 +168,9 @@
       fail(fmt::format("key {} ran twice within its window", key_hash));
     last_run_admitted_at_[key_hash] = record.admitted;
   }
-  if (requests_[held.request].rejected) fail(fmt::format("op {} ran after it was nacked", held.request));
-  trace(fmt::format("p{} runs op {}", p, held.request));
+  if (requests_[held.request].rejected)
+    fail(fmt::format("request {} ran after it was rejected", held.request));
+  trace(fmt::format("p{} runs request {}", p, held.request));
   const std::uint64_t epoch = planner.epoch;
   const double run_seconds =
       -std::log(1 - random_unit()) * 0.02 * (planner.behavior == PlannerBehavior::kSlow ? 10 : 1);
--- a/tests/tier/forwarder_program.cpp
+++ b/tests/tier/forwarder_program.cpp
@@ -1,6 +1,7 @@
-// A forwarder among callers and scripted planners, each wrong in one way beside a sound one; then real
-// planners that are killed, leave, stop and come back. The checker of the rules reads what all of them saw.
-// CTest compares with tests/traces/tier_program_NAME.txt. usage: tier_forwarder_program BINARY SCENARIO
+// A forwarder process with callers and two scripted planners, one of them faulty in one way; then real
+// planners that are killed, drain, pause and restart. The rule checker evaluates the journal of all
+// processes. CTest compares the output with tests/traces/tier_program_NAME.txt. usage: tier_forwarder_program
+// BINARY SCENARIO
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -76,7 +77,7 @@
     spec.operators =
         fmt::format("forward\n    planners {} {}\n{}", planners[0]->address(), planners[1]->address(), more);
     forwarder = std::make_unique<Server>(loop, journal, callers, binary, spec, Runtime::Options{});
-    if (!forwarder->start()) std::printf("the forwarder does not start\n");
+    if (!forwarder->start()) std::printf("the forwarder did not start\n");
     loop.run_until([this] { return forwarder->registry.is_listed(); }, 5);
   }
   std::uint64_t count(const char* name) {
@@ -85,10 +86,10 @@
   }
   void end() {
     callers.want_more(false);
-    say("all tries end",
+    say("all attempts end",
         loop.run_until([this] { return callers.open() == 0 && callers.still_wanted() == 0; }, 4));
     say("no invariant broken", count("invariants.broken") == 0);
-    say("the forwarder leaves in order", forwarder->leave());
+    say("the forwarder shuts down gracefully", forwarder->leave());
     RuleLimits limits;
     print_rules_verdict(journal, limits);
   }
@@ -106,37 +107,38 @@
   fixture.loop.run_for(1.5);
   const double measured_from = now();
   fixture.loop.run_for(1.5);
-  say("it is asked for proof", fixture.planners[0]->fences() > 0);
-  say("few ops stick to it: the better of two is the other", fixture.planners[0]->taken() < 12);
+  say("the silent planner gets fences", fixture.planners[0]->fences() > 0);
+  say("few requests are sent to it: the other planner is the better of two",
+      fixture.planners[0]->taken() < 12);
   const Tally t = tally(fixture.journal, measured_from);
   fixture.end();
-  say("of what comes later nine tenths are served", t.succeeded > 0.9 * (t.attempts - 8));
+  say("nine tenths of the later requests are served", t.succeeded > 0.9 * (t.attempts - 8));
 }
 
 void rejecting_planner() {
   ScriptedFixture fixture(planner_options(PlannerManner::kRejections),
                           planner_options(PlannerManner::kSound));
   fixture.loop.run_for(2);
-  say("further tries were made", fixture.count("tier.retries") > 0);
-  say("they keep to their share",
+  say("retries were made", fixture.count("tier.retries") > 0);
+  say("they stay within the retry budget",
       fixture.count("tier.retries") <= 12 + fixture.count("tier.first_attempts") / 10);
-  say("it is left out", fixture.count("tier.ejections") > 0);
+  say("the planner is ejected", fixture.count("tier.ejections") > 0);
   fixture.end();
   const Tally t = tally(fixture.journal);
-  say("three quarters are served", t.succeeded > 0.75 * t.attempts);
+  say("three quarters of the requests are served", t.succeeded > 0.75 * t.attempts);
 }
 
 void stalled_frame() {
   ScriptedFixture fixture(planner_options(PlannerManner::kHalf), planner_options(PlannerManner::kSound));
   fixture.loop.run_for(3.5);
-  say("the link that stalls in a frame is opened anew", fixture.count("tier.silent") > 0);
+  say("the link that stalls within a frame is reconnected", fixture.count("tier.silent") > 0);
   fixture.end();
 }
 
 void false_fence_answers() {
   ScriptedFixture fixture(planner_options(PlannerManner::kLies), planner_options(PlannerManner::kSound));
   fixture.loop.run_for(2);
-  say("answers behind a fence are dropped", fixture.count("tier.answers_dropped") > 0);
+  say("answers after a fence are dropped", fixture.count("tier.answers_dropped") > 0);
   fixture.end();
 }
 
@@ -144,10 +146,10 @@
   ScriptedFixture fixture(planner_options(PlannerManner::kStranger),
                           planner_options(PlannerManner::kStranger));
   fixture.loop.run_for(1);
-  say("answers to what was never sent are dropped", fixture.count("tier.answers_dropped") > 0);
+  say("answers to attempts that were never sent are dropped", fixture.count("tier.answers_dropped") > 0);
   fixture.end();
   const Tally t = tally(fixture.journal);
-  say("all are served", t.succeeded == t.attempts);
+  say("all requests are served", t.succeeded == t.attempts);
 }
 
 void slow_planner() {
@@ -155,10 +157,10 @@
   slow_options.takes = 0.3;
   ScriptedFixture fixture(slow_options, planner_options(PlannerManner::kSound));
   fixture.loop.run_for(3);
-  say("it is left out", fixture.count("tier.ejections") > 0);
+  say("the planner is ejected", fixture.count("tier.ejections") > 0);
   fixture.end();
   const Tally t = tally(fixture.journal);
-  say("nearly all are served", t.succeeded > 0.97 * t.attempts);
+  say("nearly all requests are served", t.succeeded > 0.97 * t.attempts);
 }
 
 void all_planners_closed() {
@@ -169,19 +171,19 @@
   fixture.loop.run_for(0.3);
   const double closed_at = now();
   fixture.loop.run_for(1.5);
-  say("off the list after a grace", !fixture.forwarder->registry.is_listed());
+  say("removed from the registry after a grace period", !fixture.forwarder->registry.is_listed());
   const Tally t = tally(fixture.journal, closed_at);
-  say("meanwhile all are nacked, at once",
+  say("meanwhile all requests are rejected immediately",
       t.attempts > 50 && t.rejected >= t.attempts - 2 && t.longest_rejection < 0.1);
   for (int i = 0; i < 2; ++i)
     fixture.planners[i] = std::make_unique<Planner>(fixture.loop, fixture.journal,
                                                     planner_options(PlannerManner::kSound), ports[i]);
-  say("on the list again",
+  say("in the registry again",
       fixture.loop.run_until([&] { return fixture.forwarder->registry.is_listed(); }, 3));
   const double restored_at = now();
   fixture.loop.run_for(1);
   const Tally after_restore = tally(fixture.journal, restored_at);
-  say("and served", after_restore.succeeded > 0.8 * after_restore.attempts);
+  say("requests are served again", after_restore.succeeded > 0.8 * after_restore.attempts);
   fixture.end();
 }
 
@@ -198,7 +200,7 @@
       : RealFixture(site_with(operators, close), caller_load(reads, closes, 2), forwarders, planners, work) {}
   RealFixture(const SiteSpec& spec, const Callers::Options& load, int forwarders, int planners, double work)
       : fleet(binary, spec, runtime_options(work), load, forwarders, planners) {
-    if (!fleet.start()) std::printf("the fleet does not start\n");
+    if (!fleet.start()) std::printf("the fleet did not start\n");
   }
   static SiteSpec site_with(const std::string& operators, const char* close) {
     SiteSpec s = site(close);
@@ -206,7 +208,7 @@
     return s;
   }
   void end() {
-    say("all tries end", fleet.settle(5));
+    say("all attempts end", fleet.settle(5));
     std::uint64_t broken = 0;
     for (auto* level : {&fleet.forwarders, &fleet.planners}) {
       for (const auto& server : *level) {
@@ -214,7 +216,7 @@
       }
     }
     say("no invariant broken", broken == 0);
-    say("all leave in order", fleet.leave());
+    say("all shut down gracefully", fleet.leave());
     print_rules_verdict(fleet.journal, fleet.limits());
   }
   TwoLevel fleet;
@@ -231,7 +233,7 @@
   fixture.fleet.loop.run_for(1);
   fixture.end();
   const Tally t = tally(fixture.fleet.journal);
-  say("nine tenths of what is asked are served", t.succeeded > 0.9 * t.attempts);
+  say("nine tenths of the requests are served", t.succeeded > 0.9 * t.attempts);
 }
 
 void all_planners_killed() {
@@ -245,10 +247,11 @@
   fixture.fleet.loop.run_for(1);
   const Tally t = tally(fixture.fleet.journal, restored_at);
   fixture.end();
-  say("served again", t.succeeded > 0.8 * (t.attempts - 20));
+  say("requests are served after the restart", t.succeeded > 0.8 * (t.attempts - 20));
 }
 
-// Keyed requests are remembered by one planner each, across its deaths.
+// Guards against a keyed request that runs twice because its planner was killed: the planner remembers it
+// across restarts.
 void keyed_requests() {
   RealFixture fixture("results\n    enabled on\n    store STORE\n", "dedup", 100, 100);
   for (int i = 0; i < 4; ++i) {
@@ -258,7 +261,7 @@
     fixture.fleet.loop.run_for(0.1);
     planner.start();
   }
-  fixture.fleet.forwarders[0]->kill();  // what it had in hand ends in the stores
+  fixture.fleet.forwarders[0]->kill();  // the results of its requests in flight end up in the stores
   fixture.fleet.loop.run_for(0.3);
   fixture.fleet.forwarders[0]->start();
   fixture.fleet.loop.run_for(0.6);
@@ -274,10 +277,11 @@
   fixture.fleet.loop.run_for(1.5);
   fixture.end();
   const Tally t = tally(fixture.fleet.journal);
-  say("four fifths of what is asked are served", t.succeeded > 0.8 * t.attempts);
+  say("four fifths of the requests are served", t.succeeded > 0.8 * t.attempts);
 }
 
-// A planner's process stands still: pings stay unanswered; it goes on and is asked about what it held.
+// A planner's process is stopped: its pings are not answered; when it continues it is asked for proof about
+// its open attempts.
 void paused_planner() {
   RealFixture fixture("", "retryable", 150, 50);
   fixture.fleet.loop.run_for(0.7);
@@ -290,7 +294,7 @@
   planner.process->signal(SIGCONT);
   fixture.fleet.loop.run_for(1);
   fixture.end();
-  say("the others serve meanwhile", t.succeeded > 0.7 * t.attempts);
+  say("the other planners serve requests meanwhile", t.succeeded > 0.7 * t.attempts);
 }
 
 void drains() {
@@ -299,27 +303,27 @@
   Server& planner = *fixture.fleet.planners[0];
   const double notified_at = now();
   planner.notice();
-  say("a planner leaves in order", planner.ended());
-  say("at once, as forwarders let go of it", now() - notified_at < 1.2);
+  say("a planner shuts down gracefully", planner.ended());
+  say("it stops early, because forwarders close their links", now() - notified_at < 1.2);
   fixture.fleet.loop.run_for(0.3);
-  say("it starts again", planner.start());
+  say("it restarts", planner.start());
   fixture.fleet.loop.run_for(0.7);
   Server& forwarder = *fixture.fleet.forwarders[0];
   forwarder.notice();
   fixture.fleet.callers.avoid(0);
-  say("a forwarder leaves in order", forwarder.ended());
-  say("it starts again", forwarder.start());
+  say("a forwarder shuts down gracefully", forwarder.ended());
+  say("it restarts", forwarder.start());
   fixture.fleet.loop.run_for(0.5);
   const Tally t = tally(fixture.fleet.journal);
   say("nothing failed", t.failed == 0);
   fixture.end();
 }
 
-constexpr double kLongTimeoutSeconds = 2;  // s; settling waits for two tries of it
+constexpr double kLongTimeoutSeconds = 2;  // settle() waits for two attempts of this length
 
-constexpr double kRecentRunSeconds = 0.05;  // of a run that has just begun
+constexpr double kRecentRunSeconds = 0.05;  // maximum age of a run that counts as recent
 
-// Whether a run that callers asked this forwarder for has just begun.
+// Whether a run requested through this forwarder has just begun.
 bool has_recent_run(const Journal& journal, int life) {
   return std::any_of(journal.runs.begin(), journal.runs.end(), [&](const RunSeen& run) {
     const auto found = journal.attempts.find(run.request);
@@ -328,8 +332,9 @@
   });
 }
 
-// Long runs: what it had in hand still runs when planners give it up. It is killed when a run has just begun,
-// or there may be none by then; and callers wait for several runs, or none but the first would be admitted.
+// Long runs: requests in flight still run when planners abandon them. The forwarder is killed when a run has
+// just begun, because otherwise there may be none; and client timeouts cover several runs, because otherwise
+// only the first request would be admitted.
 void forwarder_killed() {
   SiteSpec spec = site();
   Callers::Options load = caller_load(12, 8, 1);
@@ -339,14 +344,14 @@
   fixture.fleet.loop.run_for(1.5);
   const int life = fixture.fleet.forwarders[0]->life_number();
   if (!fixture.fleet.loop.run_until([&] { return has_recent_run(fixture.fleet.journal, life); }, 5))
-    std::printf("no run of its callers begins\n");
+    std::printf("no run for its callers has begun\n");
   fixture.fleet.forwarders[0]->kill();
   fixture.fleet.loop.run_for(1.2);
   std::uint64_t closed_at = 0;
   for (const auto& planner : fixture.fleet.planners)
     closed_at += planner->process->counters()["requests.caller_gone"];
-  say("planners learn that its callers are gone", closed_at > 0);
-  say("it starts again", fixture.fleet.forwarders[0]->start());
+  say("planners detect that its callers have disconnected", closed_at > 0);
+  say("it restarts", fixture.fleet.forwarders[0]->start());
   fixture.fleet.loop.run_for(0.5);
   fixture.end();
 }
@@ -369,8 +374,8 @@
   fixture.end();
 }
 
-// Planners whose clocks are set half a second apart from the forwarders': nothing that is told between them
-// depends on what either takes the time to be, nor does what they remember over a restart.
+// Guards against messages or stored records that depend on a common clock: the planners' clocks differ from
+// the forwarders' by half a second.
 void clock_skew() {
   const auto shifted = [](const char* shift) {
     return std::vector<std::string>{"/usr/bin/env", std::string("CLOCK_SHIFT=") + shift,
@@ -383,37 +388,37 @@
   load.flows[1].copies = 2;
   load.flows[1].spread = 1.5;
   TwoLevel fleet(binary, spec, runtime_options(0.005), load, 2, 3, "", {shifted("-0.5"), shifted("0.5")});
-  if (!fleet.start()) std::printf("the fleet does not start\n");
+  if (!fleet.start()) std::printf("the fleet did not start\n");
   fleet.loop.run_for(1.5);
   const Tally t = tally(fleet.journal);
-  say("nearly all are served", t.succeeded > 0.97 * (t.attempts - 20));
+  say("nearly all requests are served", t.succeeded > 0.97 * (t.attempts - 20));
   for (const auto& planner : fleet.planners) {
     auto counters = planner->process->counters();
-    say("each planner serves", counters["requests.succeeded"] > 30);
-    say("none takes an op to be older than it is", counters["reads.max_delay_us"] < 200000);
+    say("each planner serves requests", counters["requests.succeeded"] > 30);
+    say("no request is taken to be older than it is", counters["reads.max_delay_us"] < 200000);
   }
   fleet.planners[0]->kill();
   fleet.loop.run_for(0.1);
   fleet.planners[0]->start();
   fleet.loop.run_for(1);
-  say("all tries end", fleet.settle(5));
-  say("all leave in order", fleet.leave());
+  say("all attempts end", fleet.settle(5));
+  say("all shut down gracefully", fleet.leave());
   print_rules_verdict(fleet.journal, fleet.limits());
 }
 
-// Keys move between planners while their things are asked for again and again, by a list that forwarders get
-// one after the other and a forwarder that starts with another list than it ended with.
+// Guards against second runs while keys move between planners: callers repeat keyed requests while forwarders
+// get new endpoint lists one after another, and one forwarder restarts with another list.
 void key_migration() {
   const std::string results = "results\n    enabled on\n    store STORE\n";
   Callers::Options load = caller_load(40, 120, 1);
-  load.flows[1].copies = 3;  // of each thing, over a time in which lists change
+  load.flows[1].copies = 3;  // of each keyed request, spread over several list changes
   load.flows[1].spread = 2.5;
   SiteSpec spec = site("dedup");
   spec.types[1].window = 4;
   spec.operators = results;
   TwoLevel fleet(binary, spec, runtime_options(0.005), load, 2, 3,
                  "    reload-spread 300ms\n    folder FOLDER\n");
-  if (!fleet.start()) std::printf("the fleet does not start\n");
+  if (!fleet.start()) std::printf("the fleet did not start\n");
   const auto write_list = [&](std::size_t forwarder, std::initializer_list<std::size_t> planners) {
     std::string text = results + "forward\n    reload-spread 300ms\n    folder FOLDER\n    planners";
     for (const std::size_t i : planners) text += ' ' + fleet.planners[i]->address();
@@ -443,19 +448,19 @@
   count(restarted);
   restarted.notice();
   fleet.callers.avoid(1);
-  say("a forwarder leaves", restarted.ended());
+  say("the second forwarder shuts down", restarted.ended());
   write_list(1, {0, 1, 2});
   write_list(0, {0, 1, 2});
   fleet.forwarders[0]->process->signal(SIGHUP);
-  say("it starts with another list", restarted.start());
+  say("it restarts with another list", restarted.start());
   fleet.loop.run_for(2);
-  say("it asks former homes as well", count(restarted) > 5);
-  say("former homes were asked, and some knew", lookups > 50 && known > 10);
-  say("all tries end", fleet.settle(5));
-  say("all leave in order", fleet.leave());
+  say("it also asks former owners", count(restarted) > 5);
+  say("former owners were asked, and some knew the key", lookups > 50 && known > 10);
+  say("all attempts end", fleet.settle(5));
+  say("all shut down gracefully", fleet.leave());
   print_rules_verdict(fleet.journal, fleet.limits());
   const Tally t = tally(fleet.journal, 0, "close");
-  say("half of the keyed ops are served all the same", t.succeeded > t.attempts / 2);
+  say("half of the keyed requests are still served", t.succeeded > t.attempts / 2);
 }
 
 }  // namespace
--- a/tests/tier/planner_client.cpp
+++ b/tests/tier/planner_client.cpp
@@ -1,6 +1,7 @@
-// A forwarder's link to a planner that stops reading and then goes: what is told to have never left must not
-// have arrived, whole, for a second attempt begins on the strength of it. The other end is a bare socket of
-// this process. CTest compares with tests/traces/planner_link.txt. usage: planner_client
+// Guards against a false report that an attempt was never written: a planner stops reading and closes the
+// link, and an attempt that is reported as unwritten must not have arrived completely, because a second
+// attempt may begin then. The other end is a plain socket of this process. CTest compares the output with
+// tests/traces/planner_link.txt. usage: tier_planner_client
 #include "peers/tier/planner_client.h"
 
 #include <fcntl.h>
@@ -41,7 +42,7 @@
 };
 
 constexpr std::uint64_t kSubmits = 400;
-constexpr std::size_t kBodyBytes = 60000;  // bytes; together more than the system keeps for a connection
+constexpr std::size_t kBodyBytes = 60000;  // in total more than the kernel buffers for a connection
 
 void read_some(int fd, std::string& into) {
   char bytes[65536];
@@ -49,8 +50,8 @@
     into.append(bytes, static_cast<std::size_t>(received));
 }
 
-// `late`: bytes that the planner still reads before it goes.
-// `memory`: of the forwarder's, for what waits.
+// `bytes_before_close`: bytes that the planner still reads before it closes the link. `memory`: the
+// forwarder's output limit in bytes.
 void lose_link(const char* description, std::size_t bytes_before_close, std::size_t memory = 64 << 20) {
   net::Reactor reactor;
   Counters counters;
@@ -85,7 +86,7 @@
         planners.submit(0, submit);
       }
     }
-    // Some turns later nothing moves any more; it reads a part, perhaps, and goes.
+    // After some iterations no more bytes can be written; the planner reads a part, if any, and closes.
     if (submitted && fd >= 0 && ++step > 20) {
       while (arrived.size() < bytes_before_close) {
         const std::size_t before = arrived.size();
@@ -93,7 +94,7 @@
         if (arrived.size() == before) break;
       }
       if (step > 40) {
-        read_some(fd, arrived);  // all that the system had for it
+        read_some(fd, arrived);  // all that the kernel has buffered
         ::close(fd);
         fd = -2;
       }
@@ -117,10 +118,10 @@
   const bool has_overlap =
       std::any_of(events.unwritten.begin(), events.unwritten.end(),
                   [&](std::uint64_t attempt) { return complete_attempts.contains(attempt); });
-  std::printf("%s: the link was lost: %s; some arrived: %s, some are known never to have left: %s\n",
+  std::printf("%s: the link was lost: %s; some attempts arrived: %s, some are reported as unwritten: %s\n",
               description, events.lost ? "yes" : "no", !complete_attempts.empty() ? "yes" : "no",
               !events.unwritten.empty() ? "yes" : "no");
-  std::printf("  arrived and told to have never left: %s; in order, the last ones: %s\n",
+  std::printf("  arrived but reported as unwritten: %s; reported in order, up to the last attempt: %s\n",
               has_overlap ? "SOME" : "none",
               std::is_sorted(events.unwritten.begin(), events.unwritten.end()) &&
                       (events.unwritten.empty() || events.unwritten.back() == kSubmits)
@@ -128,7 +129,7 @@
                   : "no");
 }
 
-// A planner by hand: says what it is told to once it is connected to, and looks what comes.
+// A scripted planner: sends a greeting on the first connection, and counts the pings that it receives.
 struct ScriptedPeer {
   ScriptedPeer(net::Reactor& reactor, std::string greeting)
       : reactor_(reactor), greeting_(std::move(greeting)) {
@@ -148,7 +149,7 @@
   }
   std::uint16_t port = 0;
   int accepted = 0, pings = 0;
-  double connected_at = 0, closed_at = 0;  // s, the last time
+  double connected_at = 0, closed_at = 0;  // s, of the latest connection
 
  private:
   void poll() {
@@ -197,7 +198,7 @@
 
 const char* yes_no(bool is) { return is ? "yes" : "no"; }
 
-// What is no planner's greeting ends the link, which is opened anew after a pause.
+// An invalid planner hello closes the link, which is reconnected after a backoff.
 void hello_validation() {
   wt::Hello valid;
   valid.is_planner = true;
@@ -210,39 +211,40 @@
   const std::pair<const char*, std::string> greetings[] = {
       {"another version", wt::encode(other)},
       {"a forwarder", wt::encode(forwarder)},
-      {"an answer first", wt::encode(wt::Answer{})},
+      {"an answer before the hello", wt::encode(wt::Answer{})},
       {"two hellos", wt::encode(valid) + wt::encode(valid)},
-      {"what only forwarders say", wt::encode(valid) + wt::encode(wt::Cancel{1})},
-      {"no frame at all", std::string(64, 'x')},
-      {"a sound hello", wt::encode(valid)}};
+      {"a message that only forwarders send", wt::encode(valid) + wt::encode(wt::Cancel{1})},
+      {"bytes that are not a frame", std::string(64, 'x')},
+      {"a valid hello", wt::encode(valid)}};
   for (const auto& [description, greeting] : greetings) {
     Fixture fixture(greeting);
     fixture.run_for(0.35);
-    std::printf("%s: up %s, lost %s, opened again %s\n", description, yes_no(fixture.events.up),
+    std::printf("%s: up %s, lost %s, reconnected %s\n", description, yes_no(fixture.events.up),
                 yes_no(fixture.events.lost), yes_no(fixture.peer.accepted > 1));
   }
   Fixture silent("");
   silent.run_for(0.8);
   const int before = silent.peer.accepted;
   silent.run_for(0.8);
-  std::printf("nothing said: after 0.8 s %d connection, after 1.6 s more: %s\n", before,
+  std::printf("no hello: after 0.8 s %d connection, after 1.6 s more, reconnected: %s\n", before,
               yes_no(silent.peer.accepted > before));
   Fixture fixture(wt::encode(valid));
   for (int i = 0; i < 12; ++i) {
     fixture.run_for(0.1);
     fixture.peer.send(wt::Pong{1});
   }
-  std::printf("pings in 1.2 s: %s; the link holds: %s\n",
+  std::printf("pings in 1.2 s: %s; the link stays open: %s\n",
               yes_no(fixture.peer.pings >= 3 && fixture.peer.pings <= 12), yes_no(!fixture.events.lost));
   fixture.peer.send(wt::Draining{});
   fixture.run_for(0.1);
-  std::printf("it leaves, with an op open: the link holds: %s\n", yes_no(!fixture.events.lost));
+  std::printf("the planner drains with an open request: the link stays open: %s\n",
+              yes_no(!fixture.events.lost));
   fixture.planners->close_if_draining(0);
   fixture.run_for(0.1);
-  std::printf("with none: it ends: %s", yes_no(fixture.events.lost));
+  std::printf("without open requests: the link is closed: %s", yes_no(fixture.events.lost));
   const double closed = fixture.peer.closed_at;
   fixture.run_for(0.8);
-  std::printf("; opened again after half a second: %s\n",
+  std::printf("; reconnected after half a second: %s\n",
               yes_no(fixture.peer.accepted == 2 && fixture.peer.connected_at - closed > 0.4));
   fixture.planners->remove(0);
   fixture.planners->close_if_draining(0);
@@ -250,7 +252,7 @@
   const int links = fixture.peer.accepted;
   fixture.planners->restore(0);
   fixture.run_for(0.2);
-  std::printf("not wanted, not linked: %s; wanted again, linked: %s\n", yes_no(links == 2),
+  std::printf("not listed, not connected: %s; listed again, connected: %s\n", yes_no(links == 2),
               yes_no(fixture.peer.accepted == 3));
 }
 
@@ -258,9 +260,9 @@
 
 int main() {
   std::signal(SIGPIPE, SIG_IGN);
-  lose_link("it reads what came and goes", 0);
-  lose_link("it reads on for a while, then goes", 8 << 20);
-  lose_link("more waits than there is memory for", 0, 1 << 20);
+  lose_link("the planner reads what has arrived and closes", 0);
+  lose_link("the planner reads more, then closes", 8 << 20);
+  lose_link("more output than the memory limit", 0, 1 << 20);
   hello_validation();
   return 0;
 }
--- a/tests/tier/planner_program.cpp
+++ b/tests/tier/planner_program.cpp
@@ -1,6 +1,6 @@
-// A planner's process among scripted forwarders, each of which breaks one rule of the protocol or is cut off
-// at a bad moment. CTest compares with tests/traces/planner_program_NAME.txt. usage: tier_planner_program
-// BINARY SCENARIO
+// A planner process with scripted forwarders, each of which violates one rule of the protocol or disconnects
+// at a critical time. CTest compares the output with tests/traces/planner_program_NAME.txt. usage:
+// tier_planner_program BINARY SCENARIO
 #include <sqlite3.h>
 
 #include <algorithm>
@@ -50,7 +50,7 @@
   }
   void end() {
     say("no invariant broken", count("invariants.broken") == 0);
-    say("leaves in order", server.leave());
+    say("shuts down gracefully", server.leave());
   }
   Loop loop;
   Journal journal;
@@ -62,7 +62,7 @@
   explicit Link(Fixture& fixture) : ScriptedForwarder(fixture.loop, fixture.port()) {}
 };
 
-// Who does not keep to the greeting is cut off, soon; who does is served.
+// A link that violates the hello sequence is closed soon; a valid one is served.
 void hello_validation() {
   Fixture fixture(0.01);
   const auto expect_closed = [&](const char* what, const wt::Message& message) {
@@ -79,26 +79,26 @@
   expect_closed("no name", Link::hello_of("", 7));
   wt::Submit submit;
   submit.attempt = submit.request = 1;
-  expect_closed("an op before the hello", submit);
-  expect_closed("a ping before it", wt::Ping{1});
-  expect_closed("what only planners say", wt::LoadReport{});
+  expect_closed("a request before the hello", submit);
+  expect_closed("a ping before the hello", wt::Ping{1});
+  expect_closed("a message that only planners send", wt::LoadReport{});
   Link twice(fixture);
   twice.hello("f1", 7).send(Link::hello_of("f1", 7));
   say("a second hello", twice.closed(0.5));
   Link silent_hello(fixture);
-  say("no hello in a second and a bit", !silent_hello.closed(0.8) && silent_hello.closed(0.6));
+  say("closed after a second without a hello", !silent_hello.closed(0.8) && silent_hello.closed(0.6));
   Link silent(fixture);
   silent.hello("f2", 8);
-  say("silent for a second and a half and a bit",
+  say("closed after a second and a half of silence",
       silent.greeted && !silent.closed(1.2) && silent.closed(0.7));
   Link pinging(fixture);
   pinging.hello("f3", 9).ping_for(2);
-  say("one that pings stays", pinging.pongs >= 8 && !pinging.closed(0));
+  say("a link with pings stays open", pinging.pongs >= 8 && !pinging.closed(0));
   say("and is served", pinging.submit(1, 11).answer(1) == 0);
   fixture.end();
 }
 
-// Attempts that must not be taken, and requests that nobody waits for any more.
+// Attempts that must not be accepted, and requests whose callers have disconnected.
 void attempts() {
   Fixture fixture(0.3);
   Link one(fixture), other(fixture);
@@ -107,26 +107,26 @@
   one.submit(5, 1001);
   fixture.loop.run_for(0.05);
   other.submit(1, 1001);
-  say("an op that runs for another forwarder: failed",
+  say("a request that runs for another forwarder: failed",
       other.answer(1, 0.2) == static_cast<int>(wt::Result::kFailed));
-  say("it is answered where it was first", one.answer(5) == 0);
+  say("the first forwarder gets its answer", one.answer(5) == 0);
   one.submit(5, 1002).submit(3, 1003);
-  say("numbers that were there, or are below: nothing", one.answer(3, 0.6) == -1);
+  say("repeated and lower attempt numbers: no answer", one.answer(3, 0.6) == -1);
   const std::uint64_t before = fixture.journal.runs.size();
-  say("and nothing ran for them", before == 1);
+  say("nothing ran for them", before == 1);
   one.submit(6, 1004).submit(7, 1005).submit(8, 1006);
   fixture.loop.run_for(0.05);
   one.send(wt::Cancel{8});
   fixture.loop.run_for(0.05);
-  say("a cancelled one is let go of", fixture.count("requests.caller_gone") == 1);
+  say("a cancelled request is abandoned", fixture.count("requests.caller_gone") == 1);
   say("the others are answered", one.answer(6) == 0 && one.answer(7) == 0);
-  say("it is not", one.answer(8, 0.4) == -1);
+  say("the cancelled one is not answered", one.answer(8, 0.4) == -1);
   fixture.end();
 }
 
-// Guards against a rejection, which is taken for the proof that a request never ran, of one whose id runs or
-// waits to run here: for the same forwarder, on its next link, for another forwarder that names its routes
-// otherwise, after its caller has gone.
+// Guards against rejecting a request whose id is running or queued here, because a rejection counts as proof
+// that the request never ran. The second attempt comes from the same forwarder, on its next link, from
+// another forwarder with other route names, or after the caller has disconnected.
 void id_in_use() {
   const std::uint64_t running = 6001;
   const std::uint64_t waiting = 6003;
@@ -139,31 +139,33 @@
   Link first(fixture), other(fixture);
   first.hello("f1", 7);
   wt::Hello without_routes = Link::hello_of("f2", 8);
-  without_routes.routes = {"unheard-of"};
+  without_routes.routes = {"unknown"};
   other.send(without_routes);
   first.submit(1, running).submit(2, 6002).submit(3, waiting);
   fixture.loop.run_for(0.1);
-  say("two run, one waits", ran(running) == 1 && ran(6002) == 1 && ran(waiting) == 0);
-  say("by its forwarder while it runs", first.submit(11, running).answer(11, 0.2) == kMayHaveRun);
-  say("while it waits", first.submit(12, waiting).answer(12, 0.2) == kMayHaveRun);
-  say("by another forwarder, with a route that is not known here",
+  say("two requests run, one waits", ran(running) == 1 && ran(6002) == 1 && ran(waiting) == 0);
+  say("submitted again by its forwarder while it runs: it may have run",
+      first.submit(11, running).answer(11, 0.2) == kMayHaveRun);
+  say("submitted again while it waits: it may have run",
+      first.submit(12, waiting).answer(12, 0.2) == kMayHaveRun);
+  say("submitted by another forwarder with an unknown route: it may have run",
       other.submit(1, running).answer(1, 0.2) == kMayHaveRun);
   Link next(fixture);
   next.hello("f1", 7);
-  say("on the forwarder's next link", next.submit(13, running).answer(13, 0.2) == kMayHaveRun);
-  say("all are answered where they were first",
-      next.answer(1) == 0 && next.answer(2) == 0 && next.answer(3) == 0);
-  say("each ran once", ran(running) == 1 && ran(waiting) == 1);
+  say("submitted on the forwarder's next link: it may have run",
+      next.submit(13, running).answer(13, 0.2) == kMayHaveRun);
+  say("all first attempts are answered", next.answer(1) == 0 && next.answer(2) == 0 && next.answer(3) == 0);
+  say("each request ran once", ran(running) == 1 && ran(waiting) == 1);
   next.answers.erase(1);
-  say("an attempt that has ended, sent again: nothing", next.submit(1, running).answer(1, 0.2) == -1);
+  say("an ended attempt, submitted again: no answer", next.submit(1, running).answer(1, 0.2) == -1);
   say("nothing ran for it", ran(running) == 1);
-  say("the id of one that has ended, in a new attempt: a request of its own",
+  say("the id of an ended request in a new attempt: a new request",
       next.submit(14, ended).answer(14) == 0 && next.submit(15, ended).answer(15) == 0 && ran(ended) == 2);
   fixture.end();
 }
 
-// Guards against a second run, or the proof that there was none, of a request that must not run twice and
-// whose forwarder has died: the one that is asked next gives the same id and body.
+// Guards against a second run, or a false proof that there was none, of a request that must not run twice and
+// whose forwarder has died: another forwarder submits the same id and body.
 void keyed_id_in_use() {
   const std::uint64_t request = 7001;
   SiteSpec spec = Fixture::site(512);
@@ -179,7 +181,7 @@
   {
     Link first(fixture);
     first.send(hello("f1", 7));
-    // Rejected until the store is open.
+    // The request is rejected until the store is open.
     for (std::uint64_t attempt = 1; attempt <= 50 && fixture.journal.runs.empty(); ++attempt) {
       first.submit(attempt, request);
       fixture.loop.run_for(0.05);
@@ -187,14 +189,14 @@
   }
   after.send(hello("f2", 8));
   say("while it runs: it may have run", after.submit(1, request).answer(1, 0.2) == kMayHaveRun);
-  say("with an id of its own: joined", after.submit(2, request + 1).answer(2) == 0);
+  say("another id with the same key: joins the run", after.submit(2, request + 1).answer(2) == 0);
   say("after it has ended: its result", after.submit(3, request).answer(3) == 0);
   say("it ran once", fixture.journal.runs.size() == 1);
   fixture.end();
 }
 
-// Links that end with requests in hand: the same life takes them over, a new one gives them up, nobody does
-// in time.
+// Links that end with requests in flight: the same epoch of the forwarder takes them over, a new epoch
+// abandons them, and they are abandoned if the forwarder does not reconnect in time.
 void reconnects() {
   Fixture fixture(0.5);
   {
@@ -204,36 +206,38 @@
   }
   Link again(fixture);
   again.hello("f1", 7);
-  say("taken over by the same life", again.answer(1) == 0);
-  say("nothing was given up", fixture.count("requests.caller_gone") == 0);
+  say("the same epoch takes its requests over", again.answer(1) == 0);
+  say("no request was abandoned", fixture.count("requests.caller_gone") == 0);
   again.submit(2, 2002);
   fixture.loop.run_for(0.1);
   Link second(fixture);
   second.hello("f1", 7);
-  say("a second link of it ends the first", again.closed(0.5));
-  say("and gets the answer", second.answer(2) == 0);
+  say("a second link of the same epoch closes the first", again.closed(0.5));
+  say("the second link gets the answer", second.answer(2) == 0);
   second.submit(3, 2003);
   fixture.loop.run_for(0.1);
   Link restarted(fixture);
   restarted.hello("f1", 8);
   fixture.loop.run_for(0.1);
-  say("a new life: what the old one had is given up", fixture.count("requests.caller_gone") == 1);
-  say("its numbers begin anew", restarted.submit(1, 2004).answer(1) == 0);
+  say("a new epoch: the requests of the old one are abandoned", fixture.count("requests.caller_gone") == 1);
+  say("its attempt numbers restart", restarted.submit(1, 2004).answer(1) == 0);
   {
     Link dropped(fixture);
     dropped.hello("f2", 9).submit(1, 2005).submit(2, 2006).submit(3, 2007);
     fixture.loop.run_for(0.1);
   }
   restarted.ping_for(0.5);
-  say("held for a while after a link has ended", fixture.count("requests.caller_gone") == 1);
+  say("requests are retained for some time after a link has ended",
+      fixture.count("requests.caller_gone") == 1);
   restarted.ping_for(0.75);
-  say("then given up", fixture.count("requests.caller_gone") > 1);
+  say("then they are abandoned", fixture.count("requests.caller_gone") > 1);
   fixture.end();
 }
 
-// Guards against a request that runs twice: a planner that had given up a forwarder's session (after 0.75 s)
-// said of an attempt that had run there that it never ran, to a forwarder that came back before it gave up
-// the attempt itself (after 1 s). The planner epoch of the new link says that nothing is known any more.
+// Guards against a request that runs twice: a planner that had ended a forwarder's session (after 0.75 s)
+// reported that an attempt never ran although it had run, and the forwarder had reconnected before it
+// abandoned the attempt itself (after 1 s). The new planner epoch shows that nothing is known about the
+// attempts of the ended session.
 void expired_session() {
   Fixture fixture(0.1);
   std::uint64_t planner_epoch = 0;
@@ -246,23 +250,23 @@
   {
     Link soon(fixture);
     soon.hello("f1", 7);
-    say("a link that follows soon: the same planner epoch", soon.planner_epoch == planner_epoch);
+    say("a link that follows soon gets the same planner epoch", soon.planner_epoch == planner_epoch);
     soon.submit(2, 2002);
     fixture.loop.run_for(0.05);
   }
   fixture.loop.run_for(0.85);
   Link late(fixture);
   late.hello("f1", 7);
-  say("the session is over: another planner epoch", late.planner_epoch != planner_epoch);
+  say("after the session has expired: another planner epoch", late.planner_epoch != planner_epoch);
   say("requests are served as before", late.submit(3, 2003).answer(3) == 0);
   Link other(fixture);
   other.hello("f2", 8);
-  say("of each forwarder its own", other.planner_epoch != late.planner_epoch);
+  say("each forwarder has its own planner epoch", other.planner_epoch != late.planner_epoch);
   fixture.end();
 }
 
-// Guards against a forwarder without a window: the end of the link that its next link superseded took its
-// share of the slow start away.
+// Guards against a forwarder without a window: when its next link superseded a link, the end of the old link
+// removed its share of the slow start.
 void superseded_in_slow_start() {
   SiteSpec cold = Fixture::site(512);
   cold.slow_start_speed = 0.25;
@@ -278,14 +282,14 @@
   say("both have a window", first.window > 0 && other.window > 0);
   Link next(fixture);
   next.hello("f1", 7);
-  say("the next link ends the first", first.closed(0.5));
+  say("the next link closes the first", first.closed(0.5));
   next.ping_for(1);
-  say("it has a window too", next.window > 0);
+  say("the next link has a window too", next.window > 0);
   say("and is served", next.submit(1, 5001).answer(1) == 0);
   fixture.end();
 }
 
-// The notice to leave is told to who is there and to who comes after it.
+// The drain announcement is sent to connected forwarders and to those that connect later.
 void draining() {
   Fixture fixture(0.3);
   Link connected(fixture);
@@ -296,16 +300,17 @@
   Link late(fixture);
   late.hello("f2", 8);
   fixture.loop.run_for(0.1);
-  say("told to who is there", connected.no_more);
-  say("told to who comes", late.no_more);
-  say("what is open is answered", connected.answer(1) == 0);
+  say("announced to a connected forwarder", connected.no_more);
+  say("announced to a forwarder that connects later", late.no_more);
+  say("the open attempt is answered", connected.answer(1) == 0);
   connected.cut();
   late.cut();
-  say("leaves in order", fixture.server.ended());
+  say("shuts down gracefully", fixture.server.ended());
 }
 
-// A keyed request whose run has ended in time, and whose result can't be written until the planner has gone:
-// answered before that, as is the repeat that waits for it.
+// Guards against a planner that exits without answering: a keyed request has run in time, but its result
+// can't be stored before the planner stops. The request and the duplicate that waits for it are answered
+// before that.
 void result_held_at_stop() {
   SiteSpec spec = Fixture::site(512);
   spec.types = {{"close", "dedup", 1, 5, 20, 1}};
@@ -332,19 +337,19 @@
   fixture.loop.run_for(0.2);
   sqlite3* other = nullptr;
   sqlite3_open(fixture.server.store_path().c_str(), &other);
-  say("the store is held", sqlite3_exec(other, "begin immediate", nullptr, nullptr, nullptr) == SQLITE_OK);
+  say("the store is locked", sqlite3_exec(other, "begin immediate", nullptr, nullptr, nullptr) == SQLITE_OK);
   connected.send(wt::Ping{1});
   const int first = connected.answer(1);
   const int second = connected.answer(2);
-  say("the first is answered, not as if it had never run",
+  say("the first is answered, and not with a rejection",
       first >= 0 && first != static_cast<int>(wt::Result::kRejected));
-  say("its repeat is failed", second == kMayHaveRun);
+  say("its duplicate fails", second == kMayHaveRun);
   say("it ran once", fixture.journal.runs.size() == 1);
-  say("leaves in order", fixture.server.ended());
+  say("shuts down gracefully", fixture.server.ended());
   sqlite3_close(other);
 }
 
-// More links than there are descriptors for: newcomers are closed, those that are there are served.
+// More links than descriptors: new connections are closed, existing ones are served.
 void connection_flood() {
   Fixture fixture(0.005, 160);
   Link first(fixture);
@@ -353,12 +358,12 @@
   connection_flood.reserve(200);
   for (int i = 0; i < 200; ++i) connection_flood.push_back(std::make_unique<Link>(fixture));
   first.ping_for(0.5);
-  say("who is there is served", first.submit(1, 4001).answer(1) == 0);
-  say("some were turned away", fixture.count("callers.rejected") > 50);
+  say("the connected forwarder is served", first.submit(1, 4001).answer(1) == 0);
+  say("some connections were rejected", fixture.count("callers.rejected") > 50);
   first.ping_for(1);
   Link later(fixture);
   later.hello("f1", 2);
-  say("room again once the mute are gone", later.greeted);
+  say("capacity again after the silent links are closed", later.greeted);
   connection_flood.clear();
   fixture.end();
 }
--- a/tests/tier/policy_traces.cpp
+++ b/tests/tier/policy_traces.cpp
@@ -1,5 +1,6 @@
-// The parts of two levels, each on its own: picker, queue, outlook, a planner's holdings, frames, homes of
-// keys, kept lists. CTest compares with tests/traces/tier_NAME.txt. usage: tier_parts - NAME
+// The policies of the two tiers in isolation: picker, wait queue, wait estimator, a planner's sessions,
+// frames, key ownership and the endpoint list history. CTest compares the output with
+// tests/traces/tier_NAME.txt. usage: tier_policy_traces - NAME
 #include <algorithm>
 #include <cmath>
 #include <cstdio>
@@ -21,7 +22,7 @@
 
 namespace {
 
-// ---- The picker on its own.
+// ---- The picker.
 std::vector<std::string> names(int count) {
   std::vector<std::string> out;
   out.reserve(static_cast<std::size_t>(count));
@@ -39,7 +40,7 @@
 
 void picker_subjects(pcg32& random, const RandomUnit& random_unit) {
   const PickerOptions options = without_slow_start();
-  {  // A subject stays where it is while planners come and go.
+  {  // A subject stays at its planner when another planner disconnects.
     Picker five(options, names(5));
     for (int i = 0; i < 5; ++i) five.on_link_up(i, 100, 0);
     std::map<std::uint64_t, int> before;
@@ -50,10 +51,11 @@
       of_it += planner == 2;
       moved += planner != 2 && *five.pick(key, 1, random_unit) != planner;
     }
-    std::printf("subjects of a planner that went: about a fifth %s; of others moved: %d\n",
-                of_it > 850 && of_it < 1150 ? "yes" : "no", moved);
+    std::printf(
+        "subjects of a disconnected planner: about a fifth %s; moved subjects of other planners: %d\n",
+        of_it > 850 && of_it < 1150 ? "yes" : "no", moved);
   }
-  {  // Half of all requests are of one subject: no planner is far above the mean.
+  {  // Half of all requests have the same subject: no planner is far above the mean.
     Picker four(options, names(4));
     for (int i = 0; i < 4; ++i) four.on_link_up(i, 100, 0);
     std::deque<int> open;
@@ -68,14 +70,14 @@
       }
       if (open.size() >= 80) worst = std::max(worst, four.open_attempts(to) / 20.0);
     }
-    std::printf("a hot subject: most at one planner within 1.35 x the mean: %s\n",
+    std::printf("a hot subject: maximum at one planner within 1.35 x the mean: %s\n",
                 worst <= 1.35 ? "yes" : "no");
   }
 }
 
 void picker_capacity(const RandomUnit& random_unit) {
   const PickerOptions options = without_slow_start();
-  {  // Without subjects the emptier of two.
+  {  // Without subjects, the less utilized of two random planners is chosen.
     Picker eight(options, names(8));
     for (int i = 0; i < 8; ++i) eight.on_link_up(i, 100, 0);
     int most = 0;
@@ -84,19 +86,21 @@
       eight.on_attempt_sent(to);
       most = std::max(most, eight.open_attempts(to));
     }
-    std::printf("400 ops over 8 by the better of two: at most %s\n", most <= 54 ? "54" : "more");
+    std::printf("400 requests over 8 planners by the better of two: at most %s\n",
+                most <= 54 ? "54" : "more");
   }
   {
     PickerOptions slow;
     Picker two(slow, names(2));
     two.on_link_up(0, 100, -100);
     two.on_link_up(1, 100, 0);
-    std::printf("slow start: room of 100 after 0, 0.5, 1, 1.5 s: %d, %d, %d, %d\n", two.free_capacity(1, 0),
-                two.free_capacity(1, 0.5), two.free_capacity(1, 1), two.free_capacity(1, 1.5));
+    std::printf("slow start: capacity of a window of 100 after 0, 0.5, 1, 1.5 s: %d, %d, %d, %d\n",
+                two.free_capacity(1, 0), two.free_capacity(1, 0.5), two.free_capacity(1, 1),
+                two.free_capacity(1, 1.5));
   }
 }
 
-// Outliers go, for longer each time, but never more than half.
+// Outliers are ejected, for longer each time, but never more than half of the planners.
 void picker_outliers() {
   const PickerOptions options = without_slow_start();
   Picker four(options, names(4));
@@ -109,23 +113,23 @@
   };
   for (const int sound : {0, 1, 2}) round(sound, AttemptOutcome::kSucceeded, 0.02, 1);
   round(3, AttemptOutcome::kFailed, 0.5, 1);
-  std::printf("one fails: left out %s\n", four.is_ejected(3, 1) ? "yes" : "no");
+  std::printf("one planner fails: ejected %s\n", four.is_ejected(3, 1) ? "yes" : "no");
   for (int i = 0; i < 20; ++i) round(2, AttemptOutcome::kRejected, 0.001, 1);
-  std::printf("a second nacks everything: left out %s\n", four.is_ejected(2, 1) ? "yes" : "no");
+  std::printf("a second one rejects everything: ejected %s\n", four.is_ejected(2, 1) ? "yes" : "no");
   round(1, AttemptOutcome::kFailed, 1, 1);
   round(1, AttemptOutcome::kFailed, 1, 1);
   round(1, AttemptOutcome::kFailed, 1, 1);
-  std::printf("a third fails: left out %s, so many %d of 4\n", four.is_ejected(1, 1) ? "yes" : "no",
+  std::printf("a third one fails: ejected %s, in total %d of 4\n", four.is_ejected(1, 1) ? "yes" : "no",
               four.ejected_count(1));
   double back = 1;
   while (four.is_ejected(3, back)) back += 0.25;
   round(3, AttemptOutcome::kFailed, 0.5, back);
   double again = back;
   while (four.is_ejected(3, again)) again += 0.25;
-  std::printf("left out for %.0f s, then for %.0f s\n", back - 1, again - back);
+  std::printf("ejected for %.0f s, then for %.0f s\n", back - 1, again - back);
 }
 
-// What all do, or one only in its latency.
+// Planners that all fail alike, and one that differs only in its latency.
 void picker_comparisons() {
   const PickerOptions options = without_slow_start();
   Picker all(options, names(2));
@@ -136,7 +140,7 @@
       all.on_attempt_ended(p, AttemptOutcome::kFailed, 1, 1);
     }
   }
-  std::printf("all fail alike: left out %d\n", all.ejected_count(1));
+  std::printf("all planners fail alike: ejected %d\n", all.ejected_count(1));
   Picker lag(options, names(3));
   for (int i = 0; i < 3; ++i) lag.on_link_up(i, 1000, 0);
   for (int i = 0; i < 20; ++i) {
@@ -145,7 +149,7 @@
       lag.on_attempt_ended(p, AttemptOutcome::kSucceeded, p == 1 ? 0.5 : 0.05, 1);
     }
   }
-  std::printf("one is ten times slower: left out %s\n", lag.is_ejected(1, 1) ? "yes" : "no");
+  std::printf("one planner is ten times slower: ejected %s\n", lag.is_ejected(1, 1) ? "yes" : "no");
 }
 
 void picker_choice(const RandomUnit& random_unit) {
@@ -158,14 +162,15 @@
   };
   choice.on_load_report(0, 100, 3, true);
   choice.on_load_report(1, 100, 1, true);
-  std::printf("the first's next slot is worth more: it gets %d of 100\n", to_first());
+  std::printf("the first planner's slot value is higher: it gets %d of 100\n", to_first());
   choice.on_load_report(0, 100, 1, true);
   choice.on_load_report(1, 100, 1, false);
-  std::printf("the second is not well: the first gets %d of 100\n", to_first());
+  std::printf("the second planner is unhealthy: the first gets %d of 100\n", to_first());
   choice.on_draining(0);
-  std::printf("and leaves: it gets %d of 100\n", to_first());
+  std::printf("the first planner drains: it gets %d of 100\n", to_first());
   choice.remove(1);
-  std::printf("and nobody wants the second: %s\n", choice.pick(0, 1, random_unit) ? "picked" : "none");
+  std::printf("the second planner is removed from the list: %s\n",
+              choice.pick(0, 1, random_unit) ? "picked" : "none");
 }
 
 void picker() {
@@ -178,27 +183,29 @@
   picker_choice(random_unit);
 }
 
-// ---- The line and the outlook.
+// ---- The wait queue and the wait estimator.
 void wait_queue() {
   WaitQueue queue(6, 10000);
   for (RequestId id = 1; id <= 4; ++id) queue.push(id, 1, 1, 10);  // a heavy caller
   queue.push(5, 1, 2, 10);
   queue.push(6, 3, 1, 10);
-  std::printf("ahead of one of importance 1: %zu, of 3: %zu\n", queue.count_ahead(1), queue.count_ahead(3));
+  std::printf("ahead of a request of priority weight 1: %zu, of 3: %zu\n", queue.count_ahead(1),
+              queue.count_ahead(3));
   const auto evicted = queue.push(7, 3, 3, 10);
-  std::printf("full: op %llu goes for op 7\n", static_cast<unsigned long long>(evicted.value_or(0)));
+  std::printf("full: request %llu is evicted for request 7\n",
+              static_cast<unsigned long long>(evicted.value_or(0)));
   const auto evicted_new = queue.push(8, 0.5, 4, 10);
-  std::printf("one of less importance than all: op %llu goes\n",
+  std::printf("a request of lower priority than all others: request %llu is evicted\n",
               static_cast<unsigned long long>(evicted_new.value_or(0)));
-  std::printf("in turn:");
+  std::printf("order:");
   while (const auto id = queue.front()) {
     queue.remove(*id);
     std::printf(" %llu", static_cast<unsigned long long>(*id));
   }
-  std::printf("; left over %zu ops, %zu bytes\n", queue.size(), queue.bytes());
+  std::printf("; remaining %zu requests, %zu bytes\n", queue.size(), queue.bytes());
   WaitQueue small(100, 100);
   small.push(1, 1, 1, 60);
-  std::printf("bytes full: op %llu goes\n",
+  std::printf("byte limit reached: request %llu is evicted\n",
               static_cast<unsigned long long>(small.push(2, 1, 2, 60).value_or(0)));
 }
 
@@ -206,26 +213,26 @@
   WaitEstimator estimator({}, 2, 0);
   estimator.on_planner_available();
   estimator.set_busy(true, 0);
-  std::printf("nothing known, 50 ahead, 0.1 s left: %s\n",
-              estimator.can_finish_in_time(0, 50, 0.1, 0.1) ? "may" : "no");
+  std::printf("no observations, 50 requests ahead, 0.1 s remaining: %s\n",
+              estimator.can_finish_in_time(0, 50, 0.1, 0.1) ? "yes" : "no");
   for (int i = 1; i <= 300; ++i)
     estimator.on_capacity_freed(i * 0.01), estimator.on_success(0, 0.05);  // 100 a second
-  std::printf("100 a second, 40 ahead, 0.3 s left: %s, 0.8 s left: %s\n",
-              estimator.can_finish_in_time(0, 40, 0.3, 3) ? "may" : "no",
-              estimator.can_finish_in_time(0, 40, 0.8, 3) ? "may" : "no");
-  std::printf("a type that nothing is known of, none ahead, 0.03 s left: %s\n",
-              estimator.can_finish_in_time(1, 0, 0.03, 3) ? "may" : "no");
-  std::printf("come back behind 40: %.2f to %.2f s\n", estimator.retry_after_seconds(40, 3, 0),
+  std::printf("100 freed per second, 40 requests ahead, 0.3 s remaining: %s, 0.8 s remaining: %s\n",
+              estimator.can_finish_in_time(0, 40, 0.3, 3) ? "yes" : "no",
+              estimator.can_finish_in_time(0, 40, 0.8, 3) ? "yes" : "no");
+  std::printf("a route without observations, no request ahead, 0.03 s remaining: %s\n",
+              estimator.can_finish_in_time(1, 0, 0.03, 3) ? "yes" : "no");
+  std::printf("retry after, behind 40 requests: %.2f to %.2f s\n", estimator.retry_after_seconds(40, 3, 0),
               estimator.retry_after_seconds(40, 3, 0.999));
   estimator.set_busy(false, 3);
-  std::printf("after a calm of 60 s, 40 ahead, 0.8 s left: %s\n",
-              estimator.can_finish_in_time(0, 40, 0.8, 63) ? "may" : "no");
+  std::printf("after 60 idle seconds, 40 requests ahead, 0.8 s remaining: %s\n",
+              estimator.can_finish_in_time(0, 40, 0.8, 63) ? "yes" : "no");
   estimator.set_busy(true, 63);
-  std::printf("and nothing comes free for 3 s: %s\n",
-              estimator.can_finish_in_time(0, 40, 0.8, 66) ? "may" : "no");
+  std::printf("no capacity freed for 3 s: %s\n", estimator.can_finish_in_time(0, 40, 0.8, 66) ? "yes" : "no");
   estimator.on_no_planner(3);
   std::printf(
-      "no planner: healthy after 0.5 s %s, after 1.5 s %s; come back after 0.5 s about %.2f, 5 s %.2f\n",
+      "no planner: healthy after 0.5 s %s, after 1.5 s %s; retry after %.2f s after 0.5 s, %.2f s after 5 "
+      "s\n",
       estimator.is_healthy(3.5) ? "yes" : "no", estimator.is_healthy(4.5) ? "yes" : "no",
       estimator.retry_after_seconds(0, 3.5, 0.5), estimator.retry_after_seconds(0, 8, 0.5));
   RetryBudget budget(0.1, 3);
@@ -234,15 +241,16 @@
     budget.on_first_attempt();
     taken += budget.try_spend();
   }
-  std::printf("second tries of 1000 first ones at a tenth: %s\n", taken <= 104 ? "within" : "over");
+  std::printf("retries for 1000 first attempts with a share of a tenth: %s\n",
+              taken <= 104 ? "within" : "after the retention");
   std::printf("windows of 4 cores for 1, 4, 40 links: %u, %u, %u\n", warm_window(4, 1), warm_window(4, 4),
               warm_window(4, 40));
 }
 
-// ---- What a planner holds.
+// ---- A planner's sessions.
 const char* text(wt::Result result) {
-  const char* names[] = {"acked",    "nacked",    "failed",  "unknown",
-                         "conflict", "never ran", "running", "forgotten"};
+  const char* names[] = {"succeeded", "rejected",  "failed",  "unknown",
+                         "conflict",  "never ran", "running", "outcome evicted"};
   return names[static_cast<int>(result)];
 }
 
@@ -250,13 +258,13 @@
   wt::Answer answer;
   sessions.open_session("a", 1, 4);
   sessions.open_session("b", 1, 5);
-  std::printf("a third forwarder of two: %s\n",
-              sessions.open_session("c", 1, 6).forwarder == 0 ? "no room" : "taken");
+  std::printf("a third forwarder with a limit of two: %s\n",
+              sessions.open_session("c", 1, 6).forwarder == 0 ? "rejected" : "accepted");
   sessions.on_link_lost(4, 30);
   const auto third = sessions.open_session("c", 1, 6).forwarder;
-  std::printf("where one of them is away: %s\n", third == 0 ? "no room" : "taken");
+  std::printf("after one of them has disconnected: %s\n", third == 0 ? "rejected" : "accepted");
   answer.attempt = 77;
-  std::printf("an answer to what was never taken: to link %llu\n",
+  std::printf("an answer to an attempt that was not accepted: to link %llu\n",
               static_cast<unsigned long long>(sessions.record_answer(third, answer)));
 }
 
@@ -266,8 +274,8 @@
   bool started = false;
   const auto fence = [&](std::uint64_t attempt) {
     const auto proof = sessions.fence(f, attempt, [&](RequestId) { return started; });
-    std::printf("fence %llu: %s%s\n", static_cast<unsigned long long>(attempt), text(proof.answer.result),
-                proof.abandoned ? ", its op is dropped" : "");
+    std::printf("fence attempt %llu: %s%s\n", static_cast<unsigned long long>(attempt),
+                text(proof.answer.result), proof.abandoned ? ", its request is abandoned" : "");
   };
   sessions.submit(f, 1, 101, 0);
   fence(1);
@@ -276,18 +284,18 @@
   fence(2);
   fence(5);
   std::printf(
-      "submitted all the same: %s\n",
-      sessions.submit(f, 5, 105, 0) == ForwarderSessions::SubmitResult::kFenced ? "fenced off" : "taken");
+      "submitted after the fence: %s\n",
+      sessions.submit(f, 5, 105, 0) == ForwarderSessions::SubmitResult::kFenced ? "fenced" : "accepted");
   sessions.on_link_lost(1, 10);
   wt::Answer answer;
   answer.attempt = 2;
   answer.result = wt::Result::kSucceeded;
   answer.body = "done";
-  std::printf("answered while away: to link %llu\n",
+  std::printf("answered while disconnected: to link %llu\n",
               static_cast<unsigned long long>(sessions.record_answer(f, answer)));
   const auto back = sessions.open_session("f1", 7, 2);
-  std::printf("back in the same life: known %s, lost %zu\n", back.forwarder == f ? "yes" : "no",
-              back.abandoned.size());
+  std::printf("reconnected with the same epoch: same session %s, abandoned %zu\n",
+              back.forwarder == f ? "yes" : "no", back.abandoned.size());
   fence(2);
   for (std::uint64_t i = 10; i < 30; ++i) {
     sessions.submit(f, i, 100 + i, 0);
@@ -297,25 +305,25 @@
   fence(2);
   fence(29);
   sessions.open_session("f2", 1, 9);
-  std::printf("a second forwarder halves what is kept\n");
+  std::printf("a second forwarder halves the cache share\n");
   fence(23);
   for (std::uint64_t i = 40; i < 43; ++i) sessions.submit(f, i, 100 + i, 0);
   std::printf(
-      "a fourth open one: %s\n",
-      sessions.submit(f, 43, 143, 0) == ForwarderSessions::SubmitResult::kTooMany ? "too many" : "taken");
+      "a fourth open attempt: %s\n",
+      sessions.submit(f, 43, 143, 0) == ForwarderSessions::SubmitResult::kTooMany ? "too many" : "accepted");
   const auto restarted = sessions.open_session("f1", 8, 3);
-  std::printf("a new life: known %s, old link %llu, ops without a caller %zu\n",
+  std::printf("a new epoch: same session %s, superseded link %llu, abandoned requests %zu\n",
               restarted.forwarder == f ? "yes" : "no",
               static_cast<unsigned long long>(restarted.superseded_link), restarted.abandoned.size());
   sessions.submit(restarted.forwarder, 1, 201, 0);
-  std::printf("its numbers begin anew: open %zu\n", sessions.open_attempts());
+  std::printf("its attempt numbers restart: open %zu\n", sessions.open_attempts());
   sessions.on_link_lost(3, 20);
-  std::printf("away for 0.5 s: %zu ops gone, for 0.8 s: %zu\n", sessions.take_expired(20.5).size(),
-              sessions.take_expired(20.8).size());
+  std::printf("disconnected for 0.5 s: %zu requests expired, for 0.8 s: %zu\n",
+              sessions.take_expired(20.5).size(), sessions.take_expired(20.8).size());
   forwarder_sessions_full(sessions);
 }
 
-// The longest result that a runtime may give passes whole; nothing longer is read.
+// The longest result that a runtime may return fits a frame; longer frames are rejected.
 void frames() {
   wt::Answer answer;
   answer.attempt = 1;
@@ -324,24 +332,24 @@
   const wt::DecodedFrame taken = wt::decode_next_frame(wt::encode(answer));
   const auto* back = std::get_if<wt::Answer>(&taken.message);
   std::printf("a result of 64 KiB: %s\n",
-              taken.state == wt::Framing::kFrame && back->body == answer.body ? "whole" : "not whole");
+              taken.state == wt::Framing::kFrame && back->body == answer.body ? "intact" : "damaged");
   const auto state = [](const std::string& bytes) {
     const wt::Framing framing = wt::decode_next_frame(bytes).state;
     return framing == wt::Framing::kBroken  ? "broken"
            : framing == wt::Framing::kFrame ? "read"
-                                            : "waits for more";
+                                            : "incomplete";
   };
-  std::printf("a frame that says 16 MiB: %s\n", state(std::string("\x01\0\0\0\x05", 5)));
+  std::printf("a frame with a length of 16 MiB: %s\n", state(std::string("\x01\0\0\0\x05", 5)));
   std::printf("an unknown kind: %s\n", state(std::string("\0\0\0\0\x63", 5)));
   std::string ping = wt::encode(wt::Ping{7});
   std::printf("a ping: %s, without its last byte: %s\n", state(ping), state(ping.substr(0, ping.size() - 1)));
   ping[3] = 7;
-  std::printf("one that ends within its field: %s\n", state(ping));
+  std::printf("a ping that ends within its field: %s\n", state(ping));
 }
 
 constexpr std::uint64_t kKeyCount = 4000;
 
-// Prints where keys belong.
+// Prints the distribution of keys over owners and former owners.
 void print_routes(const char* when, const KeyOwnership& ownership, double now) {
   int asked_first = 0, not_allowed = 0, two_former_owners = 0, without_owner = 0;
   std::vector<int> at(4);
@@ -354,70 +362,70 @@
     if (route.owner >= 0) ++at[static_cast<std::size_t>(route.owner)];
     if (std::find(route.former_owners.begin(), route.former_owners.end(), route.owner) !=
         route.former_owners.end())
-      std::printf("asks where it belongs\n");
+      std::printf("the owner is also a former owner\n");
   }
   std::printf(
-      "%-32s %4.0f%% %4.0f%% %4.0f%% %4.0f%%, asked first %3.0f%%, of two %3.0f%%, not yet %3.0f%%%s\n", when,
+      "%-32s %4.0f%% %4.0f%% %4.0f%% %4.0f%%, lookup %3.0f%%, two lookups %3.0f%%, not yet %3.0f%%%s\n", when,
       at[0] * 100.0 / kKeyCount, at[1] * 100.0 / kKeyCount, at[2] * 100.0 / kKeyCount,
       at[3] * 100.0 / kKeyCount, asked_first * 100.0 / kKeyCount, two_former_owners * 100.0 / kKeyCount,
-      not_allowed * 100.0 / kKeyCount, without_owner > 0 ? ", nowhere" : "");
+      not_allowed * 100.0 / kKeyCount, without_owner > 0 ? ", no owner" : "");
 }
 
-// Where keys belong while lists change.
+// The owners of keys while endpoint lists change.
 void key_ownership() {
   const std::vector<std::pair<int, std::string>> three = {{0, "p1"}, {1, "p2"}, {2, "p3"}},
                                                  four = {{0, "p1"}, {1, "p2"}, {2, "p3"}, {3, "p4"}},
                                                  two = {{0, "p1"}, {2, "p3"}};
   KeyOwnership ownership({2, 10});
   ownership.set_planners(three, 0);
-  print_routes("three", ownership, 0);
+  print_routes("three planners", ownership, 0);
   ownership.set_planners(four, 100);
-  print_routes("a fourth one", ownership, 100);
-  print_routes("not all may know it yet", ownership, 101.9);
-  print_routes("all know it", ownership, 102);
-  print_routes("the last may be remembered", ownership, 111.9);
-  print_routes("over", ownership, 112);
+  print_routes("a fourth one is added", ownership, 100);
+  print_routes("within the reload spread", ownership, 101.9);
+  print_routes("after the reload spread", ownership, 102);
+  print_routes("at the end of the retention", ownership, 111.9);
+  print_routes("after the retention", ownership, 112);
   ownership.set_planners(two, 200);
-  print_routes("two of them go", ownership, 200);
+  print_routes("two planners are removed", ownership, 200);
   ownership.set_planners(three, 203);
-  print_routes("one is back", ownership, 203);
-  print_routes("the later change is in force", ownership, 205);
-  print_routes("the first one is over", ownership, 212);
-  print_routes("both are", ownership, 215);
-  std::printf("settled at %.0f; p2 may be asked at 211 %s, p4 at 212 %s\n", ownership.migration_ends_at(),
-              ownership.may_remember_keys(1, 211) ? "yes" : "no",
+  print_routes("one of them is added again", ownership, 203);
+  print_routes("second change: spread is over", ownership, 205);
+  print_routes("first change: retention is over", ownership, 212);
+  print_routes("second change: retention is over", ownership, 215);
+  std::printf("complete at %.0f; p2 may remember keys at 211 %s, p4 at 212 %s\n",
+              ownership.migration_ends_at(), ownership.may_remember_keys(1, 211) ? "yes" : "no",
               ownership.may_remember_keys(3, 212) ? "yes" : "no");
   ownership.set_planners({}, 300);
-  print_routes("nobody", ownership, 300);
+  print_routes("an empty list", ownership, 300);
   KeyOwnership again({2, 10});
   again.add_former_list(two, 295);
   again.set_planners(three, 300);
-  print_routes("another list before the start", again, 300);
+  print_routes("former list before the start", again, 300);
   KeyOwnership unknown_history({2, 10});
   unknown_history.set_planners(three, 0);
   unknown_history.assume_unknown_history(0);
-  print_routes("nobody knows what was before", unknown_history, 11.9);
-  print_routes("and nothing matters of it now", unknown_history, 12);
+  print_routes("the history is not known", unknown_history, 11.9);
+  print_routes("the unknown history has expired", unknown_history, 12);
   KeyOwnership frequent_changes({2, 10});
   for (int i = 0; i < 10; ++i) frequent_changes.set_planners(i % 2 ? three : four, i);
-  print_routes("more lists than are kept", frequent_changes, 9);
-  print_routes("the first of them is over", frequent_changes, 14);
+  print_routes("more former lists than the limit", frequent_changes, 9);
+  print_routes("the dropped list has expired", frequent_changes, 14);
   KeyOwnership without_retention({2, 0});
   without_retention.set_planners(three, 0);
   without_retention.set_planners(four, 1);
-  print_routes("nothing is ever remembered", without_retention, 1);
+  print_routes("without retention", without_retention, 1);
 }
 
-// The lists as they are kept.
+// The codec of stored endpoint lists.
 void endpoint_list_history() {
   EndpointListHistory record{{"10.0.0.1:7100", "10.0.0.2:7100"}, {{1000.5, {"10.0.0.1:7100"}}, {2000, {}}}};
   const std::string bytes = encode(record);
   const auto read = decode_endpoint_list_history(bytes);
-  std::printf("whole: %s\n", read && read->current == record.current && read->former.size() == 2 &&
-                                     read->former[0].until == 1000.5 &&
-                                     read->former[0].planners == record.former[0].planners
-                                 ? "yes"
-                                 : "no");
+  std::printf("round trip: %s\n", read && read->current == record.current && read->former.size() == 2 &&
+                                          read->former[0].until == 1000.5 &&
+                                          read->former[0].planners == record.former[0].planners
+                                      ? "yes"
+                                      : "no");
   int taken = 0, other = 0;
   for (std::size_t i = 0; i < bytes.size(); ++i) {
     if (decode_endpoint_list_history(std::string_view(bytes).substr(0, i))) ++taken;
@@ -428,31 +436,32 @@
       other += corrupted_history && encode(*corrupted_history).size() > kMaxEndpointListHistoryBytes;
     }
   }
-  std::printf("cut short and taken: %d; spoilt and out of bounds: %d\n", taken, other);
+  std::printf("truncated and accepted: %d; corrupted and out of bounds: %d\n", taken, other);
   record.former.assign(20, {1, {"a"}});
   for (std::size_t i = 0; i < 20; ++i) record.former[i].until = static_cast<double>(i);
   const auto newest = decode_endpoint_list_history(encode(record));
-  std::printf("of twenty former ones %zu are kept, from %.0f on\n", newest->former.size(),
+  std::printf("of twenty former lists %zu are stored, from %.0f on\n", newest->former.size(),
               newest->former.front().until);
   record.former.clear();
   record.current.assign(65, "a");
-  std::printf("65 planners: %s\n", decode_endpoint_list_history(encode(record)) ? "taken" : "no list");
+  std::printf("65 planners: %s\n", decode_endpoint_list_history(encode(record)) ? "accepted" : "rejected");
   record.current = {std::string(256, 'a')};
   std::printf("an address of 256 bytes: %s\n",
-              decode_endpoint_list_history(encode(record)) ? "taken" : "no list");
+              decode_endpoint_list_history(encode(record)) ? "accepted" : "rejected");
   record.current = {""};
-  std::printf("an empty one: %s\n", decode_endpoint_list_history(encode(record)) ? "taken" : "no list");
+  std::printf("an empty address: %s\n",
+              decode_endpoint_list_history(encode(record)) ? "accepted" : "rejected");
   std::string encoded =
       "\xa2\x68in_force\x80\x66"
-      "former\x91";  // CBOR: no list in force, 17 former ones
+      "former\x91";  // CBOR: an empty current list, 17 former lists
   for (int i = 0; i < 17; ++i) encoded += "\xa2\x65until\x01\x68planners\x80";
-  std::printf("17 former ones: %s", decode_endpoint_list_history(encoded) ? "taken" : "no list");
+  std::printf("17 former lists: %s", decode_endpoint_list_history(encoded) ? "accepted" : "rejected");
   encoded[18] = '\x90';
   encoded.resize(encoded.size() - 18);
-  std::printf("; 16: %s\n", decode_endpoint_list_history(encoded) ? "taken" : "no list");
+  std::printf("; 16: %s\n", decode_endpoint_list_history(encoded) ? "accepted" : "rejected");
   record = {{"a"}, {{std::nan(""), {"b"}}}};
-  std::printf("a time that is none: %s\n",
-              decode_endpoint_list_history(encode(record)) ? "taken" : "no list");
+  std::printf("a time that is not a number: %s\n",
+              decode_endpoint_list_history(encode(record)) ? "accepted" : "rejected");
 }
 
 }  // namespace
--- a/tests/tier/slow_start.cpp
+++ b/tests/tier/slow_start.cpp
@@ -1,5 +1,6 @@
-// What all forwarders together send to a cold planner, beside its budget of N: beyond it 2 sqrt(N) + 2 are
-// put down to chance. CTest compares with tests/traces/cold_NAME.txt. usage: cold_parts BINARY SCENARIO
+// The attempts that all forwarders together send to a cold planner, compared with its budget of N. An excess
+// of up to 2 sqrt(N) + 2 is tolerated as random variation. CTest compares the output with
+// tests/traces/slow_start_NAME.txt. usage: tier_slow_start BINARY SCENARIO
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -28,8 +29,8 @@
 
 double random_tolerance(double budget) { return 2 * std::sqrt(budget) + 2; }
 
-// ---- The policy alone: forwarders that always have something to send, parts that are heard late, attempts
-// on their way, forwarders that die and others that join.
+// ---- The policy alone: forwarders that always have requests to send, load reports that arrive late,
+// attempts in flight, forwarders that end and others that join.
 class ForwarderSimulation {
  public:
   ForwarderSimulation(int forwarders, std::uint64_t seed, bool rejections, double slow_start_seconds)
@@ -49,9 +50,9 @@
       check_budget();
     }
   }
-  double worst_over = -1e9;              // attempts beyond the budget, of any instant
-  double worst_beyond_tolerance = -1e9;  // and beyond what is put down to chance
-  double longest_idle_seconds = 0;       // s in which a forwarder sent nothing, of any
+  double worst_over = -1e9;              // maximum excess of attempts over the budget at any time
+  double worst_beyond_tolerance = -1e9;  // maximum excess over the budget and the tolerance
+  double longest_idle_seconds = 0;       // longest time in which any forwarder sent nothing
   std::uint64_t sent = 0;
 
  private:
@@ -60,7 +61,7 @@
   static constexpr int kCores = 2;
   struct Forwarder {
     tier::Picker picker{picker_options(), {"p"}};
-    std::vector<std::pair<double, std::uint32_t>> pending_reports;  // on their way to it
+    std::vector<std::pair<double, std::uint32_t>> pending_reports;  // in flight to the forwarder
     double last_sent = 0;
     std::uint32_t announced_share = 0;
   };
@@ -70,7 +71,7 @@
   };
   static tier::PickerOptions picker_options() {
     tier::PickerOptions picker_options;
-    picker_options.rejection_cooldown_seconds = 0.25;  // as forwarders have it
+    picker_options.rejection_cooldown_seconds = 0.25;  // as in forwarders
     return picker_options;
   }
   double uniform() { return static_cast<double>(random_()) / 4294967296.0; }
@@ -84,7 +85,7 @@
       one->last_sent = now_;
       shares_.add(id);
     }
-    if (uniform() < 0.02 && forwarders_.size() > 1) {  // what it has open goes on
+    if (uniform() < 0.02 && forwarders_.size() > 1) {  // its open attempts continue
       auto removed = std::next(forwarders_.begin(),
                                static_cast<long>(random_(static_cast<unsigned>(forwarders_.size()))));
       shares_.remove(removed->first, now_);
@@ -141,7 +142,7 @@
     });
   }
   void check_budget() {
-    // Nacked at once, an attempt still counts for the quarter of a second in which its room rests.
+    // An attempt that is rejected immediately still counts during its cooldown of a quarter of a second.
     std::erase_if(recent_arrivals_, [&](double at) { return at < now_ - 0.25; });
     const double open =
         rejections_ ? static_cast<double>(recent_arrivals_.size()) : static_cast<double>(attempts_.size());
@@ -178,12 +179,14 @@
         const auto verdict = [](bool good, double value) {
           return good ? "yes" : fmt::format("NO, {:.1f}", value);
         };
-        // What is rejected may come a little sooner than it went, as ways differ: that is put down to chance.
+        // Because transit times differ, attempts may arrive a little closer together than they were sent; the
+        // tolerance covers this.
         fmt::print(
-            "cold for {:.0f} s, {} forwarders, {}: within the budget{}: {}; nobody without for 6 s: {}; "
+            "slow start of {:.0f} s, {} forwarders, {}: within the budget{}: {}; no forwarder idle for 6 s: "
+            "{}; "
             "used: {}\n",
-            slow_start_seconds, forwarders, rejections ? "all nacked" : "all served",
-            rejections ? " and chance" : "",
+            slow_start_seconds, forwarders, rejections ? "all rejected" : "all served",
+            rejections ? " and tolerance" : "",
             verdict((rejections ? beyond : over) <= 0, rejections ? beyond : over), verdict(idle < 6, idle),
             verdict(min_sent > 100, static_cast<double>(min_sent)));
       }
@@ -191,7 +194,8 @@
   }
 }
 
-// Forwarders that come back under new lives without end leave nothing behind, warm or cold.
+// Guards against a leak: forwarders that reconnect again and again with new epochs must not accumulate
+// entries, warm or cold.
 void reconnects() {
   for (const bool cold : {false, true}) {
     tier::ConcurrencyWindows windows({2, 0.2, 1e9});
@@ -204,13 +208,13 @@
       windows.rebalance(now, [](std::uint64_t) { return std::size_t{0}; });
       max_tracked = std::max(max_tracked, windows.tracked_forwarders());
     }
-    say(fmt::format("{}: ten thousand lives, a few known at a time", cold ? "cold" : "warm"),
+    say(fmt::format("{}: ten thousand epochs, only a few are stored at a time", cold ? "cold" : "warm"),
         max_tracked < 20);
   }
 }
 
-// ---- Real forwarders, each with callers of its own that ask for more than there is, before one planner that
-// counts.
+// ---- Real forwarders, whose callers demand more than the capacity, and one scripted planner that counts
+// attempts.
 void processes() {
   for (const PlannerManner manner : {PlannerManner::kSound, PlannerManner::kRejections}) {
     constexpr int forwarder_count = 20;
@@ -237,31 +241,31 @@
       spec.operators = fmt::format("forward\n    planners {}\n", planner.address());
       forwarders.push_back(
           std::make_unique<Server>(loop, journal, callers, binary, spec, Runtime::Options{}, i));
-      if (!forwarders.back()->start()) std::printf("a forwarder does not start\n");
+      if (!forwarders.back()->start()) std::printf("a forwarder did not start\n");
     }
     const bool linked = loop.run_until([&] { return planner.linked() == forwarder_count; }, 20);
     loop.run_for(1);
     const std::uint64_t before = planner.taken();
     loop.run_for(4);
     const double attempts_per_second = static_cast<double>(planner.taken() - before) / 4;
-    say("twenty processes are linked", linked);
-    say(fmt::format("{}: open at once within {} and chance",
-                    manner == PlannerManner::kRejections ? "all nacked" : "all served", budget),
+    say("twenty processes are connected", linked);
+    say(fmt::format("{}: open attempts within {} and tolerance",
+                    manner == PlannerManner::kRejections ? "all rejected" : "all served", budget),
         static_cast<double>(planner.most_open()) <= budget + random_tolerance(budget));
-    // A rejected attempt keeps its room for a quarter of a second: four times the budget a second, and
-    // chance.
+    // A rejected attempt uses capacity for a quarter of a second, so at most four budgets per second are
+    // sent, within the tolerance.
     if (manner == PlannerManner::kRejections)
-      say("sent within four budgets a second and chance",
+      say("sent within four budgets per second and tolerance",
           attempts_per_second <= 4 * budget + random_tolerance(4 * budget));
-    say("every one of them has sent some", planner.fewest_sent() >= 1);
+    say("every forwarder has sent attempts", planner.fewest_sent() >= 1);
     say("the budget is used", attempts_per_second > budget);
     std::fprintf(stderr, "most open %zu, %.1f a second, fewest sent %llu\n", planner.most_open(),
                  attempts_per_second, static_cast<unsigned long long>(planner.fewest_sent()));
   }
 }
 
-// A real planner that comes up cold, and what it tells twenty forwarders, who come one after the other and of
-// whom some go.
+// A real planner in its slow start, and the windows that it announces to twenty forwarders, which connect one
+// after another and of which some disconnect.
 void planner() {
   constexpr double initial_speed = 0.2, warm_up_seconds = 4;
   constexpr int link_count = 20;
@@ -278,7 +282,8 @@
   work.slow_start_seconds = warm_up_seconds;
   Server server(loop, journal, callers, binary, spec, work);
   say("starts", server.start());
-  const double began = now();  // its runtime began before: the budget reckoned from here is the smaller one
+  // Its runtime started earlier, so the budget computed from here is the smaller one.
+  const double began = now();
   std::vector<std::unique_ptr<ScriptedForwarder>> links;
   std::set<std::size_t> had;
   double over = -1e9;
@@ -310,8 +315,8 @@
     watch(0.25);
     if (i == 4) links[3].reset(), links[7].reset();
   }
-  say("what they are told sums to the budget and chance at most", over <= 0);
-  say("every one of them had a part", had.size() == link_count);
+  say("the announced windows sum to at most the budget and tolerance", over <= 0);
+  say("every forwarder had a share", had.size() == link_count);
   for (int i = 0; i < 12; ++i) {
     for (const auto& link : links) {
       if (link) link->send(damsonspoke::wire::tier::Ping{1});
@@ -320,8 +325,8 @@
   }
   bool wide = true;
   for (const auto& link : links) wide &= !link || link->window >= 4;
-  say("warm, each has its window", wide);
-  say("leaves in order", server.leave());
+  say("after the slow start each forwarder has its window", wide);
+  say("shuts down gracefully", server.leave());
 }
 
 }  // namespace
