--- a/tests/fleet/health_check_budget.cpp
+++ b/tests/fleet/health_check_budget.cpp
@@ -30,8 +30,8 @@
 
 std::string instance_name(int number) { return fmt::format("n{}", number); }
 
-// Instances whose views of the fleet follow the truth late, each by its own delay, and may be wrong for a
-// while.
+// Instances whose views of the fleet are updated late, each with its own delay, and may be wrong for some
+// time.
 class SimulatedFleet {
  public:
   SimulatedFleet(int count, std::uint64_t seed) : random_(seed), count_(count) {
@@ -82,7 +82,7 @@
     max_checks_ = std::max(max_checks_, static_cast<double>(checks_.size()));
   }
 
-  // The times of the checks in the last window, and the most in any window.
+  // The times of the checks in the last window, and the maximum number in any window.
   [[nodiscard]] const std::deque<double>& checks() const { return checks_; }
   [[nodiscard]] double max_checks() const { return max_checks_; }
 
@@ -94,7 +94,7 @@
     double paused_until = 0;
     double view_delay = 0;
     double view_taken_at = -10;
-    std::deque<std::pair<double, View>> delayed_views;  // with the time at which it believes them
+    std::deque<std::pair<double, View>> delayed_views;  // with the times at which they take effect
   };
 
   Instance& at(int number) { return instances_[static_cast<std::size_t>(number)]; }
@@ -156,8 +156,9 @@
     max = std::max(max, max_of_size);
     if (std::getenv("FLEET_TRACE") != nullptr) std::fprintf(stderr, "%d: %.0f\n", count, max_of_size);
   }
-  // Each checker may have one check saved up.
-  say("of 3 to 300 together never over the rate and one each of two turns in any 5 s",
+  // Each checker may have one accumulated check.
+  say("3 to 300 instances together never exceed the rate plus one check per former and new checker in any 5 "
+      "s",
       max <= options.checks_per_second * kWindowSeconds + 2 * options.checkers);
 }
 
@@ -171,7 +172,7 @@
       if (tick >= 100)
         sent += static_cast<int>(std::count(fleet.checks().begin(), fleet.checks().end(), now));
     }
-    std::printf("%d together: %.1f a second\n", count, sent / 30.0);
+    std::printf("%d instances together: %.1f checks per second\n", count, sent / 30.0);
   }
 }
 
@@ -187,9 +188,9 @@
   const auto remaining = std::count_if(after.begin(), after.end(), [&](const std::string& name) {
     return std::find(before.begin(), before.end(), name) != before.end();
   });
-  say("the turn of one that dies is taken over, the others keep theirs", remaining == 3 && after.size() == 4);
-  say("and probes go on", fleet.checks().size() >= 12);
-  say("another layer has other probers", fleet.budget(watcher).checkers("rates") != after);
+  say("another instance replaces a dead checker, the others stay", remaining == 3 && after.size() == 4);
+  say("health checks continue", fleet.checks().size() >= 12);
+  say("another dependency has other checkers", fleet.budget(watcher).checkers("rates") != after);
 }
 
 void say_waits_before_checking() {
@@ -197,7 +198,7 @@
   started.set_usable({}, 0);
   bool is_early = false;
   for (int i = 0; i < 29; ++i) is_early |= started.try_check("ledger", i * kTickSeconds);
-  say("one that has just come up probes nothing yet", !is_early);
+  say("an instance that has just started sends no checks yet", !is_early);
   std::vector<std::string> others;
   others.reserve(30);
   for (int i = 0; i < 30; ++i) others.push_back(instance_name(i));
@@ -207,7 +208,7 @@
   successor.set_usable({}, 10);
   const bool waits =
       successor.checks_per_second("ledger", 10) == 0 && successor.checks_per_second("ledger", 12.9) == 0;
-  say("who comes to a turn waits before it probes",
+  say("a new checker waits before it sends checks",
       is_idle && waits && successor.checks_per_second("ledger", 13.1) > 0);
 }
 
--- a/tests/fleet/retry_budget.cpp
+++ b/tests/fleet/retry_budget.cpp
@@ -21,8 +21,8 @@
 constexpr double kStepSeconds = 0.05;
 constexpr double kShare = 0.1;  // of first attempts, the default
 
-// Instances that want far more retries than they may make, some of them with hardly any first attempts of
-// their own, in a network that loses and delays leases and splits.
+// Instances that need far more retries than they may make, some of them with few first attempts of their own,
+// in a network that loses and delays leases and splits.
 class SimulatedFleet {
  public:
   SimulatedFleet(int count, std::uint64_t seed, bool leases) : random_(seed), leases_(leases) {
@@ -34,7 +34,7 @@
     }
   }
 
-  // Leases arrive within so many seconds; the given share of them is lost.
+  // Leases arrive within `max_delay` seconds; `lost_share` of them is lost.
   void set_network(double lost_share, double max_delay) {
     lost_share_ = lost_share;
     max_delay_ = max_delay;
@@ -107,8 +107,8 @@
                              std::lower_bound(times.begin(), times.end(), from));
 }
 
-// In each window of 10 s, and in all: the share of the first attempts in it and in the time that averages
-// remember, and one saved retry each.
+// Checks each window of 10 s and the whole run: the retries are at most the share of the first attempts in
+// the window and in the preceding averaging time, plus one accumulated retry per instance.
 bool stays_within_budget(int count, std::uint64_t seed) {
   SimulatedFleet fleet(count, seed, true);
   for (int tick = 0; tick < 1200; ++tick) {
@@ -130,7 +130,9 @@
     const std::uint64_t seeds = count > 100 ? 1 : 8;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) holds &= stays_within_budget(count, seed);
   }
-  say("further tries of all stay under their share of first ones, whatever is lost, late or apart", holds);
+  say("the retries of the fleet stay within their share of first attempts despite lost or late leases and "
+      "splits",
+      holds);
 }
 
 void say_leases_help() {
@@ -145,7 +147,7 @@
   const std::size_t together = with_leases.retries().size();
   if (std::getenv("FLEET_TRACE") != nullptr)
     std::fprintf(stderr, "%zu alone, %zu with leases\n", alone, together);
-  say("who needs more gets what others do not need",
+  say("instances that need more retries get the unused budget of others",
       static_cast<double>(together) > 1.2 * static_cast<double>(alone));
 }
 
@@ -155,8 +157,8 @@
   const double own = lender.own_per_second(10);
   const std::vector<FleetRetryBudget::Lease> leases = lender.lease({{"x", 100}}, 10);
   const double leased = lender.leased_per_second(10);
-  say("a lender keeps a part", !leases.empty() && leased > 0.5 * own && leased < 0.8 * own);
-  say("and has it back after a while",
+  say("a lender keeps a part of its budget", !leases.empty() && leased > 0.5 * own && leased < 0.8 * own);
+  say("the leased part returns to the lender later",
       lender.leased_per_second(17.9) > 0 && lender.leased_per_second(18.1) == 0);
 }
 
@@ -166,7 +168,7 @@
   borrower.on_lease(std::nan(""), 0, 0);
   int retries = 0;
   for (int i = 0; i < 20; ++i) retries += borrower.try_retry(0.1 * i) ? 1 : 0;
-  say("what comes too late, or is no number, is worth nothing", retries == 0);
+  say("a lease that is late or not a number is ignored", retries == 0);
 }
 
 void say_leased_retries_are_not_used() {
@@ -184,8 +186,8 @@
   }
   int saved_retries = 0;
   while (idle.try_retry(now)) ++saved_retries;
-  say("what is lent is not used by the lender", has_leased && lender_retries < 35);
-  say("no more than a second of it is saved up", saved_retries > 5 && saved_retries < 12);
+  say("a lender does not use what it has leased", has_leased && lender_retries < 35);
+  say("at most one second of the budget accumulates", saved_retries > 5 && saved_retries < 12);
 }
 
 void hot() {
--- a/tests/members/codec.cpp
+++ b/tests/members/codec.cpp
@@ -70,7 +70,7 @@
 
 void say_round_trip(const Message& message, const std::string& bytes) {
   const wm::DecodedMessage read = wm::decode(kCluster, bytes);
-  say("what is written is read the same",
+  say("a message is decoded as it was encoded",
       read.error == wm::DecodeError::kNone && read.message.records == message.records &&
           read.message.requested_by == "c" && read.message.datagram_number == 33 &&
           read.message.membership_digest == 77 && read.message.direct_ping_received &&
@@ -95,9 +95,9 @@
   suspected.accusers = {"backend-00123", "backend-01123"};
   usual.load_report = {
       4, "relay", "north/zone-2", "0.3.0", 0, 0, 12, 640, 0, DependencyState::kUnknown, "10.0.0.1:7100"};
-  say("what a record takes is known within a fifth", is_approximated(usual) && is_approximated(dead) &&
-                                                         is_approximated(suspected) &&
-                                                         is_approximated(full_record("a")));
+  say("the approximate size of a record is within a fifth", is_approximated(usual) && is_approximated(dead) &&
+                                                                is_approximated(suspected) &&
+                                                                is_approximated(full_record("a")));
 }
 
 void print_damaged(const std::string& bytes) {
@@ -115,7 +115,7 @@
     const std::string_view truncated = std::string_view(bytes).substr(0, i);
     accepted += wm::decode(kCluster, truncated).error == wm::DecodeError::kNone ? 1 : 0;
   }
-  std::printf("spoilt or cut at any place: %d read;", accepted);
+  std::printf("corrupted or truncated at any position: %d accepted;", accepted);
   for (const std::string& problem : problems) std::printf(" %s;", problem.c_str());
   std::puts("");
 }
@@ -131,17 +131,17 @@
   Message large = full_message();
   for (const Record& record : many_records(40)) large.records.push_back(record);
   const std::string datagram = wm::encode(kCluster, large);
-  say("a datagram keeps to one packet",
+  say("a datagram fits one packet",
       datagram.size() <= wm::kMaxDatagramBytes && wm::decode(kCluster, datagram).message.records.size() > 3);
-  say("an oversized one is refused",
+  say("an oversized datagram is rejected",
       wm::decode(kCluster, std::string(5000, 'x')).error != wm::DecodeError::kNone);
   const std::vector<Record> records = many_records(1000);
   const std::string bytes = wm::encode_push_pull(kCluster, records);
   const auto read = wm::decode_push_pull(kCluster, bytes + "more");
-  say("a full exchange of 1000",
+  say("a push-pull of 1000 records",
       read.is_complete && read.records == records && read.bytes_used == bytes.size());
-  say("half of it is not whole", !wm::decode_push_pull(kCluster, bytes.substr(0, 3000)).is_complete);
-  say("a length beyond the bound is refused",
+  say("half of it is incomplete", !wm::decode_push_pull(kCluster, bytes.substr(0, 3000)).is_complete);
+  say("a length beyond the limit is rejected",
       wm::decode_push_pull(kCluster, "\x7f\xff\xff\xff????").error != wm::DecodeError::kNone);
 }
 
@@ -155,8 +155,7 @@
   for (const std::string name : {"", "a b", "line\nbreak"}) {
     Message bad = message;
     bad.records[0].name = name;
-    std::printf("a name that is none: %s\n",
-                wm::text_of(wm::decode(kCluster, wm::encode(kCluster, bad)).error));
+    std::printf("an invalid name: %s\n", wm::text_of(wm::decode(kCluster, wm::encode(kCluster, bad)).error));
   }
 }
 
--- a/tests/members/failure_detection.cpp
+++ b/tests/members/failure_detection.cpp
@@ -1,5 +1,5 @@
-// Deaths, lost datagrams and pauses in simulated fleets: every death is found, nobody else is declared dead.
-// CTest compares with tests/traces/members_CASE.txt. usage: failure_detection - CASE
+// Deaths, lost datagrams and pauses in simulated fleets: every death is detected, and no other member is
+// declared dead. CTest compares with tests/traces/members_CASE.txt. usage: failure_detection - CASE
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -16,7 +16,7 @@
 
 namespace {
 
-constexpr int kFaulty = 4;  // the accuser in ill()
+constexpr int kFaulty = 4;  // the accuser in faulty_accuser()
 
 void third_lost() {
   const int count = 30;
@@ -28,10 +28,10 @@
   sim.run_until(15);
   std::size_t found = 0;
   for (const auto& death : sim.deaths()) found += death.found.size();
-  say("a third lost at once is found by all of the others", found == 10U * 20U);
+  say("the simultaneous death of a third is detected by all others", found == 10U * 20U);
   if (slowest_detection(sim) >= 8) std::printf("%.2f s\n", slowest_detection(sim));
   say("within eight seconds", slowest_detection(sim) < 8);
-  say("nobody else is called dead", sim.false_deaths().empty());
+  say("no other member is declared dead", sim.false_deaths().empty());
 }
 
 // The highest rates of one member in any second.
@@ -53,7 +53,8 @@
   return peak;
 }
 
-// What a member sends in a second at most is the same at any fleet size, also when a sixth is lost.
+// Guards against traffic that grows with the fleet: the most that a member sends in a second does not depend
+// on the fleet size, even when a sixth of the fleet is lost.
 void sixth_lost() {
   for (const int count : {60, 120, 240}) {
     MembersSim sim(fleet_options(count, 17, 0.01));
@@ -66,18 +67,18 @@
     for (int i = 0; i < count; i += 6) sim.kill(i);
     const PeakRates peak = peak_rates(sim, 15);
     if (std::getenv("MEMBERS_TRACE") != nullptr)
-      std::fprintf(stderr, "%d: calm %.1f; %.1f datagrams, %.1f records, %.1f by push-pull\n", count, calm,
-                   peak.datagrams, peak.records, peak.push_pull_records);
-    say(fmt::format("{} members: calm at most 18 records a second", count), calm <= 18);
-    say("a sixth lost: at most 25 datagrams, 130 records and 50 in exchanges in any second",
+      std::fprintf(stderr, "%d: without changes %.1f; %.1f datagrams, %.1f records, %.1f by push-pull\n",
+                   count, calm, peak.datagrams, peak.records, peak.push_pull_records);
+    say(fmt::format("{} members: at most 18 records per second without changes", count), calm <= 18);
+    say("a sixth lost: at most 25 datagrams, 130 records and 50 records by push-pull in any second",
         peak.datagrams <= 25 && peak.records <= 130 && peak.push_pull_records <= 50);
-    say("all see it within 15 s, nobody else is called dead",
+    say("all views agree within 15 s, no other member is declared dead",
         sim.views_agree() && sim.false_deaths().empty());
   }
 }
 
-// A third of a large fleet pauses for the longest time that is tolerated: its refutations have to reach all
-// in time, beside all the suspicions.
+// Guards against refutations that are delayed by the gossip of many suspicions: a third of a large fleet
+// pauses for the longest tolerated time, and its refutations have to reach all members in time.
 void third_paused() {
   const int count = 360;
   std::size_t false_deaths = 0;
@@ -90,8 +91,8 @@
     sim.run_until(20);
     false_deaths += sim.false_deaths().size();
   }
-  if (std::getenv("MEMBERS_TRACE") != nullptr) std::fprintf(stderr, "%zu wrong\n", false_deaths);
-  say("a third of 360 stands still for 2 s: nobody is called dead", false_deaths == 0);
+  if (std::getenv("MEMBERS_TRACE") != nullptr) std::fprintf(stderr, "%zu false deaths\n", false_deaths);
+  say("a third of 360 members pauses for 2 s: no member is declared dead", false_deaths == 0);
 }
 
 void lossy() {
@@ -101,11 +102,12 @@
   trace(sim);
   sim.start_all(true);
   sim.run_until(120);
-  say("a fifth lost, a fifth doubled, a fifth 2 s late: nobody is called dead in an hour of members",
+  say("a fifth of the datagrams lost, a fifth duplicated, a fifth 2 s late: no member is declared dead in an "
+      "hour of member time",
       sim.false_deaths().empty());
   sim.kill(4);
   sim.run_until(135);
-  say("a death is found all the same", sim.deaths()[0].found.size() == 29);
+  say("a death is still detected", sim.deaths()[0].found.size() == 29);
 }
 
 void short_pauses(double seconds) {
@@ -119,9 +121,9 @@
   sim.run_until(25);
   for (int i = 0; i < 30; ++i) sim.pause(i, seconds);
   sim.run_until(60);
-  say(fmt::format("one, a third, all stand still for {:.1f} s: nobody is called dead", seconds),
+  say(fmt::format("one member, a third, all pause for {:.1f} s: no member is declared dead", seconds),
       sim.false_deaths().empty());
-  say("and all see all", sim.views_agree());
+  say("all views agree", sim.views_agree());
 }
 
 void long_pauses() {
@@ -131,17 +133,17 @@
   sim.run_until(5);
   sim.pause(3, 30);
   sim.run_until(20);
-  say("one that stands still for half a minute is called dead", sim.state(0, "n3") == MemberState::kDead);
+  say("a member that pauses for half a minute is declared dead", sim.state(0, "n3") == MemberState::kDead);
   sim.run_until(60);
-  say("and is there again", sim.state(0, "n3") == MemberState::kAlive && sim.views_agree());
+  say("it is alive again", sim.state(0, "n3") == MemberState::kAlive && sim.views_agree());
   const auto false_deaths = sim.false_deaths().size();
   sim.pause(3, 5);
   sim.run_until(75);
-  say("a second pause of 5 s is borne: it is known to stand still",
+  say("a second pause of 5 s is tolerated: the member is known to pause",
       sim.false_deaths().size() == false_deaths);
   for (int i = 0; i < 30; ++i) sim.pause(i, 30);
   sim.run_until(120);
-  say("all stand still for half a minute: nobody is called dead",
+  say("all members pause for half a minute: no member is declared dead",
       sim.false_deaths().size() == false_deaths && sim.views_agree());
 }
 
@@ -150,7 +152,7 @@
   long_pauses();
 }
 
-// An accuser with a fault of its own: nine in ten of its datagrams, both ways, are lost.
+// Guards against false deaths by a faulty accuser: it loses nine in ten of its datagrams, in both directions.
 void faulty_accuser() {
   MembersSim sim(fleet_options(30, 11));
   pcg64 random(5);
@@ -166,8 +168,8 @@
   const bool others_called_dead =
       std::any_of(sim.false_deaths().begin(), sim.false_deaths().end(),
                   [](const auto& false_deaths) { return false_deaths.of != kFaulty; });
-  say("one that is ill itself has nobody called dead", !others_called_dead);
-  say("it knows", sim.view(kFaulty).local_health_score() > 2);
+  say("a faulty accuser causes no false death", !others_called_dead);
+  say("its local health score shows the fault", sim.view(kFaulty).local_health_score() > 2);
 }
 
 }  // namespace
--- a/tests/members/gossip.cpp
+++ b/tests/members/gossip.cpp
@@ -11,32 +11,32 @@
 
 namespace {
 
-// Which update is sent next.
+// The order in which updates are sent.
 void gossip_queue() {
   GossipQueue gossip;
   for (int member = 1; member <= 4; ++member) gossip.add(member, 2);
-  say("of equals the newest go first", gossip.take(2) == std::vector<int>({4, 3}));
-  say("then what was passed on least", gossip.take(3) == std::vector<int>({2, 1, 4}));
+  say("of equal updates the newest go first", gossip.take(2) == std::vector<int>({4, 3}));
+  say("then the updates sent least often", gossip.take(3) == std::vector<int>({2, 1, 4}));
   gossip.add(2, 2);
-  say("news anew of one takes the place of the old",
+  say("a new update of a member replaces the old one",
       gossip.take(1) == std::vector<int>({2}) && gossip.size() == 3);
   gossip.add(5, 1, true);
-  say("urgent news goes first, and alone where only that may go",
+  say("an urgent update goes first, and alone if only urgent ones may be sent",
       gossip.has_urgent() && gossip.take(9, GossipQueue::Filter::kUrgentOnly) == std::vector<int>({5}) &&
           !gossip.has_urgent() && gossip.size() == 3);
   gossip.forget(2);
   gossip.forget(9);
-  say("what is forgotten goes no more, the others as often as wanted",
+  say("a forgotten update is not sent again, the others as often as requested",
       gossip.take(9) == std::vector<int>({3, 1}) && gossip.empty() && gossip.take(1).empty());
 }
 
-// The debt of what exceeded the rate is bounded.
+// The debt after exceeding the rate is bounded.
 void gossip_rate_limit() {
   GossipRateLimiter limiter(1000, 500);
   limiter.charge(500);
-  say("what is spent is not there, and comes with time", !limiter.has_budget(0) && limiter.has_budget(0.1));
+  say("the budget is spent and is refilled with time", !limiter.has_budget(0) && limiter.has_budget(0.1));
   for (int i = 0; i < 1000; ++i) limiter.charge(1000);
-  say("much that went without asking holds the rest back for a burst's time",
+  say("exceeding the rate by far blocks other gossip for the time of one burst only",
       !limiter.has_budget(0.4) && limiter.has_budget(0.7));
 }
 
--- a/tests/members/joins_and_leaves.cpp
+++ b/tests/members/joins_and_leaves.cpp
@@ -1,4 +1,4 @@
-// Members that come, go, share a name or are forged, in simulated fleets. CTest compares with
+// Members that join, leave, share a name or are forged, in simulated fleets. CTest compares with
 // tests/traces/members_CASE.txt. usage: joins_and_leaves - CASE
 #include <fmt/format.h>
 
@@ -28,9 +28,10 @@
     sim.start(4);
     sim.run_until(sim.now() + 2);
   }
-  say("one that comes and goes is unsettled", sim.state(0, "n4") == MemberState::kFlapping);
+  say("a member that leaves and returns repeatedly counts as flapping",
+      sim.state(0, "n4") == MemberState::kFlapping);
   sim.run_until(sim.now() + 90);
-  say("until it has stayed", sim.state(0, "n4") == MemberState::kAlive);
+  say("it counts as alive after it has stayed", sim.state(0, "n4") == MemberState::kAlive);
 }
 
 void replaced() {
@@ -48,15 +49,15 @@
     sim.start(i);
   }
   sim.run_until(sim.now() + 3);
-  say_same_views(sim, "six in ten replaced within 7 s: three seconds later all see all");
-  say("nobody is called dead", sim.false_deaths().empty());
+  say_same_views(sim, "six in ten replaced within 7 s: all views agree three seconds later");
+  say("no member is declared dead", sim.false_deaths().empty());
 }
 
 void joins() {
   MembersSim sim(fleet_options(30, 13));
   sim.start_all(false);
   sim.run_until(5);
-  say("strangers with three seeds know each other within 5 s", sim.views_agree());
+  say("members with three seeds know one another within 5 s", sim.views_agree());
   bool is_split = true;
   sim.is_cut = [&](int from, int to) { return is_split && from % 3 == 0 && to % 3 != 0; };
   sim.kill(7);
@@ -65,7 +66,7 @@
   sim.run_until(30);
   is_split = false;
   sim.run_until(70);
-  say_same_views(sim, "one that joins during a split is known to all after it");
+  say_same_views(sim, "a member that joins during a split is known to all after it");
 }
 
 void duplicate_names() {
@@ -75,16 +76,17 @@
   sim.run_until(5);
   sim.start_clone(4);
   sim.run_until(15);
-  say("of two under one name the younger yields", sim.view(12).has_yielded() && !sim.view(4).has_yielded());
-  say("the older stays", sim.state(0, "n4") == MemberState::kAlive);
+  say("of two processes with one name the younger yields",
+      sim.view(12).has_yielded() && !sim.view(4).has_yielded());
+  say("the older one stays alive", sim.state(0, "n4") == MemberState::kAlive);
   const std::vector<MemberStatus> members = sim.view(0).members(sim.now());
   const bool has_conflict = std::any_of(members.begin(), members.end(), [](const MemberStatus& member) {
     return member.name == "n4" && member.conflicting_epoch > 0;
   });
-  say("both are named", has_conflict);
+  say("the conflict is reported", has_conflict);
   sim.kill(4);
   sim.run_until(80);
-  say("when the older is gone the younger takes the name",
+  say("after the older has ended the younger takes the name",
       !sim.view(12).has_yielded() && sim.state(0, "n4") == MemberState::kAlive);
 }
 
@@ -100,11 +102,11 @@
   say("a leave is known to all within 1.5 s", is_known_to_all);
   sim.start(4);
   sim.run_until(10);
-  say("and a new life takes its place", sim.views_agree());
+  say("a new process with its name joins", sim.views_agree());
 }
 
-// Forged gossip: a later epoch of another member, the last incarnation, and more members than there is room
-// for.
+// Forged gossip: a later epoch of another member, the last incarnation, and more members than the capacity of
+// the table.
 void forged() {
   namespace wm = damsonspoke::wire::members;
   const std::string forger = "10.0.9.9:1";
@@ -125,7 +127,7 @@
   message.records = {record};
   sim.view(0).on_message(forger, message, sim.now());
   sim.run_until(15);
-  say("a forged death of a later life is outlived",
+  say("a forged death with a later epoch is refuted",
       sim.state(0, "n2") == MemberState::kAlive && sim.views_agree());
   record.epoch = sim.view(2).self().epoch;
   record.incarnation = kMaxIncarnation;
@@ -136,14 +138,14 @@
   Message own;
   own.sender = "n2";
   own.records = {sim.view(2).self_record(sim.now())};
-  say("nor does an accusation of the last incarnation silence it",
+  say("an accusation of the last incarnation does not silence the member",
       wm::decode("c", wm::encode("c", own)).error == wm::DecodeError::kNone && sim.views_agree());
   for (int i = 0; i < 5000; ++i) {
     record.name = fmt::format("x{}", i);
     message.records = {record};
     sim.view(0).on_message(forger, message, sim.now());
   }
-  say("no more members than there is room for",
+  say("the member table does not exceed its capacity",
       sim.view(0).members(sim.now()).size() <= 4096 && sim.view(0).counts().rejected_members > 0);
 }
 
--- a/tests/members/network_splits.cpp
+++ b/tests/members/network_splits.cpp
@@ -16,10 +16,11 @@
 namespace {
 
 constexpr int kZones = 3;
-constexpr int kFaulty = 4;  // the member in deaf()
+constexpr int kFaulty = 4;  // the member in one_way_faults()
 
-// Of the hundred links that a one-sided cut between two zones breaks: how many the receiving side sees as
-// unreachable after half a minute. Each is found by a probe of its own, so the count of one fleet varies.
+// A one-way cut between two zones breaks a hundred links. Returns how many of them the receiving side reports
+// as unreachable after half a minute. Each is detected by a probe of its own, so the count varies between
+// fleets.
 int unreachable_links(std::uint64_t seed) {
   MembersSim sim(fleet_options(30, seed));
   bool is_cut = false;
@@ -47,16 +48,16 @@
   for (std::uint64_t seed = 7; seed <= 10; ++seed) unreachable += unreachable_links(seed);
   if (std::getenv("MEMBERS_TRACE") != nullptr)
     std::fprintf(stderr, "%d unreachable, %d unaffected\n", unreachable, unaffected);
-  say("it shows as cut, to who does not hear, on 86 of 100 links in the mean of four fleets",
+  say("the receiving side shows 86 of 100 links as unreachable, in the mean of four fleets",
       unreachable >= 4 * 86);
-  say("and nothing else does", unaffected >= 9);
+  say("no other link does", unaffected >= 9);
   bool has_direction = false;
   bool has_other_direction = false;
   for (const ObservedLink& link : sim.view(2).broken_links(sim.now())) {
     has_direction |= link.from == "n0" && link.to == "n1";
     has_other_direction |= link.from[1] == '1' && link.from.size() == 2 && link.to == "n0";
   }
-  say("a third one can tell the link and its direction", has_direction && !has_other_direction);
+  say("a third member knows the link and its direction", has_direction && !has_other_direction);
 }
 
 void zones() {
@@ -72,17 +73,18 @@
   sim.run_until(5);
   is_cut = true;
   sim.run_until(35);
-  say("a one-sided cut between two zones of three: nobody is called dead", sim.false_deaths().empty());
+  say("a one-way cut between two of three zones: no member is declared dead", sim.false_deaths().empty());
   say_cut_visibility(sim);
   std::swap(from_zone, to_zone);
   sim.run_until(65);
-  say("it turns round: nobody is called dead", sim.false_deaths().empty());
+  say("the direction is reversed: no member is declared dead", sim.false_deaths().empty());
   is_cut = false;
   sim.run_until(110);
-  say("it heals: all see all", sim.views_agree());
+  say("the cut heals: all views agree", sim.views_agree());
 }
 
-// One that is heard by all and hears nobody, then one that hears all and is heard by nobody.
+// A member whose datagrams arrive but that receives none, then one that receives all datagrams but whose own
+// are lost.
 void one_way_faults() {
   enum class Fault { kNone, kReceivesNothing, kSendsNothing };
   MembersSim sim(fleet_options(12, 8));
@@ -96,18 +98,18 @@
   sim.run_until(5);
   fault = Fault::kReceivesNothing;
   sim.run_until(40);
-  say("one that hears nobody is heard, and lives", sim.false_deaths().empty());
-  say("it shows as cut", sim.state(0, "n4") == MemberState::kUnreachable);
+  say("a member that receives nothing is not declared dead", sim.false_deaths().empty());
+  say("it is reported as unreachable", sim.state(0, "n4") == MemberState::kUnreachable);
   fault = Fault::kNone;
   sim.run_until(70);
-  say("and is there again", sim.views_agree());
+  say("all views agree after the fault", sim.views_agree());
   fault = Fault::kSendsNothing;
   sim.run_until(85);
-  say("one that nobody hears can't be told from a dead one", sim.state(0, "n4") == MemberState::kDead);
-  say("it calls nobody dead", sim.state(kFaulty, "n0") != MemberState::kDead);
+  say("a member whose datagrams are all lost is declared dead", sim.state(0, "n4") == MemberState::kDead);
+  say("it declares no member dead", sim.state(kFaulty, "n0") != MemberState::kDead);
   fault = Fault::kNone;
   sim.run_until(140);
-  say("and is there again, too", sim.views_agree());
+  say("all views agree after the second fault", sim.views_agree());
 }
 
 void halves() {
@@ -119,10 +121,10 @@
   sim.run_until(5);
   is_split = true;
   sim.run_until(40);
-  say("two halves apart: nobody is called dead, it may be us",
+  say("a split into halves: no member is declared dead",
       sim.false_deaths().empty() && sim.state(0, "n1") == MemberState::kUnreachable);
   sim.run_until(120);
-  say("after a minute they are", sim.state(0, "n1") == MemberState::kDead);
+  say("after a minute the other half is declared dead", sim.state(0, "n1") == MemberState::kDead);
   sim.run_until(3720);
   is_split = false;
   sim.run_until(3800);
--- a/tests/members/push_pull_streams.cpp
+++ b/tests/members/push_pull_streams.cpp
@@ -42,13 +42,13 @@
 
 members::Record unknown_member(int number) {
   members::Record record;
-  record.name = fmt::format("stranger-{}", number);
+  record.name = fmt::format("unknown-{}", number);
   record.address = "127.0.0.1:1";
   record.epoch = 7;
   return record;
 }
 
-// The number of records in the member's answer; 0 when it refuses.
+// The number of records in the member's answer; 0 if it rejects the push-pull.
 std::size_t push_pull(int number) {
   const int fd = connect_to_member();
   if (fd < 0) return 0;
@@ -85,9 +85,10 @@
   options.seed = kSeed;
   HollowMembers member(options);
   member.start();
-  say("it listens", wait_until_listening());
+  say("the member listens", wait_until_listening());
   int answered = 0;
   for (int i = 0; i < kPushPulls; ++i) answered += push_pull(i) > 0 ? 1 : 0;
-  // Far more than may be open at once: each one's place is free again when it is answered.
-  say(fmt::format("{} exchanges one after another: all answered", kPushPulls), answered == kPushPulls);
+  // Guards against push-pulls that stay open after their answer: there are far more than may be open at the
+  // same time.
+  say(fmt::format("{} push-pulls one after another: all answered", kPushPulls), answered == kPushPulls);
 }
--- a/tests/members/random_histories.cpp
+++ b/tests/members/random_histories.cpp
@@ -1,5 +1,6 @@
-// Random histories of faults in simulated fleets, by seed; one that breaks a rule is reduced to the shortest
-// that still does. CTest compares with tests/traces/members_CASE.txt. usage: random_histories - CASE
+// Random histories of faults in simulated fleets, by seed; a history that violates an invariant is reduced to
+// a shorter one that still does. CTest compares with tests/traces/members_CASE.txt. usage: random_histories -
+// CASE
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -21,8 +22,8 @@
 
 constexpr int kZones = 3;
 constexpr double kLastFaultEnds = 14;
-// A fleet that lost over half holds its deaths for a minute; seeds and dead members are contacted every 10 to
-// 20 s.
+// A fleet that has lost over half of its members declares deaths after a minute; seeds and dead members are
+// contacted every 10 to 20 s.
 constexpr double kSettled = 100;
 
 double random_unit(pcg64& random) { return std::ldexp(static_cast<double>(random() >> 11), -53); }
@@ -81,14 +82,15 @@
     sim_.run_until(kSettled);
   }
 
-  // What has to hold whatever the history: nobody who is up is declared dead, except over a cut between zones
-  // that no third one bridges; a death is found; after the last fault all see the same. Empty if it holds.
+  // Checks the invariants of every history: no member that is up is declared dead, except across a cut
+  // between zones without a third zone to relay probes; a death is detected; after the last fault all views
+  // agree. Returns the violation; empty if there is none.
   std::string broken_rule() {
     std::string difference;
     if (!sim_.views_agree(&difference)) return difference;
     if (sim_.false_deaths().empty() || (was_cut_ && count_ < 10)) return {};
     const auto& wrong = sim_.false_deaths().front();
-    return fmt::format("{} is called dead by {} at {:.2f} s and is up", sim_.name(wrong.of),
+    return fmt::format("{} is declared dead by {} at {:.2f} s but is up", sim_.name(wrong.of),
                        sim_.name(wrong.by), wrong.at);
   }
 
@@ -102,7 +104,7 @@
   void apply(const FaultEvent& event) {
     switch (event.kind) {
       case FaultEvent::kKill:
-        // With less than half of the fleet up nobody may declare a death.
+        // With less than half of the fleet up, no member may declare a death.
         if (up_count() > count_ / 2 + 1) sim_.kill(event.node);
         return;
       case FaultEvent::kStart: return sim_.start(event.node);
@@ -159,7 +161,7 @@
     const std::string rule = broken_rule(count, seed, history);
     if (!rule.empty()) return reduce_and_print(count, seed, history, rule);
   }
-  std::printf("%d members, %d seeds: nothing breaks\n", count, static_cast<int>(seeds));
+  std::printf("%d members, %d seeds: no violation\n", count, static_cast<int>(seeds));
 }
 void histories_3() { histories(3, 300); }
 void histories_30() { histories(30, 15); }
--- a/tests/members/simulated_fleet.h
+++ b/tests/members/simulated_fleet.h
@@ -1,4 +1,4 @@
-// What the tests on simulated fleets share: their options, tracing and the time of the last finding.
+// Helpers of the tests on simulated fleets: options, tracing and the time of the last detection.
 #pragma once
 
 #include <algorithm>
@@ -10,7 +10,7 @@
 #include "members_sim.h"
 #include "scenarios.h"
 
-// With MEMBERS_TRACE set, prints what the views report as it happens.
+// With MEMBERS_TRACE set, prints state changes and notices of the views.
 inline void trace(damsonspoke::standins::MembersSim& sim) {
   if (std::getenv("MEMBERS_TRACE") == nullptr) return;
   sim.on_change = [&sim](int node, const std::string& what) {
@@ -29,7 +29,7 @@
   return options;
 }
 
-// Seconds from a death until the last member found it.
+// Seconds from a death until the last member has detected it.
 inline double slowest_detection(const damsonspoke::standins::MembersSim& sim) {
   double slowest = 0;
   for (const auto& death : sim.deaths()) {
@@ -38,7 +38,7 @@
   return slowest;
 }
 
-// Says whether all views agree, and prints a difference between them before.
+// Prints whether all views agree, preceded by a difference between them if they do not.
 inline void say_same_views(damsonspoke::standins::MembersSim& sim, const std::string& what) {
   std::string difference;
   const bool is_same = sim.views_agree(&difference);
--- a/tests/members/single_view.cpp
+++ b/tests/members/single_view.cpp
@@ -1,5 +1,5 @@
-// One membership view alone, step by step. CTest compares with tests/traces/members_alone.txt.
-// usage: single_view - alone
+// One membership view in isolation, step by step. CTest compares the output with
+// tests/traces/members_single_view.txt. usage: single_view - single_view
 #include "single_view.h"
 
 #include <fmt/format.h>
@@ -25,7 +25,8 @@
   suspected.accusers = {"m1", "m2", "m3", "m4"};
   single.receive("m1", MessageKind::kGossip, {suspected});
   single.run_until(20);
-  say("who has not found it silent itself does not call it dead", single.states["m5"] != MemberState::kDead);
+  say("a member that is not an accuser does not declare the death",
+      single.states["m5"] != MemberState::kDead);
 }
 
 void final_probe_spares_a_refuted_suspect() {
@@ -36,10 +37,10 @@
   is_silent = false;
   single.incarnations["m5"] = 1;
   single.run_until(single.now + 8);
-  say("it is looked at once more before its time is over", single.states["m5"] == MemberState::kAlive);
+  say("a suspect is probed again before its deadline", single.states["m5"] == MemberState::kAlive);
 }
 
-// Whether a datagram says that this member was paused for over 7 s, in a later incarnation.
+// Whether a datagram reports that this member was paused for over 7 s, in a later incarnation.
 bool refutes_with_pause(const Message& message) {
   const Record& self = message.records.front();
   return self.name == "v" && self.incarnation > 0 && self.longest_pause_ms > 7000;
@@ -50,25 +51,25 @@
   bool is_silent = true;
   single.answers = [&](const std::string& name) { return name != "m5" || !is_silent; };
   single.run_until_state("m5", MemberState::kSuspected, 30);
-  single.now += 8;  // the view is paused, and m5 lives
+  single.now += 8;  // the view is paused, and m5 is alive
   is_silent = false;
   single.incarnations["m5"] = 1;
   single.sent.clear();
-  say("it notices its own pause", single.view.on_timer(single.now));
+  say("the view detects its own pause", single.view.on_timer(single.now));
   const bool refuted = std::any_of(single.sent.begin(), single.sent.end(),
                                    [](const auto& one) { return refutes_with_pause(one.second); });
-  say("it refutes before it is accused, and says how long it was away", refuted);
+  say("it refutes before it is accused, and reports the length of the pause", refuted);
   single.run_until(single.now + 8);
-  say("a pause of its own is no time in which others refuted", single.states["m5"] == MemberState::kAlive);
+  say("its own pause does not shorten the time to refute", single.states["m5"] == MemberState::kAlive);
   single.sent.clear();
   single.receive("m1", MessageKind::kPing, {SingleView::record("m7", 0, Condition::kDead)}, true);
-  say("what waited unread meanwhile is neither believed nor answered",
+  say("stale messages are neither applied nor answered",
       single.states["m7"] != MemberState::kDead && single.sent.empty());
   Record self = single.view.self_record(single.now);
   self.condition = Condition::kSuspected;
   self.accusers = {"m1"};
   single.receive("m1", MessageKind::kGossip, {self}, true);
-  say("but for what accuses it",
+  say("except suspicions of the view itself",
       single.view.self_record(single.now).incarnation > self.incarnation && !single.sent.empty());
 }
 
@@ -85,20 +86,20 @@
     for (const Record& record : message.records)
       is_corrected |= address == "m1:1" && record.name == "m2" && record.incarnation == 2;
   }
-  say("who tells old ill news is told what is newer", is_corrected);
+  say("a sender of an outdated suspicion gets the newer record", is_corrected);
 }
 
 void large_push_pulls_are_not_gossiped() {
   SingleView single(50);
   single.answers = always;
   single.run_until(3);
-  say("much news of one exchange is not passed on one by one", single.sent_count(MessageKind::kGossip) == 0);
+  say("many updates of one push-pull are not gossiped", single.sent_count(MessageKind::kGossip) == 0);
   single.receive("m1", MessageKind::kGossip, {SingleView::record("x")});
   single.run_until(6);
-  say("little news is", single.sent_count(MessageKind::kGossip) > 3);
+  say("a single update is gossiped", single.sent_count(MessageKind::kGossip) > 3);
 }
 
-constexpr std::uint64_t kOtherDigest = 12345;  // of a member that knows somebody whom the view does not know
+constexpr std::uint64_t kOtherDigest = 12345;  // of a member that knows a member unknown to the view
 
 void differing_digests_cause_a_push_pull() {
   SingleView single(5);
@@ -108,7 +109,7 @@
     single.run_until(single.now + 0.1);
     single.receive("m3", MessageKind::kPing, {}, false, kOtherDigest);
   }
-  say("who knows another set for five seconds is asked for all that it knows",
+  say("a digest that differs for five seconds causes a push-pull",
       single.push_pulls.size() == 1 && single.push_pulls.front() == "m3:1");
 }
 
@@ -129,7 +130,7 @@
     else if (single.now < 70)
       ++late;
   }
-  say("among 1000 each asks at a moment of its own within a minute", early <= 7 && early + late == 20);
+  say("among 1000 members the push-pulls are spread over a minute", early <= 7 && early + late == 20);
 }
 
 void useless_accusers_are_not_gossiped() {
@@ -144,7 +145,8 @@
   suspected.accusers = {"m6", "m7"};
   single.receive("m1", MessageKind::kGossip, {suspected});
   single.run_until(2.9);
-  say("witnesses that leave it no less time are not passed on", single.sent_count(MessageKind::kGossip) == 0);
+  say("accusers that do not shorten the suspicion are not gossiped",
+      single.sent_count(MessageKind::kGossip) == 0);
 }
 
 void corrections_of_deaths_are_limited() {
@@ -160,7 +162,7 @@
   single.sent.clear();
   receive_all(Condition::kSuspected);
   single.run_until(4);
-  say("after 200 deaths, all of them told anew as suspicions: under 150 records in the next second",
+  say("200 dead members reported again as suspected: under 150 records in the next second",
       single.sent_records() < 150);
 }
 
@@ -172,7 +174,7 @@
   const std::size_t attempts = single.push_pulls.size();
   single.view.on_push_pull_failed(single.now);
   single.run_until(single.now + 0.5);
-  say("one that refused is tried again at once while nobody is known",
+  say("a seed that rejected is tried again soon while no member is known",
       single.push_pulls.size() == attempts + 1);
   single.push_pulls.clear();
   const double end = single.now + 15;
@@ -184,7 +186,7 @@
     }
     single.run_until(single.now + 0.05);
   }
-  say("and less often the longer it goes on", single.push_pulls.size() >= 3 && single.push_pulls.size() <= 7);
+  say("the retries become less frequent", single.push_pulls.size() >= 3 && single.push_pulls.size() <= 7);
 }
 
 void dead_members_are_remembered_for_a_while() {
@@ -200,17 +202,17 @@
   const bool is_reported = std::any_of(state.begin(), state.end(), [](const Record& record) {
     return record.name == "m1" && record.load_report.version != 0;
   });
-  say("what a dead one told is not passed on", !is_reported);
+  say("the load report of a dead member is not sent", !is_reported);
   const bool is_dead = single.states["m1"] == MemberState::kDead;
   single.push_pulls.clear();
   single.run_until(50);
-  say("the dead are tried now and then",
+  say("dead members are contacted periodically",
       is_dead && std::count(single.push_pulls.begin(), single.push_pulls.end(), "m1:1") > 0);
   single.run_until(8000);
   const std::vector<MemberStatus> members = single.view.members(single.now);
   const bool is_known = std::any_of(members.begin(), members.end(),
                                     [](const MemberStatus& member) { return member.name == "m1"; });
-  say("and forgotten after two hours", !is_known);
+  say("dead members are forgotten after two hours", !is_known);
 }
 
 void single_view() {
--- a/tests/members/single_view.h
+++ b/tests/members/single_view.h
@@ -1,4 +1,4 @@
-// One membership view among members that answer as a test has it, step by step.
+// One membership view with simulated members that answer as the test specifies, step by step.
 #pragma once
 
 #include <algorithm>
