--- a/tests/fleet/retry_budget.cpp
+++ b/tests/fleet/retry_budget.cpp
@@ -124,7 +124,7 @@
          kShare * static_cast<double>(fleet.first_attempts().size()) + count;
 }
 
-void tries() {
+void retry_share() {
   bool holds = true;
   for (const int count : {3, 30, 300}) {
     const std::uint64_t seeds = count > 100 ? 1 : 8;
@@ -190,7 +190,7 @@
   say("at most one second of the budget accumulates", saved_retries > 5 && saved_retries < 12);
 }
 
-void hot() {
+void leases() {
   say_leases_help();
   say_lender_keeps_a_part();
   say_late_leases_are_ignored();
@@ -201,5 +201,5 @@
 
 int main(int argc, char** argv) {
   std::string unused;
-  return run_scenario(argc, argv, unused, {{"tries", tries}, {"hot", hot}});
+  return run_scenario(argc, argv, unused, {{"retry_share", retry_share}, {"leases", leases}});
 }
