--- a/src/members/probe_schedule.cpp
+++ b/src/members/probe_schedule.cpp
@@ -6,13 +6,13 @@
 namespace damsonspoke::members {
 namespace {
 
-constexpr int kRounds = 2;  // that next() looks at: the rest of the current one, then a new one
+constexpr int kRounds = 2;  // that next() searches: the rest of the current one, then a new one
 
 }  // namespace
 
 void ProbeSchedule::insert(MemberIndex member, RandomSource& random) {
-  const std::size_t place = position_ + random.index(round_.size() - position_ + 1);
-  round_.insert(round_.begin() + static_cast<std::ptrdiff_t>(place), member);
+  const std::size_t position = position_ + random.index(round_.size() - position_ + 1);
+  round_.insert(round_.begin() + static_cast<std::ptrdiff_t>(position), member);
 }
 
 void ProbeSchedule::append(MemberIndex member) {
