--- a/src/results/idempotency_cache.cpp
+++ b/src/results/idempotency_cache.cpp
@@ -90,8 +90,8 @@
     const std::size_t old_charge = charge_of(found->second);
     if (!evict_until_fits(kActiveEntryBytes - old_charge, 0)) return false;
     // The entry to be replaced may itself have been evicted, so its charge no longer counts.
-    const auto still = entries_.find(key);
-    if (still != entries_.end() && charge_of(still->second) == old_charge) return true;
+    const auto current = entries_.find(key);
+    if (current != entries_.end() && charge_of(current->second) == old_charge) return true;
   }
 }
 
--- a/src/results/store.cpp
+++ b/src/results/store.cpp
@@ -36,8 +36,8 @@
 
 // The thread's side, held by both. The thread may outlive the store when a disk hangs; it then calls nobody.
 struct Store::Worker : store::WorkerThreadState, std::enable_shared_from_this<Store::Worker> {
-  Worker(Store& owner, net::Reactor& its_reactor, Options its_options)
-      : store(&owner), reactor(&its_reactor), options(std::move(its_options)) {}
+  Worker(Store& owner, net::Reactor& events_reactor, Options store_options)
+      : store(&owner), reactor(&events_reactor), options(std::move(store_options)) {}
 
   // ---- Guarded by the mutex.
   Store* store;  // null once it has been destroyed
@@ -132,8 +132,9 @@
     database.reset();
     file_lock.reset();
   }
-  post_to_store(
-      [fault = error.fault, why = std::string(error.what())](Store& target) { target.on_fault(fault, why); });
+  post_to_store([fault = error.fault, text = std::string(error.what())](Store& target) {
+    target.on_fault(fault, text);
+  });
 }
 
 // ---- Jobs.
@@ -232,7 +233,7 @@
   open();
   std::unique_lock guard(mutex);
   for (;;) {
-    const bool is_awaited =
+    const bool was_notified =
         changed.wait_for(guard, kPollInterval, [this] { return closing || !jobs.empty(); });
     if (closing && jobs.empty()) break;
     std::vector<Job> group = take_jobs();
@@ -242,7 +243,7 @@
       execute(group);
       report_done(std::move(group));
     }
-    if (!is_awaited) poll_drop_requests();
+    if (!was_notified) poll_drop_requests();
     guard.lock();
     jobs_in_progress = 0;
   }
@@ -336,14 +337,14 @@
   report_change(before, "");
 }
 
-void Store::on_fault(DatabaseFault fault, const std::string& why) {
+void Store::on_fault(DatabaseFault fault, const std::string& error) {
   const StoreState before = health_.state();
   health_.on_fault(net::monotonic_now(), fault);
-  report_change(before, why);
+  report_change(before, error);
 }
 
-void Store::report_change(StoreState before, const std::string& why) {
-  if (before != health_.state()) events_.on_store_state_changed(health_.state(), why);
+void Store::report_change(StoreState before, const std::string& error) {
+  if (before != health_.state()) events_.on_store_state_changed(health_.state(), error);
 }
 
 std::size_t Store::pending_jobs() const {
--- a/src/results/store.h
+++ b/src/results/store.h
@@ -26,8 +26,8 @@
   // When the store is opened first: the seed of its keys, then its rows in batches, then kHealthy.
   virtual void on_key_seed(std::uint64_t seed, bool is_new) = 0;
   virtual void on_entries_recovered(const std::vector<Row>& rows) = 0;
-  // `why`: the error in one line; empty where there is none.
-  virtual void on_store_state_changed(StoreState state, const std::string& why) = 0;
+  // `error`: the error in one line; empty where there is none.
+  virtual void on_store_state_changed(StoreState state, const std::string& error) = 0;
   // Keys that an operator wants dropped.
   virtual void on_drop_requests(const std::vector<Key>& keys) = 0;
 };
@@ -80,8 +80,8 @@
   void enqueue(Job job);
   void on_opened();
   void on_intent_written();
-  void on_fault(DatabaseFault fault, const std::string& why);
-  void report_change(StoreState before, const std::string& why);
+  void on_fault(DatabaseFault fault, const std::string& error);
+  void report_change(StoreState before, const std::string& error);
 
   const Options options_;
   StoreEvents& events_;
--- a/src/stages/admission_driver.cpp
+++ b/src/stages/admission_driver.cpp
@@ -28,10 +28,10 @@
   executor_.set_timer([this](double time, std::uint64_t token) { schedule_wakeup(time, token); });
 }
 
-void AdmissionDriver::begin(bool warming_up, double seconds_ago) {
+void AdmissionDriver::start(bool is_cold, double seconds_ago) {
   if (is_draining_) return;
-  options_.slow_start = warming_up;
-  const double started_at = net::monotonic_now() - (warming_up ? seconds_ago : 0);
+  options_.slow_start = is_cold;
+  const double started_at = net::monotonic_now() - (is_cold ? seconds_ago : 0);
   controller_ = std::make_unique<AdmissionController>(options_, seed_, executor_, started_at,
                                                       statistics_.take_prior(), &catalog_);
 }
@@ -56,14 +56,14 @@
   controller_->on_request(net::monotonic_now(), request);
 }
 
-void AdmissionDriver::on_run_finished(RequestId id, Outcome outcome, double spent) {
-  controller_->on_run_finished(net::monotonic_now(), id, outcome, spent);
+void AdmissionDriver::on_run_finished(RequestId id, Outcome outcome, double run_seconds) {
+  controller_->on_run_finished(net::monotonic_now(), id, outcome, run_seconds);
 }
 
 void AdmissionDriver::on_call_needed(RequestId id) { controller_->on_call_needed(net::monotonic_now(), id); }
 
-void AdmissionDriver::on_call_finished(RequestId id, Outcome outcome, double spent) {
-  controller_->on_call_finished(net::monotonic_now(), id, outcome, spent);
+void AdmissionDriver::on_call_finished(RequestId id, Outcome outcome, double call_seconds) {
+  controller_->on_call_finished(net::monotonic_now(), id, outcome, call_seconds);
 }
 
 void AdmissionDriver::on_caller_disconnected(RequestId id) {
--- a/src/stages/admission_driver.h
+++ b/src/stages/admission_driver.h
@@ -22,16 +22,16 @@
                   std::uint64_t seed, DecisionExecutor& executor, StatisticsPersistence& statistics,
                   const peers::Ports& peers, Counters& counters);
 
-  // The runtime has come up this long ago (s): with it begins the controller. `warming_up`: as a slow start.
+  // The runtime has come up this long ago (s): with it begins the controller. `is_cold`: as a slow start.
   // Nothing begins once the server shuts down.
-  void begin(bool warming_up, double seconds_ago);
+  void start(bool is_cold, double seconds_ago);
   [[nodiscard]] bool is_started() const { return controller_ != nullptr; }
 
   // Events, as of AdmissionController. None of them but on_drain may come before begin().
   void on_request(const Request& request);
-  void on_run_finished(RequestId id, Outcome outcome, double spent);
+  void on_run_finished(RequestId id, Outcome outcome, double run_seconds);
   void on_call_needed(RequestId id);
-  void on_call_finished(RequestId id, Outcome outcome, double spent);
+  void on_call_finished(RequestId id, Outcome outcome, double call_seconds);
   void on_caller_disconnected(RequestId id);
   void on_drain(double time_left);
 
--- a/src/stages/command_sender.h
+++ b/src/stages/command_sender.h
@@ -33,7 +33,9 @@
   // `from_store`: health checks are answered without work.
   void set_health(bool healthy, bool from_store);
   // The runtime came up this long ago (s).
-  void began(bool warming_up, double seconds_ago) { peers_.callers->start_warm_up(warming_up, seconds_ago); }
+  void start_warm_up(bool is_cold, double seconds_ago) {
+    peers_.callers->start_warm_up(is_cold, seconds_ago);
+  }
   // Graceful shutdown: leaves the registry, and answers health checks as unhealthy.
   void drain();
   // Tells the callers; with thousands of connections this takes some milliseconds.
--- a/src/stages/completion_handler.cpp
+++ b/src/stages/completion_handler.cpp
@@ -16,14 +16,15 @@
 
 // A new process is healthy until the controller says otherwise: one without deep checks publishes no health
 // at its start, and would never be listed in the registry.
-void CompletionHandler::on_runtime_ready(bool warming_up, double seconds_ago) {
-  sender_.began(warming_up, seconds_ago);
+void CompletionHandler::on_runtime_ready(bool is_cold, double seconds_ago) {
+  sender_.start_warm_up(is_cold, seconds_ago);
   sender_.set_health(true, false);
-  admission_.begin(warming_up, seconds_ago);
+  admission_.start(is_cold, seconds_ago);
   intake_.on_runtime_ready();
 }
 
-void CompletionHandler::on_run_ended(RequestId id, Outcome outcome, double spent, std::string_view result) {
+void CompletionHandler::on_run_ended(RequestId id, Outcome outcome, double run_seconds,
+                                     std::string_view result) {
   counters_.add(count_of(outcome));
   InFlightRequest* request = in_flight_.find(id);
   if (request == nullptr) return replay_.on_late_run_end(id, outcome, result);
@@ -41,7 +42,7 @@
   if (outcome == Outcome::kOk && !answer_follows) in_flight_.succeed(*request, result);
   // kObsolete: nothing was started, since for the runtime the request is over.
   if (outcome == Outcome::kError || outcome == Outcome::kObsolete) in_flight_.fail(*request);
-  admission_.on_run_finished(id, outcome, spent);
+  admission_.on_run_finished(id, outcome, run_seconds);
   request = in_flight_.find(id);
   if (request != nullptr) in_flight_.release_if_over(*request);
 }
@@ -79,11 +80,12 @@
   admission_.on_call_needed(id);
 }
 
-void CompletionHandler::on_call_ended(RequestId id, Outcome outcome, double spent, std::string_view reply) {
+void CompletionHandler::on_call_ended(RequestId id, Outcome outcome, double call_seconds,
+                                      std::string_view reply) {
   InFlightRequest* request = in_flight_.find(id);
   if (request == nullptr || request->run != RunStage::kInCall) return;
   if (outcome == Outcome::kOk) sender_.deliver_reply(*request, reply);
-  admission_.on_call_finished(id, outcome, spent);
+  admission_.on_call_finished(id, outcome, call_seconds);
 }
 
 }  // namespace damsonspoke::stages
--- a/src/stages/completion_handler.h
+++ b/src/stages/completion_handler.h
@@ -25,14 +25,16 @@
         pauses_(preemption == Preemption::kPause),
         counters_(counters) {}
 
-  void on_runtime_ready(bool cold, double ago) override;
-  void on_run_ended(RequestId id, Outcome outcome, double spent, std::string_view result) override;
+  void on_runtime_ready(bool is_cold, double seconds_ago) override;
+  void on_run_ended(RequestId id, Outcome outcome, double run_seconds, std::string_view result) override;
   void on_call_requested(RequestId id, std::uint64_t notice, std::string_view body) override;
-  void on_self_test_result(std::uint64_t tag, bool good) override { intake_.on_self_test_result(tag, good); }
+  void on_self_test_result(std::uint64_t tag, bool has_passed) override {
+    intake_.on_self_test_result(tag, has_passed);
+  }
   void on_not_started(RequestId id) override;
   void on_run_given_up(RequestId id) override;
   void on_runtime_restarted(const std::unordered_set<RequestId>& unsent) override;
-  void on_call_ended(RequestId id, Outcome outcome, double spent, std::string_view reply) override;
+  void on_call_ended(RequestId id, Outcome outcome, double call_seconds, std::string_view reply) override;
 
  private:
   InFlightRequests& in_flight_;
--- a/src/stages/in_flight_requests.cpp
+++ b/src/stages/in_flight_requests.cpp
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-InFlightRequest& InFlightRequests::enter(InFlightRequest request) {
+InFlightRequest& InFlightRequests::add(InFlightRequest request) {
   const RequestId id = request.id;
   counters_.add(Count::kRequestsRead);
   check_invariant(!requests_.contains(id), counters_);
@@ -64,7 +64,7 @@
   if (mark_answered(request, Count::kRequestsFailed)) peers_.callers->answer_failed(request.reply_to, reason);
 }
 
-void InFlightRequests::caller_gone(InFlightRequest& request) {
+void InFlightRequests::on_caller_disconnected(InFlightRequest& request) {
   mark_answered(request, Count::kRequestsCallerGone);
 }
 
--- a/src/stages/in_flight_requests.h
+++ b/src/stages/in_flight_requests.h
@@ -51,7 +51,7 @@
   InFlightRequests(const peers::Ports& peers, Counters& counters) : peers_(peers), counters_(counters) {}
 
   // References stay valid until release_if_over() has released the request.
-  InFlightRequest& enter(InFlightRequest request);
+  InFlightRequest& add(InFlightRequest request);
   InFlightRequest* find(RequestId id);
   [[nodiscard]] bool contains(RequestId id) const { return requests_.contains(id); }
 
@@ -60,7 +60,7 @@
   void succeed(InFlightRequest& request, std::string_view result);
   void reject(InFlightRequest& request, double retry_after, bool no_retry);
   void fail(InFlightRequest& request, peers::FailureReason reason = peers::FailureReason::kFailed);
-  void caller_gone(InFlightRequest& request);
+  void on_caller_disconnected(InFlightRequest& request);
   // Releases a request that is answered and whose run is over. To be called last: the reference ends here.
   void release_if_over(InFlightRequest& request);
 
--- a/src/stages/request_forwarder.cpp
+++ b/src/stages/request_forwarder.cpp
@@ -21,7 +21,7 @@
 constexpr double kSecondsPerMicrosecond = 1e-6;
 constexpr double kMaxWireMicroseconds = 4e9;
 constexpr double kMaxWireSize = 4e9;
-constexpr double kMilli = 1000;
+constexpr double kMilliPerUnit = 1000;
 // A guess hits the next number once in 8 million times, and 64 bits last for 10^12 attempts.
 constexpr std::uint64_t kMaxAttemptStep = 1 << 24;
 constexpr double kHistoryReadTimeoutSeconds = 2;
@@ -106,7 +106,7 @@
           static_cast<tier::DispatchSink&>(*this),
           [this] { return std::ldexp(static_cast<double>(random_() >> 11), -53); }, net::monotonic_now())),
       key_ownership_(key_ownership_options(options.forward, site)),
-      lists_{options.forward.planners, {}} {
+      endpoint_lists_{options.forward.planners, {}} {
   if (options.forward.folder.empty()) return;
   history_file_ = std::make_unique<store::PersistedFile>(
       [folder = options.forward.folder] { return store::open_folder(folder); }, "planners",
@@ -143,7 +143,7 @@
   if (in.received_at <= 0) in.received_at = now;
   body_bytes_ += request.bytes;
   const bool fits = body_bytes_ <= max_body_bytes_;
-  open_[request.id] = {std::move(in), now + request.remaining_time};
+  in_flight_[request.id] = {std::move(in), now + request.remaining_time};
   // Without memory the new request is rejected, whatever its priority. The wait queues' own bound is lower
   // and evicts by priority.
   if (!fits) {
@@ -165,21 +165,21 @@
          1;
 }
 
-RequestForwarder::OpenRequest RequestForwarder::take_completed(RequestId id, Count as) {
-  const auto found = open_.find(id);
-  OpenRequest out = std::move(found->second);
-  open_.erase(found);
+RequestForwarder::InFlightEntry RequestForwarder::remove_completed(RequestId id, Count result_counter) {
+  const auto found = in_flight_.find(id);
+  InFlightEntry out = std::move(found->second);
+  in_flight_.erase(found);
   body_bytes_ -= memory_of(out.request);
-  counters_.add(as);
-  if (as != Count::kRequestsCallerGone && net::unix_now() > out.deadline)
+  counters_.add(result_counter);
+  if (result_counter != Count::kRequestsCallerGone && net::unix_now() > out.deadline)
     counters_.add(Count::kRequestsOverdue);
   return out;
 }
 
 void RequestForwarder::on_caller_disconnected(RequestId id) {
-  if (!open_.contains(id)) return;
+  if (!in_flight_.contains(id)) return;
   dispatch_->on_caller_disconnected(id, net::monotonic_now());
-  take_completed(id, Count::kRequestsCallerGone);
+  remove_completed(id, Count::kRequestsCallerGone);
 }
 
 void RequestForwarder::on_health_check(peers::ReplyAddress reply_to, bool /*requires_self_test*/) {
@@ -200,8 +200,8 @@
 }
 
 void RequestForwarder::on_load_report(int planner, const wt::LoadReport& report) {
-  dispatch_->on_load_report(planner, report.window, report.slot_value_milli / kMilli, report.is_healthy,
-                            net::monotonic_now());
+  dispatch_->on_load_report(planner, report.window, report.slot_value_milli / kMilliPerUnit,
+                            report.is_healthy, net::monotonic_now());
 }
 
 void RequestForwarder::on_planner_draining(int planner) {
@@ -220,17 +220,17 @@
       answer.no_retry, net::monotonic_now());
   if (completed) {
     const bool succeeded = answer.result == wt::Result::kSucceeded;
-    pass_on(take_completed(*completed, succeeded ? Count::kRequestsSucceeded : Count::kRequestsFailed),
-            answer);
+    forward_answer(
+        remove_completed(*completed, succeeded ? Count::kRequestsSucceeded : Count::kRequestsFailed), answer);
   }
   close_if_idle(planner);
 }
 
-void RequestForwarder::pass_on(const OpenRequest& open, const wt::Answer& answer) {
+void RequestForwarder::forward_answer(const InFlightEntry& entry, const wt::Answer& answer) {
   if (answer.result == wt::Result::kSucceeded) {
-    ports_.callers->answer_succeeded(open.request.reply_to, answer.body);
+    ports_.callers->answer_succeeded(entry.request.reply_to, answer.body);
   } else {
-    ports_.callers->answer_failed(open.request.reply_to, failure_reason(answer.result));
+    ports_.callers->answer_failed(entry.request.reply_to, failure_reason(answer.result));
   }
 }
 
@@ -242,7 +242,7 @@
 
 void RequestForwarder::send(int planner, tier::Attempt attempt, RequestId id, double remaining_time,
                             bool is_lookup_only) {
-  const peers::IncomingRequest& request = open_.at(id).request;
+  const peers::IncomingRequest& request = in_flight_.at(id).request;
   wt::Submit submit;
   submit.attempt = attempt;
   submit.request = request.id;
@@ -266,14 +266,14 @@
 
 void RequestForwarder::fence(int planner, tier::Attempt attempt) { ports_.planners->fence(planner, attempt); }
 
-void RequestForwarder::reply(RequestId id, tier::LocalReply how, double retry_after, bool no_retry) {
-  if (how == tier::LocalReply::kRejected) {
-    const OpenRequest open = take_completed(id, Count::kRequestsRejected);
-    const double told = site_.admission.sends_retry_after ? retry_after : 0;
-    ports_.callers->answer_rejected(open.request.reply_to, told, no_retry);
+void RequestForwarder::reply(RequestId id, tier::LocalReply kind, double retry_after, bool no_retry) {
+  if (kind == tier::LocalReply::kRejected) {
+    const InFlightEntry entry = remove_completed(id, Count::kRequestsRejected);
+    const double retry_after_to_send = site_.admission.sends_retry_after ? retry_after : 0;
+    ports_.callers->answer_rejected(entry.request.reply_to, retry_after_to_send, no_retry);
   } else {
-    const OpenRequest open = take_completed(id, Count::kRequestsFailed);
-    ports_.callers->answer_failed(open.request.reply_to, peers::FailureReason::kFailed);
+    const InFlightEntry entry = remove_completed(id, Count::kRequestsFailed);
+    ports_.callers->answer_failed(entry.request.reply_to, peers::FailureReason::kFailed);
   }
 }
 
@@ -320,12 +320,12 @@
 // ---- The endpoint list.
 
 void RequestForwarder::set_planners(const std::vector<std::string>& addresses) {
-  if (addresses != lists_.current) {
+  if (addresses != endpoint_lists_.current) {
     const double now = net::unix_now();
-    std::erase_if(lists_.former, [&](const tier::FormerEndpointList& list) {
+    std::erase_if(endpoint_lists_.former, [&](const tier::FormerEndpointList& list) {
       return now > list.until + key_ownership_.reload_spread + key_ownership_.retention;
     });
-    lists_.former.push_back({now, std::exchange(lists_.current, addresses)});
+    endpoint_lists_.former.push_back({now, std::exchange(endpoint_lists_.current, addresses)});
     store_history();
     dispatch_->set_planners(addresses, net::monotonic_now());
   }
@@ -376,20 +376,22 @@
   if (const std::optional<tier::EndpointListHistory> before = read_history()) {
     for (const tier::FormerEndpointList& list : before->former) {
       if (unix_now <= list.until + key_ownership_.reload_spread + key_ownership_.retention)
-        lists_.former.push_back(list);
+        endpoint_lists_.former.push_back(list);
     }
-    if (before->current != lists_.current) lists_.former.push_back({unix_now, before->current});
+    if (before->current != endpoint_lists_.current)
+      endpoint_lists_.former.push_back({unix_now, before->current});
     // A time in the future was written with a wrong clock and counts as now.
-    for (const tier::FormerEndpointList& list : lists_.former)
+    for (const tier::FormerEndpointList& list : endpoint_lists_.former)
       dispatch_->add_former_planners(list.planners, now - std::max(0.0, unix_now - list.until));
-    if (!lists_.former.empty())
-      log_.info("forward", "planners of {} former endpoint lists are asked for keys", lists_.former.size());
+    if (!endpoint_lists_.former.empty())
+      log_.info("forward", "planners of {} former endpoint lists are asked for keys",
+                endpoint_lists_.former.size());
   }
   store_history();
 }
 
 void RequestForwarder::store_history() {
-  if (history_file_) history_file_->write(tier::encode(lists_));
+  if (history_file_) history_file_->write(tier::encode(endpoint_lists_));
 }
 
 void RequestForwarder::report() {
--- a/src/stages/request_forwarder.h
+++ b/src/stages/request_forwarder.h
@@ -49,12 +49,12 @@
   // Sets the endpoint list: planners that stay keep their links and what is open there; those that go keep
   // theirs for as long as they may be asked which keys they remember.
   void set_planners(const std::vector<std::string>& addresses);
-  [[nodiscard]] std::size_t open() const { return open_.size(); }
+  [[nodiscard]] std::size_t open() const { return in_flight_.size(); }
   // Brings the counters up to date.
   void report();
 
   // ---- Callers.
-  bool is_in_use(RequestId id) const override { return open_.contains(id); }
+  bool is_in_use(RequestId id) const override { return in_flight_.contains(id); }
   bool has_started(RequestId) const override { return false; }  // nothing runs here
   void on_request_read(peers::IncomingRequest request) override;
   void on_caller_disconnected(RequestId id) override;
@@ -68,7 +68,7 @@
   void on_answer(int planner, std::uint64_t epoch, const wire::tier::Answer& answer) override;
 
  private:
-  struct OpenRequest {
+  struct InFlightEntry {
     peers::IncomingRequest request;
     double deadline = 0;  // Unix s
   };
@@ -78,12 +78,12 @@
             bool is_lookup_only) override;
   void cancel(int planner, tier::Attempt attempt) override;
   void fence(int planner, tier::Attempt attempt) override;
-  void reply(RequestId request, tier::LocalReply how, double retry_after, bool no_retry) override;
+  void reply(RequestId request, tier::LocalReply kind, double retry_after, bool no_retry) override;
   void schedule_wakeup(double time) override;
 
-  OpenRequest take_completed(RequestId id, Count as);
+  InFlightEntry remove_completed(RequestId id, Count result_counter);
   [[nodiscard]] std::uint64_t key_hash(const peers::IncomingRequest& request) const;
-  void pass_on(const OpenRequest& open, const wire::tier::Answer& answer);
+  void forward_answer(const InFlightEntry& entry, const wire::tier::Answer& answer);
   void close_if_idle(int planner);
   void check();
   void report_health();
@@ -99,12 +99,12 @@
   Counters& counters_;
   Logger& log_;
   pcg64 random_;
-  std::unordered_map<RequestId, OpenRequest> open_;
+  std::unordered_map<RequestId, InFlightEntry> in_flight_;
   std::size_t body_bytes_ = 0;
   const std::size_t max_body_bytes_;
   std::unique_ptr<tier::Dispatch> dispatch_;
   const tier::KeyOwnershipOptions key_ownership_;
-  tier::EndpointListHistory lists_;
+  tier::EndpointListHistory endpoint_lists_;
   std::vector<bool> connects_to_;                       // by planner
   std::unique_ptr<store::PersistedFile> history_file_;  // null: not stored
   net::Reactor::TimerId wakeup_timer_;
--- a/src/stages/request_identity.cpp
+++ b/src/stages/request_identity.cpp
@@ -21,9 +21,9 @@
 
 std::optional<RequestIdentity> RequestIdentifier::identify(const Request& request,
                                                            const peers::IncomingRequest& incoming,
-                                                           const InFlightRequest& entered) const {
-  const std::string& route = entered.route_name;
-  const Idempotency idempotency = entered.route_settings.idempotency;
+                                                           const InFlightRequest& in_flight_request) const {
+  const std::string& route = in_flight_request.route_name;
+  const Idempotency idempotency = in_flight_request.route_settings.idempotency;
   RequestIdentity identity;
   if (idempotency == Idempotency::kWithKey) {
     const std::uint32_t caller = distinguishes_callers_ ? incoming.caller : 0;
--- a/src/stages/request_identity.h
+++ b/src/stages/request_identity.h
@@ -32,7 +32,7 @@
   // Nothing where duplicates of the request need not be recognised.
   [[nodiscard]] std::optional<RequestIdentity> identify(const Request& request,
                                                         const peers::IncomingRequest& incoming,
-                                                        const InFlightRequest& entered) const;
+                                                        const InFlightRequest& in_flight_request) const;
 
  private:
   const StartSettings& site_;
--- a/src/stages/request_intake.cpp
+++ b/src/stages/request_intake.cpp
@@ -28,44 +28,45 @@
 
 void RequestIntake::on_request_read(peers::IncomingRequest incoming) {
   const double now = net::unix_now();
-  const Request request = to_decide(incoming, now);
+  const Request request = to_admission_request(incoming, now);
   count_read_delay(request.age);
-  InFlightRequest& entered = enter(incoming, request.age, now);
-  if (stages_.admission.is_started()) return decide(request, incoming, entered);
+  InFlightRequest& in_flight_request = add_in_flight(incoming, request.age, now);
+  if (stages_.admission.is_started()) return decide(request, incoming, in_flight_request);
   if (incoming.received_at <= 0) incoming.received_at = now;
-  wait_or_reject(std::move(incoming), entered, now);
+  wait_or_reject(std::move(incoming), in_flight_request, now);
 }
 
-void RequestIntake::decide(Request request, peers::IncomingRequest& incoming, InFlightRequest& entered) {
-  if (stages_.replay.answer_if_known(request, incoming, entered))
-    return stages_.in_flight.release_if_over(entered);
+void RequestIntake::decide(Request request, peers::IncomingRequest& incoming,
+                           InFlightRequest& in_flight_request) {
+  if (stages_.replay.answer_if_known(request, incoming, in_flight_request))
+    return stages_.in_flight.release_if_over(in_flight_request);
   if (incoming.is_lookup_only && request.duplicate_of == 0) {
     // Nothing is remembered here, so nobody can say whether the key is known: the request never runs.
-    stages_.in_flight.reject(entered, 0, true);
-    return stages_.in_flight.release_if_over(entered);
+    stages_.in_flight.reject(in_flight_request, 0, true);
+    return stages_.in_flight.release_if_over(in_flight_request);
   }
   stages_.admission.on_request(request);
 }
 
 // ---- Before the runtime is ready.
 
-void RequestIntake::wait_or_reject(peers::IncomingRequest incoming, InFlightRequest& entered,
+void RequestIntake::wait_or_reject(peers::IncomingRequest incoming, InFlightRequest& in_flight_request,
                                    double unix_now) {
   const double now = net::monotonic_now();
-  if (!startup_queue_.accepts(entered.body.size(), entered.deadline - unix_now, now))
-    return reject_not_ready(entered);
-  startup_queue_.add(std::move(incoming), entered.body.size(), now);
+  if (!startup_queue_.accepts(in_flight_request.body.size(), in_flight_request.deadline - unix_now, now))
+    return reject_not_ready(in_flight_request);
+  startup_queue_.add(std::move(incoming), in_flight_request.body.size(), now);
   if (startup_timer_.number != 0) return;
   startup_timer_ = reactor_.at(*startup_queue_.wait_end(), [this] { reject_waiting(); });
 }
 
 // Nothing runs here yet, while other servers may have capacity.
-void RequestIntake::reject_not_ready(InFlightRequest& entered) {
+void RequestIntake::reject_not_ready(InFlightRequest& in_flight_request) {
   const double retry_after = site_.admission.sends_retry_after
                                  ? std::min(kNotReadyRetryAfterSeconds, site_.admission.max_retry_after)
                                  : 0;
-  stages_.in_flight.reject(entered, retry_after, false);
-  stages_.in_flight.release_if_over(entered);
+  stages_.in_flight.reject(in_flight_request, retry_after, false);
+  stages_.in_flight.release_if_over(in_flight_request);
 }
 
 void RequestIntake::reject_waiting() {
@@ -75,14 +76,14 @@
 
 void RequestIntake::on_runtime_ready() {
   for (peers::IncomingRequest& incoming : startup_queue_.close())
-    decide(to_decide(incoming, net::unix_now()), incoming, *stages_.in_flight.find(incoming.id));
+    decide(to_admission_request(incoming, net::unix_now()), incoming, *stages_.in_flight.find(incoming.id));
 }
 
 void RequestIntake::on_drain() { reject_waiting(); }
 
 // ---- Reading.
 
-Request RequestIntake::to_decide(const peers::IncomingRequest& incoming, double now) const {
+Request RequestIntake::to_admission_request(const peers::IncomingRequest& incoming, double now) const {
   Request request;
   request.id = incoming.id;
   request.route = incoming.route;
@@ -107,7 +108,7 @@
   if (seconds > kLateReadSeconds) counters_.add(Count::kReadsLate);
 }
 
-InFlightRequest& RequestIntake::enter(peers::IncomingRequest& incoming, double age, double now) {
+InFlightRequest& RequestIntake::add_in_flight(peers::IncomingRequest& incoming, double age, double now) {
   const Route& route = catalog_.route(incoming.route);
   InFlightRequest entry;
   entry.id = incoming.id;
@@ -119,13 +120,13 @@
   // The replay of results still needs the body: its digest may tell duplicates.
   entry.body = stages_.replay.is_enabled() ? incoming.body : std::move(incoming.body);
   entry.deadline = now - age + (incoming.client_timeout > 0 ? incoming.client_timeout : route.timeout);
-  return stages_.in_flight.enter(std::move(entry));
+  return stages_.in_flight.add(std::move(entry));
 }
 
 void RequestIntake::on_caller_disconnected(RequestId id) {
   InFlightRequest* request = stages_.in_flight.find(id);
   if (request == nullptr || request->answered) return;
-  stages_.in_flight.caller_gone(*request);
+  stages_.in_flight.on_caller_disconnected(*request);
   if (startup_queue_.remove(id)) return stages_.in_flight.release_if_over(*request);
   if (request->run == RunStage::kInCall) stages_.sender.cancel_call(*request);
   stages_.admission.on_caller_disconnected(id);
@@ -146,11 +147,11 @@
   peers_.runtime->self_test(tag);
 }
 
-void RequestIntake::on_self_test_result(std::uint64_t tag, bool passed) {
+void RequestIntake::on_self_test_result(std::uint64_t tag, bool has_passed) {
   const auto found = pending_checks_.find(tag);
   if (found == pending_checks_.end()) return;
   reactor_.cancel(found->second.timeout);
-  peers_.callers->answer_health_check(found->second.reply_to, passed && stages_.sender.healthy());
+  peers_.callers->answer_health_check(found->second.reply_to, has_passed && stages_.sender.healthy());
   pending_checks_.erase(found);
 }
 
--- a/src/stages/request_intake.h
+++ b/src/stages/request_intake.h
@@ -49,7 +49,7 @@
   // The server shuts down gracefully: what still waits for the runtime is rejected.
   void on_drain();
   // The runtime's self test has ended; unknown tags are ignored.
-  void on_self_test_result(std::uint64_t tag, bool passed);
+  void on_self_test_result(std::uint64_t tag, bool has_passed);
 
  private:
   // A health check that waits for a self test.
@@ -57,12 +57,12 @@
     peers::ReplyAddress reply_to;
     net::Reactor::TimerId timeout;
   };
-  [[nodiscard]] Request to_decide(const peers::IncomingRequest& incoming, double now) const;
+  [[nodiscard]] Request to_admission_request(const peers::IncomingRequest& incoming, double now) const;
   void count_read_delay(double seconds);
-  InFlightRequest& enter(peers::IncomingRequest& incoming, double age, double now);
-  void decide(Request request, peers::IncomingRequest& incoming, InFlightRequest& entered);
-  void wait_or_reject(peers::IncomingRequest incoming, InFlightRequest& entered, double unix_now);
-  void reject_not_ready(InFlightRequest& entered);
+  InFlightRequest& add_in_flight(peers::IncomingRequest& incoming, double age, double now);
+  void decide(Request request, peers::IncomingRequest& incoming, InFlightRequest& in_flight_request);
+  void wait_or_reject(peers::IncomingRequest incoming, InFlightRequest& in_flight_request, double unix_now);
+  void reject_not_ready(InFlightRequest& in_flight_request);
   void reject_waiting();
 
   net::Reactor& reactor_;
--- a/src/stages/result_replay.cpp
+++ b/src/stages/result_replay.cpp
@@ -112,7 +112,7 @@
   erase_from_store(std::move(expired));
 }
 
-void ResultReplay::on_store_state_changed(results::StoreState state, const std::string& why) {
+void ResultReplay::on_store_state_changed(results::StoreState state, const std::string& error) {
   if (state == results::StoreState::kHealthy) {
     log_.event(Level::kInfo, "results", "store open",
                {{"path", options_.store},
@@ -124,7 +124,7 @@
       state == results::StoreState::kDisabled
           ? "requests with a key are rejected until the store is repaired and the program restarted"
           : "new requests with a key are rejected until the store recovers";
-  log_.event(Level::kError, "results", why + "; " + consequence, {{"state", name_of(state)}});
+  log_.event(Level::kError, "results", error + "; " + consequence, {{"state", name_of(state)}});
 }
 
 void ResultReplay::on_drop_requests(const std::vector<results::Key>& keys) {
@@ -140,34 +140,34 @@
 // ---- Arriving requests.
 
 bool ResultReplay::answer_if_known(Request& request, const peers::IncomingRequest& incoming,
-                                   InFlightRequest& entered) {
+                                   InFlightRequest& in_flight_request) {
   candidate_.reset();
   if (!is_enabled()) return false;
-  const std::optional<RequestIdentity> identity = identifier_.identify(request, incoming, entered);
+  const std::optional<RequestIdentity> identity = identifier_.identify(request, incoming, in_flight_request);
   if (!identity) return false;
   const double now = net::monotonic_now();
   erase_from_store(cache_.expire(now, kMaxExpiredPerArrival));
   const results::Lookup lookup = cache_.look_up(now, identity->key, identity->fingerprint, identity->kind);
   switch (lookup.outcome) {
     case LookupOutcome::kMiss:
-      if (answer_unknown_key(*identity, incoming.is_lookup_only, entered, now)) return true;
+      if (answer_unknown_key(*identity, incoming.is_lookup_only, in_flight_request, now)) return true;
       break;
     case LookupOutcome::kDuplicate: request.duplicate_of = lookup.original_id; break;
     case LookupOutcome::kOutcomeUnknown:
       counters_.add(Count::kResultsUnknown);
-      in_flight_.fail(entered, peers::FailureReason::kOutcomeUnknown);
+      in_flight_.fail(in_flight_request, peers::FailureReason::kOutcomeUnknown);
       return true;
     case LookupOutcome::kFingerprintMismatch:
       counters_.add(Count::kResultsConflicts);
-      in_flight_.fail(entered, peers::FailureReason::kKeyConflict);
+      in_flight_.fail(in_flight_request, peers::FailureReason::kKeyConflict);
       return true;
     case LookupOutcome::kNoCapacity:
       if (incoming.is_lookup_only) {
-        fail_query(entered);
+        fail_query(in_flight_request);
         return true;
       }
       counters_.add(Count::kResultsNoCapacity);
-      replies_.reject(entered, lookup.retry_after);
+      replies_.reject(in_flight_request, lookup.retry_after);
       return true;
   }
   candidate_ = Candidate{request.id, *identity};
@@ -353,23 +353,24 @@
   const results::Key* key = cache_.find_given_up(id);
   if (key == nullptr || outcome != Outcome::kOk) return;
   if (!store_) return cache_.complete_given_up(id, std::string(result));
-  store_->write_result(*key, std::string(result), [this, id, kept = std::string(result)](bool is_durable) {
-    if (!is_durable) counters_.add(Count::kResultsNotDurable);
-    cache_.complete_given_up(id, kept);
-  });
+  store_->write_result(*key, std::string(result),
+                       [this, id, late_result = std::string(result)](bool is_durable) {
+                         if (!is_durable) counters_.add(Count::kResultsNotDurable);
+                         cache_.complete_given_up(id, late_result);
+                       });
 }
 
 void ResultReplay::write_result(const InFlightRequest& request, const results::Key& key,
                                 std::string_view result) {
   const RequestId id = request.id;
   const double remaining = std::max(0.0, request.deadline - net::unix_now());
-  pending_writes_.add_result(id, std::string(result), remaining, [this, id] { on_answer_due(id); });
+  pending_writes_.add_result(id, std::string(result), remaining, [this, id] { on_request_deadline(id); });
   store_->write_result(key, std::string(result),
                        [this, id](bool is_durable) { on_result_written(id, is_durable); });
 }
 
 // The request's deadline has passed before its result was durable: duplicates still get the result.
-void ResultReplay::on_answer_due(RequestId id) {
+void ResultReplay::on_request_deadline(RequestId id) {
   InFlightRequest* request = in_flight_.find(id);
   if (request == nullptr) return;
   in_flight_.fail(*request);
--- a/src/stages/result_replay.h
+++ b/src/stages/result_replay.h
@@ -54,7 +54,7 @@
   // For each request that was read. True where it was answered and must not come to admission; otherwise
   // `request.duplicate_of` names its original, if there is one.
   [[nodiscard]] bool answer_if_known(Request& request, const peers::IncomingRequest& incoming,
-                                     InFlightRequest& entered);
+                                     InFlightRequest& in_flight_request);
 
   // ---- Decisions of the admission controller.
 
@@ -91,7 +91,7 @@
   // ---- StoreEvents.
   void on_key_seed(std::uint64_t seed, bool is_new) override;
   void on_entries_recovered(const std::vector<results::Row>& rows) override;
-  void on_store_state_changed(results::StoreState state, const std::string& why) override;
+  void on_store_state_changed(results::StoreState state, const std::string& error) override;
   void on_drop_requests(const std::vector<results::Key>& keys) override;
 
   void open_store();
@@ -103,7 +103,7 @@
   void on_intent_written(RequestId id, const results::Key& key, bool is_durable);
   void reject_unstarted(RequestId id, std::vector<results::Key> keys, double retry_after);
   void write_result(const InFlightRequest& request, const results::Key& key, std::string_view result);
-  void on_answer_due(RequestId id);
+  void on_request_deadline(RequestId id);
   void on_result_written(RequestId id, bool is_durable);
   void on_request_released(const InFlightRequest& request);
   void answer_from_store(RequestId id, const results::Key& key);
--- a/src/stages/statistics_persistence.cpp
+++ b/src/stages/statistics_persistence.cpp
@@ -31,38 +31,38 @@
 StatisticsPersistence::~StatisticsPersistence() { reactor_.cancel(timer_); }
 
 void StatisticsPersistence::wait_for_record() {
-  if (is_enabled()) store_->wait_for_reading(kReadTimeoutSeconds);
+  if (is_enabled()) store_->wait_for_read(kReadTimeoutSeconds);
 }
 
 LearnedStatistics StatisticsPersistence::take_prior() {
   if (!is_enabled()) return {};
   began_at_ = net::monotonic_now();
   timer_ = reactor_.after(options_.interval, [this] { run_periodically(); });
-  const std::optional<statistics::RecordReadResult> reading = store_->take_reading();
-  if (!reading) {
+  const std::optional<statistics::RecordReadResult> read_result = store_->take_read_result();
+  if (!read_result) {
     log_.warn("knowledge", "record not read in time, starting without learned statistics");
     return {};
   }
-  if (!reading->record) {
+  if (!read_result->record) {
     log_.event(Level::kInfo, "knowledge", "starting without learned statistics",
-               {{"why", text_of(reading->problem)}});
+               {{"why", text_of(read_result->problem)}});
     return {};
   }
-  statistics::Prior prior = derive_prior(*reading);
+  statistics::Prior prior = derive_prior(*read_result);
   if (!prior.is_usable) return {};
-  store_->begin_trial(reading->failed_starts + 1);
+  store_->begin_trial(read_result->failed_starts + 1);
   counters_.add(Count::kStatisticsRestored);
   log_.event(Level::kInfo, "knowledge", "starting with learned statistics",
-             {{"age_s", net::unix_now() - reading->record->written_at},
+             {{"age_s", net::unix_now() - read_result->record->written_at},
               {"share", prior.weight_share},
-              {"generation", reading->is_previous ? "previous" : "newest"}});
+              {"generation", read_result->is_previous ? "previous" : "newest"}});
   return std::move(prior.statistics);
 }
 
-statistics::Prior StatisticsPersistence::derive_prior(const statistics::RecordReadResult& reading) {
+statistics::Prior StatisticsPersistence::derive_prior(const statistics::RecordReadResult& read_result) {
   const statistics::PriorOptions options{options_.half_life, options_.max_age, options_.weight};
-  statistics::Prior prior =
-      statistics::derive_prior(*reading.record, site_, net::unix_now(), reading.failed_starts, options);
+  statistics::Prior prior = statistics::derive_prior(*read_result.record, site_, net::unix_now(),
+                                                     read_result.failed_starts, options);
   for (const statistics::RejectedPart& rejected : prior.rejected)
     log_.event(Level::kInfo, "knowledge", "learned statistics rejected", {{"why", text_of(rejected)}});
   return prior;
--- a/src/stages/statistics_persistence.h
+++ b/src/stages/statistics_persistence.h
@@ -37,7 +37,7 @@
   void on_drain();
 
  private:
-  statistics::Prior derive_prior(const statistics::RecordReadResult& reading);
+  statistics::Prior derive_prior(const statistics::RecordReadResult& read_result);
   void run_periodically();
   void write_record();
   void report_write_error();
--- a/src/statistics/prior.cpp
+++ b/src/statistics/prior.cpp
@@ -42,8 +42,9 @@
 }
 
 // Why the record as a whole is not used.
-std::optional<RejectedPart> reject_whole(const StatisticsRecord& record, const StartSettings& site,
-                                         double age_seconds, int failed_starts, const PriorOptions& options) {
+std::optional<RejectedPart> reject_record(const StatisticsRecord& record, const StartSettings& site,
+                                          double age_seconds, int failed_starts,
+                                          const PriorOptions& options) {
   if (!std::isfinite(record.written_at) || record.written_at <= 0)
     return RejectedPart{PriorProblem::kNoTime, {}, 0};
   if (age_seconds < -kMaxClockDifferenceSeconds) return RejectedPart{PriorProblem::kFromTheFuture, {}, 0};
@@ -144,7 +145,7 @@
   Prior prior;
   const double age_seconds = now_unix - record.written_at;
   if (std::optional<RejectedPart> rejected =
-          reject_whole(record, site, age_seconds, failed_starts, options)) {
+          reject_record(record, site, age_seconds, failed_starts, options)) {
     prior.rejected.push_back(std::move(*rejected));
     return prior;
   }
--- a/src/statistics/statistics_store.cpp
+++ b/src/statistics/statistics_store.cpp
@@ -52,16 +52,16 @@
 // ---- The files.
 
 RecordReadResult StatisticsFolder::read() {
-  RecordReadResult reading;
+  RecordReadResult read_result;
   const store::ChecksummedFile::ReadResult result = file_.read();
-  reading.is_previous = result.is_previous;
-  reading.problem = read_problem_of(result.content.problem);
-  if (reading.problem != ReadProblem::kNone) return reading;
-  reading.record = decode(result.content.content);
-  if (!reading.record) reading.problem = ReadProblem::kNoRecord;
+  read_result.is_previous = result.is_previous;
+  read_result.problem = read_problem_of(result.content.problem);
+  if (read_result.problem != ReadProblem::kNone) return read_result;
+  read_result.record = decode(result.content.content);
+  if (!read_result.record) read_result.problem = ReadProblem::kNoRecord;
   const std::optional<std::string> trial = file_system_.read(kTrialFile, kMaxTrialBytes);
-  if (trial) reading.failed_starts = parse_failed_starts(*trial);
-  return reading;
+  if (trial) read_result.failed_starts = parse_failed_starts(*trial);
+  return read_result;
 }
 
 void StatisticsFolder::begin_trial(int failed_starts) {
@@ -98,7 +98,7 @@
     [[nodiscard]] bool is_empty() const { return !trial_to_begin && !ends_trial && !record; }
   };
 
-  std::optional<RecordReadResult> reading;
+  std::optional<RecordReadResult> read_result;
   Pending pending;
   std::optional<std::string> unreported_error;
   std::string last_error;
@@ -108,7 +108,7 @@
     StatisticsFolder folder(file_system);
     RecordReadResult first = folder.read();
     std::unique_lock guard(mutex);
-    reading = std::move(first);
+    read_result = std::move(first);
     for (;;) {
       changed.notify_all();
       changed.wait(guard, [this] { return closing || !pending.is_empty(); });
@@ -152,15 +152,15 @@
 
 StatisticsStore::~StatisticsStore() { store::stop_worker_thread(*shared_, thread_); }
 
-void StatisticsStore::wait_for_reading(double seconds) {
+void StatisticsStore::wait_for_read(double seconds) {
   std::unique_lock guard(shared_->mutex);
   shared_->changed.wait_for(guard, std::chrono::duration<double>(seconds),
-                            [this] { return shared_->reading.has_value() || shared_->ended; });
+                            [this] { return shared_->read_result.has_value() || shared_->ended; });
 }
 
-std::optional<RecordReadResult> StatisticsStore::take_reading() {
+std::optional<RecordReadResult> StatisticsStore::take_read_result() {
   const std::lock_guard guard(shared_->mutex);
-  return std::exchange(shared_->reading, std::nullopt);
+  return std::exchange(shared_->read_result, std::nullopt);
 }
 
 void StatisticsStore::write(std::string encoded) {
--- a/src/statistics/statistics_store.h
+++ b/src/statistics/statistics_store.h
@@ -57,7 +57,7 @@
   store::ChecksummedFile file_;
 };
 
-// The files behind a thread of their own, since a folder may hang. Only wait_for_reading() waits.
+// The files behind a thread of their own, since a folder may hang. Only wait_for_read() waits.
 class StatisticsStore {
  public:
   // Called on the thread, since opening a folder may hang too.
@@ -70,9 +70,9 @@
   StatisticsStore& operator=(const StatisticsStore&) = delete;
 
   // Waits until the record has been read, at most so many seconds.
-  void wait_for_reading(double seconds);
+  void wait_for_read(double seconds);
   // What was read, once; nothing before it has been read.
-  std::optional<RecordReadResult> take_reading();
+  std::optional<RecordReadResult> take_read_result();
   // Hands over a record to be written. One that is still pending is replaced.
   void write(std::string encoded);
   void begin_trial(int failed_starts);
--- a/src/store/checksummed_file.cpp
+++ b/src/store/checksummed_file.cpp
@@ -61,7 +61,7 @@
   return out;
 }
 
-ChecksumHeader read_checksum_header(std::string_view bytes, std::uint32_t known) {
+ChecksumHeader read_checksum_header(std::string_view bytes, std::uint32_t latest_known_version) {
   ChecksumHeader header;
   if (!begins_with_magic(bytes)) {
     header.problem = ChecksumProblem::kUnrecognized;
@@ -72,12 +72,13 @@
       static_cast<std::uint32_t>(read_little_endian(bytes, kVersionOffset, kVersionBytes));
   header.length = read_little_endian(bytes, kLengthOffset, kNumberBytes);
   header.checksum = read_little_endian(bytes, kChecksumOffset, kNumberBytes);
-  header.problem = header.format_version > known ? ChecksumProblem::kNewerFormat : ChecksumProblem::kNone;
+  header.problem =
+      header.format_version > latest_known_version ? ChecksumProblem::kNewerFormat : ChecksumProblem::kNone;
   return header;
 }
 
-ChecksummedContent verify_checksum(std::string_view bytes, std::uint32_t known) {
-  const ChecksumHeader header = read_checksum_header(bytes, known);
+ChecksummedContent verify_checksum(std::string_view bytes, std::uint32_t latest_known_version) {
+  const ChecksumHeader header = read_checksum_header(bytes, latest_known_version);
   ChecksummedContent out;
   out.problem = header.problem;
   out.format_version = header.format_version;
--- a/src/store/checksummed_file.h
+++ b/src/store/checksummed_file.h
@@ -36,9 +36,9 @@
 
 // The bytes of a file with this content: header and content.
 std::string add_checksum(std::uint32_t format_version, std::string_view content);
-// Verifies the bytes of a file and gives its content. `known`: the latest format version that the caller
-// reads.
-ChecksummedContent verify_checksum(std::string_view bytes, std::uint32_t known);
+// Verifies the bytes of a file and gives its content. `latest_known_version`: the latest format version that
+// the caller reads.
+ChecksummedContent verify_checksum(std::string_view bytes, std::uint32_t latest_known_version);
 
 // The header of a file, for callers that read its content piece by piece.
 struct ChecksumHeader {
@@ -48,7 +48,7 @@
   std::uint64_t checksum = 0;
 };
 inline constexpr std::size_t kChecksumHeaderBytes = 28;
-ChecksumHeader read_checksum_header(std::string_view bytes, std::uint32_t known);
+ChecksumHeader read_checksum_header(std::string_view bytes, std::uint32_t latest_known_version);
 
 // Computes the checksum of content that is read piece by piece.
 class ChecksumVerifier {
--- a/tests/results/results_store.cpp
+++ b/tests/results/results_store.cpp
@@ -269,10 +269,10 @@
   void on_entries_recovered(const std::vector<Row>& rows) override {
     std::printf("recovered %zu\n", rows.size());
   }
-  void on_store_state_changed(StoreState state, const std::string& why) override {
-    const std::size_t colon = why.rfind(": ");
-    std::printf("store: %s%s%s\n", std::string(name_of(state)).c_str(), why.empty() ? "" : ", ",
-                colon == std::string::npos ? "" : why.substr(colon + 2).c_str());
+  void on_store_state_changed(StoreState state, const std::string& error) override {
+    const std::size_t colon = error.rfind(": ");
+    std::printf("store: %s%s%s\n", std::string(name_of(state)).c_str(), error.empty() ? "" : ", ",
+                colon == std::string::npos ? "" : error.substr(colon + 2).c_str());
     last = state;
   }
   void on_drop_requests(const std::vector<Key>& keys) override {
--- a/tests/statistics/learned_statistics.cpp
+++ b/tests/statistics/learned_statistics.cpp
@@ -95,15 +95,15 @@
       if (steps <= returned) last = written_at;
     }
     RecordingFolder folder(std::move(files));
-    const RecordReadResult reading = StatisticsFolder(folder).read();
-    const double found = reading.record ? reading.record->written_at : 0;
-    const bool is_whole = !reading.record || encode(*reading.record) == encode(good(found));
+    const RecordReadResult read_result = StatisticsFolder(folder).read();
+    const double found = read_result.record ? read_result.record->written_at : 0;
+    const bool is_whole = !read_result.record || encode(*read_result.record) == encode(good(found));
     if (!is_whole || found > last + 1) ++garbage_;
     if (is_whole && found < last) ++(found == 0 ? none_ : older_);
     const bool is_failure = !is_whole || found > last + 1 || found < last;
     if (!is_failure || !first_failure_.empty()) return;
     first_failure_ = "behind step " + std::to_string(count) + ": " + std::to_string(found) + " where " +
-                     std::to_string(last) + " was acknowledged, " + std::string(text_of(reading.problem));
+                     std::to_string(last) + " was acknowledged, " + std::string(text_of(read_result.problem));
   }
 
   void print() const {
@@ -314,12 +314,14 @@
 // ---- Corrupt and foreign files.
 
 void print_reading(const char* name, RecordingFolder& folder) {
-  const RecordReadResult reading = StatisticsFolder(folder).read();
-  const std::string problem(text_of(reading.problem));
-  std::printf("%-34s %s%s%s", name, reading.record ? "record of " : "nothing",
-              reading.record ? std::to_string(static_cast<int>(reading.record->written_at)).c_str() : "",
-              reading.is_previous ? ", the one before" : "");
-  std::printf("%s%s, lives lost %d\n", problem.empty() ? "" : ": ", problem.c_str(), reading.failed_starts);
+  const RecordReadResult read_result = StatisticsFolder(folder).read();
+  const std::string problem(text_of(read_result.problem));
+  std::printf(
+      "%-34s %s%s%s", name, read_result.record ? "record of " : "nothing",
+      read_result.record ? std::to_string(static_cast<int>(read_result.record->written_at)).c_str() : "",
+      read_result.is_previous ? ", the one before" : "");
+  std::printf("%s%s, lives lost %d\n", problem.empty() ? "" : ": ", problem.c_str(),
+              read_result.failed_starts);
 }
 
 void print_corrupt_files(const RecordingFolder::Files& intact) {
@@ -452,10 +454,10 @@
   };
   const auto began = Clock::now();
   auto statistics_store = std::make_unique<StatisticsStore>([] { return std::make_unique<Hung>(); });
-  statistics_store->wait_for_reading(0.25);
+  statistics_store->wait_for_read(0.25);
   std::printf("the start waited a quarter of a second: %s\n",
               since(began) >= 0.25 && since(began) < 1 ? "yes" : "no");
-  std::printf("something was read: %s\n", statistics_store->take_reading() ? "yes" : "no");
+  std::printf("something was read: %s\n", statistics_store->take_read_result() ? "yes" : "no");
   const std::string bytes = encode(good());
   const auto asked = Clock::now();
   for (int i = 0; i < 1000; ++i) statistics_store->write(bytes);
