--- a/tests/statistics/learned_statistics.cpp
+++ b/tests/statistics/learned_statistics.cpp
@@ -1,5 +1,6 @@
-// Learned statistics on disk: crashes while a record is written, the prior that a record gives, and corrupt
-// or foreign files. CTest compares with tests/traces/knowledge_NAME.txt. usage: learned_statistics SCENARIO
+// Learned statistics on disk: crashes while a record is written, priors derived from records, and corrupt or
+// foreign files. CTest compares the output with tests/traces/knowledge_NAME.txt. usage: learned_statistics
+// SCENARIO
 #include <algorithm>
 #include <array>
 #include <chrono>
@@ -21,7 +22,7 @@
 
 namespace {
 
-LearnedDurations times(std::size_t bin, double count) {
+LearnedDurations durations_in_bin(std::size_t bin, double count) {
   LearnedDurations out;
   out.bins.assign(13, 0);
   out.bins[bin] = count;
@@ -46,11 +47,12 @@
   return s;
 }
 
-StatisticsRecord good(double written = 1000) {
+StatisticsRecord valid_record(double written = 1000) {
   LearnedStatistics learned;
-  learned.routes = {{times(5, 20), times(3, 20)}, {times(4, 8), times(0, 0)}};
+  learned.routes = {{durations_in_bin(5, 20), durations_in_bin(3, 20)},
+                    {durations_in_bin(4, 8), durations_in_bin(0, 0)}};
   learned.routes[1].call.sum = 0;
-  learned.calls = times(3, 20);
+  learned.calls = durations_in_bin(3, 20);
   learned.returning_share = 0.4;
   return make_record(learned, site(), "n1", written, 60);
 }
@@ -67,7 +69,7 @@
 
 struct Recorded {
   std::vector<RecordingFolder::Step> steps;
-  std::vector<std::pair<std::size_t, double>> acknowledged;  // steps so far, and the record written last
+  std::vector<std::pair<std::size_t, double>> acknowledged;  // steps up to each write, and its record
 };
 
 Recorded write_records() {
@@ -77,7 +79,7 @@
   for (int i = 1; i <= 40; ++i) {
     if (i % 7 == 0) files.begin_trial(1);
     if (i % 7 == 2) files.end_trial();
-    if (files.write(good(i))) out.acknowledged.emplace_back(folder.steps().size(), i);
+    if (files.write(valid_record(i))) out.acknowledged.emplace_back(folder.steps().size(), i);
   }
   out.steps = folder.steps();
   return out;
@@ -97,26 +99,26 @@
     RecordingFolder folder(std::move(files));
     const RecordReadResult read_result = StatisticsFolder(folder).read();
     const double found = read_result.record ? read_result.record->written_at : 0;
-    const bool is_whole = !read_result.record || encode(*read_result.record) == encode(good(found));
-    if (!is_whole || found > last + 1) ++garbage_;
-    if (is_whole && found < last) ++(found == 0 ? none_ : older_);
-    const bool is_failure = !is_whole || found > last + 1 || found < last;
+    const bool is_intact = !read_result.record || encode(*read_result.record) == encode(valid_record(found));
+    if (!is_intact || found > last + 1) ++invalid_;
+    if (is_intact && found < last) ++(found == 0 ? none_ : older_);
+    const bool is_failure = !is_intact || found > last + 1 || found < last;
     if (!is_failure || !first_failure_.empty()) return;
-    first_failure_ = "behind step " + std::to_string(count) + ": " + std::to_string(found) + " where " +
+    first_failure_ = "after step " + std::to_string(count) + ": read " + std::to_string(found) + ", but " +
                      std::to_string(last) + " was acknowledged, " + std::string(text_of(read_result.problem));
   }
 
   void print() const {
     std::printf("crash points over 10000: %s\n", crashes_ > 10000 ? "yes" : "no");
-    std::printf("garbage %d, acknowledged and an older one found %d, acknowledged and nothing found %d\n",
-                garbage_, older_, none_);
+    std::printf("invalid records %d, older than acknowledged %d, acknowledged but missing %d\n", invalid_,
+                older_, none_);
     if (!first_failure_.empty()) std::printf("  %s\n", first_failure_.c_str());
   }
 
  private:
   const Recorded& recorded_;
   int crashes_ = 0;
-  int garbage_ = 0;
+  int invalid_ = 0;
   int older_ = 0;
   int none_ = 0;
   std::string first_failure_;
@@ -144,7 +146,7 @@
 void print_prior(const char* name, const StatisticsRecord& record, double now, int failed_starts = 0,
                  const StartSettings& settings = site(), const PriorOptions& options = kOptions) {
   const Prior prior = derive_prior(record, settings, now, failed_starts, options);
-  std::printf("%-28s believed %-3s share %.2f", name, prior.is_usable ? "yes" : "no", prior.weight_share);
+  std::printf("%-28s usable %-3s share %.2f", name, prior.is_usable ? "yes" : "no", prior.weight_share);
   for (const auto& route : prior.statistics.routes) std::printf(", run %.2f values", count_of(route.run));
   if (prior.statistics.returning_share >= 0) std::printf(", returns %.2f", prior.statistics.returning_share);
   for (const RejectedPart& rejected : prior.rejected) std::printf("\n  %s", text_of(rejected).c_str());
@@ -152,55 +154,55 @@
 }
 
 void print_age_and_settings_cases() {
-  print_prior("just now", good(), 1000);
-  print_prior("half a day old", good(), 1000 + 43200);
-  print_prior("last week", good(), 1000 + 7 * 86400.0);
-  print_prior("last week, slowly believed less", good(), 1000 + 7 * 86400.0, 0, site(), {1e9, 259200, 4});
-  print_prior("last week, and no bound", good(), 1000 + 7 * 86400.0, 0, site(), {43200, 1e9, 4});
-  print_prior("from the future", good(), 900);
-  print_prior("clocks a little apart", good(), 997);
-  StatisticsRecord record = good();
+  print_prior("just now", valid_record(), 1000);
+  print_prior("half a day old", valid_record(), 1000 + 43200);
+  print_prior("last week", valid_record(), 1000 + 7 * 86400.0);
+  print_prior("last week, long half-life", valid_record(), 1000 + 7 * 86400.0, 0, site(), {1e9, 259200, 4});
+  print_prior("last week, no maximum age", valid_record(), 1000 + 7 * 86400.0, 0, site(), {43200, 1e9, 4});
+  print_prior("from the future", valid_record(), 900);
+  print_prior("a small clock difference", valid_record(), 997);
+  StatisticsRecord record = valid_record();
   record.under_pressure = true;
-  print_prior("a bad spell", record, 1000);
-  print_prior("one life lost with it", good(), 1000, 1);
-  print_prior("two lives lost with it", good(), 1000, 2);
+  print_prior("learned under pressure", record, 1000);
+  print_prior("one failed start", valid_record(), 1000, 1);
+  print_prior("two failed starts", valid_record(), 1000, 2);
   StartSettings other = site();
   other.admission.cores = 8;
-  print_prior("another machine", good(), 1000, 0, other);
+  print_prior("another number of cores", valid_record(), 1000, 0, other);
   other = site();
   other.admission.routes[0].latency_objective = 3;
-  print_prior("one type's target changed", good(), 1000, 0, other);
+  print_prior("a changed latency objective", valid_record(), 1000, 0, other);
   other = site();
   other.route_names[1] = "poll";
-  print_prior("another site's types", good(), 1000, 0, other);
+  print_prior("a new route", valid_record(), 1000, 0, other);
   other = site();
   other.admission.dependency = DependencyKind::kOff;
-  print_prior("no layer below any more", good(), 1000, 0, other);
+  print_prior("no dependency any more", valid_record(), 1000, 0, other);
 }
 
 void print_implausible_cases() {
   const double nan = std::numeric_limits<double>::quiet_NaN();
-  for (const auto& [what, value] : {std::pair{"a count that is no number", nan},
+  for (const auto& [what, value] : {std::pair{"a count that is not a number", nan},
                                     std::pair{"a negative count", -1.0}, std::pair{"a huge count", 1e18}}) {
-    StatisticsRecord record = good();
+    StatisticsRecord record = valid_record();
     record.routes[0].run.bins[2] = value;
     print_prior(what, record, 1000);
   }
-  StatisticsRecord record = good();
-  record.routes[0].run = times(5, 2);
+  StatisticsRecord record = valid_record();
+  record.routes[0].run = durations_in_bin(5, 2);
   print_prior("two values only", record, 1000);
-  record = good();
+  record = valid_record();
   record.routes[0].run.sum = 1e9;
-  print_prior("a sum that can't be", record, 1000);
-  record = good();
+  print_prior("a sum that is too large", record, 1000);
+  record = valid_record();
   record.routes[0].run.sum = 0;
   print_prior("a sum that is too small", record, 1000);
-  record = good();
+  record = valid_record();
   record.routes[1].run.bins.resize(5);
   print_prior("too few bins", record, 1000);
-  record = good();
+  record = valid_record();
   record.written_at = nan;
-  print_prior("no time of writing", record, 1000);
+  print_prior("no write time", record, 1000);
 }
 
 void cases() {
@@ -214,10 +216,10 @@
   explicit RandomRecords(std::uint64_t seed) : random_(seed) {}
 
   StatisticsRecord next() {
-    StatisticsRecord record = good(1000);
+    StatisticsRecord record = valid_record(1000);
     for (RouteRecord& route : record.routes) {
-      route.run = times(random_() % 13, uniform() * 63);
-      route.call = times(random_() % 13, uniform() * 20);
+      route.run = durations_in_bin(random_() % 13, uniform() * 63);
+      route.call = durations_in_bin(random_() % 13, uniform() * 20);
     }
     for (int corruptions = static_cast<int>(random_() % 3); corruptions > 0; --corruptions)
       corrupt(durations_of(record));
@@ -252,7 +254,8 @@
   pcg32 random_;
 };
 
-// The weight of a prior never grows with age and never exceeds the evidence, and no implausible value passes.
+// Checks that the weight of a prior never grows with age and never exceeds the evidence, and that no
+// implausible value is used.
 class PriorProperties {
  public:
   void check(const StatisticsRecord& record) {
@@ -269,9 +272,9 @@
 
   void print() const {
     std::printf(
-        "grows with age %d, outweighs what was seen %d, senseless %d, lost on the way through CBOR %d\n",
+        "weight grows with age %d, exceeds the evidence %d, implausible values %d, changed by encoding %d\n",
         grows_, outweighs_, implausible_, lost_);
-    std::printf("believed and refused often: %s\n", used_ > 5000 && rejected_ > 5000 ? "yes" : "no");
+    std::printf("used and rejected often: %s\n", used_ > 5000 && rejected_ > 5000 ? "yes" : "no");
   }
 
  private:
@@ -313,14 +316,14 @@
 
 // ---- Corrupt and foreign files.
 
-void print_reading(const char* name, RecordingFolder& folder) {
+void print_read_result(const char* name, RecordingFolder& folder) {
   const RecordReadResult read_result = StatisticsFolder(folder).read();
   const std::string problem(text_of(read_result.problem));
   std::printf(
       "%-34s %s%s%s", name, read_result.record ? "record of " : "nothing",
       read_result.record ? std::to_string(static_cast<int>(read_result.record->written_at)).c_str() : "",
-      read_result.is_previous ? ", the one before" : "");
-  std::printf("%s%s, lives lost %d\n", problem.empty() ? "" : ": ", problem.c_str(),
+      read_result.is_previous ? ", previous generation" : "");
+  std::printf("%s%s, failed starts %d\n", problem.empty() ? "" : ": ", problem.c_str(),
               read_result.failed_starts);
 }
 
@@ -330,15 +333,15 @@
     RecordingFolder::Files files = intact;
     change(files);
     RecordingFolder folder(files);
-    print_reading(name, folder);
+    print_read_result(name, folder);
   };
-  print_changed("the newest is cut short", [](auto& f) { f["knowledge"].resize(100); });
-  print_changed("one bit of the newest", [](auto& f) { f["knowledge"][60] ^= 4; });
-  print_changed("both are cut short", [](auto& f) {
+  print_changed("the newest is truncated", [](auto& f) { f["knowledge"].resize(100); });
+  print_changed("a flipped bit in the newest", [](auto& f) { f["knowledge"][60] ^= 4; });
+  print_changed("both are truncated", [](auto& f) {
     f["knowledge"].resize(20);
     f["knowledge.1"].resize(9);
   });
-  print_changed("somebody else's file", [](auto& f) {
+  print_changed("a file of another program", [](auto& f) {
     f["knowledge"] = "#!/bin/sh\n";
     f.erase("knowledge.1");
   });
@@ -346,23 +349,23 @@
     f["knowledge"].assign(1 << 20, 'x');
     f.erase("knowledge.1");
   });
-  print_changed("sealed, and no record",
+  print_changed("valid checksum, but no record",
                 [](auto& f) { f["knowledge"] = store::add_checksum(kRecordFormatVersion, "hello"); });
-  print_changed("a newer form", [](auto& f) {
+  print_changed("a newer format", [](auto& f) {
     f["knowledge"] = store::add_checksum(kRecordFormatVersion + 1, "what it knows");
   });
-  print_changed("a trial that can't be read", [](auto& f) { f["knowledge.trial"] = "many"; });
-  print_changed("two lives lost", [](auto& f) { f["knowledge.trial"] = "2"; });
+  print_changed("an invalid trial file", [](auto& f) { f["knowledge.trial"] = "many"; });
+  print_changed("two failed starts", [](auto& f) { f["knowledge.trial"] = "2"; });
 }
 
 void print_newer_format() {
   RecordingFolder newer({{"knowledge", store::add_checksum(kRecordFormatVersion + 1, "what it knows")}});
-  StatisticsFolder over(newer);
-  over.write(good(5));
-  over.write(good(6));
-  print_reading("written over a newer form", newer);
+  StatisticsFolder statistics_folder(newer);
+  statistics_folder.write(valid_record(5));
+  statistics_folder.write(valid_record(6));
+  print_read_result("written over a newer format", newer);
   std::printf(
-      "the newer one is kept: %s\n",
+      "the newer file is preserved: %s\n",
       newer.files().at("knowledge.newer") == store::add_checksum(kRecordFormatVersion + 1, "what it knows")
           ? "yes"
           : "no");
@@ -370,26 +373,27 @@
 
 void files() {
   RecordingFolder folder;
-  StatisticsFolder mine(folder);
-  print_reading("an empty folder", folder);
-  mine.write(good(1));
-  mine.write(good(2));
-  print_reading("two records", folder);
+  StatisticsFolder statistics_folder(folder);
+  print_read_result("an empty folder", folder);
+  statistics_folder.write(valid_record(1));
+  statistics_folder.write(valid_record(2));
+  print_read_result("two records", folder);
   print_corrupt_files(folder.files());
   print_newer_format();
   folder.is_full = true;
-  std::printf("on a full disk: %s\n", mine.write(good(3)) ? "written" : "not written");
-  print_reading("and then", folder);
+  std::printf("on a full disk: %s\n", statistics_folder.write(valid_record(3)) ? "written" : "not written");
+  print_read_result("after the failed write", folder);
   folder.is_full = false;
   folder.is_locked_elsewhere = true;
-  std::printf("while another has it: %s\n", mine.write(good(4)) ? "written" : "not written");
+  std::printf("while another process holds the lock: %s\n",
+              statistics_folder.write(valid_record(4)) ? "written" : "not written");
   folder.is_locked_elsewhere = false;
-  mine.begin_trial(1);
-  print_reading("a life begins with it", folder);
-  mine.end_trial();
-  print_reading("and comes through", folder);
-  mine.remove();
-  print_reading("forgotten", folder);
+  statistics_folder.begin_trial(1);
+  print_read_result("a trial begins", folder);
+  statistics_folder.end_trial();
+  print_read_result("the trial ends", folder);
+  statistics_folder.remove();
+  print_read_result("removed", folder);
 }
 
 std::string corrupted(std::string text, pcg32& random) {
@@ -416,32 +420,31 @@
   return count;
 }
 
-// A bounded run of the fuzz target: the bytes of a record, corrupted anywhere, as a file and as a record.
+// A bounded run of the fuzz target: the bytes of a record with random corruptions, as a file and as a record.
 void bytes() {
-  const std::string record = encode(good());
-  const std::string whole_file = store::add_checksum(kRecordFormatVersion, record);
+  const std::string record = encode(valid_record());
+  const std::string intact_file = store::add_checksum(kRecordFormatVersion, record);
   pcg32 random(17);
-  int passed = 0;
+  int accepted = 0;
   int decoded = 0;
   int implausible = 0;
   for (int i = 0; i < 20000; ++i) {
-    const std::string file = corrupted(whole_file, random);
+    const std::string file = corrupted(intact_file, random);
     const store::ChecksumProblem problem = store::verify_checksum(file, kRecordFormatVersion).problem;
-    if (file != whole_file && problem == store::ChecksumProblem::kNone) ++passed;
+    if (file != intact_file && problem == store::ChecksumProblem::kNone) ++accepted;
     const std::optional<StatisticsRecord> found =
-        decode(corrupted(record, random));  // as if the checksum matched
+        decode(corrupted(record, random));  // simulates a matching checksum
     if (!found) continue;
     ++decoded;
     implausible += implausible_parts(derive_prior(*found, site(), 1000, 0, kOptions));
   }
   std::printf(
-      "of 20000 spoilt files taken for whole: %d; spoilt records read all the same: %s, senseless believed: "
-      "%d\n",
-      passed, decoded > 1000 ? "many" : "few", implausible);
+      "of 20000 corrupted files accepted: %d; corrupted records decoded: %s, implausible values used: %d\n",
+      accepted, decoded > 1000 ? "many" : "few", implausible);
 }
 
-// A folder whose reads hang: the start waits its quarter of a second, has nothing, and the end waits its
-// fifth.
+// A folder whose reads hang: the start waits for a quarter of a second and gets no record, and the destructor
+// waits for a fifth of a second.
 void hangs() {
   struct Hung : RecordingFolder {
     std::optional<std::string> read(const std::string&, std::size_t) override {
@@ -452,22 +455,22 @@
   const auto since = [](Clock::time_point from) {
     return std::chrono::duration<double>(Clock::now() - from).count();
   };
-  const auto began = Clock::now();
+  const auto started_at = Clock::now();
   auto statistics_store = std::make_unique<StatisticsStore>([] { return std::make_unique<Hung>(); });
   statistics_store->wait_for_read(0.25);
   std::printf("the start waited a quarter of a second: %s\n",
-              since(began) >= 0.25 && since(began) < 1 ? "yes" : "no");
+              since(started_at) >= 0.25 && since(started_at) < 1 ? "yes" : "no");
   std::printf("something was read: %s\n", statistics_store->take_read_result() ? "yes" : "no");
-  const std::string bytes = encode(good());
-  const auto asked = Clock::now();
+  const std::string bytes = encode(valid_record());
+  const auto queued_at = Clock::now();
   for (int i = 0; i < 1000; ++i) statistics_store->write(bytes);
-  std::printf("a thousand records handed over, none waited for: %s\n", since(asked) < 0.2 ? "yes" : "no");
-  const auto ending = Clock::now();
+  std::printf("a thousand records queued without waiting: %s\n", since(queued_at) < 0.2 ? "yes" : "no");
+  const auto destroyed_at = Clock::now();
   statistics_store.reset();
-  std::printf("the end waited a fifth of a second: %s\n",
-              since(ending) >= 0.2 && since(ending) < 1 ? "yes" : "no");
+  std::printf("the destructor waited a fifth of a second: %s\n",
+              since(destroyed_at) >= 0.2 && since(destroyed_at) < 1 ? "yes" : "no");
   std::fflush(stdout);
-  std::_Exit(0);  // its thread hangs for good
+  std::_Exit(0);  // the worker thread hangs forever
 }
 
 }  // namespace
@@ -476,9 +479,9 @@
   const std::pair<const char*, void (*)()> scenarios[] = {{"crash", crash},           {"cases", cases},
                                                           {"properties", properties}, {"files", files},
                                                           {"bytes", bytes},           {"hangs", hangs}};
-  for (const auto& [name, play] : scenarios) {
+  for (const auto& [name, run] : scenarios) {
     if (argc == 2 && std::strcmp(argv[1], name) == 0) {
-      play();
+      run();
       return 0;
     }
   }
--- a/tests/statistics/restarts.cpp
+++ b/tests/statistics/restarts.cpp
@@ -1,6 +1,5 @@
-// A server that is killed under load and restarted on the same address, many times: how soon it answers a
-// request. usage: restarts BINARY RESTARTS [times]; with `times` each part of each start is
-// printed.
+// Kills a server under load and restarts it on the same address, many times, and checks how soon it answers a
+// request. usage: restarts BINARY RESTARTS [times]; with `times`, the durations of each start are printed.
 #include <chrono>
 #include <cstdio>
 #include <cstdlib>
@@ -14,10 +13,10 @@
 
 namespace {
 
-constexpr double kReadyInSeconds = 10;  // until a restarted process has answered a request with its result
-constexpr double kMinReadyShare = 0.9;  // of all restarts
+constexpr double kMaxReadySeconds = 10;  // until a restarted process has answered a request with its result
+constexpr double kMinReadyShare = 0.9;   // of all restarts
 
-// Fills a store like that of a server that has run for hours: completed requests with their results.
+// Fills a store with completed requests and their results, like that of a server that has run for hours.
 void fill(const std::string& path, int keys) {
   namespace results = damsonspoke::results;
   results::Database store(path, {});
@@ -35,18 +34,18 @@
   store.commit();
 }
 
-// Seconds until a request of this life was acked; < 0: none was in time.
-double first_success(Fleet& fleet, double began) {
+// Returns the seconds until a request of this incarnation succeeded; negative: none succeeded in time.
+double seconds_until_success(Fleet& fleet, double started_at) {
   const int life = fleet.server.life_number();
-  double at = -1;
+  double succeeded_at = -1;
   fleet.callers.on_answer = [&](const Attempt& one) {
-    if (at < 0 && one.life == life && !one.answers.empty() &&
+    if (succeeded_at < 0 && one.life == life && !one.answers.empty() &&
         one.answers.back().kind == AnswerKind::kSucceeded)
-      at = one.answers.back().at;
+      succeeded_at = one.answers.back().at;
   };
-  fleet.loop.run_until([&] { return at >= 0; }, kReadyInSeconds + 5);
+  fleet.loop.run_until([&] { return succeeded_at >= 0; }, kMaxReadySeconds + 5);
   fleet.callers.on_answer = nullptr;
-  return at < 0 ? -1 : at - began;
+  return succeeded_at < 0 ? -1 : succeeded_at - started_at;
 }
 
 SiteSpec restarted_site() {
@@ -86,25 +85,25 @@
   double slowest_seconds = 0;
 };
 
-// Nothing where the program does not start again.
-std::optional<RestartReport> restart_often(Fleet& fleet, int restarts, bool prints_times) {
+// Returns nullopt if the program does not start.
+std::optional<RestartReport> restart_repeatedly(Fleet& fleet, int restarts, bool prints_times) {
   RestartReport report;
   for (int i = 0; i < restarts; ++i) {
     fleet.kill();
-    if (i % 3 == 2) fleet.runtime.options.link_delay_seconds = 0.7;  // the runtime comes up after it
-    const double began = now();
+    if (i % 3 == 2) fleet.runtime.options.link_delay_seconds = 0.7;  // the runtime is ready after the server
+    const double started_at = now();
     if (!fleet.start()) {
-      std::printf("it does not start again, restart %d\n", i + 1);
+      std::printf("the program does not start, restart %d\n", i + 1);
       return std::nullopt;
     }
-    const double start_seconds = now() - began;
-    const double success_seconds = first_success(fleet, began);
+    const double start_seconds = now() - started_at;
+    const double success_seconds = seconds_until_success(fleet, started_at);
     const bool has_succeeded = success_seconds >= 0;
-    if (has_succeeded && success_seconds <= kReadyInSeconds) ++report.ready;
+    if (has_succeeded && success_seconds <= kMaxReadySeconds) ++report.ready;
     report.slowest_seconds =
-        std::max(report.slowest_seconds, has_succeeded ? success_seconds : kReadyInSeconds + 5);
+        std::max(report.slowest_seconds, has_succeeded ? success_seconds : kMaxReadySeconds + 5);
     if (prints_times) {
-      std::fprintf(stderr, "restart %2d: listens %.3f s, first ack %.3f s\n", i + 1, start_seconds,
+      std::fprintf(stderr, "restart %2d: listens %.3f s, first success %.3f s\n", i + 1, start_seconds,
                    success_seconds);
     }
     fleet.loop.run_for(0.1);
@@ -120,25 +119,26 @@
   Fleet fleet(argv[1], restarted_site(), runtime_options(), load_of_callers());
   fill(fleet.store_path(), 40'000);
   if (!fleet.start()) {
-    std::printf("it does not start\n");
+    std::printf("the program does not start\n");
     return 1;
   }
-  fleet.loop.run_for(3);  // a state to come back to
-  const std::optional<RestartReport> report = restart_often(fleet, restarts, argc > 3);
+  fleet.loop.run_for(3);  // creates state that the restarts recover
+  const std::optional<RestartReport> report = restart_repeatedly(fleet, restarts, argc > 3);
   if (!report) return 1;
-  const bool settled = fleet.settle(15);
-  const bool left = fleet.leave();
-  // Starts are judged here: on a crowded machine the stand-ins themselves see answers late. That answers come
-  // in time is judged where nothing is killed twenty times.
+  const bool has_settled = fleet.settle(15);
+  const bool has_shut_down = fleet.leave();
+  // This test checks starts. On a busy machine the simulated peers themselves receive answers late, so the
+  // slack for late answers is larger here; other tests, without repeated kills, check that answers arrive in
+  // time.
   RuleLimits limits = fleet.limits();
   limits.slack = 2;
   const Verdict verdict = check_rules(fleet.journal, limits);
   for (const std::string& line : verdict.broken) std::printf("%s\n", line.c_str());
-  std::fprintf(stderr, "restarts %d, ready within %.0f s %d, slowest %.2f s\n", restarts, kReadyInSeconds,
+  std::fprintf(stderr, "restarts %d, ready within %.0f s %d, slowest %.2f s\n", restarts, kMaxReadySeconds,
                report->ready, report->slowest_seconds);
-  std::printf("nine in ten of the restarts ready in time: %s\n",
+  std::printf("nine of ten restarts ready in time: %s\n",
               report->ready >= kMinReadyShare * restarts ? "yes" : "no");
-  std::printf("the four rules: %s; settled: %s; left in order: %s\n", verdict.kept() ? "kept" : "broken",
-              settled ? "yes" : "no", left ? "yes" : "no");
+  std::printf("the four rules: %s; settled: %s; shut down gracefully: %s\n",
+              verdict.kept() ? "kept" : "broken", has_settled ? "yes" : "no", has_shut_down ? "yes" : "no");
   return verdict.kept() ? 0 : 1;
 }
--- a/tests/statistics/statistics_program.cpp
+++ b/tests/statistics/statistics_program.cpp
@@ -1,6 +1,7 @@
-// Learned statistics over several runs of the program: handed on at graceful shutdown, given up after starts
-// that did not last, a folder that is missing, and one whose writes hang. CTest compares with
-// tests/traces/NAME.txt. usage: statistics_program BINARY handed_on|hung_folder
+// Learned statistics over several incarnations of the program: restored after a graceful shutdown, rejected
+// after failed starts, with a folder that is missing, and with a folder whose writes hang. CTest compares the
+// output with tests/traces/NAME.txt. usage: statistics_program BINARY
+// statistics_restarts|statistics_hung_folder
 #include <sys/stat.h>
 
 #include <cstring>
@@ -11,7 +12,8 @@
 
 namespace {
 
-void run_some(Site& site, int from, int notice) {
+// Four requests with ids from `from` on, whose ends are the runtime's notices from number `notice` on.
+void serve_requests(Site& site, int from, int notice) {
   const int caller = site.connect();
   for (int i = 0; i < 4; ++i) {
     char id[17];
@@ -25,7 +27,8 @@
   site.hang_up(caller);
 }
 
-void line(Site& site, const char* part) {
+// Waits for a log line that contains `part` and prints it from there on, without the age.
+void print_log_line(Site& site, const char* part) {
   const std::string found = site.expect_log(part);
   const std::size_t at = found.find(part);
   const std::size_t end = found.find(" age_s");
@@ -34,53 +37,54 @@
                                : found.substr(at, end == std::string::npos ? end : end - at).c_str());
 }
 
-void handed_on() {
+void statistics_restarts() {
   Site site("", "", {"", "knowledge\n    enabled on\n    folder FOLDER\n"});
   site.comes_up();
-  line(site, "starting without");
-  run_some(site, 1, 1);
+  print_log_line(site, "starting without");
+  serve_requests(site, 1, 1);
   site.signal(SIGTERM);
   site.ends();
   site.kill_and_start();
   site.comes_up();
-  line(site, "starting with learned");
-  site.pause(0.3);        // that a life began with it is written by then
-  site.kill_and_start();  // it may have died of what it knew
+  print_log_line(site, "starting with learned");
+  site.pause(0.3);        // the beginning of the trial is stored by then
+  site.kill_and_start();  // counts as a failed start, which the record may have caused
   site.comes_up();
-  line(site, "starting with learned");
+  print_log_line(site, "starting with learned");
   site.pause(0.3);
   site.kill_and_start();
   site.comes_up();
-  line(site, "learned statistics rejected");
-  run_some(site, 11, 1);
+  print_log_line(site, "learned statistics rejected");
+  serve_requests(site, 11, 1);
   site.signal(SIGTERM);
   site.ends();
   site.kill_and_start();
   site.comes_up();
-  line(site, "starting with learned");
+  print_log_line(site, "starting with learned");
   site.write_operators("knowledge\n    enabled on\n    folder /nowhere/at/all\n");
   site.kill_and_start();
   site.comes_up();
-  line(site, "starting without");
-  run_some(site, 21, 1);
+  print_log_line(site, "starting without");
+  serve_requests(site, 21, 1);
   site.signal(SIGTERM);
   site.ends();
 }
 
-// A pipe that nobody reads stands where a record is written aside: to open it takes for ever.
-void hung_folder() {
+// A named pipe without a reader stands in for the temporary file of a record: opening it for writing blocks
+// forever.
+void statistics_hung_folder() {
   Site site("", "", {"", "knowledge\n    enabled on\n    folder FOLDER\n    interval 1s\n"});
   ::mkfifo((site.folder() + "/knowledge.new").c_str(), 0644);
   site.comes_up();
-  line(site, "starting without");
-  run_some(site, 1, 1);
-  site.pause(1.2);  // the first record hangs by now
-  run_some(site, 11, 5);
-  const auto begin = Clock::now();
+  print_log_line(site, "starting without");
+  serve_requests(site, 1, 1);
+  site.pause(1.2);  // writing the first record hangs by now
+  serve_requests(site, 11, 5);
+  const auto started_at = Clock::now();
   site.signal(SIGTERM);
   site.ends();
-  const double took = std::chrono::duration<double>(Clock::now() - begin).count();
-  std::printf("within its stop: %s\n", took < 2 ? "yes" : "no");
+  const double seconds = std::chrono::duration<double>(Clock::now() - started_at).count();
+  std::printf("stopped in time: %s\n", seconds < 2 ? "yes" : "no");
 }
 
 }  // namespace
@@ -90,6 +94,6 @@
   binary = argv[1];
   std::setvbuf(stdout, nullptr, _IOLBF, 0);
   std::signal(SIGPIPE, SIG_IGN);
-  std::strcmp(argv[2], "handed_on") == 0 ? handed_on() : hung_folder();
+  std::strcmp(argv[2], "statistics_restarts") == 0 ? statistics_restarts() : statistics_hung_folder();
   return 0;
 }
--- a/tests/store/checksummed_file_test.cpp
+++ b/tests/store/checksummed_file_test.cpp
@@ -1,4 +1,5 @@
-// A checksummed file is replaced whole, and only intact content of a known format version is read.
+// Tests that a checksummed file is replaced atomically, and that only intact content of a supported format
+// version is read.
 #include "store/checksummed_file.h"
 
 #include <gtest/gtest.h>
@@ -37,7 +38,7 @@
   EXPECT_EQ(result.content.content, "first");
 }
 
-TEST(ChecksummedFile, DoesNotKeepACorruptFileAsPreviousGeneration) {
+TEST(ChecksummedFile, DoesNotRetainACorruptFileAsPreviousGeneration) {
   RecordingFolder folder;
   ChecksummedFile file = file_in(folder);
   ASSERT_TRUE(file.write("first"));
@@ -49,7 +50,7 @@
   EXPECT_EQ(verify_checksum(corrupt.files().at("state.1"), kFormatVersion).content, "first");
 }
 
-TEST(ChecksummedFile, SetsANewerFormatAsideOnce) {
+TEST(ChecksummedFile, PreservesTheFirstFileOfANewerFormat) {
   const std::string newer = add_checksum(kFormatVersion + 1, "unknown");
   RecordingFolder folder({{"state", newer}});
   ChecksummedFile file = file_in(folder);
@@ -59,18 +60,18 @@
   EXPECT_EQ(folder.files().at("state.newer"), newer);
 }
 
-TEST(ChecksummedFile, RefusesContentThatIsTooLong) {
+TEST(ChecksummedFile, RejectsContentThatIsTooLong) {
   RecordingFolder folder;
   EXPECT_TRUE(file_in(folder).write(std::string(kMaxBytes, 'x')));
   EXPECT_FALSE(file_in(folder).write(std::string(kMaxBytes + 1, 'x')));
 }
 
-TEST(ChecksumHeader, TellsForeignBytesFromAnIncompleteHeader) {
+TEST(ChecksumHeader, DistinguishesForeignBytesFromAnIncompleteHeader) {
   EXPECT_EQ(read_checksum_header("#!/bin/sh\n", kFormatVersion).problem, ChecksumProblem::kUnrecognized);
   EXPECT_EQ(read_checksum_header("DSPK", kFormatVersion).problem, ChecksumProblem::kCorrupt);
 }
 
-TEST(ChecksumVerifier, AcceptsThePiecesOfTheWholeContentOnly) {
+TEST(ChecksumVerifier, AcceptsOnlyThePiecesOfTheCompleteContent) {
   const std::string bytes = add_checksum(kFormatVersion, "in three pieces");
   ChecksumVerifier verifier(read_checksum_header(bytes, kFormatVersion));
   verifier.add("in ");
--- a/tests/store/file_system_test.cpp
+++ b/tests/store/file_system_test.cpp
@@ -1,4 +1,4 @@
-// The machine's file system behind FileSystem, and the errors that it reports.
+// Tests the FileSystem of the machine and the errors that it reports.
 #include "store/file_system.h"
 
 #include <gtest/gtest.h>
@@ -54,7 +54,7 @@
   EXPECT_TRUE(folder_->try_lock());
   const std::unique_ptr<FileSystem> other = open_folder(path_);
   EXPECT_FALSE(other->try_lock());
-  EXPECT_EQ(text_of(other->last_error()), path_ + ": another process has it");
+  EXPECT_EQ(text_of(other->last_error()), path_ + ": locked by another process");
   folder_.reset();
   EXPECT_TRUE(other->try_lock());
 }
--- a/tests/store/recording_folder.h
+++ b/tests/store/recording_folder.h
@@ -1,6 +1,6 @@
-// A FileSystem in memory that records its operations, so that a crash after any of them can be replayed:
-// bytes that were not synced are there in part or not at all, and changes of names that were not synced
-// happened or not, each on its own.
+// An in-memory FileSystem that records its operations, so that a crash after any of them can be simulated:
+// unsynced bytes survive in part or not at all, and each unsynced change of a name survives or is lost,
+// independently of the others.
 #pragma once
 
 #include <algorithm>
@@ -67,8 +67,8 @@
   bool is_full = false;
   bool is_locked_elsewhere = false;
 
-  // The files after the first `count` steps when the process is killed: the machine goes on, and of the last
-  // step's write only `last_write_bytes` were made.
+  // Returns the files after the process was killed behind the first `count` steps. All completed steps
+  // survive; of a write in the last step, only `last_write_bytes` were written.
   static Files after_kill(const std::vector<Step>& steps, std::size_t count, std::size_t last_write_bytes) {
     RecordingFolder folder;
     for (std::size_t i = 0; i < count; ++i) {
@@ -78,7 +78,7 @@
     return folder.files_;
   }
 
-  // The files after the first `count` steps and a power cut.
+  // Returns the files after a power cut behind the first `count` steps.
   static Files after_power_cut(const std::vector<Step>& steps, std::size_t count, std::uint64_t seed) {
     PowerCut power_cut(seed);
     for (std::size_t i = 0; i < count; ++i) power_cut.apply(steps[i]);
@@ -86,7 +86,7 @@
   }
 
  private:
-  // Tells apart what a file holds and what of it is durable, and the same for names.
+  // Tracks the current and the durable content of files, and the current and the durable names.
   class PowerCut {
    public:
     explicit PowerCut(std::uint64_t seed) : random_(seed) {}
@@ -159,7 +159,7 @@
     std::vector<Inode> inodes_;
     std::map<std::string, std::size_t> names_;
     std::map<std::string, std::size_t> durable_names_;
-    std::vector<std::pair<const Step*, std::size_t>> unsynced_;  // changes of names, and the inode of each
+    std::vector<std::pair<const Step*, std::size_t>> unsynced_;  // changes of names, with their inodes
   };
 
   bool record(Step step) {
