--- a/src/results/health.h
+++ b/src/results/health.h
@@ -1,5 +1,5 @@
 // Decides how the program reacts to faults of the results store: a state machine without I/O that takes
-// faults and the time, and tells whether the store may be written or should be opened.
+// faults and the time, and reports whether the store may be written or should be opened.
 //
 //   kFull         stored results are still served; after each failed write, new intents are rejected for a
 //   pause kUnavailable  the store is closed and reopened after a backoff; until then intents are rejected
--- a/src/stages/completion_handler.cpp
+++ b/src/stages/completion_handler.cpp
@@ -36,7 +36,8 @@
   const bool continues = outcome == Outcome::kCancelled && !request->answered;
   request->run = continues && pauses_ ? RunStage::kPaused : RunStage::kNone;
   if (request->run == RunStage::kPaused) request->was_paused = true;
-  // A run that was not resumed has still executed in part, so its request did not "never run".
+  // A run whose resumption was not carried out has already executed in part, so its request must not be
+  // treated as one that never ran.
   if (outcome == Outcome::kObsolete && request->was_paused) outcome = Outcome::kError;
   const bool answer_follows = replay_.on_run_ended(*request, outcome, result);
   if (outcome == Outcome::kOk && !answer_follows) in_flight_.succeed(*request, result);
--- a/src/store/checksummed_file.h
+++ b/src/store/checksummed_file.h
@@ -42,7 +42,7 @@
 
 // The header of a file, for callers that read its content in pieces.
 struct ChecksumHeader {
-  ChecksumProblem problem = ChecksumProblem::kCorrupt;  // also where the header is incomplete
+  ChecksumProblem problem = ChecksumProblem::kCorrupt;  // also if the header is incomplete
   std::uint32_t format_version = 0;
   std::uint64_t length = 0;  // bytes of content
   std::uint64_t checksum = 0;
