--- a/src/results/database.cpp
+++ b/src/results/database.cpp
@@ -5,7 +5,7 @@
 #include <sqlite3.h>
 #include <sys/file.h>
 #include <unistd.h>
-#define XXH_STATIC_LINKING_ONLY  // the state on the stack
+#define XXH_STATIC_LINKING_ONLY  // permits a hash state on the stack
 #include <xxhash.h>
 
 #include <algorithm>
@@ -109,7 +109,7 @@
   }
   // The bytes must outlive this object.
   Statement& bind(std::string_view bytes) {
-    const char* const data = bytes.data() == nullptr ? "" : bytes.data();  // null would bind NULL
+    const char* const data = bytes.data() == nullptr ? "" : bytes.data();  // a null pointer would bind NULL
     sqlite3_bind_blob(statement_, ++bound_, data, static_cast<int>(bytes.size()), SQLITE_STATIC);
     return *this;
   }
--- a/src/results/health.h
+++ b/src/results/health.h
@@ -32,7 +32,8 @@
   [[nodiscard]] bool accepts_intents(double now) const;
   // Whether the store is closed and the time to open it has come.
   [[nodiscard]] bool should_open(double now) const;
-  // The Retry-After of a request that was rejected for the store, in seconds; 0 while the store is healthy.
+  // Seconds after which a request that was rejected because of the store may be retried; 0 while it is
+  // healthy.
   [[nodiscard]] double retry_after(double now) const;
 
  private:
--- a/src/results/key.cpp
+++ b/src/results/key.cpp
@@ -1,7 +1,7 @@
 #include "results/key.h"
 
 #include <fmt/format.h>
-#define XXH_STATIC_LINKING_ONLY  // the state on the stack
+#define XXH_STATIC_LINKING_ONLY  // permits a hash state on the stack
 #include <xxhash.h>
 
 #include <charconv>
--- a/tests/results/results_program.cpp
+++ b/tests/results/results_program.cpp
@@ -303,7 +303,7 @@
   site.send_request(caller, 4, "push", R"("ram":10,"limit":3000,"key":"b")");
   site.pause(0.05);
   site.signal(SIGTERM);
-  site.caller_hears(caller);  // no more
+  site.caller_hears(caller);  // the drain announcement
   site.runtime_says("end 1 " + kId1 + " complete 20 6\r\nresult");
   site.caller_hears(caller);
   site.caller_hears(caller);
@@ -452,7 +452,7 @@
   site.send_request(caller, 2, "push", R"("ram":10,"limit":3000,"key":"b")");
   const std::string answer = site.heard(caller);
   std::printf("caller hears: %s\n", answer.substr(0, answer.find(",\"data\"")).c_str());
-  site.send_request(caller, 3, "push", kParamsWithKeyA);  // from memory
+  site.send_request(caller, 3, "push", kParamsWithKeyA);  // answered from memory
   site.caller_hears(caller);
   sqlite3_exec(db, "rollback", nullptr, nullptr, nullptr);
   sqlite3_close(db);
@@ -473,7 +473,7 @@
   site.send_request(caller, 1, "push", kParamsWithKeyA);
   site.runtime_hears(2);
   site.signal(SIGTERM);
-  site.caller_hears(caller);  // no more
+  site.caller_hears(caller);  // the drain announcement
   site.pause(kSecondsUntilRunEnds);
   sqlite3* db = nullptr;
   sqlite3_open(site.store_path().c_str(), &db);
