--- a/src/stages/request_forwarder.cpp
+++ b/src/stages/request_forwarder.cpp
@@ -11,21 +11,22 @@
 
 namespace wt = wire::tier;
 
-// A planner that rejects at once is sent at most four windows a second.
+// Limits the attempts sent to a planner that rejects them immediately to four windows per second.
 constexpr double kRejectionCooldownSeconds = 0.25;
-constexpr double kStartupWaitSeconds =
-    0.25;  // from the first request on; planners connect within milliseconds
+// From the first request; planners usually connect within milliseconds.
+constexpr double kStartupWaitSeconds = 0.25;
 constexpr double kCheckIntervalSeconds = 0.1;
 constexpr double kSixteenthsPerKb = 16;
 constexpr double kMicrosecondsPerSecond = 1e6;
 constexpr double kSecondsPerMicrosecond = 1e-6;
 constexpr double kMaxWireMicroseconds = 4e9;
 constexpr double kMaxWireSize = 4e9;
-constexpr double kMilli = 1000;
-// A guess hits the next number once in 8 million times, and 64 bits last for 10^12 attempts.
+constexpr double kMilliPerUnit = 1000;
+// Attempt numbers increase by random steps up to this limit: a guess of the next number succeeds once in
+// 8 million tries, and 64 bits suffice for 10^12 attempts.
 constexpr std::uint64_t kMaxAttemptStep = 1 << 24;
 constexpr double kHistoryReadTimeoutSeconds = 2;
-constexpr std::size_t kRequestOverheadBytes = 512;  // of an open request, beside its body and key
+constexpr std::size_t kRequestOverheadBytes = 512;  // of a request in flight, in addition to its body and key
 constexpr std::uint64_t kCallerSeedFactor = 0x9e3779b97f4a7c15ULL;  // 2^64 / golden ratio
 
 std::uint32_t microseconds(double seconds) {
@@ -55,8 +56,9 @@
   }
 }
 
-// A key is remembered for its window from its admission on, which is within its request's timeout. What a
-// forwarder sends by a superseded list may be admitted up to one timeout after the reload.
+// A planner remembers a key for the idempotency window after it admits the request, which it does within the
+// request's timeout. A request that a forwarder sent according to a superseded endpoint list may be admitted
+// up to one timeout after the reload.
 tier::KeyOwnershipOptions key_ownership_options(const ForwardOptions& options, const StartSettings& site) {
   double window = 0;
   double longest_timeout = 0;
@@ -106,7 +108,7 @@
           static_cast<tier::DispatchSink&>(*this),
           [this] { return std::ldexp(static_cast<double>(random_() >> 11), -53); }, net::monotonic_now())),
       key_ownership_(key_ownership_options(options.forward, site)),
-      lists_{options.forward.planners, {}} {
+      endpoint_lists_{options.forward.planners, {}} {
   if (options.forward.folder.empty()) return;
   history_file_ = std::make_unique<store::PersistedFile>(
       [folder = options.forward.folder] { return store::open_folder(folder); }, "planners",
@@ -143,9 +145,9 @@
   if (in.received_at <= 0) in.received_at = now;
   body_bytes_ += request.bytes;
   const bool fits = body_bytes_ <= max_body_bytes_;
-  open_[request.id] = {std::move(in), now + request.remaining_time};
-  // Without memory the new request is rejected, whatever its priority. The wait queues' own bound is lower
-  // and evicts by priority.
+  in_flight_[request.id] = {std::move(in), now + request.remaining_time};
+  // If the memory for bodies is exhausted, the new request is rejected whatever its priority. The limit of
+  // the wait queues is lower and evicts requests by priority.
   if (!fits) {
     reply(request.id, tier::LocalReply::kRejected, 0, false);
     return;
@@ -153,7 +155,7 @@
   dispatch_->on_request(request, net::monotonic_now());
 }
 
-// 0 where the request is not keyed, otherwise not 0.
+// Returns 0 if the request is not keyed, otherwise a value that is not 0.
 std::uint64_t RequestForwarder::key_hash(const peers::IncomingRequest& request) const {
   const Route& route = site_.admission.routes[static_cast<std::size_t>(request.route)];
   if (route.idempotency != Idempotency::kWithKey) return 0;
@@ -165,21 +167,21 @@
          1;
 }
 
-RequestForwarder::OpenRequest RequestForwarder::take_completed(RequestId id, Count as) {
-  const auto found = open_.find(id);
-  OpenRequest out = std::move(found->second);
-  open_.erase(found);
+RequestForwarder::InFlightEntry RequestForwarder::remove_completed(RequestId id, Count result_counter) {
+  const auto found = in_flight_.find(id);
+  InFlightEntry out = std::move(found->second);
+  in_flight_.erase(found);
   body_bytes_ -= memory_of(out.request);
-  counters_.add(as);
-  if (as != Count::kRequestsCallerGone && net::unix_now() > out.deadline)
+  counters_.add(result_counter);
+  if (result_counter != Count::kRequestsCallerGone && net::unix_now() > out.deadline)
     counters_.add(Count::kRequestsOverdue);
   return out;
 }
 
 void RequestForwarder::on_caller_disconnected(RequestId id) {
-  if (!open_.contains(id)) return;
+  if (!in_flight_.contains(id)) return;
   dispatch_->on_caller_disconnected(id, net::monotonic_now());
-  take_completed(id, Count::kRequestsCallerGone);
+  remove_completed(id, Count::kRequestsCallerGone);
 }
 
 void RequestForwarder::on_health_check(peers::ReplyAddress reply_to, bool /*requires_self_test*/) {
@@ -195,13 +197,14 @@
 
 void RequestForwarder::on_link_lost(int planner, const std::vector<std::uint64_t>& unwritten) {
   for (const std::uint64_t attempt : unwritten)
-    log_.debug("forward", "attempt {} at planner {} was never written", attempt, planner);
+    log_.debug("forward", "attempt {} was not written to planner {} before its link was lost", attempt,
+               planner);
   dispatch_->on_link_lost(planner, unwritten, net::monotonic_now());
 }
 
 void RequestForwarder::on_load_report(int planner, const wt::LoadReport& report) {
-  dispatch_->on_load_report(planner, report.window, report.slot_value_milli / kMilli, report.is_healthy,
-                            net::monotonic_now());
+  dispatch_->on_load_report(planner, report.window, report.slot_value_milli / kMilliPerUnit,
+                            report.is_healthy, net::monotonic_now());
 }
 
 void RequestForwarder::on_planner_draining(int planner) {
@@ -220,17 +223,17 @@
       answer.no_retry, net::monotonic_now());
   if (completed) {
     const bool succeeded = answer.result == wt::Result::kSucceeded;
-    pass_on(take_completed(*completed, succeeded ? Count::kRequestsSucceeded : Count::kRequestsFailed),
-            answer);
+    forward_answer(
+        remove_completed(*completed, succeeded ? Count::kRequestsSucceeded : Count::kRequestsFailed), answer);
   }
   close_if_idle(planner);
 }
 
-void RequestForwarder::pass_on(const OpenRequest& open, const wt::Answer& answer) {
+void RequestForwarder::forward_answer(const InFlightEntry& entry, const wt::Answer& answer) {
   if (answer.result == wt::Result::kSucceeded) {
-    ports_.callers->answer_succeeded(open.request.reply_to, answer.body);
+    ports_.callers->answer_succeeded(entry.request.reply_to, answer.body);
   } else {
-    ports_.callers->answer_failed(open.request.reply_to, failure_reason(answer.result));
+    ports_.callers->answer_failed(entry.request.reply_to, failure_reason(answer.result));
   }
 }
 
@@ -238,11 +241,11 @@
   if (dispatch_->attempts().open_attempts_at(planner) == 0) ports_.planners->close_if_draining(planner);
 }
 
-// ---- The dispatch's acts.
+// ---- tier::DispatchSink.
 
 void RequestForwarder::send(int planner, tier::Attempt attempt, RequestId id, double remaining_time,
                             bool is_lookup_only) {
-  const peers::IncomingRequest& request = open_.at(id).request;
+  const peers::IncomingRequest& request = in_flight_.at(id).request;
   wt::Submit submit;
   submit.attempt = attempt;
   submit.request = request.id;
@@ -266,18 +269,18 @@
 
 void RequestForwarder::fence(int planner, tier::Attempt attempt) { ports_.planners->fence(planner, attempt); }
 
-void RequestForwarder::reply(RequestId id, tier::LocalReply how, double retry_after, bool no_retry) {
-  if (how == tier::LocalReply::kRejected) {
-    const OpenRequest open = take_completed(id, Count::kRequestsRejected);
-    const double told = site_.admission.sends_retry_after ? retry_after : 0;
-    ports_.callers->answer_rejected(open.request.reply_to, told, no_retry);
+void RequestForwarder::reply(RequestId id, tier::LocalReply kind, double retry_after, bool no_retry) {
+  if (kind == tier::LocalReply::kRejected) {
+    const InFlightEntry entry = remove_completed(id, Count::kRequestsRejected);
+    const double retry_after_to_send = site_.admission.sends_retry_after ? retry_after : 0;
+    ports_.callers->answer_rejected(entry.request.reply_to, retry_after_to_send, no_retry);
   } else {
-    const OpenRequest open = take_completed(id, Count::kRequestsFailed);
-    ports_.callers->answer_failed(open.request.reply_to, peers::FailureReason::kFailed);
+    const InFlightEntry entry = remove_completed(id, Count::kRequestsFailed);
+    ports_.callers->answer_failed(entry.request.reply_to, peers::FailureReason::kFailed);
   }
 }
 
-// An earlier wakeup that is scheduled is kept: the dispatch schedules again when it is woken.
+// Does nothing if an earlier wakeup is scheduled: the dispatch schedules the next one when that timer fires.
 void RequestForwarder::schedule_wakeup(double time) {
   if (wakeup_time_ >= 0 && wakeup_time_ <= time) return;
   reactor_.cancel(wakeup_timer_);
@@ -295,7 +298,7 @@
   connect_planners();
   if (history_file_) {
     const std::optional<std::string> error = history_file_->take_write_error();
-    if (error && !error->empty()) log_.warn("forward", "endpoint lists not stored: {}", *error);
+    if (error && !error->empty()) log_.warn("forward", "endpoint list history not stored: {}", *error);
   }
   for (std::size_t i = 0; i < connects_to_.size(); ++i) close_if_idle(static_cast<int>(i));
   reactor_.cancel(check_timer_);
@@ -306,7 +309,7 @@
   const bool healthy = dispatch_->is_healthy(net::monotonic_now());
   if (healthy == reported_healthy_) return;
   reported_healthy_ = healthy;
-  log_.info("forward", "now {}", healthy ? "healthy" : "unhealthy");
+  log_.info("forward", "forwarder became {}", healthy ? "healthy" : "unhealthy");
   ports_.registry->report(healthy || !site_.registry_follows_health);
 }
 
@@ -320,12 +323,12 @@
 // ---- The endpoint list.
 
 void RequestForwarder::set_planners(const std::vector<std::string>& addresses) {
-  if (addresses != lists_.current) {
+  if (addresses != endpoint_lists_.current) {
     const double now = net::unix_now();
-    std::erase_if(lists_.former, [&](const tier::FormerEndpointList& list) {
+    std::erase_if(endpoint_lists_.former, [&](const tier::FormerEndpointList& list) {
       return now > list.until + key_ownership_.reload_spread + key_ownership_.retention;
     });
-    lists_.former.push_back({now, std::exchange(lists_.current, addresses)});
+    endpoint_lists_.former.push_back({now, std::exchange(endpoint_lists_.current, addresses)});
     store_history();
     dispatch_->set_planners(addresses, net::monotonic_now());
   }
@@ -352,7 +355,8 @@
   }
 }
 
-// The stored history, if there is one. Where it can't be read, it is not known which keys have moved.
+// Returns the stored history, if there is one. If it cannot be read, it is unknown which keys have changed
+// their owner.
 std::optional<tier::EndpointListHistory> RequestForwarder::read_history() {
   const double now = net::monotonic_now();
   const std::optional<store::ChecksummedContent> file = history_file_->read(kHistoryReadTimeoutSeconds);
@@ -361,7 +365,7 @@
   if (file && file->problem != store::ChecksumProblem::kNone) error = text_of(file->problem);
   if (file && file->problem == store::ChecksumProblem::kNone) {
     if (auto history = tier::decode_endpoint_list_history(file->content)) return history;
-    error = "intact, but no list history";
+    error = "checksum valid, but the content is not an endpoint list history";
   }
   log_.error("forward", "endpoint list history unreadable ({}): keyed requests are rejected for {:.0f} s",
              error, key_ownership_.reload_spread + key_ownership_.retention);
@@ -376,20 +380,22 @@
   if (const std::optional<tier::EndpointListHistory> before = read_history()) {
     for (const tier::FormerEndpointList& list : before->former) {
       if (unix_now <= list.until + key_ownership_.reload_spread + key_ownership_.retention)
-        lists_.former.push_back(list);
+        endpoint_lists_.former.push_back(list);
     }
-    if (before->current != lists_.current) lists_.former.push_back({unix_now, before->current});
-    // A time in the future was written with a wrong clock and counts as now.
-    for (const tier::FormerEndpointList& list : lists_.former)
+    if (before->current != endpoint_lists_.current)
+      endpoint_lists_.former.push_back({unix_now, before->current});
+    // A time in the future was written with a wrong clock and is treated as the current time.
+    for (const tier::FormerEndpointList& list : endpoint_lists_.former)
       dispatch_->add_former_planners(list.planners, now - std::max(0.0, unix_now - list.until));
-    if (!lists_.former.empty())
-      log_.info("forward", "planners of {} former endpoint lists are asked for keys", lists_.former.size());
+    if (!endpoint_lists_.former.empty())
+      log_.info("forward", "keyed requests are looked up at the planners of {} former endpoint lists",
+                endpoint_lists_.former.size());
   }
   store_history();
 }
 
 void RequestForwarder::store_history() {
-  if (history_file_) history_file_->write(tier::encode(lists_));
+  if (history_file_) history_file_->write(tier::encode(endpoint_lists_));
 }
 
 void RequestForwarder::report() {
--- a/src/stages/request_forwarder.h
+++ b/src/stages/request_forwarder.h
@@ -1,5 +1,5 @@
-// A forwarder's one stage: it holds callers' requests until each has its one reply, and carries out what the
-// dispatch (tier/dispatch.h) decides about them.
+// The only stage of a forwarder: stores each caller's request until it is answered, and carries out the
+// decisions of tier::Dispatch (tier/dispatch.h).
 #pragma once
 
 #include <cstddef>
@@ -34,7 +34,7 @@
   struct Options {
     const ForwardOptions& forward;
     const ResultsOptions& results;
-    std::size_t body_bytes = 0;  // memory for the bodies of open requests
+    std::size_t body_bytes = 0;  // memory for the bodies of requests in flight
   };
   RequestForwarder(net::Reactor& reactor, const Ports& ports, const StartSettings& site,
                    const Options& options, std::uint64_t seed, Counters& counters, Logger& log);
@@ -42,20 +42,20 @@
   RequestForwarder(const RequestForwarder&) = delete;
   RequestForwarder& operator=(const RequestForwarder&) = delete;
 
-  // Starts once all ports are set.
+  // Must be called after all ports have been set.
   void begin();
   // Shuts down gracefully within `time_left` s.
   void leave(double time_left);
-  // Sets the endpoint list: planners that stay keep their links and what is open there; those that go keep
-  // theirs for as long as they may be asked which keys they remember.
+  // Sets the endpoint list. Planners that remain listed keep their links and attempts. A planner that is no
+  // longer listed keeps its link for as long as it may have to be queried about the keys that it remembers.
   void set_planners(const std::vector<std::string>& addresses);
-  [[nodiscard]] std::size_t open() const { return open_.size(); }
-  // Brings the counters up to date.
+  [[nodiscard]] std::size_t open() const { return in_flight_.size(); }
+  // Updates the counters.
   void report();
 
   // ---- Callers.
-  bool is_in_use(RequestId id) const override { return open_.contains(id); }
-  bool has_started(RequestId) const override { return false; }  // nothing runs here
+  bool is_in_use(RequestId id) const override { return in_flight_.contains(id); }
+  bool has_started(RequestId) const override { return false; }  // a forwarder runs no requests
   void on_request_read(peers::IncomingRequest request) override;
   void on_caller_disconnected(RequestId id) override;
   void on_health_check(peers::ReplyAddress reply_to, bool requires_self_test) override;
@@ -68,22 +68,22 @@
   void on_answer(int planner, std::uint64_t epoch, const wire::tier::Answer& answer) override;
 
  private:
-  struct OpenRequest {
+  struct InFlightEntry {
     peers::IncomingRequest request;
-    double deadline = 0;  // Unix s
+    double deadline = 0;  // Unix seconds
   };
 
-  // ---- The dispatch's acts.
+  // ---- tier::DispatchSink.
   void send(int planner, tier::Attempt attempt, RequestId request, double remaining_time,
             bool is_lookup_only) override;
   void cancel(int planner, tier::Attempt attempt) override;
   void fence(int planner, tier::Attempt attempt) override;
-  void reply(RequestId request, tier::LocalReply how, double retry_after, bool no_retry) override;
+  void reply(RequestId request, tier::LocalReply kind, double retry_after, bool no_retry) override;
   void schedule_wakeup(double time) override;
 
-  OpenRequest take_completed(RequestId id, Count as);
+  InFlightEntry remove_completed(RequestId id, Count result_counter);
   [[nodiscard]] std::uint64_t key_hash(const peers::IncomingRequest& request) const;
-  void pass_on(const OpenRequest& open, const wire::tier::Answer& answer);
+  void forward_answer(const InFlightEntry& entry, const wire::tier::Answer& answer);
   void close_if_idle(int planner);
   void check();
   void report_health();
@@ -99,17 +99,17 @@
   Counters& counters_;
   Logger& log_;
   pcg64 random_;
-  std::unordered_map<RequestId, OpenRequest> open_;
+  std::unordered_map<RequestId, InFlightEntry> in_flight_;
   std::size_t body_bytes_ = 0;
   const std::size_t max_body_bytes_;
   std::unique_ptr<tier::Dispatch> dispatch_;
   const tier::KeyOwnershipOptions key_ownership_;
-  tier::EndpointListHistory lists_;
-  std::vector<bool> connects_to_;                       // by planner
-  std::unique_ptr<store::PersistedFile> history_file_;  // null: not stored
+  tier::EndpointListHistory endpoint_lists_;
+  std::vector<bool> connects_to_;                       // whether a link is maintained, by planner
+  std::unique_ptr<store::PersistedFile> history_file_;  // null: the endpoint lists are not stored
   net::Reactor::TimerId wakeup_timer_;
   net::Reactor::TimerId check_timer_;
-  double wakeup_time_ = -1;  // < 0: none is scheduled
+  double wakeup_time_ = -1;  // negative: no wakeup is scheduled
   bool reported_healthy_ = false;
 };
 
--- a/src/statistics/statistics_store.cpp
+++ b/src/statistics/statistics_store.cpp
@@ -27,7 +27,7 @@
   return ReadProblem::kCorrupt;
 }
 
-// A trial that can't be read counts as one failed start.
+// A trial file that cannot be parsed counts as one failed start.
 int parse_failed_starts(const std::string& text) {
   int failed_starts = 0;
   const auto [stop, error] = std::from_chars(text.data(), text.data() + text.size(), failed_starts);
@@ -40,11 +40,11 @@
 std::string_view text_of(ReadProblem problem) {
   switch (problem) {
     case ReadProblem::kNone: return "";
-    case ReadProblem::kMissing: return "there is no record";
+    case ReadProblem::kMissing: return "no record found";
     case ReadProblem::kCorrupt: return text_of(store::ChecksumProblem::kCorrupt);
     case ReadProblem::kUnrecognized: return text_of(store::ChecksumProblem::kUnrecognized);
     case ReadProblem::kNewerFormat: return text_of(store::ChecksumProblem::kNewerFormat);
-    case ReadProblem::kNoRecord: return "intact, but no record of statistics";
+    case ReadProblem::kNoRecord: return "checksum valid, but the content is not a statistics record";
   }
   return "";
 }
@@ -52,16 +52,16 @@
 // ---- The files.
 
 RecordReadResult StatisticsFolder::read() {
-  RecordReadResult reading;
+  RecordReadResult read_result;
   const store::ChecksummedFile::ReadResult result = file_.read();
-  reading.is_previous = result.is_previous;
-  reading.problem = read_problem_of(result.content.problem);
-  if (reading.problem != ReadProblem::kNone) return reading;
-  reading.record = decode(result.content.content);
-  if (!reading.record) reading.problem = ReadProblem::kNoRecord;
+  read_result.is_previous = result.is_previous;
+  read_result.problem = read_problem_of(result.content.problem);
+  if (read_result.problem != ReadProblem::kNone) return read_result;
+  read_result.record = decode(result.content.content);
+  if (!read_result.record) read_result.problem = ReadProblem::kNoRecord;
   const std::optional<std::string> trial = file_system_.read(kTrialFile, kMaxTrialBytes);
-  if (trial) reading.failed_starts = parse_failed_starts(*trial);
-  return reading;
+  if (trial) read_result.failed_starts = parse_failed_starts(*trial);
+  return read_result;
 }
 
 void StatisticsFolder::begin_trial(int failed_starts) {
@@ -86,10 +86,10 @@
   end_trial();
 }
 
-// ---- The thread.
+// ---- The worker thread.
 
 struct StatisticsStore::Shared : store::WorkerThreadState {
-  // What is handed over; guarded by the mutex.
+  // Work that is queued for the thread; guarded by the mutex.
   struct Pending {
     std::optional<int> trial_to_begin;
     bool ends_trial = false;
@@ -98,7 +98,7 @@
     [[nodiscard]] bool is_empty() const { return !trial_to_begin && !ends_trial && !record; }
   };
 
-  std::optional<RecordReadResult> reading;
+  std::optional<RecordReadResult> read_result;
   Pending pending;
   std::optional<std::string> unreported_error;
   std::string last_error;
@@ -108,7 +108,7 @@
     StatisticsFolder folder(file_system);
     RecordReadResult first = folder.read();
     std::unique_lock guard(mutex);
-    reading = std::move(first);
+    read_result = std::move(first);
     for (;;) {
       changed.notify_all();
       changed.wait(guard, [this] { return closing || !pending.is_empty(); });
@@ -144,7 +144,7 @@
     try {
       shared->run(*make_file_system());
     } catch (const std::exception& error) {
-      std::fprintf(stderr, "damsonspoke: knowledge: %s\n", error.what());
+      std::fprintf(stderr, "damsonspoke: knowledge: worker thread failed: %s\n", error.what());
     }
     shared->finish();
   });
@@ -152,15 +152,15 @@
 
 StatisticsStore::~StatisticsStore() { store::stop_worker_thread(*shared_, thread_); }
 
-void StatisticsStore::wait_for_reading(double seconds) {
+void StatisticsStore::wait_for_read(double seconds) {
   std::unique_lock guard(shared_->mutex);
   shared_->changed.wait_for(guard, std::chrono::duration<double>(seconds),
-                            [this] { return shared_->reading.has_value() || shared_->ended; });
+                            [this] { return shared_->read_result.has_value() || shared_->ended; });
 }
 
-std::optional<RecordReadResult> StatisticsStore::take_reading() {
+std::optional<RecordReadResult> StatisticsStore::take_read_result() {
   const std::lock_guard guard(shared_->mutex);
-  return std::exchange(shared_->reading, std::nullopt);
+  return std::exchange(shared_->read_result, std::nullopt);
 }
 
 void StatisticsStore::write(std::string encoded) {
