--- a/fuzz/ajp.cpp
+++ b/fuzz/ajp.cpp
@@ -20,20 +20,20 @@
     if (from == From::kGateway) {
       if (const auto message = decode_from_gateway(packet.payload)) {
         const std::string bytes = encode(*message);
-        const Packet again = next_packet(bytes, from, kMostPacket);
+        const Packet again = next_packet(bytes, from, kMaxPacketBytes);
         // A header in its short form may be written in a longer one only where that was sent so: never
         // longer.
         if (again.state != Framing::kPacket || decode_from_gateway(again.payload) != message) std::abort();
       }
       if (const auto piece = decode_body(packet.payload)) {
         const std::string bytes = piece->empty() ? encode_body_end() : encode_body(*piece);
-        const Packet again = next_packet(bytes, from, kMostPacket);
+        const Packet again = next_packet(bytes, from, kMaxPacketBytes);
         if (again.state != Framing::kPacket || decode_body(again.payload) != piece) std::abort();
       }
     } else if (const auto message = decode_from_server(packet.payload)) {
       // Reasons and values are cleaned when they are written: what was clean before stays as it is.
       const std::string once = encode(*message);
-      const auto read = decode_from_server(next_packet(once, from, kMostPacket).payload);
+      const auto read = decode_from_server(next_packet(once, from, kMaxPacketBytes).payload);
       if (!read || encode(*read) != once) std::abort();
     }
     input.remove_prefix(packet.length);
@@ -46,7 +46,7 @@
   const std::string_view input(reinterpret_cast<const char*>(data), size);
   for (const From from : {From::kGateway, From::kServer}) {
     play(input, from, kDefaultPacketBytes);
-    play(input, from, kMostPacket);
+    play(input, from, kMaxPacketBytes);
   }
   return 0;
 }
--- a/src/net/address.cpp
+++ b/src/net/address.cpp
@@ -15,10 +15,10 @@
   if (host.size() > 2 && host.front() == '[' && host.back() == ']') host = host.substr(1, host.size() - 2);
   std::uint16_t port = 0;
   Poco::Net::IPAddress ip;
-  const bool sound = colon != std::string::npos && Poco::Net::IPAddress::tryParse(host, ip) &&
-                     std::from_chars(text.data() + colon + 1, text.data() + text.size(), port).ptr ==
-                         text.data() + text.size();
-  if (!sound) throw std::runtime_error("'" + text + "' is no numeric address:port");
+  const bool is_valid = colon != std::string::npos && Poco::Net::IPAddress::tryParse(host, ip) &&
+                        std::from_chars(text.data() + colon + 1, text.data() + text.size(), port).ptr ==
+                            text.data() + text.size();
+  if (!is_valid) throw std::runtime_error("'" + text + "' is no numeric address:port");
   return Poco::Net::SocketAddress(ip, port);
 }
 
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -20,11 +20,11 @@
 using Poco::Net::ReadableNotification;
 using Poco::Net::WritableNotification;
 
-constexpr std::size_t kReadAtOnce = 16 * 1024;   // bytes; then the other sockets get their turn
-constexpr int kReadsAtOnce = 8;                  // pieces; more than a peer that waits for answers sends
-constexpr std::size_t kKeptCapacity = 4 * 1024;  // bytes that a buffer may hold beyond what is in it
+constexpr std::size_t kMaxBytesPerRead = 16 * 1024;  // bytes; then the other sockets get their turn
+constexpr int kMaxReadsPerCall = 8;                  // pieces; more than a peer that waits for answers sends
+constexpr std::size_t kMaxSpareCapacityBytes = 4 * 1024;  // bytes that a buffer may hold beyond what is in it
 
-void no_delay(int fd) {
+void disable_nagle(int fd) {
   const int on = 1;
   ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
 }
@@ -38,10 +38,10 @@
 std::shared_ptr<Connection> Connection::accepted(Reactor& reactor, ConnectionOwner& owner, int fd,
                                                  BufferLimits limits) {
   Poco::Net::StreamSocket socket(new Poco::Net::StreamSocketImpl(fd));
-  no_delay(fd);
-  std::shared_ptr<Connection> made(new Connection(reactor, owner, socket, State::kOpen, limits));
-  made->want_read(true);
-  return made;
+  disable_nagle(fd);
+  std::shared_ptr<Connection> connection(new Connection(reactor, owner, socket, State::kOpen, limits));
+  connection->observe_readable(true);
+  return connection;
 }
 
 std::shared_ptr<Connection> Connection::connecting(Reactor& reactor, ConnectionOwner& owner,
@@ -55,55 +55,56 @@
   } catch (const Poco::Exception&) {
     has_socket = false;  // out of descriptors: told as refused, so that who asked tries again later
   }
-  std::shared_ptr<Connection> made(new Connection(reactor, owner, socket, State::kConnecting, limits));
-  if (!has_socket) return made->close(CloseReason::kRefused), made;
-  const int fd = made->fd();
-  made->socket_.setBlocking(false);
-  no_delay(fd);
-  if (from && ::bind(fd, from->addr(), from->length()) != 0) return made->close(CloseReason::kRefused), made;
+  std::shared_ptr<Connection> connection(new Connection(reactor, owner, socket, State::kConnecting, limits));
+  if (!has_socket) return connection->close(CloseReason::kRefused), connection;
+  const int fd = connection->fd();
+  connection->socket_.setBlocking(false);
+  disable_nagle(fd);
+  if (from && ::bind(fd, from->addr(), from->length()) != 0)
+    return connection->close(CloseReason::kRefused), connection;
   if (::connect(fd, address.addr(), address.length()) == 0 || errno == EINPROGRESS) {
-    made->want_write(true);
+    connection->observe_writable(true);
   } else {
-    made->close(CloseReason::kRefused);
+    connection->close(CloseReason::kRefused);
   }
-  return made;
+  return connection;
 }
 
 Connection::~Connection() {
   if (state_ == State::kClosed) return;
-  watch(false, false, false);
+  set_observers(false, false, false);
   release(waiting());
   socket_.close();
 }
 
-void Connection::want_read(bool want) { watch(want, writing_, watching_); }
-void Connection::want_write(bool want) { watch(reading_, want, watching_); }
-void Connection::want_error(bool want) { watch(reading_, writing_, want); }
+void Connection::observe_readable(bool want) { set_observers(want, observes_writable_, observes_errors_); }
+void Connection::observe_writable(bool want) { set_observers(observes_readable_, want, observes_errors_); }
+void Connection::observe_errors(bool want) { set_observers(observes_readable_, observes_writable_, want); }
 
 // All observers go before those that are wanted come back: the reactor narrows what it polls for only with
 // the last of a socket's observers. Guards against a poll that returns at once for ever, since the socket can
 // be written and nobody wants to.
-void Connection::watch(bool read, bool write, bool error) {
-  if (read == reading_ && write == writing_ && error == watching_) return;
+void Connection::set_observers(bool read, bool write, bool error) {
+  if (read == observes_readable_ && write == observes_writable_ && error == observes_errors_) return;
   const Poco::Observer<Connection, ReadableNotification> on_read(*this, &Connection::on_readable);
   const Poco::Observer<Connection, WritableNotification> on_write(*this, &Connection::on_writable);
   const Poco::Observer<Connection, ErrorNotification> on_error(*this, &Connection::on_error);
-  if (reading_) reactor_.removeEventHandler(socket_, on_read);
-  if (writing_) reactor_.removeEventHandler(socket_, on_write);
-  if (watching_) reactor_.removeEventHandler(socket_, on_error);
-  reading_ = read;
-  writing_ = write;
-  watching_ = error;
-  if (reading_) reactor_.addEventHandler(socket_, on_read);
-  if (writing_) reactor_.addEventHandler(socket_, on_write);
-  if (watching_) reactor_.addEventHandler(socket_, on_error);
+  if (observes_readable_) reactor_.removeEventHandler(socket_, on_read);
+  if (observes_writable_) reactor_.removeEventHandler(socket_, on_write);
+  if (observes_errors_) reactor_.removeEventHandler(socket_, on_error);
+  observes_readable_ = read;
+  observes_writable_ = write;
+  observes_errors_ = error;
+  if (observes_readable_) reactor_.addEventHandler(socket_, on_read);
+  if (observes_writable_) reactor_.addEventHandler(socket_, on_write);
+  if (observes_errors_) reactor_.addEventHandler(socket_, on_error);
 }
 
 void Connection::pause_reading(bool pause) {
-  paused_ = pause;
-  if (state_ != State::kOpen || input_over_) return;
-  want_read(!pause);
-  if (!pause && !in_.empty()) {
+  is_paused_ = pause;
+  if (state_ != State::kOpen || is_input_stopped_) return;
+  observe_readable(!pause);
+  if (!pause && !input_.empty()) {
     reactor_.post([self = shared_from_this()] { self->deliver(); });
   }
 }
@@ -128,41 +129,42 @@
     }
     if (bytes.empty()) return;
   }
-  if (out_at_ > 0 && out_at_ >= out_.size() / 2) {
-    out_.erase(0, out_at_);
-    out_at_ = 0;
+  if (output_offset_ > 0 && output_offset_ >= output_.size() / 2) {
+    output_.erase(0, output_offset_);
+    output_offset_ = 0;
   }
   if (limits_.pool != nullptr && !limits_.pool->fits(bytes.size())) return close(CloseReason::kOverflow);
-  out_.append(bytes);
+  output_.append(bytes);
   charge(bytes.size());
-  if (state_ == State::kOpen) want_write(true);
+  if (state_ == State::kOpen) observe_writable(true);
 }
 
 void Connection::write_some() {
   while (waiting() > 0) {
-    const ssize_t wrote = ::send(fd(), out_.data() + out_at_, waiting(), MSG_NOSIGNAL | MSG_DONTWAIT);
+    const ssize_t wrote =
+        ::send(fd(), output_.data() + output_offset_, waiting(), MSG_NOSIGNAL | MSG_DONTWAIT);
     if (wrote < 0) {
       if (errno == EINTR) continue;
       if (errno != EAGAIN && errno != EWOULDBLOCK) close(CloseReason::kBroken);
       return;
     }
-    out_at_ += static_cast<std::size_t>(wrote);
+    output_offset_ += static_cast<std::size_t>(wrote);
     bytes_out_ += static_cast<std::uint64_t>(wrote);
     release(static_cast<std::size_t>(wrote));
   }
-  out_.clear();
-  out_at_ = 0;
-  if (out_.capacity() > kKeptCapacity) out_.shrink_to_fit();
-  want_write(false);
-  if (ending_) return part();
+  output_.clear();
+  output_offset_ = 0;
+  if (output_.capacity() > kMaxSpareCapacityBytes) output_.shrink_to_fit();
+  observe_writable(false);
+  if (closes_after_output_) return begin_lingering_close();
   owner_.on_output_sent(*this);
 }
 
 void Connection::stop_reading() {
-  if (state_ != State::kOpen || input_over_) return;
-  input_over_ = true;
-  want_read(false);
-  want_error(true);  // a reset is still to be heard of
+  if (state_ != State::kOpen || is_input_stopped_) return;
+  is_input_stopped_ = true;
+  observe_readable(false);
+  observe_errors(true);  // a reset is still to be heard of
 }
 
 void Connection::charge(std::size_t bytes) {
@@ -175,12 +177,12 @@
 
 void Connection::close(CloseReason why) {
   if (state_ == State::kClosed) return;
-  watch(false, false, false);
+  set_observers(false, false, false);
   state_ = State::kClosed;
-  unwritten_ = waiting();
+  unsent_bytes_ = waiting();
   release(waiting());
-  out_ = {};
-  out_at_ = 0;
+  output_ = {};
+  output_offset_ = 0;
   socket_.close();
   reactor_.post([self = shared_from_this(), why] { self->owner_.on_end(*self, why); });
 }
@@ -188,13 +190,13 @@
 void Connection::end() {
   if (state_ != State::kOpen) return close();
   stop_reading();
-  if (waiting() == 0) return part();
-  ending_ = true;
+  if (waiting() == 0) return begin_lingering_close();
+  closes_after_output_ = true;
 }
 
-void Connection::part() {
-  if (peer_ended_) return close();
-  watch(false, false, false);
+void Connection::begin_lingering_close() {
+  if (has_peer_ended_) return close();
+  set_observers(false, false, false);
   state_ = State::kClosed;
   LingeringClose::begin(reactor_, socket_);
   reactor_.post([self = shared_from_this()] { self->owner_.on_end(*self, CloseReason::kOrderly); });
@@ -202,7 +204,7 @@
 
 void Connection::read_now() {
   const auto self = shared_from_this();
-  for (int i = 0; i < kReadsAtOnce && state_ == State::kOpen && !paused_ && !input_over_; ++i) {
+  for (int i = 0; i < kMaxReadsPerCall && state_ == State::kOpen && !is_paused_ && !is_input_stopped_; ++i) {
     if (nothing_to_read()) return;
     read_some();
   }
@@ -221,60 +223,60 @@
 }
 
 void Connection::read_some() {
-  char bytes[kReadAtOnce];
-  if (state_ != State::kOpen || paused_ || input_over_) return;
+  char bytes[kMaxBytesPerRead];
+  if (state_ != State::kOpen || is_paused_ || is_input_stopped_) return;
   const ssize_t got = ::recv(fd(), bytes, sizeof bytes, MSG_DONTWAIT);
   if (got < 0) {
     if (errno != EINTR && errno != EAGAIN && errno != EWOULDBLOCK) close(CloseReason::kBroken);
     return;
   }
   if (got == 0) {
-    peer_ended_ = true;
+    has_peer_ended_ = true;
     stop_reading();
     owner_.on_end_of_input(*this);
     return;
   }
   bytes_in_ += static_cast<std::uint64_t>(got);
   const std::string_view piece(bytes, static_cast<std::size_t>(got));
-  if (!in_.empty()) {
-    in_.append(piece);
+  if (!input_.empty()) {
+    input_.append(piece);
     return deliver();
   }
   // Most pieces hold whole messages: only what is left over is kept, so that hundreds of connections cost
   // little memory.
-  delivering_ = true;
-  const std::size_t used = owner_.on_input(*this, piece);
-  delivering_ = false;
-  if (state_ == State::kOpen) in_.assign(piece.substr(used));
+  is_delivering_ = true;
+  const std::size_t used_bytes = owner_.on_input(*this, piece);
+  is_delivering_ = false;
+  if (state_ == State::kOpen) input_.assign(piece.substr(used_bytes));
 }
 
 void Connection::deliver() {
-  if (state_ != State::kOpen || delivering_ || in_.empty()) return;
-  delivering_ = true;
-  const std::size_t used = owner_.on_input(*this, in_);
-  delivering_ = false;
-  in_.erase(0, used);
-  if (in_.capacity() > in_.size() + kKeptCapacity) in_.shrink_to_fit();
-  if (in_.size() > limits_.input) close(CloseReason::kOverflow);
+  if (state_ != State::kOpen || is_delivering_ || input_.empty()) return;
+  is_delivering_ = true;
+  const std::size_t used_bytes = owner_.on_input(*this, input_);
+  is_delivering_ = false;
+  input_.erase(0, used_bytes);
+  if (input_.capacity() > input_.size() + kMaxSpareCapacityBytes) input_.shrink_to_fit();
+  if (input_.size() > limits_.input) close(CloseReason::kOverflow);
 }
 
 void Connection::on_readable(ReadableNotification* notification) {
   notification->release();
   const auto self = shared_from_this();
-  guarded("read", [this] { read_some(); });
+  run_guarded("read", [this] { read_some(); });
 }
 
 void Connection::on_writable(WritableNotification* notification) {
   notification->release();
   const auto self = shared_from_this();
-  guarded("write", [this] {
+  run_guarded("write", [this] {
     if (state_ == State::kConnecting) {
       int error = 0;
       socklen_t size = sizeof error;
       ::getsockopt(fd(), SOL_SOCKET, SO_ERROR, &error, &size);
       if (error != 0) return close(CloseReason::kRefused);
       state_ = State::kOpen;
-      want_read(!paused_);
+      observe_readable(!is_paused_);
       owner_.on_connected(*this);
       if (state_ != State::kOpen) return;
     }
@@ -285,7 +287,7 @@
 void Connection::on_error(ErrorNotification* notification) {
   notification->release();
   const auto self = shared_from_this();
-  guarded("error", [this] { close(CloseReason::kBroken); });
+  run_guarded("error", [this] { close(CloseReason::kBroken); });
 }
 
 }  // namespace damsonspoke::net
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -40,19 +40,19 @@
 
 // Output that waits on several connections together.
 struct OutputPool {
-  std::size_t most = 0;
-  std::size_t used = 0;
-  OutputPool* above = nullptr;  // of which this is a part; outlives it
+  std::size_t max_bytes = 0;
+  std::size_t used_bytes = 0;
+  OutputPool* parent = nullptr;  // of which this is a part; outlives it
   bool fits(std::size_t bytes) const {
-    return used + bytes <= most && (above == nullptr || above->fits(bytes));
+    return used_bytes + bytes <= max_bytes && (parent == nullptr || parent->fits(bytes));
   }
   void charge(std::size_t bytes) {
-    used += bytes;
-    if (above != nullptr) above->charge(bytes);
+    used_bytes += bytes;
+    if (parent != nullptr) parent->charge(bytes);
   }
   void release(std::size_t bytes) {
-    used -= bytes;
-    if (above != nullptr) above->release(bytes);
+    used_bytes -= bytes;
+    if (parent != nullptr) parent->release(bytes);
   }
 };
 
@@ -85,9 +85,9 @@
   void stop_reading();                    // for good; what is to be written still leaves
   bool connected() const { return state_ == State::kOpen; }
   bool open() const { return state_ != State::kClosed; }
-  std::size_t waiting() const { return out_.size() - out_at_; }
+  std::size_t waiting() const { return output_.size() - output_offset_; }
   // Once closed: bytes that were given to it and not to the system, its refused ones among them.
-  std::size_t unwritten() const { return unwritten_; }
+  std::size_t unwritten() const { return unsent_bytes_; }
   // Bytes that came from the peer, and that the system took for it, since it was made.
   std::uint64_t bytes_in() const { return bytes_in_; }
   std::uint64_t bytes_out() const { return bytes_out_; }
@@ -107,11 +107,11 @@
   void on_error(Poco::Net::ErrorNotification* notification);
   void read_some();
   void write_some();
-  void part();
-  void want_read(bool want);
-  void want_write(bool want);
-  void want_error(bool want);
-  void watch(bool read, bool write, bool error);
+  void begin_lingering_close();
+  void observe_readable(bool want);
+  void observe_writable(bool want);
+  void observe_errors(bool want);
+  void set_observers(bool read, bool write, bool error);
   void deliver();
   void charge(std::size_t bytes);
   void release(std::size_t bytes);
@@ -122,15 +122,15 @@
   Poco::Net::StreamSocket socket_;
   State state_;
   BufferLimits limits_;
-  std::string in_;
-  std::string out_;
-  std::size_t out_at_ = 0;
-  std::size_t unwritten_ = 0;
+  std::string input_;
+  std::string output_;
+  std::size_t output_offset_ = 0;
+  std::size_t unsent_bytes_ = 0;
   std::uint64_t bytes_in_ = 0, bytes_out_ = 0;
-  bool reading_ = false, writing_ = false, watching_ = false;
-  bool paused_ = false, input_over_ = false, delivering_ = false;
-  bool peer_ended_ = false;  // its end has been read: nothing of it can be unread
-  bool ending_ = false;      // takes its leave once all is written
+  bool observes_readable_ = false, observes_writable_ = false, observes_errors_ = false;
+  bool is_paused_ = false, is_input_stopped_ = false, is_delivering_ = false;
+  bool has_peer_ended_ = false;       // its end has been read: nothing of it can be unread
+  bool closes_after_output_ = false;  // takes its leave once all is written
 };
 
 }  // namespace damsonspoke::net
--- a/src/net/datagram.cpp
+++ b/src/net/datagram.cpp
@@ -4,16 +4,16 @@
 
 namespace damsonspoke::net {
 
-Datagrams::Datagrams(const Poco::Net::SocketAddress& to) : to_(to), socket_(to.family()) {}
+DatagramSender::DatagramSender(const Poco::Net::SocketAddress& to) : to_(to), socket_(to.family()) {}
 
-void Datagrams::move_to(const Poco::Net::SocketAddress& to) {
+void DatagramSender::move_to(const Poco::Net::SocketAddress& to) {
   if (to.af() != to_.af()) socket_ = Poco::Net::DatagramSocket(to.family());
   to_ = to;
 }
 
 // Not connected: a connected socket would report the last datagram's refusal on the next one and lose that
 // too.
-bool Datagrams::send(std::string_view bytes) {
+bool DatagramSender::send(std::string_view bytes) {
   const ssize_t sent = ::sendto(socket_.impl()->sockfd(), bytes.data(), bytes.size(),
                                 MSG_DONTWAIT | MSG_NOSIGNAL, to_.addr(), to_.length());
   return sent == static_cast<ssize_t>(bytes.size());
--- a/src/net/datagram.h
+++ b/src/net/datagram.h
@@ -8,9 +8,9 @@
 
 namespace damsonspoke::net {
 
-class Datagrams {
+class DatagramSender {
  public:
-  explicit Datagrams(const Poco::Net::SocketAddress& to);
+  explicit DatagramSender(const Poco::Net::SocketAddress& to);
   void move_to(const Poco::Net::SocketAddress& to);
   // One that can't be sent now is lost, as datagrams are; false then.
   bool send(std::string_view bytes);
--- a/src/net/lingering_close.cpp
+++ b/src/net/lingering_close.cpp
@@ -10,7 +10,7 @@
 namespace damsonspoke::net {
 namespace {
 
-constexpr std::size_t kReadAtOnce = 16 * 1024;  // bytes
+constexpr std::size_t kMaxBytesPerRead = 16 * 1024;  // bytes
 
 using OnRead = Poco::Observer<LingeringClose, Poco::Net::ReadableNotification>;
 
@@ -22,44 +22,44 @@
 
 void LingeringClose::begin(Reactor& reactor, const Poco::Net::StreamSocket& socket) {
   const int fd = socket.impl()->sockfd();
-  std::shared_ptr<LingeringClose> made(new LingeringClose(reactor, socket));
-  if (::shutdown(fd, SHUT_WR) != 0 || !made->discard())
+  std::shared_ptr<LingeringClose> lingering(new LingeringClose(reactor, socket));
+  if (::shutdown(fd, SHUT_WR) != 0 || !lingering->discard())
     return;  // the peer has ended already: no more is owed
   auto& all = reactor.lingering_closes();
-  if (all.size() >= kMost) all.pop_front();  // the one that had the most time
-  all.push_back(made);
-  reactor.addEventHandler(made->socket_, OnRead(*made, &LingeringClose::on_readable));
-  made->watching_ = true;
-  made->timer_ = reactor.after(kPatience, [one = made.get()] { one->over(); });
+  if (all.size() >= kMaxOpen) all.pop_front();  // the one that had the most time
+  all.push_back(lingering);
+  reactor.addEventHandler(lingering->socket_, OnRead(*lingering, &LingeringClose::on_readable));
+  lingering->is_observing_ = true;
+  lingering->timer_ = reactor.after(kTimeoutSeconds, [one = lingering.get()] { one->finish(); });
 }
 
 LingeringClose::~LingeringClose() {
   reactor_.cancel(timer_);
-  if (watching_) reactor_.removeEventHandler(socket_, OnRead(*this, &LingeringClose::on_readable));
+  if (is_observing_) reactor_.removeEventHandler(socket_, OnRead(*this, &LingeringClose::on_readable));
   socket_.close();
 }
 
 bool LingeringClose::discard() {
-  char bytes[kReadAtOnce];
+  char bytes[kMaxBytesPerRead];
   for (;;) {
     const ssize_t got = ::recv(socket_.impl()->sockfd(), bytes, sizeof bytes, MSG_DONTWAIT);
     if (got < 0 && errno == EINTR) continue;
     if (got < 0) return errno == EAGAIN || errno == EWOULDBLOCK;
     if (got == 0) return false;
-    bytes_ += static_cast<std::size_t>(got);
-    if (bytes_ > kMostBytes) return false;
+    discarded_bytes_ += static_cast<std::size_t>(got);
+    if (discarded_bytes_ > kMaxDiscardedBytes) return false;
   }
 }
 
 void LingeringClose::on_readable(Poco::Net::ReadableNotification* notification) {
   notification->release();
-  guarded("farewell", [this] {
-    if (!discard()) over();
+  run_guarded("farewell", [this] {
+    if (!discard()) finish();
   });
 }
 
 // On the next turn, since it may be inside its own callback; its timer goes with it.
-void LingeringClose::over() {
+void LingeringClose::finish() {
   reactor_.cancel(timer_);
   reactor_.post([&reactor = reactor_, one = this] {
     auto& all = reactor.lingering_closes();
--- a/src/net/lingering_close.h
+++ b/src/net/lingering_close.h
@@ -16,9 +16,10 @@
 
 class LingeringClose {
  public:
-  static constexpr std::size_t kMost = 12;  // at once, of the descriptors that a process keeps for itself
-  static constexpr double kPatience = 0.5;  // s for the peer to end; it is asked to by our own end
-  static constexpr std::size_t kMostBytes = std::size_t{256} << 10;  // thrown away; who sends more never ends
+  static constexpr std::size_t kMaxOpen = 12;  // at once, of the descriptors that a process keeps for itself
+  static constexpr double kTimeoutSeconds = 0.5;  // s for the peer to end; it is asked to by our own end
+  static constexpr std::size_t kMaxDiscardedBytes = std::size_t{256}
+                                                    << 10;  // thrown away; who sends more never ends
 
   // Takes the socket over: its bytes have all been given to the system, and nobody else watches it.
   static void begin(Reactor& reactor, const Poco::Net::StreamSocket& socket);
@@ -32,12 +33,12 @@
       : reactor_(reactor), socket_(socket) {}
   void on_readable(Poco::Net::ReadableNotification* notification);
   bool discard();  // false: the peer has ended, or may not go on
-  void over();
+  void finish();
 
   Reactor& reactor_;
   Poco::Net::StreamSocket socket_;
-  std::size_t bytes_ = 0;
-  bool watching_ = false;
+  std::size_t discarded_bytes_ = 0;
+  bool is_observing_ = false;
   Reactor::TimerId timer_;
 };
 
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -59,7 +59,7 @@
 
 Listener::~Listener() {
   reactor_.cancel(next_slice_);
-  if (reserve_ >= 0) ::close(reserve_);
+  if (reserved_fd_ >= 0) ::close(reserved_fd_);
   if (state_ == State::kClosed) return;
   unwatch();
   socket_.close();
@@ -79,34 +79,34 @@
 
 // ---- Accepting.
 
-void Listener::keep_reserve() {
-  keeps_reserve_ = true;
-  if (reserve_ < 0) reserve_ = ::open("/dev/null", O_RDONLY | O_CLOEXEC);
+void Listener::reserve_descriptor() {
+  has_reserve_ = true;
+  if (reserved_fd_ < 0) reserved_fd_ = ::open("/dev/null", O_RDONLY | O_CLOEXEC);
 }
 
 // The reserve's descriptor for one newcomer. False where nobody came, or the reserve is lost.
-bool Listener::accept_scarce() {
-  if (reserve_ < 0) return false;
-  ::close(reserve_);
+bool Listener::accept_with_reserved_descriptor() {
+  if (reserved_fd_ < 0) return false;
+  ::close(reserved_fd_);
   Accepted accepted = accept_from(fd_);
-  accepted.scarce = true;
+  accepted.uses_reserved_descriptor = true;
   if (accepted.fd >= 0) on_accept_(accepted);
-  reserve_ = ::open("/dev/null", O_RDONLY | O_CLOEXEC);
-  return accepted.fd >= 0 && reserve_ >= 0;
+  reserved_fd_ = ::open("/dev/null", O_RDONLY | O_CLOEXEC);
+  return accepted.fd >= 0 && reserved_fd_ >= 0;
 }
 
 // What is due and the other sockets wait for this long, and for one newcomer at most beyond that.
 Listener::SliceEnd Listener::accept_slice(double seconds) {
-  if (keeps_reserve_ && reserve_ < 0) keep_reserve();
+  if (has_reserve_ && reserved_fd_ < 0) reserve_descriptor();
   const double until = monotonic_now() + seconds;
   for (int i = 0; i < kMaxAcceptedPerSlice; ++i) {
     const Accepted accepted = accept_from(fd_);
     if (accepted.fd >= 0) {
       on_accept_(accepted);
     } else if (is_out_of_descriptors(errno)) {
-      if (!accept_scarce()) return SliceEnd::kOutOfDescriptors;
+      if (!accept_with_reserved_descriptor()) return SliceEnd::kOutOfDescriptors;
     } else if (errno == EAGAIN || errno == EWOULDBLOCK) {
-      return SliceEnd::kNoneWaits;
+      return SliceEnd::kNonePending;
     }
     if (monotonic_now() >= until) break;
   }
@@ -115,7 +115,7 @@
 
 void Listener::on_readable(Poco::Net::ReadableNotification* notification) {
   notification->release();
-  guarded("accept", [this] {
+  run_guarded("accept", [this] {
     if (accept_slice(kSliceSeconds) != SliceEnd::kOutOfDescriptors) return;
     // The poll would report the socket again at once, and nothing could be accepted.
     unwatch();
@@ -132,22 +132,22 @@
   state_ = State::kClosing;
   reactor_.cancel(next_slice_);
   unwatch();
-  drop_newcomers();
-  accept_rest();
+  drop_new_connections();
+  accept_pending();
 }
 
 // Their first packet is dropped; they send it again and find the address refused.
-void Listener::drop_newcomers() {
+void Listener::drop_new_connections() {
   sock_filter drop_all[] = {{BPF_RET | BPF_K, 0, 0, 0}};
   sock_fprog program{1, drop_all};
   ::setsockopt(fd_, SOL_SOCKET, SO_ATTACH_FILTER, &program, sizeof program);
 }
 
-void Listener::accept_rest() {
-  SliceEnd slice_end = SliceEnd::kNoneWaits;
-  guarded("accept", [this, &slice_end] { slice_end = accept_slice(kClosingSliceSeconds); });
+void Listener::accept_pending() {
+  SliceEnd slice_end = SliceEnd::kNonePending;
+  run_guarded("accept", [this, &slice_end] { slice_end = accept_slice(kClosingSliceSeconds); });
   if (slice_end == SliceEnd::kOutOfTime) {
-    next_slice_ = reactor_.after(0, [this] { accept_rest(); });
+    next_slice_ = reactor_.after(0, [this] { accept_pending(); });
     return;
   }
   state_ = State::kClosed;
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -18,7 +18,7 @@
 struct Accepted {
   int fd = -1;  // the receiver's
   sockaddr_storage from{};
-  bool scarce = false;  // it took the last descriptor that there was
+  bool uses_reserved_descriptor = false;  // it took the last descriptor that there was
 };
 
 class Listener {
@@ -35,7 +35,7 @@
 
   // Keeps one descriptor back. Out of descriptors, it is given for one newcomer at a time, marked as scarce,
   // so that it can be told, or let in for another, before the pause.
-  void keep_reserve();
+  void reserve_descriptor();
 
   // Keeps newcomers out from now on, accepts those that wait already over the next turns, then closes. Those
   // that still wait when the listener is destroyed are reset.
@@ -46,24 +46,24 @@
  private:
   enum class State { kListening, kClosing, kClosed };
   enum class SliceEnd {
-    kNoneWaits,
+    kNonePending,
     kOutOfTime,
     kOutOfDescriptors,
   };
 
   void on_readable(Poco::Net::ReadableNotification* notification);
   SliceEnd accept_slice(double seconds);
-  bool accept_scarce();
+  bool accept_with_reserved_descriptor();
   void watch();
   void unwatch();
-  void drop_newcomers();
-  void accept_rest();
+  void drop_new_connections();
+  void accept_pending();
 
   Reactor& reactor_;
   OnAccept on_accept_;
   int fd_ = -1;
-  int reserve_ = -1;
-  bool keeps_reserve_ = false;
+  int reserved_fd_ = -1;
+  bool has_reserve_ = false;
   bool is_watching_ = false;
   State state_ = State::kListening;
   Poco::Net::StreamSocket socket_;
--- a/src/net/reactor.cpp
+++ b/src/net/reactor.cpp
@@ -18,17 +18,17 @@
 namespace damsonspoke::net {
 namespace {
 
-constexpr double kLongestWait = 0.25;  // s; a poll without timers
-constexpr int kMostTasks = 10000;      // in one turn; sockets are looked at in between
+constexpr double kMaxPollSeconds = 0.25;      // s; a poll without timers
+constexpr int kMaxTasksPerIteration = 10000;  // in one turn; sockets are looked at in between
 
 int signal_fd = -1;
 
-void note_signal(int signal) {
-  const int kept = errno;
+void write_signal_byte(int signal) {
+  const int saved_errno = errno;
   const char byte = static_cast<char>(signal);
   const ssize_t wrote = ::send(signal_fd, &byte, 1, MSG_DONTWAIT | MSG_NOSIGNAL);
   static_cast<void>(wrote);  // a full buffer means that the thread will wake anyway
-  errno = kept;
+  errno = saved_errno;
 }
 
 }  // namespace
@@ -40,7 +40,7 @@
   return std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch()).count();
 }
 
-void guarded(const char* where, const Task& task) {
+void run_guarded(const char* where, const Task& task) {
   try {
     task();
   } catch (const std::exception& error) {
@@ -56,7 +56,7 @@
   wake_ = Poco::Net::StreamSocket(new Poco::Net::StreamSocketImpl(wake_fds_[0]));
   addEventHandler(wake_,
                   Poco::Observer<Reactor, Poco::Net::ReadableNotification>(*this, &Reactor::on_wake_byte));
-  set_wait();
+  update_poll_timeout();
 }
 
 Reactor::~Reactor() {
@@ -71,7 +71,7 @@
 Reactor::TimerId Reactor::at(double when, Task task) {
   const TimerId timer{when, next_number_++};
   timers_.emplace(std::make_pair(when, timer.number), std::move(task));
-  if (timers_.begin()->first.second == timer.number) set_wait();
+  if (timers_.begin()->first.second == timer.number) update_poll_timeout();
   return timer;
 }
 
@@ -83,9 +83,9 @@
 void Reactor::post_from_other_thread(Task task) {
   bool first = false;
   {
-    const std::lock_guard lock(elsewhere_lock_);
-    first = elsewhere_.empty();
-    elsewhere_.push_back(std::move(task));
+    const std::lock_guard lock(cross_thread_mutex_);
+    first = cross_thread_tasks_.empty();
+    cross_thread_tasks_.push_back(std::move(task));
   }
   if (!first) return;   // woken already
   const char byte = 0;  // no signal's number
@@ -93,24 +93,25 @@
   static_cast<void>(wrote);  // a full buffer means that the thread will wake anyway
 }
 
-void Reactor::run_due() {
+void Reactor::run_due_tasks() {
   const double now = monotonic_now();
   // Tasks that are added meanwhile for this very time wait for the next turn, so that sockets get theirs.
   const std::uint64_t first_new = next_number_;
-  for (int i = 0; i < kMostTasks && !timers_.empty() && timers_.begin()->first.first <= now; ++i) {
+  for (int i = 0; i < kMaxTasksPerIteration && !timers_.empty() && timers_.begin()->first.first <= now; ++i) {
     if (timers_.begin()->first.second >= first_new) break;
     Task task = std::move(timers_.begin()->second);
     timers_.erase(timers_.begin());
-    guarded("timer", task);
+    run_guarded("timer", task);
   }
-  set_wait();
+  update_poll_timeout();
 }
 
 // Whole milliseconds, rounded up: the poll counts in them, and one that is cut off spins until the time is
 // reached.
-void Reactor::set_wait() {
-  double wait = kLongestWait;
-  if (!timers_.empty()) wait = std::clamp(timers_.begin()->first.first - monotonic_now(), 0.0, kLongestWait);
+void Reactor::update_poll_timeout() {
+  double wait = kMaxPollSeconds;
+  if (!timers_.empty())
+    wait = std::clamp(timers_.begin()->first.first - monotonic_now(), 0.0, kMaxPollSeconds);
   setTimeout(Poco::Timespan(static_cast<Poco::Timespan::TimeDiff>(std::ceil(wait * 1000)) * 1000));
 }
 
@@ -118,7 +119,7 @@
   signals_[signal] = std::move(task);
   signal_fd = wake_fds_[1];
   struct sigaction action {};
-  action.sa_handler = note_signal;
+  action.sa_handler = write_signal_byte;
   action.sa_flags = SA_RESTART;
   ::sigaction(signal, &action, nullptr);
 }
@@ -129,14 +130,14 @@
   const ssize_t got = ::recv(wake_fds_[0], bytes, sizeof bytes, MSG_DONTWAIT);
   for (ssize_t i = 0; i < got; ++i) {
     const auto found = signals_.find(bytes[i]);
-    if (found != signals_.end()) guarded("signal", found->second);
+    if (found != signals_.end()) run_guarded("signal", found->second);
   }
   std::vector<Task> tasks;
   {
-    const std::lock_guard lock(elsewhere_lock_);
-    tasks.swap(elsewhere_);
+    const std::lock_guard lock(cross_thread_mutex_);
+    tasks.swap(cross_thread_tasks_);
   }
-  for (const Task& task : tasks) guarded("another thread's task", task);
+  for (const Task& task : tasks) run_guarded("another thread's task", task);
 }
 
 }  // namespace damsonspoke::net
--- a/src/net/reactor.h
+++ b/src/net/reactor.h
@@ -49,26 +49,26 @@
   void on_signal(int signal, Task task);
 
  protected:
-  void onTimeout() override { run_due(); }
-  void onBusy() override { run_due(); }
-  void onIdle() override { run_due(); }
+  void onTimeout() override { run_due_tasks(); }
+  void onBusy() override { run_due_tasks(); }
+  void onIdle() override { run_due_tasks(); }
 
  private:
-  void run_due();
-  void set_wait();
+  void run_due_tasks();
+  void update_poll_timeout();
   void on_wake_byte(Poco::Net::ReadableNotification* notification);
 
   std::map<std::pair<double, std::uint64_t>, Task> timers_;
   std::uint64_t next_number_ = 1;
   std::map<int, Task> signals_;
-  std::mutex elsewhere_lock_;
-  std::vector<Task> elsewhere_;  // under the lock
+  std::mutex cross_thread_mutex_;
+  std::vector<Task> cross_thread_tasks_;  // under the lock
   std::list<std::shared_ptr<LingeringClose>> lingering_closes_;
   int wake_fds_[2] = {-1, -1};
   Poco::Net::StreamSocket wake_;
 };
 
 // Runs a callback so that no exception leaves it; what it throws is written to standard error.
-void guarded(const char* where, const Task& task);
+void run_guarded(const char* where, const Task& task);
 
 }  // namespace damsonspoke::net
--- a/src/peers/ajp/dependency_client.cpp
+++ b/src/peers/ajp/dependency_client.cpp
@@ -150,7 +150,7 @@
   link.reply.clear();
   call.may_be_sent = true;
   std::string bytes = wa::encode(wa::FromGateway(request_of(call, timeout)));
-  const std::size_t max_chunk = options_.packet - wa::kBodyHead;
+  const std::size_t max_chunk = options_.packet - wa::kBodyHeaderBytes;
   std::string_view rest = call.body;
   while (!rest.empty()) {
     bytes += wa::encode_body(rest.substr(0, max_chunk));
@@ -295,8 +295,8 @@
     link.connection->close();
   }
   if (status == http_status::kOk) return finish_call(id, Outcome::kOk, reply);
-  const bool is_refused = status == http_status::kServiceUnavailable && options_.dependency_refusal_is_proof;
-  finish_call(id, is_refused ? Outcome::kRejected : Outcome::kError, {});
+  const bool is_rejected = status == http_status::kServiceUnavailable && options_.dependency_refusal_is_proof;
+  finish_call(id, is_rejected ? Outcome::kRejected : Outcome::kError, {});
 }
 
 void AjpDependencyClient::on_end_of_input(net::Connection& connection) {
--- a/src/peers/ajp/server.cpp
+++ b/src/peers/ajp/server.cpp
@@ -18,7 +18,7 @@
 constexpr std::size_t kMaxOutputBytes = 160 * 1024;  // of a connection; one answer of 64 KiB and its head
 constexpr std::size_t kChunkOverheadBytes = 8;       // of a packet with a part of an answer
 constexpr double kMinTimeoutSeconds = 1e-6;          // 0 would mean that the client did not say
-constexpr double kDueSlackSeconds = 0.05;            // by which a failure before the due time is a timeout
+constexpr double kDeadlineSlackSeconds = 0.05;       // by which a failure before the due time is a timeout
 
 std::optional<Count> counter_of(AjpRejectReason reason) {
   switch (reason) {
@@ -49,7 +49,7 @@
       listener_(reactor, net::parse_address(options.listen),
                 [this](const net::Accepted& accepted) { on_accept(accepted); }),
       random_(seed) {
-  if (admission_.is_by_client()) listener_.keep_reserve();
+  if (admission_.is_by_client()) listener_.reserve_descriptor();
   // AJP has no message for a client that has not sent a request.
   admission_.register_listener([this](std::uint64_t tag) { evict(tag); }, nullptr);
   check_connections();
@@ -81,7 +81,7 @@
 }
 
 void AjpServer::update_busy(const Client& client) {
-  const bool has_request = client.state == State::kOpen || client.state == State::kClosing;
+  const bool has_request = client.state == State::kInFlight || client.state == State::kClosing;
   admission_.set_busy(client, has_request || client.connection->waiting() > 0);
 }
 
@@ -118,7 +118,7 @@
   if (client == nullptr) return bytes.size();
   std::size_t used = 0;
   while (connection.open() && client->state != State::kClosing) {
-    if (client->state == State::kOpen) break;  // its answer first; the rest stays in the buffer
+    if (client->state == State::kInFlight) break;  // its answer first; the rest stays in the buffer
     const std::string_view rest = bytes.substr(used);
     if (rest.empty()) break;
     if (!client->is_message_incomplete()) client->start_message(net::monotonic_now(), rest.size());
@@ -158,7 +158,7 @@
   const std::optional<wa::FromGateway> message = wa::decode_from_gateway(payload);
   if (!message) {
     counters_.add(Count::kBadRequests);
-    refuse(client, http_status::kBadRequest, true);
+    respond_without_request(client, http_status::kBadRequest, true);
     return true;
   }
   return handle_message(client, *message);
@@ -199,7 +199,7 @@
 }
 
 void AjpServer::request_body_chunk(Client& client) {
-  const std::size_t max_chunk = options_.packet - wa::kBodyHead;
+  const std::size_t max_chunk = options_.packet - wa::kBodyHeaderBytes;
   const std::size_t max_body = client.mapped.is_chunked ? options_.body + 1 : client.mapped.content_length;
   const std::size_t missing = max_body - client.mapped.request.body.size();
   send(client, wa::GetBodyChunk{static_cast<std::uint16_t>(std::min(max_chunk, missing))});
@@ -213,12 +213,13 @@
   if (!chunk || body.size() + chunk->size() > max_body) {
     const bool is_too_large = chunk && is_chunked;
     counters_.add(is_too_large ? Count::kAjpTooLarge : Count::kBadRequests);
-    return refuse(client, is_too_large ? http_status::kContentTooLarge : http_status::kBadRequest, true);
+    return respond_without_request(
+        client, is_too_large ? http_status::kContentTooLarge : http_status::kBadRequest, true);
   }
   if (chunk->empty()) {
     if (is_chunked) return submit(client);
     counters_.add(Count::kBadRequests);  // the body ends before its length
-    return refuse(client, http_status::kBadRequest, true);
+    return respond_without_request(client, http_status::kBadRequest, true);
   }
   body += *chunk;
   if (!is_chunked && body.size() == client.mapped.content_length) return submit(client);
@@ -227,7 +228,7 @@
 
 // The request is complete: from here on it gets exactly one answer.
 void AjpServer::submit(Client& client) {
-  client.state = State::kOpen;
+  client.state = State::kInFlight;
   client.finish_message();
   const ReplyAddress reply_to{client.connection->tag, ++client.number};
   if (client.mapped.is_health_check) {
@@ -249,7 +250,7 @@
                                                     : site_.timeouts[static_cast<std::size_t>(request.route)];
   request.client_timeout = std::max(kMinTimeoutSeconds, request.received_at + timeout - now);
   request.received_at = now;
-  client.due_at = now + request.client_timeout;
+  client.deadline = now + request.client_timeout;
   events_.on_request_read(std::move(request));
 }
 
@@ -283,11 +284,11 @@
   if (const std::optional<Count> counter = counter_of(rejection.reason)) counters_.add(*counter);
   if (rejection.reason == AjpRejectReason::kForbiddenAttribute)
     log_.debug("ajp", "rejected a request attribute that is not on the list");
-  refuse(client, status_of(rejection.reason), rejection.body_may_follow);
+  respond_without_request(client, status_of(rejection.reason), rejection.body_may_follow);
 }
 
 // Answers without a request. Where a body may still follow, nothing after it is read.
-void AjpServer::refuse(Client& client, std::uint16_t status, bool body_may_follow) {
+void AjpServer::respond_without_request(Client& client, std::uint16_t status, bool body_may_follow) {
   counters_.add(Count::kAjpRejected);
   client.mapped = {};
   respond(client, status, {}, {}, !body_may_follow && !is_draining_);
@@ -299,10 +300,10 @@
   if (client.connection->waiting() == 0) client.connection->end();
 }
 
-AjpServer::Client* AjpServer::find_open(ReplyAddress reply_to) {
+AjpServer::Client* AjpServer::find_in_flight(ReplyAddress reply_to) {
   Client* client = clients_.find(reply_to.connection);
   if (client == nullptr) return nullptr;
-  return client->state == State::kOpen && client->number == reply_to.number ? client : nullptr;
+  return client->state == State::kInFlight && client->number == reply_to.number ? client : nullptr;
 }
 
 void AjpServer::answer(Client& client, std::uint16_t status, std::vector<wa::Header> headers,
@@ -314,14 +315,14 @@
 }
 
 void AjpServer::answer_succeeded(ReplyAddress reply_to, std::string_view result) {
-  Client* client = find_open(reply_to);
+  Client* client = find_in_flight(reply_to);
   if (client == nullptr) return;
   admission_.on_success(*client, client->route);
   answer(*client, http_status::kOk, {{"content-type", "application/octet-stream"}}, result);
 }
 
 void AjpServer::answer_rejected(ReplyAddress reply_to, double retry_after, bool no_retry) {
-  Client* client = find_open(reply_to);
+  Client* client = find_in_flight(reply_to);
   if (client == nullptr) return;
   std::vector<wa::Header> headers;
   // In whole seconds, rounded up: a client that retries sooner than it was told is told again.
@@ -331,22 +332,23 @@
 }
 
 void AjpServer::answer_failed(ReplyAddress reply_to, FailureReason reason) {
-  Client* client = find_open(reply_to);
+  Client* client = find_in_flight(reply_to);
   if (client == nullptr) return;
-  const bool is_due = net::unix_now() >= client->due_at - kDueSlackSeconds;
+  const bool is_past_deadline = net::unix_now() >= client->deadline - kDeadlineSlackSeconds;
   switch (reason) {
     case FailureReason::kOutcomeUnknown:
       return answer(*client, http_status::kInternalServerError, {{"outcome", "unknown"}}, {});
     case FailureReason::kKeyConflict: return answer(*client, http_status::kUnprocessableContent, {}, {});
     case FailureReason::kKeyUnknown:
     case FailureReason::kFailed:
-      return answer(*client, is_due ? http_status::kGatewayTimeout : http_status::kBadGateway, {}, {});
+      return answer(*client, is_past_deadline ? http_status::kGatewayTimeout : http_status::kBadGateway, {},
+                    {});
   }
 }
 
 void AjpServer::answer_health_check(ReplyAddress reply_to, bool is_healthy) {
   if (is_healthy) counters_.add(Count::kChecksGood);
-  Client* client = find_open(reply_to);
+  Client* client = find_in_flight(reply_to);
   if (client != nullptr)
     answer(*client, is_healthy ? http_status::kOk : http_status::kServiceUnavailable, {}, {});
 }
@@ -366,14 +368,14 @@
   Client* client = clients_.find(connection.tag);
   if (client == nullptr) return;
   client->input_ended = true;
-  if (client->state != State::kOpen) close_after_output(*client);
+  if (client->state != State::kInFlight) close_after_output(*client);
 }
 
 void AjpServer::on_end(net::Connection& connection, net::CloseReason why) {
   if (clients_.find(connection.tag) == nullptr) return;
   const Client client = clients_.extract(connection.tag);
   admission_.on_closed(client, why);
-  if (client.state == State::kOpen && !client.mapped.is_health_check)
+  if (client.state == State::kInFlight && !client.mapped.is_health_check)
     events_.on_caller_disconnected(client.mapped.request.id);
 }
 
@@ -393,14 +395,14 @@
     admission_.penalize(client, conns::Penalty::kSlowTransfer);
     return connection.close(net::CloseReason::kOverflow);
   }
-  if (client.state == State::kClosing || client.state == State::kOpen) return;
+  if (client.state == State::kClosing || client.state == State::kInFlight) return;
   const bool is_input_late = client.is_message_incomplete() &&
                              (client.is_message_overdue(now) || admission_.is_input_too_slow(client, now));
   const double idle_seconds = now - client.last_traffic_at;
   if (is_input_late) {
     counters_.add(Count::kCallersIncomplete);
     admission_.penalize(client, conns::Penalty::kIncompleteRequest);
-    refuse(client, http_status::kRequestTimeout, true);
+    respond_without_request(client, http_status::kRequestTimeout, true);
   } else if (!is_idle(client)) {
     return;  // what lies unread is read first
   } else if (!client.has_requested && idle_seconds > kFirstRequestTimeoutSeconds) {
--- a/src/peers/ajp/server.h
+++ b/src/peers/ajp/server.h
@@ -64,14 +64,14 @@
   [[nodiscard]] std::uint16_t port() const override { return listener_.port(); }
 
  private:
-  enum class State { kIdle, kReadingBody, kOpen, kClosing };
+  enum class State { kIdle, kReadingBody, kInFlight, kClosing };
   struct Client : ClientConnection {
     State state = State::kIdle;
     MappedRequest mapped;          // being read; once submitted only its id is left
     bool is_head_request = false;  // its answer has no body
     std::uint64_t number = 0;      // of the latest request on this connection
     int route = -1;                // of the open request
-    double due_at = 0;             // Unix s
+    double deadline = 0;           // Unix s
   };
 
   std::size_t on_input(net::Connection& connection, std::string_view bytes) override;
@@ -95,10 +95,10 @@
   void close_after_invalid_input(Client& client);
 
   void reject(Client& client, const AjpRejection& rejection);
-  void refuse(Client& client, std::uint16_t status, bool body_may_follow);
+  void respond_without_request(Client& client, std::uint16_t status, bool body_may_follow);
   void respond(Client& client, std::uint16_t status, std::vector<wire::ajp::Header> headers,
                std::string_view body, bool can_reuse);
-  [[nodiscard]] Client* find_open(ReplyAddress reply_to);
+  [[nodiscard]] Client* find_in_flight(ReplyAddress reply_to);
   void answer(Client& client, std::uint16_t status, std::vector<wire::ajp::Header> headers,
               std::string_view body);
   void send(Client& client, const wire::ajp::FromServer& message);
--- a/src/peers/connection_admission.cpp
+++ b/src/peers/connection_admission.cpp
@@ -137,9 +137,9 @@
 
 bool ConnectionAdmission::admit(std::size_t listener, std::uint64_t tag, const net::Accepted& accepted) {
   const conns::Address from = address_of(accepted.from);
-  const conns::AdmissionResult result =
-      limiter_.admit(tag, listener, from, net::monotonic_now(), net::unix_now(), accepted.scarce);
-  if (accepted.scarce) on_descriptor_shortage();
+  const conns::AdmissionResult result = limiter_.admit(tag, listener, from, net::monotonic_now(),
+                                                       net::unix_now(), accepted.uses_reserved_descriptor);
+  if (accepted.uses_reserved_descriptor) on_descriptor_shortage();
   if (!result.is_admitted) {
     counters_.add(Count::kCallersRejected);
     reject(listeners_[listener], accepted, result.retry_after);
@@ -156,7 +156,7 @@
   net::OutputPool& all = *listeners_[listener].output;
   ClientPool& client = pools_[key];
   if (client.connections++ == 0) {
-    const double max_bytes = static_cast<double>(all.most) * options_.client_output;
+    const double max_bytes = static_cast<double>(all.max_bytes) * options_.client_output;
     client.pool = {static_cast<std::size_t>(max_bytes), 0, &all};
   }
   pool_key_by_tag_.emplace(tag, key);
@@ -184,7 +184,7 @@
     const std::string message = listener.rejection_message(retry_after);
     static_cast<void>(::send(accepted.fd, message.data(), message.size(), MSG_NOSIGNAL | MSG_DONTWAIT));
     // A reset would discard the message on its way; the last descriptor is not held back to prevent that.
-    if (!accepted.scarce) return net::LingeringClose::begin(reactor_, accepted.fd);
+    if (!accepted.uses_reserved_descriptor) return net::LingeringClose::begin(reactor_, accepted.fd);
     ::shutdown(accepted.fd, SHUT_WR);
   } else {
     const linger reset_at_once{1, 0};
--- a/src/peers/json_rpc/server.cpp
+++ b/src/peers/json_rpc/server.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr double kSecondsPerMs = 0.001;
-constexpr std::size_t kMaxOpenRequests = 32;           // of a connection, as the protocol allows
+constexpr std::size_t kMaxInFlightRequests = 32;       // of a connection, as the protocol allows
 constexpr std::size_t kMaxOutputBytes = 256 * 1024;    // of a connection; 32 full answers take 180 KiB
 constexpr std::size_t kPauseReadingBytes = 64 * 1024;  // of waiting output
 constexpr double kMinIdleCheckSeconds = 0.05;
@@ -36,7 +36,7 @@
       admission_(reactor, limits, counters),
       listener_(reactor, net::parse_address(listen),
                 [this](const net::Accepted& accepted) { on_accept(accepted); }) {
-  if (admission_.is_by_client()) listener_.keep_reserve();
+  if (admission_.is_by_client()) listener_.reserve_descriptor();
   admission_.register_listener(
       [this](std::uint64_t tag) { evict(tag); },
       [](double retry_after) { return wire::encode_rejection(0, retry_after / kSecondsPerMs, false); });
@@ -122,7 +122,7 @@
     const wire::Frame frame = wire::next_frame(bytes.substr(used));
     if (frame.state == wire::Framing::kNeedMore) break;
     if (frame.state == wire::Framing::kBroken) {
-      refuse_invalid_frame(*client);
+      reject_invalid_frame(*client);
       return bytes.size();
     }
     if (!admission_.try_read(connection)) break;
@@ -148,24 +148,24 @@
   if (client.invalid_messages < kMaxInvalidMessages) return true;
   admission_.penalize(client, conns::Penalty::kInvalidRequests);
   counters_.add(Count::kCallersInvalid);
-  refuse_input(client, wire::encode_error(0, wire::RpcError::kRequest, "too many of no use"));
+  reject_input(client, wire::encode_error(0, wire::RpcError::kRequest, "too many of no use"));
   return false;
 }
 
 // Nothing more is read; what was read before is still answered. Unread bytes are discarded before the socket
 // is closed: closing over them would reset the connection and lose the answers on their way.
-void JsonRpcServer::refuse_input(Client& client, const std::string& last_message) {
+void JsonRpcServer::reject_input(Client& client, const std::string& last_message) {
   send(client, last_message);
   client.connection->stop_reading();
   client.input_ended = true;
   close_if_done(client);
 }
 
-void JsonRpcServer::refuse_invalid_frame(Client& client) {
+void JsonRpcServer::reject_invalid_frame(Client& client) {
   counters_.add(Count::kBadFrames);
   log_.debug("json_rpc", "connection {}: invalid frame, closed", client.connection->tag);
   admission_.penalize(client, conns::Penalty::kInvalidFrame);
-  refuse_input(client, wire::encode_error(0, wire::RpcError::kParse, "broken frame"));
+  reject_input(client, wire::encode_error(0, wire::RpcError::kParse, "broken frame"));
 }
 
 void JsonRpcServer::on_valid_message(Client& client) {
@@ -187,19 +187,19 @@
   const bool is_number_in_use = message.has_id && client.requests.contains(message.id);
   const std::uint64_t number = message.has_id && !is_number_in_use ? message.id : 0;
   ++client.invalid_messages;  // on_valid_message() takes it back
-  if (problem == wire::RpcProblem::kNoJson)
+  if (problem == wire::RpcProblem::kInvalidJson)
     return send_error(client, number, {Count::kBadJson, wire::RpcError::kParse, "no JSON"});
-  if (problem == wire::RpcProblem::kNoRequest || !message.has_id) {
+  if (problem == wire::RpcProblem::kInvalidRequest || !message.has_id) {
     const bool is_notification = problem == wire::RpcProblem::kNone && message.is_notification;
     if (is_notification) return counters_.add(Count::kBadRequests);  // which gets no answer
     return send_error(client, number, {Count::kBadRequests, wire::RpcError::kRequest, "no request"});
   }
   if (is_number_in_use) return send_error(client, 0, {Count::kBadIds, wire::RpcError::kRequest, "id in use"});
-  if (client.requests.size() >= kMaxOpenRequests) {
+  if (client.requests.size() >= kMaxInFlightRequests) {
     counters_.add(Count::kBadTooMany);
     return send(client, wire::encode_rejection(message.id, 0, false));
   }
-  const bool has_bad_params = problem == wire::RpcProblem::kBadParams;
+  const bool has_bad_params = problem == wire::RpcProblem::kInvalidParams;
   if (message.method == "health") return handle_health_check(client, message, has_bad_params);
   if (has_bad_params || !message.has_request_id || message.request_id == 0 || message.size_kb <= 0) {
     return send_error(client, message.id, {Count::kBadParams, wire::RpcError::kParams, "bad parameters"});
@@ -335,7 +335,7 @@
   counters_.add(Count::kCallersIncomplete);
   admission_.penalize(client, conns::Penalty::kIncompleteRequest);
   client.finish_message();
-  refuse_input(client, wire::encode_error(0, wire::RpcError::kParse, "too slow"));
+  reject_input(client, wire::encode_error(0, wire::RpcError::kParse, "too slow"));
 }
 
 void JsonRpcServer::check_timeouts(Client& client, double now) {
@@ -352,7 +352,7 @@
     counters_.add(Count::kCallersIncomplete);
     admission_.penalize(client, conns::Penalty::kIncompleteRequest);
     client.finish_message();
-    refuse_input(client, wire::encode_error(0, wire::RpcError::kParse, "not whole in time"));
+    reject_input(client, wire::encode_error(0, wire::RpcError::kParse, "not whole in time"));
   } else if (client.requests.empty() && idle_seconds > kMaxIdleSeconds) {
     announce_drain(client);
     if (now - client.drain_announced_at > kDrainTimeoutSeconds && is_idle(client)) connection.end();
--- a/src/peers/json_rpc/server.h
+++ b/src/peers/json_rpc/server.h
@@ -54,13 +54,13 @@
   [[nodiscard]] std::uint16_t port() const override { return listener_.port(); }
 
  private:
-  struct OpenRequest {
+  struct PendingRequest {
     RequestId id = 0;  // 0: a health check
     int route = -1;
   };
   struct Client : ClientConnection {
     // By the client's number.
-    std::unordered_map<std::uint64_t, OpenRequest> requests;
+    std::unordered_map<std::uint64_t, PendingRequest> requests;
     double drain_announced_at = -1;  // monotonic s; < 0: not yet
     int invalid_messages = 0;        // so far; valid ones in between don't lower it
   };
@@ -87,8 +87,8 @@
 
   void answer(ReplyAddress reply_to, const std::string& text, bool is_success = false);
   void send(Client& client, const std::string& text);
-  void refuse_input(Client& client, const std::string& last_message);
-  void refuse_invalid_frame(Client& client);
+  void reject_input(Client& client, const std::string& last_message);
+  void reject_invalid_frame(Client& client);
   void close_if_done(Client& client);
 
   void check_connections();
--- a/src/peers/registry/reporter.cpp
+++ b/src/peers/registry/reporter.cpp
@@ -22,7 +22,7 @@
 RegistryReporter::~RegistryReporter() { reactor_.cancel(report_timer_); }
 
 void RegistryReporter::report(bool is_accepting_requests) {
-  takes_work_ = is_accepting_requests;
+  is_accepting_requests_ = is_accepting_requests;
   has_reported_ = true;
   reactor_.cancel(report_timer_);
   send();
@@ -30,11 +30,12 @@
 
 void RegistryReporter::move_to(const std::string& address) {
   datagrams_.move_to(net::parse_address(address));
-  if (has_reported_) report(takes_work_);
+  if (has_reported_) report(is_accepting_requests_);
 }
 
 void RegistryReporter::send() {
-  if (datagrams_.send(wire::encode_report(name_, takes_work_))) counters_.add(Count::kRegistryReports);
+  if (datagrams_.send(wire::encode_report(name_, is_accepting_requests_)))
+    counters_.add(Count::kRegistryReports);
   report_timer_ = reactor_.after(kReportSeconds, [this] { send(); });
 }
 
--- a/src/peers/registry/reporter.h
+++ b/src/peers/registry/reporter.h
@@ -30,8 +30,8 @@
   net::Reactor& reactor_;
   std::string name_;
   Counters& counters_;
-  net::Datagrams datagrams_;
-  bool takes_work_ = false;
+  net::DatagramSender datagrams_;
+  bool is_accepting_requests_ = false;
   bool has_reported_ = false;
   net::Reactor::TimerId report_timer_;
 };
--- a/src/peers/runtime/client.cpp
+++ b/src/peers/runtime/client.cpp
@@ -14,8 +14,8 @@
 constexpr double kConnectTimeoutSeconds = 1;
 constexpr double kSilenceTimeoutSeconds = 1;  // without an answer that is owed: the link is lost
 constexpr double kSilenceCheckSeconds = 0.25;
-constexpr double kMoveSeconds = 0.1;           // for what the old link has taken to arrive before a move
-constexpr double kGreetingLookSeconds = 0.01;  // between two looks for the `ready` of a new link
+constexpr double kMoveTimeoutSeconds = 0.1;    // for what the old link has taken to arrive before a move
+constexpr double kGreetingPollSeconds = 0.01;  // between two looks for the `ready` of a new link
 constexpr double kGiveUpMarginSeconds = 0.05;  // behind the due time, at which the request is answered
 constexpr double kMaxGaugeAgeSeconds = 0.5;
 constexpr std::size_t kMaxInputBytes = 256 * 1024;  // a line with its payload is under 70 KiB
@@ -69,10 +69,10 @@
   next_link_ = net::Connection::connecting(reactor_, *this, net::parse_address(address_),
                                            {kMaxInputBytes, output_bytes_});
   connect_timer_ = reactor_.after(kConnectTimeoutSeconds, [this] {
-    has_connect_hung_ = true;
+    has_connect_timed_out_ = true;
     if (next_link_) next_link_->close(net::CloseReason::kRefused);
   });
-  if (is_moving_) move_timer_ = reactor_.after(kMoveSeconds, [this] { release_commands(); });
+  if (is_moving_) move_timer_ = reactor_.after(kMoveTimeoutSeconds, [this] { release_commands(); });
 }
 
 // The old link serves on.
@@ -85,7 +85,7 @@
 void RuntimeClient::move_to(const std::string& address) {
   if (address == address_) return;
   address_ = address;
-  has_connect_hung_ = false;
+  has_connect_timed_out_ = false;
   const bool is_connecting = next_link_ != nullptr;
   if (is_connecting) next_link_->close();
   next_link_.reset();
@@ -98,10 +98,10 @@
 // with the old one, commands wait from now on, and the new link is opened once those before them have
 // arrived. After a connect that hung nothing waits for the next one.
 void RuntimeClient::open_next_link() {
-  if (has_connect_hung_ || !takes_commands() || !ledger_.has_unproven()) return connect();
+  if (has_connect_timed_out_ || !takes_commands() || !ledger_.has_unacknowledged()) return connect();
   is_moving_ = true;
   request_gauges();
-  move_timer_ = reactor_.after(kMoveSeconds, [this] { finish_move(); });
+  move_timer_ = reactor_.after(kMoveTimeoutSeconds, [this] { finish_move(); });
 }
 
 void RuntimeClient::finish_move() {
@@ -117,22 +117,22 @@
     on_link_lost(*link_, is_broken);
   }
   link_ = std::move(next_link_);
-  has_connect_hung_ = false;
+  has_connect_timed_out_ = false;
   reactor_.cancel(connect_timer_);
   stream_bytes_ = 0;
   last_input_at_ = net::monotonic_now();
-  link_alive_at_ = last_input_at_;
+  link_known_alive_at_ = last_input_at_;
   greeting_absent_until_ = last_input_at_;
   write(wire::encode_sync(synced_notice_ = last_notice_));
-  look_for_greeting();
+  poll_for_greeting();
 }
 
 // Tells a greeting that was written late from one that is read late.
-void RuntimeClient::look_for_greeting() {
+void RuntimeClient::poll_for_greeting() {
   reactor_.cancel(greeting_timer_);
-  if (!link_ || is_runtime_up_ || !was_ready_) return;
+  if (!link_ || is_runtime_up_ || !was_ever_ready_) return;
   if (link_->connected() && link_->nothing_to_read()) greeting_absent_until_ = net::monotonic_now();
-  greeting_timer_ = reactor_.after(kGreetingLookSeconds, [this] { look_for_greeting(); });
+  greeting_timer_ = reactor_.after(kGreetingPollSeconds, [this] { poll_for_greeting(); });
 }
 
 void RuntimeClient::on_end_of_input(net::Connection& connection) {
@@ -155,7 +155,7 @@
 }
 
 void RuntimeClient::on_link_lost(const net::Connection& link, bool by_peer) {
-  const LinkLoss loss{net::monotonic_now(), link_alive_at_, link.bytes_out(), by_peer};
+  const LinkLoss loss{net::monotonic_now(), link_known_alive_at_, link.bytes_out(), by_peer};
   const std::size_t in_doubt = ledger_.on_link_lost(loss);
   counters_.add(Count::kRuntimeInDoubt, in_doubt);
   if (in_doubt > 0)
@@ -172,9 +172,9 @@
 // Closes a link on which an answer is overdue: the runtime hangs, or is gone without having closed it.
 void RuntimeClient::check_silence() {
   // Before the runtime has come up for the first time it owes no answer, however long that takes.
-  const bool owes_answer = link_ && was_ready_ && (!is_runtime_up_ || gauges_requested_at_ >= 0);
+  const bool is_response_pending = link_ && was_ever_ready_ && (!is_runtime_up_ || gauges_requested_at_ >= 0);
   const double waiting_since = std::max(gauges_requested_at_, last_input_at_);
-  if (owes_answer && net::monotonic_now() - waiting_since > kSilenceTimeoutSeconds) {
+  if (is_response_pending && net::monotonic_now() - waiting_since > kSilenceTimeoutSeconds) {
     counters_.add(Count::kRuntimeSilent);
     link_->close(net::CloseReason::kBroken);
   }
@@ -265,8 +265,8 @@
   const double up_seconds = notice.ms * kSecondsPerMs;
   const bool is_another =
       process_.is_another_process({greeting_absent_until_, net::monotonic_now(), up_seconds});
-  if (!was_ready_) {
-    was_ready_ = true;
+  if (!was_ever_ready_) {
+    was_ever_ready_ = true;
     log_.info("runtime", "ready, {}, for {:.0f} ms", notice.is_cold ? "cold" : "warm", notice.ms);
     return events_.on_runtime_ready(notice.is_cold, up_seconds);
   }
@@ -290,7 +290,7 @@
   log_.warn("runtime", "rejected '{}' of {}", notice.command, wire::format_id(notice.id));
   if (notice.command != "start" && notice.command != "cont") return;
   // A resumption that was sent twice may have been carried out the first time.
-  if (notice.command == "cont" && ledger_.is_repeated(notice.id)) return;
+  if (notice.command == "cont" && ledger_.was_resent(notice.id)) return;
   ledger_.erase(notice.id);
   events_.on_not_started(notice.id);
 }
@@ -310,14 +310,14 @@
   const double wait_us = (now - gauges_requested_at_) * kUsPerSecond;
   counters_.update_max(Count::kGaugesMaxDelayUs, static_cast<std::uint64_t>(wait_us));
   process_.on_answer(gauges_requested_at_);
-  link_alive_at_ = gauges_requested_at_;
+  link_known_alive_at_ = gauges_requested_at_;
   gauges_requested_at_ = -1;
-  ledger_.mark_arrived(sent_before_gauges_);
+  ledger_.mark_delivered(sent_before_gauges_);
   store_gauges(notice.gauges, now);
   // The ends of runs may stand behind the answer: they are read before anything is sent again.
   if (!is_synchronized_) has_missed_notices_ = true;
   if (!is_synchronized_ || !is_moving_ || next_link_) return;
-  if (ledger_.has_unproven()) return request_gauges();
+  if (ledger_.has_unacknowledged()) return request_gauges();
   finish_move();
 }
 
@@ -351,7 +351,7 @@
 
 void RuntimeClient::send_waiting_commands() {
   for (const CommandLedger::Outgoing& command : ledger_.take_sendable()) {
-    if (command.is_repeat) counters_.add(Count::kRuntimeResent);
+    if (command.is_resend) counters_.add(Count::kRuntimeResent);
     send(command);
   }
 }
@@ -378,7 +378,7 @@
 void RuntimeClient::start(const RunStart& run) {
   RuntimeCommand command;
   command.text = wire::encode_start(run.id, run.route, run.body);
-  command.in_doubt = run.may_repeat ? InDoubt::kSendAgain : InDoubt::kWait;
+  command.in_doubt = run.may_repeat ? InDoubt::kResend : InDoubt::kAwaitNotice;
   command.is_start = true;
   command.give_up_at = net::monotonic_now() + run.seconds_left + kGiveUpMarginSeconds;
   issue({run.id, false}, std::move(command));
@@ -396,7 +396,7 @@
 void RuntimeClient::send_reply(RequestId id, std::string_view reply, const RequestedCall& call) {
   RuntimeCommand command;
   command.text = wire::encode_call_reply(id, reply);
-  command.in_doubt = call.may_be_skipped ? InDoubt::kReplace : InDoubt::kWait;
+  command.in_doubt = call.may_be_skipped ? InDoubt::kReplace : InDoubt::kAwaitNotice;
   command.give_up_at = net::monotonic_now() + call.seconds_left + kGiveUpMarginSeconds;
   if (call.may_be_skipped) command.replacement = wire::encode_skip_call(id, call.notice);
   issue({id, false}, std::move(command));
--- a/src/peers/runtime/client.h
+++ b/src/peers/runtime/client.h
@@ -62,7 +62,7 @@
   void open_next_link();
   void finish_move();
   void release_commands();
-  void look_for_greeting();
+  void poll_for_greeting();
   void handle_notice(const wire::Notice& notice);
   void handle_run_end(const wire::Notice& notice);
   void handle_call_wanted(const wire::Notice& notice);
@@ -96,9 +96,9 @@
   bool has_missed_notices_ = false;             // their mark was read, what stands behind it may not be yet
   bool is_synchronized_ = false;                // the missed notices were read on this link
   bool is_moving_ = false;                      // commands wait for the link to another address
-  bool has_connect_hung_ = false;               // the last one to this address
-  bool was_ready_ = false;                      // on any link
-  double link_alive_at_ = 0;                    // it answered what was asked at this time
+  bool has_connect_timed_out_ = false;          // the last one to this address
+  bool was_ever_ready_ = false;                 // on any link
+  double link_known_alive_at_ = 0;              // it answered what was asked at this time
   double greeting_absent_until_ = 0;            // on this link
   RuntimeProcessIdentity process_;
   std::uint64_t last_notice_ = 0;
--- a/src/peers/runtime/command_ledger.cpp
+++ b/src/peers/runtime/command_ledger.cpp
@@ -15,13 +15,13 @@
 // What was sent before this time and has arrived was not lost with the link. The break came after the last
 // answer was asked for, however late it was noticed.
 double loss_begins_at(const LinkLoss& loss) {
-  return std::min(loss.at - kLossWindowSeconds, loss.alive_at - kLossSeconds);
+  return std::min(loss.at - kLossWindowSeconds, loss.known_alive_at - kLossSeconds);
 }
 
 void replace(RuntimeCommand& command) {
   command.text = std::move(command.replacement);
   command.replacement.clear();
-  command.in_doubt = InDoubt::kSendAgain;
+  command.in_doubt = InDoubt::kResend;
 }
 
 }  // namespace
@@ -47,24 +47,24 @@
   entry.sent_at = now;
 }
 
-void CommandLedger::mark_arrived(std::uint64_t position) {
+void CommandLedger::mark_delivered(std::uint64_t position) {
   for (auto& [id, entries] : requests_) {
     for (Entry* entry : {&entries.run, &entries.stop}) {
       if (entry->delivery == Delivery::kSent && entry->position <= position)
-        entry->delivery = Delivery::kArrived;
+        entry->delivery = Delivery::kDelivered;
     }
   }
 }
 
-bool CommandLedger::has_unproven() const {
+bool CommandLedger::has_unacknowledged() const {
   return std::any_of(requests_.begin(), requests_.end(), [](const auto& request) {
     const RequestEntries& entries = request.second;
     return entries.run.delivery == Delivery::kSent || entries.stop.delivery == Delivery::kSent;
   });
 }
 
-void CommandLedger::settle_loss(Entry& entry, const LinkLoss& loss) {
-  if (entry.delivery == Delivery::kArrived) {
+void CommandLedger::update_delivery(Entry& entry, const LinkLoss& loss) {
+  if (entry.delivery == Delivery::kDelivered) {
     const bool may_be_lost = loss.by_peer && entry.sent_at >= loss_begins_at(loss);
     if (may_be_lost) entry.delivery = Delivery::kInDoubt;
   } else if (entry.delivery == Delivery::kSent) {
@@ -77,12 +77,12 @@
 
 std::size_t CommandLedger::on_link_lost(const LinkLoss& loss) {
   std::size_t newly_waiting = 0;
-  last_before_link_ = last_number_;
+  last_number_before_link_ = last_number_;
   for (auto& [id, entries] : requests_) {
-    const bool waited = waits_in_doubt(entries.run);
-    settle_loss(entries.run, loss);
-    settle_loss(entries.stop, loss);
-    if (!waited && waits_in_doubt(entries.run)) ++newly_waiting;
+    const bool waited = awaits_notice(entries.run);
+    update_delivery(entries.run, loss);
+    update_delivery(entries.stop, loss);
+    if (!waited && awaits_notice(entries.run)) ++newly_waiting;
   }
   return newly_waiting;
 }
@@ -90,7 +90,7 @@
 bool CommandLedger::is_sendable(const Entry& entry) {
   if (entry.number == 0) return false;
   if (entry.delivery == Delivery::kUnsent) return true;
-  return entry.delivery == Delivery::kInDoubt && entry.command.in_doubt != InDoubt::kWait;
+  return entry.delivery == Delivery::kInDoubt && entry.command.in_doubt != InDoubt::kAwaitNotice;
 }
 
 std::vector<CommandLedger::Outgoing> CommandLedger::take_sendable() {
@@ -99,9 +99,9 @@
     for (const bool is_stop : {false, true}) {
       Entry& entry = is_stop ? entries.stop : entries.run;
       if (!is_sendable(entry)) continue;
-      const bool is_repeat = entry.send_count > 0;
-      if (is_repeat && entry.command.in_doubt == InDoubt::kReplace) replace(entry.command);
-      sendable.push_back({entry.number, {{id, is_stop}, entry.command.text, is_repeat}});
+      const bool is_resend = entry.send_count > 0;
+      if (is_resend && entry.command.in_doubt == InDoubt::kReplace) replace(entry.command);
+      sendable.push_back({entry.number, {{id, is_stop}, entry.command.text, is_resend}});
     }
   }
   std::sort(sendable.begin(), sendable.end(), [](const auto& a, const auto& b) { return a.first < b.first; });
@@ -114,7 +114,7 @@
 void CommandLedger::on_notices_lost() {
   for (auto& [id, entries] : requests_) {
     const bool is_known_there = entries.run.delivery != Delivery::kUnsent || entries.run.number == 0;
-    if (is_known_there) entries.may_be_over = true;
+    if (is_known_there) entries.may_have_ended = true;
   }
 }
 
@@ -122,7 +122,7 @@
   const auto found = requests_.find(id);
   if (found == requests_.end()) return;
   found->second.run = {};
-  found->second.may_be_over = false;
+  found->second.may_have_ended = false;
 }
 
 std::unordered_set<RequestId> CommandLedger::on_restart() {
@@ -140,22 +140,22 @@
 bool CommandLedger::is_new_start(RequestId id) const {
   const auto found = requests_.find(id);
   return found != requests_.end() && found->second.run.command.is_start &&
-         found->second.run.number > last_before_link_;
+         found->second.run.number > last_number_before_link_;
 }
 
-bool CommandLedger::is_repeated(RequestId id) const {
+bool CommandLedger::was_resent(RequestId id) const {
   const auto found = requests_.find(id);
   return found != requests_.end() && found->second.run.send_count > 1;
 }
 
 // ---- What waits in doubt.
 
-bool CommandLedger::waits_in_doubt(const Entry& entry) {
-  return entry.delivery == Delivery::kInDoubt && entry.command.in_doubt == InDoubt::kWait;
+bool CommandLedger::awaits_notice(const Entry& entry) {
+  return entry.delivery == Delivery::kInDoubt && entry.command.in_doubt == InDoubt::kAwaitNotice;
 }
 
 bool CommandLedger::is_to_be_given_up(const RequestEntries& entries) {
-  return entries.may_be_over || waits_in_doubt(entries.run);
+  return entries.may_have_ended || awaits_notice(entries.run);
 }
 
 std::optional<double> CommandLedger::next_give_up() const {
--- a/src/peers/runtime/command_ledger.h
+++ b/src/peers/runtime/command_ledger.h
@@ -24,15 +24,15 @@
 
 // What becomes of a command in doubt.
 enum class InDoubt {
-  kSendAgain,
-  kWait,     // never sent again; a notice about its request tells how it went
-  kReplace,  // another command takes its place that has no effect where the first one was carried out
+  kResend,
+  kAwaitNotice,  // never sent again; a notice about its request tells how it went
+  kReplace,      // another command takes its place that has no effect where the first one was carried out
 };
 
 // A command as it is handed to the ledger.
 struct RuntimeCommand {
   std::string text;  // as it is written to the link
-  InDoubt in_doubt = InDoubt::kSendAgain;
+  InDoubt in_doubt = InDoubt::kResend;
   std::string replacement;  // of kReplace
   bool is_start = false;    // nothing runs before it has arrived
   double give_up_at = 0;    // of one that waits in doubt: from then on no notice is awaited
@@ -41,7 +41,7 @@
 // How a link ended.
 struct LinkLoss {
   double at = 0;                  // when this was noticed
-  double alive_at = 0;            // it answered what was asked at this time
+  double known_alive_at = 0;      // it answered what was asked at this time
   std::uint64_t bytes_taken = 0;  // of the stream, by the system
   bool by_peer = true;            // false: it was replaced while it worked
 };
@@ -58,7 +58,7 @@
   struct Outgoing {
     CommandKey key;
     std::string_view text;
-    bool is_repeat = false;  // it, or what it replaces, was sent before
+    bool is_resend = false;  // it, or what it replaces, was sent before
   };
 
   // Remembers a command, in place of the former one with this key.
@@ -69,9 +69,9 @@
   // The position of the latest command on this link, for mark_arrived().
   [[nodiscard]] std::uint64_t last_sent() const { return last_position_; }
   // The runtime has read the link up to this position.
-  void mark_arrived(std::uint64_t position);
+  void mark_delivered(std::uint64_t position);
   // Whether a command on this link is not known to have arrived.
-  [[nodiscard]] bool has_unproven() const;
+  [[nodiscard]] bool has_unacknowledged() const;
 
   // Settles what has become of each command; returns how many runs' commands wait in doubt from now on.
   std::size_t on_link_lost(const LinkLoss& loss);
@@ -91,7 +91,7 @@
   // Whether it is a start that was issued after the last link was lost: no runtime heard of it before.
   [[nodiscard]] bool is_new_start(RequestId id) const;
   // Whether the command of the run was sent more than once.
-  [[nodiscard]] bool is_repeated(RequestId id) const;
+  [[nodiscard]] bool was_resent(RequestId id) const;
   // Of the requests whose starts or replies wait in doubt, or whose notices may be lost: when the first is to
   // be given up, and which are by now.
   [[nodiscard]] std::optional<double> next_give_up() const;
@@ -99,10 +99,10 @@
 
  private:
   enum class Delivery {
-    kUnsent,   // no link has taken all of it
-    kSent,     // this link has taken it
-    kArrived,  // proven by what the runtime answered behind it
-    kInDoubt,  // a lost link had taken it
+    kUnsent,     // no link has taken all of it
+    kSent,       // this link has taken it
+    kDelivered,  // proven by what the runtime answered behind it
+    kInDoubt,    // a lost link had taken it
   };
   struct Entry {
     std::uint64_t number = 0;  // in the order of issue; 0: none
@@ -117,17 +117,17 @@
     Entry run;
     Entry stop;
     double give_up_at = 0;  // of its last start, resumption or reply
-    bool may_be_over = false;
+    bool may_have_ended = false;
   };
 
-  static void settle_loss(Entry& entry, const LinkLoss& loss);
+  static void update_delivery(Entry& entry, const LinkLoss& loss);
   [[nodiscard]] static bool is_sendable(const Entry& entry);
-  [[nodiscard]] static bool waits_in_doubt(const Entry& entry);
+  [[nodiscard]] static bool awaits_notice(const Entry& entry);
   [[nodiscard]] static bool is_to_be_given_up(const RequestEntries& entries);
 
   std::unordered_map<RequestId, RequestEntries> requests_;
   std::uint64_t last_number_ = 0;
-  std::uint64_t last_before_link_ = 0;  // the last number as the last link was lost
+  std::uint64_t last_number_before_link_ = 0;  // the last number as the last link was lost
   std::uint64_t last_position_ = 0;
 };
 
--- a/src/wire/ajp.cpp
+++ b/src/wire/ajp.cpp
@@ -58,8 +58,8 @@
      "set-cookie2", "servlet-engine", "status", "www-authenticate"});
 
 template <std::size_t N>
-std::size_t number_of(const std::array<std::string_view, N>& names,
-                      std::string_view name) {  // from 1; 0: none
+std::size_t code_of(const std::array<std::string_view, N>& names,
+                    std::string_view name) {  // from 1; 0: none
   const auto found = std::find(names.begin(), names.end(), name);
   return found == names.end() ? 0 : static_cast<std::size_t>(found - names.begin()) + 1;
 }
@@ -90,7 +90,7 @@
     byte(0);
   }
   // What a peer could take for the end of a value must not be in it.
-  void clean(std::string_view text) {
+  void printable_text(std::string_view text) {
     std::string out;
     for (const char c : text) {
       if (static_cast<unsigned char>(c) >= 0x20 && c != 0x7f) out += c;
@@ -100,12 +100,12 @@
   void raw(std::string_view bytes) { out_ += bytes; }
   template <std::size_t N>
   void header_name(const std::array<std::string_view, N>& names, std::string_view name) {
-    if (const std::size_t code = number_of(names, name); code != 0)
+    if (const std::size_t code = code_of(names, name); code != 0)
       return number(static_cast<std::uint16_t>(kCodedName << 8 | code));
     text(name);
   }
-  std::string done() {
-    const std::size_t length = out_.size() - kHead;
+  std::string finish() {
+    const std::size_t length = out_.size() - kHeaderBytes;
     out_[2] = static_cast<char>(length >> 8);
     out_[3] = static_cast<char>(length);
     return std::move(out_);
@@ -129,56 +129,56 @@
   }
   bool flag() {
     const std::uint8_t value = byte();
-    demand(value <= 1);
+    require(value <= 1);
     return value == 1;
   }
   std::string_view text() {
     const std::uint16_t length = number();
     if (length == kNoString) return {};
     const std::string_view out = take(length);
-    demand(byte() == 0);
+    require(byte() == 0);
     // A NUL inside would end it for one reader and not for another.
-    demand(out.find('\0') == std::string_view::npos);
-    return good_ ? out : std::string_view();
+    require(out.find('\0') == std::string_view::npos);
+    return is_valid_ ? out : std::string_view();
   }
   template <std::size_t N>
   std::string header_name(const std::array<std::string_view, N>& names) {
     if (!in_.empty() && static_cast<std::uint8_t>(in_[0]) == kCodedName) {
       const std::size_t code = number() & 0xffu;
-      demand(code >= 1 && code <= names.size());
-      return good_ ? std::string(names[code - 1]) : std::string();
+      require(code >= 1 && code <= names.size());
+      return is_valid_ ? std::string(names[code - 1]) : std::string();
     }
     const std::string_view name = text();
-    demand(!name.empty());
+    require(!name.empty());
     return lower(name);
   }
   std::string_view take(std::size_t count) {
-    if (count > in_.size()) good_ = false;
-    if (!good_) return {};
+    if (count > in_.size()) is_valid_ = false;
+    if (!is_valid_) return {};
     const std::string_view out = in_.substr(0, count);
     in_.remove_prefix(count);
     return out;
   }
-  void demand(bool what) { good_ &= what; }
-  bool good() const { return good_; }
-  bool whole() const { return good_ && in_.empty(); }
-  std::size_t left() const { return in_.size(); }
+  void require(bool what) { is_valid_ &= what; }
+  bool is_valid() const { return is_valid_; }
+  bool is_complete() const { return is_valid_ && in_.empty(); }
+  std::size_t remaining() const { return in_.size(); }
 
  private:
   std::string_view in_;
-  bool good_ = true;
+  bool is_valid_ = true;
 };
 
 // The least that a header or an attribute takes: counts that can't be true are seen before anything is kept.
-constexpr std::size_t kLeastHeader = 4;
+constexpr std::size_t kMinHeaderBytes = 4;
 
 template <std::size_t N>
 void read_headers(Reader& r, const std::array<std::string_view, N>& names, std::vector<Header>& out) {
   const std::uint16_t count = r.number();
-  r.demand(count <= kMostHeaders && count * kLeastHeader <= r.left());
-  if (!r.good()) return;
+  r.require(count <= kMaxHeaders && count * kMinHeaderBytes <= r.remaining());
+  if (!r.is_valid()) return;
   out.reserve(count);
-  for (std::uint16_t i = 0; r.good() && i < count; ++i) {
+  for (std::uint16_t i = 0; r.is_valid() && i < count; ++i) {
     std::string name = r.header_name(names);
     out.push_back({std::move(name), std::string(r.text())});
   }
@@ -186,14 +186,14 @@
 
 std::string method_name(std::uint8_t code, Reader& r) {
   if (code == kStoredMethod) return {};
-  r.demand(code >= 1 && code <= kMethods.size());
-  return r.good() ? std::string(kMethods[code - 1]) : std::string();
+  r.require(code >= 1 && code <= kMethods.size());
+  return r.is_valid() ? std::string(kMethods[code - 1]) : std::string();
 }
 
 ForwardRequest read_request(Reader& r) {
   ForwardRequest out;
   out.method = method_name(r.byte(), r);
-  const bool stored = out.method.empty();
+  const bool is_method_stored = out.method.empty();
   out.protocol = r.text();
   out.uri = r.text();
   out.remote_address = r.text();
@@ -202,12 +202,12 @@
   out.server_port = r.number();
   out.secure = r.flag();
   read_headers(r, kRequestNames, out.headers);
-  while (r.good()) {
+  while (r.is_valid()) {
     const std::uint8_t kind = r.byte();
-    if (!r.good() || kind == kNoMoreAttributes) break;
-    r.demand(kind >= Attribute::kContext && kind <= Attribute::kStoredMethod &&
-             out.attributes.size() < kMostAttributes);
-    if (!r.good()) break;
+    if (!r.is_valid() || kind == kNoMoreAttributes) break;
+    r.require(kind >= Attribute::kContext && kind <= Attribute::kStoredMethod &&
+              out.attributes.size() < kMaxAttributes);
+    if (!r.is_valid()) break;
     Attribute& one = out.attributes.emplace_back();
     one.kind = static_cast<Attribute::Kind>(kind);
     if (one.kind == Attribute::kSslKeySize) {
@@ -217,7 +217,8 @@
     if (one.kind == Attribute::kRequest) one.name = r.text();
     one.value = r.text();
     if (one.kind == Attribute::kStoredMethod) {
-      r.demand(stored && out.method.empty() && !one.value.empty());  // a second method would be another one's
+      r.require(is_method_stored && out.method.empty() &&
+                !one.value.empty());  // a second method would be another one's
       out.method = one.value;
     }
   }
@@ -235,9 +236,9 @@
   std::string operator()(const ForwardRequest& m) const {
     Writer w(kGatewayMagic);
     w.byte(kForwardRequest);
-    const std::size_t code = number_of(kMethods, m.method);
-    const bool stored = m.attribute(Attribute::kStoredMethod) != nullptr;
-    w.byte(code == 0 || stored ? kStoredMethod : static_cast<std::uint8_t>(code));
+    const std::size_t code = code_of(kMethods, m.method);
+    const bool is_method_stored = m.attribute(Attribute::kStoredMethod) != nullptr;
+    w.byte(code == 0 || is_method_stored ? kStoredMethod : static_cast<std::uint8_t>(code));
     w.text(m.protocol);
     w.text(m.uri);
     w.text(m.remote_address);
@@ -260,15 +261,15 @@
       w.text(a.value);
     }
     w.byte(kNoMoreAttributes);
-    return w.done();
+    return w.finish();
   }
-  std::string operator()(const Shutdown&) const { return bare(kShutdown); }
-  std::string operator()(const Ping&) const { return bare(kPing); }
-  std::string operator()(const CPing&) const { return bare(kCPing); }
-  static std::string bare(Kind kind) {
+  std::string operator()(const Shutdown&) const { return encode_kind(kShutdown); }
+  std::string operator()(const Ping&) const { return encode_kind(kPing); }
+  std::string operator()(const CPing&) const { return encode_kind(kCPing); }
+  static std::string encode_kind(Kind kind) {
     Writer w(kGatewayMagic);
     w.byte(kind);
-    return w.done();
+    return w.finish();
   }
 };
 
@@ -277,13 +278,13 @@
     Writer w(kServerMagic);
     w.byte(kSendHeaders);
     w.number(m.status);
-    w.clean(m.reason);
+    w.printable_text(m.reason);
     w.number(static_cast<std::uint16_t>(m.headers.size()));
     for (const Header& h : m.headers) {
       w.header_name(kResponseNames, h.name);
-      w.clean(h.value);
+      w.printable_text(h.value);
     }
-    return w.done();
+    return w.finish();
   }
   std::string operator()(const SendBodyChunk& m) const {
     Writer w(kServerMagic);
@@ -291,24 +292,24 @@
     w.number(static_cast<std::uint16_t>(m.piece.size()));
     w.raw(m.piece);
     w.byte(0);  // as servers write it, though the description does not tell of it
-    return w.done();
+    return w.finish();
   }
   std::string operator()(const EndResponse& m) const {
     Writer w(kServerMagic);
     w.byte(kEndResponse);
     w.byte(m.reuse ? 1 : 0);
-    return w.done();
+    return w.finish();
   }
   std::string operator()(const GetBodyChunk& m) const {
     Writer w(kServerMagic);
     w.byte(kGetBodyChunk);
-    w.number(m.most);
-    return w.done();
+    w.number(m.max_bytes);
+    return w.finish();
   }
   std::string operator()(const CPong&) const {
     Writer w(kServerMagic);
     w.byte(kCPong);
-    return w.done();
+    return w.finish();
   }
 };
 
@@ -322,20 +323,20 @@
 }
 const std::string* SendHeaders::header(std::string_view name) const { return find_header(headers, name); }
 
-Packet next_packet(std::string_view input, From from, std::size_t most) {
+Packet next_packet(std::string_view input, From from, std::size_t max_bytes) {
   Packet out;
   // What begins with another magic is told at its first byte: waiting for more of it is waiting for nothing.
   const std::uint16_t magic = from == From::kGateway ? kGatewayMagic : kServerMagic;
   if (!input.empty() && static_cast<std::uint8_t>(input[0]) != magic >> 8) out.state = Framing::kBroken;
   if (input.size() > 1 && static_cast<std::uint8_t>(input[1]) != (magic & 0xff)) out.state = Framing::kBroken;
-  if (out.state == Framing::kBroken || input.size() < kHead) return out;
+  if (out.state == Framing::kBroken || input.size() < kHeaderBytes) return out;
   Reader r(input.substr(2));
-  const std::size_t length = kHead + r.number();
-  if (length > most) return out.state = Framing::kBroken, out;
+  const std::size_t length = kHeaderBytes + r.number();
+  if (length > max_bytes) return out.state = Framing::kBroken, out;
   if (input.size() < length) return out;
   out.state = Framing::kPacket;
   out.length = length;
-  out.payload = input.substr(kHead, length - kHead);
+  out.payload = input.substr(kHeaderBytes, length - kHeaderBytes);
   return out;
 }
 
@@ -349,7 +350,7 @@
     case kCPing: out = CPing{}; break;
     default: return std::nullopt;
   }
-  return r.whole() ? std::optional(std::move(out)) : std::nullopt;
+  return r.is_complete() ? std::optional(std::move(out)) : std::nullopt;
 }
 std::string encode(const FromGateway& message) { return std::visit(GatewayEncoder{}, message); }
 
@@ -357,16 +358,16 @@
   if (payload.empty()) return payload;
   Reader r(payload);
   const std::string_view piece = r.take(r.number());
-  return r.whole() ? std::optional(piece) : std::nullopt;
+  return r.is_complete() ? std::optional(piece) : std::nullopt;
 }
 std::string encode_body(std::string_view piece) {
   Writer w(kGatewayMagic);
-  piece = piece.substr(0, kMostPacket - kBodyHead);
+  piece = piece.substr(0, kMaxPacketBytes - kBodyHeaderBytes);
   w.number(static_cast<std::uint16_t>(piece.size()));
   w.raw(piece);
-  return w.done();
+  return w.finish();
 }
-std::string encode_body_end() { return Writer(kGatewayMagic).done(); }
+std::string encode_body_end() { return Writer(kGatewayMagic).finish(); }
 
 std::optional<FromServer> decode_from_server(std::string_view payload) {
   Reader r(payload);
@@ -375,7 +376,7 @@
     case kSendHeaders: {
       SendHeaders m;
       m.status = r.number();
-      r.demand(m.status >= 100 && m.status <= 999);
+      r.require(m.status >= 100 && m.status <= 999);
       m.reason = r.text();
       read_headers(r, kResponseNames, m.headers);
       out = std::move(m);
@@ -384,7 +385,7 @@
     case kSendBodyChunk: {
       SendBodyChunk m;
       m.piece = r.take(r.number());
-      if (r.good() && r.left() == 1) r.demand(r.byte() == 0);
+      if (r.is_valid() && r.remaining() == 1) r.require(r.byte() == 0);
       out = std::move(m);
       break;
     }
@@ -393,7 +394,7 @@
     case kCPong: out = CPong{}; break;
     default: return std::nullopt;
   }
-  return r.whole() ? std::optional(std::move(out)) : std::nullopt;
+  return r.is_complete() ? std::optional(std::move(out)) : std::nullopt;
 }
 std::string encode(const FromServer& message) { return std::visit(ServerEncoder{}, message); }
 
--- a/src/wire/ajp.h
+++ b/src/wire/ajp.h
@@ -17,11 +17,12 @@
 
 namespace damsonspoke::wire::ajp {
 
-constexpr std::size_t kHead = 4;                       // bytes: magic, length
+constexpr std::size_t kHeaderBytes = 4;                // bytes: magic, length
 constexpr std::size_t kDefaultPacketBytes = 8 * 1024;  // bytes, head and all
-constexpr std::size_t kMostPacket = 64 * 1024;
-constexpr std::size_t kBodyHead = 6;  // of a packet that carries a piece of a body: head, length of the piece
-constexpr std::size_t kMostHeaders = 64, kMostAttributes = 32;
+constexpr std::size_t kMaxPacketBytes = 64 * 1024;
+constexpr std::size_t kBodyHeaderBytes =
+    6;  // of a packet that carries a piece of a body: head, length of the piece
+constexpr std::size_t kMaxHeaders = 64, kMaxAttributes = 32;
 
 enum class From { kGateway, kServer };
 enum class Framing { kNeedMore, kPacket, kBroken };
@@ -32,7 +33,7 @@
 };
 // The packet that the input starts with. Broken: another magic than that side's, or longer than `most` bytes,
 // head and all.
-Packet next_packet(std::string_view input, From from, std::size_t most);
+Packet next_packet(std::string_view input, From from, std::size_t max_bytes);
 
 struct Header {
   std::string name;  // in lower case
@@ -115,7 +116,7 @@
   bool operator==(const EndResponse&) const = default;
 };
 struct GetBodyChunk {
-  std::uint16_t most = 0;  // bytes of the next piece
+  std::uint16_t max_bytes = 0;  // bytes of the next piece
   bool operator==(const GetBodyChunk&) const = default;
 };
 struct CPong {
--- a/src/wire/dependency_lines.cpp
+++ b/src/wire/dependency_lines.cpp
@@ -22,12 +22,12 @@
   return input.size() <= kIdDigits || (input[kIdDigits] == ' ' && input.size() <= kMaxReplyLineBytes);
 }
 
-CallEnd call_end_of(std::string_view word) {
-  if (word == "ok") return CallEnd::kOk;
-  if (word == "overload") return CallEnd::kRefused;
-  if (word == "internal") return CallEnd::kFailed;
-  if (word == "deadline") return CallEnd::kTimedOut;
-  if (word == "stale") return CallEnd::kObsolete;
+CallEnd call_end_of(std::string_view token) {
+  if (token == "ok") return CallEnd::kOk;
+  if (token == "overload") return CallEnd::kRefused;
+  if (token == "internal") return CallEnd::kFailed;
+  if (token == "deadline") return CallEnd::kTimedOut;
+  if (token == "stale") return CallEnd::kObsolete;
   return CallEnd::kUnknown;
 }
 
@@ -35,24 +35,24 @@
 
 ReplyRead next_reply(std::string_view input) {
   ReplyRead read;
-  const WordLine line = next_line(input);
+  const TokenLine line = next_line(input);
   read.state = line.state;
   read.length = line.length;
   if (line.state == LineState::kNeedMore && !may_begin_reply(input)) read.state = LineState::kBroken;
-  if (line.state != LineState::kLine || line.words.size() < 2) return read;
-  const CallEnd end = call_end_of(line.words[1]);
+  if (line.state != LineState::kLine || line.tokens.size() < 2) return read;
+  const CallEnd end = call_end_of(line.tokens[1]);
   if (end == CallEnd::kOk) {
-    if (line.words.size() != 3) {
+    if (line.tokens.size() != 3) {
       read.state = LineState::kBroken;  // a payload of unknown length follows
       return read;
     }
-    const Payload payload = next_payload(input.substr(line.length), line.words[2]);
+    const Payload payload = next_payload(input.substr(line.length), line.tokens[2]);
     read.state = payload.state;
     if (payload.state != LineState::kLine) return read;
     read.body = payload.bytes;
     read.length += payload.length;
   }
-  if (parse_id(line.words[0], read.id)) read.end = end;
+  if (parse_id(line.tokens[0], read.id)) read.end = end;
   return read;
 }
 
--- a/src/wire/json.cpp
+++ b/src/wire/json.cpp
@@ -13,8 +13,8 @@
 // UTF-16 writes what is beyond the first plane as two surrogates, the high one first.
 constexpr unsigned kFirstHighSurrogate = 0xd800;
 constexpr unsigned kFirstLowSurrogate = 0xdc00;
-constexpr unsigned kBehindSurrogates = 0xe000;
-constexpr unsigned kBehindFirstPlane = 0x10000;
+constexpr unsigned kAfterSurrogates = 0xe000;
+constexpr unsigned kFirstSupplementaryCode = 0x10000;
 constexpr unsigned kSurrogateBits = 10;
 
 void append_utf8(std::string& out, unsigned code) {
@@ -26,7 +26,7 @@
   } else if (code < 0x800) {
     out += static_cast<char>(0xc0 | code >> 6);
     out += continuation(0);
-  } else if (code < kBehindFirstPlane) {
+  } else if (code < kFirstSupplementaryCode) {
     out += static_cast<char>(0xe0 | code >> 12);
     out += continuation(6);
     out += continuation(0);
@@ -52,10 +52,10 @@
 // The length of the number that the text begins with; 0: there is none.
 std::size_t number_length(std::string_view text) {
   std::size_t length = text.starts_with('-') ? 1 : 0;
-  const std::size_t whole_digits = count_digits(text.substr(length));
-  const bool has_leading_zero = whole_digits > 1 && text[length] == '0';
-  if (whole_digits == 0 || has_leading_zero) return 0;
-  length += whole_digits;
+  const std::size_t integer_digits = count_digits(text.substr(length));
+  const bool has_leading_zero = integer_digits > 1 && text[length] == '0';
+  if (integer_digits == 0 || has_leading_zero) return 0;
+  length += integer_digits;
   if (text.substr(length).starts_with('.')) {
     const std::size_t digits = count_digits(text.substr(length + 1));
     if (digits == 0) return 0;
@@ -86,14 +86,14 @@
 
 }  // namespace
 
-void JsonCursor::skip_blanks() {
+void JsonCursor::skip_whitespace() {
   while (at_ < text_.size() &&
          (text_[at_] == ' ' || text_[at_] == '\t' || text_[at_] == '\r' || text_[at_] == '\n'))
     ++at_;
 }
 
 bool JsonCursor::take(char sign) {
-  skip_blanks();
+  skip_whitespace();
   if (at_ >= text_.size() || text_[at_] != sign) return false;
   ++at_;
   return true;
@@ -102,12 +102,12 @@
 bool JsonCursor::enter(char open) { return take(open) && ++depth_ <= kMaxDepth; }
 
 bool JsonCursor::at_end() {
-  skip_blanks();
+  skip_whitespace();
   return at_ == text_.size();
 }
 
 JsonKind JsonCursor::next_kind() {
-  skip_blanks();
+  skip_whitespace();
   if (at_ >= text_.size()) return JsonKind::kNone;
   switch (const char c = text_[at_]; c) {
     case '{': return JsonKind::kObject;
@@ -120,22 +120,22 @@
   }
 }
 
-bool JsonCursor::take_word(std::string_view word) {
+bool JsonCursor::take_literal(std::string_view word) {
   if (text_.substr(at_, word.size()) != word) return false;
   at_ += word.size();
   return true;
 }
 
 bool JsonCursor::read_boolean(bool& out) {
-  skip_blanks();
-  const bool is_true = take_word("true");
-  if (!is_true && !take_word("false")) return false;
+  skip_whitespace();
+  const bool is_true = take_literal("true");
+  if (!is_true && !take_literal("false")) return false;
   out = is_true;
   return true;
 }
 
 bool JsonCursor::read_number(double& out) {
-  skip_blanks();
+  skip_whitespace();
   const std::string_view rest = text_.substr(at_);
   const std::size_t length = number_length(rest);
   if (length == 0) return false;
@@ -169,12 +169,13 @@
 bool JsonCursor::read_unicode_escape(std::string& out) {
   unsigned code = 0;
   if (!read_four_hex_digits(code)) return false;
-  if (code >= kFirstLowSurrogate && code < kBehindSurrogates) return false;
+  if (code >= kFirstLowSurrogate && code < kAfterSurrogates) return false;
   if (code >= kFirstHighSurrogate && code < kFirstLowSurrogate) {
     unsigned low = 0;
-    if (!take_word("\\u") || !read_four_hex_digits(low)) return false;
-    if (low < kFirstLowSurrogate || low >= kBehindSurrogates) return false;
-    code = kBehindFirstPlane + ((code - kFirstHighSurrogate) << kSurrogateBits) + (low - kFirstLowSurrogate);
+    if (!take_literal("\\u") || !read_four_hex_digits(low)) return false;
+    if (low < kFirstLowSurrogate || low >= kAfterSurrogates) return false;
+    code = kFirstSupplementaryCode + ((code - kFirstHighSurrogate) << kSurrogateBits) +
+           (low - kFirstLowSurrogate);
   }
   append_utf8(out, code);
   return true;
@@ -223,7 +224,7 @@
       bool ignored = false;
       return read_boolean(ignored);
     }
-    case JsonKind::kNull: return take_word("null");
+    case JsonKind::kNull: return take_literal("null");
     case JsonKind::kNone: return false;
   }
   return false;
--- a/src/wire/json.h
+++ b/src/wire/json.h
@@ -49,10 +49,10 @@
     --depth_;
     return true;
   }
-  void skip_blanks();
+  void skip_whitespace();
   bool skip_array();
   bool take(char sign);
-  bool take_word(std::string_view word);
+  bool take_literal(std::string_view word);
   bool read_escape(std::string& out);
   bool read_unicode_escape(std::string& out);
   bool read_four_hex_digits(unsigned& out);
--- a/src/wire/lines.cpp
+++ b/src/wire/lines.cpp
@@ -13,21 +13,21 @@
 constexpr std::string_view kLineEnd = "\r\n";
 
 std::vector<std::string_view> split(std::string_view line) {
-  std::vector<std::string_view> words;
+  std::vector<std::string_view> tokens;
   while (!line.empty()) {
-    const std::size_t blank = line.find(' ');
-    const std::string_view word = line.substr(0, blank);
-    if (!word.empty()) words.push_back(word);
-    if (blank == std::string_view::npos) break;
-    line.remove_prefix(blank + 1);
+    const std::size_t space = line.find(' ');
+    const std::string_view token = line.substr(0, space);
+    if (!token.empty()) tokens.push_back(token);
+    if (space == std::string_view::npos) break;
+    line.remove_prefix(space + 1);
   }
-  return words;
+  return tokens;
 }
 
 }  // namespace
 
-WordLine next_line(std::string_view input) {
-  WordLine line;
+TokenLine next_line(std::string_view input) {
+  TokenLine line;
   const std::size_t end = input.substr(0, kMaxLineBytes).find(kLineEnd);
   if (end == std::string_view::npos) {
     if (input.size() >= kMaxLineBytes) line.state = LineState::kBroken;
@@ -35,7 +35,7 @@
   }
   line.state = LineState::kLine;
   line.length = end + kLineEnd.size();
-  line.words = split(input.substr(0, end));
+  line.tokens = split(input.substr(0, end));
   return line;
 }
 
--- a/src/wire/lines.h
+++ b/src/wire/lines.h
@@ -15,14 +15,14 @@
 enum class LineState { kNeedMore, kLine, kBroken };
 
 // One line split into words, without the payload that may follow.
-struct WordLine {
+struct TokenLine {
   LineState state = LineState::kNeedMore;
-  std::size_t length = 0;               // with its CR LF
-  std::vector<std::string_view> words;  // of the input: valid as long as that is
+  std::size_t length = 0;                // with its CR LF
+  std::vector<std::string_view> tokens;  // of the input: valid as long as that is
 };
 
 // The line that the input begins with.
-[[nodiscard]] WordLine next_line(std::string_view input);
+[[nodiscard]] TokenLine next_line(std::string_view input);
 
 // The payload behind a line.
 struct Payload {
--- a/src/wire/rpc.cpp
+++ b/src/wire/rpc.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 constexpr std::string_view kLineEnd = "\r\n";
-constexpr std::size_t kMaxHeadBytes = 1024;       // the one field that counts takes 30
+constexpr std::size_t kMaxHeaderBytes = 1024;     // the one field that counts takes 30
 constexpr std::size_t kMaxFrameBodyBytes = 8192;  // a request's body in base64 with its fields is under 4 KiB
 constexpr std::size_t kMaxBodyBytes = 2 * 1024;   // as the protocol allows
 constexpr double kMaxSizeKb = 2000;               // as the protocol allows
@@ -56,32 +56,32 @@
 }
 
 // The lines before the body, up to an empty one.
-struct Head {
+struct Header {
   Framing state = Framing::kNeedMore;
   std::size_t length = 0;
   std::size_t body_bytes = 0;
 };
 
-Head read_head(std::string_view input) {
-  Head head;
+Header read_header(std::string_view input) {
+  Header header;
   std::optional<std::size_t> body_bytes;
   for (;;) {
-    const std::size_t end = input.substr(0, kMaxHeadBytes).find(kLineEnd, head.length);
+    const std::size_t end = input.substr(0, kMaxHeaderBytes).find(kLineEnd, header.length);
     if (end == std::string_view::npos) {
-      if (input.size() >= kMaxHeadBytes) head.state = Framing::kBroken;
-      return head;
+      if (input.size() >= kMaxHeaderBytes) header.state = Framing::kBroken;
+      return header;
     }
-    const std::string_view line = input.substr(head.length, end - head.length);
-    head.length = end + kLineEnd.size();
+    const std::string_view line = input.substr(header.length, end - header.length);
+    header.length = end + kLineEnd.size();
     if (line.empty()) break;
     if (!read_header_field(line, body_bytes)) {
-      head.state = Framing::kBroken;
-      return head;
+      header.state = Framing::kBroken;
+      return header;
     }
   }
-  head.state = body_bytes ? Framing::kFrame : Framing::kBroken;
-  head.body_bytes = body_bytes.value_or(0);
-  return head;
+  header.state = body_bytes ? Framing::kFrame : Framing::kBroken;
+  header.body_bytes = body_bytes.value_or(0);
+  return header;
 }
 
 // Reads the members of a request's params. A value of a wrong kind or out of range is passed over and
@@ -185,12 +185,12 @@
 
   RpcProblem read() {
     if (in_.next_kind() != JsonKind::kObject)
-      return in_.skip_value() && in_.at_end() ? RpcProblem::kNoRequest : RpcProblem::kNoJson;
+      return in_.skip_value() && in_.at_end() ? RpcProblem::kInvalidRequest : RpcProblem::kInvalidJson;
     const bool is_complete =
         in_.read_object([this](const std::string& name) { return read_member(name); }) && in_.at_end();
-    if (!is_complete) return RpcProblem::kNoJson;
-    if (!has_version_ || !are_kinds_valid_ || out_.method.empty()) return RpcProblem::kNoRequest;
-    return params_.are_valid() ? RpcProblem::kNone : RpcProblem::kBadParams;
+    if (!is_complete) return RpcProblem::kInvalidJson;
+    if (!has_version_ || !are_kinds_valid_ || out_.method.empty()) return RpcProblem::kInvalidRequest;
+    return params_.are_valid() ? RpcProblem::kNone : RpcProblem::kInvalidParams;
   }
 
  private:
@@ -246,15 +246,15 @@
 
 Frame next_frame(std::string_view input) {
   Frame frame;
-  const Head head = read_head(input);
-  if (head.state != Framing::kFrame) {
-    frame.state = head.state;
+  const Header header = read_header(input);
+  if (header.state != Framing::kFrame) {
+    frame.state = header.state;
     return frame;
   }
-  if (input.size() - head.length < head.body_bytes) return frame;
+  if (input.size() - header.length < header.body_bytes) return frame;
   frame.state = Framing::kFrame;
-  frame.body = input.substr(head.length, head.body_bytes);
-  frame.length = head.length + head.body_bytes;
+  frame.body = input.substr(header.length, header.body_bytes);
+  frame.length = header.length + header.body_bytes;
   return frame;
 }
 
--- a/src/wire/rpc.h
+++ b/src/wire/rpc.h
@@ -22,7 +22,7 @@
 [[nodiscard]] Frame next_frame(std::string_view input);
 
 // What is wrong with a message: it is no JSON, no request, or a request whose params are invalid.
-enum class RpcProblem { kNone, kNoJson, kNoRequest, kBadParams };
+enum class RpcProblem { kNone, kInvalidJson, kInvalidRequest, kInvalidParams };
 
 // A request as callers write it. What was absent keeps its default.
 struct RpcRequest {
--- a/src/wire/runtime_lines.cpp
+++ b/src/wire/runtime_lines.cpp
@@ -7,77 +7,77 @@
 namespace damsonspoke::wire {
 namespace {
 
-using Words = std::vector<std::string_view>;
+using Tokens = std::vector<std::string_view>;
 
-std::optional<RunEnd> run_end_of(std::string_view word) {
-  if (word == "complete") return RunEnd::kComplete;
-  if (word == "error") return RunEnd::kError;
-  if (word == "cancelled") return RunEnd::kCancelled;
-  if (word == "unknown") return RunEnd::kUnknown;
+std::optional<RunEnd> run_end_of(std::string_view token) {
+  if (token == "complete") return RunEnd::kComplete;
+  if (token == "error") return RunEnd::kError;
+  if (token == "cancelled") return RunEnd::kCancelled;
+  if (token == "unknown") return RunEnd::kUnknown;
   return std::nullopt;
 }
 
 // The following read the words of one kind of line; false where a word is not what it should be.
 
-bool read_ready(const Words& words, Notice& out) {
-  if (words.size() != 3) return false;
-  out.is_cold = words[1] == "chilly";
-  return (out.is_cold || words[1] == "hot") && parse_decimal(words[2], out.ms);
+bool read_ready(const Tokens& tokens, Notice& out) {
+  if (tokens.size() != 3) return false;
+  out.is_cold = tokens[1] == "chilly";
+  return (out.is_cold || tokens[1] == "hot") && parse_decimal(tokens[2], out.ms);
 }
 
-bool read_run_end(const Words& words, Notice& out) {
-  if (words.size() != 5 && words.size() != 6) return false;  // the sixth: the length of the result
-  if (!parse_number(words[1], out.number) || !parse_id(words[2], out.id)) return false;
-  const std::optional<RunEnd> end = run_end_of(words[3]);
+bool read_run_end(const Tokens& tokens, Notice& out) {
+  if (tokens.size() != 5 && tokens.size() != 6) return false;  // the sixth: the length of the result
+  if (!parse_number(tokens[1], out.number) || !parse_id(tokens[2], out.id)) return false;
+  const std::optional<RunEnd> end = run_end_of(tokens[3]);
   if (!end) return false;
   out.end = *end;
-  return parse_decimal(words[4], out.ms);
+  return parse_decimal(tokens[4], out.ms);
 }
 
-bool read_call_wanted(const Words& words, Notice& out) {
-  return words.size() == 4 && parse_number(words[1], out.number) && parse_id(words[2], out.id);
+bool read_call_wanted(const Tokens& tokens, Notice& out) {
+  return tokens.size() == 4 && parse_number(tokens[1], out.number) && parse_id(tokens[2], out.id);
 }
 
-bool read_gauges(const Words& words, Notice& out) {
-  if (words.size() < 2 || !parse_number(words[1], out.tag)) return false;
-  for (std::size_t i = 2; i < words.size(); ++i) {
+bool read_gauges(const Tokens& tokens, Notice& out) {
+  if (tokens.size() < 2 || !parse_number(tokens[1], out.tag)) return false;
+  for (std::size_t i = 2; i < tokens.size(); ++i) {
     double value = 0;
-    if (!parse_decimal(words[i], value)) return false;
+    if (!parse_decimal(tokens[i], value)) return false;
     out.gauges.push_back(value);
   }
   return true;
 }
 
-bool read_self_test_result(const Words& words, Notice& out) {
-  if (words.size() != 3 || !parse_number(words[1], out.tag)) return false;
-  out.has_passed = words[2] == "complete";
-  return out.has_passed || words[2] == "error";
+bool read_self_test_result(const Tokens& tokens, Notice& out) {
+  if (tokens.size() != 3 || !parse_number(tokens[1], out.tag)) return false;
+  out.has_passed = tokens[2] == "complete";
+  return out.has_passed || tokens[2] == "error";
 }
 
-bool read_rejection(const Words& words, Notice& out) {
-  if (words.size() != 3 || !parse_id(words[2], out.id)) return false;
-  out.command = words[1];
+bool read_rejection(const Tokens& tokens, Notice& out) {
+  if (tokens.size() != 3 || !parse_id(tokens[2], out.id)) return false;
+  out.command = tokens[1];
   return true;
 }
 
-bool read_remark(const Words& words, Notice& out) {
-  return words.size() >= 2 && parse_number(words[1], out.number);
+bool read_remark(const Tokens& tokens, Notice& out) {
+  return tokens.size() >= 2 && parse_number(tokens[1], out.number);
 }
 
-NoticeKind read_words(const Words& words, Notice& out) {
-  const std::string_view verb = words[0];
-  if (verb == "ready" && read_ready(words, out)) return NoticeKind::kReady;
-  if (verb == "end" && read_run_end(words, out)) return NoticeKind::kRunEnd;
-  if (verb == "wants" && read_call_wanted(words, out)) return NoticeKind::kCallRequested;
-  if (verb == "load" && read_gauges(words, out)) return NoticeKind::kGauges;
-  if (verb == "verdict" && read_self_test_result(words, out)) return NoticeKind::kSelfTestResult;
-  if (verb == "nack" && read_rejection(words, out)) return NoticeKind::kRejection;
-  if (verb == "info" && read_remark(words, out)) return NoticeKind::kRemark;
+NoticeKind read_tokens(const Tokens& tokens, Notice& out) {
+  const std::string_view verb = tokens[0];
+  if (verb == "ready" && read_ready(tokens, out)) return NoticeKind::kReady;
+  if (verb == "end" && read_run_end(tokens, out)) return NoticeKind::kRunEnd;
+  if (verb == "wants" && read_call_wanted(tokens, out)) return NoticeKind::kCallRequested;
+  if (verb == "load" && read_gauges(tokens, out)) return NoticeKind::kGauges;
+  if (verb == "verdict" && read_self_test_result(tokens, out)) return NoticeKind::kSelfTestResult;
+  if (verb == "nack" && read_rejection(tokens, out)) return NoticeKind::kRejection;
+  if (verb == "info" && read_remark(tokens, out)) return NoticeKind::kRemark;
   return NoticeKind::kUnknown;
 }
 
-bool has_payload(const Words& words) {
-  return (words[0] == "end" && words.size() >= 6) || words[0] == "wants";
+bool has_payload(const Tokens& tokens) {
+  return (tokens[0] == "end" && tokens.size() >= 6) || tokens[0] == "wants";
 }
 
 std::string command_about(std::string_view verb, std::uint64_t id) {
@@ -88,18 +88,18 @@
 
 NoticeRead next_notice(std::string_view input) {
   NoticeRead read;
-  const WordLine line = next_line(input);
+  const TokenLine line = next_line(input);
   read.state = line.state;
   read.length = line.length;
-  if (line.state != LineState::kLine || line.words.empty()) return read;
-  if (has_payload(line.words)) {
-    const Payload payload = next_payload(input.substr(line.length), line.words.back());
+  if (line.state != LineState::kLine || line.tokens.empty()) return read;
+  if (has_payload(line.tokens)) {
+    const Payload payload = next_payload(input.substr(line.length), line.tokens.back());
     read.state = payload.state;
     if (payload.state != LineState::kLine) return read;
     read.notice.body = payload.bytes;
     read.length += payload.length;
   }
-  read.notice.kind = read_words(line.words, read.notice);
+  read.notice.kind = read_tokens(line.tokens, read.notice);
   return read;
 }
 
--- a/tests/ajp.cpp
+++ b/tests/ajp.cpp
@@ -99,8 +99,8 @@
   framing("half a magic and something else", "\x12\x35");
   framing("8188 bytes in 8 KiB", std::string("\x12\x34\x1f\xfc", 4) + std::string(8188, 'x'));
   framing("8189 bytes in 8 KiB", std::string("\x12\x34\x1f\xfd", 4));
-  framing("the longest", std::string("\x12\x34\xff\xfc", 4), wa::kMostPacket);
-  framing("longer", std::string("\x12\x34\xff\xfd", 4), wa::kMostPacket);
+  framing("the longest", std::string("\x12\x34\xff\xfc", 4), wa::kMaxPacketBytes);
+  framing("longer", std::string("\x12\x34\xff\xfd", 4), wa::kMaxPacketBytes);
   const auto piece = [](const char* what, const std::string& packet) {
     const auto got = wa::decode_body(payload(packet));
     fmt::print("{}: {}\n", what, got ? fmt::format("{} bytes", got->size()) : "refused");
@@ -128,9 +128,9 @@
   int gateways = 0, servers = 0, wrong = 0;
   const auto cut_anywhere = [&](const std::string& bytes, wa::From from) {
     for (std::size_t i = 0; i < bytes.size(); i += 1 + bytes.size() / 40)
-      wrong += wa::next_packet(std::string_view(bytes).substr(0, i), from, wa::kMostPacket).state !=
+      wrong += wa::next_packet(std::string_view(bytes).substr(0, i), from, wa::kMaxPacketBytes).state !=
                wa::Framing::kNeedMore;
-    const wa::Packet packet = wa::next_packet(bytes + "rest", from, wa::kMostPacket);
+    const wa::Packet packet = wa::next_packet(bytes + "rest", from, wa::kMaxPacketBytes);
     wrong += packet.state != wa::Framing::kPacket || packet.length != bytes.size();
     return payload(bytes);
   };
--- a/tests/net/listener_test.cpp
+++ b/tests/net/listener_test.cpp
@@ -19,9 +19,9 @@
 namespace damsonspoke::net {
 namespace {
 
-constexpr int kNewcomers = 20;
-constexpr std::chrono::seconds kPatience{20};           // until all newcomers are accepted
-constexpr std::chrono::milliseconds kNewcomerCost{10};  // more than the listener's time of a turn
+constexpr int kConnections = 20;
+constexpr std::chrono::seconds kTimeout{20};          // until all newcomers are accepted
+constexpr std::chrono::milliseconds kAcceptCost{10};  // more than the listener's time of a turn
 
 // A client whose connection is complete and waits to be accepted.
 int connected_client(std::uint16_t port) {
@@ -35,14 +35,14 @@
   return fd;
 }
 
-struct Crowd {
+struct ConnectionBurst {
   std::vector<int> clients;
-  explicit Crowd(std::uint16_t port) {
-    for (int i = 0; i < kNewcomers; ++i) clients.push_back(connected_client(port));
+  explicit ConnectionBurst(std::uint16_t port) {
+    for (int i = 0; i < kConnections; ++i) clients.push_back(connected_client(port));
   }
-  Crowd(const Crowd&) = delete;
-  Crowd& operator=(const Crowd&) = delete;
-  ~Crowd() {
+  ConnectionBurst(const ConnectionBurst&) = delete;
+  ConnectionBurst& operator=(const ConnectionBurst&) = delete;
+  ~ConnectionBurst() {
     for (const int fd : clients) ::close(fd);
   }
 };
@@ -56,17 +56,17 @@
   Listener listener(stepped.reactor, parse_address("127.0.0.1:0"), [&](const Accepted& accepted) {
     const bool is_first = ++accepted_count == 1;
     if (is_first) stepped.reactor.post([&] { accepted_before_due_work = accepted_count; });
-    std::this_thread::sleep_for(kNewcomerCost);
+    std::this_thread::sleep_for(kAcceptCost);
     ::close(accepted.fd);
   });
-  const Crowd crowd(listener.port());
+  const ConnectionBurst burst(listener.port());
   stepped.run_for([&] {
-    const auto until = std::chrono::steady_clock::now() + kPatience;
-    while (accepted_count < kNewcomers && std::chrono::steady_clock::now() < until)
-      std::this_thread::sleep_for(kNewcomerCost);
+    const auto until = std::chrono::steady_clock::now() + kTimeout;
+    while (accepted_count < kConnections && std::chrono::steady_clock::now() < until)
+      std::this_thread::sleep_for(kAcceptCost);
   });
   EXPECT_EQ(accepted_before_due_work, 1);
-  EXPECT_EQ(accepted_count, kNewcomers);
+  EXPECT_EQ(accepted_count, kConnections);
   stepped.end();
 }
 
@@ -79,23 +79,23 @@
   int accepted_before_due_work = -1;
   Listener listener(stepped.reactor, parse_address("127.0.0.1:0"), [&](const Accepted& accepted) {
     ++accepted_count;
-    std::this_thread::sleep_for(kNewcomerCost);
+    std::this_thread::sleep_for(kAcceptCost);
     ::close(accepted.fd);
   });
-  const Crowd crowd(listener.port());
+  const ConnectionBurst burst(listener.port());
   stepped.reactor.post([&] {
     listener.close();
     stepped.reactor.post([&] { accepted_before_due_work = accepted_count; });
   });
   stepped.run_for([&] {
-    const auto until = std::chrono::steady_clock::now() + kPatience;
+    const auto until = std::chrono::steady_clock::now() + kTimeout;
     while (is_open && std::chrono::steady_clock::now() < until) {
       stepped.reactor.post_from_other_thread([&] { is_open = listener.is_open(); });
-      std::this_thread::sleep_for(kNewcomerCost);
+      std::this_thread::sleep_for(kAcceptCost);
     }
   });
   EXPECT_LT(accepted_before_due_work, 3);
-  EXPECT_EQ(accepted_count, kNewcomers);
+  EXPECT_EQ(accepted_count, kConnections);
   EXPECT_FALSE(is_open);
   stepped.end();
 }
--- a/tests/runtime/command_ledger_histories.cpp
+++ b/tests/runtime/command_ledger_histories.cpp
@@ -202,7 +202,7 @@
     if (request.must_run_once) must_run_once_.insert(id);
     RuntimeCommand command;
     command.text = text_of({Verb::kStart, id, 0, 0});
-    command.in_doubt = request.must_run_once ? InDoubt::kWait : InDoubt::kSendAgain;
+    command.in_doubt = request.must_run_once ? InDoubt::kAwaitNotice : InDoubt::kResend;
     command.is_start = true;
     command.give_up_at = request.due;
     issue({id, false}, std::move(command));
@@ -272,7 +272,7 @@
 
   void hear_gauges(std::uint64_t tag) {
     if (tag != gauges_tag_) return;
-    ledger_.mark_arrived(sent_before_gauges_);
+    ledger_.mark_delivered(sent_before_gauges_);
     alive_at_ = gauges_requested_at_;
     if (is_synchronized_) return;
     is_synchronized_ = true;
@@ -286,7 +286,7 @@
       if (request.is_over) return true;
       RuntimeCommand command;
       command.text = text_of({Verb::kReply, reply.id, reply.call, 0});
-      command.in_doubt = request.may_skip ? InDoubt::kReplace : InDoubt::kWait;
+      command.in_doubt = request.may_skip ? InDoubt::kReplace : InDoubt::kAwaitNotice;
       command.replacement = text_of({Verb::kSkip, reply.id, reply.call, 0});
       command.give_up_at = request.due;
       issue({reply.id, false}, std::move(command));
--- a/tests/runtime/command_ledger_test.cpp
+++ b/tests/runtime/command_ledger_test.cpp
@@ -38,11 +38,11 @@
 
 TEST(CommandLedger, WhatNoLinkHasTakenGoesOverTheNextOneOnce) {
   CommandLedger ledger;
-  ledger.add({kId, false}, start(InDoubt::kWait));
+  ledger.add({kId, false}, start(InDoubt::kAwaitNotice));
   ledger.mark_sent({kId, false}, 5, 1);
   ledger.on_link_lost({1.1, 1.1, 4, true});  // its last byte has not left
   EXPECT_EQ(sent_over_new_link(ledger, 1.2), std::vector<std::string>{"start"});
-  ledger.mark_arrived(ledger.last_sent());
+  ledger.mark_delivered(ledger.last_sent());
   ledger.on_link_lost({9, 9, 5, true});
   EXPECT_TRUE(sent_over_new_link(ledger, 9.1).empty());
 }
@@ -50,7 +50,7 @@
 // Guards against a second run of a request that must not run twice.
 TEST(CommandLedger, AStartInDoubtIsNotSentAgainWhereItMustNotRunTwice) {
   CommandLedger ledger;
-  ledger.add({kId, false}, start(InDoubt::kWait, 3));
+  ledger.add({kId, false}, start(InDoubt::kAwaitNotice, 3));
   ledger.mark_sent({kId, false}, 5, 1);
   ledger.on_link_lost({1.1, 1.1, 5, true});
   EXPECT_TRUE(sent_over_new_link(ledger, 1.2).empty());
@@ -61,7 +61,7 @@
 
 TEST(CommandLedger, AStartInDoubtStaysSoOverFurtherLinks) {
   CommandLedger ledger;
-  ledger.add({kId, false}, start(InDoubt::kWait, 9));
+  ledger.add({kId, false}, start(InDoubt::kAwaitNotice, 9));
   ledger.mark_sent({kId, false}, 5, 1);
   ledger.on_link_lost({1.1, 1.1, 5, true});
   ledger.on_link_lost({5, 5, 0, true});
@@ -70,17 +70,17 @@
 
 TEST(CommandLedger, AStartInDoubtIsSentAgainWhereItMayRunTwice) {
   CommandLedger ledger;
-  ledger.add({kId, false}, start(InDoubt::kSendAgain));
+  ledger.add({kId, false}, start(InDoubt::kResend));
   ledger.mark_sent({kId, false}, 5, 1);
   ledger.on_link_lost({1.1, 1.1, 5, true});
   EXPECT_EQ(sent_over_new_link(ledger, 1.2), std::vector<std::string>{"start"});
-  EXPECT_TRUE(ledger.is_repeated(kId));
+  EXPECT_TRUE(ledger.was_resent(kId));
 }
 
 // Guards against memory and a place that are held for ever by a run whose reply was lost.
 TEST(CommandLedger, AReplyInDoubtIsGivenUpWhenItsRequestIsDue) {
   CommandLedger ledger;
-  RuntimeCommand reply = command("give", InDoubt::kWait);
+  RuntimeCommand reply = command("give", InDoubt::kAwaitNotice);
   reply.give_up_at = 3;
   ledger.add({kId, false}, reply);
   ledger.mark_sent({kId, false}, 4, 1);
@@ -92,41 +92,41 @@
 // Guards against a start that is lost though it seemed proven, where the break is noticed late.
 TEST(CommandLedger, ABreakThatIsNoticedLateLeavesInDoubtWhatWasSentBeforeIt) {
   CommandLedger ledger;
-  ledger.add({kId, false}, start(InDoubt::kWait, 9));
+  ledger.add({kId, false}, start(InDoubt::kAwaitNotice, 9));
   ledger.mark_sent({kId, false}, 5, 1);
-  ledger.mark_arrived(ledger.last_sent());
+  ledger.mark_delivered(ledger.last_sent());
   EXPECT_EQ(ledger.on_link_lost({1.8, 1.01, 5, true}), 1U);
 }
 
 // A runtime may lose what it read shortly before a break, though it has answered something later.
 TEST(CommandLedger, WhatArrivedShortlyBeforeABreakIsInDoubt) {
   CommandLedger ledger;
-  ledger.add({kId, false}, start(InDoubt::kSendAgain));
+  ledger.add({kId, false}, start(InDoubt::kResend));
   ledger.mark_sent({kId, false}, 5, 1);
-  ledger.mark_arrived(ledger.last_sent());
+  ledger.mark_delivered(ledger.last_sent());
   ledger.on_link_lost({1.04, 1.04, 5, true});
   EXPECT_EQ(sent_over_new_link(ledger, 1.1).size(), 1U);
 }
 
 TEST(CommandLedger, WhatArrivedOnALinkThatWasReplacedIsNotInDoubt) {
   CommandLedger ledger;
-  ledger.add({kId, false}, start(InDoubt::kSendAgain));
+  ledger.add({kId, false}, start(InDoubt::kResend));
   ledger.mark_sent({kId, false}, 5, 1);
-  EXPECT_TRUE(ledger.has_unproven());
-  ledger.mark_arrived(ledger.last_sent());
-  EXPECT_FALSE(ledger.has_unproven());
+  EXPECT_TRUE(ledger.has_unacknowledged());
+  ledger.mark_delivered(ledger.last_sent());
+  EXPECT_FALSE(ledger.has_unacknowledged());
   ledger.on_link_lost({1.04, 1.04, 5, false});
   EXPECT_TRUE(sent_over_new_link(ledger, 1.1).empty());
 }
 
 TEST(CommandLedger, AnAnswerProvesOnlyWhatWasSentBeforeItWasRequested) {
   CommandLedger ledger;
-  ledger.add({kId, false}, start(InDoubt::kSendAgain));
+  ledger.add({kId, false}, start(InDoubt::kResend));
   ledger.mark_sent({kId, false}, 5, 1);
   const std::uint64_t before_request = ledger.last_sent();
-  ledger.add({kId + 1, false}, start(InDoubt::kSendAgain));
+  ledger.add({kId + 1, false}, start(InDoubt::kResend));
   ledger.mark_sent({kId + 1, false}, 10, 1);
-  ledger.mark_arrived(before_request);
+  ledger.mark_delivered(before_request);
   ledger.on_link_lost({9, 9, 10, true});
   EXPECT_EQ(ledger.take_sendable().size(), 1U);
 }
@@ -134,7 +134,7 @@
 // Guards against the reply to one call that answers the next call of its run.
 TEST(CommandLedger, AReplyInDoubtIsNeverSentAgain) {
   CommandLedger ledger;
-  ledger.add({kId, false}, command("give", InDoubt::kWait));
+  ledger.add({kId, false}, command("give", InDoubt::kAwaitNotice));
   ledger.mark_sent({kId, false}, 4, 1);
   RuntimeCommand replaceable = command("give", InDoubt::kReplace);
   replaceable.replacement = "omit";
@@ -150,11 +150,11 @@
 TEST(CommandLedger, ARunWhoseNoticesWereLostIsGivenUpWhenDueUnlessItIsHeardOf) {
   CommandLedger ledger;
   for (const RequestId id : {kId, kHeardOf}) {
-    ledger.add({id, false}, start(InDoubt::kWait, 3));
+    ledger.add({id, false}, start(InDoubt::kAwaitNotice, 3));
     ledger.mark_sent({id, false}, 5, 1);
   }
-  ledger.mark_arrived(ledger.last_sent());
-  ledger.add({kNeverLeft, false}, start(InDoubt::kWait, 3));
+  ledger.mark_delivered(ledger.last_sent());
+  ledger.add({kNeverLeft, false}, start(InDoubt::kAwaitNotice, 3));
   EXPECT_FALSE(ledger.next_give_up());
   ledger.on_notices_lost();
   ledger.on_call_wanted(kHeardOf);
@@ -165,18 +165,18 @@
 
 TEST(CommandLedger, CommandsKeepTheirOrder) {
   CommandLedger ledger;
-  ledger.add({kId, false}, start(InDoubt::kSendAgain));
-  ledger.add({kId, true}, command("stop", InDoubt::kSendAgain));
-  ledger.add({kId - 1, false}, command("cont", InDoubt::kSendAgain));
+  ledger.add({kId, false}, start(InDoubt::kResend));
+  ledger.add({kId, true}, command("stop", InDoubt::kResend));
+  ledger.add({kId - 1, false}, command("cont", InDoubt::kResend));
   EXPECT_EQ(sent_over_new_link(ledger, 1), (std::vector<std::string>{"start", "stop", "cont"}));
 }
 
 TEST(CommandLedger, ARestartForgetsAllButStartsThatNeverLeft) {
   CommandLedger ledger;
-  ledger.add({kId, false}, start(InDoubt::kWait));
+  ledger.add({kId, false}, start(InDoubt::kAwaitNotice));
   ledger.mark_sent({kId, false}, 5, 1);
   ledger.on_link_lost({1.1, 1.1, 5, true});
-  ledger.add({kId + 1, false}, start(InDoubt::kWait));
+  ledger.add({kId + 1, false}, start(InDoubt::kAwaitNotice));
   EXPECT_EQ(ledger.on_restart(), std::unordered_set<RequestId>{kId + 1});
   EXPECT_EQ(sent_over_new_link(ledger, 2), std::vector<std::string>{"start"});
 }
--- a/tests/stepped_reactor.h
+++ b/tests/stepped_reactor.h
@@ -27,39 +27,39 @@
   // Lets the reactor run while this is called on the test's own thread.
   void run_for(const std::function<void()>& meanwhile) {
     if (!thread_.joinable()) thread_ = std::thread([this] { reactor.run(); });
-    release();
+    resume();
     meanwhile();
-    reactor.post_from_other_thread([this] { stand_still(); });
+    reactor.post_from_other_thread([this] { pause(); });
     std::unique_lock guard(lock_);
-    changed_.wait(guard, [this] { return stands_still_; });
+    changed_.wait(guard, [this] { return is_paused_; });
   }
   // Ends the reactor, which does not run again; to be called before what it calls is destroyed.
   void end() {
     if (!thread_.joinable()) return;
     reactor.stop();
-    release();
+    resume();
     thread_.join();
   }
 
   net::Reactor reactor;
 
  private:
-  void stand_still() {
+  void pause() {
     std::unique_lock guard(lock_);
-    stands_still_ = true;
+    is_paused_ = true;
     changed_.notify_all();
-    changed_.wait(guard, [this] { return !stands_still_; });
+    changed_.wait(guard, [this] { return !is_paused_; });
   }
-  void release() {
+  void resume() {
     const std::lock_guard guard(lock_);
-    stands_still_ = false;
+    is_paused_ = false;
     changed_.notify_all();
   }
 
   std::thread thread_;
   std::mutex lock_;
   std::condition_variable changed_;
-  bool stands_still_ = false;
+  bool is_paused_ = false;
 };
 
 }  // namespace damsonspoke
