--- a/fuzz/ajp.cpp
+++ b/fuzz/ajp.cpp
@@ -9,13 +9,13 @@
 using namespace damsonspoke::wire::ajp;
 
 // Each begins with a packet for gateways or for servers, by its magic.
-void play(std::string_view input, From from, std::size_t most) {
+void play(std::string_view input, From from, std::size_t max_bytes) {
   for (;;) {
-    const Packet packet = next_packet(input, from, most);
+    const Packet packet = next_packet(input, from, max_bytes);
     if (packet.state != Framing::kPacket) return;
-    if (packet.length > input.size() || packet.length > most) std::abort();
+    if (packet.length > input.size() || packet.length > max_bytes) std::abort();
     for (const std::size_t cut : {packet.length - 1, packet.length / 2}) {
-      if (next_packet(input.substr(0, cut), from, most).state != Framing::kNeedMore) std::abort();
+      if (next_packet(input.substr(0, cut), from, max_bytes).state != Framing::kNeedMore) std::abort();
     }
     if (from == From::kGateway) {
       if (const auto message = decode_from_gateway(packet.payload)) {
--- a/tests/ajp.cpp
+++ b/tests/ajp.cpp
@@ -64,15 +64,15 @@
   request("no end of attributes", bare::packet(head));
   request("an unknown attribute", bare::packet(head + "\x0e\xff"));
   request("bytes after the end", bare::packet(head + "\xff\x01"));
-  std::string spoilt = head + "\xff";
-  spoilt[1] = '\x1c';
-  request("a method that nobody knows", bare::packet(spoilt));
-  spoilt = head + "\xff";
-  spoilt[spoilt.find("\xa0\x0b") + 1] = '\x0f';
-  request("a header that nobody knows", bare::packet(spoilt));
-  spoilt = head + "\xff";
-  spoilt[spoilt.find("\x01\xa0\x0b") - 1] = '\x7f';
-  request("32513 headers announced", bare::packet(spoilt));
+  std::string modified = head + "\xff";
+  modified[1] = '\x1c';
+  request("a method that nobody knows", bare::packet(modified));
+  modified = head + "\xff";
+  modified[modified.find("\xa0\x0b") + 1] = '\x0f';
+  request("a header that nobody knows", bare::packet(modified));
+  modified = head + "\xff";
+  modified[modified.find("\x01\xa0\x0b") - 1] = '\x7f';
+  request("32513 headers announced", bare::packet(modified));
   bare::Request many;
   for (int i = 0; i < 64; ++i) many.headers.emplace_back("h", "v");
   request("64 headers", bare::forward(many).substr(0, 0) + bare::forward(many));
@@ -90,8 +90,9 @@
   request("what servers send", bare::packet("\x05\x01"));
   request("nothing", bare::packet(""));
   const auto framing = [](const char* what, std::string_view input,
-                          std::size_t most = wa::kDefaultPacketBytes, wa::From from = wa::From::kGateway) {
-    fmt::print("{}: {}\n", what, name_of(wa::next_packet(input, from, most).state));
+                          std::size_t max_bytes = wa::kDefaultPacketBytes,
+                          wa::From from = wa::From::kGateway) {
+    fmt::print("{}: {}\n", what, name_of(wa::next_packet(input, from, max_bytes).state));
   };
   framing("a packet", sound);
   framing("all but its last byte", std::string_view(sound).substr(0, sound.size() - 1));
@@ -116,8 +117,8 @@
                                                         5)));
 }
 
-std::string text(pcg32& random, std::size_t most) {
-  std::string out(random() % (most + 1), ' ');
+std::string text(pcg32& random, std::size_t max_bytes) {
+  std::string out(random() % (max_bytes + 1), ' ');
   for (char& c : out) c = static_cast<char>('!' + random() % 90);
   return out;
 }
@@ -125,13 +126,13 @@
 // Whatever one end writes, the other reads; cut anywhere, more is needed.
 void round_trips() {
   pcg32 random(11);
-  int gateways = 0, servers = 0, wrong = 0;
+  int gateways = 0, servers = 0, mismatches = 0;
   const auto cut_anywhere = [&](const std::string& bytes, wa::From from) {
     for (std::size_t i = 0; i < bytes.size(); i += 1 + bytes.size() / 40)
-      wrong += wa::next_packet(std::string_view(bytes).substr(0, i), from, wa::kMaxPacketBytes).state !=
-               wa::Framing::kNeedMore;
+      mismatches += wa::next_packet(std::string_view(bytes).substr(0, i), from, wa::kMaxPacketBytes).state !=
+                    wa::Framing::kNeedMore;
     const wa::Packet packet = wa::next_packet(bytes + "rest", from, wa::kMaxPacketBytes);
-    wrong += packet.state != wa::Framing::kPacket || packet.length != bytes.size();
+    mismatches += packet.state != wa::Framing::kPacket || packet.length != bytes.size();
     return payload(bytes);
   };
   const char* const kNames[] = {"content-type", "content-length", "x-any", "host", "status", "set-cookie"};
@@ -154,7 +155,7 @@
     if (i % 5 == 0) r.attributes.push_back({wa::Attribute::kStoredMethod, "", "PATCH", 0});
     const wa::FromGateway sent = i % 50 == 0 ? wa::FromGateway(wa::CPing{}) : wa::FromGateway(r);
     const std::string bytes = wa::encode(sent);
-    wrong += wa::decode_from_gateway(cut_anywhere(bytes, wa::From::kGateway)) != sent;
+    mismatches += wa::decode_from_gateway(cut_anywhere(bytes, wa::From::kGateway)) != sent;
     ++gateways;
     wa::FromServer back = wa::EndResponse{random() % 2 == 0};
     if (i % 4 == 0) back = wa::SendBodyChunk{text(random, 8000)};
@@ -166,10 +167,11 @@
       back = h;
     }
     const std::string answer = wa::encode(back);
-    wrong += wa::decode_from_server(cut_anywhere(answer, wa::From::kServer)) != back;
+    mismatches += wa::decode_from_server(cut_anywhere(answer, wa::From::kServer)) != back;
     ++servers;
   }
-  fmt::print("{} messages of gateways, {} of servers: {} read as something else\n", gateways, servers, wrong);
+  fmt::print("{} messages of gateways, {} of servers: {} read as something else\n", gateways, servers,
+             mismatches);
   const auto read = wa::decode_from_server(
       payload(wa::encode(wa::SendHeaders{200, "a\r\nb", {{"x", "v\r\nset-cookie: 1"}}})));
   fmt::print("line ends in a value are written as '{}'\n", std::get<wa::SendHeaders>(*read).headers[0].value);
@@ -206,8 +208,8 @@
     const auto route = read_ajp_route(words);
     std::string line;
     for (const std::string& word : words) line += word + " ";
-    if (const auto* wrong = std::get_if<AjpRouteError>(&route)) {
-      fmt::print("{}-> word {}: {}\n", line, wrong->word, wrong->text);
+    if (const auto* error = std::get_if<AjpRouteError>(&route)) {
+      fmt::print("{}-> word {}: {}\n", line, error->word, error->text);
       return AjpRoute{};
     }
     const auto& good = std::get<AjpRoute>(route);
@@ -239,7 +241,7 @@
   read({"POST", "/a", "push", "importance=9"});
   read({"POST", "/a", "push", "held=0"});
   read({"POST", "/a", "push", "held=2000"});
-  const auto look = [&](const char* method, const char* path) {
+  const auto print_match = [&](const char* method, const char* path) {
     const auto found = match(table, method, path);
     if (const auto* none = std::get_if<AjpNoMatch>(&found)) {
       return fmt::print("{} {}: {}\n", method, path,
@@ -255,10 +257,10 @@
   for (const char* path :
        {"/hotels/7/close", "/hotels/7/open", "/hotels/7", "/hotels//close", "/hotels/../close",
         "/hotels/%2e%2e/close", "/hotels/7;x=1/close", "/hotels/7/close/", "hotels/7/close", "", "/"})
-    look("POST", path);
+    print_match("POST", path);
   for (const char* path :
        {"/rates", "/rates/a/b/c", "/ratesx", "/", "/hotels/7/close", "/rates/./a", "/rates/a\\b"})
-    look("GET", path);
+    print_match("GET", path);
   for (const char* query : {"room=4&x=1", "x=1&room=4", "rooms=4", "room", "room=", "", "x&&room=9"}) {
     const auto value = query_field(query, "room");
     fmt::print("'{}': {}\n", query, value ? fmt::format("'{}'", *value) : "none");
@@ -267,15 +269,15 @@
 
 void share() {
   conns::ConnectionQuota one(100, {0.5, 0.25}, {0.01, 60});
-  const auto fill = [&](std::size_t front) {
+  const auto open_all = [&](std::size_t listener) {
     int count = 0;
-    while (one.has_capacity(front)) one.on_opened(front), ++count;
+    while (one.has_capacity(listener)) one.on_opened(listener), ++count;
     return count;
   };
-  const auto take = [&](const char* when, std::initializer_list<std::size_t> fronts) {
+  const auto take = [&](const char* when, std::initializer_list<std::size_t> listeners) {
     fmt::print("{}:", when);
-    for (const std::size_t front : fronts)
-      fmt::print(" the {} takes {}", front == 0 ? "first" : "second", fill(front));
+    for (const std::size_t listener : listeners)
+      fmt::print(" the {} takes {}", listener == 0 ? "first" : "second", open_all(listener));
     fmt::print("\n");
   };
   take("the second front first", {1, 0, 1});
@@ -284,9 +286,9 @@
   for (int i = 0; i < 200; ++i) one.on_closed(0), one.on_closed(1);
   fmt::print("all go, and some more ends are told: open {} and {}\n", one.open_count(0), one.open_count(1));
   take("the first front first", {0, 1, 0});
-  const auto read = [&](std::size_t front, int wanted, double now) {
+  const auto read = [&](std::size_t listener, int wanted, double now) {
     int count = 0;
-    for (int i = 0; i < wanted; ++i) count += one.try_read(front, now);
+    for (int i = 0; i < wanted; ++i) count += one.try_read(listener, now);
     return count;
   };
   fmt::print("alone, a front reads {} of 1000\n", read(1, 1000, 1));
@@ -298,9 +300,9 @@
   fmt::print("the first rests, two periods on: {}\n", read(1, 1000, 1.05));
   conns::ConnectionQuota small(2, {0.5, 0.25});
   fmt::print("two places: floors of {} and {}\n", small.guaranteed(0), small.guaranteed(1));
-  conns::ConnectionQuota least(1, {0.5, 0.25});
-  fmt::print("one place: floors of {} and {}, room {} and {}\n", least.guaranteed(0), least.guaranteed(1),
-             least.has_capacity(0), least.has_capacity(1));
+  conns::ConnectionQuota smallest(1, {0.5, 0.25});
+  fmt::print("one place: floors of {} and {}, room {} and {}\n", smallest.guaranteed(0),
+             smallest.guaranteed(1), smallest.has_capacity(0), smallest.has_capacity(1));
 }
 
 }  // namespace
--- a/tests/ajp_below.cpp
+++ b/tests/ajp_below.cpp
@@ -32,8 +32,8 @@
 using bare::head, bare::piece;
 const std::string kEnd = bare::end(), kLastEnd = bare::end(false);
 
-struct Play : peers::DependencyEvents {
-  explicit Play(std::size_t links = 4) : server(loop), log(Level::kError) {
+struct Scenario : peers::DependencyEvents {
+  explicit Scenario(std::size_t links = 4) : server(loop), log(Level::kError) {
     AjpOptions options;
     options.packet = 8192;
     options.dependency = fmt::format("127.0.0.1:{}", server.port);
@@ -46,17 +46,17 @@
     ends[id] =
         fmt::format("{}{}", name_of(outcome), reply.empty() ? "" : fmt::format(", {} bytes", reply.size()));
   }
-  ~Play() override { stepped.end(); }
+  ~Scenario() override { stepped.end(); }
   void run_for(double seconds) {
     stepped.run_for([&] { loop.run_for(seconds); });
   }
   // One call, to its end or for so long; how it ended and when.
-  std::string call(RequestId id, double patience = 0.4, const std::string& body = "body") {
+  std::string call(RequestId id, double timeout = 0.4, const std::string& body = "body") {
     const double began = now();
-    dependency->call(id, patience, body);
+    dependency->call(id, timeout, body);
     for (int i = 0; i < 200 && !ends.contains(id); ++i) run_for(0.01);
     if (!ends.contains(id)) return "no end";
-    return fmt::format("{}, {}", ends[id], now() - began < patience * 0.9 ? "at once" : "in its time");
+    return fmt::format("{}, {}", ends[id], now() - began < timeout * 0.9 ? "at once" : "in its time");
   }
   SteppedReactor stepped;
   standins::Loop loop;  // the server's, on this thread
@@ -67,97 +67,97 @@
   std::unique_ptr<peers::AjpDependencyClient> dependency;
 };
 
-void one(const char* what, const std::string& answer, double patience = 0.4) {
-  Play play;
-  play.server.answer = answer;
-  fmt::print("{}: {}\n", what, play.call(1, patience));
-  play.server.answer = head(200) + piece("done") + kEnd;
-  fmt::print("  the next one: {}; connections {}\n", play.call(2), play.server.accepted);
+void run_one(const char* what, const std::string& answer, double timeout = 0.4) {
+  Scenario scenario;
+  scenario.server.answer = answer;
+  fmt::print("{}: {}\n", what, scenario.call(1, timeout));
+  scenario.server.answer = head(200) + piece("done") + kEnd;
+  fmt::print("  the next one: {}; connections {}\n", scenario.call(2), scenario.server.accepted);
 }
 
 void answers() {
-  one("a whole answer", head(200) + piece("done") + kEnd);
-  one("in many pieces", head(200) + piece(std::string(8000, 'x')) + piece(std::string(8000, 'x')) + kEnd);
-  one("a connection that ends with it", head(200) + piece("done") + kLastEnd);
-  one("503", head(503) + kEnd);
-  one("500", head(500) + piece("why") + kEnd);
-  one("a piece is asked for",
-      bare::packet(std::string("\6\1\0", 3), "AB") + head(200) + piece("done") + kEnd);
-  one("closed, nothing said", "!");
-  one("closed in the middle", head(200) + piece("do") + "!");
-  one("nothing said", "");
-  one("stalls inside a piece", head(200) + piece("done").substr(0, 7));
-  one("stalls after a piece", head(200) + piece("done"));
-  one("stalls while there is much time", head(200) + piece("done"), 2);
-  one("a piece before the head", piece("done") + kEnd);
-  one("two heads", head(200) + head(200) + kEnd);
-  one("an end before the head", kEnd);
-  one("ends twice", head(200) + piece("done") + kEnd + kEnd);
-  one("a gateway's magic", bare::packet("\x0a"));
-  one("no AJP at all", "HTTP/1.1 200 OK\r\n\r\n");
+  run_one("a whole answer", head(200) + piece("done") + kEnd);
+  run_one("in many pieces", head(200) + piece(std::string(8000, 'x')) + piece(std::string(8000, 'x')) + kEnd);
+  run_one("a connection that ends with it", head(200) + piece("done") + kLastEnd);
+  run_one("503", head(503) + kEnd);
+  run_one("500", head(500) + piece("why") + kEnd);
+  run_one("a piece is asked for",
+          bare::packet(std::string("\6\1\0", 3), "AB") + head(200) + piece("done") + kEnd);
+  run_one("closed, nothing said", "!");
+  run_one("closed in the middle", head(200) + piece("do") + "!");
+  run_one("nothing said", "");
+  run_one("stalls inside a piece", head(200) + piece("done").substr(0, 7));
+  run_one("stalls after a piece", head(200) + piece("done"));
+  run_one("stalls while there is much time", head(200) + piece("done"), 2);
+  run_one("a piece before the head", piece("done") + kEnd);
+  run_one("two heads", head(200) + head(200) + kEnd);
+  run_one("an end before the head", kEnd);
+  run_one("ends twice", head(200) + piece("done") + kEnd + kEnd);
+  run_one("a gateway's magic", bare::packet("\x0a"));
+  run_one("no AJP at all", "HTTP/1.1 200 OK\r\n\r\n");
   std::string much = head(200);
   for (int i = 0; i < 9; ++i) much += piece(std::string(8000, 'x'));
-  one("more than may be", much + kEnd);
+  run_one("more than may be", much + kEnd);
 }
 
 void connections() {
   {
-    Play play;
-    fmt::print("a call: {}, its body: {}\n", play.call(1, 0.4, "abc"), play.server.last_body);
-    play.run_for(0.7);
-    fmt::print("an idle connection: {}, pings {}, connections {}\n", play.call(2), play.server.pings,
-               play.server.accepted);
-    play.run_for(0.7);
-    play.server.pongs = false;
-    fmt::print("a ping that is not answered: {}, connections {}, requests {}\n", play.call(3, 1),
-               play.server.accepted, play.server.requests);
-    play.run_for(0.7);
-    fmt::print("nor in its time: {}, requests {}\n", play.call(4, 0.1), play.server.requests);
-    play.server.closes_unread = true;
-    play.server.hang_up();
-    play.run_for(0.1);
-    fmt::print("closed meanwhile, and whenever one connects: {}\n", play.call(5));
-    play.server.stop_listening();
-    play.run_for(0.1);
-    fmt::print("nobody listens: {}\n", play.call(6));
+    Scenario scenario;
+    fmt::print("a call: {}, its body: {}\n", scenario.call(1, 0.4, "abc"), scenario.server.last_body);
+    scenario.run_for(0.7);
+    fmt::print("an idle connection: {}, pings {}, connections {}\n", scenario.call(2), scenario.server.pings,
+               scenario.server.accepted);
+    scenario.run_for(0.7);
+    scenario.server.pongs = false;
+    fmt::print("a ping that is not answered: {}, connections {}, requests {}\n", scenario.call(3, 1),
+               scenario.server.accepted, scenario.server.requests);
+    scenario.run_for(0.7);
+    fmt::print("nor in its time: {}, requests {}\n", scenario.call(4, 0.1), scenario.server.requests);
+    scenario.server.closes_unread = true;
+    scenario.server.hang_up();
+    scenario.run_for(0.1);
+    fmt::print("closed meanwhile, and whenever one connects: {}\n", scenario.call(5));
+    scenario.server.stop_listening();
+    scenario.run_for(0.1);
+    fmt::print("nobody listens: {}\n", scenario.call(6));
   }
-  Play play(2);
-  play.server.answer = "";
-  play.dependency->call(1, 0.3, "a");
-  play.dependency->call(2, 0.3, "b");
-  play.dependency->call(3, 0.2, "c");
-  play.dependency->call(4, 0.6, "d");
-  play.run_for(0.25);
-  fmt::print("two connections, four calls; the third waits: {}\n", play.ends[3]);
-  play.server.answer = head(200) + piece("done") + kEnd;
-  play.run_for(0.2);
-  fmt::print("the first: {}; the fourth, when there is room: {}\n", play.ends[1], play.ends[4]);
-  play.server.answer = "";
-  play.dependency->call(5, 0.5, "e");
-  play.run_for(0.05);
-  play.dependency->cancel(5);
-  play.server.answer = head(200) + piece("done") + kEnd;
+  Scenario scenario(2);
+  scenario.server.answer = "";
+  scenario.dependency->call(1, 0.3, "a");
+  scenario.dependency->call(2, 0.3, "b");
+  scenario.dependency->call(3, 0.2, "c");
+  scenario.dependency->call(4, 0.6, "d");
+  scenario.run_for(0.25);
+  fmt::print("two connections, four calls; the third waits: {}\n", scenario.ends[3]);
+  scenario.server.answer = head(200) + piece("done") + kEnd;
+  scenario.run_for(0.2);
+  fmt::print("the first: {}; the fourth, when there is room: {}\n", scenario.ends[1], scenario.ends[4]);
+  scenario.server.answer = "";
+  scenario.dependency->call(5, 0.5, "e");
+  scenario.run_for(0.05);
+  scenario.dependency->cancel(5);
+  scenario.server.answer = head(200) + piece("done") + kEnd;
   fmt::print("one that is given up has no end: {}; the next one is served: {}\n",
-             play.ends.contains(5) ? "SOME" : "none", play.call(6));
+             scenario.ends.contains(5) ? "SOME" : "none", scenario.call(6));
 }
 
 // Guards against a call that is made twice, or taken for never made: the server closes a connection that has
 // just carried a call as the next one is given to it.
 void reuse() {
   {
-    Play play;
-    play.call(1);
-    play.server.hang_up();  // nobody here has read the end yet
-    fmt::print("closed before the next call: {}; connections {}, requests {}\n", play.call(2),
-               play.server.accepted, play.server.requests);
+    Scenario scenario;
+    scenario.call(1);
+    scenario.server.hang_up();  // nobody here has read the end yet
+    fmt::print("closed before the next call: {}; connections {}, requests {}\n", scenario.call(2),
+               scenario.server.accepted, scenario.server.requests);
   }
-  Play play;
-  play.call(1);
-  play.dependency->call(2, 0.4, "body");  // written at once, on the connection that is there
-  play.server.hang_up();
-  play.run_for(0.6);
-  fmt::print("closed as the next call was written: {}; connections {}, requests read {}\n", play.ends[2],
-             play.server.accepted, play.server.requests);
+  Scenario scenario;
+  scenario.call(1);
+  scenario.dependency->call(2, 0.4, "body");  // written at once, on the connection that is there
+  scenario.server.hang_up();
+  scenario.run_for(0.6);
+  fmt::print("closed as the next call was written: {}; connections {}, requests read {}\n", scenario.ends[2],
+             scenario.server.accepted, scenario.server.requests);
 }
 
 }  // namespace
--- a/tests/ajp_program.cpp
+++ b/tests/ajp_program.cpp
@@ -27,14 +27,14 @@
     "    map POST /ops/close close wait=header:x-wait-ms caller=header:x-hotel held=10\n"
     "    map GET  /health    health\n";
 
-struct Play {
-  explicit Play(double reads = 0, double closes = 0, AjpGateway::Options gateway_options = {},
-                double work = 0.01, const std::string& more = "", int sockets = 512,
-                const Runtime::Options* runtime = nullptr)
+struct Scenario {
+  explicit Scenario(double reads = 0, double closes = 0, AjpGateway::Options gateway_options = {},
+                    double work = 0.01, const std::string& more = "", int sockets = 512,
+                    const Runtime::Options* runtime = nullptr)
       : gateway(fleet_loop(), journal, std::move(gateway_options)),
-        callers(loop, journal, load_of(reads, closes)),
+        callers(loop, journal, caller_load(reads, closes)),
         server(loop, journal, callers, binary, site(more, sockets),
-               runtime != nullptr ? *runtime : work_of(work)) {
+               runtime != nullptr ? *runtime : runtime_options(work)) {
     say("starts", server.start());
     const std::string line = server.process->expect_log("takes AJP callers");
     port = static_cast<std::uint16_t>(std::atoi(line.substr(line.rfind(' ') + 1).c_str()));
@@ -50,7 +50,7 @@
     return s;
   }
   // So many things a second of each type.
-  static AjpGateway::Options asking(double reads, double closes, int connections) {
+  static AjpGateway::Options gateway_load(double reads, double closes, int connections) {
     AjpGateway::Options o;
     if (reads > 0) o.flows.push_back({"read", reads, 1});
     if (closes > 0) o.flows.push_back({"close", closes, 1});
@@ -58,12 +58,12 @@
     o.seed = 3;
     return o;
   }
-  static Runtime::Options work_of(double seconds) {
+  static Runtime::Options runtime_options(double seconds) {
     Runtime::Options o;
     o.work = seconds;
     return o;
   }
-  static Callers::Options load_of(double reads, double closes) {
+  static Callers::Options caller_load(double reads, double closes) {
     Callers::Options load;
     if (reads > 0) load.flows.push_back({"read", reads, 1});
     if (closes > 0) load.flows.push_back({"close", closes, 1});
@@ -72,12 +72,12 @@
     load.seed = 5;
     return load;
   }
-  bool settle(double patience = 4) {
+  bool settle(double timeout = 4) {
     callers.want_more(false);
     gateway.want_more(false);
     return loop.run_until(
         [this] { return callers.open() == 0 && callers.still_wanted() == 0 && gateway.open() == 0; },
-        patience);
+        timeout);
   }
   std::uint64_t count(const char* name) {
     const auto counters = server.process->counters();
@@ -91,7 +91,7 @@
   }
   void rules() {
     RuleLimits limits;
-    limits.survivable = crowd;
+    limits.survivable = survivable_runs;
     const Verdict v = check_rules(journal, limits);
     for (const std::string& line : v.broken) fmt::print("{}\n", line);
     say("rules kept", v.kept());
@@ -102,11 +102,11 @@
   Callers callers;
   Server server;
   std::uint16_t port = 0;
-  int crowd = 16;  // requests that the runtime survives at once
+  int survivable_runs = 16;  // requests that the runtime survives at once
 };
 
 struct Script : AjpScript {
-  explicit Script(Play& play) : AjpScript(play.loop, play.port) {}
+  explicit Script(Scenario& scenario) : AjpScript(scenario.loop, scenario.port) {}
 };
 
 bare::Request post(const std::string& uri, std::size_t length = 0, const bare::Headers& more = {}) {
@@ -122,41 +122,42 @@
   r.uri = uri;
   return r;
 }
-void told(const char* what, const std::string& answer) { fmt::print("{}: {}\n", what, answer); }
+void print_answer(const char* what, const std::string& answer) { fmt::print("{}: {}\n", what, answer); }
 
 // What a request comes to, one connection for as long as it may be used.
 void served() {
-  Play play;
-  Script one(play);
-  told("a ping", one.send(bare::cping()).answer());
-  told("an op", one.send(bare::forward(post("/ops/read", 3)) + bare::body("abc")).answer());
-  told("an op without a body", one.send(bare::forward(post("/ops/read"))).answer());
-  told("health", one.send(bare::forward(get("/health"))).answer());
-  told("nothing there", one.send(bare::forward(get("/nothing"))).answer());
-  told("another method", one.send(bare::forward(get("/ops/read"))).answer());
-  told("a path that may be read twice", one.send(bare::forward(post("/ops/../ops/read"))).answer());
-  told("no wait that can be",
-       one.send(bare::forward(post("/ops/read", 0, {{"x-wait-ms", "soon"}}))).answer());
-  told("its connection serves on",
-       one.send(bare::forward(post("/ops/close", 3)) + bare::body("abc")).answer());
-  Script pieces(play);
-  told("a body in two pieces",
-       pieces.send(bare::forward(post("/ops/read", 6)) + bare::body("abc")).send(bare::body("def")).answer());
-  told("one without a length",
-       pieces
-           .send(bare::forward(post("/ops/read", 0, {{"transfer-encoding", "chunked"}})) + bare::body("abc") +
-                 bare::body(""))
-           .answer());
-  told("two requests at once",
-       pieces.send(bare::forward(post("/ops/read")) + bare::forward(post("/ops/close"))).answer());
-  told("the second", pieces.answer());
-  Script unread(play);
-  told("nothing there, with a body",
-       unread.send(bare::forward(post("/nothing", 3)) + bare::body("abc")).answer());
+  Scenario scenario;
+  Script one(scenario);
+  print_answer("a ping", one.send(bare::cping()).answer());
+  print_answer("an op", one.send(bare::forward(post("/ops/read", 3)) + bare::body("abc")).answer());
+  print_answer("an op without a body", one.send(bare::forward(post("/ops/read"))).answer());
+  print_answer("health", one.send(bare::forward(get("/health"))).answer());
+  print_answer("nothing there", one.send(bare::forward(get("/nothing"))).answer());
+  print_answer("another method", one.send(bare::forward(get("/ops/read"))).answer());
+  print_answer("a path that may be read twice", one.send(bare::forward(post("/ops/../ops/read"))).answer());
+  print_answer("no wait that can be",
+               one.send(bare::forward(post("/ops/read", 0, {{"x-wait-ms", "soon"}}))).answer());
+  print_answer("its connection serves on",
+               one.send(bare::forward(post("/ops/close", 3)) + bare::body("abc")).answer());
+  Script pieces(scenario);
+  print_answer(
+      "a body in two pieces",
+      pieces.send(bare::forward(post("/ops/read", 6)) + bare::body("abc")).send(bare::body("def")).answer());
+  print_answer("one without a length",
+               pieces
+                   .send(bare::forward(post("/ops/read", 0, {{"transfer-encoding", "chunked"}})) +
+                         bare::body("abc") + bare::body(""))
+                   .answer());
+  print_answer("two requests at once",
+               pieces.send(bare::forward(post("/ops/read")) + bare::forward(post("/ops/close"))).answer());
+  print_answer("the second", pieces.answer());
+  Script unread(scenario);
+  print_answer("nothing there, with a body",
+               unread.send(bare::forward(post("/nothing", 3)) + bare::body("abc")).answer());
   say("then closed", unread.closed());
   const auto alone = [&](const char* what, const std::string& bytes) {
-    Script script(play);
-    told(what, script.send(bytes).answer(1));
+    Script script(scenario);
+    print_answer(what, script.send(bytes).answer(1));
     say("  closed", script.closed(1));
   };
   alone("a server's magic", bare::packet("\x05\x01", "AB"));
@@ -177,72 +178,72 @@
   alone("more than it may be, by chunks",
         bare::forward(post("/ops/read", 0, {{"transfer-encoding", "chunked"}})) +
             bare::body(std::string(2049, 'x')));
-  play.end();
+  scenario.end();
 }
 
 // Announced at 2 KiB, sent at 60 MB: it is cut off, and no memory goes into it.
 void flood_body() {
-  Play play;
-  const long before = play.server.process->resident_kb();
-  Script script(play);
+  Scenario scenario;
+  const long before = scenario.server.process->resident_kb();
+  Script script(scenario);
   script.send(bare::forward(post("/ops/read", 2048)));
   const std::string piece = bare::body(std::string(8000, 'x'));
   std::string all;
   for (int i = 0; i < 7500; ++i) all += piece;
-  told("sixty megabytes", script.send(all).answer());
+  print_answer("sixty megabytes", script.send(all).answer());
   say("closed", script.closed());
-  say("no memory went into it", play.server.process->resident_kb() - before < 4096);
-  Script other(play);
-  told("others are served", other.send(bare::forward(post("/ops/read"))).answer());
-  play.end();
+  say("no memory went into it", scenario.server.process->resident_kb() - before < 4096);
+  Script other(scenario);
+  print_answer("others are served", other.send(bare::forward(post("/ops/read"))).answer());
+  scenario.end();
 }
 
 // Halves: of a head, of a body, of a piece that was asked for, one byte at a time.
 void stalls() {
-  Play play;
-  Script head(play), body(play), asked(play), drips(play), silent(play);
+  Scenario scenario;
+  Script head(scenario), body(scenario), first_piece(scenario), drips(scenario), silent(scenario);
   const std::string whole = bare::forward(post("/ops/read", 100));
   head.send(whole.substr(0, 20));
   body.send(whole);
-  asked.send(whole + bare::body("abc"));
+  first_piece.send(whole + bare::body("abc"));
   drips.send(whole + bare::body("abc"));
   bool dripping = true;
   const std::function<void()> drip = [&] {
     if (!dripping) return;
     drips.send(bare::body("x"));
-    play.loop.after(0.1, drip);
+    scenario.loop.after(0.1, drip);
   };
   drip();
   const double began = now();
-  told("half a head", head.answer(4));
-  told("no body", body.answer(4));
-  told("no further piece", asked.answer(4));
+  print_answer("half a head", head.answer(4));
+  print_answer("no body", body.answer(4));
+  print_answer("no further piece", first_piece.answer(4));
   std::string last = drips.answer(4);
-  told("a byte now and then", last.substr(last.size() > 12 ? last.size() - 12 : 0));
+  print_answer("a byte now and then", last.substr(last.size() > 12 ? last.size() - 12 : 0));
   dripping = false;
   say("all within two seconds", now() - began < 2.2);
   say("nothing at all: closed", silent.closed(3));
-  play.end();
+  scenario.end();
 }
 
 // The notice to leave while heads and bodies are half read, requests are open and connections idle.
 void drains() {
-  Play play(5, 0, Play::asking(5, 0, 8), 0.1);
-  Script body(play), head(play), open(play), idle(play);
-  told("a ping", idle.send(bare::cping()).answer());
-  play.loop.run_for(0.7);
+  Scenario scenario(5, 0, Scenario::gateway_load(5, 0, 8), 0.1);
+  Script body(scenario), head(scenario), open(scenario), idle(scenario);
+  print_answer("a ping", idle.send(bare::cping()).answer());
+  scenario.loop.run_for(0.7);
   const std::string whole = bare::forward(post("/ops/close", 6));
   body.send(whole + bare::body("abc"));
   head.send(whole.substr(0, 20));
   open.send(bare::forward(post("/ops/close", 3)) + bare::body("abc"));
-  play.loop.run_for(0.03);
-  play.server.notice();
-  told("what was open is answered, and its connection ends", open.answer());
+  scenario.loop.run_for(0.03);
+  scenario.server.notice();
+  print_answer("what was open is answered, and its connection ends", open.answer());
   say("an idle connection is closed", idle.closed(0.5));
-  told("half a body", body.answer(1.9));
-  told("half a head", head.answer(1.9));
-  say("leaves in order", play.server.ended());
-  play.rules();
+  print_answer("half a body", body.answer(1.9));
+  print_answer("half a head", head.answer(1.9));
+  say("leaves in order", scenario.server.ended());
+  scenario.rules();
 }
 
 // A keyed request whose run has ended in time, and whose result can't be written until the program has gone.
@@ -255,7 +256,7 @@
   Loop loop;
   Journal journal;
   Callers callers(loop, journal, {});
-  Server server(loop, journal, callers, binary, spec, Play::work_of(1.7));
+  Server server(loop, journal, callers, binary, spec, Scenario::runtime_options(1.7));
   say("starts", server.start());
   const std::string line = server.process->expect_log("takes AJP callers");
   loop.run_until([&] { return server.registry.is_listed(); }, 5);
@@ -277,52 +278,53 @@
 
 // Between the head and its body; then the body comes, inside the grace and after it.
 void notice_between() {
-  Play play;
-  Script soon(play), late(play);
+  Scenario scenario;
+  Script early(scenario), late(scenario);
   const std::string whole = bare::forward(post("/ops/close", 3));
-  soon.send(whole);
+  early.send(whole);
   late.send(whole);
-  play.loop.run_for(0.1);
-  play.server.notice();
-  play.loop.run_for(0.1);
-  told("its body comes in the grace", soon.send(bare::body("abc")).answer());
-  play.loop.run_for(0.4);
-  told("after it", late.send(bare::body("abc")).answer());
-  say("leaves in order", play.server.ended());
-  play.rules();
+  scenario.loop.run_for(0.1);
+  scenario.server.notice();
+  scenario.loop.run_for(0.1);
+  print_answer("its body comes in the grace", early.send(bare::body("abc")).answer());
+  scenario.loop.run_for(0.4);
+  print_answer("after it", late.send(bare::body("abc")).answer());
+  say("leaves in order", scenario.server.ended());
+  scenario.rules();
 }
 
 // Another table while requests are half read: they stay what they were.
 void remap() {
-  Play play;
-  Script half(play), next(play);
+  Scenario scenario;
+  Script half(scenario), next(scenario);
   half.send(bare::forward(post("/ops/close", 3)));
-  told("before", next.send(bare::forward(post("/ops/close"))).answer());
-  play.loop.run_for(0.1);
+  print_answer("before", next.send(bare::forward(post("/ops/close"))).answer());
+  scenario.loop.run_for(0.1);
   const auto reread = [&](const std::string& text) {
-    play.server.write_operators(text);
-    play.server.process->signal(SIGHUP);
-    play.loop.run_for(0.2);
+    scenario.server.write_operators(text);
+    scenario.server.process->signal(SIGHUP);
+    scenario.loop.run_for(0.2);
   };
   reread("ajp\n    listen 127.0.0.1:0\n    map POST /other read\n");
-  told("half read, before the change", half.send(bare::body("abc")).answer());
-  told("the old path", next.send(bare::forward(post("/ops/close"))).answer());
-  told("the new one", next.send(bare::forward(post("/other"))).answer());
+  print_answer("half read, before the change", half.send(bare::body("abc")).answer());
+  print_answer("the old path", next.send(bare::forward(post("/ops/close"))).answer());
+  print_answer("the new one", next.send(bare::forward(post("/other"))).answer());
   reread("ajp\n    listen 127.0.0.1:0\n    map POST /third nonsense\n");
-  told("a table that can't be used changes nothing", next.send(bare::forward(post("/other"))).answer());
+  print_answer("a table that can't be used changes nothing",
+               next.send(bare::forward(post("/other"))).answer());
   reread("ajp\n    listen 127.0.0.1:0\n    map POST other read\n");
-  told("nor one that can't be read", next.send(bare::forward(post("/other"))).answer());
-  play.end();
+  print_answer("nor one that can't be read", next.send(bare::forward(post("/other"))).answer());
+  scenario.end();
 }
 
 void secrets() {
-  Play play(0, 0, {}, 0.01, "    secret opensesame\n    attributes AJP_REMOTE_PORT\n");
+  Scenario scenario(0, 0, {}, 0.01, "    secret opensesame\n    attributes AJP_REMOTE_PORT\n");
   const auto with = [&](const char* what, const std::string& secret, const std::string& attribute) {
-    Script script(play);
+    Script script(scenario);
     bare::Request r = post("/ops/read");
     r.secret = secret;
     if (!attribute.empty()) r.attributes.emplace_back(attribute, "x");
-    told(what, script.send(bare::forward(r)).answer());
+    print_answer(what, script.send(bare::forward(r)).answer());
   };
   with("the secret", "opensesame", "");
   with("none", "", "");
@@ -331,118 +333,119 @@
   with("a shorter one", "open", "");
   with("an attribute on the list", "opensesame", "AJP_REMOTE_PORT");
   with("one that is not", "opensesame", "javax.servlet.include.request_uri");
-  Script ping(play);
-  told("a ping needs none", ping.send(bare::cping()).answer());
-  play.end();
+  Script ping(scenario);
+  print_answer("a ping needs none", ping.send(bare::cping()).answer());
+  scenario.end();
 }
 
 // Silent connections fill all that the gateway's side may have; the other front's callers notice nothing, and
 // a gateway that asks gets in.
 void silence() {
-  Play play(60, 30, {}, 0.005, "", 384);
+  Scenario scenario(60, 30, {}, 0.005, "", 384);
   std::vector<int> silent;
   for (int i = 0; i < 380; ++i) {
-    const int fd = connected_socket(play.port);
+    const int fd = connected_socket(scenario.port);
     if (fd >= 0) silent.push_back(fd);
   }
   const double filled = now();
-  play.loop.run_for(0.3);
-  Script asks(play);
-  told("a gateway that asks", asks.send(bare::forward(post("/ops/read"))).answer());
-  play.loop.run_for(0.5);
-  int asked = 0, succeeded = 0;
-  for (const auto& [request, t] : play.journal.attempts) {
+  scenario.loop.run_for(0.3);
+  Script late_gateway(scenario);
+  print_answer("a gateway that asks", late_gateway.send(bare::forward(post("/ops/read"))).answer());
+  scenario.loop.run_for(0.5);
+  int sent = 0, succeeded = 0;
+  for (const auto& [request, t] : scenario.journal.attempts) {
     if (t.sent < filled || t.answers.empty()) continue;
-    ++asked;
+    ++sent;
     succeeded += t.answers[0].kind == AnswerKind::kSucceeded;
   }
-  say("callers of the other front are served as ever", asked > 30 && succeeded > asked * 95 / 100);
-  say("the log is still there", play.count("ajp.accepted") > 90);
+  say("callers of the other front are served as ever", sent > 30 && succeeded > sent * 95 / 100);
+  say("the log is still there", scenario.count("ajp.accepted") > 90);
   for (const int fd : silent) ::close(fd);
-  play.end();
+  scenario.end();
 }
 
 // Three times what the cores can do, most of it by AJP: each request read has one answer in time, and what is
 // served goes by importance, not by protocol.
 void overload() {
-  Play play(30, 12, Play::asking(250, 10, 100), 0.02);
-  play.loop.run_for(3);
-  const bool settled = play.settle();
-  int asked[2][2] = {}, succeeded[2][2] = {}, rejected = 0, failed = 0;
-  for (const auto& [request, t] : play.journal.attempts) {
+  Scenario scenario(30, 12, Scenario::gateway_load(250, 10, 100), 0.02);
+  scenario.loop.run_for(3);
+  const bool settled = scenario.settle();
+  int sent[2][2] = {}, succeeded[2][2] = {}, rejected = 0, failed = 0;
+  for (const auto& [request, t] : scenario.journal.attempts) {
     const int front = t.has_servers_number, close = t.type == "close";
-    ++asked[front][close];
+    ++sent[front][close];
     for (const Answer& a : t.answers) {
       succeeded[front][close] += a.kind == AnswerKind::kSucceeded;
       rejected += a.kind == AnswerKind::kRejected;
       failed += a.kind == AnswerKind::kBad;
     }
   }
-  say("both fronts were asked a lot", asked[0][1] > 25 && asked[1][0] > 500);
+  say("both fronts were asked a lot", sent[0][1] > 25 && sent[1][0] > 500);
   say("much was nacked, nothing odd answered", rejected > 300 && failed == 0);
   say("most close-outs are served, by either front",
-      succeeded[0][1] > 0.8 * asked[0][1] && succeeded[1][1] > 0.8 * asked[1][1]);
+      succeeded[0][1] > 0.8 * sent[0][1] && succeeded[1][1] > 0.8 * sent[1][1]);
   say("few reads are, by either front",
-      succeeded[0][0] < 0.6 * asked[0][0] && succeeded[1][0] < 0.6 * asked[1][0]);
+      succeeded[0][0] < 0.6 * sent[0][0] && succeeded[1][0] < 0.6 * sent[1][0]);
   say("the reads that are served come by both", succeeded[0][0] > 10 && succeeded[1][0] > 80);
   say("all tries end", settled);
-  say("leaves in order", play.server.leave());
-  play.rules();
+  say("leaves in order", scenario.server.leave());
+  scenario.rules();
 }
 
 // Bodies without a length, and a drain in the middle of them.
 void chunked() {
-  AjpGateway::Options flows = Play::asking(80, 40, 16);
+  AjpGateway::Options flows = Scenario::gateway_load(80, 40, 16);
   flows.chunked = true;
-  Play play(0, 0, flows, 0.005);
-  play.loop.run_for(1.5);
+  Scenario scenario(0, 0, flows, 0.005);
+  scenario.loop.run_for(1.5);
   int succeeded = 0;
-  for (const auto& [request, t] : play.journal.attempts)
+  for (const auto& [request, t] : scenario.journal.attempts)
     succeeded += !t.answers.empty() && t.answers[0].kind == AnswerKind::kSucceeded;
   say("served", succeeded > 120);
-  say("leaves in order", play.server.leave());
-  play.rules();
+  say("leaves in order", scenario.server.leave());
+  scenario.rules();
 }
 
 // Calls below go to an AJP server, which serves, turns away and dies.
-void below() {
-  Runtime::Options runtime = Play::work_of(0.005);
+void dependency() {
+  Runtime::Options runtime = Scenario::runtime_options(0.005);
   runtime.calls = 1;
   Loop loop;
   AjpServer server(loop);
-  Play play(40, 20, {}, 0, fmt::format("    below 127.0.0.1:{}\n    below-refuses on\n", server.port), 512,
-            &runtime);
-  play.crowd = 0;  // runs that stand at a call, or whose request has failed there, take no cores
+  Scenario scenario(40, 20, {}, 0, fmt::format("    below 127.0.0.1:{}\n    below-refuses on\n", server.port),
+                    512, &runtime);
+  scenario.survivable_runs =
+      0;  // runs that stand at a call, or whose request has failed there, take no cores
   const std::function<void()> serve = [&] {
     loop.run_for(0.001);
-    play.loop.after(0.002, serve);
+    scenario.loop.after(0.002, serve);
   };
   serve();
-  play.loop.run_for(1.2);
-  say("calls are answered", server.requests > 30 && play.count("calls.ok") > 30);
+  scenario.loop.run_for(1.2);
+  say("calls are answered", server.requests > 30 && scenario.count("calls.ok") > 30);
   server.answer = bare::answer(503);
-  play.loop.run_for(0.6);
-  say("turned away", play.count("calls.rejected") > 3);
+  scenario.loop.run_for(0.6);
+  say("turned away", scenario.count("calls.rejected") > 3);
   server.answer = "!";
-  play.loop.run_for(0.6);
-  say("broken", play.count("calls.broken") > 0);
+  scenario.loop.run_for(0.6);
+  say("broken", scenario.count("calls.broken") > 0);
   server.answer = bare::answer(200);
-  play.end();
+  scenario.end();
 }
 
 // A gateway that goes: its request is given up; one that closes its side only still gets its answer.
-void gone() {
-  Play play(0, 0, {}, 0.4);
+void disconnect() {
+  Scenario scenario(0, 0, {}, 0.4);
   {
-    Script goes(play);
-    goes.send(bare::forward(post("/ops/read", 3)) + bare::body("abc"));
-    play.loop.run_for(0.1);
-    goes.send(std::string(70000, 'x'));  // more than it may have waiting: reset
-    say("cut off", goes.closed());
+    Script leaving_gateway(scenario);
+    leaving_gateway.send(bare::forward(post("/ops/read", 3)) + bare::body("abc"));
+    scenario.loop.run_for(0.1);
+    leaving_gateway.send(std::string(70000, 'x'));  // more than it may have waiting: reset
+    say("cut off", leaving_gateway.closed());
   }
-  play.loop.run_for(0.2);
-  say("its op is given up", play.count("requests.caller_gone") == 1);
-  play.end();
+  scenario.loop.run_for(0.2);
+  say("its op is given up", scenario.count("requests.caller_gone") == 1);
+  scenario.end();
 }
 
 }  // namespace
@@ -460,6 +463,6 @@
                        {"silence", silence},
                        {"overload", overload},
                        {"chunked", chunked},
-                       {"below", below},
-                       {"gone", gone}});
+                       {"below", dependency},
+                       {"gone", disconnect}});
 }
--- a/tests/link_ends.cpp
+++ b/tests/link_ends.cpp
@@ -59,7 +59,7 @@
   // The descriptor of the newest link; -1 where there is none.
   int newest() { return count_links() > 0 ? links_.back() : -1; }
   // What has come, or comes within so many seconds.
-  static std::string heard(int fd, double timeout_seconds = 0) {
+  static std::string received(int fd, double timeout_seconds = 0) {
     pollfd one{fd, POLLIN, 0};
     ::poll(&one, 1, static_cast<int>(timeout_seconds * 1000));
     char bytes[65536];
@@ -124,12 +124,12 @@
   }
   // Makes a call and waits until the other side has read all of it; the link's descriptor, -1 where it has
   // not.
-  int made(RequestId id, double timeout) {
+  int call_and_read(RequestId id, double timeout) {
     dependency.call(id, timeout, "body");
     for (int i = 0; i < 100; ++i) {
       run(0.01);
       const int fd = bare.newest();
-      if (fd >= 0 && BareListener::heard(fd).find("body") != std::string::npos) return fd;
+      if (fd >= 0 && BareListener::received(fd).find("body") != std::string::npos) return fd;
     }
     return -1;
   }
@@ -147,14 +147,14 @@
 void one_turn() {
   {
     Calls calls;
-    const int fd = calls.made(1, 0.2);
+    const int fd = calls.call_and_read(1, 0.2);
     ::usleep(250'000);  // its time is over before the reactor looks again; the reply is there too
     BareListener::say(fd, reply(1));
     fmt::print("reply and timeout: {}\n", calls.end_of(1));
   }
   {
     Calls calls;
-    const int fd = calls.made(1, 5);
+    const int fd = calls.call_and_read(1, 5);
     BareListener::say(fd, reply(1));
     calls.bare.close(fd, true);
     const std::string end = calls.end_of(1);
@@ -163,14 +163,14 @@
   }
   {
     Calls calls;
-    const int fd = calls.made(1, 5);
+    const int fd = calls.call_and_read(1, 5);
     BareListener::say(fd, reply(1) + reply(1));
     calls.bare.close(fd, false);
     fmt::print("reply twice and the end: {}\n", calls.end_of(1));
   }
   {
     Calls calls;
-    const int fd = calls.made(1, 0.2);
+    const int fd = calls.call_and_read(1, 0.2);
     BareListener::say(fd, reply(1));
     calls.dependency.cancel(1);
     ::usleep(250'000);
@@ -179,7 +179,7 @@
   }
   {
     Calls calls;
-    const int fd = calls.made(1, 0.2);
+    const int fd = calls.call_and_read(1, 0.2);
     calls.bare.close(fd, true);
     ::usleep(250'000);
     fmt::print("reset and timeout: {}\n", calls.end_of(1));
@@ -187,18 +187,18 @@
 }
 
 // Connects that are slow, that succeed as the timeout ends, and that nobody takes.
-void dials() {
+void connects() {
   {
     Calls calls;
     calls.dependency.call(1, 0.2, "body");  // the system makes the connection while nobody here looks
     ::usleep(250'000);
     fmt::print("connected as its timeout ended: {}\n", calls.end_of(1));
     const int fd = calls.bare.newest();
-    fmt::print("  bytes of it that left: {}\n", fd >= 0 ? BareListener::heard(fd, 0.1).size() : 0);
+    fmt::print("  bytes of it that left: {}\n", fd >= 0 ? BareListener::received(fd, 0.1).size() : 0);
   }
   {
     Calls calls(8, 0);  // its queue is full with two that nobody accepts
-    std::vector<int> in_front;
+    std::vector<int> backlog_fillers;
     for (int i = 0; i < 4; ++i) {
       const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
       sockaddr_in at{};
@@ -206,11 +206,11 @@
       at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
       at.sin_port = htons(calls.bare.port());
       static_cast<void>(::connect(fd, reinterpret_cast<sockaddr*>(&at), sizeof at));
-      in_front.push_back(fd);
+      backlog_fillers.push_back(fd);
     }
     calls.dependency.call(1, 0.3, "body");
     fmt::print("a connect that hangs: {}\n", calls.end_of(1));
-    for (const int fd : in_front) ::close(fd);
+    for (const int fd : backlog_fillers) ::close(fd);
   }
   {
     Calls calls;
@@ -234,18 +234,18 @@
 void reuse() {
   {
     Calls calls;
-    const int fd = calls.made(1, 5);
+    const int fd = calls.call_and_read(1, 5);
     BareListener::say(fd, reply(1));
     calls.end_of(1);
     calls.bare.close(fd, false);  // nobody here has read its end yet
-    const int next = calls.made(2, 5);
+    const int next = calls.call_and_read(2, 5);
     fmt::print("closed before the next call: it goes on another, {}\n", next >= 0 ? "yes" : "no");
     BareListener::say(next, reply(2));
     fmt::print("  {}\n", calls.end_of(2));
   }
   {
     Calls calls;
-    const int fd = calls.made(1, 5);
+    const int fd = calls.call_and_read(1, 5);
     BareListener::say(fd, reply(1));
     calls.end_of(1);
     calls.dependency.call(2, 5, "body");  // written at once, on the connection that is there
@@ -256,15 +256,15 @@
 
 // A reply that is cut at each byte, by a close or by silence, is never taken for one, and never for a proof.
 void cut() {
-  const std::string whole = reply(1);
+  const std::string complete = reply(1);
   for (const char* how : {"closed", "reset", "silent"}) {
     int ok = 0, proofs = 0, ends = 0;
     const std::size_t step = std::strcmp(how, "silent") == 0 ? 5 : 1;
-    int plays = 0;
-    for (std::size_t at = 0; at < whole.size(); at += step, ++plays) {
+    int runs = 0;
+    for (std::size_t at = 0; at < complete.size(); at += step, ++runs) {
       Calls calls;
-      const int fd = calls.made(1, 0.6);
-      if (at > 0) BareListener::say(fd, whole.substr(0, at));
+      const int fd = calls.call_and_read(1, 0.6);
+      if (at > 0) BareListener::say(fd, complete.substr(0, at));
       if (std::strcmp(how, "silent") != 0) calls.bare.close(fd, std::strcmp(how, "reset") == 0);
       calls.end_of(1);
       ends += static_cast<int>(calls.ends[1].size());
@@ -274,7 +274,7 @@
       }
     }
     fmt::print("cut at each byte, then {}: plays - ends {}, taken for a reply {}, for a proof {}\n", how,
-               plays - ends, ok, proofs);
+               runs - ends, ok, proofs);
   }
 }
 
@@ -305,22 +305,22 @@
     runtime.start({id, "push", "body", may_repeat, seconds_left});
   }
   // Lets the client run until this has come to the other side, 1.5 s at most.
-  bool hears(const std::string& part, bool answers_gauges = true) {
+  bool wait_for_input(const std::string& part, bool answers_gauges = true) {
     for (int i = 0; i < 150; ++i) {
       stepped.run_for(0.01);
       const int fd = bare.newest();
       if (fd < 0) continue;
-      in += BareListener::heard(fd);
+      in += BareListener::received(fd);
       if (answers_gauges) answer_gauges(fd);
       if (in.find(part) != std::string::npos) return true;
     }
     return false;
   }
   // Lets the client run until it has read what it missed, as answered gauges tell it.
-  void catches_up() {
+  void synchronize() {
     for (int i = 0; i < 200 && counters[Count::kGaugesMaxDelayUs] == 0; ++i) {
       stepped.run_for(0.01);
-      in += BareListener::heard(bare.newest());
+      in += BareListener::received(bare.newest());
       answer_gauges(bare.newest());
     }
   }
@@ -333,7 +333,7 @@
     }
   }
   // Resets the link.
-  void breaks() {
+  void reset_link() {
     in.clear();
     bare.close(bare.newest(), true);
   }
@@ -363,47 +363,47 @@
 
 // A notice that the link's end cuts at each byte is heard whole, and once, on the next link.
 void notices_cut() {
-  for (const std::string& whole : {std::string("end 1 0000000000000001 complete 20 6\r\nresult\r\n"),
-                                   std::string("wants 1 0000000000000001 4\r\ncall\r\n")}) {
-    int once = 0, plays = 0;
-    for (std::size_t at = 0; at <= whole.size(); ++at, ++plays) {
+  for (const std::string& complete : {std::string("end 1 0000000000000001 complete 20 6\r\nresult\r\n"),
+                                      std::string("wants 1 0000000000000001 4\r\ncall\r\n")}) {
+    int once = 0, runs = 0;
+    for (std::size_t at = 0; at <= complete.size(); ++at, ++runs) {
       Link link;
-      link.hears("sync 0");
+      link.wait_for_input("sync 0");
       BareListener::say(link.bare.newest(), "ready hot 0\r\n");
-      link.catches_up();
+      link.synchronize();
       link.start(1);
       link.stepped.run_for(0.03);
-      if (at > 0) BareListener::say(link.bare.newest(), whole.substr(0, at));
-      link.breaks();
-      link.hears("sync ");
+      if (at > 0) BareListener::say(link.bare.newest(), complete.substr(0, at));
+      link.reset_link();
+      link.wait_for_input("sync ");
       const bool seen = link.in.find("sync 1") != std::string::npos;
-      BareListener::say(link.bare.newest(), "ready hot 50\r\n" + (seen ? std::string() : whole));
+      BareListener::say(link.bare.newest(), "ready hot 50\r\n" + (seen ? std::string() : complete));
       link.stepped.run_for(0.05);
       once += link.ends_of(1) == "ok result" || link.calls[1] == "call;";
     }
-    fmt::print("{}: cut at each byte, heard once on the next link: {}\n", whole.substr(0, 5),
-               once == plays ? "always" : fmt::format("{} of {}", once, plays));
+    fmt::print("{}: cut at each byte, heard once on the next link: {}\n", complete.substr(0, 5),
+               once == runs ? "always" : fmt::format("{} of {}", once, runs));
   }
 }
 
 // A runtime that has begun anew counts from 1 and knows nothing: what ran there is told, what never left
 // runs.
-void anew() {
+void restart() {
   Link link;
-  link.hears("sync 0");
+  link.wait_for_input("sync 0");
   BareListener::say(link.bare.newest(), "ready hot 3000\r\n");
-  link.catches_up();
+  link.synchronize();
   BareListener::say(link.bare.newest(), "end 1 0000000000000009 complete 1 0\r\n\r\n");
   link.start(1);
-  link.hears("start 0000000000000001");
+  link.wait_for_input("start 0000000000000001");
   link.stepped.run_for(0.6);
-  link.breaks();
+  link.reset_link();
   link.stepped.run_for(0.02);  // the break is seen
   link.start(2);               // waits here, never sent
   link.in.clear();
-  link.hears("sync 1");
+  link.wait_for_input("sync 1");
   BareListener::say(link.bare.newest(), "ready chilly 20\r\n");
-  link.hears("start 0000000000000002");
+  link.wait_for_input("start 0000000000000002");
   fmt::print("it began anew: {}, starts that had not left: {}\n", link.restarts, link.unsent_starts);
   fmt::print("sent to the new one: the first {}, the second {}\n", link.count("start 0000000000000001"),
              link.count("start 0000000000000002"));
@@ -411,8 +411,8 @@
   link.stepped.run_for(0.05);
   fmt::print("the second, by a notice numbered 1: {}; the runtime came up {} times for the module\n",
              link.ends_of(2), link.readies);
-  link.breaks();
-  link.hears("sync 1");
+  link.reset_link();
+  link.wait_for_input("sync 1");
   BareListener::say(link.bare.newest(), "ready chilly 5000\r\n");
   link.stepped.run_for(0.05);
   fmt::print("the same one after a break: anew {}\n", link.restarts);
@@ -421,20 +421,20 @@
 // An answer to gauges that the old link still held means nothing on the new one.
 void old_gauges() {
   Link link;
-  link.hears("sync 0");
+  link.wait_for_input("sync 0");
   BareListener::say(link.bare.newest(), "ready hot 0\r\n");
-  link.hears("gauges ", false);
+  link.wait_for_input("gauges ", false);
   const std::string tag = link.gauges_tag();
   link.start(1);  // not sent before what was missed is read
-  link.breaks();
+  link.reset_link();
   link.in.clear();
-  link.hears("sync 0");
+  link.wait_for_input("sync 0");
   BareListener::say(link.bare.newest(), "load " + tag + " 0.25 1\r\n");
   link.stepped.run_for(0.05);
-  link.in += BareListener::heard(link.bare.newest());
+  link.in += BareListener::received(link.bare.newest());
   fmt::print("the old link's gauges on the new one: starts sent {}\n", link.count("start "));
   BareListener::say(link.bare.newest(), "ready hot 100\r\n");
-  link.hears("start ");
+  link.wait_for_input("start ");
   fmt::print("after its own: starts sent {}\n", link.count("start "));
 }
 
@@ -442,19 +442,19 @@
 // in the same bytes.
 void end_behind_gauges() {
   Link link;
-  link.hears("sync 0");
+  link.wait_for_input("sync 0");
   BareListener::say(link.bare.newest(), "ready hot 0\r\n");
-  link.catches_up();
+  link.synchronize();
   link.start(1);
-  link.hears("start 0000000000000001");
-  link.breaks();
-  link.hears("sync 0");
+  link.wait_for_input("start 0000000000000001");
+  link.reset_link();
+  link.wait_for_input("sync 0");
   BareListener::say(link.bare.newest(), "ready hot 5000\r\n");
-  link.hears("gauges ", false);
+  link.wait_for_input("gauges ", false);
   const std::string tag = link.gauges_tag();
   BareListener::say(link.bare.newest(),
                     "load " + tag + " 0.25 1\r\nend 1 0000000000000001 complete 20 6\r\nresult\r\n");
-  link.hears("start ");
+  link.wait_for_input("start ");
   fmt::print("the end: {}, starts on the new link: {}\n", link.ends_of(1), link.count("start "));
 }
 
@@ -462,15 +462,15 @@
 // end yet: it never left, so it goes over the next link, also where it must not run twice.
 void closed_unseen() {
   Link link;
-  link.hears("sync 0");
+  link.wait_for_input("sync 0");
   BareListener::say(link.bare.newest(), "ready hot 0\r\n");
-  link.catches_up();
+  link.synchronize();
   link.bare.close(link.bare.newest(), false);
   link.in.clear();
   link.start(1, false);  // the reactor stands still
-  link.hears("sync 0");
+  link.wait_for_input("sync 0");
   BareListener::say(link.bare.newest(), "ready hot 5000\r\n");
-  link.hears("start 0000000000000001");
+  link.wait_for_input("start 0000000000000001");
   fmt::print("starts on the new link: {}, in doubt: {}\n", link.count("start "),
              link.counters[Count::kRuntimeInDoubt]);
 }
@@ -481,11 +481,11 @@
   std::string unused;
   return run_scenario(argc, argv, unused,
                       {{"one_turn", one_turn},
-                       {"dials", dials},
+                       {"dials", connects},
                        {"reuse", reuse},
                        {"cut", cut},
                        {"notices_cut", notices_cut},
-                       {"anew", anew},
+                       {"anew", restart},
                        {"old_gauges", old_gauges},
                        {"end_behind_gauges", end_behind_gauges},
                        {"closed_unseen", closed_unseen}});
--- a/tests/net/listener_test.cpp
+++ b/tests/net/listener_test.cpp
@@ -49,13 +49,13 @@
 
 // Guards against a turn in which a crowd of costly newcomers holds up work that is due: requests with little
 // time left were answered a tenth of a second late.
-TEST(Listener, DueWorkWaitsForOneCostlyNewcomerAtMost) {
+TEST(Listener, DueTasksWaitForAtMostOneSlowAccept) {
   SteppedReactor stepped;
   std::atomic<int> accepted_count = 0;  // also read by the test's thread
-  int accepted_before_due_work = -1;
+  int accepted_before_due_task = -1;
   Listener listener(stepped.reactor, parse_address("127.0.0.1:0"), [&](const Accepted& accepted) {
     const bool is_first = ++accepted_count == 1;
-    if (is_first) stepped.reactor.post([&] { accepted_before_due_work = accepted_count; });
+    if (is_first) stepped.reactor.post([&] { accepted_before_due_task = accepted_count; });
     std::this_thread::sleep_for(kAcceptCost);
     ::close(accepted.fd);
   });
@@ -65,18 +65,18 @@
     while (accepted_count < kConnections && std::chrono::steady_clock::now() < until)
       std::this_thread::sleep_for(kAcceptCost);
   });
-  EXPECT_EQ(accepted_before_due_work, 1);
+  EXPECT_EQ(accepted_before_due_task, 1);
   EXPECT_EQ(accepted_count, kConnections);
   stepped.end();
 }
 
 // Guards against a process that is killed at its stop with requests unanswered: closing its listener took one
 // turn for all that waited, 460 connections in 160 ms.
-TEST(Listener, ClosingTakesThoseThatWaitOverManyTurns) {
+TEST(Listener, ClosingAcceptsWaitingConnectionsOverManyIterations) {
   SteppedReactor stepped;
   std::atomic<int> accepted_count = 0;  // also read by the test's thread
   std::atomic<bool> is_open = true;     // likewise
-  int accepted_before_due_work = -1;
+  int accepted_before_due_task = -1;
   Listener listener(stepped.reactor, parse_address("127.0.0.1:0"), [&](const Accepted& accepted) {
     ++accepted_count;
     std::this_thread::sleep_for(kAcceptCost);
@@ -85,7 +85,7 @@
   const ConnectionBurst burst(listener.port());
   stepped.reactor.post([&] {
     listener.close();
-    stepped.reactor.post([&] { accepted_before_due_work = accepted_count; });
+    stepped.reactor.post([&] { accepted_before_due_task = accepted_count; });
   });
   stepped.run_for([&] {
     const auto until = std::chrono::steady_clock::now() + kTimeout;
@@ -94,7 +94,7 @@
       std::this_thread::sleep_for(kAcceptCost);
     }
   });
-  EXPECT_LT(accepted_before_due_work, 3);
+  EXPECT_LT(accepted_before_due_task, 3);
   EXPECT_EQ(accepted_count, kConnections);
   EXPECT_FALSE(is_open);
   stepped.end();
--- a/tests/runtime/command_ledger_histories.cpp
+++ b/tests/runtime/command_ledger_histories.cpp
@@ -20,12 +20,12 @@
 namespace {
 
 constexpr double kStepSeconds = 0.005;
-constexpr double kTroubleSeconds = 3;    // requests come and links are cut
+constexpr double kFaultSeconds = 3;      // requests come and links are cut
 constexpr double kHistorySeconds = 6;    // long enough for all to be due
 constexpr double kTimeoutSeconds = 1.5;  // of a request
 constexpr double kGaugesSeconds = 0.1;   // between two readings
-constexpr double kLostSeconds = 0.05;    // before a break, in which the runtime may lose what it reads
-constexpr double kLongestWaySeconds = 0.02;
+constexpr double kLossSeconds = 0.05;    // before a break, in which the runtime may lose what it reads
+constexpr double kMaxLatencySeconds = 0.02;
 
 enum class Verb { kStart, kReply, kSkip, kStop, kGauges };
 
@@ -52,7 +52,7 @@
   return command;
 }
 
-enum class NoticeKind { kEnd, kWantsCall, kGauges };
+enum class NoticeKind { kEnd, kCallRequested, kGauges };
 
 struct Notice {
   NoticeKind kind = NoticeKind::kEnd;
@@ -61,37 +61,37 @@
   std::uint64_t tag = 0;
 };
 
-struct Broken {
+struct Violations {
   int ran_twice = 0;
   int wrong_reply = 0;
-  int never_left = 0;
-  int awaited_for_ever = 0;
+  int never_sent = 0;
+  int awaited_forever = 0;
   int given_up_early = 0;
   [[nodiscard]] bool any() const {
-    return ran_twice + wrong_reply + never_left + awaited_for_ever + given_up_early > 0;
+    return ran_twice + wrong_reply + never_sent + awaited_forever + given_up_early > 0;
   }
 };
 
 // Runs what it is told, for some steps, with some calls in a row.
 class SimulatedRuntime {
  public:
-  SimulatedRuntime(pcg64& random, Broken& broken) : random_(random), broken_(broken) {}
+  SimulatedRuntime(pcg64& random, Violations& broken) : random_(random), violations_(broken) {}
 
-  void take(const Command& command, const std::set<RequestId>& must_run_once) {
+  void handle(const Command& command, const std::set<RequestId>& must_run_once) {
     const auto run = runs_.find(command.id);
     switch (command.verb) {
       case Verb::kStart:
         if (run != runs_.end()) return;
-        if (++starts_[command.id] > 1 && must_run_once.contains(command.id)) ++broken_.ran_twice;
+        if (++starts_[command.id] > 1 && must_run_once.contains(command.id)) ++violations_.ran_twice;
         runs_[command.id] = {static_cast<int>(random_() % 3), 0, 0};
         return;
       case Verb::kReply:
-        if (run == runs_.end() || run->second.waits_for == 0) return;
-        if (run->second.waits_for != command.call) ++broken_.wrong_reply;
-        run->second.waits_for = 0;
+        if (run == runs_.end() || run->second.awaited_call == 0) return;
+        if (run->second.awaited_call != command.call) ++violations_.wrong_reply;
+        run->second.awaited_call = 0;
         return;
       case Verb::kSkip:
-        if (run != runs_.end() && run->second.waits_for == command.call) run->second.waits_for = 0;
+        if (run != runs_.end() && run->second.awaited_call == command.call) run->second.awaited_call = 0;
         return;
       case Verb::kStop:
         if (run == runs_.end()) return;
@@ -102,56 +102,56 @@
     }
   }
   // The request is over: a run that waits for a call ends.
-  void on_request_over(RequestId id) {
+  void on_request_ended(RequestId id) {
     const auto run = runs_.find(id);
-    if (run == runs_.end() || run->second.waits_for == 0) return;
+    if (run == runs_.end() || run->second.awaited_call == 0) return;
     runs_.erase(run);
     notices.push_back({NoticeKind::kEnd, id, 0, 0});
   }
-  void step() {
-    std::vector<RequestId> over;
+  void run_step() {
+    std::vector<RequestId> ended;
     for (auto& [id, run] : runs_) {
-      if (run.waits_for != 0 || random_() % 8 != 0) continue;
-      if (run.calls == run.calls_wanted) {
-        over.push_back(id);
+      if (run.awaited_call != 0 || random_() % 8 != 0) continue;
+      if (run.calls == run.planned_calls) {
+        ended.push_back(id);
       } else {
-        run.waits_for = ++run.calls;
-        notices.push_back({NoticeKind::kWantsCall, id, run.waits_for, 0});
+        run.awaited_call = ++run.calls;
+        notices.push_back({NoticeKind::kCallRequested, id, run.awaited_call, 0});
       }
     }
-    for (const RequestId id : over) {
+    for (const RequestId id : ended) {
       runs_.erase(id);
       notices.push_back({NoticeKind::kEnd, id, 0, 0});
     }
   }
-  [[nodiscard]] bool has_seen(RequestId id) const { return starts_.contains(id); }
+  [[nodiscard]] bool has_started(RequestId id) const { return starts_.contains(id); }
   std::vector<Notice> notices;
 
  private:
   struct Run {
-    int calls_wanted = 0;
+    int planned_calls = 0;
     int calls = 0;
-    int waits_for = 0;  // number of the call; 0: none
+    int awaited_call = 0;  // number of the call; 0: none
   };
   pcg64& random_;
-  Broken& broken_;
+  Violations& violations_;
   std::map<RequestId, Run> runs_;
   std::map<RequestId, int> starts_;
 };
 
 class History {
  public:
-  explicit History(std::uint64_t seed) : random_(seed), runtime_(random_, broken_) {}
+  explicit History(std::uint64_t seed) : random_(seed), runtime_(random_, violations_) {}
 
-  Broken play() {
+  Violations run() {
     connect();
-    for (now_ = 0; now_ < kHistorySeconds; now_ += kStepSeconds) step();
+    for (now_ = 0; now_ < kHistorySeconds; now_ += kStepSeconds) run_step();
     for (const auto& [id, request] : requests_) {
-      if (!request.is_over) ++broken_.awaited_for_ever;
-      if (!request.was_taken && !request.is_over) ++broken_.never_left;
-      if (request.was_given_up && !request.was_taken) ++broken_.never_left;
+      if (!request.has_ended) ++violations_.awaited_forever;
+      if (!request.was_sent && !request.has_ended) ++violations_.never_sent;
+      if (request.was_given_up && !request.was_sent) ++violations_.never_sent;
     }
-    return broken_;
+    return violations_;
   }
   [[nodiscard]] int cuts() const { return cuts_; }
   [[nodiscard]] int given_up() const { return given_up_; }
@@ -161,9 +161,9 @@
   struct Request {
     bool must_run_once = false;
     bool may_skip = false;
-    double due = 0;
-    bool is_over = false;
-    bool was_taken = false;  // by a link, whole
+    double deadline = 0;
+    bool has_ended = false;
+    bool was_sent = false;  // by a link, whole
     bool was_given_up = false;
   };
   struct Sent {
@@ -178,19 +178,19 @@
   };
 
   bool one_in(unsigned n) { return random_() % n == 0; }
-  double way() { return static_cast<double>(random_() % 1000) / 1000 * kLongestWaySeconds; }
+  double latency_seconds() { return static_cast<double>(random_() % 1000) / 1000 * kMaxLatencySeconds; }
 
-  void step() {
-    if (now_ < kTroubleSeconds && one_in(6)) begin_request();
-    if (is_up_ && now_ < kTroubleSeconds && break_at_ < 0 && one_in(80)) break_at_ = now_ + kLostSeconds;
+  void run_step() {
+    if (now_ < kFaultSeconds && one_in(6)) begin_request();
+    if (is_up_ && now_ < kFaultSeconds && break_at_ < 0 && one_in(80)) break_at_ = now_ + kLossSeconds;
     deliver_commands();
-    runtime_.step();
+    runtime_.run_step();
     deliver_notices();
     send_replies();
     if (is_up_ && break_at_ >= 0 && now_ >= break_at_) cut();
     if (!is_up_ && now_ >= reconnect_at_) connect();
     if (is_up_ && now_ >= gauges_at_) request_gauges();
-    end_due_requests();
+    end_overdue_requests();
   }
 
   void begin_request() {
@@ -198,13 +198,13 @@
     Request& request = requests_[id];
     request.must_run_once = one_in(2);
     request.may_skip = one_in(2);
-    request.due = now_ + kTimeoutSeconds;
+    request.deadline = now_ + kTimeoutSeconds;
     if (request.must_run_once) must_run_once_.insert(id);
     RuntimeCommand command;
     command.text = text_of({Verb::kStart, id, 0, 0});
     command.in_doubt = request.must_run_once ? InDoubt::kAwaitNotice : InDoubt::kResend;
     command.is_start = true;
-    command.give_up_at = request.due;
+    command.give_up_at = request.deadline;
     issue({id, false}, std::move(command));
   }
 
@@ -221,56 +221,56 @@
 
   // Keeps the order of the stream.
   void push(const Command& command) {
-    last_arrival_ = std::max(last_arrival_, now_ + way());
+    last_arrival_ = std::max(last_arrival_, now_ + latency_seconds());
     upstream_.push_back({last_arrival_, command, stream_bytes_});
   }
 
   void deliver_commands() {
     while (!upstream_.empty() && upstream_.front().arrives_at <= now_) {
       const Command command = upstream_.front().command;
-      taken_ = upstream_.front().stream_end;
+      taken_bytes_ = upstream_.front().stream_end;
       upstream_.pop_front();
       if (command.verb == Verb::kGauges) {
-        downstream_.push_back({now_ + way(), {NoticeKind::kGauges, 0, 0, command.tag}});
+        downstream_.push_back({now_ + latency_seconds(), {NoticeKind::kGauges, 0, 0, command.tag}});
         continue;
       }
-      if (command.verb == Verb::kStart) requests_[command.id].was_taken = true;
+      if (command.verb == Verb::kStart) requests_[command.id].was_sent = true;
       const bool is_lost = break_at_ >= 0 && one_in(2);
       if (is_lost) {
         ++lost_;
       } else {
-        runtime_.take(command, must_run_once_);
+        runtime_.handle(command, must_run_once_);
       }
     }
   }
 
   void deliver_notices() {
-    for (; is_up_ && told_ < runtime_.notices.size(); ++told_)
-      downstream_.emplace_back(now_ + way(), runtime_.notices[told_]);
+    for (; is_up_ && sent_notices_ < runtime_.notices.size(); ++sent_notices_)
+      downstream_.emplace_back(now_ + latency_seconds(), runtime_.notices[sent_notices_]);
     double latest = 0;
     while (!downstream_.empty()) {
       latest = std::max(latest, downstream_.front().first);  // in order
       if (latest > now_) return;
       const Notice notice = downstream_.front().second;
       downstream_.pop_front();
-      hear(notice);
+      handle_notice(notice);
     }
   }
 
-  void hear(const Notice& notice) {
-    if (notice.kind == NoticeKind::kGauges) return hear_gauges(notice.tag);
-    ++heard_;
+  void handle_notice(const Notice& notice) {
+    if (notice.kind == NoticeKind::kGauges) return handle_gauges(notice.tag);
+    ++received_notices_;
     Request& request = requests_[notice.id];
     if (notice.kind == NoticeKind::kEnd) {
-      request.is_over = true;
+      request.has_ended = true;
       ledger_.erase(notice.id);
     } else {
       ledger_.on_call_wanted(notice.id);
-      replies_.push_back({now_ + way() * 3, notice.id, notice.call});
+      replies_.push_back({now_ + latency_seconds() * 3, notice.id, notice.call});
     }
   }
 
-  void hear_gauges(std::uint64_t tag) {
+  void handle_gauges(std::uint64_t tag) {
     if (tag != gauges_tag_) return;
     ledger_.mark_delivered(sent_before_gauges_);
     alive_at_ = gauges_requested_at_;
@@ -283,12 +283,12 @@
     std::erase_if(replies_, [&](const PendingReply& reply) {
       if (reply.at > now_) return false;
       const Request& request = requests_[reply.id];
-      if (request.is_over) return true;
+      if (request.has_ended) return true;
       RuntimeCommand command;
       command.text = text_of({Verb::kReply, reply.id, reply.call, 0});
       command.in_doubt = request.may_skip ? InDoubt::kReplace : InDoubt::kAwaitNotice;
       command.replacement = text_of({Verb::kSkip, reply.id, reply.call, 0});
-      command.give_up_at = request.due;
+      command.give_up_at = request.deadline;
       issue({reply.id, false}, std::move(command));
       return true;
     });
@@ -304,11 +304,11 @@
   // Of what has not arrived, the system had taken some; the peer reads none of it.
   void cut() {
     ++cuts_;
-    std::uint64_t taken = taken_;
+    std::uint64_t taken = taken_bytes_;
     for (const Sent& sent : upstream_) {
       if (one_in(4)) break;
       taken = sent.stream_end;
-      if (sent.command.verb == Verb::kStart) requests_[sent.command.id].was_taken = true;
+      if (sent.command.verb == Verb::kStart) requests_[sent.command.id].was_sent = true;
     }
     lost_ += static_cast<int>(upstream_.size());
     ledger_.on_link_lost({now_, alive_at_, taken, true});
@@ -316,32 +316,32 @@
     downstream_.clear();
     is_up_ = is_synchronized_ = false;
     break_at_ = -1;
-    reconnect_at_ = now_ + way() * 5;
+    reconnect_at_ = now_ + latency_seconds() * 5;
   }
 
   void connect() {
     is_up_ = true;
-    stream_bytes_ = taken_ = 0;
+    stream_bytes_ = taken_bytes_ = 0;
     last_arrival_ = now_;
-    told_ = heard_;  // it is told again what was not heard
+    sent_notices_ = received_notices_;  // it is told again what was not heard
     request_gauges();
   }
 
-  void end_due_requests() {
+  void end_overdue_requests() {
     for (const RequestId id : ledger_.requests_to_give_up(now_)) {
       Request& request = requests_[id];
-      if (now_ < request.due) ++broken_.given_up_early;
-      request.is_over = request.was_given_up = true;
+      if (now_ < request.deadline) ++violations_.given_up_early;
+      request.has_ended = request.was_given_up = true;
       ++given_up_;
       ledger_.erase(id);
     }
     for (auto& [id, request] : requests_) {
-      if (!request.is_over && now_ >= request.due) runtime_.on_request_over(id);
+      if (!request.has_ended && now_ >= request.deadline) runtime_.on_request_ended(id);
     }
   }
 
   pcg64 random_;
-  Broken broken_;
+  Violations violations_;
   SimulatedRuntime runtime_;
   CommandLedger ledger_;
   std::map<RequestId, Request> requests_;
@@ -356,10 +356,10 @@
   double gauges_requested_at_ = 0;
   double alive_at_ = 0;
   double last_arrival_ = 0;
-  std::size_t told_ = 0;
-  std::size_t heard_ = 0;
+  std::size_t sent_notices_ = 0;
+  std::size_t received_notices_ = 0;
   std::uint64_t stream_bytes_ = 0;
-  std::uint64_t taken_ = 0;
+  std::uint64_t taken_bytes_ = 0;
   std::uint64_t gauges_tag_ = 0;
   std::uint64_t sent_before_gauges_ = 0;
   RequestId last_id_ = 0;
@@ -380,7 +380,7 @@
   int lost = 0;
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
     History history(seed);
-    const Broken result = history.play();
+    const Violations result = history.run();
     cuts += history.cuts();
     given_up += history.given_up();
     lost += history.lost();
@@ -388,7 +388,7 @@
     if (++broken <= 5) {
       std::printf("seed %llu: ran twice %d, wrong replies %d, never left %d, awaited for ever %d, early %d\n",
                   static_cast<unsigned long long>(seed), result.ran_twice, result.wrong_reply,
-                  result.never_left, result.awaited_for_ever, result.given_up_early);
+                  result.never_sent, result.awaited_forever, result.given_up_early);
     }
   }
   std::printf("%llu histories, %d broken; cuts, losses and runs given up happen: %s\n",
--- a/tests/runtime/command_ledger_test.cpp
+++ b/tests/runtime/command_ledger_test.cpp
@@ -7,8 +7,8 @@
 namespace {
 
 constexpr RequestId kId = 7;
-constexpr RequestId kHeardOf = 8;
-constexpr RequestId kNeverLeft = 9;
+constexpr RequestId kReported = 8;
+constexpr RequestId kNeverSent = 9;
 
 RuntimeCommand command(const std::string& text, InDoubt in_doubt) {
   RuntimeCommand out;
@@ -36,7 +36,7 @@
   return texts;
 }
 
-TEST(CommandLedger, WhatNoLinkHasTakenGoesOverTheNextOneOnce) {
+TEST(CommandLedger, UnsentCommandsAreSentOverTheNextLinkOnce) {
   CommandLedger ledger;
   ledger.add({kId, false}, start(InDoubt::kAwaitNotice));
   ledger.mark_sent({kId, false}, 5, 1);
@@ -59,7 +59,7 @@
   EXPECT_EQ(ledger.requests_to_give_up(3), std::vector<RequestId>{kId});
 }
 
-TEST(CommandLedger, AStartInDoubtStaysSoOverFurtherLinks) {
+TEST(CommandLedger, AStartInDoubtRemainsInDoubtOverFurtherLinks) {
   CommandLedger ledger;
   ledger.add({kId, false}, start(InDoubt::kAwaitNotice, 9));
   ledger.mark_sent({kId, false}, 5, 1);
@@ -78,7 +78,7 @@
 }
 
 // Guards against memory and a place that are held for ever by a run whose reply was lost.
-TEST(CommandLedger, AReplyInDoubtIsGivenUpWhenItsRequestIsDue) {
+TEST(CommandLedger, AReplyInDoubtIsGivenUpAtTheDeadlineOfItsRequest) {
   CommandLedger ledger;
   RuntimeCommand reply = command("give", InDoubt::kAwaitNotice);
   reply.give_up_at = 3;
@@ -90,7 +90,7 @@
 }
 
 // Guards against a start that is lost though it seemed proven, where the break is noticed late.
-TEST(CommandLedger, ABreakThatIsNoticedLateLeavesInDoubtWhatWasSentBeforeIt) {
+TEST(CommandLedger, ABreakThatIsNoticedLateLeavesCommandsSentBeforeItInDoubt) {
   CommandLedger ledger;
   ledger.add({kId, false}, start(InDoubt::kAwaitNotice, 9));
   ledger.mark_sent({kId, false}, 5, 1);
@@ -99,7 +99,7 @@
 }
 
 // A runtime may lose what it read shortly before a break, though it has answered something later.
-TEST(CommandLedger, WhatArrivedShortlyBeforeABreakIsInDoubt) {
+TEST(CommandLedger, CommandsDeliveredShortlyBeforeABreakAreInDoubt) {
   CommandLedger ledger;
   ledger.add({kId, false}, start(InDoubt::kResend));
   ledger.mark_sent({kId, false}, 5, 1);
@@ -108,7 +108,7 @@
   EXPECT_EQ(sent_over_new_link(ledger, 1.1).size(), 1U);
 }
 
-TEST(CommandLedger, WhatArrivedOnALinkThatWasReplacedIsNotInDoubt) {
+TEST(CommandLedger, CommandsDeliveredOnAReplacedLinkAreNotInDoubt) {
   CommandLedger ledger;
   ledger.add({kId, false}, start(InDoubt::kResend));
   ledger.mark_sent({kId, false}, 5, 1);
@@ -119,7 +119,7 @@
   EXPECT_TRUE(sent_over_new_link(ledger, 1.1).empty());
 }
 
-TEST(CommandLedger, AnAnswerProvesOnlyWhatWasSentBeforeItWasRequested) {
+TEST(CommandLedger, AnAnswerAcknowledgesOnlyCommandsSentBeforeItsRequest) {
   CommandLedger ledger;
   ledger.add({kId, false}, start(InDoubt::kResend));
   ledger.mark_sent({kId, false}, 5, 1);
@@ -147,17 +147,17 @@
 }
 
 // Guards against runs that are held for ever, and against those that are given up before they are due.
-TEST(CommandLedger, ARunWhoseNoticesWereLostIsGivenUpWhenDueUnlessItIsHeardOf) {
+TEST(CommandLedger, ARunWhoseNoticesWereLostIsGivenUpAtItsDeadlineUnlessAnotherNoticeArrives) {
   CommandLedger ledger;
-  for (const RequestId id : {kId, kHeardOf}) {
+  for (const RequestId id : {kId, kReported}) {
     ledger.add({id, false}, start(InDoubt::kAwaitNotice, 3));
     ledger.mark_sent({id, false}, 5, 1);
   }
   ledger.mark_delivered(ledger.last_sent());
-  ledger.add({kNeverLeft, false}, start(InDoubt::kAwaitNotice, 3));
+  ledger.add({kNeverSent, false}, start(InDoubt::kAwaitNotice, 3));
   EXPECT_FALSE(ledger.next_give_up());
   ledger.on_notices_lost();
-  ledger.on_call_wanted(kHeardOf);
+  ledger.on_call_wanted(kReported);
   EXPECT_EQ(ledger.next_give_up(), 3);
   EXPECT_TRUE(ledger.requests_to_give_up(2.9).empty());
   EXPECT_EQ(ledger.requests_to_give_up(3), std::vector<RequestId>{kId});
@@ -171,7 +171,7 @@
   EXPECT_EQ(sent_over_new_link(ledger, 1), (std::vector<std::string>{"start", "stop", "cont"}));
 }
 
-TEST(CommandLedger, ARestartForgetsAllButStartsThatNeverLeft) {
+TEST(CommandLedger, ARestartRemovesAllButStartsThatWereNeverSent) {
   CommandLedger ledger;
   ledger.add({kId, false}, start(InDoubt::kAwaitNotice));
   ledger.mark_sent({kId, false}, 5, 1);
--- a/tests/runtime/link_crossings.cpp
+++ b/tests/runtime/link_crossings.cpp
@@ -22,29 +22,29 @@
   return idempotency == kDedup ? more + R"(,"key":"a")" : more;
 }
 
-std::string large(int ms, const std::string& key) {
+std::string large_request(int ms, const std::string& key) {
   const std::string more = R"("ram":900,"limit":)" + std::to_string(ms);
   return key.empty() ? more : more + R"(,"key":")" + key + "\"";
 }
 
-std::string ended(int notice, const std::string& id, const std::string& result) {
+std::string run_end_notice(int notice, const std::string& id, const std::string& result) {
   return "end " + std::to_string(notice) + " " + id + " complete 20 " + std::to_string(result.size()) +
          "\r\n" + result;
 }
 
-void all_the_runtime_hears(Site& site, double seconds) {
+void print_runtime_input(Site& site, double seconds) {
   const std::vector<std::string> lines = site.runtime_lines_within(seconds);
   for (const std::string& line : lines) std::printf("runtime hears: %s\n", line.c_str());
   if (lines.empty()) std::printf("runtime hears: (nothing)\n");
 }
 
-void how_often(Site& site, const std::string& command, double seconds) {
+void print_command_count(Site& site, const std::string& command, double seconds) {
   int count = 0;
   for (const std::string& line : site.runtime_lines_within(seconds)) count += line.rfind(command, 0) == 0;
   std::printf("runtime hears '%s': %d times\n", command.c_str(), count);
 }
 
-void caller_fails(Site& site, int caller) {
+void print_caller_failure(Site& site, int caller) {
   const std::string answer = site.heard(caller);
   const bool is_failure = answer.find("\"error\"") != std::string::npos;
   const bool is_rejection = answer.find("-32001") != std::string::npos;
--- a/tests/runtime/link_crossings.h
+++ b/tests/runtime/link_crossings.h
@@ -46,19 +46,19 @@
 
 // The same of a request of 900 KB, of which the site's memory holds one at a time while it runs; with a key
 // where one is given.
-std::string large(int ms, const std::string& key);
+std::string large_request(int ms, const std::string& key);
 
 // The runtime's notice that a run has ended with this result.
-std::string ended(int notice, const std::string& id, const std::string& result = "result");
+std::string run_end_notice(int notice, const std::string& id, const std::string& result = "result");
 
 // Prints all that comes to the runtime in that time.
-void all_the_runtime_hears(Site& site, double seconds = kQuietSeconds);
+void print_runtime_input(Site& site, double seconds = kQuietSeconds);
 
 // Prints how often a command that begins like this comes to the runtime in that time; others don't matter.
-void how_often(Site& site, const std::string& command, double seconds = kQuietSeconds);
+void print_command_count(Site& site, const std::string& command, double seconds = kQuietSeconds);
 
 // Prints whether the caller hears of a failure, whichever it is, or of a rejection, which would say that
 // nothing ran.
-void caller_fails(Site& site, int caller);
+void print_caller_failure(Site& site, int caller);
 
 }  // namespace damsonspoke::testing
--- a/tests/runtime/process_identity_test.cpp
+++ b/tests/runtime/process_identity_test.cpp
@@ -6,18 +6,18 @@
 namespace damsonspoke::peers {
 namespace {
 
-TEST(RuntimeProcessIdentity, TheFirstGreetingIsFromNoOther) {
+TEST(RuntimeProcessIdentity, TheFirstGreetingIsNotFromAnotherProcess) {
   RuntimeProcessIdentity identity;
   EXPECT_FALSE(identity.is_another_process({0, 0.01, 30}));
 }
 
-TEST(RuntimeProcessIdentity, TheSameProcessGrowsOlder) {
+TEST(RuntimeProcessIdentity, TheSameProcessWithAHigherUptimeIsNotAnother) {
   RuntimeProcessIdentity identity;
   EXPECT_FALSE(identity.is_another_process({10, 10.001, 3}));
   EXPECT_FALSE(identity.is_another_process({20, 20.001, 13}));
 }
 
-TEST(RuntimeProcessIdentity, ALateGreetingOfTheSameProcessIsFromNoOther) {
+TEST(RuntimeProcessIdentity, ALateGreetingOfTheSameProcessIsNotFromAnother) {
   RuntimeProcessIdentity identity;
   EXPECT_FALSE(identity.is_another_process({10, 10.001, 0.0}));
   identity.on_answer(10.05);
@@ -27,21 +27,21 @@
 
 // Guards against runs that are failed because the greeting of their runtime waits while this process is
 // paused.
-TEST(RuntimeProcessIdentity, AGreetingThatIsReadASecondLateIsFromNoOther) {
+TEST(RuntimeProcessIdentity, AGreetingThatIsReadASecondLateIsNotFromAnother) {
   RuntimeProcessIdentity identity;
   EXPECT_FALSE(identity.is_another_process({10, 10.001, 0.0}));
   identity.on_answer(10.1);
   EXPECT_FALSE(identity.is_another_process({10.2, 11.3, 0.2}));
 }
 
-TEST(RuntimeProcessIdentity, AProcessThatCameUpLongAfterItWasAskedStaysTheSame) {
+TEST(RuntimeProcessIdentity, AProcessThatStartedLongAfterTheRequestIsNotAnother) {
   RuntimeProcessIdentity identity;
   EXPECT_FALSE(identity.is_another_process({10, 14, 0.0}));
   EXPECT_FALSE(identity.is_another_process({14.1, 14.101, 0.1}));
 }
 
 // Guards against a runtime that takes its link at once and greets late: it passed for the one before.
-TEST(RuntimeProcessIdentity, AProcessThatIsLookedForInVainBeforeItGreetsIsNoOlderThanThat) {
+TEST(RuntimeProcessIdentity, AProcessWhoseGreetingWasMissingAtTheLastCheckIsAnother) {
   RuntimeProcessIdentity identity;
   EXPECT_FALSE(identity.is_another_process({10, 10.001, 2}));
   identity.on_answer(10.95);
--- a/tests/runtime/reply_crossings.cpp
+++ b/tests/runtime/reply_crossings.cpp
@@ -11,7 +11,7 @@
 // Guards against the reply to a run's first call that is taken for the reply to its second: the run went on
 // with the first reply, and asks for its second call right behind the gauges of the new link. `omit` names
 // its call and does no harm; it goes where the route may do without a call.
-void reply_crosses_call(const std::string& idempotency, const char* route) {
+void break_before_next_call(const std::string& idempotency, const char* route) {
   Site site("", "", routes(idempotency));
   site.comes_up();
   const int caller = site.connect();
@@ -26,15 +26,15 @@
   site.runtime_comes_up("hot 900");
   site.below_hears(2);
   site.below_says(kId1 + " ok 9\r\nreply two");
-  all_the_runtime_hears(site);
-  site.runtime_says(ended(3, kId1));
+  print_runtime_input(site);
+  site.runtime_says(run_end_notice(3, kId1));
   site.caller_hears(caller);
   site.counters({"requests.read", "requests.succeeded", "calls.made", "calls.ok"});
 }
-void reply_retryable_skippable() { reply_crosses_call(kRetryable, "push"); }
-void reply_retryable() { reply_crosses_call(kRetryable, "pull"); }
-void reply_fragile_skippable() { reply_crosses_call(kFragile, "push"); }
-void reply_fragile() { reply_crosses_call(kFragile, "pull"); }
+void reply_retryable_skippable() { break_before_next_call(kRetryable, "push"); }
+void reply_retryable() { break_before_next_call(kRetryable, "pull"); }
+void reply_fragile_skippable() { break_before_next_call(kFragile, "push"); }
+void reply_fragile() { break_before_next_call(kFragile, "pull"); }
 
 // Guards against a run that waits for ever, as the reply to its call really was lost: it goes on without the
 // call where its route may, else its request fails when it is due.
@@ -51,10 +51,10 @@
   site.runtime_breaks();
   site.runtime_comes_up("hot 900");
   const bool can_be_skipped = std::strcmp(route, "push") == 0;
-  all_the_runtime_hears(site);
-  if (can_be_skipped) site.runtime_says(ended(2, kId1));
+  print_runtime_input(site);
+  if (can_be_skipped) site.runtime_says(run_end_notice(2, kId1));
   site.caller_hears(caller);
-  how_often(site, "give");
+  print_command_count(site, "give");
   site.counters({"requests.read", "requests.succeeded", "requests.failed", "calls.made"});
 }
 void reply_lost_skippable() { reply_lost("push"); }
@@ -65,7 +65,7 @@
   Site site("", "", routes(kDedup));
   site.comes_up();
   const int caller = site.connect();
-  site.send_request(caller, 1, "pull", large(900, "a").c_str());
+  site.send_request(caller, 1, "pull", large_request(900, "a").c_str());
   site.runtime_hears(2);
   site.runtime_says("wants 1 " + kId1 + " 5\r\nfirst");
   site.below_hears(2);
@@ -73,11 +73,11 @@
   site.runtime_hears(2);
   site.runtime_breaks();
   site.runtime_comes_up("hot 900");
-  how_often(site, "give");
-  caller_fails(site, caller);
+  print_command_count(site, "give");
+  print_caller_failure(site, caller);
   site.pause(kReleaseSeconds);
-  site.send_request(caller, 3, "push", large(1500, "b").c_str());
-  how_often(site, "start " + kId3);
+  site.send_request(caller, 3, "push", large_request(1500, "b").c_str());
+  print_command_count(site, "start " + kId3);
   site.counters({"requests.read", "requests.failed", "requests.rejected", "runs.given_up"});
 }
 
--- a/tests/runtime/restart_crossings.cpp
+++ b/tests/runtime/restart_crossings.cpp
@@ -22,10 +22,10 @@
   site.send_request(caller, 1, "push", with_limit(3000, idempotency).c_str());
   site.runtime_hears(2);
   site.reload();
-  site.runtime_says_after_gauges_of_next_link(ended(1, kId1));
+  site.runtime_says_after_gauges_of_next_link(run_end_notice(1, kId1));
   site.runtime_comes_up("hot 900");
   site.caller_hears(caller);
-  all_the_runtime_hears(site);
+  print_runtime_input(site);
   site.counters({"requests.read", "requests.succeeded", "runs.started", "runtime.links", "runtime.resent"});
 }
 void moved_dedup() { start_moved(kDedup); }
@@ -47,8 +47,8 @@
   site.runtime_comes_up("hot 900");
   site.below_hears(2);
   site.below_says(kId1 + " ok 9\r\nreply two");
-  all_the_runtime_hears(site);
-  site.runtime_says(ended(3, kId1));
+  print_runtime_input(site);
+  site.runtime_says(run_end_notice(3, kId1));
   site.caller_hears(caller);
   site.counters({"requests.read", "requests.succeeded", "calls.made", "calls.ok"});
 }
@@ -58,14 +58,14 @@
 // Guards against a runtime that begins anew shortly after it was first heard of and passes for the first:
 // what that ran is not started on the second and fails, and the second's notices, which count from 1, are
 // heard.
-void runtime_begins_anew(const std::string& idempotency, double seconds_after_ready) {
+void runtime_restarts(const std::string& idempotency, double seconds_after_ready) {
   const bool is_keyed = idempotency == kDedup;
   Site site("", "", routes(idempotency));
   site.comes_up();
   const int caller = site.connect();
   site.send_request(caller, 1, "push", with_limit(3000, idempotency).c_str());
   site.runtime_hears(2);
-  site.runtime_says(ended(1, kId1));
+  site.runtime_says(run_end_notice(1, kId1));
   site.caller_hears(caller);
   site.send_request(caller, 2, "push",
                     is_keyed ? R"("ram":10,"limit":800,"key":"b")" : R"("ram":10,"limit":800)");
@@ -73,19 +73,19 @@
   site.pause(seconds_after_ready);
   site.runtime_breaks();
   site.runtime_comes_up("chilly 0");
-  how_often(site, "start " + kId2);
-  caller_fails(site, caller);
+  print_command_count(site, "start " + kId2);
+  print_caller_failure(site, caller);
   site.send_request(caller, 3, "push",
                     is_keyed ? R"("ram":10,"limit":3000,"key":"c")" : R"("ram":10,"limit":3000)");
-  how_often(site, "start " + kId3, kQuietSeconds / 2);
-  site.runtime_says(ended(1, kId3));
+  print_command_count(site, "start " + kId3, kQuietSeconds / 2);
+  site.runtime_says(run_end_notice(1, kId3));
   site.caller_hears(caller);
   site.counters({"requests.read", "requests.succeeded", "requests.failed", "runtime.restarts"});
 }
-void anew_100ms_dedup() { runtime_begins_anew(kDedup, 0.1); }
-void anew_300ms_dedup() { runtime_begins_anew(kDedup, 0.3); }
-void anew_100ms_fragile() { runtime_begins_anew(kFragile, 0.1); }
-void anew_300ms_fragile() { runtime_begins_anew(kFragile, 0.3); }
+void restart_100ms_dedup() { runtime_restarts(kDedup, 0.1); }
+void restart_300ms_dedup() { runtime_restarts(kDedup, 0.3); }
+void restart_100ms_fragile() { runtime_restarts(kFragile, 0.1); }
+void restart_300ms_fragile() { runtime_restarts(kFragile, 0.3); }
 
 // Guards against the same runtime that is taken for another, as the program reads its `ready` late: it stands
 // still while that comes. The run goes on and answers its request.
@@ -105,14 +105,14 @@
   site.pause(kStoppedSeconds);
   site.signal(SIGCONT);
   site.pause(kQuietSeconds);
-  site.runtime_says(ended(1, kId1));
+  site.runtime_says(run_end_notice(1, kId1));
   site.caller_hears(caller);
   site.counters({"requests.read", "requests.succeeded", "requests.failed", "runtime.restarts"});
 }
 
 // Guards against a runtime that takes the place of another at once, greets late, and passes for it: its
 // notices, numbered from 1, were not heard.
-void anew_greets_late() {
+void restart_greets_late() {
   Site site("", "", routes(kFragile));
   site.comes_up();
   const int caller = site.connect();
@@ -124,16 +124,16 @@
   site.runtime_hears();
   site.pause(kQuietSeconds);
   site.runtime_is_ready("hot 250");
-  caller_fails(site, caller);
+  print_caller_failure(site, caller);
   site.send_request(caller, 2, "push", with_limit(1500, kFragile).c_str());
-  how_often(site, "start " + kId2);
-  site.runtime_says(ended(1, kId2));
+  print_command_count(site, "start " + kId2);
+  site.runtime_says(run_end_notice(1, kId2));
   site.caller_hears(caller);
   site.counters({"requests.read", "requests.succeeded", "requests.failed", "runtime.restarts"});
 }
 
 // The answers to two requests, in either order.
-void caller_hears_of_both(Site& site, int caller) {
+void print_whether_both_answered(Site& site, int caller) {
   int answers = 0;
   for (int i = 0; i < 2; ++i) answers += site.heard(caller).find("\"id\":") != std::string::npos;
   std::printf("caller hears two answers: %s\n", answers == 2 ? "yes" : "no");
@@ -142,7 +142,7 @@
 // Guards against a runtime that takes the place of another and passes for it where the program reads its
 // greeting late: the greeting was not looked for while the program stood still. The new process counts its
 // notices from 1.
-void anew_read_late() {
+void restart_read_late() {
   Site site("", "", routes(kFragile));
   site.comes_up();
   const int caller = site.connect();
@@ -158,12 +158,12 @@
   site.signal(SIGCONT);
   site.pause(kQuietSeconds);
   site.send_request(caller, 2, "push", with_limit(1500, kFragile).c_str());
-  how_often(site, "start " + kId2);
-  site.runtime_says(ended(1, kId2));
-  caller_hears_of_both(site, caller);
+  print_command_count(site, "start " + kId2);
+  site.runtime_says(run_end_notice(1, kId2));
+  print_whether_both_answered(site, caller);
   site.send_request(caller, 3, "push", with_limit(1500, kFragile).c_str());
-  how_often(site, "start " + kId3);
-  site.runtime_says(ended(2, kId3));
+  print_command_count(site, "start " + kId3);
+  site.runtime_says(run_end_notice(2, kId3));
   site.caller_hears(caller);
   site.counters({"requests.read", "requests.failed", "runtime.restarts"});
 }
@@ -171,16 +171,16 @@
 }  // namespace
 
 std::span<const Scenario> restart_scenarios() {
-  static constexpr Scenario kScenarios[] = {{"anew_greets_late", anew_greets_late},
-                                            {"anew_read_late", anew_read_late},
+  static constexpr Scenario kScenarios[] = {{"anew_greets_late", restart_greets_late},
+                                            {"anew_read_late", restart_read_late},
                                             {"moved_dedup", moved_dedup},
                                             {"moved_fragile", moved_fragile},
                                             {"reply_moved_skippable", reply_moved_skippable},
                                             {"reply_moved_needed", reply_moved_needed},
-                                            {"anew_100ms_dedup", anew_100ms_dedup},
-                                            {"anew_300ms_dedup", anew_300ms_dedup},
-                                            {"anew_100ms_fragile", anew_100ms_fragile},
-                                            {"anew_300ms_fragile", anew_300ms_fragile},
+                                            {"anew_100ms_dedup", restart_100ms_dedup},
+                                            {"anew_300ms_dedup", restart_300ms_dedup},
+                                            {"anew_100ms_fragile", restart_100ms_fragile},
+                                            {"anew_300ms_fragile", restart_300ms_fragile},
                                             {"ready_read_late", ready_read_late}};
   return kScenarios;
 }
--- a/tests/runtime/resumption_crossings.cpp
+++ b/tests/runtime/resumption_crossings.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 // A paused run that is told to go on, as the link breaks.
-int resumed_then_cut(Site& site) {
+int resume_then_break_link(Site& site) {
   const int caller = site.connect();
   site.send_request(caller, 1);
   site.runtime_hears(2);
@@ -21,11 +21,11 @@
 void resumption_crosses_end() {
   Site site("", "", routes(kFragile));
   site.comes_up();
-  const int caller = resumed_then_cut(site);
-  site.runtime_says_after_gauges(ended(2, kId1));
+  const int caller = resume_then_break_link(site);
+  site.runtime_says_after_gauges(run_end_notice(2, kId1));
   site.runtime_comes_up("hot 900");
   site.caller_hears(caller);
-  all_the_runtime_hears(site);
+  print_runtime_input(site);
   site.runtime_says("nack cont " + kId1);
   site.counters({"requests.read", "requests.succeeded", "requests.failed", "runs.started", "runs.resumed"});
 }
@@ -35,11 +35,11 @@
 void resumption_crosses_pause() {
   Site site("", "", routes(kFragile));
   site.comes_up();
-  const int caller = resumed_then_cut(site);
+  const int caller = resume_then_break_link(site);
   site.runtime_says_after_gauges("end 2 " + kId1 + " cancelled 20 0\r\n");
   site.runtime_comes_up("hot 900");
-  all_the_runtime_hears(site);
-  site.runtime_says(ended(3, kId1));
+  print_runtime_input(site);
+  site.runtime_says(run_end_notice(3, kId1));
   site.caller_hears(caller);
   site.counters({"requests.read", "requests.succeeded", "requests.failed", "runs.started", "runs.resumed"});
 }
@@ -48,16 +48,16 @@
 void resumption_lost() {
   Site site("", "", routes(kFragile));
   site.comes_up();
-  const int caller = resumed_then_cut(site);
+  const int caller = resume_then_break_link(site);
   site.runtime_comes_up("hot 900");
-  all_the_runtime_hears(site);
-  site.runtime_says(ended(2, kId1));
+  print_runtime_input(site);
+  site.runtime_says(run_end_notice(2, kId1));
   site.caller_hears(caller);
   site.counters({"requests.read", "requests.succeeded", "requests.failed", "runs.started", "runs.resumed"});
 }
 
 // Guards against a run that begins anew as it has just been stopped: start and stop are both unproven.
-void stop_crosses_end(const std::string& idempotency, const std::string& halt) {
+void break_after_stop(const std::string& idempotency, const std::string& halt) {
   Site site(R"(,"halt":")" + halt + "\"", "", routes(idempotency));
   site.comes_up();
   const int caller = site.connect();
@@ -68,16 +68,16 @@
   site.runtime_breaks();
   site.runtime_says_after_gauges("end 1 " + kId1 + " cancelled 20 0\r\n");
   site.runtime_comes_up("hot 900");
-  all_the_runtime_hears(site);
+  print_runtime_input(site);
   site.send_request(caller, 2, "pull");
   site.runtime_hears(2);
-  site.runtime_says(ended(2, kId2));
+  site.runtime_says(run_end_notice(2, kId2));
   site.caller_hears(caller);
   site.counters({"requests.read", "requests.succeeded", "requests.failed", "runs.started", "runs.stopped"});
 }
-void stop_paused_fragile() { stop_crosses_end(kFragile, "pause"); }
-void stop_dropped_fragile() { stop_crosses_end(kFragile, "drop"); }
-void stop_dropped_retryable() { stop_crosses_end(kRetryable, "drop"); }
+void stop_paused_fragile() { break_after_stop(kFragile, "pause"); }
+void stop_dropped_fragile() { break_after_stop(kFragile, "drop"); }
+void stop_dropped_retryable() { break_after_stop(kRetryable, "drop"); }
 
 // Guards against a run that nobody stops, as its `stop` was lost.
 void stop_lost() {
@@ -90,7 +90,7 @@
   site.runtime_hears();
   site.runtime_breaks();
   site.runtime_comes_up("hot 900");
-  all_the_runtime_hears(site);
+  print_runtime_input(site);
   site.runtime_says("end 1 " + kId1 + " cancelled 20 0\r\n");
   site.counters({"requests.read", "requests.failed", "runs.started", "runs.stopped", "runs.cancelled"});
 }
@@ -105,9 +105,9 @@
   site.runtime_says("end 1 " + kId1 + " cancelled 20 0\r\n");
   site.runtime_hears();
   site.runtime_says(answer);
-  caller_fails(site, caller);
+  print_caller_failure(site, caller);
   site.send_request(caller, 2, "push", with_limit(1500, kDedup).c_str());
-  all_the_runtime_hears(site);
+  print_runtime_input(site);
   site.counters({"requests.read", "requests.failed", "runs.started"});
 }
 void resumption_refused_nack() { resumption_refused("nack cont " + kId1); }
--- a/tests/runtime/start_crossings.cpp
+++ b/tests/runtime/start_crossings.cpp
@@ -8,10 +8,10 @@
 namespace {
 
 constexpr double kStepSeconds = 0.01;  // between two looks at what has come
-constexpr int kMostSteps = 200;
+constexpr int kMaxSteps = 200;
 
 // A request whose start the runtime has read, on a link that breaks then.
-int started_then_cut(Site& site, const std::string& idempotency, int limit_ms = 3000) {
+int start_then_break_link(Site& site, const std::string& idempotency, int limit_ms = 3000) {
   const int caller = site.connect();
   site.send_request(caller, 1, "push", with_limit(limit_ms, idempotency).c_str());
   site.runtime_hears(2);
@@ -19,28 +19,28 @@
   return caller;
 }
 
-void asks_again(Site& site, int caller) {
+void send_duplicate(Site& site, int caller) {
   site.send_request(caller, 2, "push", with_limit(3000, kDedup).c_str());
   site.caller_hears(caller);
-  all_the_runtime_hears(site);
+  print_runtime_input(site);
 }
 
 // Guards against a request that runs twice: its run ends right behind the gauges of the new link, and a start
 // sent on reading these would begin it anew.
-void start_crosses_end(const std::string& idempotency) {
+void break_before_run_end(const std::string& idempotency) {
   Site site("", "", routes(idempotency));
   site.comes_up();
-  const int caller = started_then_cut(site, idempotency);
-  site.runtime_says_after_gauges(ended(1, kId1));
+  const int caller = start_then_break_link(site, idempotency);
+  site.runtime_says_after_gauges(run_end_notice(1, kId1));
   site.runtime_comes_up("hot 900");
   site.caller_hears(caller);
-  all_the_runtime_hears(site);
-  if (idempotency == kDedup) asks_again(site, caller);
+  print_runtime_input(site);
+  if (idempotency == kDedup) send_duplicate(site, caller);
   site.counters({"requests.read", "requests.succeeded", "runs.started", "runtime.links", "runtime.resent"});
 }
-void start_dedup() { start_crosses_end(kDedup); }
-void start_fragile() { start_crosses_end(kFragile); }
-void start_retryable() { start_crosses_end(kRetryable); }
+void start_dedup() { break_before_run_end(kDedup); }
+void start_fragile() { break_before_run_end(kFragile); }
+void start_retryable() { break_before_run_end(kRetryable); }
 
 // Guards against a start that really was lost and is sent again, or holds its memory for ever: its request
 // fails when it is due, a repeat of its key starts nothing, and what needs the memory runs after that.
@@ -49,22 +49,22 @@
   Site site("", "", routes(idempotency));
   site.comes_up();
   const int caller = site.connect();
-  site.send_request(caller, 1, "push", large(600, is_keyed ? "a" : "").c_str());
+  site.send_request(caller, 1, "push", large_request(600, is_keyed ? "a" : "").c_str());
   site.runtime_hears(2);
   site.runtime_breaks();
   site.runtime_comes_up("hot 900");
-  how_often(site, "start " + kId1);
-  caller_fails(site, caller);
-  how_often(site, "start " + kId1);
+  print_command_count(site, "start " + kId1);
+  print_caller_failure(site, caller);
+  print_command_count(site, "start " + kId1);
   if (is_keyed) {
-    site.send_request(caller, 2, "push", large(600, "a").c_str());
-    caller_fails(site, caller);
-    how_often(site, "start");
+    site.send_request(caller, 2, "push", large_request(600, "a").c_str());
+    print_caller_failure(site, caller);
+    print_command_count(site, "start");
   }
   site.pause(kReleaseSeconds);
-  site.send_request(caller, 3, "push", large(3000, is_keyed ? "b" : "").c_str());
-  how_often(site, "start " + kId3);
-  site.runtime_says(ended(1, kId3));
+  site.send_request(caller, 3, "push", large_request(3000, is_keyed ? "b" : "").c_str());
+  print_command_count(site, "start " + kId3);
+  site.runtime_says(run_end_notice(1, kId3));
   site.caller_hears(caller);
   site.counters({"requests.read", "requests.succeeded", "requests.failed", "requests.rejected"});
 }
@@ -75,12 +75,12 @@
 void start_runs_on(const std::string& idempotency) {
   Site site("", "", routes(idempotency));
   site.comes_up();
-  const int caller = started_then_cut(site, idempotency);
+  const int caller = start_then_break_link(site, idempotency);
   site.runtime_comes_up("hot 900");
-  all_the_runtime_hears(site);
-  site.runtime_says(ended(1, kId1));
+  print_runtime_input(site);
+  site.runtime_says(run_end_notice(1, kId1));
   site.caller_hears(caller);
-  if (idempotency == kDedup) asks_again(site, caller);
+  if (idempotency == kDedup) send_duplicate(site, caller);
   site.counters({"requests.read", "requests.succeeded", "runs.started", "runtime.resent"});
 }
 void runs_on_dedup() { start_runs_on(kDedup); }
@@ -100,10 +100,10 @@
   site.runtime_comes_up("hot 900");
   site.runtime_hears(2);
   site.runtime_breaks();
-  site.runtime_says_after_gauges(ended(1, kId1));
+  site.runtime_says_after_gauges(run_end_notice(1, kId1));
   site.runtime_comes_up("hot 1900");
   site.caller_hears(caller);
-  all_the_runtime_hears(site);
+  print_runtime_input(site);
   site.counters({"requests.read", "requests.succeeded", "runs.started"});
 }
 void waits_dedup() { start_waits_for_link(kDedup); }
@@ -118,10 +118,10 @@
   site.runtime_hears(2);
   site.caller_hears(caller);
   site.runtime_breaks();
-  site.runtime_says_after_gauges(ended(1, kId1));
+  site.runtime_says_after_gauges(run_end_notice(1, kId1));
   site.runtime_comes_up("hot 900");
-  all_the_runtime_hears(site);
-  asks_again(site, caller);
+  print_runtime_input(site);
+  send_duplicate(site, caller);
   site.counters({"requests.read", "requests.succeeded", "requests.failed", "runs.started", "runs.stopped"});
 }
 
@@ -135,13 +135,13 @@
   site.runtime_hears(2);
   site.send_request(caller, 2, "push", R"("ram":10,"limit":3000,"key":"b")");
   site.runtime_hears(2);
-  site.runtime_says(ended(2, kId1));
-  site.runtime_says_after_gauges(ended(3, kId2));
+  site.runtime_says(run_end_notice(2, kId1));
+  site.runtime_says_after_gauges(run_end_notice(3, kId2));
   site.runtime_comes_up("hot 900");
-  site.runtime_says("info 1 was missing\r\n" + ended(2, kId1));
+  site.runtime_says("info 1 was missing\r\n" + run_end_notice(2, kId1));
   site.caller_hears(caller);
   site.caller_hears(caller);
-  all_the_runtime_hears(site);
+  print_runtime_input(site);
   site.counters({"requests.read", "requests.succeeded", "runs.started", "runtime.gaps", "runtime.resent"});
 }
 
@@ -158,15 +158,15 @@
                     keyed ? R"("ram":10,"limit":3000,"key":"b")" : R"("ram":10,"limit":3000)");
   site.runtime_hears(4);
   site.pause(kReleaseSeconds);
-  site.runtime_says(ended(2, kId2));
+  site.runtime_says(run_end_notice(2, kId2));
   site.runtime_comes_up("hot 2000");
-  if (!is_lost) site.runtime_says(ended(1, kId1));
-  site.runtime_says(ended(2, kId2));
+  if (!is_lost) site.runtime_says(run_end_notice(1, kId1));
+  site.runtime_says(run_end_notice(2, kId2));
   site.caller_hears(caller);
-  is_lost ? caller_fails(site, caller) : site.caller_hears(caller);
+  is_lost ? print_caller_failure(site, caller) : site.caller_hears(caller);
   site.pause(kReleaseSeconds);
-  site.send_request(caller, 3, "push", large(3000, keyed ? "c" : "").c_str());
-  how_often(site, "start " + kId3);
+  site.send_request(caller, 3, "push", large_request(3000, keyed ? "c" : "").c_str());
+  print_command_count(site, "start " + kId3);
   site.counters(
       {"requests.read", "requests.succeeded", "requests.failed", "requests.rejected", "runtime.gaps"});
 }
@@ -183,16 +183,16 @@
   site.send_request(caller, 1, "push", with_limit(3000, kDedup).c_str());
   site.runtime_hears(2);
   const int answered = site.answered_gauges;
-  for (int i = 0; i < kMostSteps && site.answered_gauges == answered; ++i) site.pause(kStepSeconds);
+  for (int i = 0; i < kMaxSteps && site.answered_gauges == answered; ++i) site.pause(kStepSeconds);
   std::printf("gauges answered since: %s\n", site.answered_gauges > answered ? "yes" : "no");
   site.answers_gauges = false;
   site.pause(seconds_before_break);
   site.runtime_breaks();
   site.answers_gauges = true;
-  site.runtime_says_after_gauges(ended(1, kId1));
+  site.runtime_says_after_gauges(run_end_notice(1, kId1));
   site.runtime_comes_up("hot 900");
   site.caller_hears(caller);
-  all_the_runtime_hears(site);
+  print_runtime_input(site);
   site.counters({"requests.read", "requests.succeeded", "runs.started", "runtime.resent"});
 }
 void proven_50ms() { start_proven(0.05); }
--- a/tests/runtime_client_crossings.cpp
+++ b/tests/runtime_client_crossings.cpp
@@ -25,13 +25,13 @@
 constexpr int kSmallReceiveBytes = 4 * 1024;
 constexpr int kLargeReceiveBytes = 1024 * 1024;
 constexpr std::size_t kBodyBytes = 2 * 1024;
-constexpr int kStartsPerTurn = 8;
-constexpr int kMostTurns = 1000;
-constexpr double kTurnSeconds = 0.002;
+constexpr int kStartsPerIteration = 8;
+constexpr int kMaxIterations = 1000;
+constexpr double kIterationSeconds = 0.002;
 constexpr double kStepSeconds = 0.01;
-constexpr int kMostSteps = 300;  // of waiting for what should come
-constexpr int kCrowd = 8;        // more than a listener without a backlog takes
-constexpr RequestId kLastAtSilence = 11;
+constexpr int kMaxSteps = 300;      // of waiting for what should come
+constexpr int kBacklogFillers = 8;  // more than a listener without a backlog takes
+constexpr RequestId kLastRequestWhileHung = 11;
 constexpr int kQuietSteps = 20;  // in which a second command would come
 
 // A listener on loopback; what came is looked at only when the test says so.
@@ -66,12 +66,12 @@
     if (::send(link_, text.data(), text.size(), MSG_NOSIGNAL) < 0) fmt::print("(cannot say it)\n");
   }
   // What has come on the link; with a patience, all until its end.
-  std::string heard(int patience_ms = 0) {
+  std::string received(int timeout_ms = 0) {
     std::string all;
     char bytes[65536];
     for (;;) {
       pollfd one{link_, POLLIN, 0};
-      if (::poll(&one, 1, patience_ms) <= 0) return all;
+      if (::poll(&one, 1, timeout_ms) <= 0) return all;
       const ssize_t got = ::recv(link_, bytes, sizeof bytes, MSG_DONTWAIT);
       if (got <= 0) return all;
       all.append(bytes, static_cast<std::size_t>(got));
@@ -101,28 +101,28 @@
   void on_runtime_restarted(const std::unordered_set<RequestId>&) override { ++restarts; }
 
   // Lets the client run until this has come.
-  bool hears(const std::string& part) {
-    for (int i = 0; i < kMostSteps && in.find(part) == std::string::npos; ++i) {
+  bool wait_for_input(const std::string& part) {
+    for (int i = 0; i < kMaxSteps && in.find(part) == std::string::npos; ++i) {
       stepped.run_for(kStepSeconds);
       if (!bare.has_link() && !bare.accept_link()) continue;
-      in += bare.heard();
+      in += bare.received();
     }
     return in.find(part) != std::string::npos;
   }
   // On a new link: its gauges are answered, which `right_after` follows before what the client sends then is
   // read.
   void synchronize(const std::string& state, const std::string& right_after = "") {
-    hears("sync ");
+    wait_for_input("sync ");
     bare.say("ready " + state + "\r\n");
-    hears("gauges ");
+    wait_for_input("gauges ");
     const std::size_t at = in.find("gauges ") + 7;
-    in += bare.heard();
+    in += bare.received();
     bare.say("load " + in.substr(at, in.find("\r\n", at) - at) + " 0.25 1\r\n");
     stepped.run_for(kStepSeconds);
     bare.say(right_after);
     for (int i = 0; i < kQuietSteps; ++i) {
       stepped.run_for(kStepSeconds);
-      in += bare.heard();
+      in += bare.received();
     }
   }
   void cut() {
@@ -157,7 +157,7 @@
 }
 
 std::string start_of(RequestId id) { return fmt::format("start {:016x} ", id); }
-std::string whole_start(RequestId id, const std::string& body) {
+std::string complete_start(RequestId id, const std::string& body) {
   return fmt::format("start {:016x} push {}\r\n{}\r\n", id, body.size(), body);
 }
 
@@ -178,23 +178,23 @@
 void overflow_once() {
   Client client;
   client.bare.set_receive_bytes(kSmallReceiveBytes);
-  client.hears("sync 0");
+  client.wait_for_input("sync 0");
   client.bare.set_receive_bytes(kLargeReceiveBytes);  // the next link takes all
   client.synchronize("hot 0");
   const std::string body(kBodyBytes, 'b');
   RequestId last = 0;
   const auto given_up = [&] { return client.counters[Count::kRuntimeBroken] > 0; };
-  for (int turn = 0; turn < kMostTurns && !given_up(); ++turn) {
-    for (int i = 0; i < kStartsPerTurn; ++i) start(client, ++last, body, false);
-    client.stepped.run_for(kTurnSeconds);
+  for (int iteration = 0; iteration < kMaxIterations && !given_up(); ++iteration) {
+    for (int i = 0; i < kStartsPerIteration; ++i) start(client, ++last, body, false);
+    client.stepped.run_for(kIterationSeconds);
   }
-  const std::string first_link = client.bare.heard(200);
+  const std::string first_link = client.bare.received(200);
   client.cut();
   client.synchronize("hot 900");
   int first = 0, again = 0, missing = 0, twice_on_one = 0;
   for (RequestId id = 1; id <= last; ++id) {
-    const int before = Client::count_in(first_link, whole_start(id, body));
-    const int after = client.count(whole_start(id, body));
+    const int before = Client::count_in(first_link, complete_start(id, body));
+    const int after = client.count(complete_start(id, body));
     first += before;
     again += before > 0 && after > 0;
     missing += before + after == 0;
@@ -208,37 +208,37 @@
 }
 
 // Guards against a second start of a run that ends right behind the gauges of the next link.
-void start_crosses_end(bool may_repeat) {
+void break_before_run_end(bool may_repeat) {
   Client client;
   client.synchronize("hot 0");
   start(client, 1, "body", may_repeat);
-  client.hears("body\r\n");
+  client.wait_for_input("body\r\n");
   client.cut();
   client.synchronize("hot 900", "end 1 0000000000000001 complete 20 0\r\n\r\n");
   fmt::print("starts on the second link: {}, ends: {}\n", client.count(start_of(1)), client.ends[1]);
 }
-void start_once() { start_crosses_end(false); }
-void start_repeatable() { start_crosses_end(true); }
+void start_once() { break_before_run_end(false); }
+void start_repeatable() { break_before_run_end(true); }
 
 // Guards against a reply that is taken for the next call's, and against a run that nobody lets go on.
-void reply_crosses_call(bool may_be_skipped) {
+void break_before_next_call(bool may_be_skipped) {
   Client client;
   client.synchronize("hot 0");
   start(client, 1, "body", true);
-  client.hears("body\r\n");
+  client.wait_for_input("body\r\n");
   client.bare.say("wants 1 0000000000000001 5\r\nfirst\r\n");
   client.stepped.run_for(kStepSeconds);
-  for (int i = 0; i < kMostSteps && client.calls[1] == 0; ++i) client.stepped.run_for(kStepSeconds);
+  for (int i = 0; i < kMaxSteps && client.calls[1] == 0; ++i) client.stepped.run_for(kStepSeconds);
   send_reply(client, 1, "reply", 1, may_be_skipped);
-  client.hears("reply\r\n");
+  client.wait_for_input("reply\r\n");
   client.cut();
   client.synchronize("hot 900", "wants 2 0000000000000001 6\r\nsecond\r\n");
   fmt::print("on the second link: give {}, omit of the first call {}; calls asked for: {}\n",
              client.count("give 0000000000000001 "), client.count("omit 0000000000000001 1\r\n"),
              client.calls[1]);
 }
-void reply_skippable() { reply_crosses_call(true); }
-void reply_needed() { reply_crosses_call(false); }
+void reply_skippable() { break_before_next_call(true); }
+void reply_needed() { break_before_next_call(false); }
 
 // Guards against commands that wait for a link and are lost, or come twice: a start, a reply, a stop and a
 // resumption that were issued while there was none go out once, in their order.
@@ -246,11 +246,11 @@
   Client client;
   client.synchronize("hot 0");
   for (RequestId id = 1; id <= 2; ++id) start(client, id, "body", false);
-  client.hears(start_of(2));
+  client.wait_for_input(start_of(2));
   client.bare.say("wants 1 0000000000000001 5\r\nfirst\r\nend 2 0000000000000002 cancelled 5 0\r\n\r\n");
-  for (int i = 0; i < kMostSteps && client.ends[2] == 0; ++i) client.stepped.run_for(kStepSeconds);
+  for (int i = 0; i < kMaxSteps && client.ends[2] == 0; ++i) client.stepped.run_for(kStepSeconds);
   client.cut();
-  for (int i = 0; i < kMostSteps && client.counters[Count::kRuntimeBroken] == 0; ++i)
+  for (int i = 0; i < kMaxSteps && client.counters[Count::kRuntimeBroken] == 0; ++i)
     client.stepped.run_for(kStepSeconds);
   send_reply(client, 1, "reply", 1, false);
   client.runtime.resume(2, kSecondsUntilDue);
@@ -278,27 +278,27 @@
   socklen_t size = sizeof at;
   if (::bind(full, reinterpret_cast<sockaddr*>(&at), size) != 0 || ::listen(full, 0) != 0) std::abort();
   ::getsockname(full, reinterpret_cast<sockaddr*>(&at), &size);
-  std::vector<int> crowd;
-  for (int i = 0; i < kCrowd; ++i) {
-    crowd.push_back(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
-    static_cast<void>(::connect(crowd.back(), reinterpret_cast<sockaddr*>(&at), size));
+  std::vector<int> backlog_fillers;
+  for (int i = 0; i < kBacklogFillers; ++i) {
+    backlog_fillers.push_back(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
+    static_cast<void>(::connect(backlog_fillers.back(), reinterpret_cast<sockaddr*>(&at), size));
   }
   start(client, 1, "body", false);
   client.runtime.move_to(fmt::format("127.0.0.1:{}", ntohs(at.sin_port)));
   client.stepped.run_for(kStepSeconds);
   int late = 0;
-  for (RequestId id = 2; id <= kLastAtSilence; ++id) {
+  for (RequestId id = 2; id <= kLastRequestWhileHung; ++id) {
     start(client, id, "body", false);
     for (int i = 0; i < kQuietSteps; ++i) {
       client.stepped.run_for(kStepSeconds);
-      client.in += client.bare.heard();
+      client.in += client.bare.received();
       answer_gauges(client);
     }
     late += client.count(start_of(id)) == 0;
   }
-  for (const int fd : crowd) ::close(fd);
+  for (const int fd : backlog_fillers) ::close(fd);
   ::close(full);
-  fmt::print("starts: {}, come later than {} ms on the old link: {}\n", kLastAtSilence - 1,
+  fmt::print("starts: {}, come later than {} ms on the old link: {}\n", kLastRequestWhileHung - 1,
              static_cast<int>(kQuietSteps * kStepSeconds * 1000), late);
 }
 
--- a/tests/wire.cpp
+++ b/tests/wire.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-std::string shown(std::string_view text) {
+std::string printable(std::string_view text) {
   std::string out;
   for (const char c : text.substr(0, 60)) {
     if (c >= ' ' && c < 127) {
@@ -29,13 +29,14 @@
 }
 
 // Offers ever longer parts of the input, as a socket does; reads(part) tells how much of it was used.
-void one_byte_at_a_time(const std::string& input, const std::function<std::size_t(std::string_view)>& reads) {
-  std::string kept;
+void one_byte_at_a_time(const std::string& input,
+                        const std::function<std::size_t(std::string_view)>& consume) {
+  std::string buffered;
   for (const char c : input) {
-    kept += c;
-    for (std::size_t used; !kept.empty() && (used = reads(kept)) > 0;) kept.erase(0, used);
+    buffered += c;
+    for (std::size_t used; !buffered.empty() && (used = consume(buffered)) > 0;) buffered.erase(0, used);
   }
-  if (!kept.empty()) std::printf("  left over: %s\n", shown(kept).c_str());
+  if (!buffered.empty()) std::printf("  left over: %s\n", printable(buffered).c_str());
 }
 
 std::string framed(const std::string& body) {
@@ -50,7 +51,7 @@
     std::printf("  broken\n");
     return input.size();
   }
-  std::printf("  frame of %zu: %s\n", frame.body.size(), shown(frame.body).c_str());
+  std::printf("  frame of %zu: %s\n", frame.body.size(), printable(frame.body).c_str());
   return frame.length;
 }
 
@@ -84,14 +85,14 @@
   static const char* const kProblems[] = {"sound", "no JSON", "no request", "bad parameters"};
   RpcRequest r;
   const RpcProblem problem = decode_request(text, r);
-  std::printf("%s\n  %s", shown(text).c_str(), kProblems[static_cast<int>(problem)]);
+  std::printf("%s\n  %s", printable(text).c_str(), kProblems[static_cast<int>(problem)]);
   if (r.has_id) std::printf(", id %llu", static_cast<unsigned long long>(r.id));
   if (problem == RpcProblem::kNone) {
     std::printf(", %s", r.method.c_str());
     if (r.has_request_id) std::printf(", txn %s", format_id(r.request_id).c_str());
     if (r.has_subject) std::printf(", item %s", format_id(r.subject).c_str());
     std::printf(", door %.0f, limit %.0f, caller %u, %.1f kB, probe %d, body '%s'", r.received_at_ms,
-                r.client_timeout_ms, r.caller, r.size_kb, r.requires_self_test, shown(r.body).c_str());
+                r.client_timeout_ms, r.caller, r.size_kb, r.requires_self_test, printable(r.body).c_str());
     if (r.work_ms > 0) std::printf(", work %.1f ms", r.work_ms);
   }
   std::printf("\n");
@@ -147,9 +148,9 @@
   }
   for (const char* text : {"", "Zg==", "Zm8=", "Zm9v", "Zm9vYg==", "Zh==", "Zg=", "=Zg=", "Zg==Zg=="}) {
     std::string bytes, again;
-    const bool sound = decode_base64(text, bytes);
-    if (sound) append_base64(again, bytes);
-    std::printf("base64 '%s': %s '%s' '%s'\n", text, sound ? "sound" : "damaged", bytes.c_str(),
+    const bool valid = decode_base64(text, bytes);
+    if (valid) append_base64(again, bytes);
+    std::printf("base64 '%s': %s '%s' '%s'\n", text, valid ? "sound" : "damaged", bytes.c_str(),
                 again.c_str());
   }
 }
@@ -171,7 +172,7 @@
         ", number %llu, id %s, end %d, cold %d, ms %.1f, tag %llu, good %d, command '%s', body '%s', gauges",
         static_cast<unsigned long long>(n.number), format_id(n.id).c_str(), static_cast<int>(n.end),
         n.is_cold, n.ms, static_cast<unsigned long long>(n.tag), n.has_passed, std::string(n.command).c_str(),
-        shown(n.body).c_str());
+        printable(n.body).c_str());
     for (const double value : n.gauges) std::printf(" %.2f", value);
   }
   std::printf("\n");
@@ -179,7 +180,7 @@
 }
 
 void runtime() {
-  const std::string sound =
+  const std::string valid =
       "ready chilly 120\r\nend 1 9b1f03aa5c7e2d41 complete 81.5 6\r\nab\r\ncd\r\nend 2 9b1f03aa5c7e2d41 "
       "error 3 0\r\n\r\n"
       "end 3 9b1f03aa5c7e2d41 cancelled 3\r\nend 4 9b1f03aa5c7e2d41 unknown 0 0\r\n\r\n"
@@ -187,9 +188,9 @@
       "complete\r\nverdict 4 error\r\n"
       "nack give 9b1f03aa5c7e2d41\r\ninfo 6 some words\r\n";
   std::printf("whole:\n");
-  for (std::string_view rest = sound; !rest.empty();) rest.remove_prefix(print_notice(rest));
+  for (std::string_view rest = valid; !rest.empty();) rest.remove_prefix(print_notice(rest));
   std::printf("one byte at a time:\n");
-  one_byte_at_a_time(sound, print_notice);
+  one_byte_at_a_time(valid, print_notice);
   for (const std::string& input :
        {std::string("what is this\r\n"), std::string("\r\n"), std::string("end 1 9b1f complete 8 0\r\n\r\n"),
         std::string("end -1 9b1f03aa5c7e2d41 complete 8 0\r\n\r\n"), std::string("load 1 much\r\n"),
@@ -197,13 +198,13 @@
         std::string("wants 1 9b1f03aa5c7e2d41 65537\r\n"), std::string("wants 1 9b1f03aa5c7e2d41 -1\r\n"),
         std::string("wants 1 9b1f03aa5c7e2d41 2\r\nabc\r\n"), std::string("wants\r\n"),
         std::string(4096, 'x'), std::string(4095, 'x')}) {
-    std::printf("%s\n", shown(input).c_str());
+    std::printf("%s\n", printable(input).c_str());
     if (print_notice(input) == 0) std::printf("  needs more\n");
   }
   for (const std::string& text : {encode_sync(17), encode_start(0x9b1f03aa5c7e2d41, "push", "ab\r\n"),
                                   encode_stop(1), encode_resume(1), encode_call_reply(1, "reply"),
                                   encode_skip_call(1, 5), encode_gauges_request(9), encode_self_test(9)}) {
-    std::printf("%s\n", shown(text).c_str());
+    std::printf("%s\n", printable(text).c_str());
   }
 }
 
@@ -217,26 +218,27 @@
     return input.size();
   }
   std::printf("  %s, id %s, body '%s'\n", kEnds[static_cast<int>(read.end)], format_id(read.id).c_str(),
-              shown(read.body).c_str());
+              printable(read.body).c_str());
   return read.length;
 }
 
-void below() {
+void dependency() {
   const std::string id = "9b1f03aa5c7e2d41";
-  const std::string sound = id + " ok 4\r\na\r\nb\r\n" + id + " overload\r\n" + id + " internal\r\n" + id +
+  const std::string valid = id + " ok 4\r\na\r\nb\r\n" + id + " overload\r\n" + id + " internal\r\n" + id +
                             " deadline\r\n" + id + " stale\r\n" + id + " ok 0\r\n\r\n";
   std::printf("whole:\n");
-  for (std::string_view rest = sound; !rest.empty();) rest.remove_prefix(print_reply(rest));
+  for (std::string_view rest = valid; !rest.empty();) rest.remove_prefix(print_reply(rest));
   std::printf("one byte at a time:\n");
-  one_byte_at_a_time(sound, print_reply);
+  one_byte_at_a_time(valid, print_reply);
   for (const std::string& input :
        {id + " perhaps\r\n", id + " ok\r\n", id + " ok 99999999\r\n", id + " ok 1\r\nab\r\n",
         std::string("x ok 1\r\na\r\n"), std::string("9b1f stale\r\n"), std::string("\r\n"),
         std::string("no id"), id.substr(0, 9), id + " " + std::string(60, '9')}) {
-    std::printf("%s\n", shown(input).c_str());
+    std::printf("%s\n", printable(input).c_str());
     if (print_reply(input) == 0) std::printf("  needs more\n");
   }
-  std::printf("%s\n%s\n", shown(encode_call(1, 250, "body")).c_str(), shown(encode_cancel(1)).c_str());
+  std::printf("%s\n%s\n", printable(encode_call(1, 250, "body")).c_str(),
+              printable(encode_cancel(1)).c_str());
 }
 
 }  // namespace
@@ -246,7 +248,7 @@
                                                            {"requests", requests},
                                                            {"answers", answers},
                                                            {"runtime", runtime},
-                                                           {"below", below}};
+                                                           {"below", dependency}};
   for (const auto& [name, print] : kScenarios) {
     if (argc == 2 && std::strcmp(argv[1], name) == 0) return print(), 0;
   }
