--- a/src/net/address.cpp
+++ b/src/net/address.cpp
@@ -18,7 +18,7 @@
   const bool is_valid = colon != std::string::npos && Poco::Net::IPAddress::tryParse(host, ip) &&
                         std::from_chars(text.data() + colon + 1, text.data() + text.size(), port).ptr ==
                             text.data() + text.size();
-  if (!is_valid) throw std::runtime_error("'" + text + "' is no numeric address:port");
+  if (!is_valid) throw std::runtime_error("'" + text + "' is not a numeric address:port");
   return Poco::Net::SocketAddress(ip, port);
 }
 
--- a/src/net/address.h
+++ b/src/net/address.h
@@ -1,4 +1,4 @@
-// Addresses as the configuration writes them.
+// Parsing of the addresses in the configuration.
 #pragma once
 
 #include <Poco/Net/SocketAddress.h>
@@ -7,7 +7,7 @@
 
 namespace damsonspoke::net {
 
-// Numeric address:port only. Throws std::runtime_error that names the address.
+// Parses a numeric address:port. Throws std::runtime_error, which names the address.
 Poco::Net::SocketAddress parse_address(const std::string& text);
 
 }  // namespace damsonspoke::net
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -20,9 +20,9 @@
 using Poco::Net::ReadableNotification;
 using Poco::Net::WritableNotification;
 
-constexpr std::size_t kMaxBytesPerRead = 16 * 1024;  // bytes; then the other sockets get their turn
-constexpr int kMaxReadsPerCall = 8;                  // pieces; more than a peer that waits for answers sends
-constexpr std::size_t kMaxSpareCapacityBytes = 4 * 1024;  // bytes that a buffer may hold beyond what is in it
+constexpr std::size_t kMaxBytesPerRead = 16 * 1024;  // then other sockets are served
+constexpr int kMaxReadsPerCall = 8;  // of read_now(); more than a peer sends that waits for answers
+constexpr std::size_t kMaxSpareCapacityBytes = 4 * 1024;  // that a buffer may hold beyond its content
 
 void disable_nagle(int fd) {
   const int on = 1;
@@ -53,7 +53,7 @@
   try {
     socket = Poco::Net::StreamSocket(address.family());
   } catch (const Poco::Exception&) {
-    has_socket = false;  // out of descriptors: told as refused, so that who asked tries again later
+    has_socket = false;  // out of descriptors: reported as refused, so that the owner tries again later
   }
   std::shared_ptr<Connection> connection(new Connection(reactor, owner, socket, State::kConnecting, limits));
   if (!has_socket) return connection->close(CloseReason::kRefused), connection;
@@ -81,9 +81,9 @@
 void Connection::observe_writable(bool want) { set_observers(observes_readable_, want, observes_errors_); }
 void Connection::observe_errors(bool want) { set_observers(observes_readable_, observes_writable_, want); }
 
-// All observers go before those that are wanted come back: the reactor narrows what it polls for only with
-// the last of a socket's observers. Guards against a poll that returns at once for ever, since the socket can
-// be written and nobody wants to.
+// Removes all observers before it adds those that are wanted: the reactor reduces the events that it polls
+// a socket for only when the last of its observers is removed. Otherwise the poll would return at once over
+// and over for a writable socket that nothing is written to.
 void Connection::set_observers(bool read, bool write, bool error) {
   if (read == observes_readable_ && write == observes_writable_ && error == observes_errors_) return;
   const Poco::Observer<Connection, ReadableNotification> on_read(*this, &Connection::on_readable);
@@ -164,7 +164,7 @@
   if (state_ != State::kOpen || is_input_stopped_) return;
   is_input_stopped_ = true;
   observe_readable(false);
-  observe_errors(true);  // a reset is still to be heard of
+  observe_errors(true);  // a reset must still be noticed
 }
 
 void Connection::charge(std::size_t bytes) {
@@ -242,8 +242,8 @@
     input_.append(piece);
     return deliver();
   }
-  // Most pieces hold whole messages: only what is left over is kept, so that hundreds of connections cost
-  // little memory.
+  // Most reads contain complete messages: only the remainder is buffered, so that hundreds of connections
+  // take little memory.
   is_delivering_ = true;
   const std::size_t used_bytes = owner_.on_input(*this, piece);
   is_delivering_ = false;
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -1,5 +1,5 @@
-// One stream socket in the reactor, with bounded buffers. It reads while its owner lets it, and asks to be
-// told when it can write only while output waits.
+// A stream socket in the reactor, with bounded buffers. It reads unless its owner has paused that, and
+// polls for writability only while output is pending.
 #pragma once
 
 #include <Poco/Net/SocketNotification.h>
@@ -16,10 +16,10 @@
 namespace damsonspoke::net {
 
 enum class CloseReason {
-  kRefused,   // never connected: nothing that was written has left
-  kOrderly,   // the peer closed, or we did
+  kRefused,   // never connected: no output was sent
+  kOrderly,   // closed by either side without an error
   kBroken,    // reset, or another error
-  kOverflow,  // more output waits than is allowed
+  kOverflow,  // more output or input is buffered than allowed
 };
 
 class Connection;
@@ -28,21 +28,21 @@
  public:
   virtual ~ConnectionOwner() = default;
   virtual void on_connected(Connection&) {}
-  // Returns how many bytes were used; the rest is offered again with what follows.
+  // Returns the number of consumed bytes; the rest is passed again together with the next input.
   virtual std::size_t on_input(Connection& connection, std::string_view bytes) = 0;
-  // The peer will write no more; what it asked may still be answered.
+  // The peer has ended its side: no more input follows, but requests that it sent may still be answered.
   virtual void on_end_of_input(Connection& connection) = 0;
-  // Once, the last call for this connection, never from inside one of its own methods.
+  // Called once, as the last call for this connection, and never from inside one of its own methods.
   virtual void on_end(Connection& connection, CloseReason why) = 0;
-  // All output has left.
+  // All pending output was written to the socket.
   virtual void on_output_sent(Connection&) {}
 };
 
-// Output that waits on several connections together.
+// A budget for the pending output of several connections together.
 struct OutputPool {
   std::size_t max_bytes = 0;
   std::size_t used_bytes = 0;
-  OutputPool* parent = nullptr;  // of which this is a part; outlives it
+  OutputPool* parent = nullptr;  // of which this is a part; must outlive it
   bool fits(std::size_t bytes) const {
     return used_bytes + bytes <= max_bytes && (parent == nullptr || parent->fits(bytes));
   }
@@ -59,12 +59,13 @@
 struct BufferLimits {
   std::size_t input = 64 * 1024;
   std::size_t output = 256 * 1024;
-  OutputPool* pool = nullptr;  // outlives the connection
+  OutputPool* pool = nullptr;  // must outlive the connection
 };
 
 class Connection : public std::enable_shared_from_this<Connection> {
  public:
-  // An accepted socket, or one that begins to connect to an address; `from`: an address of this machine.
+  // Takes over an accepted socket, or starts to connect to an address. `from`: a local address to connect
+  // from.
   static std::shared_ptr<Connection> accepted(Reactor& reactor, ConnectionOwner& owner, int fd,
                                               BufferLimits limits);
   static std::shared_ptr<Connection> connecting(Reactor& reactor, ConnectionOwner& owner,
@@ -73,29 +74,31 @@
   ~Connection();
 
   void send(std::string_view bytes);
-  void close(CloseReason why = CloseReason::kOrderly);  // at once; on_end follows on the next turn
-  // In order: nothing more is read, what waits is written, then the socket takes its leave (net/farewell.h).
-  // Its owner hears of the end as of a close, once all is written.
+  void close(
+      CloseReason why = CloseReason::kOrderly);  // at once; on_end() follows in the next event-loop iteration
+  // Closes gracefully: stops reading, writes the pending output, then begins a lingering close of the
+  // socket (net/lingering_close.h). on_end() follows once all output is written.
   void end();
-  // What lies in the socket is read and delivered now, not on the reactor's next turn. Not from inside one of
-  // its owner's calls.
+  // Reads and delivers the input that is in the socket now, without waiting for the next event-loop
+  // iteration. Must not be called from inside a callback of the owner.
   void read_now();
   void pause_reading(bool pause);
   void pause_reading_until(double time);  // monotonic, s
-  void stop_reading();                    // for good; what is to be written still leaves
+  void stop_reading();                    // permanently; pending output is still written
   bool connected() const { return state_ == State::kOpen; }
   bool open() const { return state_ != State::kClosed; }
   std::size_t waiting() const { return output_.size() - output_offset_; }
-  // Once closed: bytes that were given to it and not to the system, its refused ones among them.
+  // Once closed: bytes of pending output that were never written to the socket, for example as it never
+  // connected.
   std::size_t unwritten() const { return unsent_bytes_; }
-  // Bytes that came from the peer, and that the system took for it, since it was made.
+  // Bytes read from the socket, and written to it, so far.
   std::uint64_t bytes_in() const { return bytes_in_; }
   std::uint64_t bytes_out() const { return bytes_out_; }
-  // The peer has closed its side, or the connection is broken, with nothing before that to read: asks the
-  // system.
+  // Whether the peer has closed its side, or the connection is broken, with no unread input before that.
+  // Queries the socket.
   bool peer_has_closed() const;
-  bool nothing_to_read() const;  // neither bytes nor the peer's end: asks the system, not the reactor
-  std::uint64_t tag = 0;         // the owner's name for it
+  bool nothing_to_read() const;  // neither bytes nor the peer's end; queries the socket
+  std::uint64_t tag = 0;         // chosen by the owner, to identify it
 
  private:
   enum class State { kConnecting, kOpen, kClosed };
@@ -129,8 +132,8 @@
   std::uint64_t bytes_in_ = 0, bytes_out_ = 0;
   bool observes_readable_ = false, observes_writable_ = false, observes_errors_ = false;
   bool is_paused_ = false, is_input_stopped_ = false, is_delivering_ = false;
-  bool has_peer_ended_ = false;       // its end has been read: nothing of it can be unread
-  bool closes_after_output_ = false;  // takes its leave once all is written
+  bool has_peer_ended_ = false;       // its end was read: no input can be unread
+  bool closes_after_output_ = false;  // end() was called; closes once all output is written
 };
 
 }  // namespace damsonspoke::net
--- a/src/net/datagram.cpp
+++ b/src/net/datagram.cpp
@@ -11,8 +11,8 @@
   to_ = to;
 }
 
-// Not connected: a connected socket would report the last datagram's refusal on the next one and lose that
-// too.
+// The socket is not connected: a connected one would report that the last datagram was refused on the next
+// send, and lose that datagram too.
 bool DatagramSender::send(std::string_view bytes) {
   const ssize_t sent = ::sendto(socket_.impl()->sockfd(), bytes.data(), bytes.size(),
                                 MSG_DONTWAIT | MSG_NOSIGNAL, to_.addr(), to_.length());
--- a/src/net/datagram.h
+++ b/src/net/datagram.h
@@ -12,7 +12,7 @@
  public:
   explicit DatagramSender(const Poco::Net::SocketAddress& to);
   void move_to(const Poco::Net::SocketAddress& to);
-  // One that can't be sent now is lost, as datagrams are; false then.
+  // Returns false where the datagram cannot be sent now; it is not sent again.
   bool send(std::string_view bytes);
 
  private:
--- a/src/net/lingering_close.cpp
+++ b/src/net/lingering_close.cpp
@@ -24,9 +24,9 @@
   const int fd = socket.impl()->sockfd();
   std::shared_ptr<LingeringClose> lingering(new LingeringClose(reactor, socket));
   if (::shutdown(fd, SHUT_WR) != 0 || !lingering->discard())
-    return;  // the peer has ended already: no more is owed
+    return;  // the peer has closed already: nothing can be lost
   auto& all = reactor.lingering_closes();
-  if (all.size() >= kMaxOpen) all.pop_front();  // the one that had the most time
+  if (all.size() >= kMaxOpen) all.pop_front();  // the oldest one
   all.push_back(lingering);
   reactor.addEventHandler(lingering->socket_, OnRead(*lingering, &LingeringClose::on_readable));
   lingering->is_observing_ = true;
@@ -53,12 +53,12 @@
 
 void LingeringClose::on_readable(Poco::Net::ReadableNotification* notification) {
   notification->release();
-  run_guarded("farewell", [this] {
+  run_guarded("lingering close", [this] {
     if (!discard()) finish();
   });
 }
 
-// On the next turn, since it may be inside its own callback; its timer goes with it.
+// Destroys this object in the next event-loop iteration, as it may be inside its own callback.
 void LingeringClose::finish() {
   reactor_.cancel(timer_);
   reactor_.post([&reactor = reactor_, one = this] {
--- a/src/net/lingering_close.h
+++ b/src/net/lingering_close.h
@@ -1,7 +1,7 @@
-// The orderly end of a stream socket: our sending side is shut down, and what still comes is read and thrown
-// away until the peer ends too. Guards against a close over unread bytes, which resets the connection and
-// takes answers with it that the peer has not read yet. Bounded in time and number; whoever is over a bound
-// is closed at once.
+// Closes a stream socket without losing answers in transit: shuts down the sending side, then reads and
+// discards input until the peer closes too. Closing a socket with unread input would reset the connection
+// and discard answers that the peer has not read yet. Bounded in time, bytes and number; a socket beyond a
+// bound is closed at once.
 #pragma once
 
 #include <Poco/Net/SocketNotification.h>
@@ -16,12 +16,15 @@
 
 class LingeringClose {
  public:
-  static constexpr std::size_t kMaxOpen = 12;  // at once, of the descriptors that a process keeps for itself
-  static constexpr double kTimeoutSeconds = 0.5;  // s for the peer to end; it is asked to by our own end
-  static constexpr std::size_t kMaxDiscardedBytes = std::size_t{256}
-                                                    << 10;  // thrown away; who sends more never ends
-
-  // Takes the socket over: its bytes have all been given to the system, and nobody else watches it.
+  // Sockets at a time, which use descriptors that the process reserves for itself.
+  static constexpr std::size_t kMaxOpen = 12;
+  // For the peer to close, as the shutdown of the sending side asks it to.
+  static constexpr double kTimeoutSeconds = 0.5;
+  // A peer that sends more is not about to close.
+  static constexpr std::size_t kMaxDiscardedBytes = std::size_t{256} << 10;
+
+  // Takes over the socket. All its output must have been written, and no other observer may be registered
+  // for it.
   static void begin(Reactor& reactor, const Poco::Net::StreamSocket& socket);
   static void begin(Reactor& reactor, int fd);
   ~LingeringClose();
@@ -32,7 +35,7 @@
   LingeringClose(Reactor& reactor, const Poco::Net::StreamSocket& socket)
       : reactor_(reactor), socket_(socket) {}
   void on_readable(Poco::Net::ReadableNotification* notification);
-  bool discard();  // false: the peer has ended, or may not go on
+  bool discard();  // false: the peer has closed or has exceeded kMaxDiscardedBytes
   void finish();
 
   Reactor& reactor_;
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -16,8 +16,8 @@
 using OnReadable = Poco::Observer<Listener, Poco::Net::ReadableNotification>;
 
 constexpr int kMaxAcceptedPerSlice = 64;
-constexpr double kSliceSeconds = 0.001;         // a newcomer at a full table costs an eviction
-constexpr double kClosingSliceSeconds = 0.005;  // the time until the stop is short
+constexpr double kSliceSeconds = 0.001;         // accepting a connection at a full table takes an eviction
+constexpr double kClosingSliceSeconds = 0.005;  // little time is left until the process ends
 constexpr int kBacklog = 1024;                  // connections that may wait to be accepted
 constexpr double kDescriptorRetrySeconds = 0.05;
 
@@ -39,7 +39,7 @@
     : reactor_(reactor),
       on_accept_(std::move(on_accept)),
       fd_(::socket(address.af(), SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)) {
-  if (fd_ < 0) throw std::system_error(errno, std::generic_category(), "cannot make a socket");
+  if (fd_ < 0) throw std::system_error(errno, std::generic_category(), "cannot create a listening socket");
   const int on = 1;
   ::setsockopt(fd_, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
   socket_ = Poco::Net::StreamSocket(new Poco::Net::StreamSocketImpl(fd_));  // owns the descriptor from here
@@ -84,7 +84,8 @@
   if (reserved_fd_ < 0) reserved_fd_ = ::open("/dev/null", O_RDONLY | O_CLOEXEC);
 }
 
-// The reserve's descriptor for one newcomer. False where nobody came, or the reserve is lost.
+// Accepts one connection with the reserved descriptor. False: no connection waits, or no descriptor could
+// be reserved again.
 bool Listener::accept_with_reserved_descriptor() {
   if (reserved_fd_ < 0) return false;
   ::close(reserved_fd_);
@@ -95,7 +96,8 @@
   return accepted.fd >= 0 && reserved_fd_ >= 0;
 }
 
-// What is due and the other sockets wait for this long, and for one newcomer at most beyond that.
+// Accepts connections for this time. Timers and other sockets are delayed by that and by accepting one more
+// connection at most.
 Listener::SliceEnd Listener::accept_slice(double seconds) {
   if (has_reserve_ && reserved_fd_ < 0) reserve_descriptor();
   const double until = monotonic_now() + seconds;
@@ -125,8 +127,9 @@
 
 // ---- Closing.
 
-// A listener that closes resets the connections that wait in it, with what their clients have written. So
-// newcomers are kept out first, then those that wait are accepted, then it closes.
+// Closing a listening socket resets the connections that wait in it, and the requests that their clients
+// have sent are lost. So new connections are dropped first, then the waiting ones are accepted, then the
+// socket is closed.
 void Listener::close() {
   if (state_ != State::kListening) return;
   state_ = State::kClosing;
@@ -136,7 +139,7 @@
   accept_pending();
 }
 
-// Their first packet is dropped; they send it again and find the address refused.
+// Drops their SYN packets; the clients send them again and find the port closed.
 void Listener::drop_new_connections() {
   sock_filter drop_all[] = {{BPF_RET | BPF_K, 0, 0, 0}};
   sock_fprog program{1, drop_all};
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -1,5 +1,5 @@
-// A listening socket in the reactor. It accepts in slices of a bounded time, so that a crowd of newcomers
-// holds up neither timers nor other sockets, and pauses where descriptors have run out.
+// A listening socket in the reactor. It accepts in slices of a bounded time, so that a burst of connections
+// delays neither timers nor other sockets, and pauses while the process is out of descriptors.
 #pragma once
 
 #include <Poco/Net/SocketAddress.h>
@@ -14,31 +14,32 @@
 
 namespace damsonspoke::net {
 
-// A connection that was accepted.
+// An accepted connection.
 struct Accepted {
-  int fd = -1;  // the receiver's
+  int fd = -1;  // owned by the receiver
   sockaddr_storage from{};
-  bool uses_reserved_descriptor = false;  // it took the last descriptor that there was
+  bool uses_reserved_descriptor = false;  // it took the last descriptor of the process
 };
 
 class Listener {
  public:
   using OnAccept = std::function<void(const Accepted& accepted)>;
 
-  // Throws std::system_error where the address can't be listened on.
+  // Throws std::system_error where listening on the address fails.
   Listener(Reactor& reactor, const Poco::Net::SocketAddress& address, OnAccept on_accept);
-  // A socket that listens already, of any family.
+  // Takes over a socket of any family that listens already.
   Listener(Reactor& reactor, int listening_fd, OnAccept on_accept);
   ~Listener();
   Listener(const Listener&) = delete;
   Listener& operator=(const Listener&) = delete;
 
-  // Keeps one descriptor back. Out of descriptors, it is given for one newcomer at a time, marked as scarce,
-  // so that it can be told, or let in for another, before the pause.
+  // Reserves one descriptor. While the process is out of descriptors, the reserved one is used to accept
+  // one connection at a time, marked with uses_reserved_descriptor, so that its client can be sent a
+  // rejection, or be admitted in place of another one, before accepting pauses.
   void reserve_descriptor();
 
-  // Keeps newcomers out from now on, accepts those that wait already over the next turns, then closes. Those
-  // that still wait when the listener is destroyed are reset.
+  // Drops new connections from now on, accepts those that wait already over the next event-loop iterations,
+  // then closes. Connections that still wait when the listener is destroyed are reset.
   void close();
   [[nodiscard]] bool is_open() const { return state_ != State::kClosed; }
   [[nodiscard]] std::uint16_t port() const { return port_; }
--- a/src/net/reactor.cpp
+++ b/src/net/reactor.cpp
@@ -18,8 +18,8 @@
 namespace damsonspoke::net {
 namespace {
 
-constexpr double kMaxPollSeconds = 0.25;      // s; a poll without timers
-constexpr int kMaxTasksPerIteration = 10000;  // in one turn; sockets are looked at in between
+constexpr double kMaxPollSeconds = 0.25;      // of a poll without timers
+constexpr int kMaxTasksPerIteration = 10000;  // sockets are served in between
 
 int signal_fd = -1;
 
@@ -46,13 +46,13 @@
   } catch (const std::exception& error) {
     std::fprintf(stderr, "damsonspoke: %s: %s\n", where, error.what());
   } catch (...) {
-    std::fprintf(stderr, "damsonspoke: %s: something that is no exception was thrown\n", where);
+    std::fprintf(stderr, "damsonspoke: %s: an object that is not a std::exception was thrown\n", where);
   }
 }
 
 Reactor::Reactor() {
   if (::socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0, wake_fds_) != 0)
-    throw std::runtime_error("cannot make a socket pair");
+    throw std::runtime_error("cannot create a socket pair");
   wake_ = Poco::Net::StreamSocket(new Poco::Net::StreamSocketImpl(wake_fds_[0]));
   addEventHandler(wake_,
                   Poco::Observer<Reactor, Poco::Net::ReadableNotification>(*this, &Reactor::on_wake_byte));
@@ -88,14 +88,15 @@
     cross_thread_tasks_.push_back(std::move(task));
   }
   if (!first) return;   // woken already
-  const char byte = 0;  // no signal's number
+  const char byte = 0;  // not a signal number
   const ssize_t wrote = ::send(wake_fds_[1], &byte, 1, MSG_DONTWAIT | MSG_NOSIGNAL);
   static_cast<void>(wrote);  // a full buffer means that the thread will wake anyway
 }
 
 void Reactor::run_due_tasks() {
   const double now = monotonic_now();
-  // Tasks that are added meanwhile for this very time wait for the next turn, so that sockets get theirs.
+  // Tasks that are added meanwhile wait for the next iteration, even if they are due now, so that sockets
+  // are served in between.
   const std::uint64_t first_new = next_number_;
   for (int i = 0; i < kMaxTasksPerIteration && !timers_.empty() && timers_.begin()->first.first <= now; ++i) {
     if (timers_.begin()->first.second >= first_new) break;
@@ -106,8 +107,8 @@
   update_poll_timeout();
 }
 
-// Whole milliseconds, rounded up: the poll counts in them, and one that is cut off spins until the time is
-// reached.
+// Rounded up to whole milliseconds, the unit of the poll: rounding down would make the loop spin until the
+// time is reached.
 void Reactor::update_poll_timeout() {
   double wait = kMaxPollSeconds;
   if (!timers_.empty())
--- a/src/net/reactor.h
+++ b/src/net/reactor.h
@@ -1,4 +1,4 @@
-// The one thread: POCO's reactor with timers, signals and work put off to the next turn.
+// An event loop: POCO's reactor with timers, signals and tasks for the next iteration.
 #pragma once
 
 #include <Poco/Net/SocketNotification.h>
@@ -33,19 +33,22 @@
   Reactor();
   ~Reactor() override;
 
-  // Tasks run after each poll, whether sockets were ready or not, in the order of their times.
+  // Timer tasks run after each poll, whether sockets were ready or not, in the order of their times.
   TimerId at(double when, Task task);
   TimerId after(double seconds, Task task) { return at(monotonic_now() + seconds, std::move(task)); }
-  // On the next turn: for what must not happen inside the call that asks for it.
+  // Runs the task in the next event-loop iteration, outside of the current callback.
   void post(Task task) { at(monotonic_now(), std::move(task)); }
   void cancel(TimerId& timer);
-  // From any thread: the task runs on this one, after the next poll. The reactor has to outlive the caller.
+  // May be called from any thread: the task runs on the thread of the reactor, after the next poll. The
+  // reactor has to outlive the caller.
   void post_from_other_thread(Task task);
 
-  // Sockets that we have ended and whose peers have not yet; the oldest first. See net/farewell.h.
+  // Sockets that this side has shut down and whose peers have not closed yet; the oldest first. See
+  // net/lingering_close.h.
   std::list<std::shared_ptr<LingeringClose>>& lingering_closes() { return lingering_closes_; }
 
-  // Signals become tasks of this thread. One reactor a process may watch them.
+  // Runs the task on the thread of the reactor when the signal arrives. Only one reactor of a process may
+  // handle signals.
   void on_signal(int signal, Task task);
 
  protected:
@@ -62,13 +65,13 @@
   std::uint64_t next_number_ = 1;
   std::map<int, Task> signals_;
   std::mutex cross_thread_mutex_;
-  std::vector<Task> cross_thread_tasks_;  // under the lock
+  std::vector<Task> cross_thread_tasks_;  // guarded by the mutex
   std::list<std::shared_ptr<LingeringClose>> lingering_closes_;
   int wake_fds_[2] = {-1, -1};
   Poco::Net::StreamSocket wake_;
 };
 
-// Runs a callback so that no exception leaves it; what it throws is written to standard error.
+// Runs a callback and writes any exception that it throws to standard error.
 void run_guarded(const char* where, const Task& task);
 
 }  // namespace damsonspoke::net
--- a/src/peers/ajp/dependency_client.cpp
+++ b/src/peers/ajp/dependency_client.cpp
@@ -16,12 +16,12 @@
 namespace wa = wire::ajp;
 
 constexpr double kMsPerSecond = 1000;
-constexpr double kReuseSeconds = 0.5;  // after its last call a link is used without a ping
+constexpr double kReuseSeconds = 0.5;  // after its last call, in which a link is reused without a ping
 constexpr double kPingTimeoutSeconds = 0.2;
-constexpr double kReplyTimeoutSeconds = 0.5;  // from an answer's head until it is complete
+constexpr double kReplyTimeoutSeconds = 0.5;  // from an answer's headers until it is complete
 constexpr double kIdleCheckSeconds = 0.5;
 constexpr double kMaxIdleSeconds = 10;
-constexpr double kMinTimeoutSeconds = 0.005;  // a call with less left is not sent
+constexpr double kMinTimeoutSeconds = 0.005;  // a call with less time left is not sent
 constexpr std::uint16_t kHttpPort = 80;
 
 }  // namespace
@@ -87,7 +87,8 @@
   }
 }
 
-// A link that has just been used, else one that has been idle for longer, else a new one; 0: all are in use.
+// A link that was just used, otherwise one that has been idle for longer, otherwise a new one; 0: all are
+// in use.
 std::uint64_t AjpDependencyClient::find_or_open_link() {
   std::uint64_t recently_used = 0;
   std::uint64_t idle = 0;
@@ -117,8 +118,8 @@
   if (link.state == State::kConnecting) return;  // sent once it is connected
   const bool was_just_used = net::monotonic_now() - link.idle_since <= kReuseSeconds;
   if (was_just_used && link.connection->nothing_to_read()) return send_call(link);
-  // The server may have closed or forgotten an idle link, and the end of a call that meets that would prove
-  // nothing.
+  // The server may have closed or dropped an idle link, and a call that fails for that reason would not
+  // prove that it never ran. A ping checks the link first.
   link.state = State::kPinging;
   link.connection->send(wa::encode(wa::FromGateway(wa::CPing{})));
   start_reply_timer(tag, kPingTimeoutSeconds);
@@ -143,7 +144,7 @@
 void AjpDependencyClient::send_call(Link& link) {
   Call& call = calls_.at(link.call);
   const double timeout = call.deadline - net::monotonic_now();
-  if (timeout < kMinTimeoutSeconds) return;  // the timer ends it, unsent
+  if (timeout < kMinTimeoutSeconds) return;  // the timeout ends the call, unsent
   link.state = State::kCalling;
   link.has_head = false;
   link.status = 0;
@@ -172,7 +173,7 @@
   dispatch_waiting();
 }
 
-// The answer to a call that was given up may still come, so its link can't be used again.
+// The answer to a call that was given up may still arrive, so its link can't be used again.
 void AjpDependencyClient::close_abandoned(Link& link) {
   link.call = 0;
   link.is_retired = true;
@@ -204,16 +205,16 @@
     const auto found = links_.find(tag);
     if (found == links_.end()) return;
     if (found->second.state != State::kPinging) return close_broken(found->second, "incomplete answer");
-    log_.info("dependency", "ping not answered, connection closed");
+    log_.info("dependency", "AJP ping not answered; connection closed");
     found->second.is_retired = true;
     found->second.connection->close(net::CloseReason::kBroken);
   });
 }
 
-// Nothing on the link can be trusted any more.
+// After this nothing on the link can be trusted.
 void AjpDependencyClient::close_broken(Link& link, std::string_view reason) {
   counters_.add(Count::kDependencyInvalid);
-  log_.warn("dependency", "{}, connection closed", reason);
+  log_.warn("dependency", "{}; AJP connection to the dependency closed", reason);
   link.is_retired = true;
   link.connection->close(net::CloseReason::kBroken);
 }
@@ -266,14 +267,14 @@
 bool AjpDependencyClient::handle_message(std::uint64_t tag, const wa::FromServer& message) {
   Link& link = links_.at(tag);
   if (std::holds_alternative<wa::CPong>(message)) return handle_pong(link);
-  if (link.state != State::kCalling) return false;  // an answer to nothing, or a second end
+  if (link.state != State::kCalling) return false;  // no call is in flight, or the answer has ended
   if (const auto* head = std::get_if<wa::SendHeaders>(&message)) return handle_head(tag, *head);
   if (const auto* chunk = std::get_if<wa::SendBodyChunk>(&message)) {
     if (!link.has_head || link.reply.size() + chunk->piece.size() > kMaxReplyBytes) return false;
     link.reply += chunk->piece;
     return true;
   }
-  if (std::holds_alternative<wa::GetBodyChunk>(message)) {  // the whole body was sent
+  if (std::holds_alternative<wa::GetBodyChunk>(message)) {  // the complete body was sent
     link.connection->send(wa::encode_body_end());
     return true;
   }
@@ -303,8 +304,8 @@
   connection.close(net::CloseReason::kBroken);
 }
 
-// A call that was sent may have run. One that was not goes to another link while there is time, unless this
-// one could not be connected: the next would fare no better.
+// A call that was sent may have run. One that was not sent moves to another link while there is time,
+// unless this link could not be connected: the next one would fail as well.
 void AjpDependencyClient::on_end(net::Connection& connection, net::CloseReason why) {
   const auto found = links_.find(connection.tag);
   if (found == links_.end()) return;
@@ -315,7 +316,7 @@
   if (id == 0 || call == calls_.end()) return dispatch_waiting();
   if (call->second.may_be_sent) {
     counters_.add(Count::kDependencyBroken);
-    log_.warn("dependency", "connection lost with a call in flight");
+    log_.warn("dependency", "AJP connection lost with a call in flight");
     return finish_call(id, Outcome::kReset, {});
   }
   if (why == net::CloseReason::kRefused) return finish_call(id, Outcome::kUnreachable, {});
--- a/src/peers/ajp/dependency_client.h
+++ b/src/peers/ajp/dependency_client.h
@@ -1,8 +1,9 @@
 // The client of a dependency behind AJP 1.3: a call is a POST to one path, and a link carries one call at a
-// time. Beyond what DependencyClient keeps to, each end of a call says what it proves:
+// time. As with DependencyClient, each call ends exactly once. How it ended, what that proves, and its
+// outcome:
 //
-//   never connected, closed before it was sent, ping unanswered   no call ran         kUnreachable
-//   503, where operators say that it means so                     no call ran         kRefused
+//   never connected, closed before it was sent, ping unanswered   it did not run      kUnreachable
+//   503, where operators have configured that this proves it      it did not run      kRejected
 //   closed, or timed out, after it was sent                       nothing             kReset, kTimeout
 //   200 and a complete answer                                     it ran              kOk
 //   anything else                                                 nothing             kError
@@ -45,7 +46,7 @@
 
   void call(RequestId id, double timeout, std::string_view body) override;
   void cancel(RequestId id) override;
-  // Uses another server, path or secret for new calls; calls in flight stay where they are.
+  // Uses another server, path or secret for new calls; calls in flight stay on their links.
   void move_to(const AjpOptions& options);
 
  private:
@@ -59,11 +60,11 @@
     bool has_head = false;    // of the answer
     int status = 0;
     std::string reply;
-    net::Reactor::TimerId reply_timer;  // until which a pong, or an answer that has begun, must be complete
+    net::Reactor::TimerId reply_timer;  // until which a pong, or a partly received answer, must be complete
   };
   struct Call {
     std::uint64_t link = 0;    // 0: it waits for one
-    bool may_be_sent = false;  // a byte of it may have left
+    bool may_be_sent = false;  // a byte of it may have been sent
     double started_at = 0;
     double deadline = 0;
     std::string body;
--- a/src/peers/ajp/http_status.h
+++ b/src/peers/ajp/http_status.h
@@ -19,7 +19,7 @@
 inline constexpr std::uint16_t kServiceUnavailable = 503;
 inline constexpr std::uint16_t kGatewayTimeout = 504;
 
-// The phrase of a status that stands above; "Status" for any other.
+// The reason phrase of a status listed above; "Status" for any other.
 [[nodiscard]] inline const char* reason_phrase(std::uint16_t status) {
   switch (status) {
     case kOk: return "OK";
--- a/src/peers/ajp/request_mapping.cpp
+++ b/src/peers/ajp/request_mapping.cpp
@@ -17,7 +17,7 @@
 constexpr double kMsPerSecond = 1000;
 constexpr double kMaxTimeoutSeconds = 24 * 3600;
 
-// Takes the same time whatever differs, so that the time does not tell how much of a guess was right.
+// Compares in constant time, so that timing does not reveal how much of a guess is right.
 bool is_same_secret(std::string_view expected, std::string_view given) {
   unsigned difference = expected.size() == given.size() ? 0 : 1;
   for (std::size_t i = 0; i < expected.size(); ++i) {
@@ -33,10 +33,10 @@
   return error == std::errc() && end == text.data() + text.size() && !text.empty() && text[0] != '-';
 }
 
-// What stands in the place of each wildcard of the path.
+// The text that each wildcard of the path matched.
 using PathVariables = std::vector<std::string_view>;
 
-// The value that the operators' table takes from this part of the message; none where it is absent.
+// The value that the operators' table reads from this part of the message; none where it is absent.
 std::optional<std::string_view> value_of(const AjpSource& source, const PathVariables& variables,
                                          const wa::ForwardRequest& message) {
   switch (source.from) {
@@ -67,8 +67,8 @@
   return secret != nullptr && is_same_secret(expected, secret->value);
 }
 
-// An attribute that a gateway passes on unasked may be meant to steer what is behind this server
-// (CVE-2020-1938).
+// An attribute that a gateway forwards without being configured to may be an attempt to control the
+// application behind this server (CVE-2020-1938).
 bool has_forbidden_attribute(const wa::ForwardRequest& message, const std::vector<std::string>& allowed) {
   return std::any_of(message.attributes.begin(), message.attributes.end(),
                      [&](const wa::Attribute& attribute) {
@@ -104,7 +104,7 @@
     request.subject = XXH3_64bits(subject->data(), subject->size()) | 1;  // 0 would be no subject
 }
 
-// False: it can't be read.
+// False: the value is invalid.
 bool read_timeout(const AjpMatch& matched, const wa::ForwardRequest& message, IncomingRequest& request) {
   const auto wait = value_of(matched.route->wait, matched.wildcards, message);
   if (!wait) return true;
@@ -114,7 +114,7 @@
   return true;
 }
 
-// False: something that the route needs is missing or can't be read.
+// False: a field that the route needs is missing or invalid.
 bool read_fields(const AjpMatch& matched, const wa::ForwardRequest& message, const AjpSite& site,
                  MappedRequest& mapped) {
   if (matched.route->route == "health") {
@@ -122,7 +122,7 @@
     return true;
   }
   const auto route = std::find(site.routes.begin(), site.routes.end(), matched.route->route);
-  if (route == site.routes.end()) return false;  // the table is of another site
+  if (route == site.routes.end()) return false;  // the table names a route that the site does not have
   mapped.request.route = static_cast<int>(route - site.routes.begin());
   mapped.request.size_kb = matched.route->size_kb;
   if (!read_key(matched, message, site, mapped.request)) return false;
@@ -130,8 +130,8 @@
   return read_timeout(matched, message, mapped.request);
 }
 
-// Reads how the length of the body is told; a reason where it is rejected. Two lengths, or a length and an
-// encoding, are: two readers would each see another request.
+// Reads how the length of the body is given; a reason where the message is rejected. Two lengths, or a
+// length and an encoding, are rejected: two parsers could disagree on where the request ends.
 std::optional<AjpRejectReason> read_body_length(const wa::ForwardRequest& message, std::size_t max_body,
                                                 MappedRequest& mapped) {
   const std::string* length = nullptr;
--- a/src/peers/ajp/request_mapping.h
+++ b/src/peers/ajp/request_mapping.h
@@ -1,4 +1,4 @@
-// Which request an AJP message is: checks the gateway's secret and attributes, finds the route in the
+// Maps an AJP message to a request: checks the gateway's secret and attributes, finds the route in the
 // operators' table and reads the request's fields and the length of its body.
 #pragma once
 
@@ -19,11 +19,11 @@
 struct AjpSite {
   std::vector<std::string> routes;
   std::vector<bool> needs_key;    // whether its requests need an idempotency key
-  std::vector<double> timeouts;   // s, for clients that don't say how long they wait
+  std::vector<double> timeouts;   // s, for clients that give no timeout
   std::size_t max_key_bytes = 0;  // of an idempotency key
 };
 
-// A request as far as its head tells it.
+// A request as far as the headers of its message describe it.
 struct MappedRequest {
   IncomingRequest request;  // without an id, times and body
   bool is_health_check = false;
@@ -31,7 +31,7 @@
   std::size_t content_length = 0;  // of the body, where it is not chunked
 };
 
-// Why a message is answered without a request.
+// Why a message is rejected without becoming a request.
 enum class AjpRejectReason {
   kForbidden,           // the secret is wrong or missing
   kForbiddenAttribute,  // an attribute that operators don't list
@@ -44,19 +44,19 @@
   kTooLarge              // the body is longer than operators allow
 };
 
-// The answer to a message without a request.
+// The rejection of a message that becomes no request.
 struct AjpRejection {
   AjpRejectReason reason = AjpRejectReason::kForbidden;
-  bool body_may_follow = true;  // then nothing more can be read from the connection
+  bool body_may_follow = true;  // if so, nothing more can be read from the connection
 };
 
-// `options`: the secret, the table of routes and the limits. The result has copies of what it takes from the
+// `options`: the secret, the table of routes and the limits. The result copies what it takes from the
 // message.
 [[nodiscard]] std::variant<MappedRequest, AjpRejection> map_request(const wire::ajp::ForwardRequest& message,
                                                                     const AjpOptions& options,
                                                                     const AjpSite& site);
 
-// The HTTP status that the gateway is told.
+// The HTTP status of the answer to the gateway.
 [[nodiscard]] std::uint16_t status_of(AjpRejectReason reason);
 
 }  // namespace damsonspoke::peers
--- a/src/peers/ajp/server.cpp
+++ b/src/peers/ajp/server.cpp
@@ -15,10 +15,10 @@
 
 namespace wa = wire::ajp;
 
-constexpr std::size_t kMaxOutputBytes = 160 * 1024;  // of a connection; one answer of 64 KiB and its head
+constexpr std::size_t kMaxOutputBytes = 160 * 1024;  // per connection; one answer of 64 KiB and its headers
 constexpr std::size_t kChunkOverheadBytes = 8;       // of a packet with a part of an answer
-constexpr double kMinTimeoutSeconds = 1e-6;          // 0 would mean that the client did not say
-constexpr double kDeadlineSlackSeconds = 0.05;       // by which a failure before the due time is a timeout
+constexpr double kMinTimeoutSeconds = 1e-6;          // 0 would mean that the client gave no timeout
+constexpr double kDeadlineSlackSeconds = 0.05;  // a failure this shortly before the deadline is a timeout
 
 std::optional<Count> counter_of(AjpRejectReason reason) {
   switch (reason) {
@@ -60,7 +60,7 @@
 void AjpServer::reconfigure(const AjpOptions& options) {
   if (options.listen != options_.listen || options.packet != options_.packet ||
       options.body != options_.body || options.share != options_.share)
-    log_.warn("ajp", "listen, packet, body and share take effect at the next start only");
+    log_.warn("ajp", "changes of listen, packet, body and share take effect at the next start only");
   options_.routes = options.routes;
   options_.secret = options.secret;
   options_.attributes = options.attributes;
@@ -85,7 +85,7 @@
   admission_.set_busy(client, has_request || client.connection->waiting() > 0);
 }
 
-// Nothing is open, begun, unwritten or unread.
+// No request is in flight or partly read, no output is pending, and no input is unread.
 bool AjpServer::is_idle(const Client& client) {
   return client.state == State::kIdle && !client.is_message_incomplete() &&
          client.connection->waiting() == 0 && client.connection->nothing_to_read();
@@ -98,8 +98,8 @@
   return true;
 }
 
-// The connection's place was given to another one. What it has sent is read first, so that a request among
-// that is answered.
+// The connection's place was given to another one. Its unread input is read first, so that a request in it
+// is answered.
 void AjpServer::evict(std::uint64_t tag) {
   Client* client = clients_.find(tag);
   if (client == nullptr) return;
@@ -143,7 +143,7 @@
   return used;
 }
 
-// The output is written first: an answer before the invalid input may not have been read yet.
+// Pending output is written first: it may hold the answer to an earlier request.
 void AjpServer::close_after_invalid_input(Client& client) {
   counters_.add(Count::kBadFrames);
   admission_.penalize(client, conns::Penalty::kInvalidFrame);
@@ -172,9 +172,9 @@
     handle_request(client, *request);
     return true;
   }
-  if (std::holds_alternative<wa::Shutdown>(message)) {  // which nobody who can reach the port may ask for
+  if (std::holds_alternative<wa::Shutdown>(message)) {  // no client of this port is authorized to request it
     counters_.add(Count::kBadRequests);
-    log_.warn("ajp", "a gateway asked for a shutdown, refused");
+    log_.warn("ajp", "shutdown request of a gateway rejected; connection closed");
     return false;
   }
   client.finish_message();
@@ -195,7 +195,8 @@
   client.mapped.request.received_at = received_at;
   if (!client.mapped.is_chunked && client.mapped.content_length == 0) return submit(client);
   client.state = State::kReadingBody;
-  if (client.mapped.is_chunked) request_body_chunk(client);  // others begin without being asked for
+  if (client.mapped.is_chunked)
+    request_body_chunk(client);  // gateways send the first part of other bodies unasked
 }
 
 void AjpServer::request_body_chunk(Client& client) {
@@ -243,8 +244,8 @@
   request.reply_to = reply_to;
   client.mapped.request = {};
   client.mapped.request.id = request.id;
-  // It counts as received when it is complete: a head from before the notice to leave must not bring in a
-  // body from after the drain's grace. The client's timeout counts from the head.
+  // The request counts as received once it is complete: headers from before the shutdown notice must not
+  // admit a body that arrives after the grace of the drain. The client's timeout counts from the headers.
   const double now = net::unix_now();
   const double timeout = request.client_timeout > 0 ? request.client_timeout
                                                     : site_.timeouts[static_cast<std::size_t>(request.route)];
@@ -287,7 +288,7 @@
   respond_without_request(client, status_of(rejection.reason), rejection.body_may_follow);
 }
 
-// Answers without a request. Where a body may still follow, nothing after it is read.
+// Answers a message that becomes no request. Where a body may still follow, nothing more is read.
 void AjpServer::respond_without_request(Client& client, std::uint16_t status, bool body_may_follow) {
   counters_.add(Count::kAjpRejected);
   client.mapped = {};
@@ -325,7 +326,7 @@
   Client* client = find_in_flight(reply_to);
   if (client == nullptr) return;
   std::vector<wa::Header> headers;
-  // In whole seconds, rounded up: a client that retries sooner than it was told is told again.
+  // In whole seconds, rounded up: a client that retried any earlier would be rejected again.
   if (!no_retry && retry_after > 0)
     headers.push_back({"retry-after", std::to_string(static_cast<long>(std::ceil(retry_after)))});
   answer(*client, http_status::kServiceUnavailable, std::move(headers), {});
@@ -363,7 +364,8 @@
   if (client->state == State::kClosing) connection.end();
 }
 
-// A gateway that has ended its input still gets its answer; an incomplete request never was one.
+// A gateway that has ended its input still gets the answer to a complete request; an incomplete one is
+// dropped.
 void AjpServer::on_end_of_input(net::Connection& connection) {
   Client* client = clients_.find(connection.tag);
   if (client == nullptr) return;
@@ -404,7 +406,7 @@
     admission_.penalize(client, conns::Penalty::kIncompleteRequest);
     respond_without_request(client, http_status::kRequestTimeout, true);
   } else if (!is_idle(client)) {
-    return;  // what lies unread is read first
+    return;  // unread input is read first
   } else if (!client.has_requested && idle_seconds > kFirstRequestTimeoutSeconds) {
     counters_.add(Count::kCallersSilent);
     admission_.penalize(client, conns::Penalty::kSilent);
@@ -416,8 +418,8 @@
 
 // ---- The graceful shutdown.
 
-// AJP has no message for it: idle connections are closed, the others after their answer. Where something
-// waits to be read it is read first.
+// AJP has no message for this: idle connections are closed at once, the others after their answer. Unread
+// input is read first.
 void AjpServer::announce_drain() {
   is_draining_ = true;
   for (auto& [tag, client] : clients_) {
--- a/src/peers/ajp/server.h
+++ b/src/peers/ajp/server.h
@@ -1,10 +1,10 @@
 // The server for gateways that speak AJP 1.3. A connection carries one request at a time; the operators'
-// table says which request it is (request_mapping.h). What maps to no route is answered at once; the others
-// are requests like those of the other protocol.
+// table maps it to a route (request_mapping.h). Messages that map to no route are answered at once; the
+// others are requests like those of the other protocols.
 //
-// States of a connection: idle (a request or a ping may come), reading the body, open (nothing is read until
-// the answer has been written) and closing (answers leave, nothing is read any more). A connection on which a
-// part of a body was left unread is never used again.
+// States of a connection: idle (a request or a ping may arrive), reading the body, in flight (nothing is
+// read until the answer has been written) and closing (pending answers are written, nothing is read any
+// more). A connection on which a part of a body was left unread is never used again.
 #pragma once
 
 #include <cstddef>
@@ -28,7 +28,7 @@
 
 namespace damsonspoke::peers {
 
-// Set in the tags of this server's connections, so that a reply address shows its server.
+// Set in the tags of this server's connections, so that a reply address identifies its server.
 constexpr std::uint64_t kAjpTagBit = std::uint64_t{1} << 63;
 
 // Listens, reads requests and writes their answers.
@@ -39,15 +39,15 @@
     return 2 * options.packet + options.body;
   }
 
-  // `seed`: of the ids that its requests get. Throws std::runtime_error where the address can't be used.
+  // `seed`: for the ids of its requests. Throws std::runtime_error where the address can't be used.
   AjpServer(net::Reactor& reactor, AjpSite site, std::uint64_t seed, const AjpOptions& options,
             const ListenerLimits& limits, CallerEvents& events, Counters& counters, Logger& log);
   ~AjpServer() override;
   AjpServer(const AjpServer&) = delete;
   AjpServer& operator=(const AjpServer&) = delete;
 
-  // Applies another table, secret and list of attributes to requests that come from now on. What needs
-  // another listener takes effect at the next start.
+  // Applies a new table, secret and list of attributes to requests that arrive from now on. Options that
+  // need a new listener take effect at the next start.
   void reconfigure(const AjpOptions& options);
 
   void answer_succeeded(ReplyAddress reply_to, std::string_view result) override;
@@ -67,10 +67,10 @@
   enum class State { kIdle, kReadingBody, kInFlight, kClosing };
   struct Client : ClientConnection {
     State state = State::kIdle;
-    MappedRequest mapped;          // being read; once submitted only its id is left
+    MappedRequest mapped;          // while it is read; once submitted only its id is left
     bool is_head_request = false;  // its answer has no body
     std::uint64_t number = 0;      // of the latest request on this connection
-    int route = -1;                // of the open request
+    int route = -1;                // of the request in flight
     double deadline = 0;           // Unix s
   };
 
@@ -85,7 +85,7 @@
   [[nodiscard]] static bool is_idle(const Client& client);
   void update_busy(const Client& client);
 
-  // One packet; false: what no gateway sends, so that nothing after it can be trusted.
+  // Handles one packet; false: it is invalid, and nothing after it can be trusted.
   [[nodiscard]] bool handle_packet(Client& client, std::string_view payload);
   [[nodiscard]] bool handle_message(Client& client, const wire::ajp::FromGateway& message);
   void handle_request(Client& client, const wire::ajp::ForwardRequest& message);
@@ -113,7 +113,7 @@
   CallerEvents& events_;
   Counters& counters_;
   Logger& log_;
-  ListenerAdmission admission_;  // before the connections whose output is charged to it
+  ListenerAdmission admission_;  // declared before the connections whose output is charged to it
   net::Listener listener_;
   pcg64 random_;
   ClientTable<Client> clients_;
--- a/src/peers/client_connection.h
+++ b/src/peers/client_connection.h
@@ -12,20 +12,21 @@
 
 namespace damsonspoke::peers {
 
-// Each open connection costs a descriptor and memory. It has to send a request, to complete what it began and
-// to take its answers in time, or it is closed.
+// Each open connection costs a descriptor and memory. A connection whose client does not send a request,
+// complete one that it started or read its answers within these timeouts is closed.
 constexpr double kConnectionCheckSeconds = 0.25;   // between checks of all connections
-constexpr double kFirstRequestTimeoutSeconds = 2;  // from accepting it until the first request is complete
+constexpr double kFirstRequestTimeoutSeconds = 2;  // from accept until the first request is complete
 constexpr double kRequestTimeoutSeconds = 1.5;     // from a request's first byte until it is complete
-constexpr double kOutputTimeoutSeconds = 5;        // in which waiting output must be taken
-constexpr double kFirstRequestGraceSeconds = 0.1;  // then a silent connection is evicted before idle ones
+constexpr double kOutputTimeoutSeconds = 5;        // in which the client must read pending output
+constexpr double kFirstRequestGraceSeconds =
+    0.1;  // after that, a silent connection is evicted before idle ones
 
-// What is known of one client's connection. Times are monotonic seconds; < 0: not now.
+// The state of one client's connection. Times are monotonic seconds; negative: does not apply now.
 struct ClientConnection {
   std::shared_ptr<net::Connection> connection;
-  std::list<std::uint64_t>::iterator idle_position;  // in its table
+  std::list<std::uint64_t>::iterator idle_position;  // in its ClientTable
   double last_traffic_at = 0;
-  double message_started_at = -1;  // of the message that is incomplete
+  double message_started_at = -1;  // of the incomplete message
   double output_waits_since = -1;
   bool has_requested = false;  // it has sent a valid message
   bool input_ended = false;    // nothing more is read from it
@@ -33,11 +34,11 @@
   conns::MinimumByteRate input_rate;
   conns::MinimumByteRate output_rate;
 
-  // Whether it could have sent a request by now, and has not.
+  // Whether the client has had time to send a request and has sent none.
   [[nodiscard]] bool is_silent(double now) const {
     return !has_requested && now - last_traffic_at >= kFirstRequestGraceSeconds;
   }
-  // `unread_bytes`: those of the message that were received already.
+  // `unread_bytes`: bytes of this message that were received already.
   void start_message(double now, std::size_t unread_bytes) {
     message_started_at = now;
     input_rate.start(now, connection->bytes_in() - unread_bytes);
@@ -51,7 +52,7 @@
   [[nodiscard]] bool is_message_overdue(double now) const {
     return is_message_incomplete() && now - message_started_at > kRequestTimeoutSeconds;
   }
-  // Notes since when output waits; returns whether that is too long.
+  // Records since when output is pending; returns whether that exceeds kOutputTimeoutSeconds.
   [[nodiscard]] bool check_output_overdue(double now) {
     if (connection->waiting() == 0) output_waits_since = -1;
     if (connection->waiting() > 0 && output_waits_since < 0) output_waits_since = now;
--- a/src/peers/client_table.h
+++ b/src/peers/client_table.h
@@ -38,13 +38,13 @@
     clients_.erase(found);
     return client;
   }
-  // The client is the one with the latest traffic now.
+  // Records traffic of the client, which moves it to the end of the idle order.
   void on_traffic(Client& client, double now) {
     client.last_traffic_at = now;
     idle_order_.splice(idle_order_.end(), idle_order_, client.idle_position);
   }
-  // The connection to close for a newcomer: of those that `is_idle` the oldest silent one, else the one that
-  // has been idle for longest; null: there is none.
+  // The connection to evict in favor of a new one: the oldest silent one of those that `is_idle`, otherwise
+  // the one that has been idle the longest; null: none is idle.
   template <typename IsIdle>
   [[nodiscard]] Client* find_evictable(double now, IsIdle&& is_idle) {
     Client* longest_idle = nullptr;
@@ -59,7 +59,7 @@
     return longest_idle;
   }
   [[nodiscard]] std::size_t size() const { return clients_.size(); }
-  // The tags, the one without traffic for longest first.
+  // The tags in the order of the last traffic, the longest idle first.
   [[nodiscard]] const std::list<std::uint64_t>& idle_order() const { return idle_order_; }
   [[nodiscard]] auto begin() { return clients_.begin(); }
   [[nodiscard]] auto end() { return clients_.end(); }
--- a/src/peers/combined_server.h
+++ b/src/peers/combined_server.h
@@ -1,5 +1,5 @@
-// Two servers as one: answers find their server by the tag of the connection, so that the stages need not
-// know which protocol a request came by.
+// Presents two servers as one. An answer is routed to its server by the tag of its connection, so that the
+// stages need not know by which protocol a request arrived.
 #pragma once
 
 #include <cstddef>
@@ -13,7 +13,7 @@
 
 namespace damsonspoke::peers {
 
-// Owns both servers; what is no answer goes to both.
+// Owns both servers. All calls other than answers go to both.
 class CombinedServer : public RequestServer {
  public:
   // `first`: any server whose tags don't have kAjpTagBit.
--- a/src/peers/connection_admission.cpp
+++ b/src/peers/connection_admission.cpp
@@ -13,13 +13,13 @@
 namespace damsonspoke::peers {
 namespace {
 
-constexpr double kMaxReadSeconds = 0.25;  // that an unresponsive folder may delay the start
+constexpr double kMaxReadSeconds = 0.25;  // by which an unresponsive folder may delay startup
 constexpr double kRejectionMessagesPerSecond = 50;
 constexpr double kRejectionMessageBurst = 50;
 constexpr double kTableCheckSeconds = 0.25;
 constexpr std::size_t kMaxEvictionsPerCheck = 64;
 
-// When the process has run out of descriptors, the table shrinks to fewer connections than are open.
+// When the process has run out of descriptors, the table is shrunk to fewer connections than are open.
 constexpr std::size_t kSpareDescriptors = 4;  // for reloading, storing and draining
 constexpr std::size_t kMinTableSize = 8;
 constexpr double kShortageSeconds = 5;  // after the last shortage until the table grows again
@@ -92,16 +92,16 @@
       conns::kKnownClientsFormat, conns::kMaxKnownClientsBytes);
   write_timer_ = reactor_.after(options_.known_interval, [this] { write_known_clients(); });
   const std::optional<store::ChecksummedContent> read = known_clients_file_->read(kMaxReadSeconds);
-  if (!read) return log_.warn("admission", "known clients not read in time, all clients are unknown");
+  if (!read)
+    return log_.warn("admission", "record of known clients not read in time; all clients are unknown");
   if (read->problem != store::ChecksumProblem::kNone) {
     return log_.event(Level::kInfo, "admission", "no known clients",
                       {{"why", store::text_of(read->problem)}});
   }
   const auto clients = conns::decode_known_clients(read->content);
-  if (!clients)
-    return log_.warn("admission", "the record of known clients is invalid, all clients are unknown");
+  if (!clients) return log_.warn("admission", "record of known clients is invalid; all clients are unknown");
   const std::size_t restored = known_clients_.restore(*clients, net::unix_now());
-  log_.event(Level::kInfo, "admission", "known clients",
+  log_.event(Level::kInfo, "admission", "known clients restored",
              {{"taken", restored}, {"recorded", clients->size()}});
 }
 
@@ -110,8 +110,7 @@
   known_clients_file_->write(conns::encode_known_clients(known_clients_.entries()));
   if (const std::optional<std::string> error = known_clients_file_->take_write_error()) {
     log_.event(Level::kWarning, "admission",
-               error->empty() ? "known clients written again" : "known clients not written",
-               {{"why", *error}});
+               error->empty() ? "known clients saved again" : "known clients not saved", {{"why", *error}});
   }
   write_timer_ = reactor_.after(options_.known_interval, [this] { write_known_clients(); });
 }
@@ -123,7 +122,7 @@
 
 void ConnectionAdmission::reconfigure(const ConnectionAdmissionOptions& options) {
   if (options.known_folder != options_.known_folder || options.enabled != options_.enabled)
-    log_.warn("admission", "enabled and known-folder take effect at the next start only");
+    log_.warn("admission", "changes of enabled and known-folder take effect at the next start only");
   const std::string folder = options_.known_folder;
   options_ = options;
   options_.known_folder = folder;
@@ -172,10 +171,11 @@
   for (const Listener& listener : listeners_) {
     if (listener.evict) listener.evict(tag);
   }
-  limiter_.on_closed(tag);  // its place is free at once; the connection's end is reported on the next turn
+  limiter_.on_closed(tag);  // its place is free at once; its end is reported in the next event-loop iteration
 }
 
-// Few clients are told when to retry; the others are reset, which costs neither side anything.
+// Sends the rejection message with the time to retry to a limited number of clients per second. The others
+// are reset, which costs neither side anything.
 void ConnectionAdmission::reject(const Listener& listener, const net::Accepted& accepted,
                                  double retry_after) {
   const double now = net::monotonic_now();
@@ -183,7 +183,8 @@
     rejection_messages_.add({}, now);
     const std::string message = listener.rejection_message(retry_after);
     static_cast<void>(::send(accepted.fd, message.data(), message.size(), MSG_NOSIGNAL | MSG_DONTWAIT));
-    // A reset would discard the message on its way; the last descriptor is not held back to prevent that.
+    // A reset would discard the message in transit, so the close lingers, except on the reserved
+    // descriptor, which must be freed at once.
     if (!accepted.uses_reserved_descriptor) return net::LingeringClose::begin(reactor_, accepted.fd);
     ::shutdown(accepted.fd, SHUT_WR);
   } else {
@@ -193,14 +194,15 @@
   ::close(accepted.fd);
 }
 
-// The process has no descriptor left, whatever the limits say: the table shrinks to what is open, less a few
-// that other parts of the process need. Otherwise the reserve for known clients could not be used.
+// The process has run out of descriptors, whatever its limits say. The table is shrunk to the number of
+// open connections, less a few descriptors for other parts of the process; otherwise the reserve for known
+// clients could not be used.
 void ConnectionAdmission::on_descriptor_shortage() {
   counters_.add(Count::kAdmissionLastDescriptor);
   const double now = net::monotonic_now();
   const std::size_t open = limiter_.open_count();
   if (last_shortage_at_ < 0 || now - last_shortage_at_ > kShortageSeconds) {
-    log_.event(Level::kWarning, "admission", "no descriptor left, the table shrinks", {{"open", open}});
+    log_.event(Level::kWarning, "admission", "out of descriptors; connection table shrunk", {{"open", open}});
   }
   last_shortage_at_ = now;
   const std::size_t shrunk = open - std::min(open, kSpareDescriptors);
@@ -214,8 +216,7 @@
   for (const conns::ConnectionId id : excess) evict(id);
 }
 
-// Lets a table that has shrunk grow again, and closes idle connections beyond a lowered limit, a few at a
-// time.
+// Grows a table that was shrunk, and evicts idle connections beyond a lowered limit, a few at a time.
 void ConnectionAdmission::check_table() {
   const std::size_t configured = configured_connections(options_, max_connections_);
   const std::size_t total = quota_.total();
--- a/src/peers/connection_admission.h
+++ b/src/peers/connection_admission.h
@@ -1,6 +1,6 @@
 // Admission of connections for all listeners of clients, where operators enable it.
 //
-// This class connects the policy of conns::ConnectionLimiter with sockets: it asks the limiter, sends
+// This class connects the policy of conns::ConnectionLimiter with sockets: it queries the limiter, sends
 // rejected clients the reason, closes the connections that the limiter evicts, limits the memory for each
 // client's answers, and stores which clients are known. It decides nothing itself.
 #pragma once
@@ -25,17 +25,17 @@
 
 namespace damsonspoke::peers {
 
-// For all listeners of the process. Listeners are numbered from 0. A connection is named by its tag, which is
-// unique over all listeners.
+// Admits connections for all listeners of the process. Listeners are numbered from 0. A connection is
+// identified by its tag, which is unique over all listeners.
 class ConnectionAdmission {
  public:
-  // Closes a connection of the listener that has no open request; ignores the tags of other listeners.
+  // Closes a connection of the listener that has no request in flight; ignores the tags of other listeners.
   using Evict = std::function<void(std::uint64_t tag)>;
   // The last message to a rejected client. `retry_after`: s.
   using RejectionMessage = std::function<std::string(double retry_after)>;
 
-  // `max_connections`: that the limits of the process allow; `shares`: the guaranteed share of each listener;
-  // `priority_weights`: by route.
+  // `max_connections`: the number that the limits of the process allow; `shares`: the guaranteed share of
+  // each listener; `priority_weights`: by route.
   ConnectionAdmission(net::Reactor& reactor, const ConnectionAdmissionOptions& options,
                       std::size_t max_connections, const std::vector<double>& shares,
                       std::vector<double> priority_weights, Counters& counters, Logger& log);
@@ -43,43 +43,43 @@
   ConnectionAdmission(const ConnectionAdmission&) = delete;
   ConnectionAdmission& operator=(const ConnectionAdmission&) = delete;
 
-  // `output`: the memory for the answers of all the listener's connections. Without a message its rejected
-  // clients get none.
+  // `output`: the memory budget for the answers of all the listener's connections. Without
+  // `rejection_message` its rejected clients receive no message.
   void register_listener(std::size_t listener, net::OutputPool& output, Evict evict,
                          RejectionMessage rejection_message);
-  // Reads the stored list of known clients and writes it from then on; waits for a slow folder for a short
-  // time only.
+  // Restores the stored list of known clients and saves it periodically from then on. Waits for a slow
+  // folder for a short time only.
   void load_known_clients();
-  // Writes the list now, for a process that is about to end.
+  // Saves the list now, for a process that is about to end.
   void save_known_clients();
   // Applies new limits; connections beyond them are evicted over the next checks.
   void reconfigure(const ConnectionAdmissionOptions& options);
 
-  // True: the listener owns the connection, whose answers are charged to output_pool(tag). False: the client
-  // was told so and the socket is closed.
+  // True: the listener owns the connection, whose answers are charged to output_pool(tag). False: the
+  // client was rejected and the socket is closed.
   [[nodiscard]] bool admit(std::size_t listener, std::uint64_t tag, const net::Accepted& accepted);
   // Null where the tag is unknown.
   [[nodiscard]] net::OutputPool* output_pool(std::uint64_t tag);
 
   // The connection has sent a valid message.
   void on_request_read(std::uint64_t tag) { limiter_.on_request_read(tag, net::monotonic_now()); }
-  // A busy connection, with an open request or unread output, is not evicted.
+  // A busy connection, which has a request in flight or pending output, is not evicted.
   void set_busy(std::uint64_t tag, bool is_busy) { limiter_.set_busy(tag, is_busy); }
-  // A request of this route was answered with its result, which counts for the client.
+  // A request of this route was answered with its result, which raises the client's score.
   void on_success(std::uint64_t tag, int route);
-  // Counts against the client.
+  // Adds a penalty to the record of the client.
   void penalize(std::uint64_t tag, conns::Penalty penalty);
-  // Frees the connection's place; without effect where that was done.
+  // Frees the connection's place; has no effect if it is free already.
   void on_closed(std::uint64_t tag);
 
-  // At which clients must at least send and read.
+  // The minimum byte rates at which clients must send and read.
   [[nodiscard]] const conns::MinimumByteRateOptions& input_rate() const { return options_.input; }
   [[nodiscard]] const conns::MinimumByteRateOptions& output_rate() const { return options_.output; }
-  // The places of all listeners.
+  // The connection quota of all listeners.
   [[nodiscard]] conns::ConnectionQuota& quota() { return quota_; }
 
-  // What `damsonspoke conns` prints: the totals, at most `max_clients` clients and the latest rejections, a
-  // line each.
+  // The output of `damsonspoke conns`: the totals, at most `max_clients` clients and the latest rejections,
+  // a line each.
   [[nodiscard]] std::string report(std::size_t max_clients) const;
 
  private:
@@ -117,7 +117,7 @@
   std::map<std::uint64_t, PoolKey> pool_key_by_tag_;
   std::unique_ptr<store::PersistedFile> known_clients_file_;
   double last_shortage_at_ = -1;          // monotonic s; < 0: never
-  conns::RateSketch rejection_messages_;  // limits their rate
+  conns::RateSketch rejection_messages_;  // limits the rate of rejection messages
   net::Reactor::TimerId write_timer_;
   net::Reactor::TimerId check_timer_;
 };
--- a/src/peers/dependency/client.cpp
+++ b/src/peers/dependency/client.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr double kMsPerSecond = 1000;
-constexpr double kReuseSeconds = 0.5;  // after its last call a link may be used again
+constexpr double kReuseSeconds = 0.5;  // after its last call, in which a link may be reused
 constexpr double kIdleCheckSeconds = 0.5;
 constexpr double kReplyTimeoutSeconds = 0.25;  // from a reply's first byte until it is complete
 
@@ -62,8 +62,8 @@
 }
 
 // A call gets a link of its own, so that an invalid reply or a reset affects no other call. A link that has
-// just carried a call is used again; an idle one is not: the other side may have closed or forgotten it, and
-// the end of a call that meets that would prove nothing.
+// just carried a call is reused. An idle one is not: the dependency may have closed or dropped it, and a
+// call that fails for that reason would not prove that it never ran.
 std::uint64_t DependencyClient::link_for_call(RequestId id) {
   if (const std::uint64_t reusable = find_reusable_link(id); reusable != 0) return reusable;
   std::size_t in_use = 0;
@@ -80,14 +80,14 @@
   return open_link();
 }
 
-// The newest link that has just carried a call; 0: there is none. Closes the idle links that it passes.
+// The newest link that has just carried a call; 0: there is none. Closes the idle links on the way.
 std::uint64_t DependencyClient::find_reusable_link(RequestId id) {
   const double now = net::monotonic_now();
   for (auto position = links_.end(); position != links_.begin();) {
     --position;
     auto& [tag, link] = *position;
     if (link.is_retired || !link.connection->open() || !link.calls.empty()) continue;
-    // Not for the same request again: a second copy of its last reply would pass for the new one.
+    // Not for the same request again: a duplicate of its last reply would be taken for the new one.
     if (link.last_request == id) continue;
     if (now - link.idle_since <= kReuseSeconds && link.connection->nothing_to_read()) return tag;
     link.is_retired = true;
@@ -117,13 +117,14 @@
   call.may_be_sent = link.connection->connected();
   call.started_at = net::monotonic_now();
   call.timeout_timer = reactor_.at(call.started_at + timeout, [this, id] { on_timeout(id); });
-  // The timeout that the dependency is told is no shorter than ours, so that the end is counted here once.
+  // The timeout sent to the dependency is no shorter than the local one, so that a timeout is counted here,
+  // once.
   const auto timeout_ms = static_cast<std::uint64_t>(std::max(1.0, std::ceil(timeout * kMsPerSecond)));
   link.connection->send(wire::encode_call(id, timeout_ms, body));
 }
 
-// An answered call leaves its link fit for the next one. One that was given up does not: its reply may still
-// come, so the link is closed unless it carries other calls.
+// After an answered call the link can carry another one. After a call that was given up it cannot, as the
+// reply may still arrive: the link is closed unless it carries other calls.
 void DependencyClient::detach_call(RequestId id, std::uint64_t tag, bool is_answered) {
   const auto found = links_.find(tag);
   if (found == links_.end()) return;
@@ -171,18 +172,18 @@
   for (const RequestId id : links_.at(connection.tag).calls) calls_.at(id).may_be_sent = true;
 }
 
-// After an invalid reply nothing on the link can be trusted: it is closed, and the end of its calls proves
-// nothing.
+// After an invalid reply nothing on the link can be trusted: it is closed, and the end of its calls does
+// not prove that they never ran.
 void DependencyClient::close_broken(Link& link, std::string_view reason) {
   counters_.add(Count::kDependencyInvalid);
-  log_.warn("dependency", "{}, connection closed", reason);
+  log_.warn("dependency", "{}; connection to the dependency closed", reason);
   link.connection->close(net::CloseReason::kBroken);
 }
 
 void DependencyClient::on_reply(std::uint64_t tag, RequestId id, Outcome outcome, std::string_view body) {
   const auto found = calls_.find(id);
   if (found != calls_.end() && found->second.link == tag) return finish_call(id, outcome, body);
-  // A second copy, or a reply to nothing: ignored, but the link takes no new call.
+  // A duplicate, or a reply to no call, is ignored, but the link takes no new call.
   counters_.add(Count::kDependencyLate);
   Link& link = links_.at(tag);
   link.is_retired = true;
@@ -209,7 +210,8 @@
   return used;
 }
 
-// A line without an end, or a wrong length, would hold the call until its timeout.
+// Limits the time until a partly received reply is complete: an unterminated line or a wrong length would
+// hold the call until its timeout.
 void DependencyClient::limit_reply_time(std::uint64_t tag) {
   links_.at(tag).reply_timer = reactor_.after(kReplyTimeoutSeconds, [this, tag] {
     const auto found = links_.find(tag);
@@ -221,7 +223,7 @@
   connection.close(net::CloseReason::kBroken);
 }
 
-// A connection that was never made proves that its calls did not run; one that broke proves nothing.
+// A connection that was never established proves that its calls did not run; one that broke proves nothing.
 void DependencyClient::on_end(net::Connection& connection, net::CloseReason why) {
   const auto found = links_.find(connection.tag);
   if (found == links_.end()) return;
@@ -231,7 +233,7 @@
   if (calls.empty()) return;
   if (why != net::CloseReason::kRefused) {
     counters_.add(Count::kDependencyBroken);
-    log_.warn("dependency", "connection lost with {} calls in flight", calls.size());
+    log_.warn("dependency", "connection to the dependency lost with {} calls in flight", calls.size());
   }
   for (const RequestId id : calls) {
     const auto call = calls_.find(id);
--- a/src/peers/dependency/client.h
+++ b/src/peers/dependency/client.h
@@ -35,7 +35,7 @@
 
   void call(RequestId id, double timeout, std::string_view body) override;
   void cancel(RequestId id) override;
-  // Sends new calls to another address; calls in flight stay where they are.
+  // Sends new calls to another address; calls in flight stay on their links.
   void move_to(const std::string& address);
 
  private:
@@ -45,11 +45,11 @@
     RequestId last_request = 0;
     double idle_since = 0;
     bool is_retired = false;            // takes no new call and closes after its last one
-    net::Reactor::TimerId reply_timer;  // until which a reply that has begun must be complete
+    net::Reactor::TimerId reply_timer;  // until which a partly received reply must be complete
   };
   struct Call {
     std::uint64_t link = 0;
-    bool may_be_sent = false;  // a byte of it may have left
+    bool may_be_sent = false;  // a byte of it may have been sent
     double started_at = 0;
     net::Reactor::TimerId timeout_timer;
   };
--- a/src/peers/json_rpc/request_builder.h
+++ b/src/peers/json_rpc/request_builder.h
@@ -15,7 +15,7 @@
 
 namespace damsonspoke::peers {
 
-// Which requests need an idempotency key, and where it stands in their messages.
+// Which requests need an idempotency key, and which member of their messages holds it.
 struct IdempotencyKeyOptions {
   std::string member;         // of a request's params; empty: no key is read
   std::size_t max_bytes = 0;  // of a key
@@ -23,7 +23,7 @@
   std::unordered_set<std::string> digest_routes;
 };
 
-// Why a message is answered with an error, and what that error says. The message is part of the protocol.
+// Why a message is answered with an error, and the text of that error, which is part of the protocol.
 struct RequestError {
   Count counter = Count::kBadParams;
   wire::RpcError code = wire::RpcError::kParams;
--- a/src/peers/json_rpc/server.cpp
+++ b/src/peers/json_rpc/server.cpp
@@ -14,10 +14,11 @@
 constexpr double kSecondsPerMs = 0.001;
 constexpr std::size_t kMaxInFlightRequests = 32;       // of a connection, as the protocol allows
 constexpr std::size_t kMaxOutputBytes = 256 * 1024;    // of a connection; 32 full answers take 180 KiB
-constexpr std::size_t kPauseReadingBytes = 64 * 1024;  // of waiting output
+constexpr std::size_t kPauseReadingBytes = 64 * 1024;  // of pending output
 constexpr double kMinIdleCheckSeconds = 0.05;
 constexpr double kMaxIdleCheckSeconds = 1;
-constexpr double kDrainTimeoutSeconds = 5;  // in which a client should close once the drain was announced
+constexpr double kDrainTimeoutSeconds =
+    5;  // in which a client should close after it was notified of the drain
 constexpr double kMaxIdleSeconds = 15;
 constexpr int kMaxInvalidMessages = 16;
 
@@ -67,16 +68,16 @@
   admission_.set_busy(client, !client.requests.empty() || client.connection->waiting() > 0);
 }
 
-// Nothing is open, nothing waits to be written, and nothing that the client sent is unread, neither in the
-// socket nor in the buffer.
+// No request is in flight, no output is pending, and no input is unread, neither in the socket nor in the
+// buffer.
 bool JsonRpcServer::is_idle(const Client& client) {
   return client.requests.empty() && client.connection->waiting() == 0 && !client.is_message_incomplete() &&
          client.connection->nothing_to_read();
 }
 
-// Closes an idle connection; without any, the oldest silent one that has sent a part of a request. So
-// hundreds of connections without requests don't keep out clients that have some. A request that crosses the
-// close is sent again by its client.
+// Evicts an idle connection or, if there is none, the oldest silent one that has sent only a part of a
+// request. So hundreds of connections without requests do not keep out clients that have some. A request
+// that arrives while its connection is being closed is sent again by its client.
 bool JsonRpcServer::evict_one() {
   const double now = net::monotonic_now();
   Client* evictable = clients_.find_evictable(now, is_idle);
@@ -86,8 +87,8 @@
   return true;
 }
 
-// The oldest silent connection whose first request was begun a while ago and is incomplete; null: there is
-// none.
+// The oldest silent connection whose first request is incomplete for at least kFirstRequestGraceSeconds;
+// null: there is none.
 JsonRpcServer::Client* JsonRpcServer::find_stalled(double now) {
   for (const std::uint64_t tag : clients_.idle_order()) {
     Client* client = clients_.find(tag);
@@ -98,8 +99,8 @@
   return nullptr;
 }
 
-// The connection's place was given to another one. What it has sent is read first, so that a request among
-// that is answered.
+// The connection's place was given to another one. Its unread input is read first, so that a request in it
+// is answered.
 void JsonRpcServer::evict(std::uint64_t tag) {
   Client* client = clients_.find(tag);
   if (client == nullptr) return;
@@ -152,8 +153,8 @@
   return false;
 }
 
-// Nothing more is read; what was read before is still answered. Unread bytes are discarded before the socket
-// is closed: closing over them would reset the connection and lose the answers on their way.
+// Stops reading; requests that were read already are still answered. Unread bytes are discarded before the
+// socket is closed: closing it with unread input would reset the connection and lose answers in transit.
 void JsonRpcServer::reject_input(Client& client, const std::string& last_message) {
   send(client, last_message);
   client.connection->stop_reading();
@@ -179,19 +180,19 @@
   send(client, wire::encode_error(number, error.code, error.message));
 }
 
-// What can be recognized as a request gets exactly one answer.
+// Every message that can be recognized as a request gets exactly one answer.
 void JsonRpcServer::handle_message(Client& client, std::string_view text) {
   wire::RpcRequest message;
   const wire::RpcProblem problem = wire::decode_request(text, message, keys_.member);
-  // An answer under a number that is in use would be the second one to the first request of that number.
+  // An answer under a number that is in use would be a second one to the first request of that number.
   const bool is_number_in_use = message.has_id && client.requests.contains(message.id);
   const std::uint64_t number = message.has_id && !is_number_in_use ? message.id : 0;
-  ++client.invalid_messages;  // on_valid_message() takes it back
+  ++client.invalid_messages;  // on_valid_message() reverts this
   if (problem == wire::RpcProblem::kInvalidJson)
     return send_error(client, number, {Count::kBadJson, wire::RpcError::kParse, "no JSON"});
   if (problem == wire::RpcProblem::kInvalidRequest || !message.has_id) {
     const bool is_notification = problem == wire::RpcProblem::kNone && message.is_notification;
-    if (is_notification) return counters_.add(Count::kBadRequests);  // which gets no answer
+    if (is_notification) return counters_.add(Count::kBadRequests);  // notifications get no answer
     return send_error(client, number, {Count::kBadRequests, wire::RpcError::kRequest, "no request"});
   }
   if (is_number_in_use) return send_error(client, 0, {Count::kBadIds, wire::RpcError::kRequest, "id in use"});
@@ -249,7 +250,7 @@
   close_if_done(*client);
 }
 
-// A client that has ended its input gets its last answer, and then the end of the connection.
+// Closes the connection of a client that has ended its input, once its last answer is written.
 void JsonRpcServer::close_if_done(Client& client) {
   if (client.requests.empty() && client.input_ended && client.connection->waiting() == 0)
     client.connection->end();
@@ -325,7 +326,7 @@
   check_timer_ = reactor_.after(kConnectionCheckSeconds, [this] { check_connections(); });
 }
 
-// Finds clients that send or read a byte now and then and are never silent.
+// Closes connections of clients that send or read only a byte now and then and so never are silent.
 void JsonRpcServer::check_byte_rates(Client& client, double now) {
   if (admission_.is_output_too_slow(client, now)) {
     admission_.penalize(client, conns::Penalty::kSlowTransfer);
@@ -379,8 +380,9 @@
   if (seconds > 0) check_idle_clients();
 }
 
-// The clients come in the order of their traffic, so that only idle ones are looked at. A client to which the
-// drain was announced closes the connection itself, so that no request is lost; one that does not is closed.
+// The clients are in the order of their last traffic, so that only idle ones are visited. A client that was
+// notified of the drain closes the connection itself, so that no request is lost; the connection of one
+// that does not is closed.
 void JsonRpcServer::check_idle_clients() {
   const double now = net::monotonic_now();
   double next_check_seconds = idle_timeout_seconds_;
@@ -390,7 +392,7 @@
     next_check_seconds = client.last_traffic_at + idle_timeout_seconds_ - now;
     if (next_check_seconds > 0) break;
     next_check_seconds = kDrainTimeoutSeconds;
-    if (!client.requests.empty()) {  // it waits for an answer: back to the end of the order
+    if (!client.requests.empty()) {  // it waits for an answer: moved to the end of the order
       clients_.on_traffic(client, net::monotonic_now());
     } else if (client.drain_announced_at < 0) {
       announce_drain(client);
@@ -404,7 +406,8 @@
 
 void JsonRpcServer::stop_listening() { listener_.close(); }
 
-// Each connection is read once more; what that brings is answered, and closed by a later call.
+// Reads each connection once more. One that has a request in flight then is closed by a later call, after
+// the answer.
 void JsonRpcServer::close_idle_connections() {
   std::vector<std::shared_ptr<net::Connection>> connections;
   for (const auto& [tag, client] : clients_) connections.push_back(client.connection);
--- a/src/peers/json_rpc/server.h
+++ b/src/peers/json_rpc/server.h
@@ -1,5 +1,5 @@
 // The server for clients that speak JSON-RPC 2.0: edge nodes that send requests and health checks. Many
-// requests may be open on a connection; their answers leave in any order.
+// requests may be in flight on a connection; their answers are sent in any order.
 #pragma once
 
 #include <cstddef>
@@ -23,11 +23,11 @@
 
 namespace damsonspoke::peers {
 
-// Listens, reads requests and writes their answers. A request keeps the number that its client gave it; it is
-// open until it is answered or its connection ends.
+// Listens, reads requests and writes their answers. A request is identified by the number that its client
+// gave it; it is in flight until it is answered or its connection closes.
 class JsonRpcServer : public RequestServer, private net::ConnectionOwner {
  public:
-  // Of a connection: one read, and the incomplete frame of under 9 KiB before it.
+  // Per connection: one read, and the incomplete frame of under 9 KiB before it.
   static constexpr std::size_t kMaxInputBytes = 28 * 1024;
 
   // `catalog` names routes and tenants; their positions there are the numbers of the requests' routes and
@@ -43,7 +43,7 @@
   void answer_rejected(ReplyAddress reply_to, double retry_after, bool no_retry) override;
   void answer_failed(ReplyAddress reply_to, FailureReason reason) override;
   void answer_health_check(ReplyAddress reply_to, bool is_healthy) override;
-  // Clients that are idle for longer are asked to close their connections.
+  // Clients that are idle for longer are notified to close their connections.
   void set_idle_timeout(double seconds) override;
   void announce_drain() override;
 
@@ -59,7 +59,7 @@
     int route = -1;
   };
   struct Client : ClientConnection {
-    // By the client's number.
+    // In flight, by the client's number.
     std::unordered_map<std::uint64_t, PendingRequest> requests;
     double drain_announced_at = -1;  // monotonic s; < 0: not yet
     int invalid_messages = 0;        // so far; valid ones in between don't lower it
@@ -77,7 +77,7 @@
   [[nodiscard]] static bool is_idle(const Client& client);
   void update_busy(const Client& client);
 
-  // One frame; false: nothing more is read from the connection.
+  // Handles one frame; false: nothing more is read from the connection.
   [[nodiscard]] bool read_frame(Client& client, std::string_view body);
   void handle_message(Client& client, std::string_view text);
   void handle_health_check(Client& client, const wire::RpcRequest& message, bool has_bad_params);
@@ -103,7 +103,7 @@
   CallerEvents& events_;
   Counters& counters_;
   Logger& log_;
-  ListenerAdmission admission_;  // before the connections whose output is charged to it
+  ListenerAdmission admission_;  // declared before the connections whose output is charged to it
   net::Listener listener_;
   ClientTable<Client> clients_;
   std::uint64_t next_tag_ = 1;
--- a/src/peers/listener_admission.h
+++ b/src/peers/listener_admission.h
@@ -1,7 +1,8 @@
-// Which connections one listener may have open, and what its clients' behavior counts for.
+// Decides which connections one listener may have open, and reports the behavior of its clients to
+// ConnectionAdmission.
 //
-// Three cases, which the servers need not tell apart: the listener has all connections of the process; it
-// shares them with another listener by a quota; or operators have enabled admission by client
+// Three cases, which the servers need not distinguish: the listener may use all connections of the process;
+// it shares them with another listener by a quota; or operators have enabled admission by client
 // (ConnectionAdmission).
 #pragma once
 
@@ -18,16 +19,16 @@
 
 namespace damsonspoke::peers {
 
-// What one listener and its connections may take.
+// The limits of one listener and its connections.
 struct ListenerLimits {
-  int connections = 0;                       // where there is no quota
-  std::size_t output_bytes = 0;              // that may wait on all its connections together
-  conns::ConnectionQuota* quota = nullptr;   // null: it has all connections
+  int connections = 0;                       // maximum, where there is no quota
+  std::size_t output_bytes = 0;              // maximum of pending output on all its connections together
+  conns::ConnectionQuota* quota = nullptr;   // null: the listener may use all connections
   std::size_t listener = 0;                  // its number in the quota
   ConnectionAdmission* admission = nullptr;  // where enabled; then `quota` is its quota
 };
 
-// Admits the connections of one listener and keeps the account of their places and output.
+// Admits the connections of one listener and accounts for their places and output.
 class ListenerAdmission {
  public:
   // The quota and the admission must outlive this object, and this object its connections.
@@ -44,14 +45,14 @@
   // is called where the listener has no capacity.
   [[nodiscard]] bool admit(std::uint64_t tag, const net::Accepted& accepted, std::size_t open_count,
                            const std::function<bool()>& evict_one);
-  // To which the connection's output is charged.
+  // The pool to which the output of the connection is charged.
   [[nodiscard]] net::OutputPool* output_pool(std::uint64_t tag);
-  // Closes a connection in order and frees its place at once.
+  // Closes a connection gracefully and frees its place at once.
   void evict(ClientConnection& client);
-  // After the connection was removed from the listener's table.
+  // To be called after the connection was removed from the listener's table.
   void on_closed(const ClientConnection& client, net::CloseReason why);
 
-  // The following tell ConnectionAdmission about the client and do nothing without one.
+  // The following report to ConnectionAdmission and do nothing where it is not enabled.
   void penalize(const ClientConnection& client, conns::Penalty penalty);
   void set_busy(const ClientConnection& client, bool is_busy);
   void on_request_read(const ClientConnection& client);
@@ -59,7 +60,8 @@
 
   // Whether the listener may read another message now; else reading is paused until it may.
   [[nodiscard]] bool try_read(net::Connection& connection);
-  // By the minimum byte rates of ConnectionAdmission; false without one.
+  // Whether the client is below the minimum byte rates of ConnectionAdmission; false where it is not
+  // enabled.
   [[nodiscard]] bool is_input_too_slow(const ClientConnection& client, double now) const;
   [[nodiscard]] bool is_output_too_slow(ClientConnection& client, double now) const;
 
--- a/src/peers/registry/reporter.h
+++ b/src/peers/registry/reporter.h
@@ -21,7 +21,7 @@
   RegistryReporter& operator=(const RegistryReporter&) = delete;
 
   void report(bool is_accepting_requests) override;
-  // Reports to another address from now on, and there at once where anything was reported before.
+  // Reports to another address from now on; at once, if a report was sent before.
   void move_to(const std::string& address);
 
  private:
--- a/src/peers/runtime/client.cpp
+++ b/src/peers/runtime/client.cpp
@@ -12,11 +12,11 @@
 constexpr double kUsPerSecond = 1e6;
 constexpr double kReconnectSeconds = 0.05;
 constexpr double kConnectTimeoutSeconds = 1;
-constexpr double kSilenceTimeoutSeconds = 1;  // without an answer that is owed: the link is lost
+constexpr double kSilenceTimeoutSeconds = 1;  // without an expected response: the link is closed
 constexpr double kSilenceCheckSeconds = 0.25;
-constexpr double kMoveTimeoutSeconds = 0.1;    // for what the old link has taken to arrive before a move
-constexpr double kGreetingPollSeconds = 0.01;  // between two looks for the `ready` of a new link
-constexpr double kGiveUpMarginSeconds = 0.05;  // behind the due time, at which the request is answered
+constexpr double kMoveTimeoutSeconds = 0.1;  // for commands on the old link to be acknowledged before a move
+constexpr double kGreetingPollSeconds = 0.01;  // between checks for the `ready` of a new link
+constexpr double kGiveUpMarginSeconds = 0.05;  // after the deadline, at which the request is answered
 constexpr double kMaxGaugeAgeSeconds = 0.5;
 constexpr std::size_t kMaxInputBytes = 256 * 1024;  // a line with its payload is under 70 KiB
 
@@ -30,7 +30,7 @@
   return Outcome::kError;
 }
 
-// A command of which a second one does no harm.
+// A command that may be sent twice without harm.
 RuntimeCommand repeatable(std::string text) {
   RuntimeCommand command;
   command.text = std::move(text);
@@ -75,7 +75,7 @@
   if (is_moving_) move_timer_ = reactor_.after(kMoveTimeoutSeconds, [this] { release_commands(); });
 }
 
-// The old link serves on.
+// The old link stays in use until the new one is connected.
 void RuntimeClient::release_commands() {
   reactor_.cancel(move_timer_);
   is_moving_ = false;
@@ -91,12 +91,12 @@
   next_link_.reset();
   reactor_.cancel(connect_timer_);
   if (!is_moving_) return open_next_link();
-  if (is_connecting) connect();  // else once the old link has answered
+  if (is_connecting) connect();  // otherwise once the old link has answered
 }
 
-// The runtime replaces the old link when it takes the new one, and does not read on. So that nothing is lost
-// with the old one, commands wait from now on, and the new link is opened once those before them have
-// arrived. After a connect that hung nothing waits for the next one.
+// The runtime drops the old link when it accepts the new one, and reads nothing more from it. To lose no
+// command, new commands are held back, and the new link is opened once the earlier commands are
+// acknowledged. If the last connect timed out, nothing is held back for the next one.
 void RuntimeClient::open_next_link() {
   if (has_connect_timed_out_ || !takes_commands() || !ledger_.has_unacknowledged()) return connect();
   is_moving_ = true;
@@ -127,7 +127,7 @@
   poll_for_greeting();
 }
 
-// Tells a greeting that was written late from one that is read late.
+// Distinguishes a greeting that was sent late from one that is read late.
 void RuntimeClient::poll_for_greeting() {
   reactor_.cancel(greeting_timer_);
   if (!link_ || is_runtime_up_ || !was_ever_ready_) return;
@@ -140,14 +140,14 @@
 }
 
 void RuntimeClient::on_end(net::Connection& connection, net::CloseReason /*why*/) {
-  if (&connection == next_link_.get()) {  // refused
+  if (&connection == next_link_.get()) {  // the connection was refused
     next_link_.reset();
     reactor_.cancel(connect_timer_);
     connect_timer_ = reactor_.after(kReconnectSeconds, [this] { open_next_link(); });
     release_commands();
   } else if (&connection == link_.get()) {
     counters_.add(Count::kRuntimeBroken);
-    log_.warn("runtime", "link lost, reconnecting");
+    log_.warn("runtime", "link lost; reconnecting");
     on_link_lost(connection, true);
     link_.reset();
     if (!next_link_) connect();
@@ -159,7 +159,8 @@
   const std::size_t in_doubt = ledger_.on_link_lost(loss);
   counters_.add(Count::kRuntimeInDoubt, in_doubt);
   if (in_doubt > 0)
-    log_.info("runtime", "{} starts and replies may be lost, their runs' notices are awaited", in_doubt);
+    log_.info("runtime", "link lost with {} starts or replies in doubt; waiting for notices about their runs",
+              in_doubt);
   schedule_give_up();
   reactor_.cancel(move_timer_);
   is_moving_ = false;
@@ -169,9 +170,9 @@
   gauges_requested_at_ = -1;
 }
 
-// Closes a link on which an answer is overdue: the runtime hangs, or is gone without having closed it.
+// Closes a link on which a response is overdue: the runtime hangs, or has ended without closing the link.
 void RuntimeClient::check_silence() {
-  // Before the runtime has come up for the first time it owes no answer, however long that takes.
+  // Until the runtime has come up for the first time no response is expected, however long that takes.
   const bool is_response_pending = link_ && was_ever_ready_ && (!is_runtime_up_ || gauges_requested_at_ >= 0);
   const double waiting_since = std::max(gauges_requested_at_, last_input_at_);
   if (is_response_pending && net::monotonic_now() - waiting_since > kSilenceTimeoutSeconds) {
@@ -191,7 +192,7 @@
     if (read.state == wire::LineState::kNeedMore) break;
     if (read.state == wire::LineState::kBroken) {
       counters_.add(Count::kRuntimeInvalid);
-      log_.warn("runtime", "invalid framing, reconnecting");
+      log_.warn("runtime", "invalid framing in the notices; reconnecting");
       connection.close(net::CloseReason::kBroken);
       break;
     }
@@ -206,7 +207,7 @@
   switch (notice.kind) {
     case wire::NoticeKind::kReady:
       handle_ready(notice);
-      return request_gauges();  // the answer marks the end of the missed notices
+      return request_gauges();  // the response marks the end of the missed notices
     case wire::NoticeKind::kRunEnd: return handle_run_end(notice);
     case wire::NoticeKind::kCallRequested: return handle_call_wanted(notice);
     case wire::NoticeKind::kGauges: return handle_gauges(notice);
@@ -218,15 +219,16 @@
       return;
     case wire::NoticeKind::kUnknown:
       counters_.add(Count::kRuntimeInvalid);
-      log_.warn("runtime", "unknown notice");
+      log_.warn("runtime", "unknown or invalid notice ignored");
       return;
   }
 }
 
-// Notices come in the order of their numbers; whether this one is to be handled. A duplicate is not.
+// Whether the notice with this number is to be handled. Notices arrive in the order of their numbers;
+// duplicates are ignored.
 bool RuntimeClient::accept_number(std::uint64_t number, RequestId id) {
-  // No process told it before this link, as the start is younger: another one has greeted, which was read too
-  // late to be seen.
+  // The start is younger than this link, so no process sent the notice before this link: another process
+  // has greeted, whose greeting was read too late to show that.
   if (number <= synced_notice_ && ledger_.is_new_start(id)) on_restart();
   if (number <= last_notice_) {
     counters_.add(Count::kRuntimeDuplicates);
@@ -234,8 +236,10 @@
   }
   if (number != last_notice_ + 1) {
     counters_.add(Count::kRuntimeGaps);
-    log_.warn("runtime", "notice {} follows {}", number, last_notice_);
-    // The missing ones are requested once, by a new link; if they don't come then, the runtime has lost them.
+    log_.warn("runtime", "notice {} received directly after notice {}; notices are missing", number,
+              last_notice_);
+    // The missing notices are requested once, over a new link; if they do not arrive then, the runtime has
+    // lost them.
     if (requested_notice_ != last_notice_ + 1) {
       requested_notice_ = last_notice_ + 1;
       link_->close(net::CloseReason::kBroken);
@@ -273,12 +277,12 @@
   if (is_another) on_restart();
 }
 
-// The process behind the address is another one: it knows none of the runs and counts its notices from 1. Its
-// notices must not pass for duplicates, requests must not wait for runs that are lost, and what the former
-// process ran must not be started a second time.
+// Another process has taken over the address: it knows none of the runs and numbers its notices from 1. Its
+// notices must not be taken for duplicates, requests must not wait for lost runs, and what the former
+// process ran must not be started again.
 void RuntimeClient::on_restart() {
   counters_.add(Count::kRuntimeRestarts);
-  log_.warn("runtime", "restarted, its runs are lost");
+  log_.warn("runtime", "runtime process restarted; its runs are lost");
   last_notice_ = 0;
   synced_notice_ = 0;
   requested_notice_ = 0;
@@ -287,7 +291,8 @@
 
 void RuntimeClient::handle_rejection(const wire::Notice& notice) {
   counters_.add(Count::kRuntimeRejections);
-  log_.warn("runtime", "rejected '{}' of {}", notice.command, wire::format_id(notice.id));
+  log_.warn("runtime", "runtime rejected command '{}' of request {}", notice.command,
+            wire::format_id(notice.id));
   if (notice.command != "start" && notice.command != "cont") return;
   // A resumption that was sent twice may have been carried out the first time.
   if (notice.command == "cont" && ledger_.was_resent(notice.id)) return;
@@ -314,7 +319,7 @@
   gauges_requested_at_ = -1;
   ledger_.mark_delivered(sent_before_gauges_);
   store_gauges(notice.gauges, now);
-  // The ends of runs may stand behind the answer: they are read before anything is sent again.
+  // The ends of runs may follow the response: they are read before any command is sent again.
   if (!is_synchronized_) has_missed_notices_ = true;
   if (!is_synchronized_ || !is_moving_ || next_link_) return;
   if (ledger_.has_unacknowledged()) return request_gauges();
@@ -342,7 +347,7 @@
 
 // ---- Commands.
 
-// All missed notices have been read.
+// To be called once all missed notices have been read.
 void RuntimeClient::on_synchronized() {
   is_synchronized_ = true;
   has_missed_notices_ = false;
@@ -361,8 +366,8 @@
   if (takes_commands()) send(outgoing);
 }
 
-// What is not written goes over the next link: nothing reads a link that the runtime has closed, and what is
-// written there would be in doubt.
+// A command that is not written here goes over the next link. Nothing is written to a link that the runtime
+// has closed: it would not be read, and the command would be in doubt.
 void RuntimeClient::send(const CommandLedger::Outgoing& command) {
   if (!link_ || !link_->connected()) return;
   if (link_->peer_has_closed()) return link_->close(net::CloseReason::kBroken);
@@ -392,7 +397,8 @@
   issue({id, false}, std::move(command));
 }
 
-// A reply names no call: a second one would answer the next call of its run. To skip the call names it.
+// A reply does not identify its call: sent twice, it would answer the next call of its run. The command
+// that skips a call does identify it.
 void RuntimeClient::send_reply(RequestId id, std::string_view reply, const RequestedCall& call) {
   RuntimeCommand command;
   command.text = wire::encode_call_reply(id, reply);
--- a/src/peers/runtime/client.h
+++ b/src/peers/runtime/client.h
@@ -1,6 +1,7 @@
-// The client of the runtime, which runs the requests. It survives the loss of its link: on a new one it reads
-// the notices that it missed first; the ledger tells which commands follow. A start that may have been lost
-// is not sent again where its run must not happen twice: its end is awaited until its request is due.
+// The client of the runtime, which runs the requests. It survives the loss of its link: on a new link it
+// first reads the notices that it missed, then sends the commands that the ledger selects. A start that may
+// have been lost is not sent again where its run must not be repeated; the end of that run is awaited until
+// the deadline of its request.
 #pragma once
 
 #include <cstddef>
@@ -25,7 +26,7 @@
 // and reports the runtime's notices as events.
 class RuntimeClient : public RuntimePort, private net::ConnectionOwner {
  public:
-  // Connects at once. `output_bytes`: of commands that may wait; beyond them the link is opened anew.
+  // Connects at once. `output_bytes`: of pending commands; beyond them the link is closed and reconnected.
   // `gauges`: what the runtime's gauges are, in their order. Throws std::runtime_error where the address
   // can't be used.
   RuntimeClient(net::Reactor& reactor, const std::string& address, std::size_t output_bytes,
@@ -34,8 +35,8 @@
   RuntimeClient(const RuntimeClient&) = delete;
   RuntimeClient& operator=(const RuntimeClient&) = delete;
 
-  // Reaches the runtime at another address from now on; its runs and the numbers of its notices go on. What
-  // was sent over the old link is first awaited to arrive.
+  // Connects to the runtime at another address; its runs and the numbering of its notices continue. Waits
+  // first for the commands on the old link to be acknowledged.
   void move_to(const std::string& address);
 
   void start(const RunStart& run) override;
@@ -43,7 +44,7 @@
   void resume(RequestId id, double seconds_left) override;
   void send_reply(RequestId id, std::string_view reply, const RequestedCall& call) override;
   void skip_call(RequestId id, std::uint64_t notice) override;
-  // Forgets the commands of the run: none of them is sent again.
+  // Removes the commands of the run: none of them is sent again.
   void forget_run(RequestId id) override { ledger_.erase(id); }
   // Does nothing while the link is not synchronized.
   void self_test(std::uint64_t tag) override;
@@ -91,19 +92,19 @@
   Logger& log_;
   std::shared_ptr<net::Connection> link_;
   std::shared_ptr<net::Connection> next_link_;  // replaces link_ once it is connected
-  std::uint64_t stream_bytes_ = 0;              // given to link_ since it was made
-  bool is_runtime_up_ = false;                  // the runtime has said so on this link
-  bool has_missed_notices_ = false;             // their mark was read, what stands behind it may not be yet
-  bool is_synchronized_ = false;                // the missed notices were read on this link
-  bool is_moving_ = false;                      // commands wait for the link to another address
-  bool has_connect_timed_out_ = false;          // the last one to this address
-  bool was_ever_ready_ = false;                 // on any link
-  double link_known_alive_at_ = 0;              // it answered what was asked at this time
-  double greeting_absent_until_ = 0;            // on this link
+  std::uint64_t stream_bytes_ = 0;              // written to link_ since it was connected
+  bool is_runtime_up_ = false;                  // a `ready` was received on this link
+  bool has_missed_notices_ = false;     // the response behind them was read; input behind it may be unread
+  bool is_synchronized_ = false;        // the missed notices were read on this link
+  bool is_moving_ = false;              // commands are held back for the link to another address
+  bool has_connect_timed_out_ = false;  // the last attempt at this address
+  bool was_ever_ready_ = false;         // on any link
+  double link_known_alive_at_ = 0;      // when the latest answered request for gauges was sent
+  double greeting_absent_until_ = 0;    // no `ready` had arrived on this link until then
   RuntimeProcessIdentity process_;
   std::uint64_t last_notice_ = 0;
-  std::uint64_t synced_notice_ = 0;     // the last one before this link
-  std::uint64_t requested_notice_ = 0;  // the missing one for which the link was opened anew
+  std::uint64_t synced_notice_ = 0;     // the last notice before this link
+  std::uint64_t requested_notice_ = 0;  // the missing notice for which the link was reconnected
   CommandLedger ledger_;
   std::uint64_t gauges_tag_ = 0;          // of the latest request for gauges
   std::uint64_t sent_before_gauges_ = 0;  // the ledger's position at that request
--- a/src/peers/runtime/command_ledger.cpp
+++ b/src/peers/runtime/command_ledger.cpp
@@ -6,14 +6,14 @@
 namespace damsonspoke::peers {
 namespace {
 
-// The runtime may lose commands that it has read in this time before a link breaks, also where it has
+// Commands that the runtime has read within this time before a link breaks may be lost, even where it has
 // answered a later one.
 constexpr double kLossSeconds = 0.05;
-// The same, and the time until a break is usually noticed.
+// The same period, plus the time until a break is usually noticed.
 constexpr double kLossWindowSeconds = 0.25;
 
-// What was sent before this time and has arrived was not lost with the link. The break came after the last
-// answer was asked for, however late it was noticed.
+// Commands that were delivered and were sent before this time were not lost with the link. The break came
+// after the last answered request was sent, however late it was noticed.
 double loss_begins_at(const LinkLoss& loss) {
   return std::min(loss.at - kLossWindowSeconds, loss.known_alive_at - kLossSeconds);
 }
@@ -69,7 +69,7 @@
     if (may_be_lost) entry.delivery = Delivery::kInDoubt;
   } else if (entry.delivery == Delivery::kSent) {
     const bool has_left = entry.stream_end <= loss.bytes_taken;
-    // An earlier link may have taken it too.
+    // It may also have been delivered over an earlier link.
     entry.delivery = has_left || entry.send_count > 1 ? Delivery::kInDoubt : Delivery::kUnsent;
     if (!has_left) --entry.send_count;
   }
@@ -148,7 +148,7 @@
   return found != requests_.end() && found->second.run.send_count > 1;
 }
 
-// ---- What waits in doubt.
+// ---- Commands in doubt.
 
 bool CommandLedger::awaits_notice(const Entry& entry) {
   return entry.delivery == Delivery::kInDoubt && entry.command.in_doubt == InDoubt::kAwaitNotice;
--- a/src/peers/runtime/command_ledger.h
+++ b/src/peers/runtime/command_ledger.h
@@ -1,12 +1,12 @@
-// What is known of each command to the runtime: whether it has left, has arrived, or is in doubt since the
-// link that took it was lost. Decides which commands go over a new link. Policy without I/O: times are handed
-// in (monotonic seconds).
+// Tracks the delivery of each command to the runtime: unsent, sent, delivered, or in doubt since its link was
+// lost. Decides which commands go over a new link. Policy without I/O: times are passed in (monotonic
+// seconds).
 //
 // Invariants:
-// - A command whose last byte no link has taken was not carried out: it goes over the next link.
-// - A command in doubt may have been carried out, and its run may have gone on or ended meanwhile. It is sent
-//   again only where a second one does no harm; a start that must not run twice and a reply, which would
-//   answer whichever call its run waits for by then, are never sent twice.
+// - A command whose last byte was not written to any link was not carried out: it goes over the next link.
+// - A command in doubt may have been carried out, and its run may have continued or ended since. It is sent
+//   again only where a second one does no harm. A start that must not run twice is never sent twice; neither
+//   is a reply, which would answer whichever call its run waits for by then.
 #pragma once
 
 #include <cstddef>
@@ -22,34 +22,34 @@
 
 namespace damsonspoke::peers {
 
-// What becomes of a command in doubt.
+// How a command in doubt is handled.
 enum class InDoubt {
   kResend,
-  kAwaitNotice,  // never sent again; a notice about its request tells how it went
-  kReplace,      // another command takes its place that has no effect where the first one was carried out
+  kAwaitNotice,  // never sent again; a notice about its request shows whether it was carried out
+  kReplace,      // replaced by a command that has no effect if the first one was carried out
 };
 
-// A command as it is handed to the ledger.
+// A command as it is added to the ledger.
 struct RuntimeCommand {
   std::string text;  // as it is written to the link
   InDoubt in_doubt = InDoubt::kResend;
   std::string replacement;  // of kReplace
-  bool is_start = false;    // nothing runs before it has arrived
-  double give_up_at = 0;    // of one that waits in doubt: from then on no notice is awaited
+  bool is_start = false;    // nothing runs before it is delivered
+  double give_up_at = 0;    // from then on no notice about the command in doubt is awaited
 };
 
 // How a link ended.
 struct LinkLoss {
-  double at = 0;                  // when this was noticed
-  double known_alive_at = 0;      // it answered what was asked at this time
-  std::uint64_t bytes_taken = 0;  // of the stream, by the system
-  bool by_peer = true;            // false: it was replaced while it worked
+  double at = 0;                  // when the loss was noticed
+  double known_alive_at = 0;      // when the latest request that was answered was sent
+  std::uint64_t bytes_taken = 0;  // bytes of the stream that were written to the socket
+  bool by_peer = true;            // false: replaced by a new link while it worked
 };
 
-// The commands of the requests whose runs are not over.
+// The commands of the requests whose runs have not ended.
 class CommandLedger {
  public:
-  // Names a command: a request has one of its run at a time, and one stop beside it.
+  // Identifies a command: a request has one command for its run at a time, and possibly a stop beside it.
   struct CommandKey {
     RequestId id = 0;
     bool is_stop = false;
@@ -61,55 +61,60 @@
     bool is_resend = false;  // it, or what it replaces, was sent before
   };
 
-  // Remembers a command, in place of the former one with this key.
+  // Adds a command, in place of the former one with this key.
   Outgoing add(CommandKey key, RuntimeCommand command);
-  // It was written to the link, up to this byte of its stream; without effect where its request is unknown.
+  // The command was written to the link, up to byte `stream_end` of its stream; has no effect where its
+  // request is unknown.
   void mark_sent(CommandKey key, std::uint64_t stream_end, double now);
 
   // The position of the latest command on this link, for mark_arrived().
   [[nodiscard]] std::uint64_t last_sent() const { return last_position_; }
   // The runtime has read the link up to this position.
   void mark_delivered(std::uint64_t position);
-  // Whether a command on this link is not known to have arrived.
+  // Whether a command on this link is not known to be delivered.
   [[nodiscard]] bool has_unacknowledged() const;
 
-  // Settles what has become of each command; returns how many runs' commands wait in doubt from now on.
+  // Updates the delivery of each command; returns for how many runs a command in doubt now awaits a notice
+  // that did not before.
   std::size_t on_link_lost(const LinkLoss& loss);
-  // What goes over the new link, in the order in which it was issued; the caller marks each as sent.
+  // The commands to send over the new link, in the order in which they were issued; the caller marks each
+  // as sent.
   [[nodiscard]] std::vector<Outgoing> take_sendable();
 
-  // Notices were lost for good: any run that was begun may have ended, or wait for a call, unheard of.
+  // Notices were lost for good: any run that was started may have ended, or may wait for a call, without a
+  // notice of it.
   void on_notices_lost();
-  // A notice tells that the run waits for a call: its last command has arrived.
+  // A notice reported that the run waits for a call: its last command was delivered.
   void on_call_wanted(RequestId id);
-  // The run is over, or its request is: forgets their commands.
+  // The run or its request has ended: removes its commands.
   void erase(RequestId id) { requests_.erase(id); }
-  // The runtime was restarted: forgets all but the starts that only the new process may have heard of, and
+  // The runtime was restarted: removes all but the starts that only the new process can have received, and
   // returns their requests.
   std::unordered_set<RequestId> on_restart();
 
-  // Whether it is a start that was issued after the last link was lost: no runtime heard of it before.
+  // Whether the command of the run is a start that was issued after the last link was lost, so that no
+  // runtime process received it before.
   [[nodiscard]] bool is_new_start(RequestId id) const;
   // Whether the command of the run was sent more than once.
   [[nodiscard]] bool was_resent(RequestId id) const;
-  // Of the requests whose starts or replies wait in doubt, or whose notices may be lost: when the first is to
-  // be given up, and which are by now.
+  // The requests whose starts or replies are in doubt, or whose notices may be lost: when the first is to
+  // be given up, and which are to be given up by now.
   [[nodiscard]] std::optional<double> next_give_up() const;
   [[nodiscard]] std::vector<RequestId> requests_to_give_up(double now) const;
 
  private:
   enum class Delivery {
-    kUnsent,     // no link has taken all of it
-    kSent,       // this link has taken it
-    kDelivered,  // proven by what the runtime answered behind it
-    kInDoubt,    // a lost link had taken it
+    kUnsent,     // not completely written to any link
+    kSent,       // completely written to this link
+    kDelivered,  // the runtime has answered a later request on this link
+    kInDoubt,    // completely written to a link that was lost
   };
   struct Entry {
     std::uint64_t number = 0;  // in the order of issue; 0: none
     RuntimeCommand command;
     Delivery delivery = Delivery::kUnsent;
     int send_count = 0;
-    std::uint64_t position = 0;    // on the present link
+    std::uint64_t position = 0;    // on the current link
     std::uint64_t stream_end = 0;  // of its last byte on it
     double sent_at = 0;            // the last time
   };
@@ -127,7 +132,7 @@
 
   std::unordered_map<RequestId, RequestEntries> requests_;
   std::uint64_t last_number_ = 0;
-  std::uint64_t last_number_before_link_ = 0;  // the last number as the last link was lost
+  std::uint64_t last_number_before_link_ = 0;  // the last number when the last link was lost
   std::uint64_t last_position_ = 0;
 };
 
--- a/src/peers/runtime/process_identity.cpp
+++ b/src/peers/runtime/process_identity.cpp
@@ -8,7 +8,7 @@
   const double earliest_start = greeting.absent_until - greeting.up_seconds;
   const double latest_start = greeting.received_at - greeting.up_seconds;
   const bool is_another = started_by_ && earliest_start > *started_by_;
-  // It may have come up long after it was asked.
+  // The process may have started long after the request.
   started_by_ = std::max(greeting.absent_until, latest_start);
   return is_another;
 }
--- a/src/wire/ajp.cpp
+++ b/src/wire/ajp.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::uint16_t kGatewayMagic = 0x1234, kServerMagic = 0x4142;  // the second is "AB"
 constexpr std::uint16_t kNoString = 0xffff;
-constexpr std::uint8_t kCodedName = 0xa0;  // first byte of a header's name that is a number
+constexpr std::uint8_t kCodedName = 0xa0;  // first byte of a header name that is sent as a code
 constexpr std::uint8_t kStoredMethod = 0xff, kNoMoreAttributes = 0xff;
 
 enum Kind : std::uint8_t {
@@ -89,7 +89,7 @@
     out_ += text;
     byte(0);
   }
-  // What a peer could take for the end of a value must not be in it.
+  // Writes a text without control characters, which a peer could take for the end of the value.
   void printable_text(std::string_view text) {
     std::string out;
     for (const char c : text) {
@@ -115,7 +115,7 @@
   std::string out_;
 };
 
-// Reads past the end give nothing and are remembered.
+// A read past the end gives an empty value and makes the reader invalid.
 class Reader {
  public:
   explicit Reader(std::string_view in) : in_(in) {}
@@ -137,7 +137,7 @@
     if (length == kNoString) return {};
     const std::string_view out = take(length);
     require(byte() == 0);
-    // A NUL inside would end it for one reader and not for another.
+    // A NUL inside would end the string for some readers and not for others.
     require(out.find('\0') == std::string_view::npos);
     return is_valid_ ? out : std::string_view();
   }
@@ -169,7 +169,7 @@
   bool is_valid_ = true;
 };
 
-// The least that a header or an attribute takes: counts that can't be true are seen before anything is kept.
+// The minimum bytes of a header: an impossible count is rejected before anything is stored.
 constexpr std::size_t kMinHeaderBytes = 4;
 
 template <std::size_t N>
@@ -218,7 +218,7 @@
     one.value = r.text();
     if (one.kind == Attribute::kStoredMethod) {
       r.require(is_method_stored && out.method.empty() &&
-                !one.value.empty());  // a second method would be another one's
+                !one.value.empty());  // there must be only one method
       out.method = one.value;
     }
   }
@@ -291,7 +291,7 @@
     w.byte(kSendBodyChunk);
     w.number(static_cast<std::uint16_t>(m.piece.size()));
     w.raw(m.piece);
-    w.byte(0);  // as servers write it, though the description does not tell of it
+    w.byte(0);  // servers write this byte, though the description does not mention it
     return w.finish();
   }
   std::string operator()(const EndResponse& m) const {
@@ -325,7 +325,7 @@
 
 Packet next_packet(std::string_view input, From from, std::size_t max_bytes) {
   Packet out;
-  // What begins with another magic is told at its first byte: waiting for more of it is waiting for nothing.
+  // Another magic is detected at its first byte, without waiting for the rest of the packet.
   const std::uint16_t magic = from == From::kGateway ? kGatewayMagic : kServerMagic;
   if (!input.empty() && static_cast<std::uint8_t>(input[0]) != magic >> 8) out.state = Framing::kBroken;
   if (input.size() > 1 && static_cast<std::uint8_t>(input[1]) != (magic & 0xff)) out.state = Framing::kBroken;
--- a/src/wire/ajp.h
+++ b/src/wire/ajp.h
@@ -1,10 +1,11 @@
-// AJP 1.3, both directions, from its published description: packets that a gateway (a web server) sends to a
-// server and that a server sends back. A codec: bytes to typed values and back, every length checked before
-// anything is kept.
+// The codec of AJP 1.3 in both directions, from its published description: packets that a gateway (a web
+// server) sends to a server, and packets that a server sends back. Every length is checked before anything
+// is stored.
 //
-// A packet is a magic (0x1234 from gateways, "AB" from servers), a length and so many bytes. What a gateway
-// sends begins with its kind, but for pieces of a body, which are known only by being due: the reader says
-// which it expects. Strings are a length, their bytes and a NUL; 0xFFFF is no string at all.
+// A packet is a magic (0x1234 from gateways, "AB" from servers), a length and that many bytes. A packet of
+// a gateway begins with its kind, except for pieces of a body, which only the context identifies: the
+// caller decides which of the two it decodes. A string is a length, its bytes and a NUL; the length 0xFFFF
+// means that there is no string.
 #pragma once
 
 #include <cstdint>
@@ -18,21 +19,21 @@
 namespace damsonspoke::wire::ajp {
 
 constexpr std::size_t kHeaderBytes = 4;                // bytes: magic, length
-constexpr std::size_t kDefaultPacketBytes = 8 * 1024;  // bytes, head and all
+constexpr std::size_t kDefaultPacketBytes = 8 * 1024;  // bytes, header included
 constexpr std::size_t kMaxPacketBytes = 64 * 1024;
 constexpr std::size_t kBodyHeaderBytes =
-    6;  // of a packet that carries a piece of a body: head, length of the piece
+    6;  // of a packet with a piece of a body: header, length of the piece
 constexpr std::size_t kMaxHeaders = 64, kMaxAttributes = 32;
 
 enum class From { kGateway, kServer };
 enum class Framing { kNeedMore, kPacket, kBroken };
 struct Packet {
   Framing state = Framing::kNeedMore;
-  std::size_t length = 0;  // with its head, to be taken off the input
+  std::size_t length = 0;  // header included, to be consumed from the input
   std::string_view payload;
 };
-// The packet that the input starts with. Broken: another magic than that side's, or longer than `most` bytes,
-// head and all.
+// Parses the packet at the start of the input. Broken: the magic is not that of the sender, or the packet
+// is longer than `max_bytes`, header included.
 Packet next_packet(std::string_view input, From from, std::size_t max_bytes);
 
 struct Header {
@@ -41,7 +42,7 @@
   bool operator==(const Header&) const = default;
 };
 
-// Attributes that have a kind of their own are named as the description names them.
+// Attributes that have a kind of their own have the names of the description.
 struct Attribute {
   enum Kind : std::uint8_t {
     kContext = 1,
@@ -67,7 +68,7 @@
 
 // ---- What gateways send.
 struct ForwardRequest {
-  std::string method;  // "POST"; "" where the gateway said that it is stored, and it was not
+  std::string method;  // "POST"; "" where it was announced as stored and is missing
   std::string protocol, uri, remote_address, remote_host, server_name;
   std::uint16_t server_port = 0;
   bool secure = false;
@@ -82,7 +83,7 @@
 struct Shutdown {
   bool operator==(const Shutdown&) const = default;
 };
-struct Ping {  // the old one, of the description: not answered by servers
+struct Ping {  // the obsolete one of the description, which servers do not answer
   bool operator==(const Ping&) const = default;
 };
 struct CPing {
@@ -90,13 +91,14 @@
 };
 using FromGateway = std::variant<ForwardRequest, Shutdown, Ping, CPing>;
 
-// None: what no gateway sends, counts above the bounds, fields that do not fill the packet.
+// None: an unknown kind, counts above the bounds, or fields that do not fill the packet.
 std::optional<FromGateway> decode_from_gateway(std::string_view payload);
 std::string encode(const FromGateway& message);
 
-// A piece of a body; an empty payload, or a piece of no bytes, is the end of the body.
+// Decodes a piece of a body; an empty payload, or a piece of no bytes, is the end of the body. None: the
+// piece does not fill the packet.
 std::optional<std::string_view> decode_body(std::string_view payload);
-std::string encode_body(std::string_view piece);  // at most kMostPacket - kBodyHead bytes
+std::string encode_body(std::string_view piece);  // at most kMaxPacketBytes - kBodyHeaderBytes bytes
 std::string encode_body_end();                    // an empty packet
 
 // ---- What servers send.
@@ -125,7 +127,7 @@
 using FromServer = std::variant<SendHeaders, SendBodyChunk, EndResponse, GetBodyChunk, CPong>;
 
 std::optional<FromServer> decode_from_server(std::string_view payload);
-// Header values and reasons that hold control characters are written without them.
+// Control characters in header values and reasons are left out.
 std::string encode(const FromServer& message);
 
 }  // namespace damsonspoke::wire::ajp
--- a/src/wire/base64.h
+++ b/src/wire/base64.h
@@ -1,5 +1,5 @@
-// Base64 with padding (RFC 4648, section 4), strict: no blanks, no missing padding, no bits beyond the last
-// byte.
+// Base64 with padding (RFC 4648, section 4), strict: no whitespace, no missing padding, no bits beyond the
+// last byte.
 #pragma once
 
 #include <string>
--- a/src/wire/dependency_lines.cpp
+++ b/src/wire/dependency_lines.cpp
@@ -8,14 +8,14 @@
 namespace {
 
 constexpr std::size_t kIdDigits = 16;
-constexpr std::size_t kMaxReplyLineBytes = 64;  // id, word and length take half of that
+constexpr std::size_t kMaxReplyLineBytes = 64;  // id, keyword and length take half of that
 
 bool is_hex_digit(char c) {
   return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'f') || (c >= 'A' && c <= 'F');
 }
 
-// Whether what has come so far can be the beginning of a reply. Guards against noise and lines without an
-// end, which would otherwise be waited for.
+// Whether the input received so far can be the start of a reply. Guards against waiting for the end of
+// garbage or of an unterminated line.
 bool may_begin_reply(std::string_view input) {
   const std::string_view id = input.substr(0, kIdDigits);
   if (!std::all_of(id.begin(), id.end(), is_hex_digit)) return false;
--- a/src/wire/dependency_lines.h
+++ b/src/wire/dependency_lines.h
@@ -1,4 +1,5 @@
-// What the dependency is told and answers, in lines (wire/lines.h). The words of the wire end here.
+// The codec of the protocol of the dependency, in lines (wire/lines.h). No other module uses the names of
+// the protocol.
 #pragma once
 
 #include <cstddef>
@@ -10,25 +11,25 @@
 
 namespace damsonspoke::wire {
 
-// How the dependency says that a call ended. kRefused and kObsolete: it never ran. kUnknown: the line could
-// be told from the next, but not used.
+// How a call ended, as the dependency reports it. kRefused and kObsolete: it never ran. kUnknown: the line
+// is complete but invalid.
 enum class CallEnd { kOk, kRefused, kFailed, kTimedOut, kObsolete, kUnknown };
 
-// One reply, as far as it has come.
+// One reply, as far as it was received.
 struct ReplyRead {
   LineState state = LineState::kNeedMore;
   std::size_t length = 0;  // of the reply, where it is complete
   CallEnd end = CallEnd::kUnknown;
   std::uint64_t id = 0;   // of the request whose call it ends
-  std::string_view body;  // of the input: valid as long as that is
+  std::string_view body;  // a view of the input; valid as long as that is
 };
 
-// The reply that the input begins with.
+// Parses the reply at the start of the input.
 [[nodiscard]] ReplyRead next_reply(std::string_view input);
 
-// `timeout_ms`: after which the dependency gives the call up.
+// `timeout_ms`: after which the dependency abandons the call.
 [[nodiscard]] std::string encode_call(std::uint64_t id, std::uint64_t timeout_ms, std::string_view body);
-// The request no longer waits for its call.
+// Cancels the call of this request.
 [[nodiscard]] std::string encode_cancel(std::uint64_t id);
 
 }  // namespace damsonspoke::wire
--- a/src/wire/json.cpp
+++ b/src/wire/json.cpp
@@ -10,7 +10,7 @@
 constexpr int kMaxDepth = 16;  // levels; the messages have three
 constexpr std::size_t kHexDigits = 4;
 
-// UTF-16 writes what is beyond the first plane as two surrogates, the high one first.
+// UTF-16 encodes code points beyond the first plane as two surrogates, the high one first.
 constexpr unsigned kFirstHighSurrogate = 0xd800;
 constexpr unsigned kFirstLowSurrogate = 0xdc00;
 constexpr unsigned kAfterSurrogates = 0xe000;
@@ -42,14 +42,14 @@
 
 bool is_control(char c) { return static_cast<unsigned char>(c) < ' '; }
 
-// How many digits the text begins with.
+// The number of digits at the start of the text.
 std::size_t count_digits(std::string_view text) {
   std::size_t count = 0;
   while (count < text.size() && is_digit(text[count])) ++count;
   return count;
 }
 
-// The length of the number that the text begins with; 0: there is none.
+// The length of the number at the start of the text; 0: there is none.
 std::size_t number_length(std::string_view text) {
   std::size_t length = text.starts_with('-') ? 1 : 0;
   const std::size_t integer_digits = count_digits(text.substr(length));
@@ -69,7 +69,8 @@
   return digits == 0 ? 0 : length + before_exponent + digits;
 }
 
-// What a backslash and this character stand for; none where that is no escape of one character.
+// The character that a backslash and this character stand for; none where they are not an escape sequence
+// of two characters.
 std::optional<char> unescaped(char c) {
   switch (c) {
     case '"':
@@ -155,7 +156,7 @@
   return true;
 }
 
-// The text behind the backslash.
+// Reads the escape sequence after the backslash.
 bool JsonCursor::read_escape(std::string& out) {
   if (at_ >= text_.size()) return false;
   const char kind = text_[at_++];
--- a/src/wire/json.h
+++ b/src/wire/json.h
@@ -1,5 +1,5 @@
-// A cursor over JSON text (RFC 8259): members are taken as they come, straight into the reader's fields, with
-// no tree in between. Depth is bounded.
+// A cursor over JSON text (RFC 8259): values are read in the order of the text, directly into the caller's
+// fields, without a document tree. Nesting depth is bounded.
 #pragma once
 
 #include <cstddef>
@@ -8,29 +8,29 @@
 
 namespace damsonspoke::wire {
 
-// What a value is; kNone: there is no value.
+// The type of a value; kNone: there is no value.
 enum class JsonKind { kObject, kArray, kString, kNumber, kBool, kNull, kNone };
 
-// Stands before a value, a sign or the end of the text. False from any function that reads means that the
-// text is damaged or the value is of another kind; the cursor is of no use after it.
+// Positioned before a value, a punctuation character or the end of the text. A reading function returns
+// false where the text is invalid or the value is of another kind; the cursor must not be used after that.
 class JsonCursor {
  public:
   // The text must outlive the cursor.
   explicit JsonCursor(std::string_view text) : text_(text) {}
 
-  // The kind of the value that comes next, by its first character.
+  // The kind of the next value, by its first character.
   [[nodiscard]] JsonKind next_kind();
   // Replaces `out`, with escapes resolved to UTF-8.
   bool read_string(std::string& out);
   // A finite number.
   bool read_number(double& out);
   bool read_boolean(bool& out);
-  // Passes over a value of any kind.
+  // Skips a value of any kind.
   bool skip_value();
-  // Whether nothing but blanks is left.
+  // Whether only whitespace is left.
   [[nodiscard]] bool at_end();
 
-  // Calls on_member(name) for each member; it has to take the value, and returns false where it can't.
+  // Calls on_member(name) for each member; on_member must read the value, and returns false where it can't.
   template <typename OnMember>
   bool read_object(const OnMember& on_member) {
     if (!enter('{')) return false;
@@ -43,7 +43,7 @@
   }
 
  private:
-  // Takes the sign that opens an object or array; false also where they are nested too deep.
+  // Consumes the character that opens an object or array; also false where nesting is too deep.
   bool enter(char open);
   bool leave() {
     --depth_;
@@ -62,7 +62,7 @@
   int depth_ = 0;
 };
 
-// Appends a string as JSON writes it, quotes included.
+// Appends the text as a JSON string, quotes included.
 void append_quoted(std::string& out, std::string_view text);
 
 }  // namespace damsonspoke::wire
--- a/src/wire/lines.cpp
+++ b/src/wire/lines.cpp
@@ -7,8 +7,8 @@
 namespace damsonspoke::wire {
 namespace {
 
-constexpr std::size_t kMaxLineBytes = 4096;          // a remark may be long, nothing else is
-constexpr std::size_t kMaxPayloadBytes = 64 * 1024;  // bodies hold 4 KiB at most
+constexpr std::size_t kMaxLineBytes = 4096;          // only remarks may be long
+constexpr std::size_t kMaxPayloadBytes = 64 * 1024;  // bodies have 4 KiB at most
 constexpr std::size_t kIdDigits = 16;
 constexpr std::string_view kLineEnd = "\r\n";
 
--- a/src/wire/lines.h
+++ b/src/wire/lines.h
@@ -1,5 +1,6 @@
-// Lines of words that end in CR LF; where a line ends in a length, that many bytes and CR LF follow it. The
-// runtime and the dependency speak in this form.
+// Lines of tokens that are separated by spaces and end in CR LF. Where the last token of a line is a
+// length, a payload of that many bytes and CR LF follow it. The protocols of the runtime and the dependency
+// have this format.
 #pragma once
 
 #include <charconv>
@@ -11,31 +12,31 @@
 
 namespace damsonspoke::wire {
 
-// kBroken: what follows can't be told apart any more, so nothing more is to be read from the link.
+// kBroken: the boundaries of messages are lost, so nothing more can be read from the link.
 enum class LineState { kNeedMore, kLine, kBroken };
 
-// One line split into words, without the payload that may follow.
+// One line split into tokens, without the payload that may follow.
 struct TokenLine {
   LineState state = LineState::kNeedMore;
-  std::size_t length = 0;                // with its CR LF
-  std::vector<std::string_view> tokens;  // of the input: valid as long as that is
+  std::size_t length = 0;                // including its CR LF
+  std::vector<std::string_view> tokens;  // a view of the input; valid as long as that is
 };
 
-// The line that the input begins with.
+// Parses the line at the start of the input.
 [[nodiscard]] TokenLine next_line(std::string_view input);
 
-// The payload behind a line.
+// The payload after a line.
 struct Payload {
   LineState state = LineState::kNeedMore;
-  std::size_t length = 0;  // with its CR LF
-  std::string_view bytes;  // of the input: valid as long as that is
+  std::size_t length = 0;  // including its CR LF
+  std::string_view bytes;  // a view of the input; valid as long as that is
 };
 
-// The payload that the input begins with. `length`: as the line tells it, bounded before anything is kept for
-// it.
+// Parses the payload at the start of the input. `length`: the token of its line, bounded before anything is
+// buffered for it.
 [[nodiscard]] Payload next_payload(std::string_view input, std::string_view length);
 
-// Whether the whole text is a number that the type can hold. `out` is undefined where it is not.
+// Whether the entire text is a number that the type can hold; `out` is undefined where it is not.
 template <typename T>
 [[nodiscard]] bool parse_number(std::string_view text, T& out, int base = 10) {
   const auto [stop, error] = std::from_chars(text.data(), text.data() + text.size(), out, base);
--- a/src/wire/members.cpp
+++ b/src/wire/members.cpp
@@ -135,7 +135,7 @@
 
 // ---- CBOR to values.
 
-// Names, not prose: they go into log lines.
+// Whether the text is free of spaces and control characters, as names are written to log lines.
 bool is_printable(const std::string& text) {
   for (const char c : text) {
     const auto byte = static_cast<unsigned char>(c);
@@ -227,7 +227,7 @@
 
 bool read(const Json& from, m::Record& record);
 
-// Reads all elements of an array; one that is missing counts as empty.
+// Reads all elements of an array; a missing array counts as empty.
 template <class T>
 bool read_elements(const Json* from, std::vector<T>& into) {
   if (from == nullptr) return true;
--- a/src/wire/members.h
+++ b/src/wire/members.h
@@ -1,7 +1,7 @@
 // The codec of the membership protocol: datagrams, and push-pulls by stream. A message is a header (magic
-// with the version, digest of the cluster's name, checksum) and a body in CBOR: arrays whose last fields are
-// left out where they hold their default. All lengths are bounded; a message that is not valid is rejected as
-// a whole.
+// with the version, digest of the cluster's name, checksum) and a body in CBOR: arrays whose trailing
+// fields are omitted where they hold their defaults. All lengths are bounded; an invalid message is
+// rejected completely.
 #pragma once
 
 #include <cstddef>
@@ -17,7 +17,7 @@
 constexpr std::uint8_t kVersion = 1;
 constexpr std::size_t kHeaderBytes = 4 + 4 + 8;
 constexpr std::size_t kLengthBytes = 4;                // before a push-pull, in network byte order
-constexpr std::size_t kMaxDatagramBytes = 1400;        // one packet in any network
+constexpr std::size_t kMaxDatagramBytes = 1400;        // fits into one packet on any network
 constexpr std::size_t kMaxPushPullBytes = 256 * 1024;  // of one side: some two thousand records
 constexpr std::size_t kMaxRecords = 4097;
 
@@ -32,8 +32,8 @@
 };
 [[nodiscard]] DecodedMessage decode(const std::string& cluster, std::string_view bytes);
 
-// One side of a push-pull: its length, then a message whose body is its records. Records that don't fit are
-// left out; gossip brings them.
+// One side of a push-pull: its length, then a message whose body is its records. Records that do not fit
+// are left out; gossip delivers them later.
 [[nodiscard]] std::string encode_push_pull(const std::string& cluster,
                                            const std::vector<damsonspoke::members::Record>& records);
 struct DecodedPushPull {
--- a/src/wire/rpc.cpp
+++ b/src/wire/rpc.cpp
@@ -16,13 +16,13 @@
 namespace {
 
 constexpr std::string_view kLineEnd = "\r\n";
-constexpr std::size_t kMaxHeaderBytes = 1024;     // the one field that counts takes 30
+constexpr std::size_t kMaxHeaderBytes = 1024;     // the only field that is read takes 30
 constexpr std::size_t kMaxFrameBodyBytes = 8192;  // a request's body in base64 with its fields is under 4 KiB
 constexpr std::size_t kMaxBodyBytes = 2 * 1024;   // as the protocol allows
 constexpr double kMaxSizeKb = 2000;               // as the protocol allows
 constexpr double kMaxUnixMs = 9e15;               // whole milliseconds that a double can hold
-constexpr double kMaxDurationMs = 24 * 3600 * 1000;  // nobody waits longer than a day
-constexpr double kIdBound = 9007199254740992.0;      // 2^53: from there on a number is no longer exact
+constexpr double kMaxDurationMs = 24 * 3600 * 1000;  // a day
+constexpr double kIdBound = 9007199254740992.0;      // 2^53: from there on a double is not exact
 constexpr double kMaxCaller = std::numeric_limits<std::uint32_t>::max();
 
 char to_lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c + ('a' - 'A')) : c; }
@@ -43,7 +43,7 @@
   return fmt::format("Content-Length: {}\r\n\r\n{}", body.size(), body);
 }
 
-// False: the line is no header field, or its length of the body is invalid or the second one.
+// False: the line is not a header field, or it gives an invalid or a second length of the body.
 bool read_header_field(std::string_view line, std::optional<std::size_t>& body_bytes) {
   const std::size_t colon = line.find(':');
   if (colon == std::string_view::npos) return false;
@@ -84,8 +84,8 @@
   return header;
 }
 
-// Reads the members of a request's params. A value of a wrong kind or out of range is passed over and
-// remembered, so that the id can still be found behind it.
+// Reads the members of a request's params. A value of a wrong kind or out of range is skipped and recorded
+// as invalid, so that the id can still be read after it.
 class ParamsReader {
  public:
   ParamsReader(JsonCursor& in, std::string_view key_param, RpcRequest& out)
@@ -94,7 +94,7 @@
   // Whether all values so far were valid.
   [[nodiscard]] bool are_valid() const { return are_valid_; }
 
-  // Takes the value of a member; false: the text is damaged.
+  // Reads the value of a member; false: the JSON text is invalid.
   bool read_member(std::string_view name) {
     if (name == "txn") return read_hex(out_.request_id, out_.has_request_id);
     if (name == "item") return read_hex(out_.subject, out_.has_subject);
@@ -141,7 +141,7 @@
     return in_.next_kind() == JsonKind::kBool ? in_.read_boolean(out) : skip_invalid();
   }
 
-  // Set or not: 0 or 1, as a number or as JSON's own words.
+  // Accepts 0 and 1 besides false and true.
   bool read_flag(bool& out) {
     if (in_.next_kind() == JsonKind::kBool) return in_.read_boolean(out);
     double value = 0;
@@ -177,7 +177,7 @@
   bool are_valid_ = true;
 };
 
-// Reads a message. As with params, a member of a wrong kind is passed over and remembered.
+// Reads a message. As with params, a member of a wrong kind is skipped and recorded as invalid.
 class RequestReader {
  public:
   RequestReader(std::string_view text, std::string_view key_param, RpcRequest& out)
@@ -194,7 +194,7 @@
   }
 
  private:
-  // False: the text is damaged.
+  // False: the JSON text is invalid.
   bool read_member(std::string_view name) {
     if (name == "jsonrpc") return read_version();
     if (name == "method") return read_method();
@@ -277,7 +277,7 @@
 }
 
 std::string encode_error(std::uint64_t id, RpcError code, std::string_view message) {
-  // Where the id can't be told, JSON-RPC answers with null.
+  // Where the id could not be read, JSON-RPC requires the id null.
   std::string text =
       id == 0 ? R"({"jsonrpc":"2.0","id":null)" : fmt::format(R"({{"jsonrpc":"2.0","id":{})", id);
   text += fmt::format(R"(,"error":{{"code":{},"message":)", static_cast<int>(code));
--- a/src/wire/runtime_lines.cpp
+++ b/src/wire/runtime_lines.cpp
@@ -17,7 +17,7 @@
   return std::nullopt;
 }
 
-// The following read the words of one kind of line; false where a word is not what it should be.
+// The following functions parse the tokens of one kind of line; false: a token is invalid.
 
 bool read_ready(const Tokens& tokens, Notice& out) {
   if (tokens.size() != 3) return false;
--- a/src/wire/runtime_lines.h
+++ b/src/wire/runtime_lines.h
@@ -1,4 +1,5 @@
-// What the runtime is told and tells, in lines (wire/lines.h). The words of the wire end here.
+// The codec of the protocol of the runtime, in lines (wire/lines.h). No other module uses the names of the
+// protocol.
 #pragma once
 
 #include <cstddef>
@@ -11,24 +12,24 @@
 
 namespace damsonspoke::wire {
 
-// kUnknown: a line that could be told from the next, but not used.
+// kUnknown: the line is complete but invalid.
 enum class NoticeKind {
   kReady,           // the runtime is up
-  kRunEnd,          // a run is over or was stopped
+  kRunEnd,          // a run has ended or was stopped
   kCallRequested,   // a run waits for a call to the dependency
-  kGauges,          // a reading that was asked for
-  kSelfTestResult,  // of a self-test that was asked for
+  kGauges,          // a requested reading
+  kSelfTestResult,  // of a requested self-test
   kRejection,       // of a command
-  kRemark,          // for people
+  kRemark,          // for operators
   kUnknown
 };
 // How a run ended. kUnknown: the runtime knows of no such run.
 enum class RunEnd { kComplete, kError, kCancelled, kUnknown };
 
-// A line of the runtime. Views are of the input: valid as long as that is.
+// A notice of the runtime. Its views are of the input: valid as long as that is.
 struct Notice {
   NoticeKind kind = NoticeKind::kUnknown;
-  std::uint64_t number = 0;  // of run ends, wanted calls and remarks
+  std::uint64_t number = 0;  // of run ends, requested calls and remarks
   std::uint64_t id = 0;      // of the request
   RunEnd end = RunEnd::kUnknown;
   bool is_cold = false;        // kReady
@@ -36,18 +37,18 @@
   std::uint64_t tag = 0;       // kGauges, kSelfTestResult: of the command that asked for it
   bool has_passed = false;     // kSelfTestResult
   std::vector<double> gauges;  // in the order of the platform's settings
-  std::string_view command;    // kRejection: its first word
+  std::string_view command;    // kRejection: its first token
   std::string_view body;       // kRunEnd: the result; kCallRequested: of the call
 };
 
-// One notice, as far as it has come.
+// One notice, as far as it was received.
 struct NoticeRead {
   LineState state = LineState::kNeedMore;
   std::size_t length = 0;  // of the notice, where it is complete
   Notice notice;
 };
 
-// The notice that the input begins with.
+// Parses the notice at the start of the input.
 [[nodiscard]] NoticeRead next_notice(std::string_view input);
 
 // Asks for the notices after this one; the runtime answers with a ready notice first.
@@ -59,7 +60,7 @@
 [[nodiscard]] std::string encode_call_reply(std::uint64_t id, std::string_view reply);
 // Resumes a run without its call. `notice`: the number of the notice that asked for the call.
 [[nodiscard]] std::string encode_skip_call(std::uint64_t id, std::uint64_t notice);
-// Asks for a reading of the gauges or a run of the self-test, to be answered under the tag.
+// Asks for a reading of the gauges or a run of the self-test; the response carries the tag.
 [[nodiscard]] std::string encode_gauges_request(std::uint64_t tag);
 [[nodiscard]] std::string encode_self_test(std::uint64_t tag);
 
--- a/src/wire/tier.cpp
+++ b/src/wire/tier.cpp
@@ -17,7 +17,7 @@
   kPong
 };
 
-constexpr std::string_view kMagic = "DSTP";  // begins a hello, so that another protocol is noticed at once
+constexpr std::string_view kMagic = "DSTP";  // begins a hello, so that another protocol is detected at once
 constexpr std::size_t kLengthBytes = 4;      // then the kind
 
 // Builds one frame. The header's length is filled in at the end.
