--- a/fuzz/ajp.cpp
+++ b/fuzz/ajp.cpp
@@ -1,5 +1,5 @@
-// AJP packets of both sides: what is read is read again as it was after it was written; an input that is cut
-// anywhere is needed whole; nothing that a peer announces makes anything large.
+// AJP packets of both directions: a decoded message survives encoding and decoding, a truncated packet
+// needs more input, and no announced length leads to a large allocation.
 #include "wire/ajp.h"
 
 #include <cstdlib>
@@ -8,8 +8,8 @@
 
 using namespace damsonspoke::wire::ajp;
 
-// Each begins with a packet for gateways or for servers, by its magic.
-void play(std::string_view input, From from, std::size_t max_bytes) {
+// `from`: the side whose magic the packets have.
+void check_packets(std::string_view input, From from, std::size_t max_bytes) {
   for (;;) {
     const Packet packet = next_packet(input, from, max_bytes);
     if (packet.state != Framing::kPacket) return;
@@ -21,8 +21,8 @@
       if (const auto message = decode_from_gateway(packet.payload)) {
         const std::string bytes = encode(*message);
         const Packet again = next_packet(bytes, from, kMaxPacketBytes);
-        // A header in its short form may be written in a longer one only where that was sent so: never
-        // longer.
+        // A header name in its coded form may be written in full only if it was sent so: the encoding is
+        // never longer.
         if (again.state != Framing::kPacket || decode_from_gateway(again.payload) != message) std::abort();
       }
       if (const auto piece = decode_body(packet.payload)) {
@@ -31,7 +31,8 @@
         if (again.state != Framing::kPacket || decode_body(again.payload) != piece) std::abort();
       }
     } else if (const auto message = decode_from_server(packet.payload)) {
-      // Reasons and values are cleaned when they are written: what was clean before stays as it is.
+      // Reasons and values are written without control characters: the second encoding must equal the
+      // first.
       const std::string once = encode(*message);
       const auto read = decode_from_server(next_packet(once, from, kMaxPacketBytes).payload);
       if (!read || encode(*read) != once) std::abort();
@@ -45,8 +46,8 @@
 extern "C" int LLVMFuzzerTestOneInput(const unsigned char* data, std::size_t size) {
   const std::string_view input(reinterpret_cast<const char*>(data), size);
   for (const From from : {From::kGateway, From::kServer}) {
-    play(input, from, kDefaultPacketBytes);
-    play(input, from, kMaxPacketBytes);
+    check_packets(input, from, kDefaultPacketBytes);
+    check_packets(input, from, kMaxPacketBytes);
   }
   return 0;
 }
--- a/fuzz/catalog.cpp
+++ b/fuzz/catalog.cpp
@@ -1,5 +1,5 @@
-// Lines of the catalog's files: whatever is read is written and read again as the same entry, and no change
-// leaves a catalog with sums that are not those of its entries.
+// Lines of the catalog's files: each decoded change survives encoding and decoding, and no change leaves a
+// catalog whose sums differ from those of its entries.
 #include "catalog/catalog.h"
 
 #include <cmath>
@@ -19,7 +19,7 @@
     const Change change = decode_change(line);
     const std::string again = encode_change(change);
     if (describe(decode_change(without_end(again))) != describe(change)) std::abort();
-    static_cast<void>(catalog.apply(change));  // either result leaves the sums right
+    static_cast<void>(catalog.apply(change));  // accepted or rejected, the sums must stay right
   } catch (const CodecError&) {
     return;
   }
--- a/fuzz/control_lines.cpp
+++ b/fuzz/control_lines.cpp
@@ -1,5 +1,5 @@
-// The control socket's lines: a question that is whole is read again as it was, wherever the input is cut; an
-// answer is never longer than its bound.
+// Lines of the control socket: a complete query survives encoding and decoding, wherever the input is
+// truncated, and a response is never longer than its bound.
 #include <cstdlib>
 #include <string_view>
 
--- a/fuzz/below_lines.cpp
+++ b/fuzz/dependency_lines.cpp
@@ -1,8 +1,8 @@
-// Replies of the layer below: each takes something and stays inside the input.
-#include <cstdlib>
-
+// Replies of the dependency: each consumes at least a byte and stays inside the input.
 #include "wire/dependency_lines.h"
 
+#include <cstdlib>
+
 extern "C" int LLVMFuzzerTestOneInput(const unsigned char* data, std::size_t size) {
   using namespace damsonspoke::wire;
   std::string_view input(reinterpret_cast<const char*>(data), size);
--- a/fuzz/knowledge.cpp
+++ b/fuzz/knowledge.cpp
@@ -1,5 +1,5 @@
-// A record of knowledge, sealed and not: any bytes are refused or read, and what is derived from them is
-// sensible.
+// Records of learned statistics, with and without a checksum: any input is rejected or decoded, and the
+// prior that is derived from it is plausible.
 #include <cstdlib>
 
 #include "statistics/prior.h"
--- a/fuzz/members.cpp
+++ b/fuzz/members.cpp
@@ -1,4 +1,5 @@
-// What members send: whatever is read is written and read again the same, and a view takes it without harm.
+// Messages of members: a decoded message survives encoding and decoding, and a view stays consistent after
+// handling it.
 #include "wire/members.h"
 
 #include <cstdlib>
@@ -9,7 +10,7 @@
 
 namespace {
 
-struct Nowhere : damsonspoke::members::MembershipSink {
+struct DiscardingSink : damsonspoke::members::MembershipSink {
   void send(const std::string&, const damsonspoke::members::Message& message) override {
     if (damsonspoke::wire::members::encode("c", message).size() >
         damsonspoke::wire::members::kMaxDatagramBytes)
@@ -38,8 +39,8 @@
   for (std::size_t i = 0; i < second.message.records.size(); ++i) {
     if (!(second.message.records[i] == read.message.records[i])) std::abort();
   }
-  Nowhere nowhere;
-  MembershipView view({}, {"self", "127.0.0.1:1", 1000}, {}, 1, nowhere);
+  DiscardingSink sink;
+  MembershipView view({}, {"self", "127.0.0.1:1", 1000}, {}, 1, sink);
   view.start(0);
   for (double now = 0; now < 3; now += 0.05) {
     if (now >= view.next_timer_at()) view.on_timer(now);
--- a/fuzz/operator_file.cpp
+++ b/fuzz/operator_file.cpp
@@ -1,5 +1,5 @@
-// The operators' file: any bytes give errors or values; what `show` prints of values reads back without
-// errors.
+// The operators' file: any input gives errors or values, and the output of `config show` for the values
+// parses without errors.
 #include "settings/operator_file.h"
 
 #include <cstdlib>
--- a/fuzz/planner_lists.cpp
+++ b/fuzz/planner_lists.cpp
@@ -1,5 +1,5 @@
-// The lists of planners that a forwarder kept: any bytes are refused or read within their bounds, and what
-// was read is written and read again as it was.
+// The lists of planners that a forwarder has stored: any input is rejected or decoded within the bounds,
+// and a decoded record survives encoding and decoding.
 #include <cstdlib>
 
 #include "tier/endpoint_list_history.h"
--- a/fuzz/replay/replay.cpp
+++ b/fuzz/replay/replay.cpp
@@ -1,5 +1,5 @@
-// Plays a fuzz target without a fuzzer: each input of its corpus, then inputs made of them by a few seeded
-// changes. The same inputs each time, so the same verdict. usage: replay FOLDER SPOILT
+// Runs a fuzz target without a fuzzer: each input of its corpus, then mutations of them. Both are the same
+// on each run, so the result is too. usage: replay FOLDER MUTATIONS
 #include <algorithm>
 #include <cstdio>
 #include <cstdlib>
@@ -14,11 +14,11 @@
 
 namespace {
 
-void play(const std::string& input) {
+void run_target(const std::string& input) {
   LLVMFuzzerTestOneInput(reinterpret_cast<const unsigned char*>(input.data()), input.size());
 }
 
-std::string spoilt(std::string text, const std::string& other, pcg32& random) {
+std::string mutated(std::string text, const std::string& other, pcg32& random) {
   for (unsigned n = 1 + random() % 4; n > 0; --n) {
     if (text.empty()) text.push_back(static_cast<char>(random()));
     const std::size_t at = random() % text.size();
@@ -45,13 +45,13 @@
   for (const auto& path : paths) {
     std::ifstream in(path, std::ios::binary);
     corpus.emplace_back(std::istreambuf_iterator<char>(in), std::istreambuf_iterator<char>());
-    play(corpus.back());
+    run_target(corpus.back());
   }
   if (corpus.empty()) return std::fprintf(stderr, "no corpus in %s\n", argv[1]), 1;
   pcg32 random(29);
   const int count = std::atoi(argv[2]);
   for (int i = 0; i < count; ++i)
-    play(spoilt(corpus[random() % corpus.size()], corpus[random() % corpus.size()], random));
-  std::printf("%zu kept inputs and %d spoilt ones\n", corpus.size(), count);
+    run_target(mutated(corpus[random() % corpus.size()], corpus[random() % corpus.size()], random));
+  std::printf("%zu corpus inputs and %d mutated ones\n", corpus.size(), count);
   return 0;
 }
--- a/fuzz/rpc.cpp
+++ b/fuzz/rpc.cpp
@@ -1,5 +1,5 @@
-// Callers' frames and requests: never read past the input, bounded bodies, and no request out of what is cut
-// short.
+// Frames and requests of callers: no read past the input, bounded bodies, and no frame from truncated
+// input.
 #include "wire/rpc.h"
 
 #include <cstdlib>
--- a/fuzz/runtime_lines.cpp
+++ b/fuzz/runtime_lines.cpp
@@ -1,4 +1,5 @@
-// The runtime's notices: each takes something, stays inside the input, and reads the same when more follows.
+// Notices of the runtime: each consumes at least a byte, stays inside the input, and decodes to the same
+// kind without the input that follows.
 #include "wire/runtime_lines.h"
 
 #include <cstdlib>
--- a/fuzz/tier.cpp
+++ b/fuzz/tier.cpp
@@ -1,5 +1,5 @@
-// Messages between forwarders and planners: what is read is what is written again, wherever the input ends,
-// and no length makes anything large.
+// Messages between forwarders and planners: a decoded message is encoded to the same bytes, a truncated
+// frame needs more input, and no length leads to a large allocation.
 #include "wire/tier.h"
 
 #include <cstdlib>
--- a/tests/ajp.cpp
+++ b/tests/ajp.cpp
@@ -1,5 +1,5 @@
-// AJP without sockets: packets made by hand, round trips, operators' table, and how fronts share. CTest
-// compares with tests/traces/ajp_NAME.txt. usage: ajp SCENARIO
+// AJP without sockets: packets made by hand, round trips, the operators' table, and how listeners share
+// connections. CTest compares with tests/traces/ajp_NAME.txt. usage: ajp SCENARIO
 #include "wire/ajp.h"
 
 #include <fmt/format.h>
@@ -22,12 +22,12 @@
 
 std::string_view payload(const std::string& packet) { return std::string_view(packet).substr(4); }
 const char* name_of(wa::Framing framing) {
-  return framing == wa::Framing::kPacket ? "whole" : framing == wa::Framing::kNeedMore ? "more" : "broken";
+  return framing == wa::Framing::kPacket ? "complete" : framing == wa::Framing::kNeedMore ? "more" : "broken";
 }
 
 void request(const char* what, const std::string& packet) {
   const auto message = wa::decode_from_gateway(payload(packet));
-  if (!message) return fmt::print("{}: refused\n", what);
+  if (!message) return fmt::print("{}: invalid\n", what);
   if (std::holds_alternative<wa::Shutdown>(*message)) return fmt::print("{}: shutdown\n", what);
   if (std::holds_alternative<wa::Ping>(*message)) return fmt::print("{}: ping\n", what);
   if (std::holds_alternative<wa::CPing>(*message)) return fmt::print("{}: cping\n", what);
@@ -40,7 +40,7 @@
   fmt::print("\n");
 }
 
-// By the description, byte by byte.
+// Packets made byte by byte according to the description.
 void packets() {
   const std::string sound = bare::forward(
       {4, "/a/b", {{"content-length", "5"}, {"X-Thing", "7"}}, "q=1", "word", {{"AJP_REMOTE_PORT", "9"}}});
@@ -51,8 +51,8 @@
            std::string("\x00\x50\x01\x00\x01\xa0\x0b\x00\x01h\x00", 11);
   const std::string head = bytes;
   bytes += std::string("\x0d\x00\x05PATCH\x00\x0b\x01\x00\xff", 13);
-  request("a stored method, no strings, a coded name, a key size", bare::packet(bytes));
-  request("a stored method that is not there", bare::packet(head + "\xff"));
+  request("a stored method, no strings, a coded header name, a key size", bare::packet(bytes));
+  request("a missing stored method", bare::packet(head + "\xff"));
   request("two stored methods", bare::packet(head + std::string("\x0d\x00\x01"
                                                                 "A\x00\x0d\x00\x01"
                                                                 "B\x00\xff",
@@ -66,13 +66,13 @@
   request("bytes after the end", bare::packet(head + "\xff\x01"));
   std::string modified = head + "\xff";
   modified[1] = '\x1c';
-  request("a method that nobody knows", bare::packet(modified));
+  request("an unknown method", bare::packet(modified));
   modified = head + "\xff";
   modified[modified.find("\xa0\x0b") + 1] = '\x0f';
-  request("a header that nobody knows", bare::packet(modified));
+  request("an unknown header", bare::packet(modified));
   modified = head + "\xff";
   modified[modified.find("\x01\xa0\x0b") - 1] = '\x7f';
-  request("32513 headers announced", bare::packet(modified));
+  request("32513 announced headers", bare::packet(modified));
   bare::Request many;
   for (int i = 0; i < 64; ++i) many.headers.emplace_back("h", "v");
   request("64 headers", bare::forward(many).substr(0, 0) + bare::forward(many));
@@ -87,34 +87,34 @@
   request("shutdown", bare::packet("\x07"));
   request("ping", bare::packet("\x08"));
   request("cping", bare::cping());
-  request("what servers send", bare::packet("\x05\x01"));
-  request("nothing", bare::packet(""));
+  request("a packet of a server", bare::packet("\x05\x01"));
+  request("an empty payload", bare::packet(""));
   const auto framing = [](const char* what, std::string_view input,
                           std::size_t max_bytes = wa::kDefaultPacketBytes,
                           wa::From from = wa::From::kGateway) {
     fmt::print("{}: {}\n", what, name_of(wa::next_packet(input, from, max_bytes).state));
   };
   framing("a packet", sound);
-  framing("all but its last byte", std::string_view(sound).substr(0, sound.size() - 1));
+  framing("a packet without its last byte", std::string_view(sound).substr(0, sound.size() - 1));
   framing("a server's magic", "A");
-  framing("half a magic and something else", "\x12\x35");
+  framing("a magic with a wrong second byte", "\x12\x35");
   framing("8188 bytes in 8 KiB", std::string("\x12\x34\x1f\xfc", 4) + std::string(8188, 'x'));
   framing("8189 bytes in 8 KiB", std::string("\x12\x34\x1f\xfd", 4));
-  framing("the longest", std::string("\x12\x34\xff\xfc", 4), wa::kMaxPacketBytes);
-  framing("longer", std::string("\x12\x34\xff\xfd", 4), wa::kMaxPacketBytes);
+  framing("the maximum length", std::string("\x12\x34\xff\xfc", 4), wa::kMaxPacketBytes);
+  framing("above the maximum length", std::string("\x12\x34\xff\xfd", 4), wa::kMaxPacketBytes);
   const auto piece = [](const char* what, const std::string& packet) {
     const auto got = wa::decode_body(payload(packet));
-    fmt::print("{}: {}\n", what, got ? fmt::format("{} bytes", got->size()) : "refused");
+    fmt::print("{}: {}\n", what, got ? fmt::format("{} bytes", got->size()) : "invalid");
   };
   piece("a piece", bare::body("abc"));
   piece("the end", bare::body(""));
   piece("a piece of no bytes", bare::packet(std::string("\x00\x00", 2)));
-  piece("shorter than it says", bare::packet(std::string("\x00\x05"
-                                                         "abc",
-                                                         5)));
-  piece("longer than it says", bare::packet(std::string("\x00\x01"
-                                                        "abc",
-                                                        5)));
+  piece("shorter than its length", bare::packet(std::string("\x00\x05"
+                                                            "abc",
+                                                            5)));
+  piece("longer than its length", bare::packet(std::string("\x00\x01"
+                                                           "abc",
+                                                           5)));
 }
 
 std::string text(pcg32& random, std::size_t max_bytes) {
@@ -123,7 +123,7 @@
   return out;
 }
 
-// Whatever one end writes, the other reads; cut anywhere, more is needed.
+// Each message that one side encodes is decoded by the other; any truncated packet needs more input.
 void round_trips() {
   pcg32 random(11);
   int gateways = 0, servers = 0, mismatches = 0;
@@ -174,10 +174,11 @@
              mismatches);
   const auto read = wa::decode_from_server(
       payload(wa::encode(wa::SendHeaders{200, "a\r\nb", {{"x", "v\r\nset-cookie: 1"}}})));
-  fmt::print("line ends in a value are written as '{}'\n", std::get<wa::SendHeaders>(*read).headers[0].value);
+  fmt::print("a value with line ends is written as '{}'\n",
+             std::get<wa::SendHeaders>(*read).headers[0].value);
 }
 
-// What the stand-in gateway's own reader makes of what we write.
+// How the stand-in gateway's own reader decodes our packets.
 void answers() {
   std::string bytes = wa::encode(wa::SendHeaders{
                           503, "Service Unavailable", {{"retry-after", "2"}, {"content-length", "0"}}}) +
@@ -199,7 +200,7 @@
                                              "ab\x01",
                                              6),
                                  std::string("\x05\x02", 2), std::string("\x0a", 1)})
-    fmt::print("{}", wa::decode_from_server(one) ? "taken " : "refused ");
+    fmt::print("{}", wa::decode_from_server(one) ? "valid " : "invalid ");
   fmt::print("\n");
 }
 
@@ -245,9 +246,9 @@
     const auto found = match(table, method, path);
     if (const auto* none = std::get_if<AjpNoMatch>(&found)) {
       return fmt::print("{} {}: {}\n", method, path,
-                        *none == AjpNoMatch::kPath     ? "nothing there"
-                        : *none == AjpNoMatch::kMethod ? "not so"
-                                                       : "not to be read");
+                        *none == AjpNoMatch::kPath     ? "unmapped path"
+                        : *none == AjpNoMatch::kMethod ? "unmapped method"
+                                                       : "invalid path");
     }
     const auto& matched = std::get<AjpMatch>(found);
     fmt::print("{} {}: {}", method, path, matched.route->route);
@@ -277,31 +278,32 @@
   const auto take = [&](const char* when, std::initializer_list<std::size_t> listeners) {
     fmt::print("{}:", when);
     for (const std::size_t listener : listeners)
-      fmt::print(" the {} takes {}", listener == 0 ? "first" : "second", open_all(listener));
+      fmt::print(" the {} opens {}", listener == 0 ? "first" : "second", open_all(listener));
     fmt::print("\n");
   };
-  take("the second front first", {1, 0, 1});
+  take("the second listener first", {1, 0, 1});
   for (int i = 0; i < 30; ++i) one.on_closed(1);
-  take("thirty of the second go", {0, 1});
+  take("thirty of the second close", {0, 1});
   for (int i = 0; i < 200; ++i) one.on_closed(0), one.on_closed(1);
-  fmt::print("all go, and some more ends are told: open {} and {}\n", one.open_count(0), one.open_count(1));
-  take("the first front first", {0, 1, 0});
+  fmt::print("all close, and more closes are reported: open {} and {}\n", one.open_count(0),
+             one.open_count(1));
+  take("the first listener first", {0, 1, 0});
   const auto read = [&](std::size_t listener, int wanted, double now) {
     int count = 0;
     for (int i = 0; i < wanted; ++i) count += one.try_read(listener, now);
     return count;
   };
-  fmt::print("alone, a front reads {} of 1000\n", read(1, 1000, 1));
-  fmt::print("the first comes in the same period: {} of 1000\n", read(0, 1000, 1.005));
+  fmt::print("alone, a listener reads {} of 1000\n", read(1, 1000, 1));
+  fmt::print("the first one reads in the same period: {} of 1000\n", read(0, 1000, 1.005));
   const int second = read(1, 1000, 1.012), first = read(0, 1000, 1.012);
   fmt::print("in the next one: {} and {}\n", second, first);
   fmt::print("before it ends: {} and {}, again at {:.3f}\n", read(1, 9, 1.021), read(0, 9, 1.021),
              one.next_period_at());
-  fmt::print("the first rests, two periods on: {}\n", read(1, 1000, 1.05));
+  fmt::print("the first one is idle, two periods later: {}\n", read(1, 1000, 1.05));
   conns::ConnectionQuota small(2, {0.5, 0.25});
-  fmt::print("two places: floors of {} and {}\n", small.guaranteed(0), small.guaranteed(1));
+  fmt::print("two places: guaranteed {} and {}\n", small.guaranteed(0), small.guaranteed(1));
   conns::ConnectionQuota smallest(1, {0.5, 0.25});
-  fmt::print("one place: floors of {} and {}, room {} and {}\n", smallest.guaranteed(0),
+  fmt::print("one place: guaranteed {} and {}, capacity {} and {}\n", smallest.guaranteed(0),
              smallest.guaranteed(1), smallest.has_capacity(0), smallest.has_capacity(1));
 }
 
--- a/tests/ajp_below.cpp
+++ b/tests/ajp_dependency.cpp
@@ -1,5 +1,6 @@
-// Calls below by AJP against a scripted server on a bare socket: what each end of a call proves, and what a
-// server may not do. CTest compares with tests/traces/ajp_below.txt. usage: ajp_below
+// Calls to a dependency by AJP, against a scripted server on a bare socket: what each end of a call proves,
+// and which behavior of the server is invalid. CTest compares with tests/traces/ajp_dependency.txt. usage:
+// ajp_dependency
 #include <fmt/format.h>
 
 #include <csignal>
@@ -20,9 +21,9 @@
 const char* name_of(Outcome outcome) {
   switch (outcome) {
     case Outcome::kOk: return "ok";
-    case Outcome::kRejected: return "turned away, never ran";
-    case Outcome::kUnreachable: return "never reached, never ran";
-    case Outcome::kTimeout: return "patience over, may have run";
+    case Outcome::kRejected: return "rejected, never ran";
+    case Outcome::kUnreachable: return "unreachable, never ran";
+    case Outcome::kTimeout: return "timed out, may have run";
     case Outcome::kReset: return "broken, may have run";
     case Outcome::kError: return "failed, may have run";
     default: return "something else";
@@ -50,16 +51,16 @@
   void run_for(double seconds) {
     stepped.run_for([&] { loop.run_for(seconds); });
   }
-  // One call, to its end or for so long; how it ended and when.
+  // Makes one call and waits for its end, for 2 s at most; returns how and when it ended.
   std::string call(RequestId id, double timeout = 0.4, const std::string& body = "body") {
     const double began = now();
     dependency->call(id, timeout, body);
     for (int i = 0; i < 200 && !ends.contains(id); ++i) run_for(0.01);
     if (!ends.contains(id)) return "no end";
-    return fmt::format("{}, {}", ends[id], now() - began < timeout * 0.9 ? "at once" : "in its time");
+    return fmt::format("{}, {}", ends[id], now() - began < timeout * 0.9 ? "at once" : "at its timeout");
   }
   SteppedReactor stepped;
-  standins::Loop loop;  // the server's, on this thread
+  standins::Loop loop;  // of the server, on this thread
   standins::AjpServer server;
   Counters counters;
   Logger log;
@@ -76,19 +77,19 @@
 }
 
 void answers() {
-  run_one("a whole answer", head(200) + piece("done") + kEnd);
+  run_one("a complete answer", head(200) + piece("done") + kEnd);
   run_one("in many pieces", head(200) + piece(std::string(8000, 'x')) + piece(std::string(8000, 'x')) + kEnd);
-  run_one("a connection that ends with it", head(200) + piece("done") + kLastEnd);
+  run_one("a connection that closes after it", head(200) + piece("done") + kLastEnd);
   run_one("503", head(503) + kEnd);
   run_one("500", head(500) + piece("why") + kEnd);
-  run_one("a piece is asked for",
+  run_one("a piece is requested",
           bare::packet(std::string("\6\1\0", 3), "AB") + head(200) + piece("done") + kEnd);
-  run_one("closed, nothing said", "!");
-  run_one("closed in the middle", head(200) + piece("do") + "!");
-  run_one("nothing said", "");
+  run_one("closed without an answer", "!");
+  run_one("closed inside an answer", head(200) + piece("do") + "!");
+  run_one("no answer", "");
   run_one("stalls inside a piece", head(200) + piece("done").substr(0, 7));
   run_one("stalls after a piece", head(200) + piece("done"));
-  run_one("stalls while there is much time", head(200) + piece("done"), 2);
+  run_one("stalls with a long timeout", head(200) + piece("done"), 2);
   run_one("a piece before the head", piece("done") + kEnd);
   run_one("two heads", head(200) + head(200) + kEnd);
   run_one("an end before the head", kEnd);
@@ -97,7 +98,7 @@
   run_one("no AJP at all", "HTTP/1.1 200 OK\r\n\r\n");
   std::string much = head(200);
   for (int i = 0; i < 9; ++i) much += piece(std::string(8000, 'x'));
-  run_one("more than may be", much + kEnd);
+  run_one("an answer beyond the limit", much + kEnd);
 }
 
 void connections() {
@@ -112,14 +113,15 @@
     fmt::print("a ping that is not answered: {}, connections {}, requests {}\n", scenario.call(3, 1),
                scenario.server.accepted, scenario.server.requests);
     scenario.run_for(0.7);
-    fmt::print("nor in its time: {}, requests {}\n", scenario.call(4, 0.1), scenario.server.requests);
+    fmt::print("the same with a short timeout: {}, requests {}\n", scenario.call(4, 0.1),
+               scenario.server.requests);
     scenario.server.closes_unread = true;
     scenario.server.hang_up();
     scenario.run_for(0.1);
-    fmt::print("closed meanwhile, and whenever one connects: {}\n", scenario.call(5));
+    fmt::print("closed while idle, and after each connect: {}\n", scenario.call(5));
     scenario.server.stop_listening();
     scenario.run_for(0.1);
-    fmt::print("nobody listens: {}\n", scenario.call(6));
+    fmt::print("no listener: {}\n", scenario.call(6));
   }
   Scenario scenario(2);
   scenario.server.answer = "";
@@ -131,29 +133,29 @@
   fmt::print("two connections, four calls; the third waits: {}\n", scenario.ends[3]);
   scenario.server.answer = head(200) + piece("done") + kEnd;
   scenario.run_for(0.2);
-  fmt::print("the first: {}; the fourth, when there is room: {}\n", scenario.ends[1], scenario.ends[4]);
+  fmt::print("the first: {}; the fourth, on a free connection: {}\n", scenario.ends[1], scenario.ends[4]);
   scenario.server.answer = "";
   scenario.dependency->call(5, 0.5, "e");
   scenario.run_for(0.05);
   scenario.dependency->cancel(5);
   scenario.server.answer = head(200) + piece("done") + kEnd;
-  fmt::print("one that is given up has no end: {}; the next one is served: {}\n",
+  fmt::print("one that is cancelled has no end: {}; the next one is served: {}\n",
              scenario.ends.contains(5) ? "SOME" : "none", scenario.call(6));
 }
 
-// Guards against a call that is made twice, or taken for never made: the server closes a connection that has
-// just carried a call as the next one is given to it.
+// Guards against a call that is made twice, or reported as never made: the server closes a connection that
+// has just carried a call while it is reused for the next one.
 void reuse() {
   {
     Scenario scenario;
     scenario.call(1);
-    scenario.server.hang_up();  // nobody here has read the end yet
+    scenario.server.hang_up();  // its end was not read yet
     fmt::print("closed before the next call: {}; connections {}, requests {}\n", scenario.call(2),
                scenario.server.accepted, scenario.server.requests);
   }
   Scenario scenario;
   scenario.call(1);
-  scenario.dependency->call(2, 0.4, "body");  // written at once, on the connection that is there
+  scenario.dependency->call(2, 0.4, "body");  // written at once, on the open connection
   scenario.server.hang_up();
   scenario.run_for(0.6);
   fmt::print("closed as the next call was written: {}; connections {}, requests read {}\n", scenario.ends[2],
--- a/tests/ajp_program.cpp
+++ b/tests/ajp_program.cpp
@@ -1,6 +1,6 @@
-// A relay with both fronts: an AJP gateway and callers of its own among stand-ins, and scripts that send what
-// no gateway should. The checker of the rules reads what both saw. CTest compares with
-// tests/traces/ajp_program_NAME.txt. usage: ajp_program BINARY SCENARIO
+// A backend with both listeners: an AJP gateway and direct callers among stand-ins, and scripts that send
+// input that no gateway should send. The rule checker evaluates what both sides observed. CTest compares
+// with tests/traces/ajp_program_NAME.txt. usage: ajp_program BINARY SCENARIO
 #include <fmt/format.h>
 #include <sqlite3.h>
 
@@ -49,7 +49,7 @@
     s.sockets = sockets;
     return s;
   }
-  // So many things a second of each type.
+  // So many requests per second of each type.
   static AjpGateway::Options gateway_load(double reads, double closes, int connections) {
     AjpGateway::Options o;
     if (reads > 0) o.flows.push_back({"read", reads, 1});
@@ -84,9 +84,9 @@
     return counters.contains(name) ? counters.at(name) : 0;
   }
   void end() {
-    say("all tries end", settle());
+    say("all attempts end", settle());
     say("no invariant broken", count("invariants.broken") == 0);
-    say("leaves in order", server.leave());
+    say("shuts down gracefully", server.leave());
     rules();
   }
   void rules() {
@@ -102,7 +102,7 @@
   Callers callers;
   Server server;
   std::uint16_t port = 0;
-  int survivable_runs = 16;  // requests that the runtime survives at once
+  int survivable_runs = 16;  // runs that the runtime survives at once
 };
 
 struct Script : AjpScript {
@@ -124,26 +124,26 @@
 }
 void print_answer(const char* what, const std::string& answer) { fmt::print("{}: {}\n", what, answer); }
 
-// What a request comes to, one connection for as long as it may be used.
+// How each kind of message is answered, on one connection while that may be reused.
 void served() {
   Scenario scenario;
   Script one(scenario);
   print_answer("a ping", one.send(bare::cping()).answer());
-  print_answer("an op", one.send(bare::forward(post("/ops/read", 3)) + bare::body("abc")).answer());
-  print_answer("an op without a body", one.send(bare::forward(post("/ops/read"))).answer());
+  print_answer("a request", one.send(bare::forward(post("/ops/read", 3)) + bare::body("abc")).answer());
+  print_answer("a request without a body", one.send(bare::forward(post("/ops/read"))).answer());
   print_answer("health", one.send(bare::forward(get("/health"))).answer());
-  print_answer("nothing there", one.send(bare::forward(get("/nothing"))).answer());
-  print_answer("another method", one.send(bare::forward(get("/ops/read"))).answer());
-  print_answer("a path that may be read twice", one.send(bare::forward(post("/ops/../ops/read"))).answer());
-  print_answer("no wait that can be",
+  print_answer("an unmapped path", one.send(bare::forward(get("/nothing"))).answer());
+  print_answer("an unmapped method", one.send(bare::forward(get("/ops/read"))).answer());
+  print_answer("an ambiguous path", one.send(bare::forward(post("/ops/../ops/read"))).answer());
+  print_answer("an invalid timeout",
                one.send(bare::forward(post("/ops/read", 0, {{"x-wait-ms", "soon"}}))).answer());
-  print_answer("its connection serves on",
+  print_answer("the connection is still usable",
                one.send(bare::forward(post("/ops/close", 3)) + bare::body("abc")).answer());
   Script pieces(scenario);
   print_answer(
       "a body in two pieces",
       pieces.send(bare::forward(post("/ops/read", 6)) + bare::body("abc")).send(bare::body("def")).answer());
-  print_answer("one without a length",
+  print_answer("a body without a length",
                pieces
                    .send(bare::forward(post("/ops/read", 0, {{"transfer-encoding", "chunked"}})) +
                          bare::body("abc") + bare::body(""))
@@ -152,7 +152,7 @@
                pieces.send(bare::forward(post("/ops/read")) + bare::forward(post("/ops/close"))).answer());
   print_answer("the second", pieces.answer());
   Script unread(scenario);
-  print_answer("nothing there, with a body",
+  print_answer("an unmapped path, with a body",
                unread.send(bare::forward(post("/nothing", 3)) + bare::body("abc")).answer());
   say("then closed", unread.closed());
   const auto alone = [&](const char* what, const std::string& bytes) {
@@ -163,25 +163,25 @@
   alone("a server's magic", bare::packet("\x05\x01", "AB"));
   alone("JSON", "Content-Length: 2\r\n\r\n{}");
   alone("shutdown", bare::packet("\x07"));
-  alone("a packet that can't be read", bare::packet("\x02\x04zzz"));
+  alone("an invalid packet", bare::packet("\x02\x04zzz"));
   alone("two lengths", bare::forward(post("/ops/read", 3, {{"content-length", "4"}})));
   alone("a length and chunks", bare::forward(post("/ops/read", 3, {{"transfer-encoding", "chunked"}})));
   alone("another encoding", bare::forward(post("/ops/read", 0, {{"transfer-encoding", "gzip"}})));
   alone(
       "two encodings",
       bare::forward(post("/ops/read", 0, {{"transfer-encoding", "chunked"}, {"transfer-encoding", "gzip"}})));
-  alone("a length that is none", bare::forward(post("/ops/read", 0, {{"content-length", "-1"}})));
+  alone("an invalid length", bare::forward(post("/ops/read", 0, {{"content-length", "-1"}})));
   alone("a body shorter than announced",
         bare::forward(post("/ops/read", 9)) + bare::body("abc") + bare::body(""));
-  alone("a piece beyond what was announced", bare::forward(post("/ops/read", 2)) + bare::body("abc"));
-  alone("more than a body may be, announced", bare::forward(post("/ops/read", 3000)));
-  alone("more than it may be, by chunks",
+  alone("a piece beyond the announced length", bare::forward(post("/ops/read", 2)) + bare::body("abc"));
+  alone("an announced length beyond the limit", bare::forward(post("/ops/read", 3000)));
+  alone("a chunked body beyond the limit",
         bare::forward(post("/ops/read", 0, {{"transfer-encoding", "chunked"}})) +
             bare::body(std::string(2049, 'x')));
   scenario.end();
 }
 
-// Announced at 2 KiB, sent at 60 MB: it is cut off, and no memory goes into it.
+// A body of 60 MB that was announced as 2 KiB: it is cut off, and no memory is used for it.
 void flood_body() {
   Scenario scenario;
   const long before = scenario.server.process->resident_kb();
@@ -192,13 +192,13 @@
   for (int i = 0; i < 7500; ++i) all += piece;
   print_answer("sixty megabytes", script.send(all).answer());
   say("closed", script.closed());
-  say("no memory went into it", scenario.server.process->resident_kb() - before < 4096);
+  say("it used no memory", scenario.server.process->resident_kb() - before < 4096);
   Script other(scenario);
-  print_answer("others are served", other.send(bare::forward(post("/ops/read"))).answer());
+  print_answer("other connections are served", other.send(bare::forward(post("/ops/read"))).answer());
   scenario.end();
 }
 
-// Halves: of a head, of a body, of a piece that was asked for, one byte at a time.
+// Incomplete headers, bodies and requested pieces, and input of one byte at a time.
 void stalls() {
   Scenario scenario;
   Script head(scenario), body(scenario), first_piece(scenario), drips(scenario), silent(scenario);
@@ -215,18 +215,18 @@
   };
   drip();
   const double began = now();
-  print_answer("half a head", head.answer(4));
+  print_answer("incomplete headers", head.answer(4));
   print_answer("no body", body.answer(4));
-  print_answer("no further piece", first_piece.answer(4));
+  print_answer("no second piece", first_piece.answer(4));
   std::string last = drips.answer(4);
-  print_answer("a byte now and then", last.substr(last.size() > 12 ? last.size() - 12 : 0));
+  print_answer("a byte every 0.1 s", last.substr(last.size() > 12 ? last.size() - 12 : 0));
   dripping = false;
   say("all within two seconds", now() - began < 2.2);
-  say("nothing at all: closed", silent.closed(3));
+  say("no input: closed", silent.closed(3));
   scenario.end();
 }
 
-// The notice to leave while heads and bodies are half read, requests are open and connections idle.
+// Shutdown notice while headers and bodies are half read, requests are in flight and connections are idle.
 void drains() {
   Scenario scenario(5, 0, Scenario::gateway_load(5, 0, 8), 0.1);
   Script body(scenario), head(scenario), open(scenario), idle(scenario);
@@ -238,15 +238,15 @@
   open.send(bare::forward(post("/ops/close", 3)) + bare::body("abc"));
   scenario.loop.run_for(0.03);
   scenario.server.notice();
-  print_answer("what was open is answered, and its connection ends", open.answer());
+  print_answer("the request in flight is answered, and its connection closes", open.answer());
   say("an idle connection is closed", idle.closed(0.5));
-  print_answer("half a body", body.answer(1.9));
-  print_answer("half a head", head.answer(1.9));
-  say("leaves in order", scenario.server.ended());
+  print_answer("an incomplete body", body.answer(1.9));
+  print_answer("incomplete headers", head.answer(1.9));
+  say("shuts down gracefully", scenario.server.ended());
   scenario.rules();
 }
 
-// A keyed request whose run has ended in time, and whose result can't be written until the program has gone.
+// A keyed request whose run ends in time, and whose result cannot be stored until the program has ended.
 void result_held_at_stop() {
   SiteSpec spec;
   spec.types = {{"close", "dedup", 1, 5, 20, 1}};
@@ -264,19 +264,20 @@
   AjpScript one(loop, static_cast<std::uint16_t>(std::atoi(line.substr(line.rfind(' ') + 1).c_str())));
   one.send(bare::forward(post("/ops/close", 3, {{"x-key", "k"}})) + bare::body("abc"));
   loop.run_for(0.1);
-  say("it runs", journal.runs.size() == 1);
+  say("the request runs", journal.runs.size() == 1);
   server.notice();
   loop.run_for(1.5);
   sqlite3* other = nullptr;
   sqlite3_open(server.store_path().c_str(), &other);
-  say("the store is held", sqlite3_exec(other, "begin immediate", nullptr, nullptr, nullptr) == SQLITE_OK);
+  say("the store is locked", sqlite3_exec(other, "begin immediate", nullptr, nullptr, nullptr) == SQLITE_OK);
   const std::string answer = one.answer();
   say("answered", !answer.empty() && answer != "closed");
-  say("leaves in order", server.ended());
+  say("shuts down gracefully", server.ended());
   sqlite3_close(other);
 }
 
-// Between the head and its body; then the body comes, inside the grace and after it.
+// Shutdown notice between the headers and the body; then the body arrives, within the grace period and
+// after it.
 void notice_between() {
   Scenario scenario;
   Script early(scenario), late(scenario);
@@ -286,14 +287,14 @@
   scenario.loop.run_for(0.1);
   scenario.server.notice();
   scenario.loop.run_for(0.1);
-  print_answer("its body comes in the grace", early.send(bare::body("abc")).answer());
+  print_answer("its body arrives within the grace", early.send(bare::body("abc")).answer());
   scenario.loop.run_for(0.4);
-  print_answer("after it", late.send(bare::body("abc")).answer());
-  say("leaves in order", scenario.server.ended());
+  print_answer("its body arrives after the grace", late.send(bare::body("abc")).answer());
+  say("shuts down gracefully", scenario.server.ended());
   scenario.rules();
 }
 
-// Another table while requests are half read: they stay what they were.
+// A new table while requests are half read: these keep their routes.
 void remap() {
   Scenario scenario;
   Script half(scenario), next(scenario);
@@ -306,14 +307,14 @@
     scenario.loop.run_for(0.2);
   };
   reread("ajp\n    listen 127.0.0.1:0\n    map POST /other read\n");
-  print_answer("half read, before the change", half.send(bare::body("abc")).answer());
+  print_answer("half read when the table changed", half.send(bare::body("abc")).answer());
   print_answer("the old path", next.send(bare::forward(post("/ops/close"))).answer());
-  print_answer("the new one", next.send(bare::forward(post("/other"))).answer());
+  print_answer("the new path", next.send(bare::forward(post("/other"))).answer());
   reread("ajp\n    listen 127.0.0.1:0\n    map POST /third nonsense\n");
-  print_answer("a table that can't be used changes nothing",
+  print_answer("a table with an unknown route changes nothing",
                next.send(bare::forward(post("/other"))).answer());
   reread("ajp\n    listen 127.0.0.1:0\n    map POST other read\n");
-  print_answer("nor one that can't be read", next.send(bare::forward(post("/other"))).answer());
+  print_answer("nor does one that cannot be parsed", next.send(bare::forward(post("/other"))).answer());
   scenario.end();
 }
 
@@ -327,19 +328,19 @@
     print_answer(what, script.send(bare::forward(r)).answer());
   };
   with("the secret", "opensesame", "");
-  with("none", "", "");
-  with("another of its length", "opensesamf", "");
+  with("no secret", "", "");
+  with("another one of the same length", "opensesamf", "");
   with("a longer one", "opensesameopensesame", "");
   with("a shorter one", "open", "");
   with("an attribute on the list", "opensesame", "AJP_REMOTE_PORT");
-  with("one that is not", "opensesame", "javax.servlet.include.request_uri");
+  with("an attribute that is not on the list", "opensesame", "javax.servlet.include.request_uri");
   Script ping(scenario);
-  print_answer("a ping needs none", ping.send(bare::cping()).answer());
+  print_answer("a ping without a secret", ping.send(bare::cping()).answer());
   scenario.end();
 }
 
-// Silent connections fill all that the gateway's side may have; the other front's callers notice nothing, and
-// a gateway that asks gets in.
+// Silent connections take up the whole share of the gateway's listener: callers of the other listener are
+// not affected, and a gateway that sends a request gets in.
 void silence() {
   Scenario scenario(60, 30, {}, 0.005, "", 384);
   std::vector<int> silent;
@@ -350,7 +351,8 @@
   const double filled = now();
   scenario.loop.run_for(0.3);
   Script late_gateway(scenario);
-  print_answer("a gateway that asks", late_gateway.send(bare::forward(post("/ops/read"))).answer());
+  print_answer("a gateway that sends a request",
+               late_gateway.send(bare::forward(post("/ops/read"))).answer());
   scenario.loop.run_for(0.5);
   int sent = 0, succeeded = 0;
   for (const auto& [request, t] : scenario.journal.attempts) {
@@ -358,14 +360,14 @@
     ++sent;
     succeeded += t.answers[0].kind == AnswerKind::kSucceeded;
   }
-  say("callers of the other front are served as ever", sent > 30 && succeeded > sent * 95 / 100);
-  say("the log is still there", scenario.count("ajp.accepted") > 90);
+  say("callers of the other listener are served as usual", sent > 30 && succeeded > sent * 95 / 100);
+  say("AJP connections were accepted", scenario.count("ajp.accepted") > 90);
   for (const int fd : silent) ::close(fd);
   scenario.end();
 }
 
-// Three times what the cores can do, most of it by AJP: each request read has one answer in time, and what is
-// served goes by importance, not by protocol.
+// Three times the load that the cores can handle, most of it by AJP: each request has one answer in time,
+// and which requests are served depends on their priority, not on the protocol.
 void overload() {
   Scenario scenario(30, 12, Scenario::gateway_load(250, 10, 100), 0.02);
   scenario.loop.run_for(3);
@@ -380,19 +382,19 @@
       failed += a.kind == AnswerKind::kBad;
     }
   }
-  say("both fronts were asked a lot", sent[0][1] > 25 && sent[1][0] > 500);
-  say("much was nacked, nothing odd answered", rejected > 300 && failed == 0);
-  say("most close-outs are served, by either front",
+  say("both listeners received many requests", sent[0][1] > 25 && sent[1][0] > 500);
+  say("many were rejected, none failed", rejected > 300 && failed == 0);
+  say("most close requests are served, by either listener",
       succeeded[0][1] > 0.8 * sent[0][1] && succeeded[1][1] > 0.8 * sent[1][1]);
-  say("few reads are, by either front",
+  say("few reads are, by either listener",
       succeeded[0][0] < 0.6 * sent[0][0] && succeeded[1][0] < 0.6 * sent[1][0]);
-  say("the reads that are served come by both", succeeded[0][0] > 10 && succeeded[1][0] > 80);
-  say("all tries end", settled);
-  say("leaves in order", scenario.server.leave());
+  say("reads are served by both listeners", succeeded[0][0] > 10 && succeeded[1][0] > 80);
+  say("all attempts end", settled);
+  say("shuts down gracefully", scenario.server.leave());
   scenario.rules();
 }
 
-// Bodies without a length, and a drain in the middle of them.
+// Chunked bodies, and a drain while they are sent.
 void chunked() {
   AjpGateway::Options flows = Scenario::gateway_load(80, 40, 16);
   flows.chunked = true;
@@ -402,11 +404,11 @@
   for (const auto& [request, t] : scenario.journal.attempts)
     succeeded += !t.answers.empty() && t.answers[0].kind == AnswerKind::kSucceeded;
   say("served", succeeded > 120);
-  say("leaves in order", scenario.server.leave());
+  say("shuts down gracefully", scenario.server.leave());
   scenario.rules();
 }
 
-// Calls below go to an AJP server, which serves, turns away and dies.
+// Calls to a dependency behind an AJP server, which serves them, rejects them and fails.
 void dependency() {
   Runtime::Options runtime = Scenario::runtime_options(0.005);
   runtime.calls = 1;
@@ -414,8 +416,7 @@
   AjpServer server(loop);
   Scenario scenario(40, 20, {}, 0, fmt::format("    below 127.0.0.1:{}\n    below-refuses on\n", server.port),
                     512, &runtime);
-  scenario.survivable_runs =
-      0;  // runs that stand at a call, or whose request has failed there, take no cores
+  scenario.survivable_runs = 0;  // runs that wait for a call, or whose request has failed there, use no cores
   const std::function<void()> serve = [&] {
     loop.run_for(0.001);
     scenario.loop.after(0.002, serve);
@@ -425,26 +426,26 @@
   say("calls are answered", server.requests > 30 && scenario.count("calls.ok") > 30);
   server.answer = bare::answer(503);
   scenario.loop.run_for(0.6);
-  say("turned away", scenario.count("calls.rejected") > 3);
+  say("calls are rejected", scenario.count("calls.rejected") > 3);
   server.answer = "!";
   scenario.loop.run_for(0.6);
-  say("broken", scenario.count("calls.broken") > 0);
+  say("connections break", scenario.count("calls.broken") > 0);
   server.answer = bare::answer(200);
   scenario.end();
 }
 
-// A gateway that goes: its request is given up; one that closes its side only still gets its answer.
+// A gateway that disconnects: its request is abandoned.
 void disconnect() {
   Scenario scenario(0, 0, {}, 0.4);
   {
     Script leaving_gateway(scenario);
     leaving_gateway.send(bare::forward(post("/ops/read", 3)) + bare::body("abc"));
     scenario.loop.run_for(0.1);
-    leaving_gateway.send(std::string(70000, 'x'));  // more than it may have waiting: reset
-    say("cut off", leaving_gateway.closed());
+    leaving_gateway.send(std::string(70000, 'x'));  // more than may be buffered: reset
+    say("the connection is closed", leaving_gateway.closed());
   }
   scenario.loop.run_for(0.2);
-  say("its op is given up", scenario.count("requests.caller_gone") == 1);
+  say("its request is abandoned", scenario.count("requests.caller_gone") == 1);
   scenario.end();
 }
 
@@ -463,6 +464,6 @@
                        {"silence", silence},
                        {"overload", overload},
                        {"chunked", chunked},
-                       {"below", dependency},
-                       {"gone", disconnect}});
+                       {"dependency", dependency},
+                       {"disconnect", disconnect}});
 }
--- a/tests/link_ends.cpp
+++ b/tests/link_ends.cpp
@@ -1,7 +1,7 @@
-// Links whose ends cross what goes over them: calls of the dependency and the runtime's link against bare
-// sockets, with the program's reactor standing still while the other side writes, closes or resets. What an
-// end proves is judged by what really left. CTest compares with tests/traces/link_ends_NAME.txt. usage:
-// link_ends - SCENARIO
+// Links that end while data is in transit: calls to the dependency and the link to the runtime, against
+// bare sockets, with the reactor of the program paused while the other side writes, closes or resets. What
+// the end of a link proves is judged by what was really sent. CTest compares with
+// tests/traces/link_ends_NAME.txt. usage: link_ends - SCENARIO
 #include <arpa/inet.h>
 #include <fmt/format.h>
 #include <netinet/in.h>
@@ -24,7 +24,7 @@
 
 namespace {
 
-// The other side: a listener on loopback and what came to it, looked at only when the test says so.
+// The other side: a listener on loopback and its input, which is read only when the test does so.
 class BareListener {
  public:
   explicit BareListener(int backlog = 64) {
@@ -50,7 +50,7 @@
     ::close(fd_);
     fd_ = -1;
   }
-  // Accepts what waits, and counts the links that are open.
+  // Accepts the waiting connections, and counts the links that are open.
   int count_links() {
     for (int fd; fd_ >= 0 && (fd = ::accept4(fd_, nullptr, nullptr, SOCK_CLOEXEC | SOCK_NONBLOCK)) >= 0;)
       links_.push_back(fd);
@@ -58,7 +58,7 @@
   }
   // The descriptor of the newest link; -1 where there is none.
   int newest() { return count_links() > 0 ? links_.back() : -1; }
-  // What has come, or comes within so many seconds.
+  // The input so far, or what arrives within so many seconds.
   static std::string received(int fd, double timeout_seconds = 0) {
     pollfd one{fd, POLLIN, 0};
     ::poll(&one, 1, static_cast<int>(timeout_seconds * 1000));
@@ -89,12 +89,12 @@
 std::string name_of(Outcome outcome) {
   switch (outcome) {
     case Outcome::kOk: return "ok";
-    case Outcome::kRejected: return "turned away, never ran";
-    case Outcome::kUnreachable: return "never reached, never ran";
-    case Outcome::kTimeout: return "its time is over, may have run";
+    case Outcome::kRejected: return "rejected, never ran";
+    case Outcome::kUnreachable: return "unreachable, never ran";
+    case Outcome::kTimeout: return "timed out, may have run";
     case Outcome::kReset: return "broken, may have run";
     case Outcome::kError: return "failed, may have run";
-    case Outcome::kObsolete: return "moot, never ran";
+    case Outcome::kObsolete: return "obsolete, never ran";
     case Outcome::kCancelled: return "cancelled";
   }
   return "?";
@@ -115,15 +115,15 @@
     ends[id].push_back(outcome);
   }
   void run(double seconds) { stepped.run_for(seconds); }
-  // How a call has ended, once it has, 2 s at most.
+  // How a call has ended; waits for that for 2 s at most.
   std::string end_of(RequestId id) {
     for (int i = 0; i < 100 && ends[id].empty(); ++i) run(0.02);
     run(0.02);
     if (ends[id].empty()) return "no end";
     return name_of(ends[id].front()) + (ends[id].size() > 1 ? ", AND ANOTHER END" : "");
   }
-  // Makes a call and waits until the other side has read all of it; the link's descriptor, -1 where it has
-  // not.
+  // Makes a call and waits until the other side has read all of it. Returns the descriptor of the link, -1
+  // where the call was not read.
   int call_and_read(RequestId id, double timeout) {
     dependency.call(id, timeout, "body");
     for (int i = 0; i < 100; ++i) {
@@ -143,12 +143,12 @@
 
 std::string reply(RequestId id) { return fmt::format("{:016x} ok 5\r\nreply\r\n", id); }
 
-// What meets in one turn of the reactor.
+// Events that coincide in one event-loop iteration.
 void one_turn() {
   {
     Calls calls;
     const int fd = calls.call_and_read(1, 0.2);
-    ::usleep(250'000);  // its time is over before the reactor looks again; the reply is there too
+    ::usleep(250'000);  // the timeout expires before the reactor polls again; the reply is there too
     BareListener::say(fd, reply(1));
     fmt::print("reply and timeout: {}\n", calls.end_of(1));
   }
@@ -186,18 +186,18 @@
   }
 }
 
-// Connects that are slow, that succeed as the timeout ends, and that nobody takes.
+// Connects that are slow, that succeed as the timeout expires, and that are never accepted.
 void connects() {
   {
     Calls calls;
-    calls.dependency.call(1, 0.2, "body");  // the system makes the connection while nobody here looks
+    calls.dependency.call(1, 0.2, "body");  // the connection is established while the reactor is paused
     ::usleep(250'000);
-    fmt::print("connected as its timeout ended: {}\n", calls.end_of(1));
+    fmt::print("connected when its timeout expired: {}\n", calls.end_of(1));
     const int fd = calls.bare.newest();
-    fmt::print("  bytes of it that left: {}\n", fd >= 0 ? BareListener::received(fd, 0.1).size() : 0);
+    fmt::print("  bytes of it that were sent: {}\n", fd >= 0 ? BareListener::received(fd, 0.1).size() : 0);
   }
   {
-    Calls calls(8, 0);  // its queue is full with two that nobody accepts
+    Calls calls(8, 0);  // its queue is full with two that are never accepted
     std::vector<int> backlog_fillers;
     for (int i = 0; i < 4; ++i) {
       const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
@@ -222,24 +222,25 @@
     Calls calls(1);  // one connection for all
     calls.dependency.call(1, 5, "body");
     calls.dependency.call(2, 0.2, "other");
-    ::usleep(250'000);  // connected, nothing written; the second's time is over
+    ::usleep(250'000);  // connected, nothing written; the second one's timeout has expired
     calls.run(0.05);
-    fmt::print("two on a connection that is just made, the second's time over: {}\n", calls.end_of(2));
+    fmt::print("two on a connection that was just established, the second one times out: {}\n",
+               calls.end_of(2));
     BareListener::say(calls.bare.newest(), reply(1));
     fmt::print("  the first: {}\n", calls.end_of(1));
   }
 }
 
-// A connection that has carried a call and is used again as the other side closes it.
+// A connection that has carried a call and is reused while the other side closes it.
 void reuse() {
   {
     Calls calls;
     const int fd = calls.call_and_read(1, 5);
     BareListener::say(fd, reply(1));
     calls.end_of(1);
-    calls.bare.close(fd, false);  // nobody here has read its end yet
+    calls.bare.close(fd, false);  // its end was not read yet
     const int next = calls.call_and_read(2, 5);
-    fmt::print("closed before the next call: it goes on another, {}\n", next >= 0 ? "yes" : "no");
+    fmt::print("closed before the next call, which uses another one: {}\n", next >= 0 ? "yes" : "no");
     BareListener::say(next, reply(2));
     fmt::print("  {}\n", calls.end_of(2));
   }
@@ -248,13 +249,14 @@
     const int fd = calls.call_and_read(1, 5);
     BareListener::say(fd, reply(1));
     calls.end_of(1);
-    calls.dependency.call(2, 5, "body");  // written at once, on the connection that is there
+    calls.dependency.call(2, 5, "body");  // written at once, on the open connection
     calls.bare.close(fd, true);
     fmt::print("closed as the next call was written: {}\n", calls.end_of(2));
   }
 }
 
-// A reply that is cut at each byte, by a close or by silence, is never taken for one, and never for a proof.
+// A reply that is cut at each byte, by a close or by silence, is never taken for a reply, and never for a
+// proof.
 void cut() {
   const std::string complete = reply(1);
   for (const char* how : {"closed", "reset", "silent"}) {
@@ -273,7 +275,7 @@
         proofs += proves_not_run(outcome);
       }
     }
-    fmt::print("cut at each byte, then {}: plays - ends {}, taken for a reply {}, for a proof {}\n", how,
+    fmt::print("cut at each byte, then {}: runs - ends {}, taken for a reply {}, for a proof {}\n", how,
                runs - ends, ok, proofs);
   }
 }
@@ -304,7 +306,7 @@
   void start(RequestId id, bool may_repeat = true, double seconds_left = 5) {
     runtime.start({id, "push", "body", may_repeat, seconds_left});
   }
-  // Lets the client run until this has come to the other side, 1.5 s at most.
+  // Runs the client until this has arrived at the other side, for 1.5 s at most.
   bool wait_for_input(const std::string& part, bool answers_gauges = true) {
     for (int i = 0; i < 150; ++i) {
       stepped.run_for(0.01);
@@ -316,7 +318,7 @@
     }
     return false;
   }
-  // Lets the client run until it has read what it missed, as answered gauges tell it.
+  // Runs the client until it has read the notices that it missed, as its answered gauges show.
   void synchronize() {
     for (int i = 0; i < 200 && counters[Count::kGaugesMaxDelayUs] == 0; ++i) {
       stepped.run_for(0.01);
@@ -337,13 +339,13 @@
     in.clear();
     bare.close(bare.newest(), true);
   }
-  // How often this came.
+  // How often this arrived.
   int count(const std::string& part) const {
     int n = 0;
     for (std::size_t at = 0; (at = in.find(part, at)) != std::string::npos; at += part.size()) ++n;
     return n;
   }
-  // The tag of the gauges that were asked for.
+  // The tag of the requested gauges.
   std::string gauges_tag() const {
     const std::size_t at = in.find("gauges ") + 7;
     return in.substr(at, in.find("\r\n", at) - at);
@@ -357,11 +359,12 @@
   std::map<RequestId, std::string> calls;
   int readies = 0, restarts = 0;
   std::size_t unsent_starts = 0;  // of the last restart
-  std::string in;                 // that came to the other side and was not taken
+  std::string in;                 // received by the other side and not consumed
   peers::RuntimeClient runtime;
 };
 
-// A notice that the link's end cuts at each byte is heard whole, and once, on the next link.
+// A notice that is cut at each byte by the end of the link is received completely, and once, on the next
+// link.
 void notices_cut() {
   for (const std::string& complete : {std::string("end 1 0000000000000001 complete 20 6\r\nresult\r\n"),
                                       std::string("wants 1 0000000000000001 4\r\ncall\r\n")}) {
@@ -381,13 +384,13 @@
       link.stepped.run_for(0.05);
       once += link.ends_of(1) == "ok result" || link.calls[1] == "call;";
     }
-    fmt::print("{}: cut at each byte, heard once on the next link: {}\n", complete.substr(0, 5),
+    fmt::print("{}: cut at each byte, received once on the next link: {}\n", complete.substr(0, 5),
                once == runs ? "always" : fmt::format("{} of {}", once, runs));
   }
 }
 
-// A runtime that has begun anew counts from 1 and knows nothing: what ran there is told, what never left
-// runs.
+// A restarted runtime numbers its notices from 1 and knows no runs: runs of the former process are reported
+// as lost, and a start that was never sent is sent to the new one.
 void restart() {
   Link link;
   link.wait_for_input("sync 0");
@@ -398,48 +401,47 @@
   link.wait_for_input("start 0000000000000001");
   link.stepped.run_for(0.6);
   link.reset_link();
-  link.stepped.run_for(0.02);  // the break is seen
-  link.start(2);               // waits here, never sent
+  link.stepped.run_for(0.02);  // the break is noticed
+  link.start(2);               // waits in the client, never sent
   link.in.clear();
   link.wait_for_input("sync 1");
   BareListener::say(link.bare.newest(), "ready chilly 20\r\n");
   link.wait_for_input("start 0000000000000002");
-  fmt::print("it began anew: {}, starts that had not left: {}\n", link.restarts, link.unsent_starts);
-  fmt::print("sent to the new one: the first {}, the second {}\n", link.count("start 0000000000000001"),
-             link.count("start 0000000000000002"));
+  fmt::print("restarts: {}, starts that were not sent: {}\n", link.restarts, link.unsent_starts);
+  fmt::print("starts sent to the new process: of the first {}, of the second {}\n",
+             link.count("start 0000000000000001"), link.count("start 0000000000000002"));
   BareListener::say(link.bare.newest(), "end 1 0000000000000002 complete 20 3\r\ntwo\r\n");
   link.stepped.run_for(0.05);
-  fmt::print("the second, by a notice numbered 1: {}; the runtime came up {} times for the module\n",
-             link.ends_of(2), link.readies);
+  fmt::print("the second, by a notice numbered 1: {}; ready events {}\n", link.ends_of(2), link.readies);
   link.reset_link();
   link.wait_for_input("sync 1");
   BareListener::say(link.bare.newest(), "ready chilly 5000\r\n");
   link.stepped.run_for(0.05);
-  fmt::print("the same one after a break: anew {}\n", link.restarts);
+  fmt::print("the same process after a break: restarts {}\n", link.restarts);
 }
 
-// An answer to gauges that the old link still held means nothing on the new one.
+// A response to gauges that were requested on the old link has no effect on the new one.
 void old_gauges() {
   Link link;
   link.wait_for_input("sync 0");
   BareListener::say(link.bare.newest(), "ready hot 0\r\n");
   link.wait_for_input("gauges ", false);
   const std::string tag = link.gauges_tag();
-  link.start(1);  // not sent before what was missed is read
+  link.start(1);  // not sent before the missed notices are read
   link.reset_link();
   link.in.clear();
   link.wait_for_input("sync 0");
   BareListener::say(link.bare.newest(), "load " + tag + " 0.25 1\r\n");
   link.stepped.run_for(0.05);
   link.in += BareListener::received(link.bare.newest());
-  fmt::print("the old link's gauges on the new one: starts sent {}\n", link.count("start "));
+  fmt::print("gauges of the old link on the new one: starts sent {}\n", link.count("start "));
   BareListener::say(link.bare.newest(), "ready hot 100\r\n");
   link.wait_for_input("start ");
-  fmt::print("after its own: starts sent {}\n", link.count("start "));
+  fmt::print("gauges of the new link: starts sent {}\n", link.count("start "));
 }
 
-// Guards against a start that is sent again though the end of its run has come: that stands behind the gauges
-// in the same bytes.
+// Guards against a start that is sent again although the end of its run was received: that follows the
+// gauges in the same bytes.
 void end_behind_gauges() {
   Link link;
   link.wait_for_input("sync 0");
@@ -455,11 +457,11 @@
   BareListener::say(link.bare.newest(),
                     "load " + tag + " 0.25 1\r\nend 1 0000000000000001 complete 20 6\r\nresult\r\n");
   link.wait_for_input("start ");
-  fmt::print("the end: {}, starts on the new link: {}\n", link.ends_of(1), link.count("start "));
+  fmt::print("end of the run: {}, starts on the new link: {}\n", link.ends_of(1), link.count("start "));
 }
 
-// Guards against a start that is lost on a link which the runtime has closed, when nobody here has seen its
-// end yet: it never left, so it goes over the next link, also where it must not run twice.
+// Guards against a start that is lost on a link whose end, closed by the runtime, the program has not read
+// yet: the start was never sent, so it goes over the next link, also where it must not run twice.
 void closed_unseen() {
   Link link;
   link.wait_for_input("sync 0");
@@ -467,7 +469,7 @@
   link.synchronize();
   link.bare.close(link.bare.newest(), false);
   link.in.clear();
-  link.start(1, false);  // the reactor stands still
+  link.start(1, false);  // the reactor is paused
   link.wait_for_input("sync 0");
   BareListener::say(link.bare.newest(), "ready hot 5000\r\n");
   link.wait_for_input("start 0000000000000001");
@@ -481,11 +483,11 @@
   std::string unused;
   return run_scenario(argc, argv, unused,
                       {{"one_turn", one_turn},
-                       {"dials", connects},
+                       {"connects", connects},
                        {"reuse", reuse},
                        {"cut", cut},
                        {"notices_cut", notices_cut},
-                       {"anew", restart},
+                       {"restart", restart},
                        {"old_gauges", old_gauges},
                        {"end_behind_gauges", end_behind_gauges},
                        {"closed_unseen", closed_unseen}});
--- a/tests/net/listener_test.cpp
+++ b/tests/net/listener_test.cpp
@@ -1,4 +1,4 @@
-// The listener among the other work of the reactor.
+// The listener together with other tasks of the reactor.
 #include "net/listener.h"
 
 #include <arpa/inet.h>
@@ -20,10 +20,10 @@
 namespace {
 
 constexpr int kConnections = 20;
-constexpr std::chrono::seconds kTimeout{20};          // until all newcomers are accepted
-constexpr std::chrono::milliseconds kAcceptCost{10};  // more than the listener's time of a turn
+constexpr std::chrono::seconds kTimeout{20};          // until all connections are accepted
+constexpr std::chrono::milliseconds kAcceptCost{10};  // longer than the listener accepts in an iteration
 
-// A client whose connection is complete and waits to be accepted.
+// A client whose connection is established and waits to be accepted.
 int connected_client(std::uint16_t port) {
   const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   sockaddr_in address{};
@@ -47,7 +47,7 @@
   }
 };
 
-// Guards against a turn in which a crowd of costly newcomers holds up work that is due: requests with little
+// Guards against a burst of connections that are slow to accept and delay due tasks: requests with little
 // time left were answered a tenth of a second late.
 TEST(Listener, DueTasksWaitForAtMostOneSlowAccept) {
   SteppedReactor stepped;
@@ -70,8 +70,8 @@
   stepped.end();
 }
 
-// Guards against a process that is killed at its stop with requests unanswered: closing its listener took one
-// turn for all that waited, 460 connections in 160 ms.
+// Guards against a process that is killed during shutdown with unanswered requests: closing its listener
+// accepted all waiting connections in one iteration, 460 connections in 160 ms.
 TEST(Listener, ClosingAcceptsWaitingConnectionsOverManyIterations) {
   SteppedReactor stepped;
   std::atomic<int> accepted_count = 0;  // also read by the test's thread
--- a/tests/runtime/command_ledger_histories.cpp
+++ b/tests/runtime/command_ledger_histories.cpp
@@ -1,7 +1,8 @@
-// The command ledger between a client and a simulated runtime, over links that are cut at random, in
-// thousands of seeded histories. Guards against a second run of what must not run twice, a reply that answers
-// another call, a command that never left and is lost, and a request that is awaited for ever. CTest compares
-// with tests/traces/runtime_command_histories.txt. usage: command_ledger_histories [SEEDS]
+// The command ledger between a client and a simulated runtime, over links that break at random, in
+// thousands of seeded histories. Guards against a second run of a request that must not run twice, a reply
+// that answers another call, a command that was never sent and is lost, and a request that is awaited for
+// ever. CTest compares with tests/traces/runtime_command_histories.txt. usage: command_ledger_histories
+// [SEEDS]
 #include <algorithm>
 #include <cstdio>
 #include <cstdlib>
@@ -20,8 +21,8 @@
 namespace {
 
 constexpr double kStepSeconds = 0.005;
-constexpr double kFaultSeconds = 3;      // requests come and links are cut
-constexpr double kHistorySeconds = 6;    // long enough for all to be due
+constexpr double kFaultSeconds = 3;      // in which requests arrive and links break
+constexpr double kHistorySeconds = 6;    // long enough for all deadlines to pass
 constexpr double kTimeoutSeconds = 1.5;  // of a request
 constexpr double kGaugesSeconds = 0.1;   // between two readings
 constexpr double kLossSeconds = 0.05;    // before a break, in which the runtime may lose what it reads
@@ -36,7 +37,7 @@
   std::uint64_t tag = 0;
 };
 
-// Words of the ledger's texts: "verb id call".
+// The text of a command in the ledger: "verb id call".
 std::string text_of(const Command& command) {
   return std::to_string(static_cast<int>(command.verb)) + " " + std::to_string(command.id) + " " +
          std::to_string(command.call);
@@ -72,7 +73,7 @@
   }
 };
 
-// Runs what it is told, for some steps, with some calls in a row.
+// Executes commands: a run takes some steps and requests some calls, one at a time.
 class SimulatedRuntime {
  public:
   SimulatedRuntime(pcg64& random, Violations& broken) : random_(random), violations_(broken) {}
@@ -101,7 +102,7 @@
       case Verb::kGauges: return;
     }
   }
-  // The request is over: a run that waits for a call ends.
+  // The request has ended: a run that waits for a call ends.
   void on_request_ended(RequestId id) {
     const auto run = runs_.find(id);
     if (run == runs_.end() || run->second.awaited_call == 0) return;
@@ -163,7 +164,7 @@
     bool may_skip = false;
     double deadline = 0;
     bool has_ended = false;
-    bool was_sent = false;  // by a link, whole
+    bool was_sent = false;  // completely, to a link
     bool was_given_up = false;
   };
   struct Sent {
@@ -219,7 +220,7 @@
     push(command_of(outgoing.text));
   }
 
-  // Keeps the order of the stream.
+  // Preserves the order of the stream.
   void push(const Command& command) {
     last_arrival_ = std::max(last_arrival_, now_ + latency_seconds());
     upstream_.push_back({last_arrival_, command, stream_bytes_});
@@ -249,7 +250,7 @@
       downstream_.emplace_back(now_ + latency_seconds(), runtime_.notices[sent_notices_]);
     double latest = 0;
     while (!downstream_.empty()) {
-      latest = std::max(latest, downstream_.front().first);  // in order
+      latest = std::max(latest, downstream_.front().first);  // delivered in order
       if (latest > now_) return;
       const Notice notice = downstream_.front().second;
       downstream_.pop_front();
@@ -301,7 +302,7 @@
     push({Verb::kGauges, 0, 0, ++gauges_tag_});
   }
 
-  // Of what has not arrived, the system had taken some; the peer reads none of it.
+  // Some of the commands that have not arrived were accepted by the system; the peer reads none of them.
   void cut() {
     ++cuts_;
     std::uint64_t taken = taken_bytes_;
@@ -323,7 +324,7 @@
     is_up_ = true;
     stream_bytes_ = taken_bytes_ = 0;
     last_arrival_ = now_;
-    sent_notices_ = received_notices_;  // it is told again what was not heard
+    sent_notices_ = received_notices_;  // notices that were not received are sent again
     request_gauges();
   }
 
--- a/tests/runtime/command_ledger_test.cpp
+++ b/tests/runtime/command_ledger_test.cpp
@@ -1,4 +1,4 @@
-// What goes over a new link to the runtime after the last one was lost.
+// Which commands go over a new link to the runtime after the last one was lost.
 #include "peers/runtime/command_ledger.h"
 
 #include <gtest/gtest.h>
@@ -24,7 +24,7 @@
   return out;
 }
 
-// Texts of what is to be sent, each marked as sent.
+// The texts of the commands to send, each marked as sent.
 std::vector<std::string> sent_over_new_link(CommandLedger& ledger, double now) {
   std::vector<std::string> texts;
   std::uint64_t stream_end = 0;
@@ -40,7 +40,7 @@
   CommandLedger ledger;
   ledger.add({kId, false}, start(InDoubt::kAwaitNotice));
   ledger.mark_sent({kId, false}, 5, 1);
-  ledger.on_link_lost({1.1, 1.1, 4, true});  // its last byte has not left
+  ledger.on_link_lost({1.1, 1.1, 4, true});  // its last byte was not sent
   EXPECT_EQ(sent_over_new_link(ledger, 1.2), std::vector<std::string>{"start"});
   ledger.mark_delivered(ledger.last_sent());
   ledger.on_link_lost({9, 9, 5, true});
@@ -77,7 +77,7 @@
   EXPECT_TRUE(ledger.was_resent(kId));
 }
 
-// Guards against memory and a place that are held for ever by a run whose reply was lost.
+// Guards against memory and capacity that are held for ever by a run whose reply was lost.
 TEST(CommandLedger, AReplyInDoubtIsGivenUpAtTheDeadlineOfItsRequest) {
   CommandLedger ledger;
   RuntimeCommand reply = command("give", InDoubt::kAwaitNotice);
@@ -89,7 +89,7 @@
   EXPECT_EQ(ledger.requests_to_give_up(3), std::vector<RequestId>{kId});
 }
 
-// Guards against a start that is lost though it seemed proven, where the break is noticed late.
+// Guards against a start that is lost although it seemed acknowledged, where the break is noticed late.
 TEST(CommandLedger, ABreakThatIsNoticedLateLeavesCommandsSentBeforeItInDoubt) {
   CommandLedger ledger;
   ledger.add({kId, false}, start(InDoubt::kAwaitNotice, 9));
@@ -98,7 +98,7 @@
   EXPECT_EQ(ledger.on_link_lost({1.8, 1.01, 5, true}), 1U);
 }
 
-// A runtime may lose what it read shortly before a break, though it has answered something later.
+// A runtime may lose commands that it read shortly before a break, although it has answered a later one.
 TEST(CommandLedger, CommandsDeliveredShortlyBeforeABreakAreInDoubt) {
   CommandLedger ledger;
   ledger.add({kId, false}, start(InDoubt::kResend));
@@ -146,7 +146,7 @@
   EXPECT_EQ(sent_over_new_link(ledger, 1.4), std::vector<std::string>{"omit"});
 }
 
-// Guards against runs that are held for ever, and against those that are given up before they are due.
+// Guards against runs that are held for ever, and against runs that are given up before their deadline.
 TEST(CommandLedger, ARunWhoseNoticesWereLostIsGivenUpAtItsDeadlineUnlessAnotherNoticeArrives) {
   CommandLedger ledger;
   for (const RequestId id : {kId, kReported}) {
--- a/tests/runtime/link_crossings.cpp
+++ b/tests/runtime/link_crossings.cpp
@@ -1,5 +1,5 @@
-// Plays one scenario; CTest compares what it prints with tests/traces/link_crossings_NAME.txt.
-// usage: link_crossings BINARY SCENARIO
+// Runs one scenario; CTest compares its output with tests/traces/link_crossings_NAME.txt. usage:
+// link_crossings BINARY SCENARIO
 #include "link_crossings.h"
 
 #include <csignal>
--- a/tests/runtime/link_crossings.h
+++ b/tests/runtime/link_crossings.h
@@ -1,7 +1,8 @@
-// The runtime's link is lost while something that was sent on it takes effect: each scenario forces the order
-// of events in which sending it again would be wrong. The program between scripted peers; the runtime ends a
-// run, or asks for its next call, right behind the gauges whose answer lets the program send again. The
-// scenarios stand in a file for each kind of what is in doubt; here is what they share.
+// The runtime's link is lost while a command that was sent on it takes effect. Each scenario forces an
+// order of events in which sending the command again would be wrong. The program runs between scripted
+// peers; the runtime reports the end of a run, or its next call, directly after the gauges whose response
+// allows the program to send again. The scenarios are in one file for each kind of command in doubt; this
+// header declares what they share.
 #pragma once
 
 #include <span>
@@ -12,7 +13,7 @@
 namespace damsonspoke::testing {
 
 struct Scenario {
-  const char* name;  // of its trace, after "link_crossings_"
+  const char* name;  // also of its trace, after "link_crossings_"
   void (*play)();
 };
 
@@ -23,42 +24,43 @@
 
 using standins::scripted::Site;
 
-// The numbers of the first requests, as the runtime hears them.
+// The numbers of the first requests, as the runtime receives them.
 inline const std::string kId1 = "0000000000000001";
 inline const std::string kId2 = "0000000000000002";
 inline const std::string kId3 = "0000000000000003";
 
-inline constexpr double kQuietSeconds = 0.3;  // in which a second command would come
-inline constexpr double kReleaseSeconds = 1;  // after a request is due, until nothing of it is left
+inline constexpr double kQuietSeconds = 0.3;  // in which a second command would arrive
+inline constexpr double kReleaseSeconds =
+    1;  // after the deadline of a request, until its resources are released
 
-// What the settings call the idempotency of a route.
+// The names of idempotency in the settings.
 inline constexpr const char* kRetryable = "retryable";
 inline constexpr const char* kDedup = "dedup";
 inline constexpr const char* kFragile = "fragile";
 
-// The routes of a site, both of this idempotency: "push" may go on without its call, "pull" may not. Results
-// are remembered where requests have keys.
+// The routes of a site, both with this idempotency: "push" may continue without its call, "pull" may not.
+// Results are remembered where requests have keys.
 Site::Remembering routes(const std::string& idempotency);
 
-// What goes with a request that its caller awaits so many milliseconds. The first attempts on a dedup route
+// Parameters of a request whose caller waits this many milliseconds. The first attempts on a dedup route
 // all have the key "a".
 std::string with_limit(int ms, const std::string& idempotency);
 
-// The same of a request of 900 KB, of which the site's memory holds one at a time while it runs; with a key
+// The same for a request of 900 KB, of which the memory of the site admits only one at a time; with a key
 // where one is given.
 std::string large_request(int ms, const std::string& key);
 
 // The runtime's notice that a run has ended with this result.
 std::string run_end_notice(int notice, const std::string& id, const std::string& result = "result");
 
-// Prints all that comes to the runtime in that time.
+// Prints all lines that the runtime receives in this time.
 void print_runtime_input(Site& site, double seconds = kQuietSeconds);
 
-// Prints how often a command that begins like this comes to the runtime in that time; others don't matter.
+// Prints how many commands that begin with this text the runtime receives in this time, ignoring others.
 void print_command_count(Site& site, const std::string& command, double seconds = kQuietSeconds);
 
-// Prints whether the caller hears of a failure, whichever it is, or of a rejection, which would say that
-// nothing ran.
+// Prints whether the caller receives a failure, of any kind, or a rejection, which would mean that nothing
+// ran.
 void print_caller_failure(Site& site, int caller);
 
 }  // namespace damsonspoke::testing
--- a/tests/runtime/process_identity_test.cpp
+++ b/tests/runtime/process_identity_test.cpp
@@ -1,4 +1,4 @@
-// Whether a greeting of the runtime comes from the process that was heard last.
+// Whether a greeting of the runtime comes from the same process as the one before.
 #include "peers/runtime/process_identity.h"
 
 #include <gtest/gtest.h>
@@ -21,12 +21,12 @@
   RuntimeProcessIdentity identity;
   EXPECT_FALSE(identity.is_another_process({10, 10.001, 0.0}));
   identity.on_answer(10.05);
-  // Written at 10.21, read when the reactor came to it.
+  // Sent at 10.21, read when the reactor came to it.
   EXPECT_FALSE(identity.is_another_process({10.2, 10.6, 0.21}));
 }
 
-// Guards against runs that are failed because the greeting of their runtime waits while this process is
-// paused.
+// Guards against runs that are failed because the greeting of their runtime stays unread while this process
+// is paused.
 TEST(RuntimeProcessIdentity, AGreetingThatIsReadASecondLateIsNotFromAnother) {
   RuntimeProcessIdentity identity;
   EXPECT_FALSE(identity.is_another_process({10, 10.001, 0.0}));
@@ -40,16 +40,18 @@
   EXPECT_FALSE(identity.is_another_process({14.1, 14.101, 0.1}));
 }
 
-// Guards against a runtime that takes its link at once and greets late: it passed for the one before.
+// Guards against a restarted runtime that accepts its link at once, greets late and is taken for the former
+// process.
 TEST(RuntimeProcessIdentity, AProcessWhoseGreetingWasMissingAtTheLastCheckIsAnother) {
   RuntimeProcessIdentity identity;
   EXPECT_FALSE(identity.is_another_process({10, 10.001, 2}));
   identity.on_answer(10.95);
-  // It took the link at 11 and came up at once; looked for in vain until 11.29.
+  // It accepted the link at 11 and came up at once; the checks until 11.29 found no greeting.
   EXPECT_TRUE(identity.is_another_process({11.29, 11.3, 0.3}));
 }
 
-// Guards against a runtime that is restarted soon after it was first heard of and passes for the old one.
+// Guards against a runtime that is restarted soon after it was first connected and is taken for the former
+// process.
 TEST(RuntimeProcessIdentity, AProcessThatStartedAfterTheLastAnswerIsAnother) {
   RuntimeProcessIdentity identity;
   EXPECT_FALSE(identity.is_another_process({10, 10.001, 0.0}));
--- a/tests/runtime/reply_crossings.cpp
+++ b/tests/runtime/reply_crossings.cpp
@@ -1,5 +1,5 @@
-// Replies to calls in doubt as the runtime's link is lost: none may answer another call, and no run waits for
-// ever.
+// Replies to calls in doubt after the runtime's link is lost: none may answer another call, and no run may
+// wait for ever.
 #include <cstring>
 #include <string>
 
@@ -8,9 +8,9 @@
 namespace damsonspoke::testing {
 namespace {
 
-// Guards against the reply to a run's first call that is taken for the reply to its second: the run went on
-// with the first reply, and asks for its second call right behind the gauges of the new link. `omit` names
-// its call and does no harm; it goes where the route may do without a call.
+// Guards against the reply to a run's first call that is taken for the reply to its second call: the run
+// has continued with the first reply, and requests its second call directly after the gauges of the new
+// link. `omit` names its call and does no harm; it is sent where the route may do without a call.
 void break_before_next_call(const std::string& idempotency, const char* route) {
   Site site("", "", routes(idempotency));
   site.comes_up();
@@ -36,8 +36,8 @@
 void reply_fragile_skippable() { break_before_next_call(kFragile, "push"); }
 void reply_fragile() { break_before_next_call(kFragile, "pull"); }
 
-// Guards against a run that waits for ever, as the reply to its call really was lost: it goes on without the
-// call where its route may, else its request fails when it is due.
+// Guards against a run that waits for ever because the reply to its call was lost: it must continue without
+// the call where its route may, otherwise its request must fail at its deadline.
 void reply_lost(const char* route) {
   Site site("", "", routes(kRetryable));
   site.comes_up();
@@ -60,7 +60,7 @@
 void reply_lost_skippable() { reply_lost("push"); }
 void reply_lost_needed() { reply_lost("pull"); }
 
-// Guards against memory that is held for ever, where the reply to a call that a run needs was lost.
+// Guards against memory that is held for ever where the reply to a call that a run needs was lost.
 void reply_lost_frees_memory() {
   Site site("", "", routes(kDedup));
   site.comes_up();
--- a/tests/runtime/restart_crossings.cpp
+++ b/tests/runtime/restart_crossings.cpp
@@ -1,4 +1,4 @@
-// The runtime starts anew, or moves to another address, while something is in doubt.
+// The runtime is restarted, or moves to another address, while a command is in doubt.
 #include <chrono>
 #include <csignal>
 #include <cstdio>
@@ -11,10 +11,10 @@
 
 using Clock = standins::scripted::Clock;
 
-constexpr double kStoppedSeconds = 0.8;  // that the program stands still
+constexpr double kStoppedSeconds = 0.8;  // for which the program is stopped
 
-// Guards against a second run where the runtime's address changes right after a start, with the old link
-// alive.
+// Guards against a second run where the runtime's address changes directly after a start, while the old
+// link is alive.
 void start_moved(const std::string& idempotency) {
   Site site("", "", routes(idempotency));
   site.comes_up();
@@ -31,7 +31,7 @@
 void moved_dedup() { start_moved(kDedup); }
 void moved_fragile() { start_moved(kFragile); }
 
-// Guards against a reply that goes to the next call, where the address changes right after a `give`.
+// Guards against a reply that answers the next call, where the address changes directly after a `give`.
 void reply_moved(const char* route) {
   Site site("", "", routes(kFragile));
   site.comes_up();
@@ -55,9 +55,9 @@
 void reply_moved_skippable() { reply_moved("push"); }
 void reply_moved_needed() { reply_moved("pull"); }
 
-// Guards against a runtime that begins anew shortly after it was first heard of and passes for the first:
-// what that ran is not started on the second and fails, and the second's notices, which count from 1, are
-// heard.
+// Guards against a runtime that is restarted shortly after it was first connected and is taken for the
+// first process. Runs of the first process must fail and not be started on the second one, and notices of
+// the second one, which are numbered from 1, must be handled.
 void runtime_restarts(const std::string& idempotency, double seconds_after_ready) {
   const bool is_keyed = idempotency == kDedup;
   Site site("", "", routes(idempotency));
@@ -87,8 +87,8 @@
 void restart_100ms_fragile() { runtime_restarts(kFragile, 0.1); }
 void restart_300ms_fragile() { runtime_restarts(kFragile, 0.3); }
 
-// Guards against the same runtime that is taken for another, as the program reads its `ready` late: it stands
-// still while that comes. The run goes on and answers its request.
+// Guards against a runtime that is taken for another process because the program reads its `ready` late:
+// the program is stopped while that arrives. The run continues and its request is answered.
 void ready_read_late() {
   Site site("", "", routes(kFragile));
   site.comes_up();
@@ -110,8 +110,8 @@
   site.counters({"requests.read", "requests.succeeded", "requests.failed", "runtime.restarts"});
 }
 
-// Guards against a runtime that takes the place of another at once, greets late, and passes for it: its
-// notices, numbered from 1, were not heard.
+// Guards against a runtime that replaces another one at once, greets late and is taken for it: its notices,
+// numbered from 1, were ignored.
 void restart_greets_late() {
   Site site("", "", routes(kFragile));
   site.comes_up();
@@ -132,16 +132,16 @@
   site.counters({"requests.read", "requests.succeeded", "requests.failed", "runtime.restarts"});
 }
 
-// The answers to two requests, in either order.
+// Waits for the answers to two requests, in either order.
 void print_whether_both_answered(Site& site, int caller) {
   int answers = 0;
   for (int i = 0; i < 2; ++i) answers += site.heard(caller).find("\"id\":") != std::string::npos;
   std::printf("caller hears two answers: %s\n", answers == 2 ? "yes" : "no");
 }
 
-// Guards against a runtime that takes the place of another and passes for it where the program reads its
-// greeting late: the greeting was not looked for while the program stood still. The new process counts its
-// notices from 1.
+// Guards against a runtime that replaces another one and is taken for it because the program reads its
+// greeting late: the program did not check for the greeting while it was stopped. The new process numbers
+// its notices from 1.
 void restart_read_late() {
   Site site("", "", routes(kFragile));
   site.comes_up();
@@ -171,16 +171,16 @@
 }  // namespace
 
 std::span<const Scenario> restart_scenarios() {
-  static constexpr Scenario kScenarios[] = {{"anew_greets_late", restart_greets_late},
-                                            {"anew_read_late", restart_read_late},
+  static constexpr Scenario kScenarios[] = {{"restart_greets_late", restart_greets_late},
+                                            {"restart_read_late", restart_read_late},
                                             {"moved_dedup", moved_dedup},
                                             {"moved_fragile", moved_fragile},
                                             {"reply_moved_skippable", reply_moved_skippable},
                                             {"reply_moved_needed", reply_moved_needed},
-                                            {"anew_100ms_dedup", restart_100ms_dedup},
-                                            {"anew_300ms_dedup", restart_300ms_dedup},
-                                            {"anew_100ms_fragile", restart_100ms_fragile},
-                                            {"anew_300ms_fragile", restart_300ms_fragile},
+                                            {"restart_100ms_dedup", restart_100ms_dedup},
+                                            {"restart_300ms_dedup", restart_300ms_dedup},
+                                            {"restart_100ms_fragile", restart_100ms_fragile},
+                                            {"restart_300ms_fragile", restart_300ms_fragile},
                                             {"ready_read_late", ready_read_late}};
   return kScenarios;
 }
--- a/tests/runtime/resumption_crossings.cpp
+++ b/tests/runtime/resumption_crossings.cpp
@@ -1,4 +1,5 @@
-// Resumptions and stops in doubt as the runtime's link is lost, and resumptions that the runtime refuses.
+// Resumptions and stops in doubt after the runtime's link is lost, and resumptions that the runtime
+// rejects.
 #include <string>
 
 #include "link_crossings.h"
@@ -6,7 +7,7 @@
 namespace damsonspoke::testing {
 namespace {
 
-// A paused run that is told to go on, as the link breaks.
+// Resumes a paused run, then breaks the link.
 int resume_then_break_link(Site& site) {
   const int caller = site.connect();
   site.send_request(caller, 1);
@@ -17,7 +18,7 @@
   return caller;
 }
 
-// Guards against a second answer, or a failure, by a `cont` that comes a second time after the run's end.
+// Guards against a second answer, or a failure, because a `cont` arrives again after the end of the run.
 void resumption_crosses_end() {
   Site site("", "", routes(kFragile));
   site.comes_up();
@@ -30,8 +31,8 @@
   site.counters({"requests.read", "requests.succeeded", "requests.failed", "runs.started", "runs.resumed"});
 }
 
-// Guards against a request that is answered twice, or never, where its run was paused again: the `cont` that
-// is sent a second time resumes it as well as the new one.
+// Guards against a request that is answered twice, or never, where its run was paused again: the `cont`
+// that is sent again resumes it as well as a new one would.
 void resumption_crosses_pause() {
   Site site("", "", routes(kFragile));
   site.comes_up();
@@ -44,7 +45,7 @@
   site.counters({"requests.read", "requests.succeeded", "requests.failed", "runs.started", "runs.resumed"});
 }
 
-// Guards against a paused run that nobody resumes, as its `cont` was lost.
+// Guards against a paused run that is never resumed because its `cont` was lost.
 void resumption_lost() {
   Site site("", "", routes(kFragile));
   site.comes_up();
@@ -56,7 +57,8 @@
   site.counters({"requests.read", "requests.succeeded", "requests.failed", "runs.started", "runs.resumed"});
 }
 
-// Guards against a run that begins anew as it has just been stopped: start and stop are both unproven.
+// Guards against a run that is started again directly after it was stopped: neither start nor stop is
+// acknowledged.
 void break_after_stop(const std::string& idempotency, const std::string& halt) {
   Site site(R"(,"halt":")" + halt + "\"", "", routes(idempotency));
   site.comes_up();
@@ -79,7 +81,7 @@
 void stop_dropped_fragile() { break_after_stop(kFragile, "drop"); }
 void stop_dropped_retryable() { break_after_stop(kRetryable, "drop"); }
 
-// Guards against a run that nobody stops, as its `stop` was lost.
+// Guards against a run that is never stopped because its `stop` was lost.
 void stop_lost() {
   Site site("", "", routes(kFragile));
   site.comes_up();
@@ -95,7 +97,8 @@
   site.counters({"requests.read", "requests.failed", "runs.started", "runs.stopped", "runs.cancelled"});
 }
 
-// Guards against a key that starts anew, where its run was paused and could not be resumed: a part of it ran.
+// Guards against a keyed request that is started again although its run was paused and could not be
+// resumed: a part of it has run.
 void resumption_refused(const std::string& answer) {
   Site site("", "", routes(kDedup));
   site.comes_up();
--- a/tests/runtime/start_crossings.cpp
+++ b/tests/runtime/start_crossings.cpp
@@ -1,4 +1,4 @@
-// Starts in doubt as the runtime's link is lost: sent again or not, awaited, given up.
+// Starts in doubt after the runtime's link is lost: sent again or not, awaited, given up.
 #include <cstdio>
 #include <string>
 
@@ -7,10 +7,10 @@
 namespace damsonspoke::testing {
 namespace {
 
-constexpr double kStepSeconds = 0.01;  // between two looks at what has come
+constexpr double kStepSeconds = 0.01;  // between two checks of the input
 constexpr int kMaxSteps = 200;
 
-// A request whose start the runtime has read, on a link that breaks then.
+// Sends a request whose start the runtime reads, then breaks the link.
 int start_then_break_link(Site& site, const std::string& idempotency, int limit_ms = 3000) {
   const int caller = site.connect();
   site.send_request(caller, 1, "push", with_limit(limit_ms, idempotency).c_str());
@@ -25,8 +25,8 @@
   print_runtime_input(site);
 }
 
-// Guards against a request that runs twice: its run ends right behind the gauges of the new link, and a start
-// sent on reading these would begin it anew.
+// Guards against a request that runs twice: its run ends directly after the gauges of the new link, and a
+// start sent on receipt of these would run it again.
 void break_before_run_end(const std::string& idempotency) {
   Site site("", "", routes(idempotency));
   site.comes_up();
@@ -42,8 +42,9 @@
 void start_fragile() { break_before_run_end(kFragile); }
 void start_retryable() { break_before_run_end(kRetryable); }
 
-// Guards against a start that really was lost and is sent again, or holds its memory for ever: its request
-// fails when it is due, a repeat of its key starts nothing, and what needs the memory runs after that.
+// Guards against a lost start that is sent again, or that holds its memory for ever: its request must fail
+// at its deadline, a duplicate with its key must start nothing, and a request that needs the memory must
+// run after that.
 void start_lost(const std::string& idempotency) {
   const bool is_keyed = idempotency == kDedup;
   Site site("", "", routes(idempotency));
@@ -71,7 +72,7 @@
 void lost_dedup() { start_lost(kDedup); }
 void lost_fragile() { start_lost(kFragile); }
 
-// Guards against the same where the run goes on for a while on the new link.
+// Guards against the same fault where the run continues for a while on the new link.
 void start_runs_on(const std::string& idempotency) {
   Site site("", "", routes(idempotency));
   site.comes_up();
@@ -87,8 +88,8 @@
 void runs_on_fragile() { start_runs_on(kFragile); }
 void runs_on_retryable() { start_runs_on(kRetryable); }
 
-// Guards against a start that is taken for lost though it never was sent: it goes out once, on the new link,
-// and not again when that breaks too.
+// Guards against a start that is taken for lost though it was never sent: it must be sent once, on the new
+// link, and not again when that breaks too.
 void start_waits_for_link(const std::string& idempotency) {
   Site site("", "", routes(idempotency));
   site.comes_up();
@@ -109,7 +110,7 @@
 void waits_dedup() { start_waits_for_link(kDedup); }
 void waits_fragile() { start_waits_for_link(kFragile); }
 
-// Guards against a second run of a keyed request that is already answered; its run is not stopped then.
+// Guards against a second run of a keyed request that is already answered and whose run was not stopped.
 void overdue_dedup() {
   Site site("", "", routes(kDedup));
   site.comes_up();
@@ -125,8 +126,7 @@
   site.counters({"requests.read", "requests.succeeded", "requests.failed", "runs.started", "runs.stopped"});
 }
 
-// Guards against a second run where a missing notice makes the program open the link anew right after a
-// start.
+// Guards against a second run where a missing notice makes the program reconnect directly after a start.
 void gap_dedup() {
   Site site("", "", routes(kDedup));
   site.comes_up();
@@ -145,9 +145,9 @@
   site.counters({"requests.read", "requests.succeeded", "runs.started", "runtime.gaps", "runtime.resent"});
 }
 
-// Guards against memory that is held for ever, where the notice that is missing is the end of a run which
-// started long before: nothing is in doubt, and no other notice of that run comes. What runs only
-// beside nothing else starts after it.
+// Guards against memory that is held for ever where the missing notice is the end of a run that was started
+// long before: no command is in doubt, and no other notice of that run follows. A request that needs all
+// memory must start after it.
 void gap_old_run(const std::string& idempotency, bool is_lost = true) {
   const bool keyed = idempotency == kDedup;
   Site site("", "", routes(idempotency));
@@ -174,8 +174,8 @@
 void gap_old_run_fragile() { gap_old_run(kFragile); }
 void gap_old_run_comes() { gap_old_run(kFragile, false); }
 
-// Guards against a start that is sent again though gauges, asked for after it, were answered before the
-// break.
+// Guards against a start that is sent again although a request for gauges that was sent after it was
+// answered before the break.
 void start_proven(double seconds_before_break) {
   Site site("", "", routes(kDedup));
   site.comes_up();
--- a/tests/runtime_client_crossings.cpp
+++ b/tests/runtime_client_crossings.cpp
@@ -1,5 +1,5 @@
-// The client of the runtime against a bare socket, with the reactor standing still while the other side
-// writes or ends the link: what is sent once more on the next link, and what is not. CTest compares with
+// The client of the runtime against a bare socket, with the reactor paused while the other side writes or
+// closes the link: which commands are sent again on the next link, and which are not. CTest compares with
 // tests/traces/runtime_client_crossings_NAME.txt. usage: runtime_client_crossings - SCENARIO
 #include <arpa/inet.h>
 #include <fmt/format.h>
@@ -29,12 +29,12 @@
 constexpr int kMaxIterations = 1000;
 constexpr double kIterationSeconds = 0.002;
 constexpr double kStepSeconds = 0.01;
-constexpr int kMaxSteps = 300;      // of waiting for what should come
-constexpr int kBacklogFillers = 8;  // more than a listener without a backlog takes
+constexpr int kMaxSteps = 300;      // of waiting for expected input
+constexpr int kBacklogFillers = 8;  // more than the queue of a listener without a backlog
 constexpr RequestId kLastRequestWhileHung = 11;
-constexpr int kQuietSteps = 20;  // in which a second command would come
+constexpr int kQuietSteps = 20;  // in which a second command would arrive
 
-// A listener on loopback; what came is looked at only when the test says so.
+// A listener on loopback, whose input is read only when the test does so.
 class BareRuntime {
  public:
   BareRuntime() {
@@ -55,7 +55,7 @@
     ::close(listener_);
   }
   std::string address() const { return fmt::format("127.0.0.1:{}", port_); }
-  // Of links that connect from now on.
+  // Applies to links that connect from now on.
   void set_receive_bytes(int bytes) { ::setsockopt(listener_, SOL_SOCKET, SO_RCVBUF, &bytes, sizeof bytes); }
   bool accept_link() {
     link_ = ::accept4(listener_, nullptr, nullptr, SOCK_CLOEXEC | SOCK_NONBLOCK);
@@ -65,7 +65,7 @@
   void say(const std::string& text) {
     if (::send(link_, text.data(), text.size(), MSG_NOSIGNAL) < 0) fmt::print("(cannot say it)\n");
   }
-  // What has come on the link; with a patience, all until its end.
+  // The input on the link; with a timeout, all of it until the link ends.
   std::string received(int timeout_ms = 0) {
     std::string all;
     char bytes[65536];
@@ -100,7 +100,7 @@
   void on_run_given_up(RequestId) override { ++given_up; }
   void on_runtime_restarted(const std::unordered_set<RequestId>&) override { ++restarts; }
 
-  // Lets the client run until this has come.
+  // Runs the client until this has arrived.
   bool wait_for_input(const std::string& part) {
     for (int i = 0; i < kMaxSteps && in.find(part) == std::string::npos; ++i) {
       stepped.run_for(kStepSeconds);
@@ -109,8 +109,7 @@
     }
     return in.find(part) != std::string::npos;
   }
-  // On a new link: its gauges are answered, which `right_after` follows before what the client sends then is
-  // read.
+  // On a new link: answers its gauges, and sends `right_after` before it reads what the client sends then.
   void synchronize(const std::string& state, const std::string& right_after = "") {
     wait_for_input("sync ");
     bare.say("ready " + state + "\r\n");
@@ -146,7 +145,7 @@
   peers::RuntimeClient runtime{stepped.reactor, bare.address(), kOutputBytes, {}, *this, counters, log};
 };
 
-constexpr double kSecondsUntilDue = 30;  // above what any scenario takes
+constexpr double kSecondsUntilDue = 30;  // longer than any scenario takes
 
 void start(Client& client, RequestId id, const std::string& body, bool may_repeat) {
   client.runtime.start({id, "push", body, may_repeat, kSecondsUntilDue});
@@ -161,7 +160,7 @@
   return fmt::format("start {:016x} push {}\r\n{}\r\n", id, body.size(), body);
 }
 
-// Those that were asked for and not answered yet.
+// Answers the gauges that were requested and are not answered yet.
 void answer_gauges(Client& client) {
   for (std::size_t at = 0; (at = client.in.find("gauges ", at)) != std::string::npos;) {
     const std::size_t tag = at + 7;
@@ -172,14 +171,14 @@
   }
 }
 
-// Guards against a start that runs twice, or never, where the client's own output fills up: the other side
-// reads nothing until the client gives the link up. What had reached the other side whole is not sent again;
-// all that had not goes out on the next link, once.
+// Guards against a start that runs twice, or never, where the client's own output buffer overflows: the
+// other side reads nothing until the client closes the link. A start that had arrived completely is not
+// sent again; every other one is sent on the next link, once.
 void overflow_once() {
   Client client;
   client.bare.set_receive_bytes(kSmallReceiveBytes);
   client.wait_for_input("sync 0");
-  client.bare.set_receive_bytes(kLargeReceiveBytes);  // the next link takes all
+  client.bare.set_receive_bytes(kLargeReceiveBytes);  // the next link accepts all output
   client.synchronize("hot 0");
   const std::string body(kBodyBytes, 'b');
   RequestId last = 0;
@@ -200,14 +199,13 @@
     missing += before + after == 0;
     twice_on_one += before > 1 || after > 1;
   }
-  say("the link was given up, with starts on both sides of its end",
-      first > 0 && first < static_cast<int>(last));
-  say("none of those that had arrived came again", again == 0);
-  say("each came on one link at least", missing == 0);
-  say("none came twice on one link", twice_on_one == 0);
+  say("the link was closed, with starts before and after that", first > 0 && first < static_cast<int>(last));
+  say("no start that had arrived was sent again", again == 0);
+  say("each start arrived on at least one link", missing == 0);
+  say("no start arrived twice on one link", twice_on_one == 0);
 }
 
-// Guards against a second start of a run that ends right behind the gauges of the next link.
+// Guards against a second start of a run that ends directly after the gauges of the next link.
 void break_before_run_end(bool may_repeat) {
   Client client;
   client.synchronize("hot 0");
@@ -220,7 +218,7 @@
 void start_once() { break_before_run_end(false); }
 void start_repeatable() { break_before_run_end(true); }
 
-// Guards against a reply that is taken for the next call's, and against a run that nobody lets go on.
+// Guards against a reply that answers the next call, and against a run that is never continued.
 void break_before_next_call(bool may_be_skipped) {
   Client client;
   client.synchronize("hot 0");
@@ -233,15 +231,15 @@
   client.wait_for_input("reply\r\n");
   client.cut();
   client.synchronize("hot 900", "wants 2 0000000000000001 6\r\nsecond\r\n");
-  fmt::print("on the second link: give {}, omit of the first call {}; calls asked for: {}\n",
+  fmt::print("on the second link: give {}, omit of the first call {}; calls requested: {}\n",
              client.count("give 0000000000000001 "), client.count("omit 0000000000000001 1\r\n"),
              client.calls[1]);
 }
 void reply_skippable() { break_before_next_call(true); }
 void reply_needed() { break_before_next_call(false); }
 
-// Guards against commands that wait for a link and are lost, or come twice: a start, a reply, a stop and a
-// resumption that were issued while there was none go out once, in their order.
+// Guards against commands that are lost or sent twice because they waited for a link: a start, a reply, a
+// stop and a resumption that were issued without a link are sent once, in their order.
 void issued_without_link() {
   Client client;
   client.synchronize("hot 0");
@@ -263,11 +261,11 @@
   const bool in_order = client.in.find("give ") < client.in.find("cont ") &&
                         client.in.find("cont ") < client.in.find("start ") &&
                         client.in.find("start ") < client.in.find("stop ");
-  say("in their order", in_order);
+  say("in the order of issue", in_order);
 }
 
-// Guards against commands that wait for as long as a new address lets connects hang: until the new link is
-// up the old one serves.
+// Guards against commands that wait for as long as connects to a new address hang: the old link stays in
+// use until the new one is up.
 void moved_to_silence() {
   Client client;
   client.synchronize("hot 0");
@@ -298,7 +296,7 @@
   }
   for (const int fd : backlog_fillers) ::close(fd);
   ::close(full);
-  fmt::print("starts: {}, come later than {} ms on the old link: {}\n", kLastRequestWhileHung - 1,
+  fmt::print("starts: {}, received later than {} ms on the old link: {}\n", kLastRequestWhileHung - 1,
              static_cast<int>(kQuietSteps * kStepSeconds * 1000), late);
 }
 
--- a/tests/stepped_reactor.h
+++ b/tests/stepped_reactor.h
@@ -1,5 +1,5 @@
-// A reactor that a test lets run for a time, again and again: between two runs it stands still, and the test
-// may touch what belongs to it. POCO's own loop, once stopped, does not go on.
+// A reactor that a test runs for a given time, repeatedly. Between two runs it is paused, and the test may
+// access the objects that belong to it. (POCO's own loop cannot be restarted once it is stopped.)
 #pragma once
 
 #include <chrono>
@@ -12,7 +12,7 @@
 
 namespace damsonspoke {
 
-// A test calls end() before it destroys what the reactor calls.
+// A test must call end() before it destroys objects that the reactor calls.
 class SteppedReactor {
  public:
   SteppedReactor() = default;
@@ -20,11 +20,11 @@
   SteppedReactor& operator=(const SteppedReactor&) = delete;
   ~SteppedReactor() { end(); }
 
-  // Lets the reactor run for so long.
+  // Runs the reactor for this time.
   void run_for(double seconds) {
     run_for([&] { std::this_thread::sleep_for(std::chrono::duration<double>(seconds)); });
   }
-  // Lets the reactor run while this is called on the test's own thread.
+  // Runs the reactor while `meanwhile` is called on the test's own thread.
   void run_for(const std::function<void()>& meanwhile) {
     if (!thread_.joinable()) thread_ = std::thread([this] { reactor.run(); });
     resume();
@@ -33,7 +33,7 @@
     std::unique_lock guard(lock_);
     changed_.wait(guard, [this] { return is_paused_; });
   }
-  // Ends the reactor, which does not run again; to be called before what it calls is destroyed.
+  // Ends the reactor for good; to be called before the objects that it calls are destroyed.
   void end() {
     if (!thread_.joinable()) return;
     reactor.stop();
--- a/tests/wire.cpp
+++ b/tests/wire.cpp
@@ -1,5 +1,6 @@
-// Prints what the parsers and encoders of src/wire make of sound and of damaged input; CTest compares it with
-// tests/traces/wire_NAME.txt. What is sound is fed whole and one byte at a time, which has to give the same.
+// Prints how the parsers and encoders of src/wire handle valid and invalid input; CTest compares it with
+// tests/traces/wire_NAME.txt. Valid input is passed at once and byte by byte, which must give the same
+// result.
 #include <cstdio>
 #include <cstring>
 #include <functional>
@@ -28,7 +29,8 @@
   return text.size() > 60 ? out + "..." : out;
 }
 
-// Offers ever longer parts of the input, as a socket does; reads(part) tells how much of it was used.
+// Passes ever longer parts of the input, as a socket does; consume(part) returns the number of consumed
+// bytes.
 void one_byte_at_a_time(const std::string& input,
                         const std::function<std::size_t(std::string_view)>& consume) {
   std::string buffered;
@@ -57,22 +59,22 @@
 
 void frames() {
   const std::string two = framed("{}") + "X-Other: 1\r\ncontent-length:  5 \r\n\r\nab\r\nc" + framed("");
-  std::printf("three frames whole:\n");
+  std::printf("three frames at once:\n");
   for (std::string_view rest = two; !rest.empty();) rest.remove_prefix(print_frame(rest));
   std::printf("one byte at a time:\n");
   one_byte_at_a_time(two, print_frame);
   const std::pair<const char*, std::string> damaged[] = {
-      {"no length", "X-Other: 1\r\n\r\n{}"},
-      {"no head", "\r\n{}"},
+      {"missing length", "X-Other: 1\r\n\r\n{}"},
+      {"missing header", "\r\n{}"},
       {"negative", "Content-Length: -1\r\n\r\n"},
-      {"no number", "Content-Length: 1x\r\n\r\n"},
+      {"not a number", "Content-Length: 1x\r\n\r\n"},
       {"empty", "Content-Length: \r\n\r\n"},
       {"too large", "Content-Length: 16385\r\n\r\n"},
       {"larger than any number", "Content-Length: 99999999999999999999999\r\n\r\n"},
-      {"told twice", "Content-Length: 2\r\nContent-Length: 2\r\n\r\n{}"},
-      {"a line that is no field", "Content-Length 2\r\n\r\n{}"},
-      {"head without end", std::string(1024, 'x')},
-      {"head without end, shorter", std::string(1023, 'x')},
+      {"given twice", "Content-Length: 2\r\nContent-Length: 2\r\n\r\n{}"},
+      {"a line that is not a field", "Content-Length 2\r\n\r\n{}"},
+      {"unterminated header", std::string(1024, 'x')},
+      {"unterminated header, shorter", std::string(1023, 'x')},
   };
   for (const auto& [name, input] : damaged) {
     std::printf("%s:\n", name);
@@ -82,7 +84,7 @@
 
 // ---- Requests.
 void print_request(const std::string& text) {
-  static const char* const kProblems[] = {"sound", "no JSON", "no request", "bad parameters"};
+  static const char* const kProblems[] = {"valid", "not JSON", "not a request", "invalid params"};
   RpcRequest r;
   const RpcProblem problem = decode_request(text, r);
   std::printf("%s\n  %s", printable(text).c_str(), kProblems[static_cast<int>(problem)]);
@@ -150,15 +152,15 @@
     std::string bytes, again;
     const bool valid = decode_base64(text, bytes);
     if (valid) append_base64(again, bytes);
-    std::printf("base64 '%s': %s '%s' '%s'\n", text, valid ? "sound" : "damaged", bytes.c_str(),
+    std::printf("base64 '%s': %s '%s' '%s'\n", text, valid ? "valid" : "invalid", bytes.c_str(),
                 again.c_str());
   }
 }
 
-// ---- The runtime's lines.
+// ---- The lines of the runtime.
 std::size_t print_notice(std::string_view input) {
-  static const char* const kKinds[] = {"ready",   "run end", "call wanted", "gauges",
-                                       "verdict", "nack",    "remark",      "unknown"};
+  static const char* const kKinds[] = {"ready",     "run end", "call requested", "gauges", "self-test result",
+                                       "rejection", "remark",  "unknown"};
   const NoticeRead read = next_notice(input);
   if (read.state == LineState::kNeedMore) return 0;
   if (read.state == LineState::kBroken) {
@@ -187,7 +189,7 @@
       "wants 5 9b1f03aa5c7e2d41 2\r\nhi\r\nload 17 0.5 12 0.25 18\r\nload 18\r\nverdict 3 "
       "complete\r\nverdict 4 error\r\n"
       "nack give 9b1f03aa5c7e2d41\r\ninfo 6 some words\r\n";
-  std::printf("whole:\n");
+  std::printf("all at once:\n");
   for (std::string_view rest = valid; !rest.empty();) rest.remove_prefix(print_notice(rest));
   std::printf("one byte at a time:\n");
   one_byte_at_a_time(valid, print_notice);
@@ -208,9 +210,9 @@
   }
 }
 
-// ---- The lines of the layer below.
+// ---- The lines of the dependency.
 std::size_t print_reply(std::string_view input) {
-  static const char* const kEnds[] = {"ok", "refused", "failed", "timed out", "moot", "unknown"};
+  static const char* const kEnds[] = {"ok", "rejected", "failed", "timed out", "obsolete", "unknown"};
   const ReplyRead read = next_reply(input);
   if (read.state == LineState::kNeedMore) return 0;
   if (read.state == LineState::kBroken) {
@@ -226,7 +228,7 @@
   const std::string id = "9b1f03aa5c7e2d41";
   const std::string valid = id + " ok 4\r\na\r\nb\r\n" + id + " overload\r\n" + id + " internal\r\n" + id +
                             " deadline\r\n" + id + " stale\r\n" + id + " ok 0\r\n\r\n";
-  std::printf("whole:\n");
+  std::printf("all at once:\n");
   for (std::string_view rest = valid; !rest.empty();) rest.remove_prefix(print_reply(rest));
   std::printf("one byte at a time:\n");
   one_byte_at_a_time(valid, print_reply);
@@ -248,7 +250,7 @@
                                                            {"requests", requests},
                                                            {"answers", answers},
                                                            {"runtime", runtime},
-                                                           {"below", dependency}};
+                                                           {"dependency", dependency}};
   for (const auto& [name, print] : kScenarios) {
     if (argc == 2 && std::strcmp(argv[1], name) == 0) return print(), 0;
   }
