--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -40,11 +40,11 @@
 
 // A budget for the pending output of several connections together.
 struct OutputPool {
-  std::size_t max_bytes = 0;
+  std::size_t most = 0;
   std::size_t used_bytes = 0;
   OutputPool* parent = nullptr;  // of which this is a part; must outlive it
   bool fits(std::size_t bytes) const {
-    return used_bytes + bytes <= max_bytes && (parent == nullptr || parent->fits(bytes));
+    return used_bytes + bytes <= most && (parent == nullptr || parent->fits(bytes));
   }
   void charge(std::size_t bytes) {
     used_bytes += bytes;
--- a/src/wire/rpc.h
+++ b/src/wire/rpc.h
@@ -1,5 +1,5 @@
-// The codec of the protocol of callers: JSON-RPC 2.0 in frames with a Content-Length header. No other
-// module uses the names of the protocol.
+// The codec of the protocol of callers: JSON-RPC 2.0 in frames with a Content-Length header. It translates
+// between the protocol's own names and the types below.
 #pragma once
 
 #include <cstddef>
@@ -30,7 +30,7 @@
   std::uint64_t id = 0;  // of the message, at least 1
   std::string method;
   std::uint64_t request_id = 0;  // identifies the request; unique among those in flight
-  double received_at_ms = 0;     // Unix, at which it arrived at the host; 0: absent
+  double received_at_ms = 0;     // Unix time of its arrival at the host; 0: absent
   double client_timeout_ms = 0;  // after that; 0: absent
   double work_ms = 0;            // on a standard core, as estimated by the caller; 0: absent
   double size_kb = 0;
--- a/src/wire/runtime_lines.h
+++ b/src/wire/runtime_lines.h
@@ -1,5 +1,5 @@
-// The codec of the protocol of the runtime, in lines (wire/lines.h). No other module uses the names of the
-// protocol.
+// The codec of the runtime's protocol, in lines (wire/lines.h). It translates between the protocol's own
+// names and the types below.
 #pragma once
 
 #include <cstddef>
