--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -1,5 +1,5 @@
-// One stream socket in the reactor, with bounded buffers. It reads while its owner lets it, and asks to be
-// told when it can write only while output waits.
+// A stream socket in the reactor, with bounded buffers. It reads unless its owner has paused that, and
+// polls for writability only while output is pending.
 #pragma once
 
 #include <Poco/Net/SocketNotification.h>
@@ -16,10 +16,10 @@
 namespace damsonspoke::net {
 
 enum class CloseReason {
-  kRefused,   // never connected: nothing that was written has left
-  kOrderly,   // the peer closed, or we did
+  kRefused,   // never connected: no output was sent
+  kOrderly,   // closed by either side without an error
   kBroken,    // reset, or another error
-  kOverflow,  // more output waits than is allowed
+  kOverflow,  // more output or input is buffered than allowed
 };
 
 class Connection;
@@ -28,43 +28,44 @@
  public:
   virtual ~ConnectionOwner() = default;
   virtual void on_connected(Connection&) {}
-  // Returns how many bytes were used; the rest is offered again with what follows.
+  // Returns the number of consumed bytes; the rest is passed again together with the next input.
   virtual std::size_t on_input(Connection& connection, std::string_view bytes) = 0;
-  // The peer will write no more; what it asked may still be answered.
+  // The peer has ended its side: no more input follows, but requests that it sent may still be answered.
   virtual void on_end_of_input(Connection& connection) = 0;
-  // Once, the last call for this connection, never from inside one of its own methods.
+  // Called once, as the last call for this connection, and never from inside one of its own methods.
   virtual void on_end(Connection& connection, CloseReason why) = 0;
-  // All output has left.
+  // All pending output was written to the socket.
   virtual void on_output_sent(Connection&) {}
 };
 
-// Output that waits on several connections together.
+// A budget for the pending output of several connections together.
 struct OutputPool {
   std::size_t most = 0;
-  std::size_t used = 0;
-  OutputPool* above = nullptr;  // of which this is a part; outlives it
+  std::size_t used_bytes = 0;
+  OutputPool* parent = nullptr;  // of which this is a part; must outlive it
   bool fits(std::size_t bytes) const {
-    return used + bytes <= most && (above == nullptr || above->fits(bytes));
+    return used_bytes + bytes <= most && (parent == nullptr || parent->fits(bytes));
   }
   void charge(std::size_t bytes) {
-    used += bytes;
-    if (above != nullptr) above->charge(bytes);
+    used_bytes += bytes;
+    if (parent != nullptr) parent->charge(bytes);
   }
   void release(std::size_t bytes) {
-    used -= bytes;
-    if (above != nullptr) above->release(bytes);
+    used_bytes -= bytes;
+    if (parent != nullptr) parent->release(bytes);
   }
 };
 
 struct BufferLimits {
   std::size_t input = 64 * 1024;
   std::size_t output = 256 * 1024;
-  OutputPool* pool = nullptr;  // outlives the connection
+  OutputPool* pool = nullptr;  // must outlive the connection
 };
 
 class Connection : public std::enable_shared_from_this<Connection> {
  public:
-  // An accepted socket, or one that begins to connect to an address; `from`: an address of this machine.
+  // Takes over an accepted socket, or starts to connect to an address. `from`: a local address to connect
+  // from.
   static std::shared_ptr<Connection> accepted(Reactor& reactor, ConnectionOwner& owner, int fd,
                                               BufferLimits limits);
   static std::shared_ptr<Connection> connecting(Reactor& reactor, ConnectionOwner& owner,
@@ -73,29 +74,31 @@
   ~Connection();
 
   void send(std::string_view bytes);
-  void close(CloseReason why = CloseReason::kOrderly);  // at once; on_end follows on the next turn
-  // In order: nothing more is read, what waits is written, then the socket takes its leave (net/farewell.h).
-  // Its owner hears of the end as of a close, once all is written.
+  void close(
+      CloseReason why = CloseReason::kOrderly);  // at once; on_end() follows in the next event-loop iteration
+  // Closes gracefully: stops reading, writes the pending output, then begins a lingering close of the
+  // socket (net/lingering_close.h). on_end() follows once all output is written.
   void end();
-  // What lies in the socket is read and delivered now, not on the reactor's next turn. Not from inside one of
-  // its owner's calls.
+  // Reads and delivers the input that is in the socket now, without waiting for the next event-loop
+  // iteration. Must not be called from inside a callback of the owner.
   void read_now();
   void pause_reading(bool pause);
   void pause_reading_until(double time);  // monotonic, s
-  void stop_reading();                    // for good; what is to be written still leaves
+  void stop_reading();                    // permanently; pending output is still written
   bool connected() const { return state_ == State::kOpen; }
   bool open() const { return state_ != State::kClosed; }
-  std::size_t waiting() const { return out_.size() - out_at_; }
-  // Once closed: bytes that were given to it and not to the system, its refused ones among them.
-  std::size_t unwritten() const { return unwritten_; }
-  // Bytes that came from the peer, and that the system took for it, since it was made.
+  std::size_t waiting() const { return output_.size() - output_offset_; }
+  // Once closed: bytes of pending output that were never written to the socket, for example as it never
+  // connected.
+  std::size_t unwritten() const { return unsent_bytes_; }
+  // Bytes read from the socket, and written to it, so far.
   std::uint64_t bytes_in() const { return bytes_in_; }
   std::uint64_t bytes_out() const { return bytes_out_; }
-  // The peer has closed its side, or the connection is broken, with nothing before that to read: asks the
-  // system.
+  // Whether the peer has closed its side, or the connection is broken, with no unread input before that.
+  // Queries the socket.
   bool peer_has_closed() const;
-  bool nothing_to_read() const;  // neither bytes nor the peer's end: asks the system, not the reactor
-  std::uint64_t tag = 0;         // the owner's name for it
+  bool nothing_to_read() const;  // neither bytes nor the peer's end; queries the socket
+  std::uint64_t tag = 0;         // chosen by the owner, to identify it
 
  private:
   enum class State { kConnecting, kOpen, kClosed };
@@ -107,11 +110,11 @@
   void on_error(Poco::Net::ErrorNotification* notification);
   void read_some();
   void write_some();
-  void part();
-  void want_read(bool want);
-  void want_write(bool want);
-  void want_error(bool want);
-  void watch(bool read, bool write, bool error);
+  void begin_lingering_close();
+  void observe_readable(bool want);
+  void observe_writable(bool want);
+  void observe_errors(bool want);
+  void set_observers(bool read, bool write, bool error);
   void deliver();
   void charge(std::size_t bytes);
   void release(std::size_t bytes);
@@ -122,15 +125,15 @@
   Poco::Net::StreamSocket socket_;
   State state_;
   BufferLimits limits_;
-  std::string in_;
-  std::string out_;
-  std::size_t out_at_ = 0;
-  std::size_t unwritten_ = 0;
+  std::string input_;
+  std::string output_;
+  std::size_t output_offset_ = 0;
+  std::size_t unsent_bytes_ = 0;
   std::uint64_t bytes_in_ = 0, bytes_out_ = 0;
-  bool reading_ = false, writing_ = false, watching_ = false;
-  bool paused_ = false, input_over_ = false, delivering_ = false;
-  bool peer_ended_ = false;  // its end has been read: nothing of it can be unread
-  bool ending_ = false;      // takes its leave once all is written
+  bool observes_readable_ = false, observes_writable_ = false, observes_errors_ = false;
+  bool is_paused_ = false, is_input_stopped_ = false, is_delivering_ = false;
+  bool has_peer_ended_ = false;       // its end was read: no input can be unread
+  bool closes_after_output_ = false;  // end() was called; closes once all output is written
 };
 
 }  // namespace damsonspoke::net
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -16,8 +16,8 @@
 using OnReadable = Poco::Observer<Listener, Poco::Net::ReadableNotification>;
 
 constexpr int kMaxAcceptedPerSlice = 64;
-constexpr double kSliceSeconds = 0.001;         // a newcomer at a full table costs an eviction
-constexpr double kClosingSliceSeconds = 0.005;  // the time until the stop is short
+constexpr double kSliceSeconds = 0.001;         // accepting a connection at a full table takes an eviction
+constexpr double kClosingSliceSeconds = 0.005;  // little time is left until the process ends
 constexpr int kBacklog = 1024;                  // connections that may wait to be accepted
 constexpr double kDescriptorRetrySeconds = 0.05;
 
@@ -39,7 +39,7 @@
     : reactor_(reactor),
       on_accept_(std::move(on_accept)),
       fd_(::socket(address.af(), SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)) {
-  if (fd_ < 0) throw std::system_error(errno, std::generic_category(), "cannot make a socket");
+  if (fd_ < 0) throw std::system_error(errno, std::generic_category(), "cannot create a listening socket");
   const int on = 1;
   ::setsockopt(fd_, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
   socket_ = Poco::Net::StreamSocket(new Poco::Net::StreamSocketImpl(fd_));  // owns the descriptor from here
@@ -59,7 +59,7 @@
 
 Listener::~Listener() {
   reactor_.cancel(next_slice_);
-  if (reserve_ >= 0) ::close(reserve_);
+  if (reserved_fd_ >= 0) ::close(reserved_fd_);
   if (state_ == State::kClosed) return;
   unwatch();
   socket_.close();
@@ -79,34 +79,36 @@
 
 // ---- Accepting.
 
-void Listener::keep_reserve() {
-  keeps_reserve_ = true;
-  if (reserve_ < 0) reserve_ = ::open("/dev/null", O_RDONLY | O_CLOEXEC);
+void Listener::reserve_descriptor() {
+  has_reserve_ = true;
+  if (reserved_fd_ < 0) reserved_fd_ = ::open("/dev/null", O_RDONLY | O_CLOEXEC);
 }
 
-// The reserve's descriptor for one newcomer. False where nobody came, or the reserve is lost.
-bool Listener::accept_scarce() {
-  if (reserve_ < 0) return false;
-  ::close(reserve_);
+// Accepts one connection with the reserved descriptor. False: no connection waits, or no descriptor could
+// be reserved again.
+bool Listener::accept_with_reserved_descriptor() {
+  if (reserved_fd_ < 0) return false;
+  ::close(reserved_fd_);
   Accepted accepted = accept_from(fd_);
-  accepted.scarce = true;
+  accepted.uses_reserved_descriptor = true;
   if (accepted.fd >= 0) on_accept_(accepted);
-  reserve_ = ::open("/dev/null", O_RDONLY | O_CLOEXEC);
-  return accepted.fd >= 0 && reserve_ >= 0;
+  reserved_fd_ = ::open("/dev/null", O_RDONLY | O_CLOEXEC);
+  return accepted.fd >= 0 && reserved_fd_ >= 0;
 }
 
-// What is due and the other sockets wait for this long, and for one newcomer at most beyond that.
+// Accepts connections for this time. Timers and other sockets are delayed by that and by accepting one more
+// connection at most.
 Listener::SliceEnd Listener::accept_slice(double seconds) {
-  if (keeps_reserve_ && reserve_ < 0) keep_reserve();
+  if (has_reserve_ && reserved_fd_ < 0) reserve_descriptor();
   const double until = monotonic_now() + seconds;
   for (int i = 0; i < kMaxAcceptedPerSlice; ++i) {
     const Accepted accepted = accept_from(fd_);
     if (accepted.fd >= 0) {
       on_accept_(accepted);
     } else if (is_out_of_descriptors(errno)) {
-      if (!accept_scarce()) return SliceEnd::kOutOfDescriptors;
+      if (!accept_with_reserved_descriptor()) return SliceEnd::kOutOfDescriptors;
     } else if (errno == EAGAIN || errno == EWOULDBLOCK) {
-      return SliceEnd::kNoneWaits;
+      return SliceEnd::kNonePending;
     }
     if (monotonic_now() >= until) break;
   }
@@ -115,7 +117,7 @@
 
 void Listener::on_readable(Poco::Net::ReadableNotification* notification) {
   notification->release();
-  guarded("accept", [this] {
+  run_guarded("accept", [this] {
     if (accept_slice(kSliceSeconds) != SliceEnd::kOutOfDescriptors) return;
     // The poll would report the socket again at once, and nothing could be accepted.
     unwatch();
@@ -125,29 +127,30 @@
 
 // ---- Closing.
 
-// A listener that closes resets the connections that wait in it, with what their clients have written. So
-// newcomers are kept out first, then those that wait are accepted, then it closes.
+// Closing a listening socket resets the connections that wait in it, and the requests that their clients
+// have sent are lost. So new connections are dropped first, then the waiting ones are accepted, then the
+// socket is closed.
 void Listener::close() {
   if (state_ != State::kListening) return;
   state_ = State::kClosing;
   reactor_.cancel(next_slice_);
   unwatch();
-  drop_newcomers();
-  accept_rest();
+  drop_new_connections();
+  accept_pending();
 }
 
-// Their first packet is dropped; they send it again and find the address refused.
-void Listener::drop_newcomers() {
+// Drops their SYN packets; the clients send them again and find the port closed.
+void Listener::drop_new_connections() {
   sock_filter drop_all[] = {{BPF_RET | BPF_K, 0, 0, 0}};
   sock_fprog program{1, drop_all};
   ::setsockopt(fd_, SOL_SOCKET, SO_ATTACH_FILTER, &program, sizeof program);
 }
 
-void Listener::accept_rest() {
-  SliceEnd slice_end = SliceEnd::kNoneWaits;
-  guarded("accept", [this, &slice_end] { slice_end = accept_slice(kClosingSliceSeconds); });
+void Listener::accept_pending() {
+  SliceEnd slice_end = SliceEnd::kNonePending;
+  run_guarded("accept", [this, &slice_end] { slice_end = accept_slice(kClosingSliceSeconds); });
   if (slice_end == SliceEnd::kOutOfTime) {
-    next_slice_ = reactor_.after(0, [this] { accept_rest(); });
+    next_slice_ = reactor_.after(0, [this] { accept_pending(); });
     return;
   }
   state_ = State::kClosed;
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -1,5 +1,5 @@
-// A listening socket in the reactor. It accepts in slices of a bounded time, so that a crowd of newcomers
-// holds up neither timers nor other sockets, and pauses where descriptors have run out.
+// A listening socket in the reactor. It accepts in slices of a bounded time, so that a burst of connections
+// delays neither timers nor other sockets, and pauses while the process is out of descriptors.
 #pragma once
 
 #include <Poco/Net/SocketAddress.h>
@@ -14,31 +14,32 @@
 
 namespace damsonspoke::net {
 
-// A connection that was accepted.
+// An accepted connection.
 struct Accepted {
-  int fd = -1;  // the receiver's
+  int fd = -1;  // owned by the receiver
   sockaddr_storage from{};
-  bool scarce = false;  // it took the last descriptor that there was
+  bool uses_reserved_descriptor = false;  // it took the last descriptor of the process
 };
 
 class Listener {
  public:
   using OnAccept = std::function<void(const Accepted& accepted)>;
 
-  // Throws std::system_error where the address can't be listened on.
+  // Throws std::system_error where listening on the address fails.
   Listener(Reactor& reactor, const Poco::Net::SocketAddress& address, OnAccept on_accept);
-  // A socket that listens already, of any family.
+  // Takes over a socket of any family that listens already.
   Listener(Reactor& reactor, int listening_fd, OnAccept on_accept);
   ~Listener();
   Listener(const Listener&) = delete;
   Listener& operator=(const Listener&) = delete;
 
-  // Keeps one descriptor back. Out of descriptors, it is given for one newcomer at a time, marked as scarce,
-  // so that it can be told, or let in for another, before the pause.
-  void keep_reserve();
+  // Reserves one descriptor. While the process is out of descriptors, the reserved one is used to accept
+  // one connection at a time, marked with uses_reserved_descriptor, so that its client can be sent a
+  // rejection, or be admitted in place of another one, before accepting pauses.
+  void reserve_descriptor();
 
-  // Keeps newcomers out from now on, accepts those that wait already over the next turns, then closes. Those
-  // that still wait when the listener is destroyed are reset.
+  // Drops new connections from now on, accepts those that wait already over the next event-loop iterations,
+  // then closes. Connections that still wait when the listener is destroyed are reset.
   void close();
   [[nodiscard]] bool is_open() const { return state_ != State::kClosed; }
   [[nodiscard]] std::uint16_t port() const { return port_; }
@@ -46,24 +47,24 @@
  private:
   enum class State { kListening, kClosing, kClosed };
   enum class SliceEnd {
-    kNoneWaits,
+    kNonePending,
     kOutOfTime,
     kOutOfDescriptors,
   };
 
   void on_readable(Poco::Net::ReadableNotification* notification);
   SliceEnd accept_slice(double seconds);
-  bool accept_scarce();
+  bool accept_with_reserved_descriptor();
   void watch();
   void unwatch();
-  void drop_newcomers();
-  void accept_rest();
+  void drop_new_connections();
+  void accept_pending();
 
   Reactor& reactor_;
   OnAccept on_accept_;
   int fd_ = -1;
-  int reserve_ = -1;
-  bool keeps_reserve_ = false;
+  int reserved_fd_ = -1;
+  bool has_reserve_ = false;
   bool is_watching_ = false;
   State state_ = State::kListening;
   Poco::Net::StreamSocket socket_;
--- a/src/peers/ajp/server.cpp
+++ b/src/peers/ajp/server.cpp
@@ -15,10 +15,10 @@
 
 namespace wa = wire::ajp;
 
-constexpr std::size_t kMaxOutputBytes = 160 * 1024;  // of a connection; one answer of 64 KiB and its head
+constexpr std::size_t kMaxOutputBytes = 160 * 1024;  // per connection; one answer of 64 KiB and its headers
 constexpr std::size_t kChunkOverheadBytes = 8;       // of a packet with a part of an answer
-constexpr double kMinTimeoutSeconds = 1e-6;          // 0 would mean that the client did not say
-constexpr double kDueSlackSeconds = 0.05;            // by which a failure before the due time is a timeout
+constexpr double kMinTimeoutSeconds = 1e-6;          // 0 would mean that the client gave no timeout
+constexpr double kDeadlineSlackSeconds = 0.05;  // a failure this shortly before the deadline is a timeout
 
 std::optional<Count> counter_of(AjpRejectReason reason) {
   switch (reason) {
@@ -49,7 +49,7 @@
       listener_(reactor, net::parse_address(options.listen),
                 [this](const net::Accepted& accepted) { on_accept(accepted); }),
       random_(seed) {
-  if (admission_.is_by_client()) listener_.keep_reserve();
+  if (admission_.is_by_client()) listener_.reserve_descriptor();
   // AJP has no message for a client that has not sent a request.
   admission_.register_listener([this](std::uint64_t tag) { evict(tag); }, nullptr);
   check_connections();
@@ -60,7 +60,7 @@
 void AjpServer::reconfigure(const AjpOptions& options) {
   if (options.listen != options_.listen || options.packet != options_.packet ||
       options.body != options_.body || options.share != options_.share)
-    log_.warn("ajp", "listen, packet, body and share take effect at the next start only");
+    log_.warn("ajp", "changes of listen, packet, body and share take effect at the next start only");
   options_.routes = options.routes;
   options_.secret = options.secret;
   options_.attributes = options.attributes;
@@ -81,11 +81,11 @@
 }
 
 void AjpServer::update_busy(const Client& client) {
-  const bool has_request = client.state == State::kOpen || client.state == State::kClosing;
+  const bool has_request = client.state == State::kInFlight || client.state == State::kClosing;
   admission_.set_busy(client, has_request || client.connection->waiting() > 0);
 }
 
-// Nothing is open, begun, unwritten or unread.
+// No request is in flight or partly read, no output is pending, and no input is unread.
 bool AjpServer::is_idle(const Client& client) {
   return client.state == State::kIdle && !client.is_message_incomplete() &&
          client.connection->waiting() == 0 && client.connection->nothing_to_read();
@@ -98,8 +98,8 @@
   return true;
 }
 
-// The connection's place was given to another one. What it has sent is read first, so that a request among
-// that is answered.
+// The connection's place was given to another one. Its unread input is read first, so that a request in it
+// is answered.
 void AjpServer::evict(std::uint64_t tag) {
   Client* client = clients_.find(tag);
   if (client == nullptr) return;
@@ -118,7 +118,7 @@
   if (client == nullptr) return bytes.size();
   std::size_t used = 0;
   while (connection.open() && client->state != State::kClosing) {
-    if (client->state == State::kOpen) break;  // its answer first; the rest stays in the buffer
+    if (client->state == State::kInFlight) break;  // its answer first; the rest stays in the buffer
     const std::string_view rest = bytes.substr(used);
     if (rest.empty()) break;
     if (!client->is_message_incomplete()) client->start_message(net::monotonic_now(), rest.size());
@@ -143,7 +143,7 @@
   return used;
 }
 
-// The output is written first: an answer before the invalid input may not have been read yet.
+// Pending output is written first: it may hold the answer to an earlier request.
 void AjpServer::close_after_invalid_input(Client& client) {
   counters_.add(Count::kBadFrames);
   admission_.penalize(client, conns::Penalty::kInvalidFrame);
@@ -158,7 +158,7 @@
   const std::optional<wa::FromGateway> message = wa::decode_from_gateway(payload);
   if (!message) {
     counters_.add(Count::kBadRequests);
-    refuse(client, http_status::kBadRequest, true);
+    respond_without_request(client, http_status::kBadRequest, true);
     return true;
   }
   return handle_message(client, *message);
@@ -172,9 +172,9 @@
     handle_request(client, *request);
     return true;
   }
-  if (std::holds_alternative<wa::Shutdown>(message)) {  // which nobody who can reach the port may ask for
+  if (std::holds_alternative<wa::Shutdown>(message)) {  // no client of this port is authorized to request it
     counters_.add(Count::kBadRequests);
-    log_.warn("ajp", "a gateway asked for a shutdown, refused");
+    log_.warn("ajp", "shutdown request of a gateway rejected; connection closed");
     return false;
   }
   client.finish_message();
@@ -195,11 +195,12 @@
   client.mapped.request.received_at = received_at;
   if (!client.mapped.is_chunked && client.mapped.content_length == 0) return submit(client);
   client.state = State::kReadingBody;
-  if (client.mapped.is_chunked) request_body_chunk(client);  // others begin without being asked for
+  if (client.mapped.is_chunked)
+    request_body_chunk(client);  // gateways send the first part of other bodies unasked
 }
 
 void AjpServer::request_body_chunk(Client& client) {
-  const std::size_t max_chunk = options_.packet - wa::kBodyHead;
+  const std::size_t max_chunk = options_.packet - wa::kBodyHeaderBytes;
   const std::size_t max_body = client.mapped.is_chunked ? options_.body + 1 : client.mapped.content_length;
   const std::size_t missing = max_body - client.mapped.request.body.size();
   send(client, wa::GetBodyChunk{static_cast<std::uint16_t>(std::min(max_chunk, missing))});
@@ -213,12 +214,13 @@
   if (!chunk || body.size() + chunk->size() > max_body) {
     const bool is_too_large = chunk && is_chunked;
     counters_.add(is_too_large ? Count::kAjpTooLarge : Count::kBadRequests);
-    return refuse(client, is_too_large ? http_status::kContentTooLarge : http_status::kBadRequest, true);
+    return respond_without_request(
+        client, is_too_large ? http_status::kContentTooLarge : http_status::kBadRequest, true);
   }
   if (chunk->empty()) {
     if (is_chunked) return submit(client);
     counters_.add(Count::kBadRequests);  // the body ends before its length
-    return refuse(client, http_status::kBadRequest, true);
+    return respond_without_request(client, http_status::kBadRequest, true);
   }
   body += *chunk;
   if (!is_chunked && body.size() == client.mapped.content_length) return submit(client);
@@ -227,7 +229,7 @@
 
 // The request is complete: from here on it gets exactly one answer.
 void AjpServer::submit(Client& client) {
-  client.state = State::kOpen;
+  client.state = State::kInFlight;
   client.finish_message();
   const ReplyAddress reply_to{client.connection->tag, ++client.number};
   if (client.mapped.is_health_check) {
@@ -242,14 +244,14 @@
   request.reply_to = reply_to;
   client.mapped.request = {};
   client.mapped.request.id = request.id;
-  // It counts as received when it is complete: a head from before the notice to leave must not bring in a
-  // body from after the drain's grace. The client's timeout counts from the head.
+  // The request counts as received once it is complete: headers from before the shutdown notice must not
+  // admit a body that arrives after the grace of the drain. The client's timeout counts from the headers.
   const double now = net::unix_now();
   const double timeout = request.client_timeout > 0 ? request.client_timeout
                                                     : site_.timeouts[static_cast<std::size_t>(request.route)];
   request.client_timeout = std::max(kMinTimeoutSeconds, request.received_at + timeout - now);
   request.received_at = now;
-  client.due_at = now + request.client_timeout;
+  client.deadline = now + request.client_timeout;
   events_.on_request_read(std::move(request));
 }
 
@@ -283,11 +285,11 @@
   if (const std::optional<Count> counter = counter_of(rejection.reason)) counters_.add(*counter);
   if (rejection.reason == AjpRejectReason::kForbiddenAttribute)
     log_.debug("ajp", "rejected a request attribute that is not on the list");
-  refuse(client, status_of(rejection.reason), rejection.body_may_follow);
+  respond_without_request(client, status_of(rejection.reason), rejection.body_may_follow);
 }
 
-// Answers without a request. Where a body may still follow, nothing after it is read.
-void AjpServer::refuse(Client& client, std::uint16_t status, bool body_may_follow) {
+// Answers a message that becomes no request. Where a body may still follow, nothing more is read.
+void AjpServer::respond_without_request(Client& client, std::uint16_t status, bool body_may_follow) {
   counters_.add(Count::kAjpRejected);
   client.mapped = {};
   respond(client, status, {}, {}, !body_may_follow && !is_draining_);
@@ -299,10 +301,10 @@
   if (client.connection->waiting() == 0) client.connection->end();
 }
 
-AjpServer::Client* AjpServer::find_open(ReplyAddress reply_to) {
+AjpServer::Client* AjpServer::find_in_flight(ReplyAddress reply_to) {
   Client* client = clients_.find(reply_to.connection);
   if (client == nullptr) return nullptr;
-  return client->state == State::kOpen && client->number == reply_to.number ? client : nullptr;
+  return client->state == State::kInFlight && client->number == reply_to.number ? client : nullptr;
 }
 
 void AjpServer::answer(Client& client, std::uint16_t status, std::vector<wa::Header> headers,
@@ -314,39 +316,40 @@
 }
 
 void AjpServer::answer_succeeded(ReplyAddress reply_to, std::string_view result) {
-  Client* client = find_open(reply_to);
+  Client* client = find_in_flight(reply_to);
   if (client == nullptr) return;
   admission_.on_success(*client, client->route);
   answer(*client, http_status::kOk, {{"content-type", "application/octet-stream"}}, result);
 }
 
 void AjpServer::answer_rejected(ReplyAddress reply_to, double retry_after, bool no_retry) {
-  Client* client = find_open(reply_to);
+  Client* client = find_in_flight(reply_to);
   if (client == nullptr) return;
   std::vector<wa::Header> headers;
-  // In whole seconds, rounded up: a client that retries sooner than it was told is told again.
+  // In whole seconds, rounded up: a client that retried any earlier would be rejected again.
   if (!no_retry && retry_after > 0)
     headers.push_back({"retry-after", std::to_string(static_cast<long>(std::ceil(retry_after)))});
   answer(*client, http_status::kServiceUnavailable, std::move(headers), {});
 }
 
 void AjpServer::answer_failed(ReplyAddress reply_to, FailureReason reason) {
-  Client* client = find_open(reply_to);
+  Client* client = find_in_flight(reply_to);
   if (client == nullptr) return;
-  const bool is_due = net::unix_now() >= client->due_at - kDueSlackSeconds;
+  const bool is_past_deadline = net::unix_now() >= client->deadline - kDeadlineSlackSeconds;
   switch (reason) {
     case FailureReason::kOutcomeUnknown:
       return answer(*client, http_status::kInternalServerError, {{"outcome", "unknown"}}, {});
     case FailureReason::kKeyConflict: return answer(*client, http_status::kUnprocessableContent, {}, {});
     case FailureReason::kKeyUnknown:
     case FailureReason::kFailed:
-      return answer(*client, is_due ? http_status::kGatewayTimeout : http_status::kBadGateway, {}, {});
+      return answer(*client, is_past_deadline ? http_status::kGatewayTimeout : http_status::kBadGateway, {},
+                    {});
   }
 }
 
 void AjpServer::answer_health_check(ReplyAddress reply_to, bool is_healthy) {
   if (is_healthy) counters_.add(Count::kChecksGood);
-  Client* client = find_open(reply_to);
+  Client* client = find_in_flight(reply_to);
   if (client != nullptr)
     answer(*client, is_healthy ? http_status::kOk : http_status::kServiceUnavailable, {}, {});
 }
@@ -361,19 +364,20 @@
   if (client->state == State::kClosing) connection.end();
 }
 
-// A gateway that has ended its input still gets its answer; an incomplete request never was one.
+// A gateway that has ended its input still gets the answer to a complete request; an incomplete one is
+// dropped.
 void AjpServer::on_end_of_input(net::Connection& connection) {
   Client* client = clients_.find(connection.tag);
   if (client == nullptr) return;
   client->input_ended = true;
-  if (client->state != State::kOpen) close_after_output(*client);
+  if (client->state != State::kInFlight) close_after_output(*client);
 }
 
 void AjpServer::on_end(net::Connection& connection, net::CloseReason why) {
   if (clients_.find(connection.tag) == nullptr) return;
   const Client client = clients_.extract(connection.tag);
   admission_.on_closed(client, why);
-  if (client.state == State::kOpen && !client.mapped.is_health_check)
+  if (client.state == State::kInFlight && !client.mapped.is_health_check)
     events_.on_caller_disconnected(client.mapped.request.id);
 }
 
@@ -393,16 +397,16 @@
     admission_.penalize(client, conns::Penalty::kSlowTransfer);
     return connection.close(net::CloseReason::kOverflow);
   }
-  if (client.state == State::kClosing || client.state == State::kOpen) return;
+  if (client.state == State::kClosing || client.state == State::kInFlight) return;
   const bool is_input_late = client.is_message_incomplete() &&
                              (client.is_message_overdue(now) || admission_.is_input_too_slow(client, now));
   const double idle_seconds = now - client.last_traffic_at;
   if (is_input_late) {
     counters_.add(Count::kCallersIncomplete);
     admission_.penalize(client, conns::Penalty::kIncompleteRequest);
-    refuse(client, http_status::kRequestTimeout, true);
+    respond_without_request(client, http_status::kRequestTimeout, true);
   } else if (!is_idle(client)) {
-    return;  // what lies unread is read first
+    return;  // unread input is read first
   } else if (!client.has_requested && idle_seconds > kFirstRequestTimeoutSeconds) {
     counters_.add(Count::kCallersSilent);
     admission_.penalize(client, conns::Penalty::kSilent);
@@ -414,8 +418,8 @@
 
 // ---- The graceful shutdown.
 
-// AJP has no message for it: idle connections are closed, the others after their answer. Where something
-// waits to be read it is read first.
+// AJP has no message for this: idle connections are closed at once, the others after their answer. Unread
+// input is read first.
 void AjpServer::announce_drain() {
   is_draining_ = true;
   for (auto& [tag, client] : clients_) {
--- a/tests/link_ends.cpp
+++ b/tests/link_ends.cpp
@@ -1,7 +1,7 @@
-// Links whose ends cross what goes over them: calls of the dependency and the runtime's link against bare
-// sockets, with the program's reactor standing still while the other side writes, closes or resets. What an
-// end proves is judged by what really left. CTest compares with tests/traces/link_ends_NAME.txt. usage:
-// link_ends - SCENARIO
+// Links that end while data is in transit: calls to the dependency and the link to the runtime, against
+// bare sockets, with the reactor of the program paused while the other side writes, closes or resets. What
+// the end of a link proves is judged by what was really sent. CTest compares with
+// tests/traces/link_ends_NAME.txt. usage: link_ends - SCENARIO
 #include <arpa/inet.h>
 #include <fmt/format.h>
 #include <netinet/in.h>
@@ -24,7 +24,7 @@
 
 namespace {
 
-// The other side: a listener on loopback and what came to it, looked at only when the test says so.
+// The other side: a listener on loopback and its input, which is read only when the test does so.
 class BareListener {
  public:
   explicit BareListener(int backlog = 64) {
@@ -50,7 +50,7 @@
     ::close(fd_);
     fd_ = -1;
   }
-  // Accepts what waits, and counts the links that are open.
+  // Accepts the waiting connections, and counts the links that are open.
   int count_links() {
     for (int fd; fd_ >= 0 && (fd = ::accept4(fd_, nullptr, nullptr, SOCK_CLOEXEC | SOCK_NONBLOCK)) >= 0;)
       links_.push_back(fd);
@@ -58,8 +58,8 @@
   }
   // The descriptor of the newest link; -1 where there is none.
   int newest() { return count_links() > 0 ? links_.back() : -1; }
-  // What has come, or comes within so many seconds.
-  static std::string heard(int fd, double timeout_seconds = 0) {
+  // The input so far, or what arrives within so many seconds.
+  static std::string received(int fd, double timeout_seconds = 0) {
     pollfd one{fd, POLLIN, 0};
     ::poll(&one, 1, static_cast<int>(timeout_seconds * 1000));
     char bytes[65536];
@@ -89,12 +89,12 @@
 std::string name_of(Outcome outcome) {
   switch (outcome) {
     case Outcome::kOk: return "ok";
-    case Outcome::kRejected: return "turned away, never ran";
-    case Outcome::kUnreachable: return "never reached, never ran";
-    case Outcome::kTimeout: return "its time is over, may have run";
+    case Outcome::kRejected: return "rejected, never ran";
+    case Outcome::kUnreachable: return "unreachable, never ran";
+    case Outcome::kTimeout: return "timed out, may have run";
     case Outcome::kReset: return "broken, may have run";
     case Outcome::kError: return "failed, may have run";
-    case Outcome::kObsolete: return "moot, never ran";
+    case Outcome::kObsolete: return "obsolete, never ran";
     case Outcome::kCancelled: return "cancelled";
   }
   return "?";
@@ -115,21 +115,21 @@
     ends[id].push_back(outcome);
   }
   void run(double seconds) { stepped.run_for(seconds); }
-  // How a call has ended, once it has, 2 s at most.
+  // How a call has ended; waits for that for 2 s at most.
   std::string end_of(RequestId id) {
     for (int i = 0; i < 100 && ends[id].empty(); ++i) run(0.02);
     run(0.02);
     if (ends[id].empty()) return "no end";
     return name_of(ends[id].front()) + (ends[id].size() > 1 ? ", AND ANOTHER END" : "");
   }
-  // Makes a call and waits until the other side has read all of it; the link's descriptor, -1 where it has
-  // not.
-  int made(RequestId id, double timeout) {
+  // Makes a call and waits until the other side has read all of it. Returns the descriptor of the link, -1
+  // where the call was not read.
+  int call_and_read(RequestId id, double timeout) {
     dependency.call(id, timeout, "body");
     for (int i = 0; i < 100; ++i) {
       run(0.01);
       const int fd = bare.newest();
-      if (fd >= 0 && BareListener::heard(fd).find("body") != std::string::npos) return fd;
+      if (fd >= 0 && BareListener::received(fd).find("body") != std::string::npos) return fd;
     }
     return -1;
   }
@@ -143,18 +143,18 @@
 
 std::string reply(RequestId id) { return fmt::format("{:016x} ok 5\r\nreply\r\n", id); }
 
-// What meets in one turn of the reactor.
+// Events that coincide in one event-loop iteration.
 void one_turn() {
   {
     Calls calls;
-    const int fd = calls.made(1, 0.2);
-    ::usleep(250'000);  // its time is over before the reactor looks again; the reply is there too
+    const int fd = calls.call_and_read(1, 0.2);
+    ::usleep(250'000);  // the timeout expires before the reactor polls again; the reply is there too
     BareListener::say(fd, reply(1));
     fmt::print("reply and timeout: {}\n", calls.end_of(1));
   }
   {
     Calls calls;
-    const int fd = calls.made(1, 5);
+    const int fd = calls.call_and_read(1, 5);
     BareListener::say(fd, reply(1));
     calls.bare.close(fd, true);
     const std::string end = calls.end_of(1);
@@ -163,14 +163,14 @@
   }
   {
     Calls calls;
-    const int fd = calls.made(1, 5);
+    const int fd = calls.call_and_read(1, 5);
     BareListener::say(fd, reply(1) + reply(1));
     calls.bare.close(fd, false);
     fmt::print("reply twice and the end: {}\n", calls.end_of(1));
   }
   {
     Calls calls;
-    const int fd = calls.made(1, 0.2);
+    const int fd = calls.call_and_read(1, 0.2);
     BareListener::say(fd, reply(1));
     calls.dependency.cancel(1);
     ::usleep(250'000);
@@ -179,26 +179,26 @@
   }
   {
     Calls calls;
-    const int fd = calls.made(1, 0.2);
+    const int fd = calls.call_and_read(1, 0.2);
     calls.bare.close(fd, true);
     ::usleep(250'000);
     fmt::print("reset and timeout: {}\n", calls.end_of(1));
   }
 }
 
-// Connects that are slow, that succeed as the timeout ends, and that nobody takes.
-void dials() {
+// Connects that are slow, that succeed as the timeout expires, and that are never accepted.
+void connects() {
   {
     Calls calls;
-    calls.dependency.call(1, 0.2, "body");  // the system makes the connection while nobody here looks
+    calls.dependency.call(1, 0.2, "body");  // the connection is established while the reactor is paused
     ::usleep(250'000);
-    fmt::print("connected as its timeout ended: {}\n", calls.end_of(1));
+    fmt::print("connected when its timeout expired: {}\n", calls.end_of(1));
     const int fd = calls.bare.newest();
-    fmt::print("  bytes of it that left: {}\n", fd >= 0 ? BareListener::heard(fd, 0.1).size() : 0);
+    fmt::print("  bytes of it that were sent: {}\n", fd >= 0 ? BareListener::received(fd, 0.1).size() : 0);
   }
   {
-    Calls calls(8, 0);  // its queue is full with two that nobody accepts
-    std::vector<int> in_front;
+    Calls calls(8, 0);  // its queue is full with two that are never accepted
+    std::vector<int> backlog_fillers;
     for (int i = 0; i < 4; ++i) {
       const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
       sockaddr_in at{};
@@ -206,11 +206,11 @@
       at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
       at.sin_port = htons(calls.bare.port());
       static_cast<void>(::connect(fd, reinterpret_cast<sockaddr*>(&at), sizeof at));
-      in_front.push_back(fd);
+      backlog_fillers.push_back(fd);
     }
     calls.dependency.call(1, 0.3, "body");
     fmt::print("a connect that hangs: {}\n", calls.end_of(1));
-    for (const int fd : in_front) ::close(fd);
+    for (const int fd : backlog_fillers) ::close(fd);
   }
   {
     Calls calls;
@@ -222,49 +222,51 @@
     Calls calls(1);  // one connection for all
     calls.dependency.call(1, 5, "body");
     calls.dependency.call(2, 0.2, "other");
-    ::usleep(250'000);  // connected, nothing written; the second's time is over
+    ::usleep(250'000);  // connected, nothing written; the second one's timeout has expired
     calls.run(0.05);
-    fmt::print("two on a connection that is just made, the second's time over: {}\n", calls.end_of(2));
+    fmt::print("two on a connection that was just established, the second one times out: {}\n",
+               calls.end_of(2));
     BareListener::say(calls.bare.newest(), reply(1));
     fmt::print("  the first: {}\n", calls.end_of(1));
   }
 }
 
-// A connection that has carried a call and is used again as the other side closes it.
+// A connection that has carried a call and is reused while the other side closes it.
 void reuse() {
   {
     Calls calls;
-    const int fd = calls.made(1, 5);
+    const int fd = calls.call_and_read(1, 5);
     BareListener::say(fd, reply(1));
     calls.end_of(1);
-    calls.bare.close(fd, false);  // nobody here has read its end yet
-    const int next = calls.made(2, 5);
-    fmt::print("closed before the next call: it goes on another, {}\n", next >= 0 ? "yes" : "no");
+    calls.bare.close(fd, false);  // its end was not read yet
+    const int next = calls.call_and_read(2, 5);
+    fmt::print("closed before the next call, which uses another one: {}\n", next >= 0 ? "yes" : "no");
     BareListener::say(next, reply(2));
     fmt::print("  {}\n", calls.end_of(2));
   }
   {
     Calls calls;
-    const int fd = calls.made(1, 5);
+    const int fd = calls.call_and_read(1, 5);
     BareListener::say(fd, reply(1));
     calls.end_of(1);
-    calls.dependency.call(2, 5, "body");  // written at once, on the connection that is there
+    calls.dependency.call(2, 5, "body");  // written at once, on the open connection
     calls.bare.close(fd, true);
     fmt::print("closed as the next call was written: {}\n", calls.end_of(2));
   }
 }
 
-// A reply that is cut at each byte, by a close or by silence, is never taken for one, and never for a proof.
+// A reply that is cut at each byte, by a close or by silence, is never taken for a reply, and never for a
+// proof.
 void cut() {
-  const std::string whole = reply(1);
+  const std::string complete = reply(1);
   for (const char* how : {"closed", "reset", "silent"}) {
     int ok = 0, proofs = 0, ends = 0;
     const std::size_t step = std::strcmp(how, "silent") == 0 ? 5 : 1;
-    int plays = 0;
-    for (std::size_t at = 0; at < whole.size(); at += step, ++plays) {
+    int runs = 0;
+    for (std::size_t at = 0; at < complete.size(); at += step, ++runs) {
       Calls calls;
-      const int fd = calls.made(1, 0.6);
-      if (at > 0) BareListener::say(fd, whole.substr(0, at));
+      const int fd = calls.call_and_read(1, 0.6);
+      if (at > 0) BareListener::say(fd, complete.substr(0, at));
       if (std::strcmp(how, "silent") != 0) calls.bare.close(fd, std::strcmp(how, "reset") == 0);
       calls.end_of(1);
       ends += static_cast<int>(calls.ends[1].size());
@@ -273,8 +275,8 @@
         proofs += proves_not_run(outcome);
       }
     }
-    fmt::print("cut at each byte, then {}: plays - ends {}, taken for a reply {}, for a proof {}\n", how,
-               plays - ends, ok, proofs);
+    fmt::print("cut at each byte, then {}: runs - ends {}, taken for a reply {}, for a proof {}\n", how,
+               runs - ends, ok, proofs);
   }
 }
 
@@ -304,23 +306,23 @@
   void start(RequestId id, bool may_repeat = true, double seconds_left = 5) {
     runtime.start({id, "push", "body", may_repeat, seconds_left});
   }
-  // Lets the client run until this has come to the other side, 1.5 s at most.
-  bool hears(const std::string& part, bool answers_gauges = true) {
+  // Runs the client until this has arrived at the other side, for 1.5 s at most.
+  bool wait_for_input(const std::string& part, bool answers_gauges = true) {
     for (int i = 0; i < 150; ++i) {
       stepped.run_for(0.01);
       const int fd = bare.newest();
       if (fd < 0) continue;
-      in += BareListener::heard(fd);
+      in += BareListener::received(fd);
       if (answers_gauges) answer_gauges(fd);
       if (in.find(part) != std::string::npos) return true;
     }
     return false;
   }
-  // Lets the client run until it has read what it missed, as answered gauges tell it.
-  void catches_up() {
+  // Runs the client until it has read the notices that it missed, as its answered gauges show.
+  void synchronize() {
     for (int i = 0; i < 200 && counters[Count::kGaugesMaxDelayUs] == 0; ++i) {
       stepped.run_for(0.01);
-      in += BareListener::heard(bare.newest());
+      in += BareListener::received(bare.newest());
       answer_gauges(bare.newest());
     }
   }
@@ -333,17 +335,17 @@
     }
   }
   // Resets the link.
-  void breaks() {
+  void reset_link() {
     in.clear();
     bare.close(bare.newest(), true);
   }
-  // How often this came.
+  // How often this arrived.
   int count(const std::string& part) const {
     int n = 0;
     for (std::size_t at = 0; (at = in.find(part, at)) != std::string::npos; at += part.size()) ++n;
     return n;
   }
-  // The tag of the gauges that were asked for.
+  // The tag of the requested gauges.
   std::string gauges_tag() const {
     const std::size_t at = in.find("gauges ") + 7;
     return in.substr(at, in.find("\r\n", at) - at);
@@ -357,120 +359,120 @@
   std::map<RequestId, std::string> calls;
   int readies = 0, restarts = 0;
   std::size_t unsent_starts = 0;  // of the last restart
-  std::string in;                 // that came to the other side and was not taken
+  std::string in;                 // received by the other side and not consumed
   peers::RuntimeClient runtime;
 };
 
-// A notice that the link's end cuts at each byte is heard whole, and once, on the next link.
+// A notice that is cut at each byte by the end of the link is received completely, and once, on the next
+// link.
 void notices_cut() {
-  for (const std::string& whole : {std::string("end 1 0000000000000001 complete 20 6\r\nresult\r\n"),
-                                   std::string("wants 1 0000000000000001 4\r\ncall\r\n")}) {
-    int once = 0, plays = 0;
-    for (std::size_t at = 0; at <= whole.size(); ++at, ++plays) {
+  for (const std::string& complete : {std::string("end 1 0000000000000001 complete 20 6\r\nresult\r\n"),
+                                      std::string("wants 1 0000000000000001 4\r\ncall\r\n")}) {
+    int once = 0, runs = 0;
+    for (std::size_t at = 0; at <= complete.size(); ++at, ++runs) {
       Link link;
-      link.hears("sync 0");
+      link.wait_for_input("sync 0");
       BareListener::say(link.bare.newest(), "ready hot 0\r\n");
-      link.catches_up();
+      link.synchronize();
       link.start(1);
       link.stepped.run_for(0.03);
-      if (at > 0) BareListener::say(link.bare.newest(), whole.substr(0, at));
-      link.breaks();
-      link.hears("sync ");
+      if (at > 0) BareListener::say(link.bare.newest(), complete.substr(0, at));
+      link.reset_link();
+      link.wait_for_input("sync ");
       const bool seen = link.in.find("sync 1") != std::string::npos;
-      BareListener::say(link.bare.newest(), "ready hot 50\r\n" + (seen ? std::string() : whole));
+      BareListener::say(link.bare.newest(), "ready hot 50\r\n" + (seen ? std::string() : complete));
       link.stepped.run_for(0.05);
       once += link.ends_of(1) == "ok result" || link.calls[1] == "call;";
     }
-    fmt::print("{}: cut at each byte, heard once on the next link: {}\n", whole.substr(0, 5),
-               once == plays ? "always" : fmt::format("{} of {}", once, plays));
+    fmt::print("{}: cut at each byte, received once on the next link: {}\n", complete.substr(0, 5),
+               once == runs ? "always" : fmt::format("{} of {}", once, runs));
   }
 }
 
-// A runtime that has begun anew counts from 1 and knows nothing: what ran there is told, what never left
-// runs.
-void anew() {
+// A restarted runtime numbers its notices from 1 and knows no runs: runs of the former process are reported
+// as lost, and a start that was never sent is sent to the new one.
+void restart() {
   Link link;
-  link.hears("sync 0");
+  link.wait_for_input("sync 0");
   BareListener::say(link.bare.newest(), "ready hot 3000\r\n");
-  link.catches_up();
+  link.synchronize();
   BareListener::say(link.bare.newest(), "end 1 0000000000000009 complete 1 0\r\n\r\n");
   link.start(1);
-  link.hears("start 0000000000000001");
+  link.wait_for_input("start 0000000000000001");
   link.stepped.run_for(0.6);
-  link.breaks();
-  link.stepped.run_for(0.02);  // the break is seen
-  link.start(2);               // waits here, never sent
+  link.reset_link();
+  link.stepped.run_for(0.02);  // the break is noticed
+  link.start(2);               // waits in the client, never sent
   link.in.clear();
-  link.hears("sync 1");
+  link.wait_for_input("sync 1");
   BareListener::say(link.bare.newest(), "ready chilly 20\r\n");
-  link.hears("start 0000000000000002");
-  fmt::print("it began anew: {}, starts that had not left: {}\n", link.restarts, link.unsent_starts);
-  fmt::print("sent to the new one: the first {}, the second {}\n", link.count("start 0000000000000001"),
-             link.count("start 0000000000000002"));
+  link.wait_for_input("start 0000000000000002");
+  fmt::print("restarts: {}, starts that were not sent: {}\n", link.restarts, link.unsent_starts);
+  fmt::print("starts sent to the new process: of the first {}, of the second {}\n",
+             link.count("start 0000000000000001"), link.count("start 0000000000000002"));
   BareListener::say(link.bare.newest(), "end 1 0000000000000002 complete 20 3\r\ntwo\r\n");
   link.stepped.run_for(0.05);
-  fmt::print("the second, by a notice numbered 1: {}; the runtime came up {} times for the module\n",
-             link.ends_of(2), link.readies);
-  link.breaks();
-  link.hears("sync 1");
+  fmt::print("the second, by a notice numbered 1: {}; ready events {}\n", link.ends_of(2), link.readies);
+  link.reset_link();
+  link.wait_for_input("sync 1");
   BareListener::say(link.bare.newest(), "ready chilly 5000\r\n");
   link.stepped.run_for(0.05);
-  fmt::print("the same one after a break: anew {}\n", link.restarts);
+  fmt::print("the same process after a break: restarts {}\n", link.restarts);
 }
 
-// An answer to gauges that the old link still held means nothing on the new one.
+// A response to gauges that were requested on the old link has no effect on the new one.
 void old_gauges() {
   Link link;
-  link.hears("sync 0");
+  link.wait_for_input("sync 0");
   BareListener::say(link.bare.newest(), "ready hot 0\r\n");
-  link.hears("gauges ", false);
+  link.wait_for_input("gauges ", false);
   const std::string tag = link.gauges_tag();
-  link.start(1);  // not sent before what was missed is read
-  link.breaks();
+  link.start(1);  // not sent before the missed notices are read
+  link.reset_link();
   link.in.clear();
-  link.hears("sync 0");
+  link.wait_for_input("sync 0");
   BareListener::say(link.bare.newest(), "load " + tag + " 0.25 1\r\n");
   link.stepped.run_for(0.05);
-  link.in += BareListener::heard(link.bare.newest());
-  fmt::print("the old link's gauges on the new one: starts sent {}\n", link.count("start "));
+  link.in += BareListener::received(link.bare.newest());
+  fmt::print("gauges of the old link on the new one: starts sent {}\n", link.count("start "));
   BareListener::say(link.bare.newest(), "ready hot 100\r\n");
-  link.hears("start ");
-  fmt::print("after its own: starts sent {}\n", link.count("start "));
+  link.wait_for_input("start ");
+  fmt::print("gauges of the new link: starts sent {}\n", link.count("start "));
 }
 
-// Guards against a start that is sent again though the end of its run has come: that stands behind the gauges
-// in the same bytes.
+// Guards against a start that is sent again although the end of its run was received: that follows the
+// gauges in the same bytes.
 void end_behind_gauges() {
   Link link;
-  link.hears("sync 0");
+  link.wait_for_input("sync 0");
   BareListener::say(link.bare.newest(), "ready hot 0\r\n");
-  link.catches_up();
+  link.synchronize();
   link.start(1);
-  link.hears("start 0000000000000001");
-  link.breaks();
-  link.hears("sync 0");
+  link.wait_for_input("start 0000000000000001");
+  link.reset_link();
+  link.wait_for_input("sync 0");
   BareListener::say(link.bare.newest(), "ready hot 5000\r\n");
-  link.hears("gauges ", false);
+  link.wait_for_input("gauges ", false);
   const std::string tag = link.gauges_tag();
   BareListener::say(link.bare.newest(),
                     "load " + tag + " 0.25 1\r\nend 1 0000000000000001 complete 20 6\r\nresult\r\n");
-  link.hears("start ");
-  fmt::print("the end: {}, starts on the new link: {}\n", link.ends_of(1), link.count("start "));
+  link.wait_for_input("start ");
+  fmt::print("end of the run: {}, starts on the new link: {}\n", link.ends_of(1), link.count("start "));
 }
 
-// Guards against a start that is lost on a link which the runtime has closed, when nobody here has seen its
-// end yet: it never left, so it goes over the next link, also where it must not run twice.
+// Guards against a start that is lost on a link whose end, closed by the runtime, the program has not read
+// yet: the start was never sent, so it goes over the next link, also where it must not run twice.
 void closed_unseen() {
   Link link;
-  link.hears("sync 0");
+  link.wait_for_input("sync 0");
   BareListener::say(link.bare.newest(), "ready hot 0\r\n");
-  link.catches_up();
+  link.synchronize();
   link.bare.close(link.bare.newest(), false);
   link.in.clear();
-  link.start(1, false);  // the reactor stands still
-  link.hears("sync 0");
+  link.start(1, false);  // the reactor is paused
+  link.wait_for_input("sync 0");
   BareListener::say(link.bare.newest(), "ready hot 5000\r\n");
-  link.hears("start 0000000000000001");
+  link.wait_for_input("start 0000000000000001");
   fmt::print("starts on the new link: {}, in doubt: {}\n", link.count("start "),
              link.counters[Count::kRuntimeInDoubt]);
 }
@@ -481,11 +483,11 @@
   std::string unused;
   return run_scenario(argc, argv, unused,
                       {{"one_turn", one_turn},
-                       {"dials", dials},
+                       {"connects", connects},
                        {"reuse", reuse},
                        {"cut", cut},
                        {"notices_cut", notices_cut},
-                       {"anew", anew},
+                       {"restart", restart},
                        {"old_gauges", old_gauges},
                        {"end_behind_gauges", end_behind_gauges},
                        {"closed_unseen", closed_unseen}});
--- a/tests/stepped_reactor.h
+++ b/tests/stepped_reactor.h
@@ -1,5 +1,5 @@
-// A reactor that a test lets run for a time, again and again: between two runs it stands still, and the test
-// may touch what belongs to it. POCO's own loop, once stopped, does not go on.
+// A reactor that a test runs for a given time, repeatedly. Between two runs it is paused, and the test may
+// access the objects that belong to it. (POCO's own loop cannot be restarted once it is stopped.)
 #pragma once
 
 #include <chrono>
@@ -12,7 +12,7 @@
 
 namespace damsonspoke {
 
-// A test calls end() before it destroys what the reactor calls.
+// A test must call end() before it destroys objects that the reactor calls.
 class SteppedReactor {
  public:
   SteppedReactor() = default;
@@ -20,46 +20,46 @@
   SteppedReactor& operator=(const SteppedReactor&) = delete;
   ~SteppedReactor() { end(); }
 
-  // Lets the reactor run for so long.
+  // Runs the reactor for this time.
   void run_for(double seconds) {
     run_for([&] { std::this_thread::sleep_for(std::chrono::duration<double>(seconds)); });
   }
-  // Lets the reactor run while this is called on the test's own thread.
+  // Runs the reactor while `meanwhile` is called on the test's own thread.
   void run_for(const std::function<void()>& meanwhile) {
     if (!thread_.joinable()) thread_ = std::thread([this] { reactor.run(); });
-    release();
+    resume();
     meanwhile();
-    reactor.post_from_other_thread([this] { stand_still(); });
+    reactor.post_from_other_thread([this] { pause(); });
     std::unique_lock guard(lock_);
-    changed_.wait(guard, [this] { return stands_still_; });
+    changed_.wait(guard, [this] { return is_paused_; });
   }
-  // Ends the reactor, which does not run again; to be called before what it calls is destroyed.
+  // Ends the reactor for good; to be called before the objects that it calls are destroyed.
   void end() {
     if (!thread_.joinable()) return;
     reactor.stop();
-    release();
+    resume();
     thread_.join();
   }
 
   net::Reactor reactor;
 
  private:
-  void stand_still() {
+  void pause() {
     std::unique_lock guard(lock_);
-    stands_still_ = true;
+    is_paused_ = true;
     changed_.notify_all();
-    changed_.wait(guard, [this] { return !stands_still_; });
+    changed_.wait(guard, [this] { return !is_paused_; });
   }
-  void release() {
+  void resume() {
     const std::lock_guard guard(lock_);
-    stands_still_ = false;
+    is_paused_ = false;
     changed_.notify_all();
   }
 
   std::thread thread_;
   std::mutex lock_;
   std::condition_variable changed_;
-  bool stands_still_ = false;
+  bool is_paused_ = false;
 };
 
 }  // namespace damsonspoke
