--- a/src/app/backend.cpp
+++ b/src/app/backend.cpp
@@ -17,103 +17,114 @@
 namespace damsonspoke {
 namespace {
 
-constexpr int kBelowSockets = 8;     // a part of this many of them may be connections below
-constexpr double kBelowShare = 0.1;  // replies and calls that are not whole yet
-constexpr double kKeptShare = 0.03;  // a planner's answers that a forwarder may ask for again
-constexpr double kRuntimeShare =
+constexpr int kDescriptorsPerDependencyConnection =
+    8;                                          // a part of this many of them may be connections below
+constexpr double kDependencyMemoryShare = 0.1;  // replies and calls that are not whole yet
+constexpr double kRetainedAnswersMemoryShare =
+    0.03;  // a planner's answers that a forwarder may ask for again
+constexpr double kRuntimeOutputMemoryShare =
     0.05;  // commands that the runtime does not read; the rest: the program, open requests
-constexpr long kClientsTold = 20, kMostClientsTold = 1000;  // to who asks by hand
-constexpr double kOpenPerCore = 8;  // requests that it holds at most, for what it tells members
+constexpr long kDefaultReportedClients = 20, kMaxReportedClients = 1000;  // to who asks by hand
+constexpr double kMaxInFlightPerCore = 8;  // requests that it holds at most, for what it tells members
 
-std::size_t below_links(const Limits& limits) {
-  const std::size_t fit = part(limits, kBelowShare) / (peers::DependencyClient::kMaxInputBytes +
-                                                       peers::DependencyClient::kMaxOutputBytes);
-  return std::clamp<std::size_t>(fit, 1, static_cast<std::size_t>(descriptors(limits) / kBelowSockets));
+std::size_t max_dependency_connections(const Limits& limits) {
+  const std::size_t max_by_memory =
+      memory_share_bytes(limits, kDependencyMemoryShare) /
+      (peers::DependencyClient::kMaxInputBytes + peers::DependencyClient::kMaxOutputBytes);
+  return std::clamp<std::size_t>(
+      max_by_memory, 1,
+      static_cast<std::size_t>(max_descriptors(limits) / kDescriptorsPerDependencyConnection));
 }
 
 // Their buffers are other ones than those of the platform's protocol; the share of memory is the same.
-std::size_t ajp_links(const Limits& limits, const AjpOptions& ajp) {
-  const std::size_t each =
+std::size_t max_ajp_dependency_connections(const Limits& limits, const AjpOptions& ajp) {
+  const std::size_t bytes_per_connection =
       peers::AjpDependencyClient::max_input_bytes(ajp) + peers::AjpDependencyClient::kMaxOutputBytes;
-  return std::clamp<std::size_t>(part(limits, kBelowShare) / each, 1, below_links(limits));
+  return std::clamp<std::size_t>(memory_share_bytes(limits, kDependencyMemoryShare) / bytes_per_connection, 1,
+                                 max_dependency_connections(limits));
 }
 
-int links_that_fit(const Limits& limits, std::size_t input_bytes) {
-  return connections_that_fit(limits, static_cast<int>(below_links(limits)), input_bytes);
+int max_caller_connections(const Limits& limits, std::size_t input_bytes) {
+  return max_inbound_connections(limits, static_cast<int>(max_dependency_connections(limits)), input_bytes);
 }
 
 }  // namespace
 
 // Where operators have one, all fronts of callers share it.
-void Backend::make_connection_admission(int connections, const std::vector<double>& floors) {
-  if (!options_.gate.enabled) return;
+void Backend::make_connection_admission(int connections, const std::vector<double>& guaranteed_shares) {
+  if (!options_.connection_admission.enabled) return;
   std::vector<double> priority_weight;
-  for (const Route& type : config_.site.admission.routes) priority_weight.push_back(type.priority_weight);
+  for (const Route& route : config_.site.admission.routes) priority_weight.push_back(route.priority_weight);
   connection_admission_ = std::make_unique<peers::ConnectionAdmission>(
-      reactor_, options_.gate, static_cast<std::size_t>(connections), floors, std::move(priority_weight),
-      counters_, log_);
+      reactor_, options_.connection_admission, static_cast<std::size_t>(connections), guaranteed_shares,
+      std::move(priority_weight), counters_, log_);
 }
 
 // Where requests come in: callers at a relay, by one protocol or two, forwarders at a planner.
-std::unique_ptr<peers::RequestServer> Backend::make_front(Role role) {
+std::unique_ptr<peers::RequestServer> Backend::make_request_server(Role role) {
   const StartSettings& site = config_.site;
-  const std::size_t output = part(config_.limits, kOutputShare);
+  const std::size_t output_bytes = memory_share_bytes(config_.limits, kOutputMemoryShare);
   peers::CallerEvents& events = intake_;
   if (role == Role::kPlanner) {
     const tier::SlowStartOptions slow_start{site.admission.cores, site.admission.slow_start_speed,
                                             site.admission.slow_start_time};
-    peers::ForwarderServer::Self self{config_.name,       draw_epoch(),     slow_start,
+    peers::ForwarderServer::Self self{config_.name,       random_epoch(),   slow_start,
                                       config_.stop_after, site.route_names, {}};
-    for (const Route& type : site.admission.routes) self.priority_weight.push_back(type.priority_weight);
-    const int fit = links_that_fit(config_.limits, peers::ForwarderServer::kMaxInputBytes);
+    for (const Route& route : site.admission.routes) self.priority_weight.push_back(route.priority_weight);
+    const int max_connections =
+        max_caller_connections(config_.limits, peers::ForwarderServer::kMaxInputBytes);
     return std::make_unique<peers::ForwarderServer>(
         reactor_, config_.listen, std::move(self),
-        peers::ForwarderServer::Limits{fit, output, part(config_.limits, kKeptShare)}, events, counters_,
-        log_);
+        peers::ForwarderServer::Limits{max_connections, output_bytes,
+                                       memory_share_bytes(config_.limits, kRetainedAnswersMemoryShare)},
+        events, counters_, log_);
   }
-  const peers::IdempotencyKeyOptions keys = marks(options_.results);
+  const peers::IdempotencyKeyOptions keys = idempotency_key_options(options_.results);
   const AjpOptions& ajp = options_.ajp;
   if (ajp.listen.empty()) {
-    const int fit = links_that_fit(config_.limits, peers::JsonRpcServer::kMaxInputBytes);
-    make_connection_admission(fit, {1});
-    conns::ConnectionQuota* share = connection_admission_ ? &connection_admission_->quota() : nullptr;
+    const int max_connections = max_caller_connections(config_.limits, peers::JsonRpcServer::kMaxInputBytes);
+    make_connection_admission(max_connections, {1});
+    conns::ConnectionQuota* quota = connection_admission_ ? &connection_admission_->quota() : nullptr;
     return std::make_unique<peers::JsonRpcServer>(
         reactor_, config_.listen, catalog_.catalog(), keys,
-        peers::ListenerLimits{fit, output, share, 0, connection_admission_.get()}, events, counters_, log_);
+        peers::ListenerLimits{max_connections, output_bytes, quota, 0, connection_admission_.get()}, events,
+        counters_, log_);
   }
-  const std::size_t input =
+  const std::size_t input_bytes =
       std::max(peers::JsonRpcServer::kMaxInputBytes, peers::AjpServer::max_input_bytes(ajp));
-  const int fit = links_that_fit(config_.limits, input);
-  const std::vector<double> floors{std::max(ajp.share, 0.5), ajp.share};
-  make_connection_admission(fit, floors);
+  const int max_connections = max_caller_connections(config_.limits, input_bytes);
+  const std::vector<double> guaranteed_shares{std::max(ajp.share, 0.5), ajp.share};
+  make_connection_admission(max_connections, guaranteed_shares);
   if (!connection_admission_)
-    share_ = std::make_unique<conns::ConnectionQuota>(static_cast<std::size_t>(fit), floors);
-  conns::ConnectionQuota& share = connection_admission_ ? connection_admission_->quota() : *share_;
-  auto callers = std::make_unique<peers::JsonRpcServer>(
+    connection_quota_ = std::make_unique<conns::ConnectionQuota>(static_cast<std::size_t>(max_connections),
+                                                                 guaranteed_shares);
+  conns::ConnectionQuota& quota = connection_admission_ ? connection_admission_->quota() : *connection_quota_;
+  auto json_rpc_server = std::make_unique<peers::JsonRpcServer>(
       reactor_, config_.listen, catalog_.catalog(), keys,
-      peers::ListenerLimits{fit, output / 2, &share, 0, connection_admission_.get()}, events, counters_,
-      log_);
-  peers::AjpSite ajp_site{site.route_names, needs_key(config_, options_.results), {}, keys.max_bytes};
-  for (const Route& type : site.admission.routes) ajp_site.timeouts.push_back(type.timeout);
-  auto second = std::make_unique<peers::AjpServer>(
-      reactor_, std::move(ajp_site), draw_epoch(), ajp,
-      peers::ListenerLimits{fit, output / 2, &share, 1, connection_admission_.get()}, events, counters_,
-      log_);
-  ajp_ = second.get();
-  return std::make_unique<peers::CombinedServer>(std::move(callers), std::move(second));
+      peers::ListenerLimits{max_connections, output_bytes / 2, &quota, 0, connection_admission_.get()},
+      events, counters_, log_);
+  peers::AjpSite ajp_site{
+      site.route_names, routes_requiring_key(config_, options_.results), {}, keys.max_bytes};
+  for (const Route& route : site.admission.routes) ajp_site.timeouts.push_back(route.timeout);
+  auto ajp_server = std::make_unique<peers::AjpServer>(
+      reactor_, std::move(ajp_site), random_epoch(), ajp,
+      peers::ListenerLimits{max_connections, output_bytes / 2, &quota, 1, connection_admission_.get()},
+      events, counters_, log_);
+  ajp_server_ = ajp_server.get();
+  return std::make_unique<peers::CombinedServer>(std::move(json_rpc_server), std::move(ajp_server));
 }
 
-Backend::Backend(Role role, const Choice& choice, Reread reread, Logger& log)
-    : config_(choice.config),
-      options_(choice.options),
-      reread_(std::move(reread)),
+Backend::Backend(Role role, const ProcessConfig& process_config, ConfigLoader load_config, Logger& log)
+    : config_(process_config.config),
+      options_(process_config.options),
+      load_config_(std::move(load_config)),
       log_(log),
-      catalog_(reactor_, choice, counters_, log),
+      catalog_(reactor_, process_config, counters_, log),
       in_flight_(ports_, counters_),
       sender_(ports_, config_.site, counters_),
       replay_(reactor_, {in_flight_, sender_, admission_}, config_.site, catalog_.catalog(), options_.results,
               counters_, log_),
-      statistics_(reactor_, admission_, config_.site, config_.name, options_.knowledge, counters_, log_),
+      statistics_(reactor_, admission_, config_.site, config_.name, options_.statistics, counters_, log_),
       executor_(in_flight_, sender_, replay_, counters_, log_),
       admission_(reactor_, config_.site, catalog_.catalog(), config_.seed, executor_, statistics_, ports_,
                  counters_),
@@ -122,79 +133,80 @@
       completion_handler_(in_flight_, sender_, replay_, admission_, intake_,
                           config_.site.admission.preemption, counters_),
       membership_(
-          reactor_, choice, role == Role::kPlanner ? "planner" : "relay",
+          reactor_, process_config, role == Role::kPlanner ? "planner" : "relay",
           [this] {
             return Membership::Load{static_cast<double>(in_flight_.unanswered()),
-                                    kOpenPerCore * static_cast<double>(config_.site.admission.cores)};
+                                    kMaxInFlightPerCore * static_cast<double>(config_.site.admission.cores)};
           },
           counters_, log_),
-      front_(make_front(role)),
-      runtime_(reactor_, config_.runtime, part(config_.limits, kRuntimeShare), config_.site.gauges,
-               completion_handler_, counters_, log_),
+      request_server_(make_request_server(role)),
+      runtime_(reactor_, config_.runtime, memory_share_bytes(config_.limits, kRuntimeOutputMemoryShare),
+               config_.site.gauges, completion_handler_, counters_, log_),
       dependency_(reactor_, options_.ajp.dependency.empty() ? config_.dependency : std::string(),
-                  below_links(config_.limits), completion_handler_, counters_, log_),
+                  max_dependency_connections(config_.limits), completion_handler_, counters_, log_),
       registry_(reactor_, config_.registry, config_.name, counters_) {
-  ports_ = {front_.get(), &runtime_, &dependency_, &registry_};
+  ports_ = {request_server_.get(), &runtime_, &dependency_, &registry_};
   if (!options_.ajp.dependency.empty()) {
-    ajp_below_ = std::make_unique<peers::AjpDependencyClient>(reactor_, options_.ajp,
-                                                              ajp_links(config_.limits, options_.ajp),
-                                                              completion_handler_, counters_, log_);
-    ports_.dependency = ajp_below_.get();
+    ajp_dependency_ = std::make_unique<peers::AjpDependencyClient>(
+        reactor_, options_.ajp, max_ajp_dependency_connections(config_.limits, options_.ajp),
+        completion_handler_, counters_, log_);
+    ports_.dependency = ajp_dependency_.get();
   }
   in_flight_.log_answers(log_);
-  listen_for_questions();
+  start_control_server();
   std::signal(SIGPIPE, SIG_IGN);
   std::signal(SIGXFSZ, SIG_IGN);  // a file that may not grow any more: the write says so, nobody dies of it
-  reactor_.on_signal(SIGTERM, [this] { leave(); });
-  reactor_.on_signal(SIGINT, [this] { leave(); });
+  reactor_.on_signal(SIGTERM, [this] { begin_shutdown(); });
+  reactor_.on_signal(SIGINT, [this] { begin_shutdown(); });
   reactor_.on_signal(SIGHUP, [this] { reload(); });
-  reactor_.on_signal(SIGUSR1, [this] { report(); });
+  reactor_.on_signal(SIGUSR1, [this] { log_counters(); });
 }
 
-void Backend::listen_for_questions() {
+void Backend::start_control_server() {
   if (options_.control.folder.empty()) return;
   control_ = std::make_unique<control::Server>(reactor_, options_.control.folder, log_);
   membership_.register_command(*control_);
-  catalog_.answer_questions(*control_);
-  control_->add("conns", [this](const std::vector<std::string>& words) {
+  catalog_.register_command(*control_);
+  control_->add_handler("conns", [this](const std::vector<std::string>& tokens) {
     if (!connection_admission_) throw std::runtime_error("the gate is off: nothing is counted by client");
-    const long most = words.size() > 1 ? std::atol(words[1].c_str()) : kClientsTold;
-    return connection_admission_->report(static_cast<std::size_t>(std::clamp(most, 0L, kMostClientsTold)));
+    const long max_clients = tokens.size() > 1 ? std::atol(tokens[1].c_str()) : kDefaultReportedClients;
+    return connection_admission_->report(
+        static_cast<std::size_t>(std::clamp(max_clients, 0L, kMaxReportedClients)));
   });
 }
 
 int Backend::run() {
   const std::string host = config_.listen.substr(0, config_.listen.rfind(':'));
-  log_.info("backend", "{} listens on {}:{}", config_.name, host, front_->port());
-  if (ajp_ != nullptr) log_.info("backend", "takes AJP callers on port {}", ajp_->port());
+  log_.info("backend", "{} listens on {}:{}", config_.name, host, request_server_->port());
+  if (ajp_server_ != nullptr) log_.info("backend", "takes AJP callers on port {}", ajp_server_->port());
   statistics_.wait_for_record();
   if (connection_admission_) connection_admission_->load_known_clients();
-  membership_.start(front_->port());
+  membership_.start(request_server_->port());
   deliver_signals();
   reactor_.run();
   defer_signals();
-  report();
+  log_counters();
   return 0;
 }
 
-void Backend::report() {
+void Backend::log_counters() {
   replay_.update_counters();
   membership_.report();
   catalog_.report();
-  log_.block(counters_.report());
+  log_.write_raw(counters_.report());
 }
 
 // Addresses of peers move while everything goes on; each peer moves its own links. Guards against a file that
 // is missing, cut short or wrong when it is read: then the old configuration stays, whole.
 void Backend::reload() {
   catalog_.poll();
-  Choice choice;
+  ProcessConfig process_config;
   try {
-    choice = reread_();
+    process_config = load_config_();
   } catch (const std::exception& error) {
     return log_.error("backend", "new configuration not taken, the old one stays: {}", error.what());
   }
-  const Config& next = choice.config;
+  const Config& next = process_config.config;
   log_.info("backend", "new configuration: runtime {}, below {}, roster {}", next.runtime, next.dependency,
             next.registry);
   if (next.listen != config_.listen || next.name != config_.name)
@@ -204,66 +216,68 @@
     log_.warn("backend", "new settings are taken at the next start only");
   runtime_.move_to(config_.runtime = next.runtime);
   config_.dependency = next.dependency;
-  if (ajp_below_ == nullptr) {
+  if (ajp_dependency_ == nullptr) {
     dependency_.move_to(config_.dependency);
-  } else if (!choice.options.ajp.dependency.empty()) {
-    ajp_below_->move_to(choice.options.ajp);
+  } else if (!process_config.options.ajp.dependency.empty()) {
+    ajp_dependency_->move_to(process_config.options.ajp);
   }
   registry_.move_to(config_.registry = next.registry);
-  replay_.reconfigure(choice.options.results);
-  if (ajp_ != nullptr) ajp_->reconfigure(choice.options.ajp);
-  if (connection_admission_) connection_admission_->reconfigure(choice.options.gate);
-  membership_.on_configuration_reloaded(choice);
+  replay_.reconfigure(process_config.options.results);
+  if (ajp_server_ != nullptr) ajp_server_->reconfigure(process_config.options.ajp);
+  if (connection_admission_) connection_admission_->reconfigure(process_config.options.connection_admission);
+  membership_.on_configuration_reloaded(process_config);
 }
 
-void Backend::leave() {
-  if (leaving_since_ >= 0) return;
-  leaving_since_ = net::monotonic_now();
-  const std::size_t open = in_flight_.unanswered();
+void Backend::begin_shutdown() {
+  if (shutdown_started_at_ >= 0) return;
+  shutdown_started_at_ = net::monotonic_now();
+  const std::size_t unanswered = in_flight_.unanswered();
   // The grace counts from the notice, so what takes time comes after its beginning.
   sender_.drain();
   intake_.on_drain();
   admission_.on_drain(config_.stop_after);
-  replay_.on_drain(config_.stop_after - kAnswerMargin);
-  log_.info("backend", "notice to leave, {} ops open, {} connections", open, front_->connections());
+  replay_.on_drain(config_.stop_after - kAnswerResultsMarginSeconds);
+  log_.info("backend", "notice to leave, {} ops open, {} connections", unanswered,
+            request_server_->connections());
   sender_.announce_drain();
   statistics_.on_drain();
   if (connection_admission_) connection_admission_->save_known_clients();
   membership_.leave();
-  look_at_leaving();
+  check_shutdown();
 }
 
 // Callers hear late that this backend leaves, and what they have written to a connection that the machine
 // took is ours: so it listens, and answers, nearly to the end.
-void Backend::look_at_leaving() {
-  const double now = net::monotonic_now() - leaving_since_;
-  if (!listening_ && now >= config_.stop_after - kPartMargin) front_->close_idle_connections();
-  const bool quiet = in_flight_.unanswered() == 0 && front_->connections() == 0;
-  const bool is_done = quiet && !front_->is_listening() && reactor_.lingering_closes().empty();
-  const bool grace_over = now > config_.site.admission.drain_grace;
-  if (listening_ &&
-      (now >= config_.stop_after - kListenMargin || (quiet && grace_over) || !admission_.is_started())) {
-    listening_ = false;
-    front_->stop_listening();
-  } else if (!listening_ && (is_done || now >= config_.stop_after - kEndMargin)) {
-    return stop();
+void Backend::check_shutdown() {
+  const double elapsed = net::monotonic_now() - shutdown_started_at_;
+  if (!is_listening_ && elapsed >= config_.stop_after - kCloseConnectionsMarginSeconds)
+    request_server_->close_idle_connections();
+  const bool is_idle = in_flight_.unanswered() == 0 && request_server_->connections() == 0;
+  const bool is_done = is_idle && !request_server_->is_listening() && reactor_.lingering_closes().empty();
+  const bool is_grace_over = elapsed > config_.site.admission.drain_grace;
+  if (is_listening_ && (elapsed >= config_.stop_after - kStopListeningMarginSeconds ||
+                        (is_idle && is_grace_over) || !admission_.is_started())) {
+    is_listening_ = false;
+    request_server_->stop_listening();
+  } else if (!is_listening_ && (is_done || elapsed >= config_.stop_after - kStopMarginSeconds)) {
+    return finish_shutdown();
   }
-  reactor_.after(kLeaveLook, [this] { look_at_leaving(); });
+  reactor_.after(kShutdownCheckIntervalSeconds, [this] { check_shutdown(); });
 }
 
 // What is still in flight as the process ends: a request that was read in this very turn and waits for its
 // original, a result whose write hangs. Nothing after this would answer it.
-void Backend::answer_unanswered() {
+void Backend::answer_in_flight_requests() {
   replay_.answer_pending_results();
   for (const RequestId id : in_flight_.unanswered_ids()) in_flight_.fail(*in_flight_.find(id));
 }
 
-void Backend::stop() {
-  answer_unanswered();
+void Backend::finish_shutdown() {
+  answer_in_flight_requests();
   // Connections whose last request has just been answered are read once more and end in order.
-  if (front_->connections() > 0) front_->close_idle_connections();
-  answer_unanswered();
-  log_.info("backend", "left after {:.2f} s, {} ops unanswered", net::monotonic_now() - leaving_since_,
+  if (request_server_->connections() > 0) request_server_->close_idle_connections();
+  answer_in_flight_requests();
+  log_.info("backend", "left after {:.2f} s, {} ops unanswered", net::monotonic_now() - shutdown_started_at_,
             in_flight_.unanswered());
   reactor_.stop();
 }
--- a/src/app/backend.h
+++ b/src/app/backend.h
@@ -31,32 +31,32 @@
 
 namespace damsonspoke {
 
-enum class Role { kRelay, kPlanner };  // what stands in front of it: callers, or forwarders
+enum class Role { kBackend, kPlanner };  // what stands in front of it: callers, or forwarders
 
 class Backend {
  public:
   // Reads the configuration anew; throws std::exception with one plain line where it can't be used.
-  using Reread = std::function<Choice()>;
+  using ConfigLoader = std::function<ProcessConfig()>;
   // Throws std::exception with one plain line where an address can't be used.
-  Backend(Role role, const Choice& choice, Reread reread, Logger& log);
+  Backend(Role role, const ProcessConfig& process_config, ConfigLoader load_config, Logger& log);
   // Serves until the notice to leave has been followed to its end. Returns the exit status.
   int run();
-  std::uint16_t port() const { return front_->port(); }
+  std::uint16_t port() const { return request_server_->port(); }
 
  private:
-  void leave();
+  void begin_shutdown();
   void reload();
-  void look_at_leaving();
-  void answer_unanswered();
-  void stop();
-  std::unique_ptr<peers::RequestServer> make_front(Role role);
-  void make_connection_admission(int connections, const std::vector<double>& floors);
-  void listen_for_questions();
-  void report();
+  void check_shutdown();
+  void answer_in_flight_requests();
+  void finish_shutdown();
+  std::unique_ptr<peers::RequestServer> make_request_server(Role role);
+  void make_connection_admission(int connections, const std::vector<double>& guaranteed_shares);
+  void start_control_server();
+  void log_counters();
 
   Config config_;
   OperatorOptions options_;
-  const Reread reread_;
+  const ConfigLoader load_config_;
   Logger& log_;
   Counters counters_;
   net::Reactor reactor_;
@@ -70,19 +70,19 @@
   stages::AdmissionDriver admission_;
   stages::RequestIntake intake_;
   stages::CompletionHandler completion_handler_;
-  std::unique_ptr<conns::ConnectionQuota> share_;  // with two fronts
-  std::unique_ptr<control::Server> control_;       // where operators have one
-  Membership membership_;                          // nothing where operators have none
+  std::unique_ptr<conns::ConnectionQuota> connection_quota_;  // with two fronts
+  std::unique_ptr<control::Server> control_;                  // where operators have one
+  Membership membership_;                                     // nothing where operators have none
   std::unique_ptr<peers::ConnectionAdmission>
-      connection_admission_;         // where operators have one; before the fronts
-  peers::AjpServer* ajp_ = nullptr;  // one of them, where there is one; before who sets it
-  std::unique_ptr<peers::RequestServer> front_;
+      connection_admission_;                // where operators have one; before the fronts
+  peers::AjpServer* ajp_server_ = nullptr;  // one of them, where there is one; before who sets it
+  std::unique_ptr<peers::RequestServer> request_server_;
   peers::RuntimeClient runtime_;
   peers::DependencyClient dependency_;
-  std::unique_ptr<peers::AjpDependencyClient> ajp_below_;  // in its place, where operators say so
+  std::unique_ptr<peers::AjpDependencyClient> ajp_dependency_;  // in its place, where operators say so
   peers::RegistryReporter registry_;
-  double leaving_since_ = -1;
-  bool listening_ = true;
+  double shutdown_started_at_ = -1;
+  bool is_listening_ = true;
 };
 
 }  // namespace damsonspoke
--- a/src/app/catalog_command.cpp
+++ b/src/app/catalog_command.cpp
@@ -25,9 +25,9 @@
 std::string choose_folder(const cxxopts::ParseResult& flags) {
   if (flags.count("folder") > 0) return flags["folder"].as<std::string>();
   const std::string path = operator_path(flags);
-  if (path.empty()) throw WrongUse("no folder: give --folder FOLDER, or an operators' file that names one");
+  if (path.empty()) throw UsageError("no folder: give --folder FOLDER, or an operators' file that names one");
   std::string folder = read_operator_file(path).options.catalog.folder;
-  if (folder.empty()) throw WrongUse(fmt::format("{} names no folder for the catalog", path));
+  if (folder.empty()) throw UsageError(fmt::format("{} names no folder for the catalog", path));
   return folder;
 }
 
@@ -38,7 +38,7 @@
   const cat::Version version = loaded.catalog->version();
   fmt::print("version {}.{}, {} routes, {} tenants, {} bytes of changes\n", version.epoch, version.sequence,
              loaded.catalog->route_count(), loaded.catalog->tenant_count(), loaded.changes_bytes);
-  return loaded.rejected_changes.empty() ? kDone : kFailed;
+  return loaded.rejected_changes.empty() ? kExitSuccess : kExitFailure;
 }
 
 // Writes a snapshot of the entries of a file, or of what the folder holds; then its changes are redundant.
@@ -59,17 +59,17 @@
   }
   cat::write_snapshot(folder, version, history, lines);
   fmt::print("version {}.{}, {} bytes\n", version.epoch, version.sequence, lines.size());
-  return kDone;
+  return kExitSuccess;
 }
 
 int append(const std::string& folder, const cxxopts::ParseResult& flags) {
-  if (flags.count("entries") == 0) throw WrongUse("no changes: give --entries FILE");
+  if (flags.count("entries") == 0) throw UsageError("no changes: give --entries FILE");
   const std::string lines = cat::read_lines(flags["entries"].as<std::string>());
-  if (lines.empty()) throw WrongUse("the file has no change");
+  if (lines.empty()) throw UsageError("the file has no change");
   const cat::Version version =
       cat::append_changes(folder, flags["epoch"].as<std::uint64_t>(), lines, kToolLimits);
   fmt::print("version {}.{}\n", version.epoch, version.sequence);
-  return kDone;
+  return kExitSuccess;
 }
 
 // Prints the first lines that only one of two sorted texts has. Returns how many there are.
@@ -94,7 +94,7 @@
 }
 
 int compare(const std::string& folder, const cxxopts::ParseResult& flags) {
-  if (flags.count("other") == 0) throw WrongUse("nothing to compare with: give --other FOLDER");
+  if (flags.count("other") == 0) throw UsageError("nothing to compare with: give --other FOLDER");
   const cat::LoadedFolder left = cat::load_folder(folder, kToolLimits);
   const cat::LoadedFolder right = cat::load_folder(flags["other"].as<std::string>(), kToolLimits);
   const std::size_t differences =
@@ -104,7 +104,7 @@
   const bool same_history = left.catalog->history() == right.catalog->history();
   fmt::print("versions {} and {}, histories {}, {} entries differ\n", cat::to_string(left_version),
              cat::to_string(right_version), same_history ? "the same" : "differ", differences);
-  return differences == 0 && left_version == right_version && same_history ? kDone : kFailed;
+  return differences == 0 && left_version == right_version && same_history ? kExitSuccess : kExitFailure;
 }
 
 }  // namespace
@@ -113,13 +113,13 @@
   const std::string action = flags.count("action") > 0 ? flags["action"].as<std::string>() : "";
   if (action == "show") {
     fmt::print("{}", control::send_query(control_folder(flags), {"catalog"}, kControlTimeoutSeconds));
-    return kDone;
+    return kExitSuccess;
   }
   if (action == "check") return check(choose_folder(flags));
   if (action == "snapshot") return snapshot(choose_folder(flags), flags);
   if (action == "append") return append(choose_folder(flags), flags);
   if (action == "compare") return compare(choose_folder(flags), flags);
-  throw WrongUse("catalog takes show, check, snapshot, append or compare");
+  throw UsageError("catalog takes show, check, snapshot, append or compare");
 }
 
 }  // namespace damsonspoke
--- a/src/app/catalog_watch.cpp
+++ b/src/app/catalog_watch.cpp
@@ -21,15 +21,16 @@
 
 }  // namespace
 
-CatalogWatch::CatalogWatch(net::Reactor& reactor, const Choice& choice, Counters& counters, Logger& log)
-    : reactor_(reactor), counters_(counters), log_(log), folder_(choice.options.catalog.folder) {
+CatalogWatch::CatalogWatch(net::Reactor& reactor, const ProcessConfig& process_config, Counters& counters,
+                           Logger& log)
+    : reactor_(reactor), counters_(counters), log_(log), folder_(process_config.options.catalog.folder) {
   catalog::CatalogLimits limits;
   if (!folder_.empty()) {
-    limits.routes = choice.options.catalog.routes;
-    limits.tenants = choice.options.catalog.tenants;
+    limits.routes = process_config.options.catalog.routes;
+    limits.tenants = process_config.options.catalog.tenants;
   }
-  limits.allows_keyed_routes = choice.options.results.enabled;
-  catalog_ = catalog::Catalog::from_settings(choice.config.site, limits, random_key());
+  limits.allows_keyed_routes = process_config.options.results.enabled;
+  catalog_ = catalog::Catalog::from_settings(process_config.config.site, limits, random_key());
   if (folder_.empty()) return;
   source_ = std::make_unique<catalog::ThreadedSource>(
       std::make_unique<catalog::FolderSource>(folder_),
@@ -103,8 +104,8 @@
   counters_.set(Count::kCatalogSnapshots, counts.snapshots);
 }
 
-void CatalogWatch::answer_questions(control::Server& control) {
-  control.add("catalog", [this](const std::vector<std::string>&) {
+void CatalogWatch::register_command(control::Server& control) {
+  control.add_handler("catalog", [this](const std::vector<std::string>&) {
     if (follower_ == nullptr)
       throw std::runtime_error("the catalog is off: no section 'catalog' with 'folder'");
     return describe_status();
--- a/src/app/catalog_watch.h
+++ b/src/app/catalog_watch.h
@@ -20,7 +20,7 @@
 class CatalogWatch {
  public:
   // Reads the files; blocks until they are read or the folder does not respond.
-  CatalogWatch(net::Reactor& reactor, const Choice& choice, Counters& counters, Logger& log);
+  CatalogWatch(net::Reactor& reactor, const ProcessConfig& process_config, Counters& counters, Logger& log);
   ~CatalogWatch();
   CatalogWatch(const CatalogWatch&) = delete;
   CatalogWatch& operator=(const CatalogWatch&) = delete;
@@ -29,7 +29,7 @@
   // Starts to read what is new in the files; returns at once.
   void poll();
   // Registers the control command `catalog`.
-  void answer_questions(control::Server& control);
+  void register_command(control::Server& control);
   // Sets the counters of the catalog.
   void report();
 
--- a/src/app/command_line.cpp
+++ b/src/app/command_line.cpp
@@ -14,7 +14,7 @@
 
 int version_command(const cxxopts::ParseResult&) {
   fmt::print("damsonspoke {}\n", DAMSONSPOKE_VERSION);
-  return kDone;
+  return kExitSuccess;
 }
 
 void add_configuration_option(cxxopts::Options& options) {
@@ -110,10 +110,10 @@
     {"config", nullptr, "check or show an operators' file, or print the reference of its directives",
      config_options, config_command},
     {"statistics", "knowledge", "show, verify or forget the learned statistics", statistics_options,
-     knowledge_command},
+     statistics_command},
     {"results", nullptr, "list, verify or drop stored results", results_options, results_command},
     {"connections", "conns", "ask a running server who holds its connections, and who was rejected",
-     connections_options, conns_command},
+     connections_options, connections_command},
     {"catalog", nullptr,
      "show routes and tenants in force; make, check or compare the files that servers follow",
      catalog_options, catalog_command},
@@ -135,10 +135,10 @@
   const cxxopts::ParseResult flags = options.parse(argc, argv);
   if (flags.count("help") > 0) {
     fmt::print("{}", options.help());
-    return kDone;
+    return kExitSuccess;
   }
   if (!flags.unmatched().empty())
-    throw WrongUse(fmt::format("'{}' is not expected", flags.unmatched().front()));
+    throw UsageError(fmt::format("'{}' is not expected", flags.unmatched().front()));
   return command.run(flags);
 }
 
@@ -155,25 +155,25 @@
   const std::string name = argc > 1 ? argv[1] : "";
   if (name == "--help" || name == "-h" || name == "help") {
     fmt::print("{}", usage());
-    return kDone;
+    return kExitSuccess;
   }
   const Command* command = find_command(name);
   if (command == nullptr) {
     print_error(name.empty() ? "no command; damsonspoke --help lists them"
                              : fmt::format("'{}' is no command; damsonspoke --help lists them", name));
-    return kWrongUse;
+    return kExitUsage;
   }
   try {
     return run_command(*command, argc - 1, argv + 1);
-  } catch (const WrongUse& error) {
+  } catch (const UsageError& error) {
     print_error(error.what());
-    return kWrongUse;
+    return kExitUsage;
   } catch (const cxxopts::exceptions::exception& error) {
     print_error(error.what());
-    return kWrongUse;
+    return kExitUsage;
   } catch (const std::exception& error) {
     print_error(error.what());
-    return kFailed;
+    return kExitFailure;
   }
 }
 
--- a/src/app/commands.h
+++ b/src/app/commands.h
@@ -11,30 +11,30 @@
 
 namespace damsonspoke {
 
-constexpr int kDone = 0, kFailed = 1, kWrongUse = 2;
+constexpr int kExitSuccess = 0, kExitFailure = 1, kExitUsage = 2;
 
-struct WrongUse : std::runtime_error {
+struct UsageError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
 // The files that a command is about: by flag, else by the environment.
-struct Chosen {
+struct ConfigFiles {
   Config config;
   std::optional<OperatorFile> operators;  // none: everything in it is off
 };
 std::string operator_path(const cxxopts::ParseResult& flags);  // empty: none
-OperatorOptions options_of(const Chosen& chosen);  // in force, those that the settings ask for too
-Chosen usable_choice(const cxxopts::ParseResult& flags);
+OperatorOptions effective_options(const ConfigFiles& files);  // in force, those that the settings ask for too
+ConfigFiles load_config_files(const cxxopts::ParseResult& flags);
 
 int serve_command(const cxxopts::ParseResult& flags);
 int plan_command(const cxxopts::ParseResult& flags);
 int forward_command(const cxxopts::ParseResult& flags);
 int check_command(const cxxopts::ParseResult& flags);
 int config_command(const cxxopts::ParseResult& flags);
-int knowledge_command(const cxxopts::ParseResult& flags);
+int statistics_command(const cxxopts::ParseResult& flags);
 std::string control_folder(const cxxopts::ParseResult& flags);
 int catalog_command(const cxxopts::ParseResult& flags);
-int conns_command(const cxxopts::ParseResult& flags);
+int connections_command(const cxxopts::ParseResult& flags);
 int members_command(const cxxopts::ParseResult& flags);
 int results_command(const cxxopts::ParseResult& flags);
 
--- a/src/app/config_command.cpp
+++ b/src/app/config_command.cpp
@@ -12,12 +12,12 @@
   const std::string action = flags.count("action") > 0 ? flags["action"].as<std::string>() : "";
   if (action == "reference") {
     fmt::print("{}", directive_reference());
-    return kDone;
+    return kExitSuccess;
   }
-  if (action != "check" && action != "show") throw WrongUse("config takes check, show or reference");
+  if (action != "check" && action != "show") throw UsageError("config takes check, show or reference");
   const std::string path = operator_path(flags);
   if (path.empty() && action == "check") {
-    throw WrongUse("no operators' file: give --operator FILE or set DAMSONSPOKE_OPERATOR");
+    throw UsageError("no operators' file: give --operator FILE or set DAMSONSPOKE_OPERATOR");
   }
   const OperatorFile file = path.empty() ? parse_operator_file("") : read_operator_file(path);
   if (action == "show") {
@@ -25,7 +25,7 @@
   } else {
     fmt::print("{}: sound, {} directives\n", path, file.given.size());
   }
-  return kDone;
+  return kExitSuccess;
 }
 
 }  // namespace damsonspoke
--- a/src/app/conns_command.cpp
+++ b/src/app/conns_command.cpp
@@ -16,17 +16,17 @@
 std::string control_folder(const cxxopts::ParseResult& flags) {
   if (flags.count("folder") > 0) return flags["folder"].as<std::string>();
   const std::string path = operator_path(flags);
-  if (path.empty()) throw WrongUse("no folder: give --folder FOLDER, or an operators' file that names one");
+  if (path.empty()) throw UsageError("no folder: give --folder FOLDER, or an operators' file that names one");
   std::string folder = read_operator_file(path).options.control.folder;
-  if (folder.empty()) throw WrongUse(fmt::format("{} names no folder for control", path));
+  if (folder.empty()) throw UsageError(fmt::format("{} names no folder for control", path));
   return folder;
 }
 
-int conns_command(const cxxopts::ParseResult& flags) {
+int connections_command(const cxxopts::ParseResult& flags) {
   const auto max_clients = flags["limit"].as<std::size_t>();
   fmt::print("{}", control::send_query(control_folder(flags), {"conns", std::to_string(max_clients)},
                                        kControlTimeoutSeconds));
-  return kDone;
+  return kExitSuccess;
 }
 
 }  // namespace damsonspoke
--- a/src/app/forwarder.cpp
+++ b/src/app/forwarder.cpp
@@ -12,141 +12,147 @@
 namespace damsonspoke {
 namespace {
 
-constexpr double kLinkShare = 0.15;  // of the memory limit: requests that planners do not read
-constexpr double kBodyShare = 0.2;   // requests that are open
-constexpr int kMostPlanners = 64;    // as the operators' file allows
+constexpr double kPlannerOutputMemoryShare = 0.15;  // of the memory limit: requests that planners do not read
+constexpr double kRequestMemoryShare = 0.2;         // requests that are open
+constexpr int kMaxPlanners = 64;                    // as the operators' file allows
 
 // Links to planners that members tell come from where members hear this one.
-std::string links_from(const OperatorOptions& options) {
+std::string planner_source_address(const OperatorOptions& options) {
   if (!options.forward.from_members || !options.members.enabled()) return {};
   return net::parse_address(options.members.bind).host().toString();
 }
 
 }  // namespace
 
-std::uint64_t draw_epoch() {
+std::uint64_t random_epoch() {
   std::random_device device;
   std::uint64_t epoch = 0;
   while (epoch == 0) epoch = static_cast<std::uint64_t>(device()) << 32 | device();
   return epoch;
 }
 
-Forwarder::Forwarder(const Choice& choice, Reread reread, Logger& log)
-    : config_(choice.config),
-      options_(choice.options),
-      reread_(std::move(reread)),
+Forwarder::Forwarder(const ProcessConfig& process_config, ConfigLoader load_config, Logger& log)
+    : config_(process_config.config),
+      options_(process_config.options),
+      load_config_(std::move(load_config)),
       log_(log),
-      catalog_(catalog::Catalog::from_settings(config_.site, {}, draw_epoch())),
-      forward_(reactor_, ports_, config_.site,
-               {options_.forward, options_.results, part(config_.limits, kBodyShare)}, draw_epoch(),
-               counters_, log_),
-      callers_(reactor_, config_.listen, *catalog_, marks(options_.results),
-               {connections_that_fit(config_.limits, kMostPlanners, peers::JsonRpcServer::kMaxInputBytes),
-                part(config_.limits, kOutputShare)},
-               forward_, counters_, log_),
-      planners_(reactor_, {config_.name, draw_epoch(), config_.site.route_names, links_from(options_)},
-                part(config_.limits, kLinkShare), forward_, counters_, log_),
+      catalog_(catalog::Catalog::from_settings(config_.site, {}, random_epoch())),
+      request_forwarder_(
+          reactor_, ports_, config_.site,
+          {options_.forward, options_.results, memory_share_bytes(config_.limits, kRequestMemoryShare)},
+          random_epoch(), counters_, log_),
+      caller_server_(
+          reactor_, config_.listen, *catalog_, idempotency_key_options(options_.results),
+          {max_inbound_connections(config_.limits, kMaxPlanners, peers::JsonRpcServer::kMaxInputBytes),
+           memory_share_bytes(config_.limits, kOutputMemoryShare)},
+          request_forwarder_, counters_, log_),
+      planner_client_(
+          reactor_,
+          {config_.name, random_epoch(), config_.site.route_names, planner_source_address(options_)},
+          memory_share_bytes(config_.limits, kPlannerOutputMemoryShare), request_forwarder_, counters_, log_),
       registry_(reactor_, config_.registry, config_.name, counters_),
       membership_(
-          reactor_, choice, "forwarder",
+          reactor_, process_config, "forwarder",
           [this] {
-            return Membership::Load{static_cast<double>(forward_.open()),
+            return Membership::Load{static_cast<double>(request_forwarder_.open()),
                                     static_cast<double>(options_.forward.queue_length)};
           },
           counters_, log_),
       discovery_({}),
       current_planners_(options_.forward.planners) {
-  ports_ = {&callers_, &planners_, &registry_};
+  ports_ = {&caller_server_, &planner_client_, &registry_};
   std::signal(SIGPIPE, SIG_IGN);
   std::signal(SIGXFSZ, SIG_IGN);  // a file that may not grow any more: the write says so, nobody dies of it
-  reactor_.on_signal(SIGTERM, [this] { leave(); });
-  reactor_.on_signal(SIGINT, [this] { leave(); });
+  reactor_.on_signal(SIGTERM, [this] { begin_shutdown(); });
+  reactor_.on_signal(SIGINT, [this] { begin_shutdown(); });
   reactor_.on_signal(SIGHUP, [this] { reload(); });
-  reactor_.on_signal(SIGUSR1, [this] { report(); });
-  membership_.on_change = [this] { take_planners(); };
+  reactor_.on_signal(SIGUSR1, [this] { log_counters(); });
+  membership_.on_change = [this] { update_planners(); };
   if (options_.control.folder.empty()) return;
   control_ = std::make_unique<control::Server>(reactor_, options_.control.folder, log_);
   membership_.register_command(*control_);
 }
 
 // Planners that members tell come to those of the list.
-void Forwarder::take_planners() {
-  if (!options_.forward.from_members || leaving_since_ >= 0) return;
-  const std::vector<std::string> now =
+void Forwarder::update_planners() {
+  if (!options_.forward.from_members || shutdown_started_at_ >= 0) return;
+  const std::vector<std::string> planners =
       discovery_.update(options_.forward.planners, membership_.planners(), net::monotonic_now());
-  if (now == current_planners_) return;
-  current_planners_ = now;
-  forward_.set_planners(now);
-  log_.info("forwarder", "members tell of planners: {} now", now.size());
+  if (planners == current_planners_) return;
+  current_planners_ = planners;
+  request_forwarder_.set_planners(planners);
+  log_.info("forwarder", "members tell of planners: {} now", planners.size());
 }
 
 int Forwarder::run() {
   const std::string host = config_.listen.substr(0, config_.listen.rfind(':'));
-  forward_.begin();
-  membership_.start(callers_.port());
-  log_.info("forwarder", "{} listens on {}:{}", config_.name, host, callers_.port());
+  request_forwarder_.begin();
+  membership_.start(caller_server_.port());
+  log_.info("forwarder", "{} listens on {}:{}", config_.name, host, caller_server_.port());
   deliver_signals();
   reactor_.run();
   defer_signals();
-  report();
+  log_counters();
   return 0;
 }
 
-void Forwarder::report() {
-  forward_.report();
+void Forwarder::log_counters() {
+  request_forwarder_.report();
   membership_.report();
-  log_.block(counters_.report());
+  log_.write_raw(counters_.report());
 }
 
 // Planners come and go while everything goes on. Guards against a file that can't be used: the old one stays.
 void Forwarder::reload() {
-  Choice choice;
+  ProcessConfig process_config;
   try {
-    choice = reread_();
+    process_config = load_config_();
   } catch (const std::exception& error) {
     return log_.error("forwarder", "new configuration not taken, the old one stays: {}", error.what());
   }
-  const Config& next = choice.config;
+  const Config& next = process_config.config;
   if (next.listen != config_.listen || next.name != config_.name)
     log_.warn("forwarder", "a new name or listening address is taken at the next start only");
   registry_.move_to(config_.registry = next.registry);
-  options_.forward.planners = choice.options.forward.planners;
-  options_.forward.from_members = choice.options.forward.from_members;
+  options_.forward.planners = process_config.options.forward.planners;
+  options_.forward.from_members = process_config.options.forward.from_members;
   current_planners_ = options_.forward.planners;
   if (options_.forward.from_members)
     current_planners_ =
         discovery_.update(options_.forward.planners, membership_.planners(), net::monotonic_now());
-  forward_.set_planners(current_planners_);
-  membership_.on_configuration_reloaded(choice);
+  request_forwarder_.set_planners(current_planners_);
+  membership_.on_configuration_reloaded(process_config);
   log_.info("forwarder", "new configuration: {} planners", options_.forward.planners.size());
 }
 
-void Forwarder::leave() {
-  if (leaving_since_ >= 0) return;
-  leaving_since_ = net::monotonic_now();
-  log_.info("forwarder", "notice to leave, {} ops open, {} connections", forward_.open(),
-            callers_.connections());
-  forward_.leave(config_.stop_after);
+void Forwarder::begin_shutdown() {
+  if (shutdown_started_at_ >= 0) return;
+  shutdown_started_at_ = net::monotonic_now();
+  log_.info("forwarder", "notice to leave, {} ops open, {} connections", request_forwarder_.open(),
+            caller_server_.connections());
+  request_forwarder_.leave(config_.stop_after);
   membership_.leave();
-  look_at_leaving();
+  check_shutdown();
 }
 
 // As a relay leaves: what was written to an accepted connection is ours to answer, so it listens nearly to
 // the end.
-void Forwarder::look_at_leaving() {
-  const double now = net::monotonic_now() - leaving_since_;
-  if (!listening_ && now >= config_.stop_after - kPartMargin) callers_.close_idle_connections();
-  const bool quiet = forward_.open() == 0 && callers_.connections() == 0;
-  const bool is_done = quiet && !callers_.is_listening() && reactor_.lingering_closes().empty();
-  const bool grace_over = now > config_.site.admission.drain_grace;
-  if (listening_ && (now >= config_.stop_after - kListenMargin || (quiet && grace_over))) {
-    listening_ = false;
-    callers_.stop_listening();
-  } else if (!listening_ && (is_done || now >= config_.stop_after - kEndMargin)) {
-    log_.info("forwarder", "left after {:.2f} s, {} ops unanswered", now, forward_.open());
+void Forwarder::check_shutdown() {
+  const double elapsed = net::monotonic_now() - shutdown_started_at_;
+  if (!is_listening_ && elapsed >= config_.stop_after - kCloseConnectionsMarginSeconds)
+    caller_server_.close_idle_connections();
+  const bool is_idle = request_forwarder_.open() == 0 && caller_server_.connections() == 0;
+  const bool is_done = is_idle && !caller_server_.is_listening() && reactor_.lingering_closes().empty();
+  const bool is_grace_over = elapsed > config_.site.admission.drain_grace;
+  if (is_listening_ &&
+      (elapsed >= config_.stop_after - kStopListeningMarginSeconds || (is_idle && is_grace_over))) {
+    is_listening_ = false;
+    caller_server_.stop_listening();
+  } else if (!is_listening_ && (is_done || elapsed >= config_.stop_after - kStopMarginSeconds)) {
+    log_.info("forwarder", "left after {:.2f} s, {} ops unanswered", elapsed, request_forwarder_.open());
     return reactor_.stop();
   }
-  reactor_.after(kLeaveLook, [this] { look_at_leaving(); });
+  reactor_.after(kShutdownCheckIntervalSeconds, [this] { check_shutdown(); });
 }
 
 }  // namespace damsonspoke
--- a/src/app/forwarder.h
+++ b/src/app/forwarder.h
@@ -22,40 +22,40 @@
 
 class Forwarder {
  public:
-  using Reread = std::function<Choice()>;
+  using ConfigLoader = std::function<ProcessConfig()>;
   // Throws std::exception with one plain line where an address can't be used.
-  Forwarder(const Choice& choice, Reread reread, Logger& log);
+  Forwarder(const ProcessConfig& process_config, ConfigLoader load_config, Logger& log);
   // Serves until the notice to leave has been followed to its end. Returns the exit status.
   int run();
 
  private:
-  void leave();
+  void begin_shutdown();
   void reload();
-  void look_at_leaving();
-  void report();
-  void take_planners();
+  void check_shutdown();
+  void log_counters();
+  void update_planners();
 
   Config config_;
   OperatorOptions options_;
-  const Reread reread_;
+  const ConfigLoader load_config_;
   Logger& log_;
   Counters counters_;
   net::Reactor reactor_;
   const std::unique_ptr<catalog::Catalog> catalog_;
   stages::RequestForwarder::Ports ports_;
-  stages::RequestForwarder forward_;
-  peers::JsonRpcServer callers_;
-  peers::PlannerClient planners_;
+  stages::RequestForwarder request_forwarder_;
+  peers::JsonRpcServer caller_server_;
+  peers::PlannerClient planner_client_;
   peers::RegistryReporter registry_;
   std::unique_ptr<control::Server> control_;  // where operators have one
   Membership membership_;                     // nothing where operators have none
   tier::PlannerDiscovery discovery_;
   std::vector<std::string> current_planners_;
-  double leaving_since_ = -1;
-  bool listening_ = true;
+  double shutdown_started_at_ = -1;
+  bool is_listening_ = true;
 };
 
 // A number that names one life of a process; never 0.
-std::uint64_t draw_epoch();
+std::uint64_t random_epoch();
 
 }  // namespace damsonspoke
--- a/src/app/idempotency_key_options.h
+++ b/src/app/idempotency_key_options.h
@@ -9,13 +9,13 @@
 
 namespace damsonspoke {
 
-inline peers::IdempotencyKeyOptions marks(const ResultsOptions& results) {
+inline peers::IdempotencyKeyOptions idempotency_key_options(const ResultsOptions& results) {
   if (!results.enabled) return {};
   return {results.key_field, results.key_length, {results.digest.begin(), results.digest.end()}};
 }
 
 // The same for who goes by the routes of the settings: whether each needs one, by position.
-inline std::vector<bool> needs_key(const Config& config, const ResultsOptions& results) {
+inline std::vector<bool> routes_requiring_key(const Config& config, const ResultsOptions& results) {
   std::vector<bool> needed;
   for (std::size_t i = 0; i < config.site.route_names.size(); ++i) {
     const auto& named = results.digest;
--- a/src/app/members_command.cpp
+++ b/src/app/members_command.cpp
@@ -13,23 +13,23 @@
 namespace damsonspoke {
 namespace {
 
-constexpr double kPatience = 2;  // s
-constexpr auto kWatchEvery = std::chrono::seconds(1);
+constexpr double kControlTimeoutSeconds = 2;  // s
+constexpr auto kWatchInterval = std::chrono::seconds(1);
 
 }  // namespace
 
 int members_command(const cxxopts::ParseResult& flags) {
   const std::string folder = control_folder(flags);
-  std::vector<std::string> question{"members"};
-  if (flags.count("json") > 0) question.emplace_back("json");
+  std::vector<std::string> query{"members"};
+  if (flags.count("json") > 0) query.emplace_back("json");
   const bool watch = flags.count("watch") > 0;
   for (;;) {
-    const std::string answer = control::send_query(folder, question, kPatience);
+    const std::string response = control::send_query(folder, query, kControlTimeoutSeconds);
     if (watch && ::isatty(STDOUT_FILENO) != 0) fmt::print("\033[H\033[2J");
-    fmt::print("{}", answer);
+    fmt::print("{}", response);
     std::fflush(stdout);
-    if (!watch) return kDone;
-    std::this_thread::sleep_for(kWatchEvery);
+    if (!watch) return kExitSuccess;
+    std::this_thread::sleep_for(kWatchInterval);
   }
 }
 
--- a/src/app/membership.cpp
+++ b/src/app/membership.cpp
@@ -25,24 +25,28 @@
 
 }  // namespace
 
-std::uint64_t draw_member_epoch() {
+std::uint64_t new_member_epoch() {
   std::random_device device;
   const auto milliseconds = static_cast<std::uint64_t>(net::unix_now() * 1000);
   return milliseconds << kRandomEpochBits | (device() & kRandomEpochMask);
 }
 
-Membership::Membership(net::Reactor& reactor, const Choice& choice, std::string role,
+Membership::Membership(net::Reactor& reactor, const ProcessConfig& process_config, std::string role,
                        std::function<Load()> load, Counters& counters, Logger& log)
-    : reactor_(reactor), role_(std::move(role)), load_(std::move(load)), options_(choice.options.members) {
+    : reactor_(reactor),
+      role_(std::move(role)),
+      load_(std::move(load)),
+      options_(process_config.options.members) {
   if (!options_.enabled()) return;
   if (options_.peers.empty())
     throw std::runtime_error(
         "members: no peers; an operators' file names their networks in section 'members'");
-  if (choice.config.name.size() > members::kMaxNameBytes)
+  if (process_config.config.name.size() > members::kMaxNameBytes)
     throw std::runtime_error(fmt::format("members: a name has {} bytes at most", members::kMaxNameBytes));
-  listen_host_ = choice.config.listen.substr(0, choice.config.listen.rfind(':'));
-  transport_ = std::make_unique<peers::MembershipTransport>(
-      reactor, options_, choice.config.name, draw_member_epoch(), std::random_device{}(), counters, log);
+  listen_host_ = process_config.config.listen.substr(0, process_config.config.listen.rfind(':'));
+  transport_ =
+      std::make_unique<peers::MembershipTransport>(reactor, options_, process_config.config.name,
+                                                   new_member_epoch(), std::random_device{}(), counters, log);
   transport_->on_change = [this] {
     if (on_change) on_change();
   };
@@ -51,9 +55,9 @@
 Membership::~Membership() { reactor_.cancel(timer_); }
 
 void Membership::register_command(control::Server& control) {
-  control.add("members", [this](const std::vector<std::string>& words) {
+  control.add_handler("members", [this](const std::vector<std::string>& tokens) {
     if (!transport_) throw std::runtime_error("members are off: no section 'members' with 'bind'");
-    return transport_->status(words.size() > 1 && words[1] == "json");
+    return transport_->status(tokens.size() > 1 && tokens[1] == "json");
   });
 }
 
@@ -87,9 +91,9 @@
 }
 
 // The addresses and the cluster stay those of the start.
-void Membership::on_configuration_reloaded(const Choice& choice) {
+void Membership::on_configuration_reloaded(const ProcessConfig& process_config) {
   ++load_report_.config_generation;
-  load_report_.zone = choice.options.members.zone;
+  load_report_.zone = process_config.options.members.zone;
 }
 
 void Membership::report() {
--- a/src/app/membership.h
+++ b/src/app/membership.h
@@ -24,8 +24,8 @@
   };
   // `role`: "relay", "planner" or "forwarder". Throws std::exception with a message of one line when an
   // address can't be used.
-  Membership(net::Reactor& reactor, const Choice& choice, std::string role, std::function<Load()> load,
-             Counters& counters, Logger& log);
+  Membership(net::Reactor& reactor, const ProcessConfig& process_config, std::string role,
+             std::function<Load()> load, Counters& counters, Logger& log);
   ~Membership();
   Membership(const Membership&) = delete;
   Membership& operator=(const Membership&) = delete;
@@ -36,7 +36,7 @@
   void start(std::uint16_t service_port);
   void leave();
   // A new generation of the configuration is in force.
-  void on_configuration_reloaded(const Choice& choice);
+  void on_configuration_reloaded(const ProcessConfig& process_config);
   // Brings the counters up to date.
   void report();
   // The members that serve as planners, for a forwarder.
@@ -60,6 +60,6 @@
 
 // An epoch for a new process: the Unix clock in milliseconds and 12 random bits, so that later ones are
 // higher.
-[[nodiscard]] std::uint64_t draw_member_epoch();
+[[nodiscard]] std::uint64_t new_member_epoch();
 
 }  // namespace damsonspoke
--- a/src/app/results_command.cpp
+++ b/src/app/results_command.cpp
@@ -27,9 +27,9 @@
 std::string store_path(const cxxopts::ParseResult& flags) {
   if (flags.count("store") > 0) return flags["store"].as<std::string>();
   const std::string path = operator_path(flags);
-  if (path.empty()) throw WrongUse("no store: give --store FILE, or an operators' file that names one");
+  if (path.empty()) throw UsageError("no store: give --store FILE, or an operators' file that names one");
   std::string store = read_operator_file(path).options.results.store;
-  if (store.empty()) throw WrongUse(fmt::format("{} names no store", path));
+  if (store.empty()) throw UsageError(fmt::format("{} names no store", path));
   return store;
 }
 
@@ -59,7 +59,7 @@
     fmt::print("windows  soonest {}, latest {}\n", remaining_text(totals.first_expiry_ms),
                remaining_text(totals.last_expiry_ms));
   }
-  return kDone;
+  return kExitSuccess;
 }
 
 int list(Database& database, std::size_t max_rows) {
@@ -71,14 +71,14 @@
                row.has_result ? "result" : "intent", row.result_bytes, remaining_text(row.expires_at_ms));
   });
   if (rows > max_rows) fmt::print("and {} more; --limit shows more\n", rows - max_rows);
-  return kDone;
+  return kExitSuccess;
 }
 
 int verify(Database& database, const std::string& path) {
   const std::vector<std::string> problems = database.verify();
   for (const std::string& line : problems) fmt::print("{}\n", line);
   fmt::print("{}: {}\n", path, problems.empty() ? "sound" : fmt::format("{} things wrong", problems.size()));
-  return problems.empty() ? kDone : kFailed;
+  return problems.empty() ? kExitSuccess : kExitFailure;
 }
 
 std::vector<Key> stored_keys(Database& database, bool only_expired) {
@@ -111,18 +111,18 @@
   if (flags.count("key") > 0) {
     const std::string text = flags["key"].as<std::string>();
     const std::optional<Key> key = results::parse_key(text);
-    if (!key) throw WrongUse(fmt::format("'{}' is no key of 32 hex digits", text));
+    if (!key) throw UsageError(fmt::format("'{}' is no key of 32 hex digits", text));
     if (!database.fetch(*key)) {
       fmt::print("{}: no such key\n", text);
-      return kFailed;
+      return kExitFailure;
     }
     drop_keys(database, path, {*key});
   } else if (only_expired || flags.count("all") > 0) {
     drop_keys(database, path, stored_keys(database, only_expired));
   } else {
-    throw WrongUse("results drop takes --key KEY, --expired or --all; a dropped key's op may run again");
+    throw UsageError("results drop takes --key KEY, --expired or --all; a dropped key's op may run again");
   }
-  return kDone;
+  return kExitSuccess;
 }
 
 }  // namespace
@@ -130,7 +130,7 @@
 int results_command(const cxxopts::ParseResult& flags) {
   const std::string action = flags.count("action") > 0 ? flags["action"].as<std::string>() : "";
   if (action != "stat" && action != "list" && action != "verify" && action != "drop")
-    throw WrongUse("results takes stat, list, verify or drop");
+    throw UsageError("results takes stat, list, verify or drop");
   const std::string path = store_path(flags);
   Database::Options options;
   options.must_exist = true;
--- a/src/app/serve_command.cpp
+++ b/src/app/serve_command.cpp
@@ -28,7 +28,7 @@
 std::string config_path(const cxxopts::ParseResult& flags) {
   std::string path = from_flag_or(flags, "config", kConfigVariable);
   if (path.empty()) {
-    throw WrongUse(fmt::format("no configuration: give --config FILE or set {}", kConfigVariable));
+    throw UsageError(fmt::format("no configuration: give --config FILE or set {}", kConfigVariable));
   }
   return path;
 }
@@ -39,96 +39,96 @@
   return from_flag_or(flags, "operator", kOperatorVariable);
 }
 
-OperatorOptions options_of(const Chosen& chosen) {
-  OperatorOptions options = chosen.operators ? chosen.operators->options : OperatorOptions{};
-  enable_required_results(chosen.config, std::string(wire::kDefaultIdempotencyKeyParam), options);
+OperatorOptions effective_options(const ConfigFiles& files) {
+  OperatorOptions options = files.operators ? files.operators->options : OperatorOptions{};
+  enable_required_results(files.config, std::string(wire::kDefaultIdempotencyKeyParam), options);
   return options;
 }
 
-Chosen usable_choice(const cxxopts::ParseResult& flags) {
-  Chosen chosen{read_config(config_path(flags)), std::nullopt};
+ConfigFiles load_config_files(const cxxopts::ParseResult& flags) {
+  ConfigFiles files{read_config(config_path(flags)), std::nullopt};
   const std::string path = operator_path(flags);
-  if (!path.empty()) chosen.operators = read_operator_file(path);
-  const OperatorOptions options = options_of(chosen);
-  if (const auto unsupported = find_unsupported(chosen.config, options))
+  if (!path.empty()) files.operators = read_operator_file(path);
+  const OperatorOptions options = effective_options(files);
+  if (const auto unsupported = find_unsupported(files.config, options))
     throw SettingsError(to_string(*unsupported));
   if (options.results.enabled && wire::is_protocol_param(options.results.key_field)) {
     throw SettingsError(
         fmt::format("results: key-field '{}' is the protocol's own", options.results.key_field));
   }
-  const Config& config = chosen.config;
+  const Config& config = files.config;
   for (const std::string* address : {&config.listen, &config.runtime, &config.registry, &config.dependency}) {
     if (!address->empty()) net::parse_address(*address);
   }
-  return chosen;
+  return files;
 }
 
 namespace {
 
 Logger make_logger(const cxxopts::ParseResult& flags) {
   const std::string name = flags["log-level"].as<std::string>();
-  const std::optional<Level> level = level_of(name);
-  if (!level) throw WrongUse(fmt::format("--log-level: '{}' is none of error, warning, info, debug", name));
-  const std::string form_name = flags["log-format"].as<std::string>();
-  const std::optional<LogForm> form = log_form_of(form_name);
-  if (!form) throw WrongUse(fmt::format("--log-format: '{}' is neither text nor json", form_name));
-  return Logger(*level, *form);
+  const std::optional<Level> level = parse_level(name);
+  if (!level) throw UsageError(fmt::format("--log-level: '{}' is none of error, warning, info, debug", name));
+  const std::string format_name = flags["log-format"].as<std::string>();
+  const std::optional<LogFormat> format = parse_log_format(format_name);
+  if (!format) throw UsageError(fmt::format("--log-format: '{}' is neither text nor json", format_name));
+  return Logger(*level, *format);
 }
 
-Choice choice_of(const cxxopts::ParseResult& flags) {
-  const Chosen chosen = usable_choice(flags);
-  return {chosen.config, options_of(chosen)};
+ProcessConfig process_config_of(const cxxopts::ParseResult& flags) {
+  const ConfigFiles files = load_config_files(flags);
+  return {files.config, effective_options(files)};
 }
 
 // Between the two levels requests do not name their tenant yet.
-void refuse_tenants(const Choice& choice) {
-  if (!choice.config.site.admission.tenants.empty())
+void reject_tenants(const ProcessConfig& process_config) {
+  if (!process_config.config.site.admission.tenants.empty())
     throw SettingsError("settings: 'customers' is not empty; forwarders and planners do not tell them apart");
 }
 
 // A forwarder is nothing without planners.
-Choice forwarder_choice_of(const cxxopts::ParseResult& flags) {
-  Choice choice = choice_of(flags);
-  refuse_tenants(choice);
-  const std::vector<std::string>& planners = choice.options.forward.planners;
-  const bool told = choice.options.forward.from_members && choice.options.members.enabled();
+ProcessConfig forwarder_config_of(const cxxopts::ParseResult& flags) {
+  ProcessConfig process_config = process_config_of(flags);
+  reject_tenants(process_config);
+  const std::vector<std::string>& planners = process_config.options.forward.planners;
+  const bool told = process_config.options.forward.from_members && process_config.options.members.enabled();
   if (planners.empty() && !told)
     throw SettingsError("forward: no planners; an operators' file names them in section 'forward'");
   for (const std::string& address : planners) net::parse_address(address);
-  return choice;
+  return process_config;
 }
 
 int run_backend(Role role, const cxxopts::ParseResult& flags) {
   defer_signals();
   Logger log = make_logger(flags);
-  const auto reread = [&flags, role] {
-    Choice choice = choice_of(flags);
-    if (role == Role::kPlanner) refuse_tenants(choice);
-    return choice;
+  const auto load_config = [&flags, role] {
+    ProcessConfig process_config = process_config_of(flags);
+    if (role == Role::kPlanner) reject_tenants(process_config);
+    return process_config;
   };
-  const Choice choice = reread();
-  Backend backend(role, choice, reread, log);
+  const ProcessConfig process_config = load_config();
+  Backend backend(role, process_config, load_config, log);
   return backend.run();
 }
 
 }  // namespace
 
-int serve_command(const cxxopts::ParseResult& flags) { return run_backend(Role::kRelay, flags); }
+int serve_command(const cxxopts::ParseResult& flags) { return run_backend(Role::kBackend, flags); }
 int plan_command(const cxxopts::ParseResult& flags) { return run_backend(Role::kPlanner, flags); }
 int forward_command(const cxxopts::ParseResult& flags) {
   defer_signals();
   Logger log = make_logger(flags);
-  const auto reread = [&flags] { return forwarder_choice_of(flags); };
-  const Choice choice = reread();
-  Forwarder forwarder(choice, reread, log);
+  const auto load_config = [&flags] { return forwarder_config_of(flags); };
+  const ProcessConfig process_config = load_config();
+  Forwarder forwarder(process_config, load_config, log);
   return forwarder.run();
 }
 
 int check_command(const cxxopts::ParseResult& flags) {
-  const Chosen chosen = usable_choice(flags);
-  fmt::print("{}: listens on {}, {} op types, {} cores\n", chosen.config.name, chosen.config.listen,
-             chosen.config.site.route_names.size(), chosen.config.site.admission.cores);
-  return kDone;
+  const ConfigFiles files = load_config_files(flags);
+  fmt::print("{}: listens on {}, {} op types, {} cores\n", files.config.name, files.config.listen,
+             files.config.site.route_names.size(), files.config.site.admission.cores);
+  return kExitSuccess;
 }
 
 }  // namespace damsonspoke
--- a/src/app/statistics_command.cpp
+++ b/src/app/statistics_command.cpp
@@ -19,9 +19,9 @@
 std::string folder_of(const cxxopts::ParseResult& flags) {
   if (flags.count("folder") > 0) return flags["folder"].as<std::string>();
   const std::string path = operator_path(flags);
-  if (path.empty()) throw WrongUse("no folder: give --folder FOLDER, or an operators' file that names one");
-  std::string folder = read_operator_file(path).options.knowledge.folder;
-  if (folder.empty()) throw WrongUse(fmt::format("{} names no folder for knowledge", path));
+  if (path.empty()) throw UsageError("no folder: give --folder FOLDER, or an operators' file that names one");
+  std::string folder = read_operator_file(path).options.statistics.folder;
+  if (folder.empty()) throw UsageError(fmt::format("{} names no folder for knowledge", path));
   return folder;
 }
 
@@ -34,7 +34,7 @@
 int show(const statistics::RecordReadResult& reading) {
   if (!reading.record) {
     fmt::print("{}\n", text_of(reading.problem));
-    return kFailed;
+    return kExitFailure;
   }
   const statistics::StatisticsRecord& record = *reading.record;
   fmt::print("written   {:.0f} s ago by {}, which had lived {:.0f} s{}\n", unix_now() - record.written_at,
@@ -46,29 +46,29 @@
   for (const statistics::RouteRecord& route : record.routes)
     fmt::print("{:<20}{:<36}{}\n", route.name, mean_text(route.run), mean_text(route.call));
   fmt::print("calls     {}\nreturns   {:.2f}\n", mean_text(record.calls), record.returning_share);
-  return kDone;
+  return kExitSuccess;
 }
 
 int verify(const std::string& path, const statistics::RecordReadResult& reading) {
   const bool is_intact = reading.problem == statistics::ReadProblem::kNone;
   fmt::print("{}: {}{}\n", path, is_intact ? "sound" : text_of(reading.problem),
              reading.is_previous ? ", the generation before is used" : "");
-  return is_intact && !reading.is_previous ? kDone : kFailed;
+  return is_intact && !reading.is_previous ? kExitSuccess : kExitFailure;
 }
 
 int forget(const std::string& path, store::FileSystem& file_system) {
   if (!file_system.try_lock()) throw SettingsError(text_of(file_system.last_error()));
   statistics::StatisticsFolder(file_system).remove();
   fmt::print("{}: forgotten\n", path);
-  return kDone;
+  return kExitSuccess;
 }
 
 }  // namespace
 
-int knowledge_command(const cxxopts::ParseResult& flags) {
+int statistics_command(const cxxopts::ParseResult& flags) {
   const std::string action = flags.count("action") > 0 ? flags["action"].as<std::string>() : "";
   if (action != "show" && action != "verify" && action != "forget")
-    throw WrongUse("knowledge takes show, verify or forget");
+    throw UsageError("knowledge takes show, verify or forget");
   const std::string path = folder_of(flags);
   const std::unique_ptr<store::FileSystem> file_system = store::open_folder(path);
   if (action == "forget") return forget(path, *file_system);
--- a/src/benchlink/frames.h
+++ b/src/benchlink/frames.h
@@ -58,10 +58,10 @@
     std::memcpy(raw, &value, sizeof value);
     bytes_.append(raw, sizeof value);
   }
-  void begin_record(std::uint8_t code, std::uint32_t who) {
+  void begin_record(std::uint8_t code, std::uint32_t instance_id) {
     ++records_;
     put(code);
-    put(who);
+    put(instance_id);
   }
   void put_text(std::string_view text) {
     text = text.substr(0, 0xffff);
--- a/src/benchlink/main.cpp
+++ b/src/benchlink/main.cpp
@@ -22,32 +22,32 @@
 
 // Codes on the wire, in its own words.
 enum EventCode : std::uint8_t {
-  kSubmit = 1,
-  kWake,
-  kRunOver,
+  kRequest = 1,
+  kTimer,
+  kRunFinished,
   kCreate,
-  kTerminateSoon,
-  kGone,
-  kBlocked,
-  kReturned,
-  kCrashNow
+  kDrain,
+  kCallerDisconnected,
+  kCallNeeded,
+  kCallFinished,
+  kCrash
 };
 enum ActionCode : std::uint8_t {
   kSetHealth = 1,
-  kBug,
-  kPushBack,
-  kJournalLine,
-  kAnnounce,
-  kProcess,
+  kFault,
+  kReject,
+  kLog,
+  kPublishLoadFeedback,
+  kStart,
   kRemember,
-  kAfter,
-  kDegrade,
-  kIdle,
+  kScheduleWakeup,
+  kSkipCall,
+  kSetIdleTimeout,
   kJoin,
-  kDial,
-  kSurrender,
+  kCall,
+  kFail,
   kInterrupt,
-  kEvict
+  kForget
 };
 
 // Flags of a request.
@@ -58,45 +58,45 @@
 // Encodes one instance's actions in the order in which they are taken.
 class WireDecisionSink : public DecisionSink {
  public:
-  WireDecisionSink(Writer& out, std::uint32_t who) : out_(out), who_(who) {}
+  WireDecisionSink(Writer& out, std::uint32_t instance_id) : out_(out), instance_id_(instance_id) {}
 
-  void start(RequestId id) override { put_request(kProcess, id); }
+  void start(RequestId id) override { put_request(kStart, id); }
   void interrupt(RequestId id) override { put_request(kInterrupt, id); }
   void reject(RequestId id, double retry_after, bool no_retry) override {
-    put_request(kPushBack, id);
+    put_request(kReject, id);
     out_.put(retry_after * kMsPerSecond);
     out_.put(static_cast<std::uint8_t>(no_retry));
   }
-  void fail(RequestId id) override { put_request(kSurrender, id); }
-  void call(RequestId id, double timeout) override { put_request(kDial, id, timeout); }
-  void skip_call(RequestId id) override { put_request(kDegrade, id); }
+  void fail(RequestId id) override { put_request(kFail, id); }
+  void call(RequestId id, double timeout) override { put_request(kCall, id, timeout); }
+  void skip_call(RequestId id) override { put_request(kSkipCall, id); }
   void remember(RequestId id, double ttl) override { put_request(kRemember, id, ttl); }
-  void forget(RequestId id) override { put_request(kEvict, id); }
+  void forget(RequestId id) override { put_request(kForget, id); }
   void join(RequestId id) override { put_request(kJoin, id); }
   void set_health(bool healthy, bool from_store) override {
-    out_.begin_record(kSetHealth, who_);
+    out_.begin_record(kSetHealth, instance_id_);
     out_.put(static_cast<std::uint8_t>(healthy));
     out_.put(static_cast<std::uint8_t>(from_store));
   }
   void publish_load_feedback(double value) override {
-    out_.begin_record(kAnnounce, who_);
+    out_.begin_record(kPublishLoadFeedback, instance_id_);
     out_.put(static_cast<float>(value));
   }
   void set_idle_timeout(double seconds) override {
-    out_.begin_record(kIdle, who_);
+    out_.begin_record(kSetIdleTimeout, instance_id_);
     out_.put(seconds * kMsPerSecond);
   }
   void schedule_wakeup(double time, std::uint64_t token) override {
-    out_.begin_record(kAfter, who_);
+    out_.begin_record(kScheduleWakeup, instance_id_);
     out_.put(time * kMsPerSecond);
     out_.put(token);
   }
-  void log(const std::string& line) override { put_text(kJournalLine, line); }
-  void report_fault(const std::string& line) { put_text(kBug, line); }
+  void log(const std::string& line) override { put_text(kLog, line); }
+  void report_fault(const std::string& line) { put_text(kFault, line); }
 
  private:
   void put_request(ActionCode code, RequestId id) {
-    out_.begin_record(code, who_);
+    out_.begin_record(code, instance_id_);
     out_.put(id);
   }
   void put_request(ActionCode code, RequestId id, double time) {
@@ -104,18 +104,18 @@
     out_.put(time * kMsPerSecond);
   }
   void put_text(ActionCode code, const std::string& line) {
-    out_.begin_record(code, who_);
+    out_.begin_record(code, instance_id_);
     out_.put_text(line);
   }
 
   Writer& out_;
-  std::uint32_t who_;
+  std::uint32_t instance_id_;
 };
 
 // One simulated server.
 struct Instance {
-  Instance(Writer& out, std::uint32_t who, const StartSettings& start, std::uint64_t seed, double now)
-      : sink(out, who),
+  Instance(Writer& out, std::uint32_t instance_id, const StartSettings& start, std::uint64_t seed, double now)
+      : sink(out, instance_id),
         gauges(start.gauges),
         routes(start.admission.routes.size()),
         tenants(start.admission.tenants.size()) {
@@ -205,44 +205,44 @@
 
 void handle_record(Reader& in, double now, Instances& instances, Writer& out) {
   const auto code = in.take<std::uint8_t>();
-  if (code < kSubmit || code > kCrashNow) throw MalformedInput("unknown event code " + std::to_string(code));
-  const auto who = in.take<std::uint32_t>();
+  if (code < kRequest || code > kCrash) throw MalformedInput("unknown event code " + std::to_string(code));
+  const auto instance_id = in.take<std::uint32_t>();
   if (code == kCreate) {
     const auto seed = in.take<std::uint64_t>();
     const StartSettings start = read_settings(in.take_bytes(in.take<std::uint32_t>()));
-    instances[who] = std::make_unique<Instance>(out, who, start, seed, now);
+    instances[instance_id] = std::make_unique<Instance>(out, instance_id, start, seed, now);
     return;
   }
-  if (code == kCrashNow) {
-    instances.erase(who);
+  if (code == kCrash) {
+    instances.erase(instance_id);
     return;
   }
-  const auto found = instances.find(who);
+  const auto found = instances.find(instance_id);
   if (found == instances.end()) throw MalformedInput("an event for an instance that was not created");
   Instance& instance = *found->second;
-  if (code == kSubmit) {
+  if (code == kRequest) {
     const Request request = read_request(in, instance);
     decide(instance, [&](AdmissionController& controller) { controller.on_request(now, request); });
     return;
   }
-  if (code == kTerminateSoon) {
+  if (code == kDrain) {
     const double left = in.take_number<double>("expires-in") * kSecondsPerMs;
     decide(instance, [&](AdmissionController& controller) { controller.on_drain(now, left); });
     return;
   }
   const auto id = in.take<std::uint64_t>();
-  if (code == kWake) {
+  if (code == kTimer) {
     const Gauges gauges = read_gauges(in, instance);
     decide(instance, [&](AdmissionController& controller) { controller.on_timer(now, id, gauges); });
-  } else if (code == kGone) {
+  } else if (code == kCallerDisconnected) {
     decide(instance, [&](AdmissionController& controller) { controller.on_caller_disconnected(now, id); });
-  } else if (code == kBlocked) {
+  } else if (code == kCallNeeded) {
     decide(instance, [&](AdmissionController& controller) { controller.on_call_needed(now, id); });
   } else {
     const Outcome outcome = outcome_of(in.take<std::uint8_t>());
     const double spent = in.take_number<double>("spent") * kSecondsPerMs;
     decide(instance, [&](AdmissionController& controller) {
-      if (code == kRunOver) {
+      if (code == kRunFinished) {
         controller.on_run_finished(now, id, outcome, spent);
       } else {
         controller.on_call_finished(now, id, outcome, spent);
--- a/src/conns/arrival_rates.cpp
+++ b/src/conns/arrival_rates.cpp
@@ -26,14 +26,14 @@
       networks_(options.clients, options.network_rate, options.network_burst),
       all_unknown_(1, options.unknown_clients_rate, options.unknown_clients_burst) {}
 
-std::optional<ArrivalRates::Violation> ArrivalRates::find_violation(const Newcomer& newcomer,
+std::optional<ArrivalRates::Violation> ArrivalRates::find_violation(const NewConnection& new_connection,
                                                                     double now) const {
-  const RateSketch& clients = newcomer.is_unknown ? unknown_clients_ : known_clients_;
-  if (const double wait = clients.wait_seconds(newcomer.client, now); wait > 0)
+  const RateSketch& clients = new_connection.is_unknown ? unknown_clients_ : known_clients_;
+  if (const double wait = clients.wait_seconds(new_connection.client, now); wait > 0)
     return Violation{RejectCause::kClientRate, wait};
-  if (!newcomer.is_unknown) return std::nullopt;
-  if (!newcomer.is_in_group) {
-    if (const double wait = networks_.wait_seconds(newcomer.network, now); wait > 0)
+  if (!new_connection.is_unknown) return std::nullopt;
+  if (!new_connection.is_in_group) {
+    if (const double wait = networks_.wait_seconds(new_connection.network, now); wait > 0)
       return Violation{RejectCause::kNetworkRate, wait};
   }
   if (const double wait = all_unknown_.wait_seconds(kAllClients, now); wait > 0)
@@ -41,11 +41,11 @@
   return std::nullopt;
 }
 
-void ArrivalRates::record(const Newcomer& newcomer, double now) {
-  RateSketch& clients = newcomer.is_unknown ? unknown_clients_ : known_clients_;
-  clients.add(newcomer.client, now);
-  if (!newcomer.is_unknown) return;
-  networks_.add(newcomer.network, now);
+void ArrivalRates::record(const NewConnection& new_connection, double now) {
+  RateSketch& clients = new_connection.is_unknown ? unknown_clients_ : known_clients_;
+  clients.add(new_connection.client, now);
+  if (!new_connection.is_unknown) return;
+  networks_.add(new_connection.network, now);
   all_unknown_.add(kAllClients, now);
 }
 
--- a/src/conns/arrival_rates.h
+++ b/src/conns/arrival_rates.h
@@ -15,7 +15,7 @@
  public:
   explicit ArrivalRates(const ConnectionLimiterOptions& options);
 
-  struct Newcomer {
+  struct NewConnection {
     Prefix client;
     Prefix network;
     bool is_unknown = true;
@@ -26,8 +26,9 @@
     double retry_after = 0;  // s
   };
   // The first limit that another connection of this client would exceed.
-  [[nodiscard]] std::optional<Violation> find_violation(const Newcomer& newcomer, double now) const;
-  void record(const Newcomer& newcomer, double now);
+  [[nodiscard]] std::optional<Violation> find_violation(const NewConnection& new_connection,
+                                                        double now) const;
+  void record(const NewConnection& new_connection, double now);
   void reconfigure(const ConnectionLimiterOptions& options, double now);
   // Connections of one unknown client that may be missing from its count.
   [[nodiscard]] double max_error(double now) const { return unknown_clients_.max_error(now); }
--- a/src/conns/connection_limiter.cpp
+++ b/src/conns/connection_limiter.cpp
@@ -101,12 +101,12 @@
   return {eviction_class, protected_until, id};
 }
 
-void ConnectionLimiter::enter_order(ConnectionId id, const Connection& connection) {
+void ConnectionLimiter::add_to_indexes(ConnectionId id, const Connection& connection) {
   if (!connection.is_busy) eviction_order_.insert(rank_of(id, connection));
   if (connection.is_unknown()) ++unknown_count_;
 }
 
-void ConnectionLimiter::leave_order(ConnectionId id, const Connection& connection) {
+void ConnectionLimiter::remove_from_indexes(ConnectionId id, const Connection& connection) {
   if (!connection.is_busy) eviction_order_.erase(rank_of(id, connection));
   if (connection.is_unknown()) --unknown_count_;
 }
@@ -115,14 +115,14 @@
 void ConnectionLimiter::modify(ConnectionId id, F&& change) {
   const auto found = connections_.find(id);
   if (found == connections_.end()) return;
-  leave_order(id, found->second);
+  remove_from_indexes(id, found->second);
   change(found->second);
-  enter_order(id, found->second);
+  add_to_indexes(id, found->second);
 }
 
 void ConnectionLimiter::insert(ConnectionId id, const Connection& connection) {
   connections_[id] = connection;
-  enter_order(id, connection);
+  add_to_indexes(id, connection);
   ids_by_client_[connection.client].insert(id);
   ++open_by_network_[connection.network];
   if (connection.group) ++open_by_group_[*connection.group];
@@ -133,7 +133,7 @@
   const auto found = connections_.find(id);
   if (found == connections_.end()) return;
   const Connection& connection = found->second;
-  leave_order(id, connection);
+  remove_from_indexes(id, connection);
   if (const auto of_client = ids_by_client_.find(connection.client); of_client != ids_by_client_.end()) {
     of_client->second.erase(id);
     if (of_client->second.empty()) ids_by_client_.erase(of_client);
@@ -190,20 +190,20 @@
 
 // Whether a connection of the other listener that closes leaves a place that this listener may take: one of
 // its own, or one beyond what the other is guaranteed.
-bool ConnectionLimiter::frees_place(std::size_t listener, std::size_t other_listener) const {
+bool ConnectionLimiter::frees_slot(std::size_t listener, std::size_t other_listener) const {
   return listener == other_listener || quota_.open_count(other_listener) > quota_.guaranteed(other_listener);
 }
 
 // A client at its cap may replace a connection of its own whose protection is over: a client that reconnects
 // leaves dead connections behind.
-ConnectionLimiter::Placement ConnectionLimiter::replace_own(const Connection& newcomer, RejectCause cause,
-                                                            double now) const {
-  const auto own = ids_by_client_.find(newcomer.client);
+ConnectionLimiter::Placement ConnectionLimiter::replace_own(const Connection& new_connection,
+                                                            RejectCause cause, double now) const {
+  const auto own = ids_by_client_.find(new_connection.client);
   if (own == ids_by_client_.end()) return {cause, std::nullopt};
   std::optional<EvictionRank> first;
   for (const ConnectionId id : own->second) {
     const Connection& connection = connections_.at(id);
-    if (connection.is_busy || !frees_place(newcomer.listener, connection.listener)) continue;
+    if (connection.is_busy || !frees_slot(new_connection.listener, connection.listener)) continue;
     const EvictionRank rank = rank_of(id, connection);
     if (rank.protected_until <= now && (!first || rank < *first)) first = rank;
   }
@@ -211,33 +211,36 @@
   return {RejectCause::kNone, first->id};
 }
 
-ConnectionLimiter::Placement ConnectionLimiter::place_under_caps(const Connection& newcomer,
-                                                                 double now) const {
-  if (newcomer.group) {
-    const std::size_t group_cap = share_of_total(options_.groups[*newcomer.group].share);
-    if (open_by_group_[*newcomer.group] < group_cap) return {};
-    return replace_own(newcomer, RejectCause::kGroupCap, now);
+ConnectionLimiter::Placement ConnectionLimiter::find_slot_under_caps(const Connection& new_connection,
+                                                                     double now) const {
+  if (new_connection.group) {
+    const std::size_t group_cap = share_of_total(options_.groups[*new_connection.group].share);
+    if (open_by_group_[*new_connection.group] < group_cap) return {};
+    return replace_own(new_connection, RejectCause::kGroupCap, now);
   }
-  const double client_share = newcomer.is_unknown() ? options_.client_share : options_.known_client_share;
-  if (open_of_client(newcomer.client) >= share_of_total(client_share))
-    return replace_own(newcomer, RejectCause::kClientCap, now);
-  const double network_share = newcomer.is_unknown()
+  const double client_share =
+      new_connection.is_unknown() ? options_.client_share : options_.known_client_share;
+  if (open_of_client(new_connection.client) >= share_of_total(client_share))
+    return replace_own(new_connection, RejectCause::kClientCap, now);
+  const double network_share = new_connection.is_unknown()
                                    ? options_.network_share
                                    : std::max(options_.network_share, options_.known_client_share);
-  if (open_of_network(newcomer.network) >= share_of_total(network_share))
-    return replace_own(newcomer, RejectCause::kNetworkCap, now);
+  if (open_of_network(new_connection.network) >= share_of_total(network_share))
+    return replace_own(new_connection, RejectCause::kNetworkCap, now);
   return {};
 }
 
-ConnectionLimiter::Placement ConnectionLimiter::place_in_table(const Connection& newcomer, double now,
-                                                               bool is_out_of_descriptors) const {
-  const bool is_unknown_share_full = newcomer.is_unknown() && unknown_count_ >= max_unknown();
-  if (!is_unknown_share_full && !is_out_of_descriptors && quota_.has_capacity(newcomer.listener)) return {};
-  const auto frees_place_for_newcomer = [&](ConnectionId id) {
-    return frees_place(newcomer.listener, connections_.at(id).listener);
+ConnectionLimiter::Placement ConnectionLimiter::find_slot_in_table(const Connection& new_connection,
+                                                                   double now,
+                                                                   bool is_out_of_descriptors) const {
+  const bool is_unknown_share_full = new_connection.is_unknown() && unknown_count_ >= max_unknown();
+  if (!is_unknown_share_full && !is_out_of_descriptors && quota_.has_capacity(new_connection.listener))
+    return {};
+  const auto frees_usable_slot = [&](ConnectionId id) {
+    return frees_slot(new_connection.listener, connections_.at(id).listener);
   };
   const std::optional<ConnectionId> evicts =
-      eviction_order_.find(newcomer.is_unknown(), now, frees_place_for_newcomer);
+      eviction_order_.find(new_connection.is_unknown(), now, frees_usable_slot);
   if (evicts) return {RejectCause::kNone, evicts};
   return {is_unknown_share_full ? RejectCause::kUnknownClientsShare : RejectCause::kTableFull, std::nullopt};
 }
@@ -257,27 +260,27 @@
 
 AdmissionResult ConnectionLimiter::admit(ConnectionId id, std::size_t listener, const Address& from,
                                          double now, double unix_now, bool is_out_of_descriptors) {
-  const Connection newcomer = describe(listener, from, now, unix_now);
-  const Prefix& client = newcomer.client;
-  if (newcomer.is_unknown() && penalties_.score(client, now) >= options_.penalty_limit) {
+  const Connection new_connection = describe(listener, from, now, unix_now);
+  const Prefix& client = new_connection.client;
+  if (new_connection.is_unknown() && penalties_.score(client, now) >= options_.penalty_limit) {
     const double wait = penalties_.seconds_until(client, options_.penalty_limit, now);
     return reject(RejectCause::kPenaltyLimit, client, wait, now);
   }
   // Rates are checked before caps, so that rejecting a flood stays cheap.
-  const ArrivalRates::Newcomer arrival{client, newcomer.network, newcomer.is_unknown(),
-                                       newcomer.group.has_value()};
+  const ArrivalRates::NewConnection arrival{client, new_connection.network, new_connection.is_unknown(),
+                                            new_connection.group.has_value()};
   if (const auto violation = rates_.find_violation(arrival, now))
     return reject(violation->cause, client, violation->retry_after, now);
 
-  Placement placement = place_under_caps(newcomer, now);
+  Placement placement = find_slot_under_caps(new_connection, now);
   if (placement.cause == RejectCause::kNone && !placement.evicts)
-    placement = place_in_table(newcomer, now, is_out_of_descriptors);
+    placement = find_slot_in_table(new_connection, now, is_out_of_descriptors);
   if (placement.cause != RejectCause::kNone)
     return reject(placement.cause, client, kRetryAfterFullSeconds, now);
 
   rates_.record(arrival, now);
   if (placement.evicts) ++evicted_count_;
-  insert(id, newcomer);
+  insert(id, new_connection);
   return {true, RejectCause::kNone, 0, placement.evicts};
 }
 
@@ -292,7 +295,7 @@
   for (auto& [id, connection] : connections_) {
     connection.group = group_of(connection.client.base);
     if (connection.group) ++open_by_group_[*connection.group];
-    enter_order(id, connection);
+    add_to_indexes(id, connection);
   }
 }
 
--- a/src/conns/connection_limiter.h
+++ b/src/conns/connection_limiter.h
@@ -108,11 +108,11 @@
 
   [[nodiscard]] Connection describe(std::size_t listener, const Address& from, double now,
                                     double unix_now) const;
-  [[nodiscard]] Placement place_under_caps(const Connection& newcomer, double now) const;
-  [[nodiscard]] Placement place_in_table(const Connection& newcomer, double now,
-                                         bool is_out_of_descriptors) const;
-  [[nodiscard]] Placement replace_own(const Connection& newcomer, RejectCause cause, double now) const;
-  [[nodiscard]] bool frees_place(std::size_t listener, std::size_t other_listener) const;
+  [[nodiscard]] Placement find_slot_under_caps(const Connection& new_connection, double now) const;
+  [[nodiscard]] Placement find_slot_in_table(const Connection& new_connection, double now,
+                                             bool is_out_of_descriptors) const;
+  [[nodiscard]] Placement replace_own(const Connection& new_connection, RejectCause cause, double now) const;
+  [[nodiscard]] bool frees_slot(std::size_t listener, std::size_t other_listener) const;
   AdmissionResult reject(RejectCause cause, const Prefix& client, double retry_after, double now);
 
   [[nodiscard]] std::optional<std::size_t> group_of(const Address& from) const;
@@ -123,8 +123,8 @@
   [[nodiscard]] EvictionRank rank_of(ConnectionId id, const Connection& connection) const;
   void insert(ConnectionId id, const Connection& connection);
   // Counts by standing, and the rank: both must be left before a connection changes, and entered after.
-  void enter_order(ConnectionId id, const Connection& connection);
-  void leave_order(ConnectionId id, const Connection& connection);
+  void add_to_indexes(ConnectionId id, const Connection& connection);
+  void remove_from_indexes(ConnectionId id, const Connection& connection);
   template <typename F>
   void modify(ConnectionId id, F&& change);
 
--- a/src/conns/eviction_order.cpp
+++ b/src/conns/eviction_order.cpp
@@ -13,18 +13,18 @@
 
 }  // namespace
 
-std::optional<ConnectionId> EvictionOrder::find(bool newcomer_is_unknown, double now,
-                                                const std::function<bool(ConnectionId)>& frees_place) const {
+std::optional<ConnectionId> EvictionOrder::find(bool is_new_client_unknown, double now,
+                                                const std::function<bool(ConnectionId)>& frees_slot) const {
   auto rank = ranks_.begin();
   while (rank != ranks_.end()) {
     const bool is_known = rank->eviction_class == EvictionClass::kKnownClient;
-    if (newcomer_is_unknown && is_known) break;
-    const bool needs_expiry = newcomer_is_unknown || is_known;
+    if (is_new_client_unknown && is_known) break;
+    const bool needs_expiry = is_new_client_unknown || is_known;
     if (needs_expiry && rank->protected_until > now) {  // so are all that follow in its class
       rank = ranks_.lower_bound(start_of_class_after(rank->eviction_class));
       continue;
     }
-    if (frees_place(rank->id)) return rank->id;
+    if (frees_slot(rank->id)) return rank->id;
     ++rank;
   }
   return std::nullopt;
--- a/src/conns/eviction_order.h
+++ b/src/conns/eviction_order.h
@@ -35,8 +35,8 @@
   // The first connection that a newcomer may replace and that `frees_place`. An unknown newcomer may replace
   // those of unknown clients whose protection is over; a known one may replace any of unknown clients, and
   // those of known clients whose protection is over.
-  [[nodiscard]] std::optional<ConnectionId> find(bool newcomer_is_unknown, double now,
-                                                 const std::function<bool(ConnectionId)>& frees_place) const;
+  [[nodiscard]] std::optional<ConnectionId> find(bool is_new_client_unknown, double now,
+                                                 const std::function<bool(ConnectionId)>& frees_slot) const;
   // The first connections whose protection is over, at most so many.
   [[nodiscard]] std::vector<ConnectionId> unprotected(std::size_t max_count, double now) const;
 
--- a/src/conns/known_clients.cpp
+++ b/src/conns/known_clients.cpp
@@ -9,7 +9,7 @@
 // Shares of the required successes.
 constexpr double kMaxScoreFactor = 2;
 constexpr double kMisbehaviorCost = 0.25;
-constexpr double kLostBelow = 0.5;  // a known client with a lower score is not known any more
+constexpr double kMinKnownScoreFactor = 0.5;  // a known client with a lower score is not known any more
 
 constexpr double kClockSlackSeconds = 60;  // by which an entry may lie in the future: clocks are corrected
 constexpr std::size_t kMaxEvictionCandidates = 32;
@@ -57,7 +57,7 @@
   if (found == entry_by_client_.end()) return;
   KnownClient& entry = *found->second;
   entry.score = std::max(0.0, entry.score - kMisbehaviorCost * options_.required_successes);
-  if (entry.score < kLostBelow * options_.required_successes) entry.is_known = false;
+  if (entry.score < kMinKnownScoreFactor * options_.required_successes) entry.is_known = false;
 }
 
 // Removes an old entry, preferably one that is not known: thousands of newcomers must not push out the
@@ -86,7 +86,7 @@
     entry.last_success = std::min(stored.last_success, unix_now);
     // By the options of this process: the stored mark alone makes no client known.
     entry.is_known = entry.score >= options_.required_successes ||
-                     (stored.is_known && entry.score >= kLostBelow * options_.required_successes);
+                     (stored.is_known && entry.score >= kMinKnownScoreFactor * options_.required_successes);
     entries_.push_back(entry);
     entry_by_client_[entry.client] = std::prev(entries_.end());
     ++restored;
--- a/src/conns/prefix.cpp
+++ b/src/conns/prefix.cpp
@@ -15,11 +15,13 @@
 constexpr int kV4NetworkBits = 24;
 constexpr int kV6NetworkBits = 48;
 constexpr int kV6ClientBits = 64;
-constexpr std::array<std::uint8_t, 12> kV4Head{0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0xff, 0xff};
+constexpr std::array<std::uint8_t, 12> kV4MappedPrefix{0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0xff, 0xff};
 
 }  // namespace
 
-bool Address::is_v4() const { return std::equal(kV4Head.begin(), kV4Head.end(), bytes.begin()); }
+bool Address::is_v4() const {
+  return std::equal(kV4MappedPrefix.begin(), kV4MappedPrefix.end(), bytes.begin());
+}
 
 Prefix masked(const Address& address, int bits) {
   Prefix prefix{address, std::clamp(bits, 0, kV6Bits)};
@@ -42,8 +44,9 @@
 std::optional<Address> parse_address(std::string_view text) {
   const std::string terminated(text);
   Address address;
-  std::copy(kV4Head.begin(), kV4Head.end(), address.bytes.begin());
-  if (::inet_pton(AF_INET, terminated.c_str(), address.bytes.data() + kV4Head.size()) == 1) return address;
+  std::copy(kV4MappedPrefix.begin(), kV4MappedPrefix.end(), address.bytes.begin());
+  if (::inet_pton(AF_INET, terminated.c_str(), address.bytes.data() + kV4MappedPrefix.size()) == 1)
+    return address;
   if (::inet_pton(AF_INET6, terminated.c_str(), address.bytes.data()) == 1) return address;
   return std::nullopt;
 }
@@ -68,7 +71,8 @@
   std::array<char, INET6_ADDRSTRLEN> text{};
   const bool is_v4 = prefix.base.is_v4() && prefix.bits >= kV4OffsetBits;
   const auto* const bytes = prefix.base.bytes.data();
-  ::inet_ntop(is_v4 ? AF_INET : AF_INET6, is_v4 ? bytes + kV4Head.size() : bytes, text.data(), text.size());
+  ::inet_ntop(is_v4 ? AF_INET : AF_INET6, is_v4 ? bytes + kV4MappedPrefix.size() : bytes, text.data(),
+              text.size());
   std::string out(text.data());
   if (prefix.bits < kV6Bits) {
     out.push_back('/');
--- a/src/control/lines.cpp
+++ b/src/control/lines.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::string_view kOk = "ok ";
 constexpr std::string_view kError = "error ";
-constexpr std::size_t kMaxHeadBytes = 64;  // the first line of an answer that is no error
+constexpr std::size_t kMaxHeaderBytes = 64;  // the first line of an answer that is no error
 
 bool is_printable(std::string_view text) {
   return std::all_of(text.begin(), text.end(), [](char c) { return c >= ' ' && c < 0x7f; });
@@ -21,22 +21,22 @@
   if (end == std::string_view::npos)
     return {input.size() >= kMaxQueryBytes ? ParseStatus::kMalformed : ParseStatus::kNeedMore, {}};
   const std::string_view line = input.substr(0, end);
-  Query out{ParseStatus::kComplete, {}};
+  Query query{ParseStatus::kComplete, {}};
   for (std::size_t at = 0; at < line.size();) {
-    const std::size_t blank = std::min(line.find(' ', at), line.size());
-    if (blank > at) out.tokens.emplace_back(line.substr(at, blank - at));
-    at = blank + 1;
+    const std::size_t space = std::min(line.find(' ', at), line.size());
+    if (space > at) query.tokens.emplace_back(line.substr(at, space - at));
+    at = space + 1;
   }
-  if (out.tokens.empty() || out.tokens.size() > kMaxWords || !is_printable(line))
+  if (query.tokens.empty() || query.tokens.size() > kMaxTokens || !is_printable(line))
     return {ParseStatus::kMalformed, {}};
-  return out;
+  return query;
 }
 
 std::string encode_query(const std::vector<std::string>& tokens) {
   std::string out;
-  for (const std::string& word : tokens) {
+  for (const std::string& token : tokens) {
     if (!out.empty()) out += ' ';
-    out += word;
+    out += token;
   }
   out += '\n';
   return out;
@@ -50,13 +50,13 @@
     return {ParseStatus::kComplete, false, std::string(input.substr(kError.size(), end - kError.size()))};
   }
   if (end == std::string_view::npos)
-    return {input.size() > kMaxHeadBytes ? ParseStatus::kMalformed : ParseStatus::kNeedMore, false, {}};
+    return {input.size() > kMaxHeaderBytes ? ParseStatus::kMalformed : ParseStatus::kNeedMore, false, {}};
   if (input.substr(0, kOk.size()) != kOk) return {ParseStatus::kMalformed, false, {}};
   std::size_t length = 0;
   const char* first = input.data() + kOk.size();
   const char* last = input.data() + end;
-  const auto read = std::from_chars(first, last, length);
-  if (read.ec != std::errc() || read.ptr != last || first == last || length > kMaxResponseBytes)
+  const auto parsed = std::from_chars(first, last, length);
+  if (parsed.ec != std::errc() || parsed.ptr != last || first == last || length > kMaxResponseBytes)
     return {ParseStatus::kMalformed, false, {}};
   if (input.size() - end - 1 < length) return {ParseStatus::kNeedMore, false, {}};
   return {ParseStatus::kComplete, true, std::string(input.substr(end + 1, length))};
--- a/src/control/lines.h
+++ b/src/control/lines.h
@@ -15,7 +15,7 @@
 
 constexpr std::size_t kMaxQueryBytes = 256;            // with its line feed
 constexpr std::size_t kMaxResponseBytes = 256 * 1024;  // of text
-constexpr std::size_t kMaxWords = 8;
+constexpr std::size_t kMaxTokens = 8;
 
 // More bytes are needed; the message is complete; it is malformed.
 enum class ParseStatus { kNeedMore, kComplete, kMalformed };
--- a/src/control/server.cpp
+++ b/src/control/server.cpp
@@ -71,19 +71,19 @@
   if (fd < 0) throw std::runtime_error("control: cannot make a socket");
   if (::bind(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0 ||
       ::listen(fd, kListenBacklog) != 0) {
-    const std::string why = std::strerror(errno);
+    const std::string reason = std::strerror(errno);
     ::close(fd);
-    throw std::runtime_error("control: cannot listen at '" + path + "': " + why);
+    throw std::runtime_error("control: cannot listen at '" + path + "': " + reason);
   }
   return fd;
 }
 
 }  // namespace
 
-std::string socket_in(const std::string& folder) { return folder + "/control"; }
+std::string socket_path(const std::string& folder) { return folder + "/control"; }
 
 Server::Server(net::Reactor& reactor, const std::string& folder, Logger& log)
-    : reactor_(reactor), log_(log), path_(socket_in(folder)) {
+    : reactor_(reactor), log_(log), path_(socket_path(folder)) {
   check_private(folder);
   listener_ = std::make_unique<net::Listener>(reactor, listen_at(path_),
                                               [this](const net::Accepted& one) { on_accept(one); });
@@ -110,11 +110,11 @@
   });
 }
 
-std::string Server::answer(const std::vector<std::string>& words) const {
-  const auto found = answerers_.find(words.front());
-  if (found == answerers_.end()) return encode_error("'" + words.front() + "' is not answered here");
+std::string Server::handle(const std::vector<std::string>& tokens) const {
+  const auto found = handlers_.find(tokens.front());
+  if (found == handlers_.end()) return encode_error("'" + tokens.front() + "' is not answered here");
   try {
-    return encode_response(found->second(words));
+    return encode_response(found->second(tokens));
   } catch (const std::exception& error) {
     return encode_error(error.what());
   }
@@ -122,15 +122,15 @@
 
 std::size_t Server::on_input(net::Connection& connection, std::string_view bytes) {
   const auto found = queries_.find(connection.tag);
-  if (found == queries_.end() || found->second.answered) return bytes.size();
-  const Query request = parse_query(bytes);
-  if (request.state == ParseStatus::kNeedMore) return 0;
-  found->second.answered = true;
-  if (request.state == ParseStatus::kMalformed) {
+  if (found == queries_.end() || found->second.is_answered) return bytes.size();
+  const Query query = parse_query(bytes);
+  if (query.state == ParseStatus::kNeedMore) return 0;
+  found->second.is_answered = true;
+  if (query.state == ParseStatus::kMalformed) {
     log_.debug("control", "a question that can't be read");
     connection.send(encode_error("no question: one line of words"));
   } else {
-    connection.send(answer(request.tokens));
+    connection.send(handle(query.tokens));
   }
   if (connection.waiting() == 0) connection.end();
   return bytes.size();
@@ -138,7 +138,7 @@
 
 void Server::on_end_of_input(net::Connection& connection) {
   const auto found = queries_.find(connection.tag);
-  if (found != queries_.end() && !found->second.answered) connection.close();
+  if (found != queries_.end() && !found->second.is_answered) connection.close();
 }
 
 void Server::on_output_sent(net::Connection& connection) { connection.end(); }
@@ -150,8 +150,8 @@
   queries_.erase(found);
 }
 
-std::string send_query(const std::string& folder, const std::vector<std::string>& words, double seconds) {
-  const std::string path = socket_in(folder);
+std::string send_query(const std::string& folder, const std::vector<std::string>& tokens, double seconds) {
+  const std::string path = socket_path(folder);
   Socket socket;
   const timeval timeout{static_cast<time_t>(seconds),
                         static_cast<suseconds_t>((seconds - static_cast<long>(seconds)) * 1e6)};
@@ -159,17 +159,17 @@
   ::setsockopt(socket.fd, SOL_SOCKET, SO_SNDTIMEO, &timeout, sizeof timeout);
   if (connect_to(path, socket.fd) != 0)
     throw std::runtime_error("nobody answers at '" + path + "': " + std::strerror(errno));
-  const std::string query = encode_query(words);
-  std::string in;
+  const std::string query = encode_query(tokens);
+  std::string input;
   if (::send(socket.fd, query.data(), query.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(query.size())) {
     char bytes[16384];
-    for (ssize_t got = 0; (got = ::recv(socket.fd, bytes, sizeof bytes, 0)) > 0;) {
-      in.append(bytes, static_cast<std::size_t>(got));
-      const Response answer = parse_response(in);
-      if (answer.state == ParseStatus::kMalformed) break;
-      if (answer.state == ParseStatus::kNeedMore) continue;
-      if (!answer.is_ok) throw std::runtime_error(answer.text);
-      return answer.text;
+    for (ssize_t received = 0; (received = ::recv(socket.fd, bytes, sizeof bytes, 0)) > 0;) {
+      input.append(bytes, static_cast<std::size_t>(received));
+      const Response response = parse_response(input);
+      if (response.state == ParseStatus::kMalformed) break;
+      if (response.state == ParseStatus::kNeedMore) continue;
+      if (!response.is_ok) throw std::runtime_error(response.text);
+      return response.text;
     }
   }
   throw std::runtime_error("no whole answer came from '" + path + "'");
--- a/src/observability/logger.cpp
+++ b/src/observability/logger.cpp
@@ -45,14 +45,14 @@
   for (const Field& field : fields) {
     const std::string_view value = std::string_view(field.value).substr(0, kMaxLineBytes);
     body += fmt::format(",{}:{}", json_string(field.name),
-                        field.number ? std::string(value) : json_string(value));
+                        field.is_number ? std::string(value) : json_string(value));
   }
   return body;
 }
 
 }  // namespace
 
-std::optional<Level> level_of(std::string_view name) {
+std::optional<Level> parse_level(std::string_view name) {
   if (name == "error") return Level::kError;
   if (name == "warning") return Level::kWarning;
   if (name == "info") return Level::kInfo;
@@ -60,17 +60,17 @@
   return std::nullopt;
 }
 
-std::optional<LogForm> log_form_of(std::string_view name) {
-  if (name == "text") return LogForm::kText;
-  if (name == "json") return LogForm::kJson;
+std::optional<LogFormat> parse_log_format(std::string_view name) {
+  if (name == "text") return LogFormat::kText;
+  if (name == "json") return LogFormat::kJson;
   return std::nullopt;
 }
 
 // One thread writes, so sinks without locks suffice. The formatter adds the end of the line.
-Logger::Logger(Level level, LogForm form)
-    : level_(level), form_(form), sink_(std::make_shared<spdlog::sinks::stderr_sink_st>()) {
+Logger::Logger(Level level, LogFormat format)
+    : level_(level), format_(format), sink_(std::make_shared<spdlog::sinks::stderr_sink_st>()) {
   const char* pattern =
-      form == LogForm::kText ? "%E.%e %l %n: %v" : R"({"time":%E.%e,"level":"%l","who":"%n",%v})";
+      format == LogFormat::kText ? "%E.%e %l %n: %v" : R"({"time":%E.%e,"level":"%l","who":"%n",%v})";
   sink_->set_formatter(std::make_unique<spdlog::pattern_formatter>(pattern));
 }
 
@@ -86,10 +86,10 @@
                    std::initializer_list<Field> fields) {
   const auto now = std::chrono::system_clock::now();
   if (exceeds_rate(std::chrono::duration_cast<std::chrono::seconds>(now.time_since_epoch()).count())) {
-    ++withheld_;
+    ++suppressed_lines_;
     return;
   }
-  const std::string body = form_ == LogForm::kText ? text_body(text, fields) : json_body(text, fields);
+  const std::string body = format_ == LogFormat::kText ? text_body(text, fields) : json_body(text, fields);
   const spdlog::string_view_t name(component.data(), component.size());
   const spdlog::details::log_msg message(now, spdlog::source_loc{}, name, level_for(level),
                                          spdlog::string_view_t(body.data(), body.size()));
@@ -97,7 +97,7 @@
   sink_->flush();
 }
 
-void Logger::block(std::string_view text) {
+void Logger::write_raw(std::string_view text) {
   while (!text.empty()) {
     const ssize_t wrote = ::write(STDERR_FILENO, text.data(), text.size());
     if (wrote <= 0) return;  // a full or closed log must not stop the server
--- a/src/observability/logger.h
+++ b/src/observability/logger.h
@@ -19,30 +19,30 @@
 namespace damsonspoke {
 
 enum class Level { kError, kWarning, kInfo, kDebug };
-enum class LogForm { kText, kJson };
+enum class LogFormat { kText, kJson };
 
 // None: no level, or no form, of that name.
-std::optional<Level> level_of(std::string_view name);
-std::optional<LogForm> log_form_of(std::string_view name);
+std::optional<Level> parse_level(std::string_view name);
+std::optional<LogFormat> parse_log_format(std::string_view name);
 
 // A named value of a log line: ` name=value` behind the text, a member of its own in JSON.
 struct Field {
   std::string_view name;
   std::string value;
-  bool number = false;  // written without quotes in JSON
+  bool is_number = false;  // written without quotes in JSON
 
   Field(std::string_view n, std::string_view v) : name(n), value(v) {}
   Field(std::string_view n, const char* v) : name(n), value(v) {}
   template <typename T>
   requires std::is_arithmetic_v<T> Field(std::string_view n, T v)
-      : name(n), value(fmt::format("{}", v)), number(true) {}
+      : name(n), value(fmt::format("{}", v)), is_number(true) {}
 };
 
 // At most 50 lines a second are written; the others are counted. For one thread.
 class Logger {
  public:
   // Lines above the level are not written.
-  explicit Logger(Level level, LogForm form = LogForm::kText);
+  explicit Logger(Level level, LogFormat form = LogFormat::kText);
 
   template <typename... Args>
   void error(std::string_view component, fmt::format_string<Args...> text, Args&&... args) {
@@ -66,8 +66,8 @@
     if (level <= level_) write(level, component, text, fields);
   }
   // Writes the text as it is, whatever the level: for reports that an operator has asked for.
-  void block(std::string_view text);
-  [[nodiscard]] std::uint64_t withheld() const { return withheld_; }
+  void write_raw(std::string_view text);
+  [[nodiscard]] std::uint64_t suppressed_lines() const { return suppressed_lines_; }
 
  private:
   template <typename... Args>
@@ -80,11 +80,11 @@
              std::initializer_list<Field> fields);
 
   Level level_;
-  LogForm form_;
+  LogFormat format_;
   std::shared_ptr<spdlog::sinks::sink> sink_;
   std::int64_t second_ = 0;  // the second in which lines_ were written
   int lines_ = 0;            // written in it
-  std::uint64_t withheld_ = 0;
+  std::uint64_t suppressed_lines_ = 0;
 };
 
 }  // namespace damsonspoke
--- a/src/settings/config.h
+++ b/src/settings/config.h
@@ -35,7 +35,7 @@
 Config parse_config(const std::string& text);
 
 // Everything that configures one process; read again on SIGHUP.
-struct Choice {
+struct ProcessConfig {
   Config config;
   OperatorOptions options;
 };
--- a/src/settings/config_validation.cpp
+++ b/src/settings/config_validation.cpp
@@ -77,14 +77,14 @@
   if (!options.ajp.listen.empty())
     return UnsupportedConfig{"catalog",
                              "has a folder, but AJP callers go by the op types of the settings alone"};
-  if (options.knowledge.enabled)
+  if (options.statistics.enabled)
     return UnsupportedConfig{"catalog",
                              "has a folder, but knowledge is kept by the op types of the settings alone"};
   return std::nullopt;
 }
 
-Unsupported check_knowledge(const StatisticsPersistenceOptions& knowledge) {
-  if (knowledge.enabled && knowledge.folder.empty())
+Unsupported check_statistics(const StatisticsPersistenceOptions& statistics) {
+  if (statistics.enabled && statistics.folder.empty())
     return UnsupportedConfig{"knowledge", "enabled, but no folder is named"};
   return std::nullopt;
 }
@@ -122,7 +122,7 @@
   if (auto found = check_results(config, options.results)) return found;
   if (auto found = check_ajp(config, options.ajp)) return found;
   if (auto found = check_catalog(options)) return found;
-  if (auto found = check_knowledge(options.knowledge)) return found;
+  if (auto found = check_statistics(options.statistics)) return found;
   return check_settings(config.site);
 }
 
--- a/src/settings/operator_file.cpp
+++ b/src/settings/operator_file.cpp
@@ -120,8 +120,8 @@
   // A line of a table; each is checked by itself.
   void add_table_line(const OperatorLine& line, const std::string& name, std::vector<std::string> words) {
     if (section_ == "gate") {
-      const auto group = read_gate_group(words);
-      if (const auto* error = std::get_if<GateGroupError>(&group))
+      const auto group = read_client_group(words);
+      if (const auto* error = std::get_if<ClientGroupError>(&group))
         return add_error(line, line.words[error->word + 1], error->text);
     } else {
       const auto route = read_ajp_route(words);
--- a/src/settings/operator_options.h
+++ b/src/settings/operator_options.h
@@ -110,10 +110,10 @@
 struct OperatorOptions {
   CatalogOptions catalog;
   MembersOptions members;
-  ConnectionAdmissionOptions gate;
+  ConnectionAdmissionOptions connection_admission;
   ControlOptions control;
   ResultsOptions results;
-  StatisticsPersistenceOptions knowledge;
+  StatisticsPersistenceOptions statistics;
   ForwardOptions forward;
   AjpOptions ajp;
 };
--- a/src/settings/operator_schema.cpp
+++ b/src/settings/operator_schema.cpp
@@ -12,15 +12,15 @@
 
 using Type = DirectiveType;
 
-constexpr double kKilo = 1024;
-constexpr double kMega = 1024 * kKilo;
+constexpr double kBytesPerKb = 1024;
+constexpr double kMega = 1024 * kBytesPerKb;
 constexpr double kGiga = 1024 * kMega;
 constexpr std::size_t kMaxComparedBytes = 64;  // of a wrong name
 
 constexpr auto kDirectives = std::to_array<Directive>({
     {"results", "enabled", Type::kFlag, "off", 0, 0, "",
      "Answers repeats of keyed ops, and reads within `fresh`, from memory."},
-    {"results", "memory", Type::kSize, "8M", 64 * kKilo, 4 * kGiga, "",
+    {"results", "memory", Type::kSize, "8M", 64 * kBytesPerKb, 4 * kGiga, "",
      "Bytes that keys and results may take, the program's own share of each entry counted."},
     {"results", "entries", Type::kCount, "20000", 16, 10e6, "", "Keys that may be remembered at once."},
     {"results", "store", Type::kText, "", 0, 4096, "",
@@ -70,16 +70,16 @@
      "How long a link to a planner may be lost before the ops that may run there are failed."},
     {"forward", "line", Type::kCount, "512", 1, 100000, "",
      "Ops that may wait for room at a planner; over it the least important go."},
-    {"forward", "line-memory", Type::kSize, "4M", 64 * kKilo, kGiga, "", "Bytes that they may take."},
+    {"forward", "line-memory", Type::kSize, "4M", 64 * kBytesPerKb, kGiga, "", "Bytes that they may take."},
     {"ajp", "listen", Type::kText, "", 0, 255, "",
      "Address (address:port) on which a relay takes AJP 1.3 callers beside its own; none: off."},
     {"ajp", "secret", Type::kText, "", 0, 255, "",
      "What every request has to carry; needed unless the address is a loopback one."},
     {"ajp", "attributes", Type::kWords, "", 0, 32, "",
      "Request attributes that gateways may pass on; a request with any other is refused."},
-    {"ajp", "packet", Type::kSize, "8K", 1 * kKilo, 64 * kKilo, "",
+    {"ajp", "packet", Type::kSize, "8K", 1 * kBytesPerKb, 64 * kBytesPerKb, "",
      "The longest packet, both ways; as the gateways have it."},
-    {"ajp", "body", Type::kSize, "2K", 0, 16 * kKilo, "", "The longest body of a request."},
+    {"ajp", "body", Type::kSize, "2K", 0, 16 * kBytesPerKb, "", "The longest body of a request."},
     {"ajp", "share", Type::kPercentage, "25%", 0.01, 0.5, "",
      "Of the connections, kept for AJP callers; as many again, and at least half, are kept for the others."},
     {"ajp", "idle", Type::kDuration, "60s", 1, 3600, "", "How long a connection may be without a request."},
@@ -173,7 +173,7 @@
     case Type::kSize:
       return value >= kGiga   ? fmt::format("{:g}G", value / kGiga)
              : value >= kMega ? fmt::format("{:g}M", value / kMega)
-                              : fmt::format("{:g}K", value / kKilo);
+                              : fmt::format("{:g}K", value / kBytesPerKb);
     case Type::kDuration:
       return value < 1 ? fmt::format("{:g}ms", value * 1000) : fmt::format("{:g}s", value);
     case Type::kPercentage: return fmt::format("{:g}%", value * 100);
--- a/src/settings/operator_values.cpp
+++ b/src/settings/operator_values.cpp
@@ -69,16 +69,16 @@
   return results;
 }
 
-StatisticsPersistenceOptions read_knowledge(const OperatorValues& given) {
+StatisticsPersistenceOptions read_statistics(const OperatorValues& given) {
   const SectionReader section(given, "knowledge");
-  StatisticsPersistenceOptions knowledge;
-  knowledge.enabled = section.flag("enabled");
-  knowledge.folder = section.text("folder");
-  knowledge.interval = section.number("interval");
-  knowledge.half_life = section.number("half-life");
-  knowledge.max_age = section.number("most-age");
-  knowledge.weight = section.number("weight");
-  return knowledge;
+  StatisticsPersistenceOptions statistics;
+  statistics.enabled = section.flag("enabled");
+  statistics.folder = section.text("folder");
+  statistics.interval = section.number("interval");
+  statistics.half_life = section.number("half-life");
+  statistics.max_age = section.number("most-age");
+  statistics.weight = section.number("weight");
+  return statistics;
 }
 
 ForwardOptions read_forward(const OperatorValues& given) {
@@ -134,26 +134,26 @@
   limiter.idle_protection = section.number("keep-idle");
   limiter.listed = section.prefixes("known");
   for (const std::vector<std::string>& line : section.lines("group")) {
-    const auto group = read_gate_group(line);  // lines with an error are not among them
+    const auto group = read_client_group(line);  // lines with an error are not among them
     if (const auto* valid = std::get_if<conns::ClientGroup>(&group)) limiter.groups.push_back(*valid);
   }
   return limiter;
 }
 
-ConnectionAdmissionOptions read_gate(const OperatorValues& given) {
+ConnectionAdmissionOptions read_connection_admission(const OperatorValues& given) {
   const SectionReader section(given, "gate");
-  ConnectionAdmissionOptions gate;
-  gate.enabled = section.flag("enabled");
-  gate.connections = section.integer("connections");
-  gate.limiter = read_limiter(section);
-  gate.client_output = section.number("client-output");
-  gate.input = {kInputGraceSeconds, section.number("input-rate")};
-  gate.output = {kOutputGraceSeconds, section.number("output-rate")};
-  gate.known.max_age = section.number("known-for");
-  gate.known.required_successes = section.number("known-after");
-  gate.known_folder = section.text("known-folder");
-  gate.known_interval = section.number("known-interval");
-  return gate;
+  ConnectionAdmissionOptions admission;
+  admission.enabled = section.flag("enabled");
+  admission.connections = section.integer("connections");
+  admission.limiter = read_limiter(section);
+  admission.client_output = section.number("client-output");
+  admission.input = {kInputGraceSeconds, section.number("input-rate")};
+  admission.output = {kOutputGraceSeconds, section.number("output-rate")};
+  admission.known.max_age = section.number("known-for");
+  admission.known.required_successes = section.number("known-after");
+  admission.known_folder = section.text("known-folder");
+  admission.known_interval = section.number("known-interval");
+  return admission;
 }
 
 CatalogOptions read_catalog(const OperatorValues& given) {
@@ -197,16 +197,16 @@
   }
 }
 
-std::variant<conns::ClientGroup, GateGroupError> read_gate_group(const std::vector<std::string>& words) {
+std::variant<conns::ClientGroup, ClientGroupError> read_client_group(const std::vector<std::string>& words) {
   conns::ClientGroup group;
   group.name = words[0];
   const std::optional<double> share = read_percentage(words[1]);
   if (!share || *share < kMinGroupShare || *share > kMaxGroupShare)
-    return GateGroupError{1, fmt::format("'{}' is no percentage from 1% to 100%", words[1])};
+    return ClientGroupError{1, fmt::format("'{}' is no percentage from 1% to 100%", words[1])};
   group.share = *share;
   for (std::size_t i = 2; i < words.size(); ++i) {
     const std::optional<conns::Prefix> prefix = conns::parse_prefix(words[i]);
-    if (!prefix) return GateGroupError{i, fmt::format("'{}' is no address or network", words[i])};
+    if (!prefix) return ClientGroupError{i, fmt::format("'{}' is no address or network", words[i])};
     group.prefixes.push_back(*prefix);
   }
   return group;
@@ -215,10 +215,10 @@
 OperatorOptions convert_to_options(const OperatorValues& given) {
   OperatorOptions options;
   options.results = read_results(given);
-  options.knowledge = read_knowledge(given);
+  options.statistics = read_statistics(given);
   options.forward = read_forward(given);
   options.ajp = read_ajp(given);
-  options.gate = read_gate(given);
+  options.connection_admission = read_connection_admission(given);
   options.catalog = read_catalog(given);
   options.members = read_members(given);
   options.control.folder = SectionReader(given, "control").text("folder");
--- a/src/settings/operator_values.h
+++ b/src/settings/operator_values.h
@@ -20,12 +20,12 @@
 // The number that a word stands for under a directive of this type; nothing when it has another form.
 [[nodiscard]] std::optional<double> read_number(DirectiveType type, std::string_view word);
 
-struct GateGroupError {
+struct ClientGroupError {
   std::size_t word = 0;  // the position of the word with the error, from 0
   std::string text;
 };
 // Reads the words of a line after `group`: a name, a percentage, addresses or networks.
-[[nodiscard]] std::variant<conns::ClientGroup, GateGroupError> read_gate_group(
+[[nodiscard]] std::variant<conns::ClientGroup, ClientGroupError> read_client_group(
     const std::vector<std::string>& words);
 
 // The options that these values stand for, with the defaults of all others.
--- a/tests/control.cpp
+++ b/tests/control.cpp
@@ -63,7 +63,7 @@
 int raw_connection(const std::string& folder) {
   sockaddr_un address{};
   address.sun_family = AF_UNIX;
-  std::strncpy(address.sun_path, socket_in(folder).c_str(), sizeof address.sun_path - 1);
+  std::strncpy(address.sun_path, socket_path(folder).c_str(), sizeof address.sun_path - 1);
   const int fd = ::socket(AF_UNIX, SOCK_STREAM, 0);
   if (::connect(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0)
     std::printf("no connection\n");
@@ -98,17 +98,18 @@
   ::chmod(folder.c_str(), 0750);
   refused("a folder that the group may enter");
   ::chmod(folder.c_str(), 0700);
-  std::ofstream(socket_in(folder)) << "mine";
+  std::ofstream(socket_path(folder)) << "mine";
   refused("a file of that name");
-  ::unlink(socket_in(folder).c_str());
+  ::unlink(socket_path(folder).c_str());
   refused("a private one");
   std::printf("nobody there: %s\n", said(folder, {"hello"}).c_str());
   {
     net::Reactor reactor;
     Server one(reactor, folder, log);
-    one.add("hello", [](const std::vector<std::string>& words) { return "to " + words.back() + "\n"; });
-    one.add("bad",
-            [](const std::vector<std::string>&) -> std::string { throw std::runtime_error("it is off"); });
+    one.add_handler("hello",
+                    [](const std::vector<std::string>& words) { return "to " + words.back() + "\n"; });
+    one.add_handler(
+        "bad", [](const std::vector<std::string>&) -> std::string { throw std::runtime_error("it is off"); });
     std::thread asker([&] {
       std::printf("%s\n", said(folder, {"hello", "you"}).c_str());
       std::printf("%s\n", said(folder, {"bad"}).c_str());
@@ -130,7 +131,7 @@
     asker.join();
   }
   std::printf("the socket is gone with it: %s\n",
-              ::access(socket_in(folder).c_str(), F_OK) != 0 ? "yes" : "no");
+              ::access(socket_path(folder).c_str(), F_OK) != 0 ? "yes" : "no");
   ::rmdir(folder.c_str());
 }
 
