--- a/src/app/backend.cpp
+++ b/src/app/backend.cpp
@@ -17,15 +17,21 @@
 namespace damsonspoke {
 namespace {
 
-constexpr int kDescriptorsPerDependencyConnection =
-    8;                                          // a part of this many of them may be connections below
-constexpr double kDependencyMemoryShare = 0.1;  // replies and calls that are not whole yet
+// One connection to the dependency is allowed for each so many descriptors of the process.
+constexpr int kDescriptorsPerDependencyConnection = 8;
+
+// Shares of the memory limit. The rest is for the program itself and for requests in flight.
+constexpr double kDependencyMemoryShare = 0.1;  // buffers for incomplete calls and replies
 constexpr double kRetainedAnswersMemoryShare =
-    0.03;  // a planner's answers that a forwarder may ask for again
-constexpr double kRuntimeOutputMemoryShare =
-    0.05;  // commands that the runtime does not read; the rest: the program, open requests
-constexpr long kDefaultReportedClients = 20, kMaxReportedClients = 1000;  // to who asks by hand
-constexpr double kMaxInFlightPerCore = 8;  // requests that it holds at most, for what it tells members
+    0.03;                                           // a planner's answers that a forwarder may request again
+constexpr double kRuntimeOutputMemoryShare = 0.05;  // commands that the runtime has not read yet
+
+// Clients in the response to the control query `conns`.
+constexpr long kDefaultReportedClients = 20;
+constexpr long kMaxReportedClients = 1000;
+
+// Requests in flight per core that count as full load in the load report to members.
+constexpr double kMaxInFlightPerCore = 8;
 
 std::size_t max_dependency_connections(const Limits& limits) {
   const std::size_t max_by_memory =
@@ -36,7 +42,8 @@
       static_cast<std::size_t>(max_descriptors(limits) / kDescriptorsPerDependencyConnection));
 }
 
-// Their buffers are other ones than those of the platform's protocol; the share of memory is the same.
+// AJP connections have buffers of other sizes than those of the platform's protocol, in the same share of
+// memory.
 std::size_t max_ajp_dependency_connections(const Limits& limits, const AjpOptions& ajp) {
   const std::size_t bytes_per_connection =
       peers::AjpDependencyClient::max_input_bytes(ajp) + peers::AjpDependencyClient::kMaxOutputBytes;
@@ -50,7 +57,7 @@
 
 }  // namespace
 
-// Where operators have one, all fronts of callers share it.
+// All listeners for callers share one ConnectionAdmission. Creates none unless operators enable it.
 void Backend::make_connection_admission(int connections, const std::vector<double>& guaranteed_shares) {
   if (!options_.connection_admission.enabled) return;
   std::vector<double> priority_weight;
@@ -60,7 +67,7 @@
       std::move(priority_weight), counters_, log_);
 }
 
-// Where requests come in: callers at a relay, by one protocol or two, forwarders at a planner.
+// Creates the server that reads requests: of callers, by one or two protocols, or of forwarders at a planner.
 std::unique_ptr<peers::RequestServer> Backend::make_request_server(Role role) {
   const StartSettings& site = config_.site;
   const std::size_t output_bytes = memory_share_bytes(config_.limits, kOutputMemoryShare);
@@ -155,7 +162,8 @@
   in_flight_.log_answers(log_);
   start_control_server();
   std::signal(SIGPIPE, SIG_IGN);
-  std::signal(SIGXFSZ, SIG_IGN);  // a file that may not grow any more: the write says so, nobody dies of it
+  // A write beyond the file size limit then returns EFBIG instead of ending the process.
+  std::signal(SIGXFSZ, SIG_IGN);
   reactor_.on_signal(SIGTERM, [this] { begin_shutdown(); });
   reactor_.on_signal(SIGINT, [this] { begin_shutdown(); });
   reactor_.on_signal(SIGHUP, [this] { reload(); });
@@ -168,7 +176,8 @@
   membership_.register_command(*control_);
   catalog_.register_command(*control_);
   control_->add_handler("conns", [this](const std::vector<std::string>& tokens) {
-    if (!connection_admission_) throw std::runtime_error("the gate is off: nothing is counted by client");
+    if (!connection_admission_)
+      throw std::runtime_error("connection admission is off: connections are not counted by client");
     const long max_clients = tokens.size() > 1 ? std::atol(tokens[1].c_str()) : kDefaultReportedClients;
     return connection_admission_->report(
         static_cast<std::size_t>(std::clamp(max_clients, 0L, kMaxReportedClients)));
@@ -177,7 +186,7 @@
 
 int Backend::run() {
   const std::string host = config_.listen.substr(0, config_.listen.rfind(':'));
-  log_.info("backend", "{} listens on {}:{}", config_.name, host, request_server_->port());
+  log_.info("backend", "backend {} listens on {}:{}", config_.name, host, request_server_->port());
   if (ajp_server_ != nullptr) log_.info("backend", "takes AJP callers on port {}", ajp_server_->port());
   statistics_.wait_for_record();
   if (connection_admission_) connection_admission_->load_known_clients();
@@ -196,24 +205,26 @@
   log_.write_raw(counters_.report());
 }
 
-// Addresses of peers move while everything goes on; each peer moves its own links. Guards against a file that
-// is missing, cut short or wrong when it is read: then the old configuration stays, whole.
+// Applies a new configuration while requests are served; each peer moves its own connections to a new
+// address. If the file is missing, truncated or invalid, the previous configuration stays in effect
+// unchanged.
 void Backend::reload() {
   catalog_.poll();
   ProcessConfig process_config;
   try {
     process_config = load_config_();
   } catch (const std::exception& error) {
-    return log_.error("backend", "new configuration not taken, the old one stays: {}", error.what());
+    return log_.error("backend", "new configuration rejected, previous one stays: {}", error.what());
   }
   const Config& next = process_config.config;
-  log_.info("backend", "new configuration: runtime {}, below {}, roster {}", next.runtime, next.dependency,
-            next.registry);
+  log_.info("backend", "new configuration: runtime {}, dependency {}, registry {}", next.runtime,
+            next.dependency, next.registry);
   if (next.listen != config_.listen || next.name != config_.name)
-    log_.warn("backend", "a new name or listening address is taken at the next start only");
+    log_.warn("backend",
+              "a changed name or listening address takes effect at the next start of the backend only");
   if (next.site.route_names != config_.site.route_names ||
       next.site.tenant_names != config_.site.tenant_names)
-    log_.warn("backend", "new settings are taken at the next start only");
+    log_.warn("backend", "changed routes or tenants of the settings take effect at the next start only");
   runtime_.move_to(config_.runtime = next.runtime);
   config_.dependency = next.dependency;
   if (ajp_dependency_ == nullptr) {
@@ -232,12 +243,12 @@
   if (shutdown_started_at_ >= 0) return;
   shutdown_started_at_ = net::monotonic_now();
   const std::size_t unanswered = in_flight_.unanswered();
-  // The grace counts from the notice, so what takes time comes after its beginning.
+  // The grace period counts from the signal, so it is started before the steps that take time.
   sender_.drain();
   intake_.on_drain();
   admission_.on_drain(config_.stop_after);
   replay_.on_drain(config_.stop_after - kAnswerResultsMarginSeconds);
-  log_.info("backend", "notice to leave, {} ops open, {} connections", unanswered,
+  log_.info("backend", "backend draining: {} requests in flight, {} connections open", unanswered,
             request_server_->connections());
   sender_.announce_drain();
   statistics_.on_drain();
@@ -246,8 +257,9 @@
   check_shutdown();
 }
 
-// Callers hear late that this backend leaves, and what they have written to a connection that the machine
-// took is ours: so it listens, and answers, nearly to the end.
+// Callers learn late that this backend shuts down, and requests on a connection that the kernel has already
+// accepted must be answered by this process. So it accepts connections and answers until shortly before the
+// kill.
 void Backend::check_shutdown() {
   const double elapsed = net::monotonic_now() - shutdown_started_at_;
   if (!is_listening_ && elapsed >= config_.stop_after - kCloseConnectionsMarginSeconds)
@@ -265,8 +277,9 @@
   reactor_.after(kShutdownCheckIntervalSeconds, [this] { check_shutdown(); });
 }
 
-// What is still in flight as the process ends: a request that was read in this very turn and waits for its
-// original, a result whose write hangs. Nothing after this would answer it.
+// Answers the requests that are still in flight when the process ends, because nothing later would: for
+// instance a duplicate that was read in this event-loop iteration and waits for its original request, or a
+// request whose result is still being written to the store.
 void Backend::answer_in_flight_requests() {
   replay_.answer_pending_results();
   for (const RequestId id : in_flight_.unanswered_ids()) in_flight_.fail(*in_flight_.find(id));
@@ -274,11 +287,12 @@
 
 void Backend::finish_shutdown() {
   answer_in_flight_requests();
-  // Connections whose last request has just been answered are read once more and end in order.
+  // Connections whose last request has just been answered are read once more and closed in order. Requests
+  // that this reads are answered too.
   if (request_server_->connections() > 0) request_server_->close_idle_connections();
   answer_in_flight_requests();
-  log_.info("backend", "left after {:.2f} s, {} ops unanswered", net::monotonic_now() - shutdown_started_at_,
-            in_flight_.unanswered());
+  log_.info("backend", "backend shutdown complete, left after {:.2f} s; {} requests unanswered",
+            net::monotonic_now() - shutdown_started_at_, in_flight_.unanswered());
   reactor_.stop();
 }
 
--- a/src/app/backend.h
+++ b/src/app/backend.h
@@ -1,4 +1,5 @@
-// One backend: its peers and stages put together, and its life from the first link to the last answer.
+// A backend or planner process: creates its peers and stages, connects them, and runs them from start-up to
+// the end of the graceful shutdown.
 #pragma once
 
 #include <functional>
@@ -31,15 +32,16 @@
 
 namespace damsonspoke {
 
-enum class Role { kBackend, kPlanner };  // what stands in front of it: callers, or forwarders
+// kBackend serves requests of callers, kPlanner those of forwarders.
+enum class Role { kBackend, kPlanner };
 
 class Backend {
  public:
-  // Reads the configuration anew; throws std::exception with one plain line where it can't be used.
+  // Reads the configuration again; throws std::exception with a message of one line if it is invalid.
   using ConfigLoader = std::function<ProcessConfig()>;
-  // Throws std::exception with one plain line where an address can't be used.
+  // Throws std::exception with a message of one line if an address can't be used.
   Backend(Role role, const ProcessConfig& process_config, ConfigLoader load_config, Logger& log);
-  // Serves until the notice to leave has been followed to its end. Returns the exit status.
+  // Serves until a graceful shutdown is complete. Returns the exit status.
   int run();
   std::uint16_t port() const { return request_server_->port(); }
 
@@ -70,18 +72,21 @@
   stages::AdmissionDriver admission_;
   stages::RequestIntake intake_;
   stages::CompletionHandler completion_handler_;
-  std::unique_ptr<conns::ConnectionQuota> connection_quota_;  // with two fronts
-  std::unique_ptr<control::Server> control_;                  // where operators have one
-  Membership membership_;                                     // nothing where operators have none
+  std::unique_ptr<conns::ConnectionQuota>
+      connection_quota_;                      // set if there are two listeners and no connection admission
+  std::unique_ptr<control::Server> control_;  // null unless operators configure it
+  Membership membership_;                     // inactive unless operators configure it
   std::unique_ptr<peers::ConnectionAdmission>
-      connection_admission_;                // where operators have one; before the fronts
-  peers::AjpServer* ajp_server_ = nullptr;  // one of them, where there is one; before who sets it
+      connection_admission_;  // null unless operators enable it; must outlive request_server_
+  // Owned by request_server_; null without AJP. Declared before request_server_, whose initializer sets it.
+  peers::AjpServer* ajp_server_ = nullptr;
   std::unique_ptr<peers::RequestServer> request_server_;
   peers::RuntimeClient runtime_;
   peers::DependencyClient dependency_;
-  std::unique_ptr<peers::AjpDependencyClient> ajp_dependency_;  // in its place, where operators say so
+  std::unique_ptr<peers::AjpDependencyClient>
+      ajp_dependency_;  // replaces dependency_ if operators configure AJP for it
   peers::RegistryReporter registry_;
-  double shutdown_started_at_ = -1;
+  double shutdown_started_at_ = -1;  // monotonic s; < 0: no shutdown is in progress
   bool is_listening_ = true;
 };
 
--- a/src/app/catalog_command.cpp
+++ b/src/app/catalog_command.cpp
@@ -1,5 +1,5 @@
-// `damsonspoke catalog show|check|snapshot|append|compare`: what a running backend has active, and the files
-// that backends follow.
+// `damsonspoke catalog show|check|snapshot|append|compare`: shows the active catalog of a running backend,
+// and writes, checks and compares the files that backends read.
 #include <fmt/format.h>
 
 #include <cstdio>
@@ -20,14 +20,15 @@
 
 constexpr double kControlTimeoutSeconds = 2;
 constexpr std::size_t kMaxDifferencesShown = 20;
-constexpr cat::CatalogLimits kToolLimits{1000000, 4000000, true};  // the most that the directives allow
+constexpr cat::CatalogLimits kToolLimits{1000000, 4000000, true};  // the maxima of the directives
 
 std::string choose_folder(const cxxopts::ParseResult& flags) {
   if (flags.count("folder") > 0) return flags["folder"].as<std::string>();
   const std::string path = operator_path(flags);
-  if (path.empty()) throw UsageError("no folder: give --folder FOLDER, or an operators' file that names one");
+  if (path.empty())
+    throw UsageError("no catalog folder: use --folder FOLDER, or an operators' file that names one");
   std::string folder = read_operator_file(path).options.catalog.folder;
-  if (folder.empty()) throw UsageError(fmt::format("{} names no folder for the catalog", path));
+  if (folder.empty()) throw UsageError(fmt::format("{}: no 'folder' in section 'catalog'", path));
   return folder;
 }
 
@@ -41,7 +42,8 @@
   return loaded.rejected_changes.empty() ? kExitSuccess : kExitFailure;
 }
 
-// Writes a snapshot of the entries of a file, or of what the folder holds; then its changes are redundant.
+// Writes a snapshot of the entries of a file or, without one, of the present content of the folder, which
+// makes the file of changes redundant.
 int snapshot(const std::string& folder, const cxxopts::ParseResult& flags) {
   const cat::LoadedFolder loaded = cat::load_folder(folder, kToolLimits);
   const cat::Version now = loaded.catalog->version();
@@ -52,7 +54,8 @@
     lines = cat::read_lines(flags["entries"].as<std::string>());
     version = {flags["epoch"].as<std::uint64_t>(), now.sequence + 1};
     if (version.epoch < now.epoch)
-      throw cat::CatalogFileError(fmt::format("epoch {} is lower than {}", version.epoch, now.epoch));
+      throw cat::CatalogFileError(
+          fmt::format("epoch {} is lower than the epoch {} of the folder", version.epoch, now.epoch));
     history = cat::extend_history(history, lines);
   } else {
     lines = cat::encode_entries(*loaded.catalog);
@@ -63,16 +66,17 @@
 }
 
 int append(const std::string& folder, const cxxopts::ParseResult& flags) {
-  if (flags.count("entries") == 0) throw UsageError("no changes: give --entries FILE");
+  if (flags.count("entries") == 0) throw UsageError("no changes: use --entries FILE");
   const std::string lines = cat::read_lines(flags["entries"].as<std::string>());
-  if (lines.empty()) throw UsageError("the file has no change");
+  if (lines.empty()) throw UsageError("the file of --entries contains no change");
   const cat::Version version =
       cat::append_changes(folder, flags["epoch"].as<std::uint64_t>(), lines, kToolLimits);
   fmt::print("version {}.{}\n", version.epoch, version.sequence);
   return kExitSuccess;
 }
 
-// Prints the first lines that only one of two sorted texts has. Returns how many there are.
+// Compares two sorted texts and prints the first lines that are in only one of them. Returns their total
+// number.
 std::size_t print_differences(const std::string& left, const std::string& right) {
   std::size_t differences = 0;
   const auto print = [&](char side, std::string_view line) {
@@ -94,7 +98,7 @@
 }
 
 int compare(const std::string& folder, const cxxopts::ParseResult& flags) {
-  if (flags.count("other") == 0) throw UsageError("nothing to compare with: give --other FOLDER");
+  if (flags.count("other") == 0) throw UsageError("no folder to compare with: use --other FOLDER");
   const cat::LoadedFolder left = cat::load_folder(folder, kToolLimits);
   const cat::LoadedFolder right = cat::load_folder(flags["other"].as<std::string>(), kToolLimits);
   const std::size_t differences =
--- a/src/app/catalog_watch.cpp
+++ b/src/app/catalog_watch.cpp
@@ -8,10 +8,10 @@
 namespace damsonspoke {
 namespace {
 
-constexpr double kStepSeconds = 0.0005;   // bounds how long a step holds the reactor
-constexpr double kPauseSeconds = 0.0005;  // between two steps: half of the time is left to other work
+constexpr double kStepSeconds = 0.0005;   // limits the time for which a step blocks the reactor
+constexpr double kPauseSeconds = 0.0005;  // between two steps, so that half of the time is left to other work
 constexpr double kStartStepSeconds = 0.1;
-constexpr double kChunkTimeoutSeconds = 2;  // a start does not wait longer for a chunk
+constexpr double kChunkTimeoutSeconds = 2;  // for reading one chunk at start-up
 constexpr double kMicrosecondsPerSecond = 1e6;
 
 std::uint64_t random_key() {
@@ -40,7 +40,7 @@
 }
 
 CatalogWatch::~CatalogWatch() {
-  source_.reset();  // afterwards its thread posts nothing to the reactor
+  source_.reset();  // stops its thread, which posts to the reactor
   reactor_.cancel(timer_);
 }
 
@@ -50,13 +50,14 @@
   while (follower_->state() != catalog::Follower::State::kIdle) {
     if (follower_->step(kStartStepSeconds) != catalog::Follower::State::kWaiting) continue;
     if (source_->wait(kChunkTimeoutSeconds)) continue;
-    log_.error("catalog", "'{}' does not respond: starts with what was read", folder_);
+    log_.error("catalog", "folder '{}' does not respond: starts with the part of the catalog that was read",
+               folder_);
     break;
   }
   log_messages();
-  log_.info("catalog", "version {}.{}, {} routes, {} tenants, read in {:.3f} s", catalog_->version().epoch,
-            catalog_->version().sequence, catalog_->route_count(), catalog_->tenant_count(),
-            net::monotonic_now() - begin);
+  log_.info("catalog", "catalog loaded: version {}.{}, {} routes, {} tenants, read in {:.3f} s",
+            catalog_->version().epoch, catalog_->version().sequence, catalog_->route_count(),
+            catalog_->tenant_count(), net::monotonic_now() - begin);
 }
 
 void CatalogWatch::poll() {
@@ -107,7 +108,7 @@
 void CatalogWatch::register_command(control::Server& control) {
   control.add_handler("catalog", [this](const std::vector<std::string>&) {
     if (follower_ == nullptr)
-      throw std::runtime_error("the catalog is off: no section 'catalog' with 'folder'");
+      throw std::runtime_error("the catalog is off: no 'folder' in section 'catalog' of the operators' file");
     return describe_status();
   });
 }
--- a/src/app/catalog_watch.h
+++ b/src/app/catalog_watch.h
@@ -1,5 +1,6 @@
-// Keeps a backend's catalog up to date with its files: complete before the first request is read, then after
-// each SIGHUP in steps beside all other work. Without a folder the catalog is that of the settings.
+// Keeps the catalog of a backend up to date with its files. The files are read completely before the first
+// request is read, and again after each SIGHUP, in short steps between other work. Without a folder the
+// catalog consists of the routes and tenants of the settings.
 #pragma once
 
 #include <memory>
@@ -19,18 +20,18 @@
 
 class CatalogWatch {
  public:
-  // Reads the files; blocks until they are read or the folder does not respond.
+  // Reads the files; blocks until they are read or a read times out.
   CatalogWatch(net::Reactor& reactor, const ProcessConfig& process_config, Counters& counters, Logger& log);
   ~CatalogWatch();
   CatalogWatch(const CatalogWatch&) = delete;
   CatalogWatch& operator=(const CatalogWatch&) = delete;
 
   [[nodiscard]] const catalog::Catalog& catalog() const { return *catalog_; }
-  // Starts to read what is new in the files; returns at once.
+  // Starts to read the changes of the files and returns at once.
   void poll();
-  // Registers the control command `catalog`.
+  // Registers the control query `catalog`.
   void register_command(control::Server& control);
-  // Sets the counters of the catalog.
+  // Updates the counters of the catalog.
   void report();
 
  private:
--- a/src/app/command_line.cpp
+++ b/src/app/command_line.cpp
@@ -18,18 +18,18 @@
 }
 
 void add_configuration_option(cxxopts::Options& options) {
-  options.add_options()("c,config", "the configuration; without it, the file that PROXY_CONFIG names",
+  options.add_options()("c,config", "the configuration file; default: the file that PROXY_CONFIG names",
                         cxxopts::value<std::string>(), "FILE");
 }
 void add_operator_option(cxxopts::Options& options) {
   options.add_options()("o,operator",
-                        "the operators' file; without it, the one that DAMSONSPOKE_OPERATOR names",
+                        "the operators' file; default: the file that DAMSONSPOKE_OPERATOR names",
                         cxxopts::value<std::string>(), "FILE");
 }
 void add_log_options(cxxopts::Options& options) {
   options.add_options()("l,log-level", "error, warning, info or debug",
                         cxxopts::value<std::string>()->default_value("info"),
-                        "LEVEL")("log-format", "text, or json: one object a line",
+                        "LEVEL")("log-format", "text, or json (one object per line)",
                                  cxxopts::value<std::string>()->default_value("text"), "FORM");
 }
 void add_action(cxxopts::Options& options, const char* help) {
@@ -55,77 +55,79 @@
 void results_options(cxxopts::Options& options) {
   add_operator_option(options);
   add_action(options, "stat, list, verify or drop");
-  options.add_options()("store", "the store's file; without it, the one that the operators' file names",
+  options.add_options()("store", "the file of the store; default: the one that the operators' file names",
                         cxxopts::value<std::string>(), "FILE")(
-      "limit", "list: so many entries at most", cxxopts::value<std::size_t>()->default_value("100"), "N")(
-      "key", "drop: this key, as list shows it", cxxopts::value<std::string>(), "KEY")(
-      "expired", "drop: all whose window is over")("all", "drop: all of them");
+      "limit", "list: the maximum number of entries", cxxopts::value<std::size_t>()->default_value("100"),
+      "N")("key", "drop: the key to drop, as shown by list", cxxopts::value<std::string>(), "KEY")(
+      "expired", "drop: all keys whose idempotency window has expired")("all", "drop: all keys");
 }
 void statistics_options(cxxopts::Options& options) {
   add_operator_option(options);
   add_action(options, "show, verify or forget");
-  options.add_options()("folder", "the folder; without it, the one that the operators' file names",
+  options.add_options()("folder",
+                        "the folder of the statistics; default: the one that the operators' file names",
                         cxxopts::value<std::string>(), "FOLDER");
 }
 void connections_options(cxxopts::Options& options) {
   add_operator_option(options);
-  options.add_options()("folder", "the control folder; without it, the one that the operators' file names",
+  options.add_options()("folder", "the control folder; default: the one that the operators' file names",
                         cxxopts::value<std::string>(), "FOLDER")(
-      "limit", "so many clients at most", cxxopts::value<std::size_t>()->default_value("20"), "N");
+      "limit", "the maximum number of clients", cxxopts::value<std::size_t>()->default_value("20"), "N");
 }
 void catalog_options(cxxopts::Options& options) {
   add_operator_option(options);
   add_action(options, "show, check, snapshot, append or compare");
   options.add_options()("folder",
-                        "the folder of the files (show: the control folder); without it, the one that the "
+                        "the folder of the files (show: the control folder); default: the one that the "
                         "operators' file names",
                         cxxopts::value<std::string>(), "FOLDER")(
-      "entries", "snapshot, append: a file of entries or changes, one JSON object a line",
-      cxxopts::value<std::string>(), "FILE")("epoch", "snapshot, append: of the source that writes",
+      "entries", "snapshot, append: a file of entries or changes, one JSON object per line",
+      cxxopts::value<std::string>(), "FILE")("epoch", "snapshot, append: the epoch of the writer",
                                              cxxopts::value<std::uint64_t>()->default_value("1"), "N")(
-      "other", "compare: with this folder", cxxopts::value<std::string>(), "FOLDER");
+      "other", "compare: the folder to compare with", cxxopts::value<std::string>(), "FOLDER");
 }
 void members_options(cxxopts::Options& options) {
   add_operator_option(options);
-  options.add_options()("folder", "the control folder; without it, the one that the operators' file names",
-                        cxxopts::value<std::string>(), "FOLDER")("json", "one JSON object")(
-      "watch", "again each second, until it is stopped");
+  options.add_options()("folder", "the control folder; default: the one that the operators' file names",
+                        cxxopts::value<std::string>(), "FOLDER")("json", "print one JSON object")(
+      "watch", "print again every second until interrupted");
 }
 void no_options(cxxopts::Options&) {}
 
-// A sub-command. An alias is a former name that goes on working; nullptr: none.
+// A subcommand. `alias` is a former name that is still accepted; nullptr: none.
 struct Command {
   const char* name;
   const char* alias;
-  const char* meaning;
+  const char* description;
   void (*add_options)(cxxopts::Options&);
   int (*run)(const cxxopts::ParseResult&);
 };
 constexpr Command kCommands[] = {
-    {"serve", nullptr, "serve callers until SIGTERM", serve_options, serve_command},
-    {"forward", nullptr, "forward callers' requests to planners until SIGTERM", serve_options,
+    {"serve", nullptr, "serve requests of callers until SIGTERM", serve_options, serve_command},
+    {"forward", nullptr, "forward requests of callers to planners until SIGTERM", serve_options,
      forward_command},
     {"plan", nullptr, "serve requests of forwarders until SIGTERM", serve_options, plan_command},
-    {"check", nullptr, "read a configuration and say what is wrong with it", check_options, check_command},
+    {"check", nullptr, "check a configuration and print what is invalid", check_options, check_command},
     {"config", nullptr, "check or show an operators' file, or print the reference of its directives",
      config_options, config_command},
-    {"statistics", "knowledge", "show, verify or forget the learned statistics", statistics_options,
+    {"statistics", "knowledge", "show, verify or delete the learned statistics", statistics_options,
      statistics_command},
     {"results", nullptr, "list, verify or drop stored results", results_options, results_command},
-    {"connections", "conns", "ask a running server who holds its connections, and who was rejected",
+    {"connections", "conns", "show the clients of a running server, their connections, and recent rejections",
      connections_options, connections_command},
     {"catalog", nullptr,
-     "show routes and tenants in force; make, check or compare the files that servers follow",
+     "show the active routes and tenants; create, check or compare the files that servers read",
      catalog_options, catalog_command},
-    {"members", nullptr, "ask a running instance for the fleet's members and broken links", members_options,
-     members_command},
+    {"members", nullptr, "show the members of the fleet and broken links, as seen by a running instance",
+     members_options, members_command},
     {"version", nullptr, "print the version", no_options, version_command},
 };
 
 std::string usage() {
   std::string text = "usage: damsonspoke COMMAND [FLAGS]\n\n";
-  for (const Command& command : kCommands) text += fmt::format("  {:<13}{}\n", command.name, command.meaning);
-  return text + "\ndamsonspoke COMMAND --help tells the flags of a command\n";
+  for (const Command& command : kCommands)
+    text += fmt::format("  {:<13}{}\n", command.name, command.description);
+  return text + "\ndamsonspoke COMMAND --help prints the flags of a command\n";
 }
 
 int run_command(const Command& command, int argc, char** argv) {
@@ -138,7 +140,7 @@
     return kExitSuccess;
   }
   if (!flags.unmatched().empty())
-    throw UsageError(fmt::format("'{}' is not expected", flags.unmatched().front()));
+    throw UsageError(fmt::format("unexpected argument '{}'", flags.unmatched().front()));
   return command.run(flags);
 }
 
@@ -159,8 +161,9 @@
   }
   const Command* command = find_command(name);
   if (command == nullptr) {
-    print_error(name.empty() ? "no command; damsonspoke --help lists them"
-                             : fmt::format("'{}' is no command; damsonspoke --help lists them", name));
+    print_error(name.empty()
+                    ? "no command given; damsonspoke --help lists the commands"
+                    : fmt::format("unknown command '{}'; damsonspoke --help lists the commands", name));
     return kExitUsage;
   }
   try {
--- a/src/app/command_line.h
+++ b/src/app/command_line.h
@@ -1,9 +1,9 @@
-// The command line: sub-commands with flags of their own.
+// The command line: subcommands, each with its own flags.
 #pragma once
 
 namespace damsonspoke {
 
-// Exit statuses: 0 done, 1 could not go on, 2 wrong use.
+// Returns the exit status: 0 success, 1 failure, 2 invalid command line.
 int run_command_line(int argc, char** argv);
 
 }  // namespace damsonspoke
--- a/src/app/config_command.cpp
+++ b/src/app/config_command.cpp
@@ -1,4 +1,4 @@
-// damsonspoke config check|show|reference: the operators' file on its own.
+// `damsonspoke config check|show|reference`: checks or shows an operators' file, or documents its directives.
 #include <fmt/format.h>
 
 #include <cstdio>
@@ -17,7 +17,7 @@
   if (action != "check" && action != "show") throw UsageError("config takes check, show or reference");
   const std::string path = operator_path(flags);
   if (path.empty() && action == "check") {
-    throw UsageError("no operators' file: give --operator FILE or set DAMSONSPOKE_OPERATOR");
+    throw UsageError("no operators' file: use --operator FILE or set DAMSONSPOKE_OPERATOR");
   }
   const OperatorFile file = path.empty() ? parse_operator_file("") : read_operator_file(path);
   if (action == "show") {
--- a/src/app/conns_command.cpp
+++ b/src/app/conns_command.cpp
@@ -1,4 +1,5 @@
-// `damsonspoke conns`: the clients with open connections to a running backend, and the latest rejections.
+// `damsonspoke connections`: shows the clients with open connections to a running backend and the latest
+// rejections.
 #include <fmt/format.h>
 
 #include <cstdio>
@@ -16,9 +17,10 @@
 std::string control_folder(const cxxopts::ParseResult& flags) {
   if (flags.count("folder") > 0) return flags["folder"].as<std::string>();
   const std::string path = operator_path(flags);
-  if (path.empty()) throw UsageError("no folder: give --folder FOLDER, or an operators' file that names one");
+  if (path.empty())
+    throw UsageError("no control folder: use --folder FOLDER, or an operators' file that names one");
   std::string folder = read_operator_file(path).options.control.folder;
-  if (folder.empty()) throw UsageError(fmt::format("{} names no folder for control", path));
+  if (folder.empty()) throw UsageError(fmt::format("{}: no 'folder' in section 'control'", path));
   return folder;
 }
 
--- a/src/app/deferred_signals.h
+++ b/src/app/deferred_signals.h
@@ -1,14 +1,14 @@
-// Holds back the signals that mean something to a running server while it can't act on them: from the start
-// of the process until its reactor runs, and from then on until it has exited. One that comes meanwhile takes
-// effect when the reactor runs, or never; it does not end the process.
+// Blocks the signals that a server handles while its reactor does not run: from the start of the process
+// until the reactor runs, and after the reactor has stopped. A signal that arrives meanwhile is handled when
+// the reactor runs, if it does; it never ends the process by its default action.
 #pragma once
 
 namespace damsonspoke {
 
-// For the main thread, before any other thread begins: threads inherit what is held back, so that signals
-// reach the main one.
+// Call this in the main thread before any other thread is started: threads inherit the blocked signals, so
+// that signals are delivered to the main thread only.
 void defer_signals();
-// What has come meanwhile is delivered now. The handlers have to be installed.
+// Unblocks the signals; pending ones are delivered at once. Their handlers must be installed before.
 void deliver_signals();
 
 }  // namespace damsonspoke
--- a/src/app/forwarder.cpp
+++ b/src/app/forwarder.cpp
@@ -12,11 +12,14 @@
 namespace damsonspoke {
 namespace {
 
-constexpr double kPlannerOutputMemoryShare = 0.15;  // of the memory limit: requests that planners do not read
-constexpr double kRequestMemoryShare = 0.2;         // requests that are open
-constexpr int kMaxPlanners = 64;                    // as the operators' file allows
+// Shares of the memory limit.
+constexpr double kPlannerOutputMemoryShare = 0.15;  // requests that planners have not read yet
+constexpr double kRequestMemoryShare = 0.2;         // requests in flight
 
-// Links to planners that members tell come from where members hear this one.
+constexpr int kMaxPlanners = 64;  // the limit of the directive `planners`
+
+// The address that connections to planners are opened from if members report the planners: the one on which
+// this instance receives messages of members. Empty: the system chooses.
 std::string planner_source_address(const OperatorOptions& options) {
   if (!options.forward.from_members || !options.members.enabled()) return {};
   return net::parse_address(options.members.bind).host().toString();
@@ -62,7 +65,8 @@
       current_planners_(options_.forward.planners) {
   ports_ = {&caller_server_, &planner_client_, &registry_};
   std::signal(SIGPIPE, SIG_IGN);
-  std::signal(SIGXFSZ, SIG_IGN);  // a file that may not grow any more: the write says so, nobody dies of it
+  // A write beyond the file size limit then returns EFBIG instead of ending the process.
+  std::signal(SIGXFSZ, SIG_IGN);
   reactor_.on_signal(SIGTERM, [this] { begin_shutdown(); });
   reactor_.on_signal(SIGINT, [this] { begin_shutdown(); });
   reactor_.on_signal(SIGHUP, [this] { reload(); });
@@ -73,7 +77,7 @@
   membership_.register_command(*control_);
 }
 
-// Planners that members tell come to those of the list.
+// Uses the planners that members report in addition to those that the operators list.
 void Forwarder::update_planners() {
   if (!options_.forward.from_members || shutdown_started_at_ >= 0) return;
   const std::vector<std::string> planners =
@@ -81,14 +85,14 @@
   if (planners == current_planners_) return;
   current_planners_ = planners;
   request_forwarder_.set_planners(planners);
-  log_.info("forwarder", "members tell of planners: {} now", planners.size());
+  log_.info("forwarder", "planners reported by members have changed: {} planners in use", planners.size());
 }
 
 int Forwarder::run() {
   const std::string host = config_.listen.substr(0, config_.listen.rfind(':'));
   request_forwarder_.begin();
   membership_.start(caller_server_.port());
-  log_.info("forwarder", "{} listens on {}:{}", config_.name, host, caller_server_.port());
+  log_.info("forwarder", "forwarder {} listens on {}:{}", config_.name, host, caller_server_.port());
   deliver_signals();
   reactor_.run();
   defer_signals();
@@ -102,17 +106,20 @@
   log_.write_raw(counters_.report());
 }
 
-// Planners come and go while everything goes on. Guards against a file that can't be used: the old one stays.
+// Applies a new configuration while requests are forwarded. If it is invalid, the previous one stays in
+// effect.
 void Forwarder::reload() {
   ProcessConfig process_config;
   try {
     process_config = load_config_();
   } catch (const std::exception& error) {
-    return log_.error("forwarder", "new configuration not taken, the old one stays: {}", error.what());
+    return log_.error("forwarder", "new forwarder configuration rejected, previous one stays: {}",
+                      error.what());
   }
   const Config& next = process_config.config;
   if (next.listen != config_.listen || next.name != config_.name)
-    log_.warn("forwarder", "a new name or listening address is taken at the next start only");
+    log_.warn("forwarder",
+              "a changed name or listening address takes effect at the next start of the forwarder only");
   registry_.move_to(config_.registry = next.registry);
   options_.forward.planners = process_config.options.forward.planners;
   options_.forward.from_members = process_config.options.forward.from_members;
@@ -128,15 +135,15 @@
 void Forwarder::begin_shutdown() {
   if (shutdown_started_at_ >= 0) return;
   shutdown_started_at_ = net::monotonic_now();
-  log_.info("forwarder", "notice to leave, {} ops open, {} connections", request_forwarder_.open(),
-            caller_server_.connections());
+  log_.info("forwarder", "forwarder draining: {} requests in flight, {} connections open",
+            request_forwarder_.open(), caller_server_.connections());
   request_forwarder_.leave(config_.stop_after);
   membership_.leave();
   check_shutdown();
 }
 
-// As a relay leaves: what was written to an accepted connection is ours to answer, so it listens nearly to
-// the end.
+// As in a backend, requests on a connection that the kernel has already accepted must be answered by this
+// process, so it accepts connections until shortly before the kill.
 void Forwarder::check_shutdown() {
   const double elapsed = net::monotonic_now() - shutdown_started_at_;
   if (!is_listening_ && elapsed >= config_.stop_after - kCloseConnectionsMarginSeconds)
@@ -149,7 +156,8 @@
     is_listening_ = false;
     caller_server_.stop_listening();
   } else if (!is_listening_ && (is_done || elapsed >= config_.stop_after - kStopMarginSeconds)) {
-    log_.info("forwarder", "left after {:.2f} s, {} ops unanswered", elapsed, request_forwarder_.open());
+    log_.info("forwarder", "forwarder shutdown complete, left after {:.2f} s; {} requests unanswered",
+              elapsed, request_forwarder_.open());
     return reactor_.stop();
   }
   reactor_.after(kShutdownCheckIntervalSeconds, [this] { check_shutdown(); });
--- a/src/app/forwarder.h
+++ b/src/app/forwarder.h
@@ -1,4 +1,5 @@
-// One forwarder: callers in front, planners behind, and its life from the first link to the last answer.
+// A forwarder process: passes requests of callers on to planners. Creates its peers and stages and runs them
+// from start-up to the end of the graceful shutdown.
 #pragma once
 
 #include <functional>
@@ -22,10 +23,11 @@
 
 class Forwarder {
  public:
+  // Reads the configuration again; throws std::exception with a message of one line if it is invalid.
   using ConfigLoader = std::function<ProcessConfig()>;
-  // Throws std::exception with one plain line where an address can't be used.
+  // Throws std::exception with a message of one line if an address can't be used.
   Forwarder(const ProcessConfig& process_config, ConfigLoader load_config, Logger& log);
-  // Serves until the notice to leave has been followed to its end. Returns the exit status.
+  // Serves until a graceful shutdown is complete. Returns the exit status.
   int run();
 
  private:
@@ -47,15 +49,15 @@
   peers::JsonRpcServer caller_server_;
   peers::PlannerClient planner_client_;
   peers::RegistryReporter registry_;
-  std::unique_ptr<control::Server> control_;  // where operators have one
-  Membership membership_;                     // nothing where operators have none
+  std::unique_ptr<control::Server> control_;  // null unless operators configure it
+  Membership membership_;                     // inactive unless operators configure it
   tier::PlannerDiscovery discovery_;
   std::vector<std::string> current_planners_;
-  double shutdown_started_at_ = -1;
+  double shutdown_started_at_ = -1;  // monotonic s; < 0: no shutdown is in progress
   bool is_listening_ = true;
 };
 
-// A number that names one life of a process; never 0.
+// A random number that identifies one incarnation of a process; never 0.
 std::uint64_t random_epoch();
 
 }  // namespace damsonspoke
--- a/src/app/idempotency_key_options.h
+++ b/src/app/idempotency_key_options.h
@@ -1,4 +1,4 @@
-// Which requests have to carry a key, by what operators chose.
+// Which requests must carry an idempotency key, according to the operators' options.
 #pragma once
 
 #include <algorithm>
@@ -14,14 +14,15 @@
   return {results.key_field, results.key_length, {results.digest.begin(), results.digest.end()}};
 }
 
-// The same for who goes by the routes of the settings: whether each needs one, by position.
+// Whether each route of the settings needs a key, by position; for AJP, which uses these routes alone.
 inline std::vector<bool> routes_requiring_key(const Config& config, const ResultsOptions& results) {
   std::vector<bool> needed;
   for (std::size_t i = 0; i < config.site.route_names.size(); ++i) {
-    const auto& named = results.digest;
-    const bool digest = std::find(named.begin(), named.end(), config.site.route_names[i]) != named.end();
-    const bool keyed = config.site.admission.routes[i].idempotency == Idempotency::kWithKey;
-    needed.push_back(results.enabled && keyed && !digest);
+    const auto& digest_routes = results.digest;
+    const bool uses_digest = std::find(digest_routes.begin(), digest_routes.end(),
+                                       config.site.route_names[i]) != digest_routes.end();
+    const bool is_keyed = config.site.admission.routes[i].idempotency == Idempotency::kWithKey;
+    needed.push_back(results.enabled && is_keyed && !uses_digest);
   }
   return needed;
 }
--- a/src/app/members_command.cpp
+++ b/src/app/members_command.cpp
@@ -1,5 +1,5 @@
-// damsonspoke members: who is there, as a running instance sees it; which links are broken, and why somebody
-// is suspected.
+// `damsonspoke members`: shows the members of the fleet as a running instance sees them, broken links, and
+// why a member is suspected.
 #include <fmt/format.h>
 #include <unistd.h>
 
@@ -13,7 +13,7 @@
 namespace damsonspoke {
 namespace {
 
-constexpr double kControlTimeoutSeconds = 2;  // s
+constexpr double kControlTimeoutSeconds = 2;
 constexpr auto kWatchInterval = std::chrono::seconds(1);
 
 }  // namespace
--- a/src/app/membership.cpp
+++ b/src/app/membership.cpp
@@ -11,13 +11,13 @@
 
 using members::MemberState;
 
-constexpr double kLoadReportSeconds = 0.5;  // gossip spreads a change no faster
+constexpr double kLoadReportIntervalSeconds = 0.5;  // gossip does not spread changes faster
 constexpr double kPermille = 1000;
 constexpr double kMaxFreeCapacity = 60000;
 constexpr int kRandomEpochBits = 12;
 constexpr std::uint64_t kRandomEpochMask = (1U << kRandomEpochBits) - 1;
 
-// Links to planners have health checks of their own.
+// Members that are flapping or unreachable count too: connections to planners have their own health checks.
 bool may_serve(MemberState state) {
   return state == MemberState::kAlive || state == MemberState::kFlapping ||
          state == MemberState::kUnreachable;
@@ -40,9 +40,10 @@
   if (!options_.enabled()) return;
   if (options_.peers.empty())
     throw std::runtime_error(
-        "members: no peers; an operators' file names their networks in section 'members'");
+        "members: no peers; name their networks in section 'members' of the operators' file");
   if (process_config.config.name.size() > members::kMaxNameBytes)
-    throw std::runtime_error(fmt::format("members: a name has {} bytes at most", members::kMaxNameBytes));
+    throw std::runtime_error(
+        fmt::format("members: the name of this instance is longer than {} bytes", members::kMaxNameBytes));
   listen_host_ = process_config.config.listen.substr(0, process_config.config.listen.rfind(':'));
   transport_ =
       std::make_unique<peers::MembershipTransport>(reactor, options_, process_config.config.name,
@@ -56,7 +57,8 @@
 
 void Membership::register_command(control::Server& control) {
   control.add_handler("members", [this](const std::vector<std::string>& tokens) {
-    if (!transport_) throw std::runtime_error("members are off: no section 'members' with 'bind'");
+    if (!transport_)
+      throw std::runtime_error("membership is off: no 'bind' in section 'members' of the operators' file");
     return transport_->status(tokens.size() > 1 && tokens[1] == "json");
   });
 }
@@ -81,7 +83,7 @@
   load_report_.load_permille = static_cast<std::uint16_t>(used_share * kPermille);
   load_report_.free_capacity = static_cast<std::uint16_t>(free);
   transport_->set_load_report(load_report_);
-  timer_ = reactor_.after(kLoadReportSeconds, [this] { publish_load_report(); });
+  timer_ = reactor_.after(kLoadReportIntervalSeconds, [this] { publish_load_report(); });
   if (on_change) on_change();
 }
 
@@ -90,7 +92,7 @@
   is_leaving_ = true;
 }
 
-// The addresses and the cluster stay those of the start.
+// The addresses and the cluster of the start stay in effect.
 void Membership::on_configuration_reloaded(const ProcessConfig& process_config) {
   ++load_report_.config_generation;
   load_report_.zone = process_config.options.members.zone;
--- a/src/app/membership.h
+++ b/src/app/membership.h
@@ -1,5 +1,5 @@
-// This instance's part in the fleet's membership: its load report, the operators' command and the planners
-// that members report. It does nothing unless the operators' file switches membership on.
+// Membership of this instance in the fleet: publishes its load report, answers the operators' control query
+// and gives the planners that members report. It does nothing unless the operators' file enables membership.
 #pragma once
 
 #include <cstdint>
@@ -17,7 +17,7 @@
 
 class Membership {
  public:
-  // The load of this instance at the moment.
+  // The current load of this instance.
   struct Load {
     double open_requests = 0;
     double max_open_requests = 1;
@@ -30,12 +30,12 @@
   Membership(const Membership&) = delete;
   Membership& operator=(const Membership&) = delete;
 
-  // Adds the command `members`.
+  // Registers the control query `members`.
   void register_command(control::Server& control);
   // `service_port`: the port on which this instance serves requests.
   void start(std::uint16_t service_port);
   void leave();
-  // A new generation of the configuration is in force.
+  // A new generation of the configuration is in effect.
   void on_configuration_reloaded(const ProcessConfig& process_config);
   // Brings the counters up to date.
   void report();
@@ -51,15 +51,15 @@
   const std::string role_;
   const std::function<Load()> load_;
   MembersOptions options_;
-  std::unique_ptr<peers::MembershipTransport> transport_;  // none when membership is off
+  std::unique_ptr<peers::MembershipTransport> transport_;  // null if membership is off
   members::LoadReport load_report_;
   std::string listen_host_;
   net::Reactor::TimerId timer_;
   bool is_leaving_ = false;
 };
 
-// An epoch for a new process: the Unix clock in milliseconds and 12 random bits, so that later ones are
-// higher.
+// An epoch for a new process: the Unix time in milliseconds, followed by 12 random bits, so that a process
+// that starts later has a higher one.
 [[nodiscard]] std::uint64_t new_member_epoch();
 
 }  // namespace damsonspoke
--- a/src/app/results_command.cpp
+++ b/src/app/results_command.cpp
@@ -1,4 +1,5 @@
-// damsonspoke results stat|list|verify|drop: a results store, at rest or in use by a running program.
+// `damsonspoke results stat|list|verify|drop`: inspects a results store or drops entries of it, also while a
+// running program uses it.
 #include <fmt/chrono.h>
 #include <fmt/format.h>
 
@@ -27,9 +28,9 @@
 std::string store_path(const cxxopts::ParseResult& flags) {
   if (flags.count("store") > 0) return flags["store"].as<std::string>();
   const std::string path = operator_path(flags);
-  if (path.empty()) throw UsageError("no store: give --store FILE, or an operators' file that names one");
+  if (path.empty()) throw UsageError("no store: use --store FILE, or an operators' file that names one");
   std::string store = read_operator_file(path).options.results.store;
-  if (store.empty()) throw UsageError(fmt::format("{} names no store", path));
+  if (store.empty()) throw UsageError(fmt::format("{}: no 'store' in section 'results'", path));
   return store;
 }
 
@@ -90,20 +91,22 @@
   return keys;
 }
 
-// A running program is asked to drop the keys, since it has them in memory; otherwise they are erased here.
+// If a running program uses the store, requests that it drop the keys, because it also has them in memory;
+// otherwise erases them.
 void drop_keys(Database& database, const std::string& path, const std::vector<Key>& keys) {
-  const bool is_requested = is_in_use(path);
+  const bool is_store_in_use = is_in_use(path);
   database.begin();
   for (const Key& key : keys) {
-    if (is_requested) {
+    if (is_store_in_use) {
       database.request_drop(key);
     } else {
       database.erase(key);
     }
   }
   database.commit();
-  fmt::print("{} {}\n", keys.size(),
-             is_requested ? "keys asked of the running program, which drops what has ended" : "keys dropped");
+  fmt::print(
+      "{} {}\n", keys.size(),
+      is_store_in_use ? "keys asked of the running program, which drops what has ended" : "keys dropped");
 }
 
 int drop(Database& database, const std::string& path, const cxxopts::ParseResult& flags) {
--- a/src/app/serve_command.cpp
+++ b/src/app/serve_command.cpp
@@ -1,4 +1,4 @@
-// damsonspoke serve, plan, forward and check: one process by its configuration and the operators' file.
+// `damsonspoke serve|plan|forward|check`: runs one process, or checks its configuration and operators' file.
 #include <fmt/format.h>
 
 #include <cstdio>
@@ -28,7 +28,7 @@
 std::string config_path(const cxxopts::ParseResult& flags) {
   std::string path = from_flag_or(flags, "config", kConfigVariable);
   if (path.empty()) {
-    throw UsageError(fmt::format("no configuration: give --config FILE or set {}", kConfigVariable));
+    throw UsageError(fmt::format("no configuration: use --config FILE or set {}", kConfigVariable));
   }
   return path;
 }
@@ -53,8 +53,8 @@
   if (const auto unsupported = find_unsupported(files.config, options))
     throw SettingsError(to_string(*unsupported));
   if (options.results.enabled && wire::is_protocol_param(options.results.key_field)) {
-    throw SettingsError(
-        fmt::format("results: key-field '{}' is the protocol's own", options.results.key_field));
+    throw SettingsError(fmt::format("results: key-field '{}' is a parameter of the protocol itself",
+                                    options.results.key_field));
   }
   const Config& config = files.config;
   for (const std::string* address : {&config.listen, &config.runtime, &config.registry, &config.dependency}) {
@@ -80,20 +80,21 @@
   return {files.config, effective_options(files)};
 }
 
-// Between the two levels requests do not name their tenant yet.
+// Forwarders do not tell planners the tenant of a request, so neither supports tenants.
 void reject_tenants(const ProcessConfig& process_config) {
   if (!process_config.config.site.admission.tenants.empty())
-    throw SettingsError("settings: 'customers' is not empty; forwarders and planners do not tell them apart");
+    throw SettingsError("settings: 'customers' is not empty; forwarders and planners do not support tenants");
 }
 
-// A forwarder is nothing without planners.
+// Throws SettingsError if the configuration names no planners and does not let members report them.
 ProcessConfig forwarder_config_of(const cxxopts::ParseResult& flags) {
   ProcessConfig process_config = process_config_of(flags);
   reject_tenants(process_config);
   const std::vector<std::string>& planners = process_config.options.forward.planners;
-  const bool told = process_config.options.forward.from_members && process_config.options.members.enabled();
-  if (planners.empty() && !told)
-    throw SettingsError("forward: no planners; an operators' file names them in section 'forward'");
+  const bool discovers_planners =
+      process_config.options.forward.from_members && process_config.options.members.enabled();
+  if (planners.empty() && !discovers_planners)
+    throw SettingsError("forward: no planners; name them in section 'forward' of the operators' file");
   for (const std::string& address : planners) net::parse_address(address);
   return process_config;
 }
@@ -126,7 +127,7 @@
 
 int check_command(const cxxopts::ParseResult& flags) {
   const ConfigFiles files = load_config_files(flags);
-  fmt::print("{}: listens on {}, {} op types, {} cores\n", files.config.name, files.config.listen,
+  fmt::print("{}: listens on {}, {} routes, {} cores\n", files.config.name, files.config.listen,
              files.config.site.route_names.size(), files.config.site.admission.cores);
   return kExitSuccess;
 }
--- a/src/app/statistics_command.cpp
+++ b/src/app/statistics_command.cpp
@@ -1,5 +1,5 @@
-// damsonspoke knowledge show|verify|forget: the learned statistics in a folder, at rest or in use by a
-// running program.
+// `damsonspoke statistics show|verify|forget`: shows, verifies or deletes the learned statistics in a folder,
+// also while a running program uses it (`forget` fails then).
 #include <fmt/format.h>
 
 #include <chrono>
@@ -19,9 +19,10 @@
 std::string folder_of(const cxxopts::ParseResult& flags) {
   if (flags.count("folder") > 0) return flags["folder"].as<std::string>();
   const std::string path = operator_path(flags);
-  if (path.empty()) throw UsageError("no folder: give --folder FOLDER, or an operators' file that names one");
+  if (path.empty())
+    throw UsageError("no statistics folder: use --folder FOLDER, or an operators' file that names one");
   std::string folder = read_operator_file(path).options.statistics.folder;
-  if (folder.empty()) throw UsageError(fmt::format("{} names no folder for knowledge", path));
+  if (folder.empty()) throw UsageError(fmt::format("{}: no 'folder' in section 'knowledge'", path));
   return folder;
 }
 
@@ -30,7 +31,7 @@
   return count > 0 ? fmt::format("{:.4f} s of {:.1f} values", durations.sum / count, count) : "nothing";
 }
 
-// The words of the output are part of the command's interface: operators' scripts read them.
+// The texts of the output are part of the command's interface: operators' scripts parse them.
 int show(const statistics::RecordReadResult& reading) {
   if (!reading.record) {
     fmt::print("{}\n", text_of(reading.problem));
@@ -68,7 +69,7 @@
 int statistics_command(const cxxopts::ParseResult& flags) {
   const std::string action = flags.count("action") > 0 ? flags["action"].as<std::string>() : "";
   if (action != "show" && action != "verify" && action != "forget")
-    throw UsageError("knowledge takes show, verify or forget");
+    throw UsageError("statistics takes show, verify or forget");
   const std::string path = folder_of(flags);
   const std::unique_ptr<store::FileSystem> file_system = store::open_folder(path);
   if (action == "forget") return forget(path, *file_system);
