--- a/src/app/catalog_watch.cpp
+++ b/src/app/catalog_watch.cpp
@@ -118,13 +118,13 @@
   const catalog::FollowerCounts& counts = follower_->counts();
   std::string text = fmt::format(
       "version {}.{}, in force for {:.1f} s\n{} routes, {} tenants, {} bytes\n"
-      "{} changes and {} snapshots taken, {} refused; {} bytes of changes read\n",
+      "{} changes and {} snapshots applied, {} rejected; {} bytes of changes read\n",
       version.epoch, version.sequence, net::monotonic_now() - follower_->active_since(),
       catalog_->route_count(), catalog_->tenant_count(), catalog_->memory_bytes(), counts.applied,
       counts.snapshots, counts.rejected, follower_->changes_offset());
-  if (follower_->state() != catalog::Follower::State::kIdle) text += "reading now\n";
+  if (follower_->state() != catalog::Follower::State::kIdle) text += "reading the files now\n";
   for (const catalog::RejectedChange& rejected : follower_->rejected_changes())
-    text += fmt::format("refused: {}: {}\n", rejected.what, rejected.reason);
+    text += fmt::format("rejected: {}: {}\n", rejected.what, rejected.reason);
   return text;
 }
 
--- a/src/benchlink/frames.h
+++ b/src/benchlink/frames.h
@@ -1,4 +1,5 @@
-// The frame codec of the simulator's wire: little-endian, unpadded, bounds checked.
+// Reads and writes the fields of the simulator's protocol: little-endian, without padding, with bounds
+// checks.
 #pragma once
 
 #include <bit>
@@ -32,13 +33,13 @@
   }
 
   std::string_view take_bytes(std::size_t count) {
-    if (bytes_.size() < count) throw MalformedInput("a record ends in the middle of a field");
+    if (bytes_.size() < count) throw MalformedInput("truncated record: it ends in the middle of a field");
     const std::string_view raw = bytes_.substr(0, count);
     bytes_.remove_prefix(count);
     return raw;
   }
 
-  // A number that is used as a time or a size: it has to be finite.
+  // Reads a number that is used as a time or a size and therefore must be finite.
   template <typename T>
   double take_number(const char* what) {
     const auto value = static_cast<double>(take<T>());
--- a/src/benchlink/main.cpp
+++ b/src/benchlink/main.cpp
@@ -1,7 +1,7 @@
-// The adapter to the simulator: decodes its batches of events into calls of admission controllers, and
-// encodes their decisions. One process carries many instances; they share nothing but the stream. Malformed
-// input ends the process with one line and status 1; an exception in a controller is reported as a fault of
-// its instance.
+// The adapter to the simulator: decodes batches of events on standard input into calls to admission
+// controllers, and encodes their decisions on standard output. One process runs many instances, which share
+// only the stream. Malformed input ends the process with a message of one line and status 1; an exception in
+// a controller is reported as a fault of its instance.
 #include <cmath>
 #include <cstdio>
 #include <exception>
@@ -18,9 +18,10 @@
 
 constexpr double kSecondsPerMs = 0.001;
 constexpr double kMsPerSecond = 1000;
-constexpr std::size_t kMaxBatchBytes = std::size_t{1} << 30;  // a longer frame is a broken stream
+constexpr std::size_t kMaxBatchBytes = std::size_t{1}
+                                       << 30;  // a longer frame means that the stream is corrupt
 
-// Codes on the wire, in its own words.
+// Codes of events and actions in the simulator's protocol, by position.
 enum EventCode : std::uint8_t {
   kRequest = 1,
   kTimer,
@@ -50,12 +51,12 @@
   kForget
 };
 
-// Flags of a request.
+// Flags of a request event.
 constexpr unsigned kHasWorkHint = 1;
 constexpr unsigned kIsRetry = 2;
 constexpr unsigned kIsWrite = 4;
 
-// Encodes one instance's actions in the order in which they are taken.
+// Encodes the actions of one instance in the order in which they are taken.
 class WireDecisionSink : public DecisionSink {
  public:
   WireDecisionSink(Writer& out, std::uint32_t instance_id) : out_(out), instance_id_(instance_id) {}
@@ -166,12 +167,12 @@
   request.age = in.take_number<double>("age") * kSecondsPerMs;
   request.duplicate_of = in.take<std::uint64_t>();
   if (static_cast<std::size_t>(request.route) >= instance.routes)
-    throw MalformedInput("a class that the settings lack");
+    throw MalformedInput("the route number of a request is not in the settings");
   if (request.tenant != 0 && static_cast<std::size_t>(request.tenant) >= instance.tenants) {
-    throw MalformedInput("a customer that the settings lack");
+    throw MalformedInput("the tenant number of a request is not in the settings");
   }
   if (request.size_kb < 0 || request.age < 0 || request.remaining_timeout < 0)
-    throw MalformedInput("a negative size or time");
+    throw MalformedInput("a size or time of a request is negative");
   return request;
 }
 
@@ -191,8 +192,8 @@
   return gauges;
 }
 
-// Each record is read in full before the decision, so that an exception in a controller can't shift the
-// stream.
+// Calls the controller and reports an exception as a fault of the instance. The caller has read the event's
+// record completely, so that an exception can't leave the reader in the middle of a record.
 template <typename Decision>
 void decide(Instance& instance, Decision decision) {
   if (!instance.controller) return;
@@ -218,7 +219,7 @@
     return;
   }
   const auto found = instances.find(instance_id);
-  if (found == instances.end()) throw MalformedInput("an event for an instance that was not created");
+  if (found == instances.end()) throw MalformedInput("event for an instance that was not created");
   Instance& instance = *found->second;
   if (code == kRequest) {
     const Request request = read_request(in, instance);
@@ -226,8 +227,8 @@
     return;
   }
   if (code == kDrain) {
-    const double left = in.take_number<double>("expires-in") * kSecondsPerMs;
-    decide(instance, [&](AdmissionController& controller) { controller.on_drain(now, left); });
+    const double remaining = in.take_number<double>("expires-in") * kSecondsPerMs;
+    decide(instance, [&](AdmissionController& controller) { controller.on_drain(now, remaining); });
     return;
   }
   const auto id = in.take<std::uint64_t>();
@@ -251,17 +252,17 @@
   }
 }
 
-// False at the end of the stream; a frame cut off in the middle is malformed.
+// Returns false at the end of the stream. Throws MalformedInput if the stream ends in the middle of a frame.
 bool read_fully(char* into, std::size_t count, bool may_end) {
   const std::size_t got = std::fread(into, 1, count, stdin);
   if (got == count) return true;
   if (got == 0 && may_end && std::feof(stdin) != 0) return false;
-  throw MalformedInput("the input ends in the middle of a frame");
+  throw MalformedInput("truncated input: it ends in the middle of a frame");
 }
 
 void write_fully(const std::string& bytes) {
   if (std::fwrite(bytes.data(), 1, bytes.size(), stdout) != bytes.size())
-    throw MalformedInput("cannot write a reply");
+    throw MalformedInput("cannot write a reply to standard output");
 }
 
 void serve() {
@@ -275,13 +276,13 @@
     const auto count = fields.take<std::uint32_t>();
     const auto length = fields.take<std::uint32_t>();
     const double now = fields.take_number<double>("the clock") * kSecondsPerMs;
-    if (length > kMaxBatchBytes) throw MalformedInput("a batch longer than any that can be meant");
+    if (length > kMaxBatchBytes) throw MalformedInput("batch length exceeds the limit of 1 GiB");
     body.resize(length);
     if (length > 0) read_fully(body.data(), length, false);
     Reader in(body);
     out.clear();
     for (std::uint32_t i = 0; i < count; ++i) handle_record(in, now, instances, out);
-    if (!in.at_end()) throw MalformedInput("a batch holds more bytes than its records");
+    if (!in.at_end()) throw MalformedInput("trailing bytes after the last record of a batch");
     header.clear();
     header.put(out.records());
     header.put(static_cast<std::uint32_t>(out.bytes().size()));
--- a/src/control/lines.cpp
+++ b/src/control/lines.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::string_view kOk = "ok ";
 constexpr std::string_view kError = "error ";
-constexpr std::size_t kMaxHeaderBytes = 64;  // the first line of an answer that is no error
+constexpr std::size_t kMaxHeaderBytes = 64;  // the first line of a response that is not an error
 
 bool is_printable(std::string_view text) {
   return std::all_of(text.begin(), text.end(), [](char c) { return c >= ' ' && c < 0x7f; });
--- a/src/control/lines.h
+++ b/src/control/lines.h
@@ -1,8 +1,7 @@
-// The protocol of the control socket: a query is one line of tokens, its answer is framed by its length. A
-// codec.
+// Codec for the protocol of the control socket. A query is one line of tokens; a response carries its length.
 //
-//   request  = word *(SP word) LF               at most 256 bytes
-//   answer   = "ok" SP length LF text           or "error" SP text LF
+//   query     = token *(SP token) LF            at most 256 bytes
+//   response  = "ok" SP length LF text          or "error" SP text LF
 #pragma once
 
 #include <cstddef>
@@ -13,11 +12,11 @@
 
 namespace damsonspoke::control {
 
-constexpr std::size_t kMaxQueryBytes = 256;            // with its line feed
-constexpr std::size_t kMaxResponseBytes = 256 * 1024;  // of text
+constexpr std::size_t kMaxQueryBytes = 256;            // including the line feed
+constexpr std::size_t kMaxResponseBytes = 256 * 1024;  // of the text
 constexpr std::size_t kMaxTokens = 8;
 
-// More bytes are needed; the message is complete; it is malformed.
+// Whether more bytes are needed, or the message is complete or malformed.
 enum class ParseStatus { kNeedMore, kComplete, kMalformed };
 struct Query {
   ParseStatus state = ParseStatus::kNeedMore;
@@ -32,7 +31,7 @@
   std::string text;
 };
 Response parse_response(std::string_view input);
-// Text over the bound is cut at the end of a line.
+// Text that exceeds kMaxResponseBytes is truncated at the end of a line.
 std::string encode_response(std::string_view text);
 std::string encode_error(std::string_view text);
 
--- a/src/control/server.cpp
+++ b/src/control/server.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr std::size_t kMaxOpenQueries = 4;
-constexpr double kQueryTimeoutSeconds = 1;  // from the connection to the end of the answer
+constexpr double kQueryTimeoutSeconds = 1;  // from accepting the connection to the end of the response
 constexpr int kListenBacklog = 8;           // connections
 
 sockaddr_un address_of(const std::string& path) {
@@ -27,18 +27,19 @@
   return out;
 }
 
-// Only its owner may enter it: whoever can reach the socket may send queries.
+// Checks that only the owner may enter the folder, because every process that can reach the socket may send
+// queries.
 void check_private(const std::string& folder) {
   struct stat status {};
   if (::stat(folder.c_str(), &status) != 0)
     throw std::runtime_error("control: folder '" + folder + "': " + std::strerror(errno));
-  if (!S_ISDIR(status.st_mode)) throw std::runtime_error("control: '" + folder + "' is no folder");
+  if (!S_ISDIR(status.st_mode)) throw std::runtime_error("control: '" + folder + "' is not a folder");
   if (status.st_uid != ::geteuid() || (status.st_mode & 077) != 0)
     throw std::runtime_error("control: folder '" + folder +
-                             "' is not private: it has to be ours, with mode 700");
+                             "' is not private: this user must own it and its mode must be 700");
 }
 
-// Owns a socket of the asking side.
+// Owns the socket of a client.
 struct Socket {
   int fd = ::socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0);
   Socket() = default;
@@ -57,23 +58,24 @@
 int listen_at(const std::string& path) {
   const sockaddr_un address = address_of(path);
   {
-    // A socket that a killed process left behind refuses connections; one that accepts has an owner.
+    // The socket that a killed process left behind refuses connections. One that accepts belongs to a running
+    // process.
     Socket probe;
     if (probe.fd >= 0 && connect_to(path, probe.fd) == 0)
-      throw std::runtime_error("control: another process answers at '" + path + "'");
+      throw std::runtime_error("control: another process listens on '" + path + "'");
   }
   struct stat status {};
   if (::lstat(path.c_str(), &status) == 0) {
-    if (!S_ISSOCK(status.st_mode)) throw std::runtime_error("control: '" + path + "' is no socket");
+    if (!S_ISSOCK(status.st_mode)) throw std::runtime_error("control: '" + path + "' is not a socket");
     ::unlink(path.c_str());
   }
   const int fd = ::socket(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-  if (fd < 0) throw std::runtime_error("control: cannot make a socket");
+  if (fd < 0) throw std::runtime_error("control: cannot create a socket");
   if (::bind(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0 ||
       ::listen(fd, kListenBacklog) != 0) {
     const std::string reason = std::strerror(errno);
     ::close(fd);
-    throw std::runtime_error("control: cannot listen at '" + path + "': " + reason);
+    throw std::runtime_error("control: cannot listen on '" + path + "': " + reason);
   }
   return fd;
 }
@@ -112,7 +114,8 @@
 
 std::string Server::handle(const std::vector<std::string>& tokens) const {
   const auto found = handlers_.find(tokens.front());
-  if (found == handlers_.end()) return encode_error("'" + tokens.front() + "' is not answered here");
+  if (found == handlers_.end())
+    return encode_error("'" + tokens.front() + "' is not a query of this process");
   try {
     return encode_response(found->second(tokens));
   } catch (const std::exception& error) {
@@ -127,8 +130,8 @@
   if (query.state == ParseStatus::kNeedMore) return 0;
   found->second.is_answered = true;
   if (query.state == ParseStatus::kMalformed) {
-    log_.debug("control", "a question that can't be read");
-    connection.send(encode_error("no question: one line of words"));
+    log_.debug("control", "malformed query rejected");
+    connection.send(encode_error("malformed query: expected one line of tokens"));
   } else {
     connection.send(handle(query.tokens));
   }
@@ -150,15 +153,17 @@
   queries_.erase(found);
 }
 
-std::string send_query(const std::string& folder, const std::vector<std::string>& tokens, double seconds) {
+std::string send_query(const std::string& folder, const std::vector<std::string>& tokens,
+                       double timeout_seconds) {
   const std::string path = socket_path(folder);
   Socket socket;
-  const timeval timeout{static_cast<time_t>(seconds),
-                        static_cast<suseconds_t>((seconds - static_cast<long>(seconds)) * 1e6)};
+  const timeval timeout{
+      static_cast<time_t>(timeout_seconds),
+      static_cast<suseconds_t>((timeout_seconds - static_cast<long>(timeout_seconds)) * 1e6)};
   ::setsockopt(socket.fd, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
   ::setsockopt(socket.fd, SOL_SOCKET, SO_SNDTIMEO, &timeout, sizeof timeout);
   if (connect_to(path, socket.fd) != 0)
-    throw std::runtime_error("nobody answers at '" + path + "': " + std::strerror(errno));
+    throw std::runtime_error("no process listens on '" + path + "': " + std::strerror(errno));
   const std::string query = encode_query(tokens);
   std::string input;
   if (::send(socket.fd, query.data(), query.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(query.size())) {
@@ -172,7 +177,7 @@
       return response.text;
     }
   }
-  throw std::runtime_error("no whole answer came from '" + path + "'");
+  throw std::runtime_error("no complete response from '" + path + "'");
 }
 
 }  // namespace damsonspoke::control
--- a/src/observability/counters.h
+++ b/src/observability/counters.h
@@ -1,5 +1,5 @@
-// The counters of the program, one row each in counters.def. Plain numbers that every layer may raise;
-// printed as one block on SIGUSR1 and at exit.
+// The counters of the program, defined in counters.def. Every layer may increment them. They are printed as
+// one block on SIGUSR1 and at exit.
 #pragma once
 
 #include <algorithm>
@@ -20,14 +20,14 @@
 class Counters {
  public:
   void add(Count counter, std::uint64_t by = 1) { value(counter) += by; }
-  // For gauges: the present value.
+  // Sets the current value of a gauge.
   void set(Count counter, std::uint64_t value_now) { value(counter) = value_now; }
-  // Raises the counter to the value where that is higher.
+  // Raises the counter to `candidate` if that is higher.
   void update_max(Count counter, std::uint64_t candidate) {
     value(counter) = std::max(value(counter), candidate);
   }
   std::uint64_t operator[](Count counter) const { return values_[static_cast<std::size_t>(counter)]; }
-  // All counters, one a line, below the line "counters:".
+  // All counters, one per line, after the line "counters:".
   [[nodiscard]] std::string report() const;
 
  private:
--- a/src/observability/invariants.h
+++ b/src/observability/invariants.h
@@ -1,4 +1,4 @@
-// Invariants of the program: asserted in debug builds, counted in release builds.
+// Checks of invariants: a violation aborts a debug build and is counted by a release build.
 #pragma once
 
 #include <cassert>
@@ -7,7 +7,7 @@
 
 namespace damsonspoke {
 
-// Returns whether the invariant holds, so that a release build can take the safe way where it does not.
+// Returns whether the invariant holds, so that a release build can recover if it does not.
 inline bool check_invariant(bool holds, Counters& counters) {
   assert(holds);
   if (!holds) counters.add(Count::kInvariantsBroken);
--- a/src/observability/logger.cpp
+++ b/src/observability/logger.cpp
@@ -12,7 +12,7 @@
 namespace damsonspoke {
 namespace {
 
-constexpr int kMaxLinesPerSecond = 50;  // a peer that sends garbage must not fill the log
+constexpr int kMaxLinesPerSecond = 50;  // so that a peer that sends garbage can't fill the log
 constexpr std::size_t kMaxLineBytes = 1000;
 
 spdlog::level::level_enum level_for(Level level) {
@@ -66,7 +66,7 @@
   return std::nullopt;
 }
 
-// One thread writes, so sinks without locks suffice. The formatter adds the end of the line.
+// Sinks without locks suffice, because only one thread writes. The formatter adds the line feed.
 Logger::Logger(Level level, LogFormat format)
     : level_(level), format_(format), sink_(std::make_shared<spdlog::sinks::stderr_sink_st>()) {
   const char* pattern =
--- a/src/observability/logger.h
+++ b/src/observability/logger.h
@@ -1,6 +1,6 @@
-// Log lines on standard error, as text (`time level component: text`) or as one JSON object a line, written
-// by spdlog. Like the counters and the invariants it depends on nothing else of the project, so that every
-// layer may use it.
+// Writes log lines to standard error by spdlog, as text (`time level component: text`) or as one JSON object
+// per line. Like the counters and the invariants, the logger depends on no other module of the project, so
+// that every layer may use it.
 #pragma once
 
 #include <fmt/format.h>
@@ -21,11 +21,11 @@
 enum class Level { kError, kWarning, kInfo, kDebug };
 enum class LogFormat { kText, kJson };
 
-// None: no level, or no form, of that name.
+// Nothing if there is no level or format of that name.
 std::optional<Level> parse_level(std::string_view name);
 std::optional<LogFormat> parse_log_format(std::string_view name);
 
-// A named value of a log line: ` name=value` behind the text, a member of its own in JSON.
+// A named value of a log line: ` name=value` after the text, or a separate member in JSON.
 struct Field {
   std::string_view name;
   std::string value;
@@ -38,10 +38,10 @@
       : name(n), value(fmt::format("{}", v)), is_number(true) {}
 };
 
-// At most 50 lines a second are written; the others are counted. For one thread.
+// At most 50 lines per second are written; the others are counted as suppressed. Not thread-safe.
 class Logger {
  public:
-  // Lines above the level are not written.
+  // Lines less severe than `level` are not written.
   explicit Logger(Level level, LogFormat form = LogFormat::kText);
 
   template <typename... Args>
@@ -60,12 +60,12 @@
   void debug(std::string_view component, fmt::format_string<Args...> text, Args&&... args) {
     line(Level::kDebug, component, text, std::forward<Args>(args)...);
   }
-  // A line with named values.
+  // Writes a line with named values.
   void event(Level level, std::string_view component, std::string_view text,
              std::initializer_list<Field> fields) {
     if (level <= level_) write(level, component, text, fields);
   }
-  // Writes the text as it is, whatever the level: for reports that an operator has asked for.
+  // Writes the text unchanged and regardless of the level, for reports that an operator requested.
   void write_raw(std::string_view text);
   [[nodiscard]] std::uint64_t suppressed_lines() const { return suppressed_lines_; }
 
@@ -82,8 +82,8 @@
   Level level_;
   LogFormat format_;
   std::shared_ptr<spdlog::sinks::sink> sink_;
-  std::int64_t second_ = 0;  // the second in which lines_ were written
-  int lines_ = 0;            // written in it
+  std::int64_t second_ = 0;  // the Unix second to which lines_ belongs
+  int lines_ = 0;            // written in this second, including suppressed ones
   std::uint64_t suppressed_lines_ = 0;
 };
 
--- a/src/settings/ajp_routes.cpp
+++ b/src/settings/ajp_routes.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::size_t kMaxSegments = 32;
 constexpr double kMinSizeKb = 1;
-constexpr double kMaxSizeKb = 2000;  // exclusive; as for requests by JSON-RPC
+constexpr double kMaxSizeKb = 2000;  // exclusive; the same as for JSON-RPC requests
 constexpr std::size_t kMinWords = 3;
 
 // ---- Grammar.
@@ -127,22 +127,22 @@
 // Reads one `name=value`. Returns the text of an error.
 std::optional<std::string> read_option(const std::string& word, AjpRoute& route) {
   const std::size_t equals = word.find('=');
-  if (equals == std::string::npos) return quoted_name(word) + " is no name=value";
+  if (equals == std::string::npos) return quoted_name(word) + " is not of the form name=value";
   const std::string name = word.substr(0, equals);
   const std::string value = word.substr(equals + 1);
   if (name == "held") return read_held(value, route);
   AjpSource* source = find_source(route, name);
   if (source == nullptr) return quoted_name(name) + " is none of key, caller, subject, wait, held";
-  if (source->is_set()) return quoted_name(name) + " stands twice";
+  if (source->is_set()) return quoted_name(name) + " is given twice";
   if (!parses<SourceWord, SourceAction>(value, *source))
     return quoted_name(name) + " expects header:NAME, query:NAME or path:N";
   const auto wildcards = std::count(route.segments.begin(), route.segments.end(), "*");
   if (source->from == AjpSource::From::kPath && source->wildcard > wildcards)
-    return quoted_name(name) + " names a * that the pattern does not have";
+    return quoted_name(name) + " refers to a * that the pattern does not have";
   return std::nullopt;
 }
 
-// Whether two readers might read the segment differently.
+// Whether a gateway might interpret the segment differently than this program does.
 bool is_ambiguous(std::string_view segment) {
   return segment.empty() || segment == "." || segment == ".." ||
          std::any_of(segment.begin(), segment.end(), [](char c) {
@@ -170,14 +170,14 @@
 
 std::variant<AjpRoute, AjpRouteError> read_ajp_route(const std::vector<std::string>& words) {
   AjpRoute route;
-  if (words.size() < kMinWords) return AjpRouteError{0, "'map' expects a method, a pattern and an op type"};
-  if (!parses<MethodWord>(words[0])) return AjpRouteError{0, "'" + words[0] + "' is no method"};
+  if (words.size() < kMinWords) return AjpRouteError{0, "'map' expects a method, a path pattern and a route"};
+  if (!parses<MethodWord>(words[0])) return AjpRouteError{0, "'" + words[0] + "' is not a method"};
   route.method = words[0];
   if (!parses<PatternWord, PatternAction>(words[1], route) || route.segments.size() > kMaxSegments)
-    return AjpRouteError{1, "'" + words[1] + "' is no pattern of paths"};
+    return AjpRouteError{1, "'" + words[1] + "' is not a path pattern"};
   if (std::any_of(route.segments.begin(), route.segments.end(),
                   [](const std::string& segment) { return segment == "." || segment == ".."; }))
-    return AjpRouteError{1, "'" + words[1] + "' has a segment that no path may have"};
+    return AjpRouteError{1, "'" + words[1] + "' has a segment '.' or '..', which no path may have"};
   route.route = words[2];
   for (std::size_t i = kMinWords; i < words.size(); ++i) {
     if (const auto error = read_option(words[i], route)) return AjpRouteError{i, *error};
--- a/src/settings/ajp_routes.h
+++ b/src/settings/ajp_routes.h
@@ -1,14 +1,14 @@
-// The operators' table that maps HTTP requests to routes: a method and a pattern of paths to a route, and
-// where the other parts of a request are found. Pure: lines of words in, a table; a request's method and path
-// in, what it maps to. Grammar: PEGTL.
+// The operators' table that maps HTTP requests to routes by method and path pattern, and names the headers,
+// query fields and path segments that hold the other parts of a request. Pure functions without I/O; the
+// grammar uses PEGTL.
 //
 //   map POST /hotels/*/close  close  key=header:idempotency-key caller=path:1 wait=header:x-wait-ms held=16
 //   map GET  /rates/**        rates  subject=query:room caller=header:x-hotel
 //   map GET  /ping            health
 //
 // A pattern consists of literal segments, `*` (one segment) and, at the end, `**` (any number of segments).
-// The first line that matches counts. A path with `.`, `..`, empty or escaped segments matches none, because
-// two readers might read it differently.
+// The first line that matches is used. A path with `.`, `..`, empty or escaped segments matches none, because
+// the gateway and this program might interpret it differently.
 #pragma once
 
 #include <optional>
@@ -19,24 +19,24 @@
 
 namespace damsonspoke {
 
-// The name in place of a route that maps a request to the health check.
+// Stands in place of a route and maps a request to the health check.
 constexpr std::string_view kAjpHealthRoute = "health";
 
-// Where a value stands in a request.
+// The part of a request that holds a value.
 struct AjpSource {
   enum class From { kNowhere, kHeader, kQuery, kPath } from = From::kNowhere;
-  std::string name;  // of a header, in lower case, or of a query's field
-  int wildcard = 0;  // with kPath: which `*` of the pattern, from 1
+  std::string name;  // of a header, in lower case, or of a query field
+  int wildcard = 0;  // with kPath: the number of the `*` in the pattern, from 1
   [[nodiscard]] bool is_set() const { return from != From::kNowhere; }
 };
 
 struct AjpRoute {
   std::string method;
-  std::vector<std::string> segments;  // "*" for any one
+  std::vector<std::string> segments;  // "*" matches any one segment
   bool matches_rest = false;          // the pattern ends with `**`
   std::string route;                  // or kAjpHealthRoute
   AjpSource key, caller, subject, wait;
-  double size_kb = 10;  // charged for a request until it has run
+  double size_kb = 10;  // memory charged for a request until its run ends
 };
 
 struct AjpRouteError {
@@ -46,7 +46,7 @@
 // Reads the words of a line after `map`.
 [[nodiscard]] std::variant<AjpRoute, AjpRouteError> read_ajp_route(const std::vector<std::string>& words);
 
-// The segments of a path; nothing when the path is ambiguous, see above.
+// The segments of a path; nothing if the path is ambiguous, see above.
 [[nodiscard]] std::optional<std::vector<std::string_view>> path_segments(std::string_view path);
 
 struct AjpMatch {
@@ -61,7 +61,7 @@
 [[nodiscard]] std::variant<AjpMatch, AjpNoMatch> match(const std::vector<AjpRoute>& routes,
                                                        std::string_view method, std::string_view path);
 
-// The value of a query's field, without unescaping it; nothing when the field is absent.
+// The value of a query field, still escaped; nothing if the field is absent.
 [[nodiscard]] std::optional<std::string_view> query_field(std::string_view query, std::string_view name);
 
 }  // namespace damsonspoke
--- a/src/settings/config.cpp
+++ b/src/settings/config.cpp
@@ -20,13 +20,14 @@
 constexpr unsigned kMaxPort = 65535;
 constexpr double kMaxNumber = 1e9;
 constexpr double kMinCores = 0.01;
-constexpr int kMinSockets = 64;      // with fewer, the peers and the listener leave none for callers
-constexpr double kMinMemoryMb = 16;  // the program and its buffers at rest
-// Parsed JSON takes about ten times its text. A larger site belongs into a catalog (src/catalog).
+constexpr int kMinSockets =
+    64;  // with fewer, none would be left for callers beside the peers and the listener
+constexpr double kMinMemoryMb = 16;  // the program and its buffers without load
+// Parsed JSON takes about ten times the memory of its text. A larger site needs a catalog (src/catalog).
 constexpr std::size_t kMaxFileBytes = std::size_t{16} << 20;
-constexpr std::size_t kMaxNameBytes = 1024;  // as in the catalog
+constexpr std::size_t kMaxNameBytes = 1024;  // the same as in the catalog
 constexpr std::size_t kReadBytes = 16 * 1024;
-constexpr const char* kBlanks = " \t\r\n";
+constexpr const char* kWhitespace = " \t\r\n";
 
 [[noreturn]] void throw_invalid(const std::string& key, const std::string& what) {
   throw SettingsError("configuration: '" + key + "' " + what);
@@ -46,7 +47,7 @@
   return value;
 }
 
-// A numeric address, because there is no name service.
+// Reads address:port. The address must be numeric, because names are not resolved.
 std::string read_address(const Json& top, const char* key, Presence presence) {
   std::string value = read_text(top, key, presence);
   if (value.empty()) return value;
@@ -69,19 +70,20 @@
   return value;
 }
 
-// Requests name their route and their tenant by one word, so names must be unique words. Linear in the number
-// of names.
+// Checks that names are unique and free of whitespace, since requests refer to their route and tenant by
+// name. Takes linear time.
 void check_names(const std::vector<std::string>& names, const std::string& key) {
   std::unordered_map<std::string_view, std::size_t> positions;
   positions.reserve(names.size());
   for (std::size_t i = 0; i < names.size(); ++i) {
-    if (names[i].empty() || names[i].find_first_of(kBlanks) != std::string::npos)
-      throw_invalid(key, fmt::format("has an entry without a 'name' of one word: entry {}", i + 1));
+    if (names[i].empty() || names[i].find_first_of(kWhitespace) != std::string::npos)
+      throw_invalid(
+          key, fmt::format("has an entry whose 'name' is missing or contains whitespace: entry {}", i + 1));
     if (names[i].size() > kMaxNameBytes)
-      throw_invalid(key, fmt::format("has a name of more than {} bytes: entry {}", kMaxNameBytes, i + 1));
+      throw_invalid(key, fmt::format("has a name longer than {} bytes: entry {}", kMaxNameBytes, i + 1));
     const auto [first, added] = positions.emplace(names[i], i);
     if (!added)
-      throw_invalid(key, fmt::format("has two entries of one name: '{}', entries {} and {}", names[i],
+      throw_invalid(key, fmt::format("has two entries with the name '{}': entries {} and {}", names[i],
                                      first->second + 1, i + 1));
   }
 }
@@ -92,7 +94,7 @@
   std::uint64_t seed = 0;
   const auto [stop, error] = std::from_chars(text.data(), text.data() + text.size(), seed, 16);
   if (error != std::errc() || stop != text.data() + text.size())
-    throw_invalid("seed", "is not up to 16 hex digits");
+    throw_invalid("seed", "is not a number of up to 16 hex digits");
   return seed;
 }
 
@@ -123,7 +125,8 @@
   if (!top.is_object()) throw SettingsError("configuration: not a JSON object");
   Config config;
   config.name = read_text(top, "name", Presence::kRequired);
-  if (config.name.find_first_of(kBlanks) != std::string::npos) throw_invalid("name", "holds a blank");
+  if (config.name.find_first_of(kWhitespace) != std::string::npos)
+    throw_invalid("name", "contains whitespace");
   config.listen = read_address(top, "listen", Presence::kRequired);
   config.runtime = read_address(top, "runtime", Presence::kRequired);
   config.registry = read_address(top, "roster", Presence::kRequired);
@@ -133,7 +136,7 @@
   config.limits = read_limits(top);
   config.site = read_site(top);
   if (config.site.admission.dependency != DependencyKind::kOff && config.dependency.empty())
-    throw_invalid("backend", "is missing, but the settings have a layer below");
+    throw_invalid("backend", "is missing, but the settings enable calls to a dependency");
   return config;
 }
 
--- a/src/settings/config.h
+++ b/src/settings/config.h
@@ -1,5 +1,5 @@
-// The configuration that the platform gives a backend process at its start: addresses, resource limits and
-// the settings of its site.
+// The configuration file of a process, written by the platform: addresses, resource limits and the settings
+// of its site.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +10,7 @@
 
 namespace damsonspoke {
 
-// What the process may use.
+// Resources that the process may use.
 struct Limits {
   double cores = 1;
   double memory_mb = 192;
@@ -22,19 +22,19 @@
   std::string name;
   std::string listen;
   std::string runtime;     // runs the requests, on the same machine
-  std::string dependency;  // may be empty when no route calls it
+  std::string dependency;  // may be empty if no route calls it
   std::string registry;
   std::uint64_t seed = 0;
-  double stop_after = 0;  // seconds from the signal to shut down until the process is killed
+  double stop_after = 0;  // seconds from the shutdown signal until the process is killed
   Limits limits;
   StartSettings site;
 };
 
-// Throw SettingsError with one line that names the file or the key.
+// Throw SettingsError with a message of one line that names the file or the key.
 Config read_config(const std::string& path);
 Config parse_config(const std::string& text);
 
-// Everything that configures one process; read again on SIGHUP.
+// The complete configuration of one process; read again on SIGHUP.
 struct ProcessConfig {
   Config config;
   OperatorOptions options;
--- a/src/settings/config_validation.cpp
+++ b/src/settings/config_validation.cpp
@@ -12,11 +12,11 @@
 
 constexpr double kBytesPerKb = 1024;
 constexpr double kBytesPerMb = 1024 * 1024;
-// Of the memory limit; the peers, the program itself and open requests share the rest.
+// Share of the memory limit; the rest is for the peers, the program itself and requests in flight.
 constexpr double kResultsMemoryShare = 0.2;
-constexpr double kMaxDefaultResultsBytes = 8 * kBytesPerMb;  // as the default of the directive
-constexpr std::size_t kDefaultEntryBytes = 400;              // of a key without its result
-constexpr std::size_t kDefaultMaxKeyBytes = 255;             // the most that the directive allows
+constexpr double kMaxDefaultResultsBytes = 8 * kBytesPerMb;  // the default of the directive `memory`
+constexpr std::size_t kDefaultEntryBytes = 400;              // for a key without its result
+constexpr std::size_t kDefaultMaxKeyBytes = 255;             // the maximum of the directive `key-length`
 constexpr double kDefaultStoreTimeoutSeconds = 1;
 
 double max_results_bytes(const Config& config) {
@@ -34,15 +34,18 @@
   for (const std::string& name : results.digest) {
     const std::optional<std::size_t> route = find_route(config.site, name);
     if (!route)
-      return UnsupportedConfig{"results", fmt::format("digest names '{}', which is no op type here", name)};
+      return UnsupportedConfig{"results",
+                               fmt::format("digest names '{}', which is not a route of the settings", name)};
     if (config.site.admission.routes[*route].idempotency != Idempotency::kWithKey)
       return UnsupportedConfig{
-          "results", fmt::format("digest names '{}', which is not keyed: its ops are not remembered", name)};
+          "results",
+          fmt::format("digest names '{}', which is not a keyed route: its requests are not remembered",
+                      name)};
   }
   const double max_bytes = max_results_bytes(config);
   if (static_cast<double>(results.memory) > max_bytes)
     return UnsupportedConfig{"results",
-                             fmt::format("memory is over {}K, a fifth of this backend's memory limit",
+                             fmt::format("memory exceeds {}K, a fifth of this backend's memory limit",
                                          static_cast<int>(max_bytes / kBytesPerKb))};
   return std::nullopt;
 }
@@ -54,20 +57,23 @@
 Unsupported check_ajp(const Config& config, const AjpOptions& ajp) {
   if (!ajp.dependency.empty() && ajp.dependency_path.front() != '/')
     return UnsupportedConfig{"ajp",
-                             fmt::format("below-path '{}' does not begin with /", ajp.dependency_path)};
+                             fmt::format("below-path '{}' does not start with /", ajp.dependency_path)};
   if (ajp.listen.empty()) return std::nullopt;
   if (!config.site.admission.tenants.empty())
     return UnsupportedConfig{
-        "ajp", "it listens, but the settings have 'customers', and requests by AJP do not name theirs"};
+        "ajp",
+        "'listen' is set, but the settings have 'customers', and AJP requests do not name their tenant"};
   if (ajp.routes.empty())
-    return UnsupportedConfig{"ajp", "it listens, but no 'map' says what a request means"};
+    return UnsupportedConfig{"ajp", "'listen' is set, but no 'map' maps requests to routes"};
   if (ajp.secret.empty() && !is_loopback(ajp.listen))
     return UnsupportedConfig{
-        "ajp", fmt::format("no secret; on '{}', which is no loopback address, anybody could be a gateway",
-                           ajp.listen)};
+        "ajp",
+        fmt::format("'secret' is missing: '{}' is not a loopback address, so any host could act as a gateway",
+                    ajp.listen)};
   for (const AjpRoute& mapping : ajp.routes) {
     if (mapping.route != kAjpHealthRoute && !find_route(config.site, mapping.route))
-      return UnsupportedConfig{"ajp", fmt::format("map names '{}', which is no op type here", mapping.route)};
+      return UnsupportedConfig{
+          "ajp", fmt::format("map names '{}', which is not a route of the settings", mapping.route)};
   }
   return std::nullopt;
 }
@@ -76,28 +82,30 @@
   if (options.catalog.folder.empty()) return std::nullopt;
   if (!options.ajp.listen.empty())
     return UnsupportedConfig{"catalog",
-                             "has a folder, but AJP callers go by the op types of the settings alone"};
+                             "'folder' is set, but AJP callers use the routes of the settings only"};
   if (options.statistics.enabled)
-    return UnsupportedConfig{"catalog",
-                             "has a folder, but knowledge is kept by the op types of the settings alone"};
+    return UnsupportedConfig{
+        "catalog", "'folder' is set, but statistics are learned for the routes of the settings only"};
   return std::nullopt;
 }
 
 Unsupported check_statistics(const StatisticsPersistenceOptions& statistics) {
   if (statistics.enabled && statistics.folder.empty())
-    return UnsupportedConfig{"knowledge", "enabled, but no folder is named"};
+    return UnsupportedConfig{"knowledge", "enabled, but 'folder' is missing"};
   return std::nullopt;
 }
 
 Unsupported check_settings(const StartSettings& site) {
-  // Without hints the work of a request is unknown, so that it could not be valued by it.
+  // Without hints the work of a request is unknown, so the request can't be valued by it.
   if (site.counted_by_work && !site.has_work_hints)
-    return UnsupportedConfig{"settings",
-                             "'counted-by' is 'work', but 'hints' is 'none': no op would tell its work"};
+    return UnsupportedConfig{
+        "settings", "'counted-by' is 'work', but 'hints' is 'none': the work of requests would be unknown"};
   if (site.admission.load_feedback != LoadFeedback::kOff)
-    return UnsupportedConfig{"settings", "'say' is not off; this program announces nothing on sockets yet"};
+    return UnsupportedConfig{"settings",
+                             "'say' is not off, but this program does not send load feedback yet"};
   if (site.admission.dependency == DependencyKind::kTier)
-    return UnsupportedConfig{"settings", "'below' is a tier; this program calls a shared layer only"};
+    return UnsupportedConfig{"settings",
+                             "'below' is 'tier', but this program supports a shared dependency only"};
   return std::nullopt;
 }
 
--- a/src/settings/config_validation.h
+++ b/src/settings/config_validation.h
@@ -1,4 +1,4 @@
-// Checks that a configuration and the operators' options fit together and are supported.
+// Checks that a configuration and the operators' options are consistent and supported.
 #pragma once
 
 #include <optional>
@@ -17,13 +17,13 @@
 // "SECTION: REASON"
 std::string to_string(const UnsupportedConfig& unsupported);
 
-// The first unsupported combination; nothing when the program supports all that is configured.
+// The first unsupported combination; nothing if the whole configuration is supported.
 [[nodiscard]] std::optional<UnsupportedConfig> find_unsupported(const Config& config,
                                                                 const OperatorOptions& options);
 
-// Enables the idempotency cache in memory where the settings need it, but operators have not enabled results:
-// for routes with keys, and for answers that requests may share. `key_field`: the member of the protocol that
-// holds a key.
+// Enables the idempotency cache in memory if the settings need it, for routes with keys or for answers that
+// requests may share, and operators have not enabled section `results`. `key_field`: the protocol's parameter
+// that holds a key.
 void enable_required_results(const Config& config, const std::string& key_field, OperatorOptions& options);
 
 }  // namespace damsonspoke
--- a/src/settings/operator_file.cpp
+++ b/src/settings/operator_file.cpp
@@ -43,13 +43,13 @@
   }
 }
 
-// Whether all words of the directive have to be addresses or networks.
+// Whether all words of the directive must be addresses or networks.
 bool expects_prefixes(const Directive& directive) {
   return (directive.section == "gate" && directive.name == "known") ||
          (directive.section == "members" && directive.name == "peers");
 }
 
-// Adds the values of a file, line by line, or their errors.
+// Checks a file line by line and adds its values and errors to the OperatorFile.
 class Checker {
  public:
   explicit Checker(OperatorFile& file) : file_(file) {}
@@ -69,9 +69,9 @@
     is_section_invalid_ = true;  // errors that follow from an invalid section are not reported
     if (!is_section(name.text))
       return add_error(line, name,
-                       fmt::format("'{}' is no section{}", name.text, hint(nearest_section(name.text))));
+                       fmt::format("'{}' is not a section{}", name.text, hint(nearest_section(name.text))));
     if (line.words.size() > 1)
-      return add_error(line, line.words[1], fmt::format("section '{}' takes no more words", name.text));
+      return add_error(line, line.words[1], fmt::format("unexpected word after section '{}'", name.text));
     section_ = name.text;
     is_section_invalid_ = false;
   }
@@ -79,13 +79,14 @@
   void add_directive(const OperatorLine& line) {
     const OperatorWord& name = line.words.front();
     if (section_.empty()) {
-      if (!is_section_invalid_) add_error(line, name, fmt::format("'{}' stands in no section", name.text));
+      if (!is_section_invalid_)
+        add_error(line, name, fmt::format("directive '{}' is outside of a section", name.text));
       return;
     }
     const Directive* directive = find_directive(section_, name.text);
     if (directive == nullptr)
       return add_error(line, name,
-                       fmt::format("'{}' is no directive of section '{}'{}", name.text, section_,
+                       fmt::format("'{}' is not a directive of section '{}'{}", name.text, section_,
                                    hint(nearest_directive(section_, name.text))));
     std::vector<std::string> words;
     for (std::size_t i = 1; i < line.words.size(); ++i) words.push_back(line.words[i].text);
@@ -102,7 +103,7 @@
   bool check_prefixes(const OperatorLine& line, const std::vector<std::string>& words) {
     for (std::size_t i = 0; i < words.size(); ++i) {
       if (conns::parse_prefix(words[i])) continue;
-      add_error(line, line.words[i + 1], fmt::format("'{}' is no address or network", words[i]));
+      add_error(line, line.words[i + 1], fmt::format("'{}' is not an address or network", words[i]));
       return false;
     }
     return true;
@@ -112,12 +113,13 @@
     const OperatorWord& name = line.words.front();
     const auto [value, is_new] = file_.given.try_emplace({section_, name.text});
     if (!is_new)
-      return add_error(line, name,
-                       fmt::format("'{}' stands twice, first on line {}", name.text, value->second.line));
+      return add_error(
+          line, name,
+          fmt::format("duplicate directive '{}', first given on line {}", name.text, value->second.line));
     value->second = {std::move(words), line.line, {}};
   }
 
-  // A line of a table; each is checked by itself.
+  // Adds a line of a table. Each line is checked separately.
   void add_table_line(const OperatorLine& line, const std::string& name, std::vector<std::string> words) {
     if (section_ == "gate") {
       const auto group = read_client_group(words);
@@ -134,7 +136,7 @@
   }
 
   static std::string hint(const std::string& nearest) {
-    return nearest.empty() ? "" : fmt::format("; is '{}' meant?", nearest);
+    return nearest.empty() ? "" : fmt::format("; did you mean '{}'?", nearest);
   }
   void add_error(const OperatorLine& line, const OperatorWord& place, std::string text) {
     file_.errors.push_back({line.line, place.column, std::move(text)});
@@ -153,7 +155,7 @@
     if (!text.empty()) text += '\n';
     text += fmt::format("{}:{}:{}: {}", path, error.line, error.column, error.text);
   }
-  if (errors.size() > shown) text += fmt::format("\n{}: {} more", path, errors.size() - shown);
+  if (errors.size() > shown) text += fmt::format("\n{}: {} more errors", path, errors.size() - shown);
   return text;
 }
 
@@ -189,7 +191,7 @@
   }
   const std::string value =
       join_words(given != nullptr ? given->words : split_words(directive.default_value));
-  // A directive without a value can't be written; the comment keeps the output a valid file.
+  // A directive without a value is printed as a comment, so that the output is a valid file.
   if (value.empty()) return fmt::format("    # {} is not set ({})\n", directive.name, origin);
   return fmt::format("    {:<14} {:<20} # {}\n", directive.name, value, origin);
 }
--- a/src/settings/operator_lines.cpp
+++ b/src/settings/operator_lines.cpp
@@ -8,7 +8,7 @@
 
 namespace p = tao::pegtl;
 
-// ---- The lines.
+// ---- Grammar of lines.
 struct Blanks : p::plus<p::blank> {};
 struct Comment : p::seq<p::one<'#'>, p::until<p::at<p::eolf>>> {};
 struct PlainChar : p::not_one<' ', '\t', '\r', '\n', '"', '#', '\0'> {};
@@ -30,7 +30,7 @@
 
 struct ParseState {
   OperatorLines result;
-  std::vector<OperatorWord> words;  // of the line that is parsed
+  std::vector<OperatorWord> words;  // of the current line
 };
 
 std::string unescape(std::string_view text) {
@@ -77,7 +77,7 @@
     add_line(state, true, in.position().line);
   }
 };
-// A failed alternative of the grammar may have left words.
+// Discards words that a failed alternative of the grammar may have added.
 template <>
 struct Action<Indent> {
   static void apply0(ParseState& state) { state.words.clear(); }
@@ -92,15 +92,16 @@
     const bool is_unclosed = quote != std::string::npos && text.find('"', quote + 1) == std::string::npos;
     state.result.errors.push_back(
         {in.position().line, column,
-         is_unclosed ? "a quote that is not closed on its line"
-                     : "cannot be read: words are separated by blanks, quotes stand around whole words"});
+         is_unclosed
+             ? "unterminated quote: it must end on the same line"
+             : "invalid line: words must be separated by blanks, and quotes must enclose whole words"});
     state.words.clear();
   }
 };
 
-// ---- The values.
+// ---- Grammar of values.
 struct NumberText : p::seq<p::plus<p::digit>, p::opt<p::one<'.'>, p::plus<p::digit>>> {};
-struct WholeText : p::plus<p::digit> {};
+struct IntegerText : p::plus<p::digit> {};
 template <typename Unit>
 struct WithUnit : p::seq<NumberText, Unit, p::eof> {};
 struct SizeUnit : p::opt<p::one<'K', 'M', 'G'>> {};
@@ -187,7 +188,7 @@
 
 std::optional<double> read_count(std::string_view word) {
   p::memory_input in(word.data(), word.size(), "");
-  if (!p::parse<p::seq<WholeText, p::eof>>(in) || word.size() > kMaxCountDigits) return std::nullopt;
+  if (!p::parse<p::seq<IntegerText, p::eof>>(in) || word.size() > kMaxCountDigits) return std::nullopt;
   return std::strtod(std::string(word).c_str(), nullptr);
 }
 
--- a/src/settings/operator_schema.cpp
+++ b/src/settings/operator_schema.cpp
@@ -15,159 +15,187 @@
 constexpr double kBytesPerKb = 1024;
 constexpr double kMega = 1024 * kBytesPerKb;
 constexpr double kGiga = 1024 * kMega;
-constexpr std::size_t kMaxComparedBytes = 64;  // of a wrong name
+constexpr std::size_t kMaxComparedBytes = 64;  // of an unknown name
 
 constexpr auto kDirectives = std::to_array<Directive>({
     {"results", "enabled", Type::kFlag, "off", 0, 0, "",
-     "Answers repeats of keyed ops, and reads within `fresh`, from memory."},
+     "Answers duplicates of keyed requests, and repeated reads within `fresh`, from memory."},
     {"results", "memory", Type::kSize, "8M", 64 * kBytesPerKb, 4 * kGiga, "",
-     "Bytes that keys and results may take, the program's own share of each entry counted."},
-    {"results", "entries", Type::kCount, "20000", 16, 10e6, "", "Keys that may be remembered at once."},
+     "Maximum size of keys and results in memory, including the overhead of each entry."},
+    {"results", "entries", Type::kCount, "20000", 16, 10e6, "", "Maximum number of remembered keys."},
     {"results", "store", Type::kText, "", 0, 4096, "",
-     "The file in which keys and results survive a restart; without it they last as long as the process."},
+     "The file in which keys and results survive a restart; none: they are kept in memory only."},
     {"results", "safety", Type::kChoice, "process", 0, 0, "process power",
-     "What the store survives: a killed process, or a power cut too (each group of writes is synced)."},
+     "What the store survives: the end of the process, or also a power failure (each group of writes is "
+     "synced)."},
     {"results", "disk", Type::kSize, "256M", kMega, 64 * kGiga, "",
-     "Bytes that the store's file may take; a keyed op that finds it full is nacked."},
+     "Maximum size of the store's file; while it is full, keyed requests are rejected."},
     {"results", "queue", Type::kCount, "1024", 8, 100000, "",
-     "Writes that may wait for the store; a keyed op that finds the queue full is nacked."},
+     "Maximum number of writes that wait for the store; while the queue is full, keyed requests are "
+     "rejected."},
     {"results", "patience", Type::kDuration, "1s", 0.01, 60, "",
-     "How long a keyed op waits for its intent to be durable before it is nacked."},
+     "How long a keyed request waits for its intent to become durable before it is rejected."},
     {"results", "key-field", Type::kText, "key", 1, 64, "",
      "The member of a request's params that holds its key, a string."},
-    {"results", "key-length", Type::kCount, "64", 1, 255, "", "Bytes that a key may have at most."},
+    {"results", "key-length", Type::kCount, "64", 1, 255, "", "Maximum length of a key in bytes."},
     {"results", "digest", Type::kWords, "", 0, 64, "",
-     "Op types whose ops carry no key and are known by a digest of caller, type and body."},
+     "Routes whose requests carry no key and are identified by a digest of caller, route and body."},
     {"results", "digest-by", Type::kChoice, "caller", 0, 0, "caller body",
-     "Whether the caller's number is part of that digest, or only type and body are."},
+     "Whether the digest includes the caller's number, or only route and body."},
     {"knowledge", "enabled", Type::kFlag, "off", 0, 0, "",
-     "Starts with what the life before has learned, and writes what this one learns."},
+     "Restores at start-up the statistics that the previous process learned, and stores those of this "
+     "one."},
     {"knowledge", "folder", Type::kText, "", 0, 4096, "",
-     "The folder for it, one a backend; it has to be there."},
+     "The folder for the statistics, a separate one for each backend; it must exist."},
     {"knowledge", "interval", Type::kDuration, "30s", 0.2, 3600, "", "Time between two records."},
     {"knowledge", "half-life", Type::kDuration, "12h", 1, 30 * 86400.0, "",
-     "Age at which a record is believed half."},
+     "Age at which a record counts half."},
     {"knowledge", "most-age", Type::kDuration, "72h", 1, 90 * 86400.0, "",
-     "Age from which it is not believed at all."},
+     "Age from which a record is ignored."},
     {"knowledge", "weight", Type::kCount, "4", 1, 16, "",
-     "Runs that a fresh record weighs as, an op type; as many new ones outweigh it."},
+     "Number of runs, per route, that a fresh record counts as; the same number of new runs outweighs "
+     "it."},
     {"forward", "planners", Type::kWords, "", 0, 64, "",
-     "Addresses (address:port) of the planners that a forwarder passes ops on to."},
+     "Addresses (address:port) of the planners to which a forwarder forwards requests."},
     {"forward", "planners-from", Type::kChoice, "list", 0, 0, "list members",
-     "Whether planners are those of the list alone, or also those that members of the fleet tell."},
+     "Whether only the listed planners are used, or also those that members of the fleet report."},
     {"forward", "reload-spread", Type::kDuration, "10s", 0.05, 3600, "",
-     "Time in which all forwarders are given a new list of planners; until then keys that it moves run "
-     "nowhere new."},
+     "Time within which all forwarders receive a new list of planners; until then, requests whose keys "
+     "change their owner do not run at the new owner."},
     {"forward", "folder", Type::kText, "", 0, 4096, "",
-     "A folder, one a forwarder, for the lists of planners that it has gone by: a restart with another list "
-     "then moves keys as a reload does."},
+     "A folder, a separate one for each forwarder, for the history of its lists of planners: a restart "
+     "with another list then moves keys as a reload does."},
     {"forward", "by-subject", Type::kFlag, "off", 0, 0, "",
-     "Sends ops of one subject to one planner as long as that has its share of room for them."},
+     "Sends requests of one subject to one planner as long as that has capacity within its share."},
     {"forward", "retry-share", Type::kPercentage, "10%", 0, 1, "",
-     "Second tries at another planner, as a share of first tries; only of ops that are proven not to have "
-     "run."},
+     "Retries at another planner, as a share of first attempts; only for requests that are proven not to "
+     "have run."},
     {"forward", "link-patience", Type::kDuration, "1s", 0.05, 30, "",
-     "How long a link to a planner may be lost before the ops that may run there are failed."},
+     "How long a connection to a planner may be lost before the requests that may run there fail."},
     {"forward", "line", Type::kCount, "512", 1, 100000, "",
-     "Ops that may wait for room at a planner; over it the least important go."},
-    {"forward", "line-memory", Type::kSize, "4M", 64 * kBytesPerKb, kGiga, "", "Bytes that they may take."},
+     "Maximum number of requests that wait for capacity at a planner; beyond it, those with the lowest "
+     "priority weight are rejected."},
+    {"forward", "line-memory", Type::kSize, "4M", 64 * kBytesPerKb, kGiga, "",
+     "Maximum total size of the waiting requests."},
     {"ajp", "listen", Type::kText, "", 0, 255, "",
-     "Address (address:port) on which a relay takes AJP 1.3 callers beside its own; none: off."},
+     "Address (address:port) on which a backend accepts AJP 1.3 callers in addition to its other "
+     "callers; none: off."},
     {"ajp", "secret", Type::kText, "", 0, 255, "",
-     "What every request has to carry; needed unless the address is a loopback one."},
+     "The secret that every request must carry; required unless the listening address is a loopback "
+     "address."},
     {"ajp", "attributes", Type::kWords, "", 0, 32, "",
-     "Request attributes that gateways may pass on; a request with any other is refused."},
+     "Request attributes that gateways may send; a request with any other attribute is rejected."},
     {"ajp", "packet", Type::kSize, "8K", 1 * kBytesPerKb, 64 * kBytesPerKb, "",
-     "The longest packet, both ways; as the gateways have it."},
-    {"ajp", "body", Type::kSize, "2K", 0, 16 * kBytesPerKb, "", "The longest body of a request."},
+     "Maximum packet size in both directions; must equal the setting of the gateways."},
+    {"ajp", "body", Type::kSize, "2K", 0, 16 * kBytesPerKb, "", "Maximum size of a request body."},
     {"ajp", "share", Type::kPercentage, "25%", 0.01, 0.5, "",
-     "Of the connections, kept for AJP callers; as many again, and at least half, are kept for the others."},
-    {"ajp", "idle", Type::kDuration, "60s", 1, 3600, "", "How long a connection may be without a request."},
+     "Share of the connections guaranteed to AJP callers; the other callers are guaranteed the same "
+     "share, and at least half."},
+    {"ajp", "idle", Type::kDuration, "60s", 1, 3600, "",
+     "How long a connection may be idle before it is closed."},
     {"ajp", "below", Type::kText, "", 0, 255, "",
-     "Address (address:port) of an AJP server that calls below go to instead of the platform's; none: off."},
-    {"ajp", "below-path", Type::kText, "/call", 1, 255, "", "The path that they are posted to."},
-    {"ajp", "below-secret", Type::kText, "", 0, 255, "", "The secret that they carry; none: none."},
+     "Address (address:port) of an AJP server that receives dependency calls in place of the platform's "
+     "dependency; none: off."},
+    {"ajp", "below-path", Type::kText, "/call", 1, 255, "", "The path that dependency calls are posted to."},
+    {"ajp", "below-secret", Type::kText, "", 0, 255, "",
+     "The secret that dependency calls carry; none: no secret."},
     {"ajp", "below-refuses", Type::kFlag, "off", 0, 0, "",
-     "Whether that server's 503 proves that the call did not run; else it proves nothing."},
+     "Whether a response of that server with status 503 proves that the call did not run."},
     {"ajp", "map", Type::kLines, "", 3, 8, "",
-     "Method, pattern of paths, op type (or health), then key=, caller=, subject=, wait= (each header:NAME, "
-     "query:NAME or path:N) and held= (kB); any number of lines, the first that fits counts."},
+     "Method, path pattern, route (or health), then key=, caller=, subject=, wait= (each header:NAME, "
+     "query:NAME or path:N) and held= (kB); may be repeated, the first line that matches is used."},
     {"gate", "enabled", Type::kFlag, "off", 0, 0, "",
-     "Admits connections by client, network and group, and keeps places for known clients."},
+     "Limits connections by client, network and group, and reserves connections for known clients."},
     {"gate", "connections", Type::kCount, "0", 0, 1e6, "",
-     "Connections of callers in all; 0: as many as descriptors and memory allow. More than those is never "
-     "had."},
+     "Maximum number of connections of callers; 0: as many as descriptors and memory allow, which is the "
+     "upper limit in any case."},
     {"gate", "reserve", Type::kPercentage, "25%", 0, 0.9, "",
-     "Of the connections, kept for known clients; strangers never have them."},
+     "Share of the connections reserved for known clients; unknown clients can't use it."},
     {"gate", "client-share", Type::kPercentage, "25%", 0.01, 1, "",
-     "Of the connections, the most that one client has: an IPv4 address or an IPv6 /64."},
-    {"gate", "known-share", Type::kPercentage, "50%", 0.01, 1, "", "The same for a client that is known."},
+     "Maximum share of the connections for one client: an IPv4 address or an IPv6 /64."},
+    {"gate", "known-share", Type::kPercentage, "50%", 0.01, 1, "",
+     "Maximum share of the connections for one known client."},
     {"gate", "network-share", Type::kPercentage, "50%", 0.01, 1, "",
-     "Of the connections, the most that an IPv4 /24 or an IPv6 /48 has."},
+     "Maximum share of the connections for one network: an IPv4 /24 or an IPv6 /48."},
     {"gate", "client-rate", Type::kCount, "20", 1, 100000, "",
-     "New connections a second of one client on the long run; four times that where it is known."},
-    {"gate", "client-burst", Type::kCount, "64", 1, 100000, "", "And at once."},
+     "Sustained rate of new connections per second of one client; four times as many if the client is "
+     "known."},
+    {"gate", "client-burst", Type::kCount, "64", 1, 100000, "",
+     "Burst of new connections of one client; four times as many if the client is known."},
     {"gate", "network-rate", Type::kCount, "100", 1, 100000, "",
-     "New connections a second of strangers of one IPv4 /24 or IPv6 /48."},
-    {"gate", "network-burst", Type::kCount, "256", 1, 100000, "", "And at once."},
+     "Sustained rate of new connections per second of unknown clients of one IPv4 /24 or IPv6 /48."},
+    {"gate", "network-burst", Type::kCount, "256", 1, 100000, "",
+     "Burst of new connections of unknown clients of one IPv4 /24 or IPv6 /48."},
     {"gate", "strangers-rate", Type::kCount, "200", 1, 100000, "",
-     "New connections a second of all strangers together."},
-    {"gate", "strangers-burst", Type::kCount, "400", 1, 100000, "", "And at once."},
+     "Sustained rate of new connections per second of all unknown clients together."},
+    {"gate", "strangers-burst", Type::kCount, "400", 1, 100000, "",
+     "Burst of new connections of all unknown clients together."},
     {"gate", "wasteful", Type::kCount, "8", 1, 1000, "",
-     "Points from which a stranger waits outside: 1 for a silent or reset connection, 2 for half a request, "
-     "4 for what is no request, a broken frame or a reader too slow."},
-    {"gate", "waste-half-life", Type::kDuration, "30s", 1, 3600, "", "Time in which points fade to half."},
+     "Penalty points at which new connections of an unknown client are rejected: 1 for a silent or reset "
+     "connection, 2 for an incomplete request, 4 for invalid requests, an invalid frame or a slow "
+     "transfer."},
+    {"gate", "waste-half-life", Type::kDuration, "30s", 1, 3600, "", "Half-life of penalty points."},
     {"gate", "keep-idle", Type::kDuration, "300ms", 0.05, 60, "",
-     "How long a connection keeps its place in a full table after it was of use; each importance that was "
-     "acked on it adds half a second, up to half a minute."},
+     "How long an idle connection is protected from eviction after its last request or success; each "
+     "unit of priority weight that succeeded on it adds half a second, up to half a minute."},
     {"gate", "client-output", Type::kPercentage, "50%", 0.01, 1, "",
-     "Of the memory for answers that callers do not take, the most that one client has."},
+     "Maximum share of the memory for unread answers that one client may use."},
     {"gate", "input-rate", Type::kSize, "4K", 16, 1 << 20, "",
-     "Bytes a second that a request has to come with, from half a second after its first byte on."},
+     "Minimum rate in bytes per second at which a request must arrive, after a grace of half a second "
+     "from its first byte."},
     {"gate", "output-rate", Type::kSize, "16K", 16, 1 << 24, "",
-     "Bytes a second that answers have to be taken with, from a second after they wait on."},
+     "Minimum rate in bytes per second at which a client must read answers, after a grace of one second "
+     "from when they wait."},
     {"gate", "known-for", Type::kDuration, "7d", 1, 30 * 86400.0, "",
-     "How long a client is known after its last acked op."},
-    {"gate", "known-after", Type::kCount, "20", 1, 100000, "", "Acked ops until a client is known."},
+     "How long a client stays known after its last successful request."},
+    {"gate", "known-after", Type::kCount, "20", 1, 100000, "",
+     "Successful requests until a client is known."},
     {"gate", "known-folder", Type::kText, "", 0, 4096, "",
-     "The folder in which who is known survives a restart, one a backend; none: it does not."},
-    {"gate", "known-interval", Type::kDuration, "30s", 0.2, 3600, "", "Time between two records of it."},
+     "The folder in which the known clients are stored, a separate one for each backend; none: they do "
+     "not survive a restart."},
+    {"gate", "known-interval", Type::kDuration, "30s", 0.2, 3600, "",
+     "Time between two records of the known clients."},
     {"gate", "known", Type::kWords, "", 0, 64, "",
-     "Addresses, or networks as address/bits, that are known by your word."},
+     "Addresses, or networks as address/bits, whose clients always count as known."},
     {"gate", "group", Type::kLines, "", 3, 34, "",
-     "A name, a percentage and addresses or networks: the most connections that they have together; the caps "
-     "of client and network do not hold for them. Any number of lines."},
+     "A name, a percentage and addresses or networks: the maximum share of the connections for all of "
+     "them together, in place of the caps of a client and a network. May be repeated."},
     {"catalog", "folder", Type::kText, "", 0, 4096, "",
-     "The folder with a snapshot of all routes and tenants and the changes since, read at the start and on "
-     "SIGHUP; none: those of the settings."},
-    {"catalog", "routes", Type::kCount, "50000", 1, 1e6, "", "Routes that it may have at most."},
-    {"catalog", "tenants", Type::kCount, "1000000", 1, 4e6, "", "Tenants that it may have at most."},
+     "The folder with a snapshot of all routes and tenants and the changes since then, read at start-up "
+     "and on SIGHUP; none: the routes and tenants of the settings are used."},
+    {"catalog", "routes", Type::kCount, "50000", 1, 1e6, "", "Maximum number of routes in the catalog."},
+    {"catalog", "tenants", Type::kCount, "1000000", 1, 4e6, "", "Maximum number of tenants in the catalog."},
     {"members", "bind", Type::kText, "", 0, 64, "",
-     "Address (address:port, a private one) on which this instance hears other members, by datagrams and "
-     "streams; none: off."},
+     "Private address (address:port) on which this instance receives messages of other members, as "
+     "datagrams and streams; none: off."},
     {"members", "face", Type::kText, "", 0, 64, "",
-     "The address that others reach it by, where it is another; none: as bind."},
+     "The address at which other members reach this instance, if it differs; none: the address of bind."},
     {"members", "cluster", Type::kText, "damsonspoke", 1, 32, "",
-     "The fleet's name: members of another one are not heard."},
-    {"members", "seeds", Type::kWords, "", 0, 64, "", "Addresses of some members, for whoever comes up."},
+     "The name of the fleet; messages of members of another fleet are ignored."},
+    {"members", "seeds", Type::kWords, "", 0, 64, "",
+     "Addresses of members that an instance contacts when it starts."},
     {"members", "peers", Type::kWords, "", 0, 64, "",
-     "Addresses or networks (address/bits) whose members are heard and written to; none: nobody."},
-    {"members", "zone", Type::kText, "", 0, 32, "", "The zone that it is in."},
+     "Addresses or networks (address/bits) of the members that messages are accepted from and sent to; "
+     "none: no members."},
+    {"members", "zone", Type::kText, "", 0, 32, "", "The zone of this instance."},
     {"members", "serves", Type::kText, "", 0, 64, "",
-     "The address that others reach its service by, where that is another than it listens on."},
+     "The address at which other instances reach its service, if that differs from the listening "
+     "address."},
     {"members", "interval", Type::kDuration, "300ms", 0.05, 30, "",
-     "Time between two probes; a death is found within some fifteen of them. The same in the whole fleet."},
+     "Time between two probes; a dead member is detected within about fifteen of them. Must be the same "
+     "in the whole fleet."},
     {"members", "suspicion", Type::kDuration, "2s", 0.2, 300, "",
-     "Time that a silent member has at least to show that it lives; longer than pauses that are to be "
-     "borne."},
+     "Minimum time for a suspected member to refute the suspicion; should exceed the pauses that are to "
+     "be tolerated."},
     {"members", "remember", Type::kDuration, "2h", 10, 7 * 86400.0, "",
-     "How long the dead are remembered and tried: as long a split heals without seeds."},
+     "How long dead members are remembered and probed; a network partition of up to that time heals "
+     "without seeds."},
     {"control", "folder", Type::kText, "", 0, 90, "",
-     "A private folder (mode 700, our own) in which a socket named control answers damsonspoke conns; none: "
-     "off."},
+     "A private folder (mode 700, owned by the user of the process) with the socket that answers "
+     "damsonspoke connections, members and catalog show; none: off."},
 });
 
-// A value as it is written in the file.
+// Formats a value as it is written in the file.
 std::string format_value(Type type, double value) {
   switch (type) {
     case Type::kSize:
@@ -197,7 +225,7 @@
   return row[b.size()];
 }
 
-// The known name with the smallest distance; empty when more than half of the name would have to change.
+// The known name with the smallest edit distance; empty if more than half of the name would have to change.
 std::string find_nearest(std::string_view name, const std::vector<std::string_view>& known_names) {
   std::string nearest;
   std::size_t smallest = name.size() / 2 + 1;
--- a/src/settings/operator_values.cpp
+++ b/src/settings/operator_values.cpp
@@ -11,10 +11,10 @@
 
 constexpr double kMinGroupShare = 0.01;
 constexpr double kMaxGroupShare = 1;
-constexpr double kInputGraceSeconds = 0.5;  // for one retransmitted packet at the start of a request
-constexpr double kOutputGraceSeconds = 1;   // for some lost packets, or a short pause of the reader
+constexpr double kInputGraceSeconds = 0.5;  // enough for one retransmitted packet at the start of a request
+constexpr double kOutputGraceSeconds = 1;   // enough for some lost packets or a short pause of the reader
 
-// The values of one section by type; the default where a directive is not given.
+// Reads the values of one section by type. A directive that is not given has its default.
 class SectionReader {
  public:
   SectionReader(const OperatorValues& given, const char* section) : given_(given), section_(section) {}
@@ -37,7 +37,7 @@
     return read_number(find_directive(section_, name)->type, text(name)).value_or(0);
   }
   [[nodiscard]] std::size_t integer(const char* name) const { return static_cast<std::size_t>(number(name)); }
-  // The words that are addresses or networks.
+  // The words of the directive as prefixes.
   [[nodiscard]] std::vector<conns::Prefix> prefixes(const char* name) const {
     std::vector<conns::Prefix> prefixes;
     for (const std::string& word : words(name)) {
@@ -111,7 +111,7 @@
   ajp.dependency_secret = section.text("below-secret");
   ajp.dependency_refusal_is_proof = section.flag("below-refuses");
   for (const std::vector<std::string>& line : section.lines("map")) {
-    const auto route = read_ajp_route(line);  // lines with an error are not among them
+    const auto route = read_ajp_route(line);  // invalid lines were left out
     if (const auto* valid = std::get_if<AjpRoute>(&route)) ajp.routes.push_back(*valid);
   }
   return ajp;
@@ -134,7 +134,7 @@
   limiter.idle_protection = section.number("keep-idle");
   limiter.listed = section.prefixes("known");
   for (const std::vector<std::string>& line : section.lines("group")) {
-    const auto group = read_client_group(line);  // lines with an error are not among them
+    const auto group = read_client_group(line);  // invalid lines were left out
     if (const auto* valid = std::get_if<conns::ClientGroup>(&group)) limiter.groups.push_back(*valid);
   }
   return limiter;
@@ -202,11 +202,11 @@
   group.name = words[0];
   const std::optional<double> share = read_percentage(words[1]);
   if (!share || *share < kMinGroupShare || *share > kMaxGroupShare)
-    return ClientGroupError{1, fmt::format("'{}' is no percentage from 1% to 100%", words[1])};
+    return ClientGroupError{1, fmt::format("'{}' is not a percentage from 1% to 100%", words[1])};
   group.share = *share;
   for (std::size_t i = 2; i < words.size(); ++i) {
     const std::optional<conns::Prefix> prefix = conns::parse_prefix(words[i]);
-    if (!prefix) return ClientGroupError{i, fmt::format("'{}' is no address or network", words[i])};
+    if (!prefix) return ClientGroupError{i, fmt::format("'{}' is not an address or network", words[i])};
     group.prefixes.push_back(*prefix);
   }
   return group;
--- a/src/settings/operator_values.h
+++ b/src/settings/operator_values.h
@@ -14,10 +14,10 @@
 
 namespace damsonspoke {
 
-// The words of a text without quotes.
+// Splits a text without quotes into words.
 std::vector<std::string> split_words(std::string_view text);
 
-// The number that a word stands for under a directive of this type; nothing when it has another form.
+// The numeric value of a word for a directive of this type; nothing if the word does not have that form.
 [[nodiscard]] std::optional<double> read_number(DirectiveType type, std::string_view word);
 
 struct ClientGroupError {
@@ -28,7 +28,7 @@
 [[nodiscard]] std::variant<conns::ClientGroup, ClientGroupError> read_client_group(
     const std::vector<std::string>& words);
 
-// The options that these values stand for, with the defaults of all others.
+// Converts the given values to options; directives that are not given have their defaults.
 OperatorOptions convert_to_options(const OperatorValues& given);
 
 }  // namespace damsonspoke
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -16,11 +16,10 @@
   throw SettingsError("settings: bad value of '" + key + "'");
 }
 
-// The value of a key; null when it is absent.
+// The value of a key; null if it is absent.
 const Json& find(const Json& from, const char* key) {
   static const Json kAbsent;
-  if (!from.is_object())
-    throw SettingsError(std::string("settings: '") + key + "' is looked for in no object");
+  if (!from.is_object()) throw SettingsError(std::string("settings: '") + key + "' is not inside an object");
   const auto found = from.find(key);
   return found == from.end() ? kAbsent : *found;
 }
@@ -33,7 +32,7 @@
   return value.get<double>();
 }
 
-// A number without a default, because the decisions depend on it.
+// Reads a number without a default, because decisions depend on it.
 double read_required_number(const Json& from, const char* key, double minimum) {
   if (find(from, key).is_null()) throw SettingsError(std::string("settings: no '") + key + "'");
   const double value = read_number(from, key, 0);
@@ -65,7 +64,7 @@
   return value.get<bool>();
 }
 
-// One of some words; the first is the default.
+// Reads one of a list of words; the first is the default.
 template <typename T>
 T read_choice(const Json& from, const char* key, std::initializer_list<std::pair<const char*, T>> choices) {
   const Json& value = find(from, key);
@@ -76,7 +75,7 @@
   throw_bad_value(key);
 }
 
-// An array; empty when the key is absent.
+// An array; empty if the key is absent.
 const Json& find_array(const Json& from, const char* key) {
   static const Json kNone = Json::array();
   const Json& value = find(from, key);
@@ -85,7 +84,7 @@
   return value;
 }
 
-// An object; empty when the key is absent or has another value.
+// An object; empty if the key is absent or its value is not an object.
 const Json& find_object(const Json& from, const char* key) {
   static const Json kEmpty = Json::object();
   const Json& value = find(from, key);
@@ -148,7 +147,7 @@
 
 void read_request_counting(const Json& top, StartSettings& start) {
   start.counted_by_work = read_choice<bool>(top, "counted-by", {{"request", false}, {"work", true}});
-  // Requests that are counted by their work carry hints unless the settings say otherwise.
+  // By default, requests carry hints if they are counted by their work.
   start.has_work_hints =
       find(top, "hints").is_null()
           ? start.counted_by_work
@@ -161,7 +160,7 @@
       {{"off", DependencyKind::kOff}, {"shared", DependencyKind::kShared}, {"tier", DependencyKind::kTier}});
   admission.dependency_share = read_number(family, "dep-share", 0);
   admission.dependency_share_window = read_seconds(family, "calls-over");
-  if (admission.dependency == DependencyKind::kShared) {  // a share of 0 is valid, an absent one is not
+  if (admission.dependency == DependencyKind::kShared) {  // 0 is valid, but the keys are required
     read_required_number(family, "dep-share", 0);
     read_required_number(family, "calls-over", 0);
   }
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -1,5 +1,5 @@
-// Reads the platform's settings of a backend from JSON into plain values. Unknown keys are ignored. The keys
-// are the platform's; they are mapped to the field's terms here and nowhere else.
+// Reads the platform's settings of a backend from JSON into plain values. Unknown keys are ignored. Only this
+// module knows the names of the platform's keys.
 #pragma once
 
 #include <nlohmann/json_fwd.hpp>
@@ -12,7 +12,7 @@
 
 namespace damsonspoke {
 
-// A value that the runtime reports with each wake-up.
+// A value that the runtime reports when a timer fires.
 enum class Gauge { kOther, kCpuBusy, kRunnable, kMemoryUsed, kConnections };
 
 // Settings that are missing or invalid. what() is one line for operators that names the key or the file.
@@ -24,16 +24,16 @@
   AdmissionOptions admission;
   std::vector<std::string> route_names;   // by position, as admission.routes
   std::vector<std::string> tenant_names;  // by position, as admission.tenants
-  bool registry_follows_health = false;   // an unhealthy backend is taken off the list of backends
+  bool registry_follows_health = false;   // an unhealthy backend is removed from the registry
   bool has_work_hints = false;            // requests carry an estimate of their work, ms
-  bool counted_by_work = false;  // the platform values requests by their work instead of their number
-  std::vector<Gauge> gauges;     // in the order in which a wake-up reports them
+  bool counted_by_work = false;           // the platform values requests by their work, not by their number
+  std::vector<Gauge> gauges;              // in the order of the report
 };
 
-// Reads an entry of "request-classes", without its name and what "calls-by-class" and "worth-without" tell.
-// Throws SettingsError.
+// Reads an entry of "request-classes", except its name and the values of "calls-by-class" and
+// "worth-without". Throws SettingsError.
 Route read_route(const nlohmann::json& entry);
-// Reads an entry of "customers", without its name. Throws SettingsError.
+// Reads an entry of "customers", except its name. Throws SettingsError.
 Tenant read_tenant(const nlohmann::json& entry);
 
 // Throw SettingsError.
