--- a/src/app/catalog_watch.cpp
+++ b/src/app/catalog_watch.cpp
@@ -77,7 +77,7 @@
   reactor_.cancel(timer_);
   if (state == catalog::Follower::State::kWorking) timer_ = reactor_.after(kPauseSeconds, [this] { step(); });
   if (state != catalog::Follower::State::kIdle || !poll_requested_at_) return;
-  log_.info("catalog", "version {}.{} in force {:.3f} s after the reload request", catalog_->version().epoch,
+  log_.info("catalog", "version {}.{} active {:.3f} s after the reload request", catalog_->version().epoch,
             catalog_->version().sequence, net::monotonic_now() - *poll_requested_at_);
   poll_requested_at_.reset();
 }
@@ -117,7 +117,7 @@
   const catalog::Version version = catalog_->version();
   const catalog::FollowerCounts& counts = follower_->counts();
   std::string text = fmt::format(
-      "version {}.{}, in force for {:.1f} s\n{} routes, {} tenants, {} bytes\n"
+      "version {}.{}, active for {:.1f} s\n{} routes, {} tenants, {} bytes\n"
       "{} changes and {} snapshots applied, {} rejected; {} bytes of changes read\n",
       version.epoch, version.sequence, net::monotonic_now() - follower_->active_since(),
       catalog_->route_count(), catalog_->tenant_count(), catalog_->memory_bytes(), counts.applied,
--- a/src/catalog/catalog.cpp
+++ b/src/catalog/catalog.cpp
@@ -14,7 +14,7 @@
 
 constexpr double kMaxTimeoutSeconds = 3600;
 constexpr double kMaxQuotaPerSecond = 1e9;
-constexpr std::size_t kPagesPerRelease = 8;  // some microseconds
+constexpr std::size_t kPagesPerRelease = 8;  // takes a few microseconds
 
 std::optional<ChangeError> validate_name(const std::string& name) {
   if (name.empty()) return ChangeError{Code::kEmptyName};
@@ -25,7 +25,7 @@
   return std::nullopt;
 }
 
-// The comparisons are written so that NaN fails them.
+// The comparisons are written so that NaN is rejected.
 std::optional<ChangeError> validate_settings(const Route& route, const CatalogLimits& limits) {
   if (!(route.timeout > 0 && route.timeout <= kMaxTimeoutSeconds))
     return ChangeError{Code::kTimeoutOutOfRange};
@@ -136,7 +136,7 @@
 void Catalog::remove(const RemoveTenant& tenant) {
   total_quota_per_second_ -= tenants_.at(tenants_.find(tenant.name)).quota_per_second;
   tenants_.remove(tenant.name);
-  if (tenants_.size() == 0) total_quota_per_second_ = 0;  // discards accumulated rounding errors
+  if (tenants_.size() == 0) total_quota_per_second_ = 0;  // removes accumulated rounding errors
 }
 
 std::unique_ptr<Catalog> Catalog::create_successor() const {
--- a/src/catalog/catalog.h
+++ b/src/catalog/catalog.h
@@ -1,5 +1,5 @@
-// The active routes and tenants: lookups by name and by position, and sums over all of them that every change
-// keeps up to date. Pure policy: no I/O, no clock.
+// The active routes and tenants: lookups by name and by position, and aggregates over all of them that each
+// change updates. Pure policy without I/O or a clock.
 #pragma once
 
 #include <cstdint>
@@ -20,19 +20,19 @@
 struct CatalogLimits {
   std::size_t routes = 0;
   std::size_t tenants = 0;
-  bool allows_keyed_routes = true;  // whether idempotency keys can be remembered here
+  bool allows_keyed_routes = true;  // whether this process can remember idempotency keys
 };
 
 class Catalog final : public RouteDirectory {
  public:
-  // `key`: random, for the hash of the names.
+  // `key`: a random key for hashing names.
   Catalog(const CatalogLimits& limits, std::uint64_t key, HashFunction hash = keyed_hash);
   // The routes and tenants of the platform's settings, at version 0.0. Positions are those of the settings.
-  // The limits are raised to what the settings need.
+  // The limits are raised to the numbers in the settings if those are higher.
   static std::unique_ptr<Catalog> from_settings(const StartSettings& site, CatalogLimits limits,
                                                 std::uint64_t key);
 
-  // The position of a route or tenant; -1 when the name is unknown.
+  // The position of a route or tenant; -1 if the name is unknown.
   [[nodiscard]] int find_route(std::string_view name) const { return routes_.find(name); }
   [[nodiscard]] int find_tenant(std::string_view name) const { return tenants_.find(name); }
   // Precondition: there is a route at this position.
@@ -54,23 +54,24 @@
   [[nodiscard]] const NameIndex& tenant_names() const { return tenants_.names(); }
   [[nodiscard]] const CatalogLimits& limits() const { return limits_; }
 
-  // Applies a change in one step. On an error nothing has changed.
+  // Applies a change in one step. If it is rejected, nothing has changed.
   [[nodiscard]] std::optional<ChangeError> apply(const Change& change);
   void set_version(Version version, HistoryDigest history);
 
-  // ---- Replacement by a snapshot. The active catalog serves while a successor is built in small steps: fill
-  // it by add_entry(), call prepare_positions() until it returns false, then replace_with() it.
+  // ---- Replacement by a snapshot. The active catalog is used while a successor is built in small steps: add
+  // its entries by add_entry(), call prepare_positions() until it returns false, then call replace_with().
 
   // An empty catalog with the limits of this one.
   [[nodiscard]] std::unique_ptr<Catalog> create_successor() const;
-  // To be called on the successor. Entries that the predecessor has too keep their positions. After an error
+  // Call this on the successor. Entries that the predecessor also has keep their positions. After an error
   // the successor is incomplete and must be discarded.
   [[nodiscard]] std::optional<ChangeError> add_entry(const Change& entry, const Catalog& predecessor);
-  // To be called on a successor that has all its entries: prepares `count` more positions. False when done.
+  // Call this on a successor that has all its entries: prepares `count` more positions. Returns false when
+  // done.
   bool prepare_positions(std::size_t count);
-  // Takes over the entries of the successor in constant time; the successor gets the old ones.
+  // Swaps the entries with those of the successor, in constant time.
   void replace_with(Catalog& successor);
-  // Frees a part of the memory of a catalog that is no longer used. False when nothing is left.
+  // Frees part of the memory of a catalog that is no longer used. Returns false when nothing is left.
   bool release_memory();
 
  private:
--- a/src/catalog/change_batch.cpp
+++ b/src/catalog/change_batch.cpp
@@ -36,7 +36,8 @@
   return check_digests(batch);
 }
 
-// The digests must be ours wherever we know ours, and at the end the one of the header.
+// Compares the digests with those of the active history wherever these are known, and the last one with the
+// header.
 std::optional<FileError> BatchHistory::check_digests(const ChangeBatch& batch) const {
   HistoryDigest digest = batch.header.history_before;
   std::uint64_t sequence = batch.header.first_sequence - 1;
--- a/src/catalog/change_batch.h
+++ b/src/catalog/change_batch.h
@@ -1,4 +1,4 @@
-// A batch of changes, and the checks that it continues the history of the active catalog.
+// A batch of changes, and the checks whether it continues the history of the active catalog.
 #pragma once
 
 #include <cstdint>
@@ -16,23 +16,23 @@
 
 struct ChangeBatch {
   BatchHeader header;
-  std::vector<std::string> lines;  // a change each
+  std::vector<std::string> lines;  // one change each
 };
 
 // Parses the content of a frame of the file of changes. Does not decode the changes.
 [[nodiscard]] std::variant<ChangeBatch, FileError> parse_batch(const std::string& content);
 
-// Remembers the history digests at the end of the latest batches, so that a file with another history is
-// noticed also when it differs before the active version.
+// Remembers the history digests at the end of the latest batches, so that a file with another history is also
+// detected if it differs before the active version.
 class BatchHistory {
  public:
   explicit BatchHistory(const Catalog& catalog) : catalog_(catalog) {}
 
-  // Whether the batch continues the active version without a gap, or repeats a part of its history.
+  // Checks that the batch continues the active version without a gap, or repeats a part of its history.
   [[nodiscard]] std::optional<FileError> check(const ChangeBatch& batch) const;
-  // To be called at the end of a batch, when its last change is active.
+  // Call this at the end of a batch, when its last change is active.
   void record_active_version();
-  // To be called when a snapshot is active: what is known belongs to the changes before it.
+  // Call this when a snapshot became active: the recorded digests belong to the changes before it.
   void clear() { digests_.clear(); }
 
  private:
--- a/src/catalog/change_error.h
+++ b/src/catalog/change_error.h
@@ -8,15 +8,15 @@
 
 enum class ChangeErrorCode {
   kEmptyName,
-  kNameTooLong,  // with the length and the limit, bytes
+  kNameTooLong,  // `actual` and `limit`: bytes
   kNameNotOneWord,
   kTimeoutOutOfRange,
   kLatencyObjectiveOutOfRange,
   kPriorityWeightOutOfRange,
   kQuotaOutOfRange,
-  kKeysNotSupported,  // a route with idempotency keys where no keys are remembered
-  kTooManyRoutes,     // with the limit
-  kTooManyTenants,    // with the limit
+  kKeysNotSupported,  // a route with idempotency keys, but this process remembers no keys
+  kTooManyRoutes,     // `limit` is set
+  kTooManyTenants,    // `limit` is set
   kUnknownRoute,
   kUnknownTenant,
   kLastRoute,
@@ -27,8 +27,8 @@
 
 struct ChangeError {
   ChangeErrorCode code;
-  std::size_t actual = 0;  // only with the codes that name it
-  std::size_t limit = 0;   // only with the codes that name it
+  std::size_t actual = 0;  // only with codes whose comment mentions it
+  std::size_t limit = 0;   // only with codes whose comment mentions it
 };
 
 // The text of an error for log lines and operators, without the name of the entry.
--- a/src/catalog/codec.cpp
+++ b/src/catalog/codec.cpp
@@ -20,23 +20,23 @@
 
 Json parse_object(std::string_view line) {
   Json object = Json::parse(line, nullptr, false);
-  if (!object.is_object()) throw CodecError("it is no JSON object");
+  if (!object.is_object()) throw CodecError("it is not a JSON object");
   return object;
 }
 
-// The name in a member; empty when there is no such member.
+// The name in a member; empty if there is no such member.
 std::string read_name(const Json& object, const char* member) {
   const auto found = object.find(member);
   if (found == object.end()) return {};
   if (!found->is_string() || found->get_ref<const std::string&>().empty())
-    throw CodecError(fmt::format("'{}' is no name", member));
+    throw CodecError(fmt::format("'{}' is not a name", member));
   return found->get<std::string>();
 }
 
 std::uint64_t read_number(const Json& object, const char* member) {
   const auto found = object.find(member);
   if (found == object.end() || !found->is_number_unsigned())
-    throw CodecError(fmt::format("'{}' is no whole number", member));
+    throw CodecError(fmt::format("'{}' is not an unsigned integer", member));
   return found->get<std::uint64_t>();
 }
 
@@ -44,30 +44,30 @@
   const auto found = object.find(member);
   HistoryDigest digest = 0;
   if (found == object.end() || !found->is_string())
-    throw CodecError(fmt::format("'{}' is no digest", member));
+    throw CodecError(fmt::format("'{}' is not a digest", member));
   const auto& text = found->get_ref<const std::string&>();
   const auto [stop, error] = std::from_chars(text.data(), text.data() + text.size(), digest, 16);
   if (error != std::errc() || stop != text.data() + text.size())
-    throw CodecError(fmt::format("'{}' is no digest", member));
+    throw CodecError(fmt::format("'{}' is not a digest", member));
   return digest;
 }
 
 Route read_catalog_route(const Json& object) {
   Route route = read_route(object);
   if (const auto calls = object.find("calls"); calls != object.end()) {
-    if (!calls->is_boolean()) throw CodecError("bad value of 'calls'");
+    if (!calls->is_boolean()) throw CodecError("invalid value of 'calls'");
     route.calls_dependency = calls->get<bool>();
   }
   if (const auto without = object.find("worth-without"); without != object.end()) {
-    if (!without->is_number()) throw CodecError("bad value of 'worth-without'");
+    if (!without->is_number()) throw CodecError("invalid value of 'worth-without'");
     route.value_without_call = without->get<double>();
     if (!(route.value_without_call >= 0 && route.value_without_call <= 1))
-      throw CodecError("bad value of 'worth-without'");
+      throw CodecError("invalid value of 'worth-without'");
   }
   return route;
 }
 
-// Calls `read`; a CodecError for what it throws names the entry too.
+// Calls `read`. Rethrows its exceptions as a CodecError that also names the entry.
 template <typename Read>
 auto read_settings_of(const char* kind, const std::string& name, const Read& read) {
   try {
@@ -114,7 +114,7 @@
 }  // namespace
 
 Change decode_change(std::string_view line) {
-  if (line.size() > kMaxLineBytes) throw CodecError(fmt::format("it has more than {} bytes", kMaxLineBytes));
+  if (line.size() > kMaxLineBytes) throw CodecError(fmt::format("it is longer than {} bytes", kMaxLineBytes));
   const Json object = parse_object(line);
   if (std::string name = read_name(object, "tenant"); !name.empty()) {
     const Tenant settings = read_settings_of("tenant", name, [&] { return read_tenant(object); });
@@ -158,7 +158,7 @@
   BatchHeader header{read_number(object, "epoch"), read_number(object, "first"), read_number(object, "last"),
                      read_digest(object, "before"), read_digest(object, "after")};
   if (header.first_sequence == 0 || header.last_sequence < header.first_sequence)
-    throw CodecError("its numbers are out of order");
+    throw CodecError("its sequence numbers are out of order");
   return header;
 }
 
--- a/src/catalog/entry_table.h
+++ b/src/catalog/entry_table.h
@@ -1,5 +1,5 @@
-// Named entries at stable positions. An entry keeps its position while it exists, also when a successor of
-// the table takes over. Generations tell apart entries that have one position after each other.
+// Named entries at stable positions. An entry keeps its position while it exists, also when a successor
+// replaces the table. Generations distinguish entries that occupy the same position one after another.
 #pragma once
 
 #include <algorithm>
@@ -15,12 +15,12 @@
 template <typename Value>
 class EntryTable {
  public:
-  // At most `capacity` entries. A table and its successor may have no name in common, hence there are twice
-  // as many positions.
+  // Holds at most `capacity` entries. There are twice as many positions, because a table and its successor
+  // may have no name in common.
   EntryTable(std::size_t capacity, std::uint64_t key, HashFunction hash = keyed_hash)
       : names_(capacity, key, hash), slots_(2 * capacity + 1) {}
 
-  // The position of an entry; -1 when the name is unknown.
+  // The position of an entry; -1 if the name is unknown.
   int find(std::string_view name) const { return names_.find(name); }
   const Value& at(int position) const { return slots_[static_cast<std::size_t>(position)].value; }
   // Precondition: there is an entry at this position.
@@ -36,8 +36,8 @@
   const NameIndex& names() const { return names_; }
 
   // Adds an entry, or replaces the value of an existing one. Returns its position. Precondition for a new
-  // entry: the table is not full. Where this table is to succeed another one, an entry with the same name
-  // there passes on its position and generation.
+  // entry: the table is not full. If this table is the successor of `predecessor`, an entry of the same name
+  // keeps the position and generation that it has there.
   int put(std::string_view name, Value value, const EntryTable* predecessor = nullptr) {
     if (const int position = names_.find(name); position >= 0) {
       value.generation = at(position).generation;
@@ -56,7 +56,7 @@
     return position;
   }
 
-  // Does nothing when the name is unknown.
+  // Does nothing if the name is unknown.
   void remove(std::string_view name) {
     const int position = names_.find(name);
     if (position < 0) return;
@@ -65,13 +65,13 @@
     free_positions_.push_back(position);
   }
 
-  // To be called on a successor before its first entry: its new entries get generations that the predecessor
-  // has not given.
+  // Call this on a successor before its first entry, so that its new entries get generations that the
+  // predecessor has not used.
   void continue_generations_of(const EntryTable& predecessor) {
     last_generation_ = predecessor.last_generation_;
   }
-  // To be called on a successor that has all its entries: collects the free ones among the next `count`
-  // positions. False when all positions were looked at.
+  // Call this on a successor that has all its entries: collects the free ones among the next `count`
+  // positions. Returns false when all positions have been checked.
   bool collect_free_positions(std::size_t count) {
     const std::size_t end = std::min(position_count_, free_scan_position_ + count);
     for (; free_scan_position_ < end; ++free_scan_position_) {
@@ -81,7 +81,7 @@
     return free_scan_position_ < position_count_;
   }
 
-  // Frees at most `count` pages of a table that is no longer used. False when none are left.
+  // Frees at most `count` pages of a table that is no longer used. Returns false when none are left.
   bool release_pages(std::size_t count) { return slots_.release_pages(count) || names_.release_pages(count); }
 
  private:
@@ -90,7 +90,7 @@
     NameArena::Reference name;
   };
 
-  // A successor leaves alone the positions that its predecessor uses.
+  // A successor does not use positions that are in use in its predecessor.
   int allocate_position(const EntryTable* predecessor) {
     if (predecessor != nullptr) {
       const std::vector<int>& free = predecessor->free_positions_;
@@ -105,7 +105,7 @@
 
   NameIndex names_;
   PagedArray<Slot> slots_;          // by position
-  std::size_t position_count_ = 0;  // positions that were ever used; all lie below it
+  std::size_t position_count_ = 0;  // all positions that were ever used are below it
   std::vector<int> free_positions_;
   std::size_t predecessor_positions_reused_ = 0;  // how many of the predecessor's free positions are used
   std::size_t free_scan_position_ = 0;
--- a/src/catalog/file_error.h
+++ b/src/catalog/file_error.h
@@ -48,11 +48,11 @@
   std::string entry;   // as describe() names it
   ChangeError error;
 };
-// The writer was fenced off: another one has a higher epoch.
+// The writer is fenced: another one has a higher epoch.
 struct LowerEpoch {
   std::uint64_t epoch;
 };
-// The active catalog has this version with another history.
+// The active catalog reached this version by another history.
 struct ConflictingSnapshot {
   Version version;
 };
@@ -77,11 +77,11 @@
   std::uint64_t first_sequence;
   std::uint64_t expected;
 };
-// The active catalog has this change with another history.
+// The active catalog has another history up to this change.
 struct ConflictingChange {
   std::uint64_t sequence;
 };
-// The changes do not add up to the digest of the header.
+// The digest of the changes differs from the one in the header.
 struct WrongHistoryDigest {};
 
 using FileError =
--- a/src/catalog/folder.cpp
+++ b/src/catalog/folder.cpp
@@ -17,16 +17,16 @@
 namespace damsonspoke::catalog {
 namespace {
 
-constexpr double kUnlimitedSeconds = 1e9;  // a tool reads everything in one step
+constexpr double kUnlimitedSeconds = 1e9;  // tools read everything in one step
 constexpr std::uint64_t kToolHashKey =
-    1;  // tools read files of operators, who need no guard against collisions
-constexpr std::size_t kMaxPartBytes = kMaxBatchBytes - kMaxLineBytes;  // the rest is for the header
+    1;  // no protection against hash collisions is needed, since operators write the files
+constexpr std::size_t kMaxPartBytes = kMaxBatchBytes - kMaxLineBytes;  // leaves space for the header
 
 [[noreturn]] void throw_errno(const std::string& action, const std::string& path) {
   throw CatalogFileError(fmt::format("cannot {} '{}': {}", action, path, std::strerror(errno)));
 }
 
-// The lines of `text` in parts that fit into a batch each.
+// Splits the lines of `text` into parts that each fit into a batch.
 std::vector<std::string> split_into_batches(const std::string& text) {
   std::vector<std::string> parts;
   for (std::size_t begin = 0; begin < text.size();) {
@@ -38,8 +38,8 @@
   return parts;
 }
 
-// Writes at `offset` in one call and syncs, so that a crash leaves complete batches and at most one torn one
-// behind them.
+// Truncates the file at `offset`, writes there in one call and syncs, so that a crash leaves complete batches
+// followed by at most one torn batch.
 void write_at(const std::string& path, std::uint64_t offset, const std::string& bytes) {
   const int fd = ::open(path.c_str(), O_WRONLY | O_CREAT | O_CLOEXEC, 0644);
   if (fd < 0) throw_errno("write", path);
@@ -120,12 +120,13 @@
                        const CatalogLimits& limits) {
   const LoadedFolder loaded = load_folder(folder, limits);
   for (const RejectedChange& rejected : loaded.rejected_changes) {
-    const bool is_single_change = rejected.version != Version{};  // which keeps its number: no obstacle
+    // A rejected single change keeps its sequence number, so that changes can be appended after it.
+    const bool is_single_change = rejected.version != Version{};
     if (!is_single_change) throw CatalogFileError(fmt::format("{}: {}", rejected.what, rejected.reason));
   }
   Version version = loaded.catalog->version();
   if (epoch < version.epoch)
-    throw CatalogFileError(fmt::format("epoch {} is lower than {}, in force", epoch, version.epoch));
+    throw CatalogFileError(fmt::format("epoch {} is lower than the active epoch {}", epoch, version.epoch));
   HistoryDigest history = loaded.catalog->history();
   std::string batches;
   for (const std::string& part : split_into_batches(lines)) {
--- a/src/catalog/folder.h
+++ b/src/catalog/folder.h
@@ -1,5 +1,5 @@
-// Writes and checks the folder with the catalog's files, for operators' tools; running backends read it.
-// Mechanism: what becomes active is decided in catalog/follower alone.
+// Writes and checks the folder with the catalog's files, for operators' tools; running backends read it. What
+// becomes active is decided in catalog/follower alone.
 #pragma once
 
 #include <memory>
@@ -17,28 +17,28 @@
   using std::runtime_error::runtime_error;
 };
 
-// What a backend that starts with a folder would have active.
+// What a backend that starts with the folder would load.
 struct LoadedFolder {
   std::unique_ptr<Catalog> catalog;
   std::vector<RejectedChange> rejected_changes;
   std::vector<FollowerMessage> messages;
-  std::uint64_t changes_bytes = 0;  // of the file of changes, in complete batches that were accepted
+  std::uint64_t changes_bytes = 0;  // size of the accepted batches in the file of changes
 };
 LoadedFolder load_folder(const std::string& folder, const CatalogLimits& limits);
 
-// The lines of a file of entries or changes, without the empty ones; each was decoded once. Throws
-// CatalogFileError with the number of the line.
+// Reads the lines of a file of entries or changes, without empty ones, and checks that each can be decoded.
+// Throws CatalogFileError with the number of an invalid line.
 std::string read_lines(const std::string& path);
 
-// Writes a snapshot with these entries; the previous one is kept as NAME.1. Throws CatalogFileError.
+// Writes a snapshot with these entries and keeps the previous one as NAME.1. Throws CatalogFileError.
 void write_snapshot(const std::string& folder, Version version, HistoryDigest history,
                     const std::string& lines);
 // All entries of a catalog as sorted lines.
 std::string encode_entries(const Catalog& catalog);
 
-// Appends batches with these changes behind the last complete batch; a torn batch there is overwritten.
-// Returns the version of the last change. Throws CatalogFileError when a file of the folder would be rejected
-// as a whole, or can't be written.
+// Appends batches with these changes after the last complete batch and overwrites a torn batch there. Returns
+// the version of the last change. Throws CatalogFileError if a file of the folder can't be written or would
+// be rejected as a whole.
 Version append_changes(const std::string& folder, std::uint64_t epoch, const std::string& lines,
                        const CatalogLimits& limits);
 
--- a/src/catalog/follower.cpp
+++ b/src/catalog/follower.cpp
@@ -8,7 +8,8 @@
 namespace damsonspoke::catalog {
 namespace {
 
-constexpr std::size_t kSnapshotHeadBytes = 4 * 1024;  // enough to tell whether a snapshot is newer
+constexpr std::size_t kSnapshotHeadBytes =
+    4 * 1024;  // enough for the header, which shows whether a snapshot is newer
 constexpr std::size_t kChunkBytes = 64 * 1024;
 constexpr int kEntriesPerClockCheck = 16;
 constexpr std::size_t kMaxRejectedChanges = 32;
@@ -48,7 +49,7 @@
   return state();
 }
 
-// Does a small part of the work; false when it waits for a chunk.
+// Does a small part of the work. Returns false if it waits for a chunk.
 bool Follower::work() {
   if (is_waiting_for_chunk_) {
     const std::optional<FileChunk> chunk = source_.take();
@@ -100,8 +101,8 @@
 
 void Follower::reject(Version version, std::string what, std::string reason) {
   ++counts_.rejected;
-  add_message(true,
-              fmt::format("{} rejected, {} stays in force: {}", what, to_string(catalog_.version()), reason));
+  add_message(true, fmt::format("{} rejected, version {} stays active: {}", what,
+                                to_string(catalog_.version()), reason));
   rejected_changes_.push_back({version, std::move(what), std::move(reason)});
   if (rejected_changes_.size() > kMaxRejectedChanges) rejected_changes_.pop_front();
 }
@@ -138,7 +139,7 @@
   active_since_ = clock_();
   ++counts_.snapshots;
   add_message(false,
-              fmt::format("version {} in force by a snapshot: {} routes, {} tenants",
+              fmt::format("snapshot activated: version {}, {} routes, {} tenants",
                           to_string(catalog_.version()), catalog_.route_count(), catalog_.tenant_count()));
   release_memory();
 }
@@ -152,7 +153,7 @@
 void Follower::release_memory() {
   stage_ = Stage::kReleaseMemory;
   if (snapshot_.release_memory()) return;
-  // With nothing active yet, an older snapshot is better than none.
+  // If no version is active yet, the previous snapshot is used rather than none.
   if (catalog_.version() == Version{} && snapshot_file_ == kSnapshotFile)
     return open_snapshot(kPreviousSnapshotFile);
   read_changes();
@@ -175,8 +176,8 @@
   read_batch(chunk);
 }
 
-// Whether the chunk is of another file than the one read so far, which then is read from its start: changes
-// that are active already are skipped.
+// Whether the file of changes was replaced since the last read. If so, it is read from its start; changes
+// that are already active are skipped.
 bool Follower::detect_replaced_changes(const FileChunk& chunk) {
   if (chunk.file_id == changes_file_id_ && chunk.file_size >= changes_offset_) return false;
   const bool was_at_start = changes_offset_ == 0;
@@ -208,8 +209,8 @@
   begin_batch(batch.content);
 }
 
-// Another file with the same id may have replaced the one read so far, so that no frame begins at the offset:
-// then it is read from its start, once a poll.
+// An invalid frame may mean that another file with the same id has replaced the one read so far, so that no
+// frame starts at the offset. Therefore the file is read from its start, at most once per poll.
 void Follower::on_invalid_frame(store::ChecksumProblem problem) {
   if (reads_from_start_) return reject_batch(ChecksumFailed{problem});
   reads_from_start_ = true;
@@ -217,7 +218,7 @@
   read_changes();
 }
 
-// Reading stops at a rejected batch, because the changes behind it build on it.
+// Reading stops at a rejected batch, because the changes after it depend on it.
 void Follower::reject_batch(const FileError& error) {
   reject({}, fmt::format("{}: batch at byte {}", kChangesFile, changes_offset_), to_string(error));
   finish_poll();
@@ -231,7 +232,7 @@
   const std::uint64_t active = catalog_.version().sequence;
   const std::uint64_t first = batch_.header.first_sequence;
   next_change_ = static_cast<std::size_t>(active >= first ? active - first + 1 : 0);
-  if (next_change_ >= batch_.lines.size()) {  // all of it is active already
+  if (next_change_ >= batch_.lines.size()) {  // all of its changes are already active
     changes_offset_ += batch_bytes_;
     return read_changes();
   }
@@ -251,7 +252,7 @@
   } catch (const CodecError& error) {
     reject(version, fmt::format("change {}", to_string(version)), error.what());
   }
-  // A rejected change counts too, so that all readers of one file are at one version.
+  // A rejected change also advances the version, so that all readers of a file agree on the version.
   catalog_.set_version(version, extend_history(catalog_.history(), line));
   active_since_ = clock_();
   if (++next_change_ == batch_.lines.size()) finish_batch();
--- a/src/catalog/follower.h
+++ b/src/catalog/follower.h
@@ -1,10 +1,10 @@
-// Follows the catalog's files: a snapshot of everything, and a log of changes that is read on from where
-// reading stopped. Decides what becomes active and what is rejected; pure but for the chunks of files that a
-// Source hands it.
+// Follows the catalog's files: a complete snapshot, and a log of changes, of which each poll reads the new
+// part. Decides what becomes active and what is rejected. It does no I/O itself: a Source provides the chunks
+// of files.
 //
-// A snapshot is built beside the active catalog and replaces it in one step. A batch of changes is checked as
-// a whole, then its changes become active one after another, each in one step; an invalid one is rejected
-// alone. The work is done in steps of bounded time, so that requests are served meanwhile.
+// A snapshot is loaded beside the active catalog and replaces it in one step. A batch of changes is checked
+// as a whole; then its changes become active one after another, and an invalid change is rejected without
+// affecting the others. The work is done in steps of bounded time, so that requests are served in between.
 #pragma once
 
 #include <cstdint>
@@ -23,9 +23,9 @@
 
 namespace damsonspoke::catalog {
 
-// For operators: what was rejected and why.
+// A rejection, for operators.
 struct RejectedChange {
-  Version version;  // of the change; 0.0: a whole file or batch was rejected
+  Version version;  // of the change; 0.0 if a whole file or batch was rejected
   std::string what;
   std::string reason;
 };
@@ -46,15 +46,15 @@
 class Follower {
  public:
   using Clock = std::function<double()>;  // seconds, monotonic
-  // `catalog`: the active one; only the follower changes it.
+  // `catalog`: the active catalog; nothing else may change it.
   Follower(Catalog& catalog, Source& source, Clock clock);
 
-  // Starts to read what is new in the files. While a poll is under way, one more follows it.
+  // Starts to read the new parts of the files. If a poll is in progress, another one follows it.
   void poll();
   enum class State {
     kIdle,
     kWaiting,  // for a chunk of a file
-    kWorking,  // there is more to do at once
+    kWorking,  // it has work to do without waiting
   };
   // Works for about `seconds` at most.
   State step(double seconds);
@@ -65,9 +65,9 @@
   // The messages since the last call.
   [[nodiscard]] std::vector<FollowerMessage> take_messages() { return std::exchange(messages_, {}); }
   [[nodiscard]] const FollowerCounts& counts() const { return counts_; }
-  // When the active version became active, by the clock.
+  // When the active version became active, in clock time.
   [[nodiscard]] double active_since() const { return active_since_; }
-  // Bytes of the file of changes that were read.
+  // How many bytes of the file of changes have been read.
   [[nodiscard]] std::uint64_t changes_offset() const { return changes_offset_; }
 
  private:
@@ -114,15 +114,15 @@
   bool is_waiting_for_chunk_ = false;
 
   SnapshotLoader snapshot_;
-  std::string snapshot_file_;  // the name of the snapshot that is read
+  std::string snapshot_file_;  // the name of the snapshot that is being read
 
   BatchHistory history_;
   std::uint64_t changes_file_id_ = 0;
   std::uint64_t changes_offset_ = 0;  // bytes
   bool reads_from_start_ = false;     // this poll reads the file of changes from its start
-  ChangeBatch batch_;                 // whose changes are applied
-  std::uint64_t batch_bytes_ = 0;     // of its frame
-  std::size_t next_change_ = 0;       // of the batch
+  ChangeBatch batch_;                 // the batch whose changes are being applied
+  std::uint64_t batch_bytes_ = 0;     // size of its frame
+  std::size_t next_change_ = 0;       // index in the batch
 
   double active_since_ = 0;
   std::deque<RejectedChange> rejected_changes_;
--- a/src/catalog/line_reader.h
+++ b/src/catalog/line_reader.h
@@ -1,4 +1,4 @@
-// Takes a text apart into its lines.
+// Splits a text into lines.
 #pragma once
 
 #include <optional>
@@ -6,8 +6,8 @@
 
 namespace damsonspoke::catalog {
 
-// The next line from `offset` on, without its line feed; moves `offset` behind it. Nothing when no complete
-// line is left.
+// Returns the line that starts at `offset`, without its line feed, and moves `offset` to the next line.
+// Nothing if no complete line is left.
 inline std::optional<std::string_view> next_line(std::string_view text, std::size_t& offset) {
   const std::size_t end = text.find('\n', offset);
   if (end == std::string_view::npos) return std::nullopt;
--- a/src/catalog/name_arena.h
+++ b/src/catalog/name_arena.h
@@ -1,4 +1,4 @@
-// Stores names compactly, one after another in blocks.
+// Stores names compactly in consecutive memory blocks.
 #pragma once
 
 #include <cstdint>
@@ -9,8 +9,8 @@
 
 namespace damsonspoke::catalog {
 
-// A name stands behind two bytes with its length. The memory of a removed name is reused by a name of the
-// same length. References stay valid until their name is removed.
+// Each name is preceded by two bytes with its length. The memory of a removed name is reused for a name of
+// the same length. References stay valid until their name is removed.
 class NameArena {
  public:
   using Reference = std::uint32_t;  // block number and offset
@@ -20,7 +20,7 @@
   void remove(Reference reference);
   std::string_view at(Reference reference) const;
   std::size_t memory_bytes() const { return blocks_.size() * kBlockBytes; }
-  // Frees at most `count` blocks; all references become invalid. False when none are left.
+  // Frees at most `count` blocks; all references become invalid. Returns false when none are left.
   bool release_blocks(std::size_t count);
 
  private:
--- a/src/catalog/name_index.cpp
+++ b/src/catalog/name_index.cpp
@@ -17,7 +17,7 @@
   return static_cast<std::uint32_t>(hash_(name, key_));
 }
 
-// The cell of a name, or the free cell where it would be added.
+// The cell of a name, or the free cell to which it would be added.
 std::size_t NameIndex::cell_of(std::string_view name, std::uint32_t hash) const {
   std::size_t cell = hash & (cells_ - 1);
   while (table_[cell].used() && (table_[cell].hash != hash || arena_.at(table_[cell].name) != name))
@@ -38,8 +38,8 @@
   return reference;
 }
 
-// Deletion by backward shift (Knuth, TAOCP vol. 3, 6.4, algorithm R): cells behind the gap move up, so that
-// no tombstones are needed.
+// Deletion by backward shift (Knuth, TAOCP vol. 3, 6.4, algorithm R): cells after the gap move up, so that no
+// tombstones are needed.
 void NameIndex::remove(std::string_view name) {
   std::size_t gap = cell_of(name, hash_of(name));
   if (!table_[gap].used()) return;
@@ -49,7 +49,7 @@
     const std::size_t preferred = table_[cell].hash & (cells_ - 1);
     const std::size_t distance_to_preferred = (cell - preferred) & (cells_ - 1);
     const std::size_t distance_to_gap = (cell - gap) & (cells_ - 1);
-    if (distance_to_preferred < distance_to_gap) continue;  // a name may not stand before its preferred cell
+    if (distance_to_preferred < distance_to_gap) continue;  // a name must not move before its preferred cell
     table_.writable(gap) = table_[cell];
     gap = cell;
   }
--- a/src/catalog/name_index.h
+++ b/src/catalog/name_index.h
@@ -1,4 +1,4 @@
-// Maps names to positions in constant time and bounded, compact memory. Pure; a lookup allocates nothing.
+// Maps names to positions in constant time and in compact, bounded memory. Lookups do not allocate.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +10,7 @@
 namespace damsonspoke::catalog {
 
 using HashFunction = std::uint64_t (*)(std::string_view name, std::uint64_t key);
-// XXH3 with a key. Callers draw the key at random, so that nobody can choose names that collide.
+// XXH3 with a key. The key must be random, so that an attacker can't choose names that collide.
 std::uint64_t keyed_hash(std::string_view name, std::uint64_t key);
 
 // A hash table with open addressing and linear probing; at most half of its cells are used. All cells for
@@ -19,11 +19,11 @@
  public:
   NameIndex(std::size_t capacity, std::uint64_t key, HashFunction hash = keyed_hash);
 
-  // The position of a name; -1 when it is unknown.
+  // The position of a name; -1 if it is unknown.
   int find(std::string_view name) const;
   // Precondition: the name is unknown and size() < capacity().
   NameArena::Reference add(std::string_view name, int position);
-  // Does nothing when the name is unknown.
+  // Does nothing if the name is unknown.
   void remove(std::string_view name);
   std::string_view name(NameArena::Reference reference) const { return arena_.at(reference); }
 
@@ -43,13 +43,13 @@
   }
   std::size_t cells() const { return cells_; }
 
-  // Frees at most `count` pages of an index that is no longer used. False when none are left.
+  // Frees at most `count` pages of an index that is no longer used. Returns false when none are left.
   bool release_pages(std::size_t count) {
     return table_.release_pages(count) || arena_.release_blocks(count);
   }
 
  private:
-  // All zero when it is not used.
+  // All zero if it is not used.
   struct Cell {
     std::uint32_t hash;
     std::int32_t position_plus_1;
--- a/src/catalog/overloaded.h
+++ b/src/catalog/overloaded.h
@@ -1,4 +1,4 @@
-// Visits a std::variant with one lambda an alternative.
+// Combines lambdas into a visitor for std::visit, one lambda for each alternative.
 #pragma once
 
 namespace damsonspoke::catalog {
--- a/src/catalog/paged_array.h
+++ b/src/catalog/paged_array.h
@@ -1,6 +1,6 @@
-// An array of fixed length whose memory is allocated page by page as it is written to, and freed page by
-// page. Elements that were never written are zero. It bounds the time that one call takes: to allocate or to
-// free tens of megabytes at once would hold the caller up for milliseconds.
+// An array of fixed length whose memory is allocated page by page on write and freed page by page. Elements
+// that were never written are zero. This limits the time of each call: allocating or freeing tens of
+// megabytes at once would block the caller for milliseconds.
 #pragma once
 
 #include <cstdlib>
@@ -23,7 +23,7 @@
     return page != nullptr ? page[index % kPageLength] : zero();
   }
 
-  // The element for writing; allocates its page. Throws std::bad_alloc.
+  // The element for writing; allocates its page if needed. Throws std::bad_alloc.
   Value& writable(std::size_t index) {
     Page& page = pages_[index / kPageLength];
     if (page == nullptr) {
@@ -37,7 +37,8 @@
     return allocated_pages_ * kPageLength * sizeof(Value) + pages_.size() * sizeof(Page);
   }
 
-  // Frees at most `count` pages from the end and shortens the array by them. False when none are left.
+  // Frees at most `count` pages from the end and shortens the array by them. Returns false when none are
+  // left.
   bool release_pages(std::size_t count) {
     for (; count > 0 && !pages_.empty(); --count) pages_.pop_back();
     return !pages_.empty();
@@ -46,7 +47,7 @@
  private:
   static constexpr std::size_t kPageLength = 1024;  // elements
 
-  // Pages come from calloc, which hands out zeroed memory without touching it.
+  // Pages are allocated by calloc, which can return zeroed memory without writing to it.
   struct Free {
     // NOLINTNEXTLINE(cppcoreguidelines-no-malloc,cppcoreguidelines-owning-memory)
     void operator()(Value* page) const { std::free(page); }
--- a/src/catalog/source.cpp
+++ b/src/catalog/source.cpp
@@ -16,7 +16,7 @@
   return fmt::format("cannot read '{}': {}", path, std::strerror(errno));
 }
 
-// Fills `chunk.bytes`, which is shortened where the file ends earlier.
+// Fills `chunk.bytes`, and shortens it if the file ends earlier.
 void read_bytes(int fd, const std::string& path, std::uint64_t offset, FileChunk& chunk) {
   std::size_t length = 0;
   while (length < chunk.bytes.size()) {
@@ -32,7 +32,7 @@
 
 FileChunk read_chunk(const std::string& path, std::uint64_t offset, std::size_t max_bytes) {
   FileChunk chunk;
-  // Non-blocking, because to open a pipe without a writer would block.
+  // Non-blocking, because opening a pipe without a writer would block.
   const int fd = ::open(path.c_str(), O_RDONLY | O_CLOEXEC | O_NONBLOCK);
   if (fd < 0) {
     if (errno != ENOENT) chunk.error = describe_errno(path);
@@ -40,7 +40,7 @@
   }
   struct stat status {};
   if (::fstat(fd, &status) != 0 || !S_ISREG(status.st_mode)) {
-    chunk.error = fmt::format("'{}' is no file", path);
+    chunk.error = fmt::format("'{}' is not a regular file", path);
     ::close(fd);
     return chunk;
   }
--- a/src/catalog/source.h
+++ b/src/catalog/source.h
@@ -1,4 +1,4 @@
-// Where the catalog's files are read from, chunk by chunk and without blocking the reader.
+// Reads the catalog's files in chunks, without blocking the follower.
 #pragma once
 
 #include <cstdint>
@@ -9,9 +9,9 @@
 namespace damsonspoke::catalog {
 
 struct FileChunk {
-  bool exists = false;          // the file exists and was read
-  std::string error;            // why it could not be read; empty when there is no such file
-  std::uint64_t file_id = 0;    // changes when another file takes the name
+  bool exists = false;          // the file exists and could be read
+  std::string error;            // why it could not be read; empty if there is no such file
+  std::uint64_t file_id = 0;    // changes if the file is replaced
   std::uint64_t file_size = 0;  // bytes
   std::string bytes;            // shorter than requested at the end of the file
 };
@@ -22,13 +22,13 @@
   Source(const Source&) = delete;
   Source& operator=(const Source&) = delete;
   virtual ~Source() = default;
-  // Requests at most `max_bytes` of a file from `offset` on. One request at a time.
+  // Requests at most `max_bytes` of a file from `offset` on. Only one request may be pending.
   virtual void request(const std::string& name, std::uint64_t offset, std::size_t max_bytes) = 0;
-  // The requested chunk, once; nothing until it has been read.
+  // Returns the requested chunk once; nothing before it has been read.
   virtual std::optional<FileChunk> take() = 0;
 };
 
-// Reads files of a folder within request(), on the caller's thread.
+// Reads files of a folder synchronously in request().
 class FolderSource final : public Source {
  public:
   explicit FolderSource(std::string folder) : folder_(std::move(folder)) {}
--- a/src/catalog/threaded_source.cpp
+++ b/src/catalog/threaded_source.cpp
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-// Owned by both threads: the reading one may outlive the source.
+// Shared by both threads, because the reading one may outlive the source.
 struct ThreadedSource::Shared : store::WorkerThreadState {
   std::unique_ptr<Source> source;
   std::function<void()> on_ready;
--- a/src/catalog/version.h
+++ b/src/catalog/version.h
@@ -1,4 +1,4 @@
-// Identifies a state of the catalog.
+// Identifies a version of the catalog.
 #pragma once
 
 #include <compare>
@@ -6,15 +6,15 @@
 
 namespace damsonspoke::catalog {
 
-// The sequence number of the latest change, and the epoch of the writer that made it. A writer that takes
-// over has a higher epoch (a fencing token); sequence numbers continue without gaps.
+// The sequence number of the latest change, and the epoch of the writer that wrote it. A writer that takes
+// over uses a higher epoch, a fencing token; sequence numbers continue without gaps.
 struct Version {
   std::uint64_t epoch = 0;
   std::uint64_t sequence = 0;
   auto operator<=>(const Version&) const = default;  // NOLINT(modernize-use-nullptr): a false alarm
 };
 
-// A chained digest of every change up to a version, in order. Two histories that differ in any change have
+// A chained digest of all changes up to a version, in order. Two histories that differ in any change have
 // different digests from that change on.
 using HistoryDigest = std::uint64_t;
 
--- a/src/conns/arrival_rates.cpp
+++ b/src/conns/arrival_rates.cpp
@@ -6,11 +6,12 @@
 namespace {
 
 constexpr std::size_t kMaxSketchEntries = 1 << 16;
-constexpr double kDrainFactor = 2;  // by which a sketch drains faster than unknown clients may arrive
-const Prefix kAllClients{};         // the one key of the sketch of all unknown clients
+constexpr double kDrainFactor = 2;  // how much faster a sketch drains than unknown clients may arrive
+const Prefix kAllClients{};         // the only key in the sketch for all unknown clients
 
-// So many entries that the smallest one is empty while unknown clients arrive at their rate, and after their
-// burst. Then a new key replaces no entry that counts, and no client's count is lost.
+// The number of entries at which the smallest one is always empty while unknown clients arrive at their
+// maximum rate, also after a full burst. A new key then replaces only an empty entry, so that no client's
+// count is lost.
 std::size_t sketch_entries(const ConnectionLimiterOptions& options) {
   const double to_drain = kDrainFactor * options.unknown_clients_rate / options.client_rate;
   const auto needed = static_cast<std::size_t>(std::max(to_drain, options.unknown_clients_burst));
--- a/src/conns/arrival_rates.h
+++ b/src/conns/arrival_rates.h
@@ -1,4 +1,4 @@
-// Limits for the rate of new connections: of a client, of a network and of all unknown clients together.
+// Limits the rate of new connections: per client, per network, and of all unknown clients together.
 #pragma once
 
 #include <optional>
@@ -10,7 +10,7 @@
 
 namespace damsonspoke::conns {
 
-// Times are monotonic seconds. Known clients have a limit of their own and do not use up the others'.
+// Times are monotonic seconds. Known clients have a separate limit and do not count towards the others.
 class ArrivalRates {
  public:
   explicit ArrivalRates(const ConnectionLimiterOptions& options);
@@ -19,18 +19,18 @@
     Prefix client;
     Prefix network;
     bool is_unknown = true;
-    bool is_in_group = false;  // which has no limit for its networks
+    bool is_in_group = false;  // the limit per network does not apply to groups
   };
   struct Violation {
     RejectCause cause = RejectCause::kNone;
     double retry_after = 0;  // s
   };
-  // The first limit that another connection of this client would exceed.
+  // The first limit that the new connection would exceed; nothing if it is within all limits.
   [[nodiscard]] std::optional<Violation> find_violation(const NewConnection& new_connection,
                                                         double now) const;
   void record(const NewConnection& new_connection, double now);
   void reconfigure(const ConnectionLimiterOptions& options, double now);
-  // Connections of one unknown client that may be missing from its count.
+  // The maximum number of connections of one unknown client that its count may have missed.
   [[nodiscard]] double max_error(double now) const { return unknown_clients_.max_error(now); }
 
  private:
--- a/src/conns/connection_limiter.cpp
+++ b/src/conns/connection_limiter.cpp
@@ -6,7 +6,7 @@
 namespace damsonspoke::conns {
 namespace {
 
-constexpr double kRetryAfterFullSeconds = 0.5;  // where a place has to become free first
+constexpr double kRetryAfterFullSeconds = 0.5;  // if a slot must become free first
 constexpr double kMinorPenaltyPoints = 1;
 
 double points_of(Penalty penalty) {
@@ -33,6 +33,7 @@
       penalties_(options_.clients, options_.penalty_half_life) {}
 
 // ---- Queries.
+
 std::size_t ConnectionLimiter::share_of_total(double share) const {
   const auto connections = static_cast<std::size_t>(static_cast<double>(quota_.total()) * share);
   return std::max<std::size_t>(1, connections);
@@ -177,7 +178,7 @@
   if (found == connections_.end()) return;
   const Prefix client = found->second.client;
   penalties_.add(client, points_of(penalty), now);
-  // A silent or reset connection is no misbehavior of a known client: links break.
+  // For a known client, a silent or reset connection does not count as misbehavior: connections break.
   if (points_of(penalty) > kMinorPenaltyPoints) known_clients_.record_misbehavior(client);
 }
 
@@ -188,14 +189,14 @@
   return {false, cause, retry_after, std::nullopt};
 }
 
-// Whether a connection of the other listener that closes leaves a place that this listener may take: one of
-// its own, or one beyond what the other is guaranteed.
+// Whether closing a connection of `other_listener` frees a slot that `listener` may use: both are the same,
+// or the other listener has more connections than it is guaranteed.
 bool ConnectionLimiter::frees_slot(std::size_t listener, std::size_t other_listener) const {
   return listener == other_listener || quota_.open_count(other_listener) > quota_.guaranteed(other_listener);
 }
 
-// A client at its cap may replace a connection of its own whose protection is over: a client that reconnects
-// leaves dead connections behind.
+// A client at its cap may replace one of its own connections whose protection has expired, because a client
+// that reconnects may leave dead connections behind.
 ConnectionLimiter::Placement ConnectionLimiter::replace_own(const Connection& new_connection,
                                                             RejectCause cause, double now) const {
   const auto own = ids_by_client_.find(new_connection.client);
@@ -284,7 +285,7 @@
   return {true, RejectCause::kNone, 0, placement.evicts};
 }
 
-// ---- Other options, other limits.
+// ---- Reconfiguration.
 void ConnectionLimiter::reconfigure(ConnectionLimiterOptions options, double now) {
   options_ = std::move(options);
   rates_.reconfigure(options_, now);
--- a/src/conns/connection_limiter.h
+++ b/src/conns/connection_limiter.h
@@ -1,11 +1,12 @@
-// Which clients may open connections, and which idle connection is closed for a new one: caps for a client, a
-// network and the groups that operators name, limits for the rate of new connections, a reserve for known
-// clients, and penalties for connections that wasted resources.
+// Decides which clients may open connections, and which idle connection is evicted for a new one. There are
+// caps per client, network and operator-defined group, limits for the rate of new connections, a reserve for
+// known clients, and penalties for connections that wasted resources.
 //
-// A state machine without I/O: connections are numbers, each event carries its time, and what is to be done
-// is returned. Open connections are counted exactly, since their number is limited. Past events are kept in
-// sketches of fixed size, since clients choose the addresses. Nobody is rejected for what another address
-// did, except by the limits that are meant to be shared: those of networks, groups and all unknown clients.
+// This is a state machine without I/O: connections are identified by numbers, each event carries its time,
+// and the caller carries out the returned actions. Open connections are counted exactly, because their number
+// is limited. Past events are counted in sketches of fixed size, because clients choose their addresses. A
+// client is never rejected because of another client's behavior, except by limits that are shared on purpose:
+// those of networks, groups and all unknown clients.
 #pragma once
 
 #include <cstddef>
@@ -27,46 +28,48 @@
 
 namespace damsonspoke::conns {
 
-// Why a connection counts against its client: it sent no request, not all of one in time, several that were
-// invalid or a broken frame; it was too slow, or it was reset before its first request.
+// Why a connection adds penalty points to its client. kSilent: it sent no request. kIncompleteRequest: a
+// request was not complete in time. kInvalidRequests: several messages were invalid. kInvalidFrame: a frame
+// was invalid. kSlowTransfer: it sent or read too slowly. kReset: it was reset before its first request.
 enum class Penalty { kSilent, kIncompleteRequest, kInvalidRequests, kInvalidFrame, kSlowTransfer, kReset };
 
 struct AdmissionResult {
   bool is_admitted = false;
   RejectCause cause = RejectCause::kNone;
-  double retry_after = 0;  // s, where rejected
-  // A connection that the caller must close in favor of the new one; its end is reported by on_closed().
+  double retry_after = 0;  // s; only if rejected
+  // A connection that must be closed in favor of the new one; report its end by on_closed().
   std::optional<ConnectionId> evicts;
 };
 
-// Times called `now` are monotonic seconds, `unix_now` Unix seconds. Events of unknown connections are
+// `now` is in monotonic seconds, `unix_now` in Unix seconds. Events of connections that are not open are
 // ignored.
 class ConnectionLimiter {
  public:
   // `quota` and `known_clients` must outlive this object.
   ConnectionLimiter(ConnectionLimiterOptions options, ConnectionQuota& quota, KnownClients& known_clients);
 
-  // A new connection. `is_out_of_descriptors`: the system has no descriptor left, so that it can be admitted
-  // only where another one is closed.
+  // Decides on a new connection. `is_out_of_descriptors`: the process has no free descriptor left, so that
+  // the connection can be admitted only if another one is evicted.
   AdmissionResult admit(ConnectionId id, std::size_t listener, const Address& from, double now,
                         double unix_now, bool is_out_of_descriptors = false);
   void on_closed(ConnectionId id);
-  // A whole message was read.
+  // A complete message was read.
   void on_request_read(ConnectionId id, double now);
-  // Busy: requests of the connection are open, or output waits. A busy connection is never evicted.
+  // A connection is busy while requests of it are in flight or output is unsent. A busy one is never evicted.
   void set_busy(ConnectionId id, bool is_busy);
   void on_success(ConnectionId id, double priority_weight, double now, double unix_now);
   void penalize(ConnectionId id, Penalty penalty, double now);
 
-  // Applies other options. Open connections beyond a lowered limit stay until they end or are evicted.
+  // Applies new options. Connections that exceed a lowered limit stay open until they end or are evicted.
   void reconfigure(ConnectionLimiterOptions options, double now);
-  // Idle connections to be closed because more are open than the quota's total.
+  // Unprotected idle connections that should be closed because more connections are open than the quota's
+  // total.
   [[nodiscard]] std::vector<ConnectionId> excess_connections(double now) const;
 
   [[nodiscard]] Standing standing_of(const Address& from, double unix_now) const;
   [[nodiscard]] std::size_t open_count() const { return connections_.size(); }
   [[nodiscard]] std::size_t unknown_count() const { return unknown_count_; }
-  // Connections that unknown clients may have together.
+  // Maximum number of connections of all unknown clients together.
   [[nodiscard]] std::size_t max_unknown() const;
 
   struct ClientSummary {
@@ -77,12 +80,12 @@
     double penalty_score = 0;
     double success_score = 0;
   };
-  // The clients with open connections, the one with the most first.
+  // The clients with open connections, in descending order of their number of connections.
   [[nodiscard]] std::vector<ClientSummary> client_summaries(double now, double unix_now) const;
   [[nodiscard]] const std::deque<Rejection>& recent_rejections() const { return rejections_.recent(); }
   [[nodiscard]] std::uint64_t rejected_count(RejectCause cause) const { return rejections_.count(cause); }
   [[nodiscard]] std::uint64_t evicted_count() const { return evicted_count_; }
-  // Connections of one client that the rate limit may have missed.
+  // The maximum number of connections of one client that the rate limit may have missed.
   [[nodiscard]] double rate_error(double now) const { return rates_.max_error(now); }
 
  private:
@@ -96,11 +99,12 @@
     bool is_busy = false;
     double opened_at = 0;
     double last_useful_at = 0;
-    double extra_protection = 0;  // s, earned by successes
+    double extra_protection = 0;  // s, gained by successful requests
 
     [[nodiscard]] bool is_unknown() const { return standing == Standing::kUnknown; }
   };
-  // Where a newcomer finds its place: free (neither is set), another's that is evicted, or nowhere.
+  // Whether there is a slot for a new connection. Without a cause it is admitted: into a free slot, or into
+  // that of the connection that it `evicts`. With a cause it is rejected.
   struct Placement {
     RejectCause cause = RejectCause::kNone;
     std::optional<ConnectionId> evicts;
@@ -122,7 +126,9 @@
 
   [[nodiscard]] EvictionRank rank_of(ConnectionId id, const Connection& connection) const;
   void insert(ConnectionId id, const Connection& connection);
-  // Counts by standing, and the rank: both must be left before a connection changes, and entered after.
+  // Add a connection to, and remove it from, eviction_order_ (unless it is busy) and unknown_count_.
+  // Invariant: the fields of a connection, and the options that determine its rank, change only while it is
+  // not in them; see modify() and reconfigure().
   void add_to_indexes(ConnectionId id, const Connection& connection);
   void remove_from_indexes(ConnectionId id, const Connection& connection);
   template <typename F>
--- a/src/conns/connection_quota.cpp
+++ b/src/conns/connection_quota.cpp
@@ -36,7 +36,7 @@
   if (listeners_[listener].open > 0) --listeners_[listener].open;
 }
 
-void ConnectionQuota::start_period_if_due(double now) {
+void ConnectionQuota::start_period_if_over(double now) {
   const bool has_started = period_start_ >= 0;
   if (has_started && now < period_start_ + options_.period_seconds) return;
   const bool is_next_period = has_started && now < period_start_ + 2 * options_.period_seconds;
@@ -48,7 +48,7 @@
 }
 
 bool ConnectionQuota::try_read(std::size_t listener, double now) {
-  start_period_if_due(now);
+  start_period_if_over(now);
   Listener& reader = listeners_[listener];
   double share_sum = 0;
   bool others_read = false;
--- a/src/conns/connection_quota.h
+++ b/src/conns/connection_quota.h
@@ -1,11 +1,11 @@
-// How several listeners of one server share its connections and its time for reading.
+// Divides the connections and the reading time of one server among its listeners.
 //
-// Connections: each listener has a guaranteed number; those above the guaranteed ones go to whoever comes
-// first. So no listener can fill another's part, and an idle listener costs its guaranteed number only.
-// Reading: while more than one listener has messages to read, each gets its share of the messages of a
-// period; a listener alone is not limited. So a flood on one protocol does not delay the other's requests
-// before the admission controller sees them. Max-min fairness with guarantees: Bertsekas and Gallager, Data
-// Networks, 6.5.2.
+// Connections: each listener is guaranteed a minimum number; the remaining ones are first come, first served.
+// So no listener can use up the minimum of another, and an idle listener reserves no more than its guaranteed
+// minimum. Reading: while more than one listener has messages to read, each may read its share of the
+// messages of a period; a listener alone is not limited. So a flood on one protocol does not delay requests
+// of the other one before they reach the admission controller. This is max-min fairness with guarantees:
+// Bertsekas and Gallager, Data Networks, 6.5.2.
 #pragma once
 
 #include <cstddef>
@@ -15,25 +15,25 @@
 
 struct ConnectionQuotaOptions {
   double period_seconds = 0.01;
-  int messages_per_period = 64;  // of all listeners, while more than one reads
+  int messages_per_period = 64;  // of all listeners together, while more than one reads
 };
 
-// Listeners are numbered from 0. Invariant: the guaranteed numbers add up to at most total().
+// Listeners are numbered from 0. Invariant: the guaranteed minima add up to at most total().
 class ConnectionQuota {
  public:
   // `total`: connections of all listeners; `shares`: the guaranteed share of each listener, together at
   // most 1.
   ConnectionQuota(std::size_t total, const std::vector<double>& shares, ConnectionQuotaOptions options = {});
 
-  // Whether the listener may open another connection: within its guaranteed number, or one that no other
-  // listener has been guaranteed.
+  // Whether the listener may open another connection: one within its guaranteed minimum, or one that is not
+  // needed for the minimum of another listener.
   [[nodiscard]] bool has_capacity(std::size_t listener) const;
   void on_opened(std::size_t listener) { ++listeners_[listener].open; }
   void on_closed(std::size_t listener);
   [[nodiscard]] std::size_t open_count(std::size_t listener) const { return listeners_[listener].open; }
   [[nodiscard]] std::size_t guaranteed(std::size_t listener) const { return listeners_[listener].guaranteed; }
   [[nodiscard]] std::size_t total() const { return total_; }
-  // Changes the total; the shares stay. Open connections beyond it are not closed.
+  // Changes the total and keeps the shares. Connections that exceed the new total are not closed.
   void resize(std::size_t total);
 
   // Takes the right to read one message from the period's budget; false: the listener has used up its share
@@ -47,9 +47,9 @@
     std::size_t open = 0;
     double share = 1;
     int messages_read = 0;    // in this period
-    bool was_active = false;  // read in the period before
+    bool was_active = false;  // read in the previous period
   };
-  void start_period_if_due(double now);
+  void start_period_if_over(double now);
 
   std::size_t total_ = 0;
   const ConnectionQuotaOptions options_;
--- a/src/conns/decaying_score_sketch.h
+++ b/src/conns/decaying_score_sketch.h
@@ -1,7 +1,7 @@
-// Scores of client prefixes that decay exponentially, in memory of fixed size.
+// Exponentially decaying scores of client prefixes, in memory of fixed size.
 //
-// A score is stored as now + half_life * log2(score), the time at which it will have decayed to one: this
-// value stays the same while the score decays, and so does the order of the entries.
+// A score is stored as now + half_life * log2(score), the time at which it will have decayed to one. This
+// value, and thus the order of the entries, does not change while the score decays.
 #pragma once
 
 #include <cstddef>
@@ -18,9 +18,9 @@
 
   [[nodiscard]] double score(const Prefix& key, double now) const;
   void add(const Prefix& key, double points, double now);
-  // Time until the key's score has decayed to `score`; 0: it is not above that.
+  // Time until the key's score will have decayed to `score`; 0 if it is not above that.
   [[nodiscard]] double seconds_until(const Prefix& key, double score, double now) const;
-  // Applies another half-life; the scores of now stay the same.
+  // Applies another half-life; the current scores stay the same.
   void reconfigure(double half_life, double now);
 
  private:
--- a/src/conns/eviction_order.cpp
+++ b/src/conns/eviction_order.cpp
@@ -5,7 +5,7 @@
 namespace damsonspoke::conns {
 namespace {
 
-// Below all ranks of the next class.
+// A rank that sorts before all ranks of the next class.
 EvictionRank start_of_class_after(EvictionClass eviction_class) {
   return {static_cast<EvictionClass>(static_cast<int>(eviction_class) + 1),
           -std::numeric_limits<double>::infinity(), 0};
@@ -20,7 +20,7 @@
     const bool is_known = rank->eviction_class == EvictionClass::kKnownClient;
     if (is_new_client_unknown && is_known) break;
     const bool needs_expiry = is_new_client_unknown || is_known;
-    if (needs_expiry && rank->protected_until > now) {  // so are all that follow in its class
+    if (needs_expiry && rank->protected_until > now) {  // the rest of the class is protected too
       rank = ranks_.lower_bound(start_of_class_after(rank->eviction_class));
       continue;
     }
--- a/src/conns/known_clients.cpp
+++ b/src/conns/known_clients.cpp
@@ -6,15 +6,16 @@
 namespace damsonspoke::conns {
 namespace {
 
-// Shares of the required successes.
+// Multiples of the required successes.
 constexpr double kMaxScoreFactor = 2;
 constexpr double kMisbehaviorCost = 0.25;
-constexpr double kMinKnownScoreFactor = 0.5;  // a known client with a lower score is not known any more
+constexpr double kMinKnownScoreFactor = 0.5;  // a known client with a lower score is no longer known
 
-constexpr double kClockSlackSeconds = 60;  // by which an entry may lie in the future: clocks are corrected
+constexpr double kClockSlackSeconds =
+    60;  // how far in the future an entry may lie, because clocks are corrected
 constexpr std::size_t kMaxEvictionCandidates = 32;
 
-// Whether a process could have written such an entry, and it is not too old.
+// Whether a process could have stored the entry, and it is not too old.
 bool is_plausible(const KnownClient& entry, double unix_now, double max_age) {
   if (!std::isfinite(entry.score) || !std::isfinite(entry.last_success) || entry.score < 0) return false;
   if (entry.client != masked(entry.client.base, entry.client.bits)) return false;
@@ -60,8 +61,8 @@
   if (entry.score < kMinKnownScoreFactor * options_.required_successes) entry.is_known = false;
 }
 
-// Removes an old entry, preferably one that is not known: thousands of newcomers must not push out the
-// clients that are.
+// Removes one of the oldest entries, preferably of a client that is not known, so that thousands of new
+// clients can't displace the known ones.
 void KnownClients::evict_one() {
   auto victim = std::prev(entries_.end());
   auto candidate = entries_.end();
@@ -84,7 +85,7 @@
     KnownClient entry = stored;
     entry.score = std::min(stored.score, kMaxScoreFactor * options_.required_successes);
     entry.last_success = std::min(stored.last_success, unix_now);
-    // By the options of this process: the stored mark alone makes no client known.
+    // The options of this process decide: the stored flag alone does not make a client known.
     entry.is_known = entry.score >= options_.required_successes ||
                      (stored.is_known && entry.score >= kMinKnownScoreFactor * options_.required_successes);
     entries_.push_back(entry);
--- a/src/conns/known_clients.h
+++ b/src/conns/known_clients.h
@@ -1,6 +1,6 @@
-// The clients whose requests have succeeded here in the last days. They are preferred when connections are
-// scarce. A client becomes known by requests that succeed, loses that by misbehavior and by age, and stays
-// known over a restart where the list is stored (known_clients_record.h).
+// The clients whose requests have succeeded here in recent days. They are preferred when connections are
+// scarce. A client becomes known by successful requests, is no longer known after misbehavior or too long
+// without a success, and stays known over a restart if the list is stored (known_clients_record.h).
 #pragma once
 
 #include <cstddef>
@@ -12,23 +12,23 @@
 
 namespace damsonspoke::conns {
 
-// How far a client is trusted: not at all, for the requests that succeeded, or because operators list it.
+// Why a client is trusted: it is not, because of successful requests, or because operators list it.
 enum class Standing { kUnknown, kKnown, kListed };
 
 struct KnownClientsOptions {
-  double max_age = 7 * 86400;      // s since the last request that succeeded
-  double required_successes = 20;  // until a client is known
-  std::size_t max_entries = 4096;  // clients that are remembered, known or not
+  double max_age = 7 * 86400;      // s since the last successful request
+  double required_successes = 20;  // before a client becomes known
+  std::size_t max_entries = 4096;  // remembered clients, known or not
 };
 
 struct KnownClient {
   Prefix client;
-  double score = 0;         // successes, less the deductions for misbehavior; at most twice the required ones
+  double score = 0;         // successes minus deductions for misbehavior; at most twice the required number
   double last_success = 0;  // Unix s
   bool is_known = false;
 };
 
-// Times are Unix seconds, so that they keep their meaning over a restart.
+// Times are Unix seconds, so that they stay valid over a restart.
 class KnownClients {
  public:
   explicit KnownClients(KnownClientsOptions options) : options_(options) {}
@@ -41,10 +41,10 @@
   void record_misbehavior(const Prefix& client);
   void reconfigure(KnownClientsOptions options) { options_ = options; }
 
-  // The one with the latest success first.
+  // All entries, the one with the latest success first.
   [[nodiscard]] std::vector<KnownClient> entries() const { return {entries_.begin(), entries_.end()}; }
-  // Adds what an earlier process has stored and returns how many were taken. Left out are entries of the
-  // future, ones that are too old and ones that no process could have written.
+  // Adds the entries that a previous process stored and returns how many were added. Skips entries that are
+  // too old, lie in the future or have values that no process could have stored.
   std::size_t restore(const std::vector<KnownClient>& clients, double unix_now);
 
  private:
--- a/src/conns/known_clients_record.cpp
+++ b/src/conns/known_clients_record.cpp
@@ -9,7 +9,7 @@
 
 using Json = nlohmann::json;
 
-// The members of a stored client, in their order.
+// The positions of the members of a stored client.
 enum Member : std::size_t { kBase, kBits, kScore, kLastSuccess, kIsKnown, kMemberCount };
 
 constexpr std::int64_t kMaxBits = 128;
@@ -55,7 +55,7 @@
 std::optional<std::vector<KnownClient>> decode_known_clients(std::string_view bytes) {
   if (bytes.size() > kMaxKnownClientsBytes) return std::nullopt;
   Json record;
-  try {  // the library throws on absurd lengths although it is told not to throw
+  try {  // the library throws on excessive lengths although exceptions are disabled
     record = Json::from_cbor(bytes.begin(), bytes.end(), true, false);
   } catch (const Json::exception&) {
     return std::nullopt;
--- a/src/conns/known_clients_record.h
+++ b/src/conns/known_clients_record.h
@@ -1,5 +1,5 @@
-// The stored form of the known clients: CBOR of limited size. A record that is damaged anywhere is rejected
-// as a whole.
+// Codec for the stored form of the known clients: CBOR of limited size. A record that is invalid in any part
+// is rejected completely.
 #pragma once
 
 #include <cstddef>
@@ -17,9 +17,9 @@
 constexpr std::size_t kMaxKnownClientsBytes = 512 * 1024;
 constexpr std::size_t kMaxKnownClients = 8192;
 
-// Of more than kMaxKnownClients clients the first ones are written.
+// Encodes the first kMaxKnownClients clients.
 [[nodiscard]] std::string encode_known_clients(const std::vector<KnownClient>& clients);
-// None where the bytes are no such record.
+// Nothing if the bytes are not a valid record.
 [[nodiscard]] std::optional<std::vector<KnownClient>> decode_known_clients(std::string_view bytes);
 
 }  // namespace damsonspoke::conns
--- a/src/conns/minimum_byte_rate.h
+++ b/src/conns/minimum_byte_rate.h
@@ -1,5 +1,5 @@
-// A lower limit for the speed of a peer that has begun to send or to take a message. A timeout of silence
-// alone does not find a peer that moves a byte now and then.
+// A minimum transfer rate for a peer that has started to send or read a message. An inactivity timeout alone
+// does not detect a peer that transfers a byte now and then.
 #pragma once
 
 #include <cstdint>
@@ -7,14 +7,14 @@
 namespace damsonspoke::conns {
 
 struct MinimumByteRateOptions {
-  double grace_seconds = 0.5;  // without any bytes
+  double grace_seconds = 0.5;  // for which no bytes are required
   double bytes_per_second = 4096;
 };
 
-// Whether one transfer is as fast as the options demand. Times are seconds of one clock.
+// Measures whether one transfer meets the minimum rate. Times are in seconds of one clock.
 class MinimumByteRate {
  public:
-  // `bytes_moved`: the caller's count of bytes in this direction, here and in is_too_slow().
+  // `bytes_moved`: the total number of bytes transferred in this direction, here and in is_too_slow().
   void start(double now, std::uint64_t bytes_moved) {
     started_at_ = now;
     bytes_at_start_ = bytes_moved;
@@ -29,7 +29,7 @@
   }
 
  private:
-  double started_at_ = -1;  // < 0: no transfer is running
+  double started_at_ = -1;  // < 0: no transfer is in progress
   std::uint64_t bytes_at_start_ = 0;
 };
 
--- a/src/conns/prefix.cpp
+++ b/src/conns/prefix.cpp
@@ -11,7 +11,7 @@
 
 constexpr int kV6Bits = 128;
 constexpr int kV4Bits = 32;
-constexpr int kV4OffsetBits = kV6Bits - kV4Bits;  // of an IPv4 address in its IPv6 form
+constexpr int kV4OffsetBits = kV6Bits - kV4Bits;  // bits before an IPv4 address in its IPv6 form
 constexpr int kV4NetworkBits = 24;
 constexpr int kV6NetworkBits = 48;
 constexpr int kV6ClientBits = 64;
--- a/src/conns/prefix.h
+++ b/src/conns/prefix.h
@@ -1,5 +1,6 @@
-// Internet addresses and prefixes as plain values. An IPv4 address is stored in its IPv6 form (RFC 4291,
-// 2.5.5.2), so that one table can hold both families. Nothing here opens a socket or resolves a name.
+// Internet addresses and prefixes as plain values. An IPv4 address is stored as an IPv4-mapped IPv6 address
+// (RFC 4291, 2.5.5.2), so that one table can hold both families. This module opens no sockets and resolves no
+// names.
 #pragma once
 
 #include <array>
@@ -18,8 +19,8 @@
   [[nodiscard]] bool is_v4() const;
 };
 
-// Invariant: the bits of `base` beyond the prefix are 0. The length counts bits of the IPv6 form: 128 is one
-// address, an IPv4 /24 is 120.
+// Invariant: the bits of `base` beyond the prefix are 0. `bits` counts in the IPv6 form: 128 is a single
+// address, and an IPv4 /24 is 120.
 struct Prefix {
   Address base;
   int bits = 128;
@@ -28,18 +29,18 @@
   [[nodiscard]] bool contains(const Address& address) const;
 };
 
-// The prefix that counts as one client: an IPv4 address or an IPv6 /64, which is the least that a site has.
+// The prefix that counts as one client: an IPv4 address or an IPv6 /64, the smallest prefix that a site has.
 [[nodiscard]] Prefix client_of(const Address& address);
 // The prefix that counts as one network: an IPv4 /24 or an IPv6 /48.
 [[nodiscard]] Prefix network_of(const Address& address);
-// The prefix of so many bits (of the IPv6 form, clamped to 0 .. 128) that contains the address.
+// The prefix that contains the address and has `bits` bits in the IPv6 form, clamped to 0 .. 128.
 [[nodiscard]] Prefix masked(const Address& address, int bits);
 
-// A numeric address; none where the text is anything else.
+// Parses a numeric address; nothing if the text is not one.
 [[nodiscard]] std::optional<Address> parse_address(std::string_view text);
-// ADDRESS or ADDRESS/BITS, with the bits of the address's own family; none where the text is anything else.
+// Parses ADDRESS or ADDRESS/BITS, with bits of the address's own family; nothing if the text is neither.
 [[nodiscard]] std::optional<Prefix> parse_prefix(std::string_view text);
-// The form that parse_prefix reads; without a length where it is one address.
+// The text form that parse_prefix reads, without /BITS for a single address.
 [[nodiscard]] std::string text_of(const Prefix& prefix);
 
 struct PrefixHash {
--- a/src/conns/rate_sketch.h
+++ b/src/conns/rate_sketch.h
@@ -1,8 +1,8 @@
-// A rate limit for each client prefix in memory of fixed size.
+// A rate limit for each client prefix, in memory of fixed size.
 //
 // Each entry is a leaky bucket, stored as the time at which the bucket will be empty: the theoretical arrival
-// time of the generic cell rate algorithm (ITU-T I.371). All buckets drain equally fast, so that the order of
-// the entries does not change as time passes.
+// time of the generic cell rate algorithm (ITU-T I.371). All buckets drain at the same rate, so that the
+// order of the entries does not change over time.
 #pragma once
 
 #include <cstddef>
@@ -12,7 +12,7 @@
 
 namespace damsonspoke::conns {
 
-// At most `rate` events a second of a key in the long run, and `burst` at once. Times are seconds of one
+// Each key may have `rate` events per second on average, and `burst` at once. Times are in seconds of one
 // clock.
 class RateSketch {
  public:
@@ -20,13 +20,13 @@
       : entries_(entries), rate_(rate), burst_(burst) {}
 
   [[nodiscard]] bool has_capacity(const Prefix& key, double now) const { return wait_seconds(key, now) <= 0; }
-  // Time until the key may have its next event; 0: now.
+  // Seconds until the key may have its next event; 0: now.
   [[nodiscard]] double wait_seconds(const Prefix& key, double now) const;
   void add(const Prefix& key, double now);
-  // Events of a key outside the table that may be missing from its count.
+  // The maximum number of events of a key outside the table that its count may have missed.
   [[nodiscard]] double max_error(double now) const;
-  // Applies another limit and keeps the events that are in the buckets, so that a raised limit takes effect
-  // at once.
+  // Applies another limit and keeps the number of events in each bucket, so that a raised limit takes effect
+  // immediately.
   void reconfigure(double rate, double burst, double now);
 
  private:
--- a/src/conns/rejection_log.h
+++ b/src/conns/rejection_log.h
@@ -1,4 +1,4 @@
-// What became of rejected connections: a count for each cause, and the latest ones for operators.
+// Records rejected connections: a count for each cause, and the latest rejections for operators.
 #pragma once
 
 #include <array>
@@ -24,7 +24,7 @@
 };
 constexpr std::size_t kRejectCauseCount = 10;
 
-// The text that `damsonspoke conns` prints.
+// The text that `damsonspoke connections` prints.
 [[nodiscard]] const char* text_of(RejectCause cause);
 
 struct Rejection {
@@ -39,7 +39,7 @@
   [[nodiscard]] std::uint64_t count(RejectCause cause) const {
     return counts_[static_cast<std::size_t>(cause)];
   }
-  // The oldest first.
+  // The latest rejections, the oldest first.
   [[nodiscard]] const std::deque<Rejection>& recent() const { return recent_; }
 
  private:
--- a/src/conns/space_saving.h
+++ b/src/conns/space_saving.h
@@ -1,8 +1,8 @@
-// The keys with the largest values, in a table of fixed size, although clients choose the keys. A new key
+// A table of fixed size that holds the keys with the largest values, whatever keys clients choose. A new key
 // replaces the entry with the smallest value.
 //
 // Algorithm: space-saving (Metwally, Agrawal and El Abbadi, ICDT 2005). With n entries an upper bound exceeds
-// the true value by at most the n-th part of the sum of all additions.
+// the true value by at most 1/n of the sum of all additions.
 #pragma once
 
 #include <cstddef>
@@ -16,8 +16,8 @@
 namespace damsonspoke::conns {
 
 // Invariant: of each key in the table the true value lies between `lower` and `upper`; the value of any other
-// key is at most max_absent(). Replacement goes by the upper bound. A client may be rejected by the lower
-// bound only, so that nobody is rejected for what another client did.
+// key is at most max_absent(). The entry with the smallest upper bound is replaced. Clients must be rejected
+// by their lower bound only, so that no client is rejected because of another one.
 class SpaceSaving {
  public:
   struct Entry {
@@ -28,14 +28,14 @@
 
   explicit SpaceSaving(std::size_t capacity) : capacity_(capacity) { entries_.reserve(capacity); }
 
-  // Null where the key is not in the table. The pointer is valid until the next change.
+  // Null if the key is not in the table. The pointer is valid until the next change.
   [[nodiscard]] const Entry* find(const Prefix& key) const;
-  // The entry of the key. A key that is not in the table is inserted with `initial` as its lower bound and,
-  // as its upper one, the larger of `initial` and the bound of the entry that it replaces.
+  // Returns the entry of the key. A key that is not in the table is inserted with `initial` as its lower
+  // bound; its upper bound is the larger of `initial` and the upper bound of the entry that it replaces.
   Entry insert(const Prefix& key, double initial);
-  // Does nothing where the key is not in the table.
+  // Does nothing if the key is not in the table.
   void update(const Prefix& key, double upper, double lower);
-  // Applies an increasing function to all values.
+  // Applies a monotonically increasing function to all values.
   template <typename F>
   void transform(F&& function) {
     order_.clear();
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -13,7 +13,7 @@
 constexpr double kMaxInteger = 1e6;
 
 [[noreturn]] void throw_bad_value(const std::string& key) {
-  throw SettingsError("settings: bad value of '" + key + "'");
+  throw SettingsError("settings: invalid value of '" + key + "'");
 }
 
 // The value of a key; null if it is absent.
@@ -34,7 +34,7 @@
 
 // Reads a number without a default, because decisions depend on it.
 double read_required_number(const Json& from, const char* key, double minimum) {
-  if (find(from, key).is_null()) throw SettingsError(std::string("settings: no '") + key + "'");
+  if (find(from, key).is_null()) throw SettingsError(std::string("settings: missing key '") + key + "'");
   const double value = read_number(from, key, 0);
   if (value < minimum) throw_bad_value(key);
   return value;
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -1,5 +1,5 @@
-// Reads the platform's settings of a backend from JSON into plain values. Unknown keys are ignored. Only this
-// module knows the names of the platform's keys.
+// Reads the platform's settings of a backend from JSON into plain values. Unknown keys are ignored. The keys
+// are the platform's names; this module maps them to the terms that the program uses.
 #pragma once
 
 #include <nlohmann/json_fwd.hpp>
--- a/tests/catalog/program.cpp
+++ b/tests/catalog/program.cpp
@@ -30,7 +30,7 @@
     signal(SIGHUP);
     const std::string line = expect_log("after the reload request");
     const std::size_t at = line.find("version");
-    std::printf("log: %s\n", line.substr(at, line.find(" in force") - at).c_str());
+    std::printf("log: %s\n", line.substr(at, line.find(" active") - at).c_str());
   }
   void change(std::initializer_list<Change> changes) {
     write(encode_changes(changes));
@@ -162,7 +162,7 @@
     site.pause(0.005);
   }
   bool there = false;
-  for (int i = 0; i < 50 && !there; ++i) there = !site.expect_log("1.5020 in force").empty();
+  for (int i = 0; i < 50 && !there; ++i) there = !site.expect_log("1.5020 active").empty();
   std::printf("all in force: %s\n", there ? "yes" : "NO");
   site.counters({"catalog.sequence", "catalog.tenants", "catalog.applied", "catalog.rejected"});
 }
