--- a/tests/conns/connection_admission_program.cpp
+++ b/tests/conns/connection_admission_program.cpp
@@ -1,6 +1,6 @@
-// A backend with admission of connections among floods, known clients, and a system that runs out of
-// descriptors. The checker of the service rules reads what the callers saw. CTest compares with
-// tests/traces/conns_program_NAME.txt. usage: connection_admission_program BINARY SCENARIO
+// A backend with connection admission under floods of connections, with known clients, and when the process
+// runs out of file descriptors. A checker verifies the service rules from what the callers observed. CTest
+// compares with tests/traces/conns_program_NAME.txt. usage: connection_admission_program BINARY SCENARIO
 #include <fmt/format.h>
 #include <sys/resource.h>
 #include <sys/socket.h>
@@ -33,15 +33,16 @@
   return s;
 }
 
-struct Play {
-  explicit Play(const SiteSpec& spec, double reads = 40) : fleet(binary, spec, {}, load(reads)), spec_(spec) {
-    if (!fleet.start()) std::printf("the relay does not start\n");
+struct Scenario {
+  explicit Scenario(const SiteSpec& spec, double reads_per_second = 40)
+      : fleet(binary, spec, {}, load(reads_per_second)), spec_(spec) {
+    if (!fleet.start()) std::printf("the backend does not start\n");
     fleet.loop.run_until([this] { return fleet.server.registry.is_listed(); }, 5);
     port = fleet.server.port();
   }
-  static Callers::Options load(double reads) {
+  static Callers::Options load(double reads_per_second) {
     Callers::Options o;
-    o.flows = {{"read", reads, 2}, {"close", reads / 4, 2}};
+    o.flows = {{"read", reads_per_second, 2}, {"close", reads_per_second / 4, 2}};
     for (Flow& flow : o.flows) {
       flow.retries = 1;
       flow.pause = 0.1;
@@ -56,19 +57,19 @@
     return counters.contains(name) ? counters.at(name) : 0;
   }
   void end(bool all_succeeded = true) {
-    say("all tries end", fleet.settle(5));
-    say("no invariant broken", count("invariants.broken") == 0);
-    say("it leaves in order", fleet.leave());
-    const Verdict v = check_rules(fleet.journal, fleet.limits());
-    for (const std::string& line : v.broken) std::printf("%s\n", line.c_str());
-    std::printf("rules: %s\n", v.kept() ? "kept" : "BROKEN");
-    int asked = 0;
+    say("all attempts end", fleet.settle(5));
+    say("no invariant violated", count("invariants.broken") == 0);
+    say("it shuts down gracefully", fleet.leave());
+    const Verdict verdict = check_rules(fleet.journal, fleet.limits());
+    for (const std::string& line : verdict.broken) std::printf("%s\n", line.c_str());
+    std::printf("rules: %s\n", verdict.kept() ? "kept" : "VIOLATED");
+    int attempts = 0;
     int succeeded = 0;
     for (const auto& [request, t] : fleet.journal.attempts) {
-      ++asked;
+      ++attempts;
       for (const Answer& a : t.answers) succeeded += a.kind == AnswerKind::kSucceeded;
     }
-    if (all_succeeded) say("nearly all ops are served", asked > 20 && succeeded > 0.97 * asked);
+    if (all_succeeded) say("nearly all requests are served", attempts > 20 && succeeded > 0.97 * attempts);
   }
   Fleet fleet;
   std::uint16_t port = 0;
@@ -77,27 +78,28 @@
   const SiteSpec spec_;
 };
 
-// A flood of one shape while a client that is known by its earlier requests keeps connecting.
+// A flood of one shape, while a client that is known by its earlier requests connects repeatedly.
 void flooded(FloodShape shape, unsigned addresses, unsigned each) {
-  Play play(site("    known-after 10\n"));
-  play.fleet.loop.run_for(1);
-  Newcomers client(play.fleet.loop, play.port, {kClient, 0.02, 0.25, 0});
+  Scenario scenario(site("    known-after 10\n"));
+  scenario.fleet.loop.run_for(1);
+  Newcomers client(scenario.fleet.loop, scenario.port, {kClient, 0.02, 0.25, 0});
   {
-    Flood flood(play.port, {shape, addresses, each, 1500});
-    play.fleet.loop.run_for(2.5);
-    say("the flood came", flood.dialled() > 500);
+    Flood flood(scenario.port, {shape, addresses, each, 1500});
+    scenario.fleet.loop.run_for(2.5);
+    say("the flood opened its connections", flood.dialled() > 500);
   }
   client.stop();
-  play.fleet.loop.run_until([&] { return client.quiet(); }, 6);
-  say("the known client always got in", client.came() > 50 && client.in_time() >= client.came() - 1);
-  say("strangers were turned away", play.count("callers.rejected") > 100);
-  play.fleet.loop.run_for(0.5);
-  Newcomers stranger(play.fleet.loop, play.port, {"127.9.9.9", 0.1, 0.5, 0});
-  play.fleet.loop.run_for(1);
-  stranger.stop();
-  play.fleet.loop.run_until([&] { return stranger.quiet(); }, 6);
-  say("after it a stranger gets in", stranger.came() > 3 && stranger.in_time() == stranger.came());
-  play.end();
+  scenario.fleet.loop.run_until([&] { return client.quiet(); }, 6);
+  say("the known client was always admitted", client.came() > 50 && client.in_time() >= client.came() - 1);
+  say("connections of unknown clients were rejected", scenario.count("callers.rejected") > 100);
+  scenario.fleet.loop.run_for(0.5);
+  Newcomers unknown_client(scenario.fleet.loop, scenario.port, {"127.9.9.9", 0.1, 0.5, 0});
+  scenario.fleet.loop.run_for(1);
+  unknown_client.stop();
+  scenario.fleet.loop.run_until([&] { return unknown_client.quiet(); }, 6);
+  say("an unknown client is admitted after the flood",
+      unknown_client.came() > 3 && unknown_client.in_time() == unknown_client.came());
+  scenario.end();
 }
 void silent() { flooded(FloodShape::kSilent, 1000, 50); }
 void resets() { flooded(FloodShape::kReset, 500, 50); }
@@ -105,146 +107,149 @@
 void one() { flooded(FloodShape::kSilent, 1, 5000); }
 void junk() { flooded(FloodShape::kJunk, 100, 20); }
 
-// Fewer descriptors than the table allows connections: the limit of the system is reached first.
+// Fewer descriptors than the allowed number of connections: the limit of the system is reached first.
 void no_descriptors() {
-  Play play(site("    known-after 10\n    client-share 100%\n    network-share 100%\n", 400));
-  play.fleet.loop.run_for(1);
-  const rlimit few{70, 70};
-  ::prlimit(play.fleet.process->pid(), RLIMIT_NOFILE, &few, nullptr);
-  Newcomers client(play.fleet.loop, play.port, {kClient, 0.05, 0.25, 0});
-  Flood flood(play.port, {FloodShape::kSilent, 200, 5, 800});
-  play.fleet.loop.run_for(1.5);
-  say("the last descriptor was reached", play.count("admission.last_descriptor") > 0);
-  const auto before = play.fleet.process->processor_time();
-  play.fleet.loop.run_for(1);
-  say("it does not spin", play.fleet.process->processor_time() - before < 0.6);
-  std::ofstream(play.fleet.operators_path()) << "gate\n    enabled on\n    known-after 10\n    reserve 30%\n";
-  play.fleet.process->signal(SIGHUP);
-  say("a new configuration is read without one",
-      !play.fleet.process->expect_log("new configuration: runtime", 2).empty());
+  Scenario scenario(site("    known-after 10\n    client-share 100%\n    network-share 100%\n", 400));
+  scenario.fleet.loop.run_for(1);
+  const rlimit limit{70, 70};
+  ::prlimit(scenario.fleet.process->pid(), RLIMIT_NOFILE, &limit, nullptr);
+  Newcomers client(scenario.fleet.loop, scenario.port, {kClient, 0.05, 0.25, 0});
+  Flood flood(scenario.port, {FloodShape::kSilent, 200, 5, 800});
+  scenario.fleet.loop.run_for(1.5);
+  say("the last descriptor was used", scenario.count("admission.last_descriptor") > 0);
+  const auto cpu_before = scenario.fleet.process->processor_time();
+  scenario.fleet.loop.run_for(1);
+  say("no busy loop", scenario.fleet.process->processor_time() - cpu_before < 0.6);
+  std::ofstream(scenario.fleet.operators_path())
+      << "gate\n    enabled on\n    known-after 10\n    reserve 30%\n";
+  scenario.fleet.process->signal(SIGHUP);
+  say("a new configuration is read without a free descriptor",
+      !scenario.fleet.process->expect_log("new configuration: runtime", 2).empty());
   client.stop();
-  play.fleet.loop.run_until([&] { return client.quiet(); }, 6);
-  say("the known client got in all the same",
+  scenario.fleet.loop.run_until([&] { return client.quiet(); }, 6);
+  say("the known client was admitted nevertheless",
       client.came() > 30 && client.in_time() >= client.came() * 9 / 10);
-  std::printf("told to leave in the middle of it\n");
-  play.end(false);
+  std::printf("graceful shutdown during the flood\n");
+  scenario.end(false);
 }
 
-// The limit of the system and the flood meet a graceful shutdown.
+// A graceful shutdown during a flood, after the limit of the system was reached.
 void drained() {
-  Play play(site("    known-after 10\n"));
-  play.fleet.loop.run_for(1);
-  Flood flood(play.port, {FloodShape::kSilent, 500, 20, 1500});
-  play.fleet.loop.run_for(1);
-  const rlimit few{48, 48};
-  ::prlimit(play.fleet.process->pid(), RLIMIT_NOFILE, &few, nullptr);
-  play.end(false);
+  Scenario scenario(site("    known-after 10\n"));
+  scenario.fleet.loop.run_for(1);
+  Flood flood(scenario.port, {FloodShape::kSilent, 500, 20, 1500});
+  scenario.fleet.loop.run_for(1);
+  const rlimit limit{48, 48};
+  ::prlimit(scenario.fleet.process->pid(), RLIMIT_NOFILE, &limit, nullptr);
+  scenario.end(false);
 }
 
-// Over kills every thing wanted is served by its first try or its second, or rejected with a time to retry;
-// no try is lost but in flight at a kill; the others are as well served as without one.
-void end_over_kills(Play& play) {
-  play.end(false);
-  const ServiceOverKills seen = judge_service_over_kills(play.fleet.journal);
-  for (const std::string& line : seen.unserved) std::printf("unserved: %s\n", line.c_str());
-  for (const std::string& line : seen.lost) std::printf("lost: %s\n", line.c_str());
-  say("every op is served, or rejected with a time to come back", seen.unserved.empty());
-  say("no try is lost but in flight at a kill", seen.lost.empty());
-  say("nearly all other tries are served", seen.tries > 20 && seen.tries_succeeded > 0.97 * seen.tries);
+// With kills, every request is served by its first or second attempt, or rejected with a time to retry; an
+// attempt is lost only if it was in flight at a kill; the other attempts are served as well as without kills.
+void end_after_kills(Scenario& scenario) {
+  scenario.end(false);
+  const ServiceOverKills service = judge_service_over_kills(scenario.fleet.journal);
+  for (const std::string& line : service.unserved) std::printf("unserved: %s\n", line.c_str());
+  for (const std::string& line : service.lost) std::printf("lost: %s\n", line.c_str());
+  say("every request is served, or rejected with a retry time", service.unserved.empty());
+  say("attempts are lost only in flight at a kill", service.lost.empty());
+  say("nearly all other attempts are served",
+      service.tries > 20 && service.tries_succeeded > 0.97 * service.tries);
 }
 
-// Known clients are known after a kill; after a damaged record nobody is.
+// Known clients are still known after a kill; after a damaged record no client is known.
 void survives() {
-  Play play(site("    known-after 10\n    known-folder FOLDER\n    known-interval 200ms\n"));
-  play.fleet.loop.run_for(1.5);
-  play.fleet.kill();
-  say("it starts again", play.fleet.start());
-  say("it knows whom it knew",
-      play.fleet.process->expect_log("known clients").find("taken=1") != std::string::npos);
-  play.fleet.loop.run_for(0.5);
-  play.fleet.kill();
+  Scenario scenario(site("    known-after 10\n    known-folder FOLDER\n    known-interval 200ms\n"));
+  scenario.fleet.loop.run_for(1.5);
+  scenario.fleet.kill();
+  say("it restarts", scenario.fleet.start());
+  say("the known clients are restored",
+      scenario.fleet.process->expect_log("known clients").find("taken=1") != std::string::npos);
+  scenario.fleet.loop.run_for(0.5);
+  scenario.fleet.kill();
   for (const char* name : {"clients", "clients.1"}) {
-    std::fstream file(play.fleet.folder() + "/" + name, std::ios::in | std::ios::out | std::ios::binary);
+    std::fstream file(scenario.fleet.folder() + "/" + name, std::ios::in | std::ios::out | std::ios::binary);
     file.seekp(40);
     file.put('\x55');
   }
-  say("it starts with a spoilt record", play.fleet.start());
-  const std::string line = play.fleet.process->expect_log("known clients");
-  say("and says that nobody is known", line.find("no known clients") != std::string::npos);
-  play.fleet.loop.run_for(0.5);
-  end_over_kills(play);
+  say("it starts with a damaged record", scenario.fleet.start());
+  const std::string line = scenario.fleet.process->expect_log("known clients");
+  say("it logs that no clients are known", line.find("no known clients") != std::string::npos);
+  scenario.fleet.loop.run_for(0.5);
+  end_after_kills(scenario);
 }
 
-// A client that is never silent, and sends too slowly.
+// A client that sends continuously, but too slowly.
 void slow() {
-  Play play(site(""));
-  const int drip = connected_socket(play.port, "127.8.0.1");
+  Scenario scenario(site(""));
+  const int slow_socket = connected_socket(scenario.port, "127.8.0.1");
   const std::string head = "Content-Length: 400\r\n\r\n{";
-  const double began = now();
-  double ended = 0;
-  play.fleet.loop.watch(drip, [&] {
+  const double started_at = now();
+  double ended_at = 0;
+  scenario.fleet.loop.watch(slow_socket, [&] {
     char bytes[512];
-    if (::recv(drip, bytes, sizeof bytes, MSG_DONTWAIT) != 0) return;
-    ended = now();
-    play.fleet.loop.forget(drip);
+    if (::recv(slow_socket, bytes, sizeof bytes, MSG_DONTWAIT) != 0) return;
+    ended_at = now();
+    scenario.fleet.loop.forget(slow_socket);
   });
-  for (std::size_t i = 0; i < head.size() && ended == 0; ++i) {
-    play.fleet.loop.send(drip, head.substr(i, 1));
-    play.fleet.loop.run_for(0.1);
+  for (std::size_t i = 0; i < head.size() && ended_at == 0; ++i) {
+    scenario.fleet.loop.send(slow_socket, head.substr(i, 1));
+    scenario.fleet.loop.run_for(0.1);
   }
-  say("who drips a request is gone within a second", ended > 0 && ended - began < 1.2);
-  say("it counts against it", play.count("admission.penalties") > 0);
-  play.end();
+  say("a slow client is disconnected within a second", ended_at > 0 && ended_at - started_at < 1.2);
+  say("the client gets a penalty", scenario.count("admission.penalties") > 0);
+  scenario.end();
 }
 
-// What operators may ask a running backend, and who may not ask.
-void questions() {
+// Control queries of operators to a running backend, and a control folder that is not private.
+void control_queries() {
   SiteSpec spec =
       site("    known 127.7.0.0/16\n    group edge 30% 127.30.0.0/16\ncontrol\n    folder FOLDER\n");
-  Play play(spec);
-  play.fleet.loop.run_for(0.3);
-  const auto ask = [&](const std::string& folder) {
-    const std::string out = play.fleet.folder() + "/said";
+  Scenario scenario(spec);
+  scenario.fleet.loop.run_for(0.3);
+  const auto query_connections = [&](const std::string& folder) {
+    const std::string out = scenario.fleet.folder() + "/output";
     const std::string command = fmt::format("{} conns --folder {} > {} 2>&1", binary, folder, out);
     const int status = std::system(command.c_str());
     std::ifstream in(out);
     std::string text((std::istreambuf_iterator<char>(in)), {});
     return std::make_pair(WEXITSTATUS(status), text);
   };
-  const auto [status, text] = ask(play.fleet.folder());
-  say("the command ends well", status == 0);
-  say("it tells the client by its address, listed",
+  const auto [status, text] = query_connections(scenario.fleet.folder());
+  say("the command succeeds", status == 0);
+  say("the client is shown by address, with standing listed",
       text.find("client 127.7.0.1 open=") != std::string::npos &&
           text.find("standing=listed") != std::string::npos);
-  const auto [nobody, why] = ask("/nowhere");
-  say("nobody there: status 1 and one line", nobody == 1 && std::count(why.begin(), why.end(), '\n') == 1);
-  play.end(false);  // the stand-ins rested meanwhile
-  std::filesystem::permissions(play.fleet.folder(), std::filesystem::perms(0755));
-  play.fleet.write_operators("control\n    folder FOLDER\n");
-  say("a folder that others may enter: it does not start", !play.fleet.start());
-  std::filesystem::permissions(play.fleet.folder(), std::filesystem::perms(0700));
+  const auto [failed_status, failure] = query_connections("/nowhere");
+  say("no process listening: status 1 and one line",
+      failed_status == 1 && std::count(failure.begin(), failure.end(), '\n') == 1);
+  scenario.end(false);  // the stand-ins did not run meanwhile
+  std::filesystem::permissions(scenario.fleet.folder(), std::filesystem::perms(0755));
+  scenario.fleet.write_operators("control\n    folder FOLDER\n");
+  say("a folder that others can enter: it does not start", !scenario.fleet.start());
+  std::filesystem::permissions(scenario.fleet.folder(), std::filesystem::perms(0700));
 }
 
-// A limit lowered by SIGHUP below what is open: idle connections are closed, requests go on, and an invalid
-// file changes nothing.
+// A limit is lowered by SIGHUP below the number of open connections: idle connections are closed, requests
+// are still served, and an invalid file changes nothing.
 void lowered() {
-  Play play(
+  Scenario scenario(
       site("    known-after 10\n    client-share 100%\n    network-share 100%\n    known-share 100%\n"));
-  play.fleet.loop.run_for(0.5);
-  Flood flood(play.port, {FloodShape::kAsking, 40, 2, 400});
-  play.fleet.loop.run_for(1);
+  scenario.fleet.loop.run_for(0.5);
+  Flood flood(scenario.port, {FloodShape::kAsking, 40, 2, 400});
+  scenario.fleet.loop.run_for(1);
   const std::uint64_t open_before = flood.held();
-  say("many are open", open_before > 50);
-  std::ofstream(play.fleet.operators_path()) << "gate\n    enabled on\n    connections many\n";
-  play.fleet.process->signal(SIGHUP);
-  say("a wrong file is one line", !play.fleet.process->expect_log("the old one stays", 2).empty());
-  std::ofstream(play.fleet.operators_path())
+  say("many connections are open", open_before > 50);
+  std::ofstream(scenario.fleet.operators_path()) << "gate\n    enabled on\n    connections many\n";
+  scenario.fleet.process->signal(SIGHUP);
+  say("an invalid file is logged", !scenario.fleet.process->expect_log("previous one stays", 2).empty());
+  std::ofstream(scenario.fleet.operators_path())
       << "gate\n    enabled on\n    known-after 10\n    connections 24\n    known-share 100%\n";
-  play.fleet.process->signal(SIGHUP);
-  play.fleet.process->expect_log("new configuration", 2);
-  play.fleet.loop.run_for(2);
-  say("fewer than a third of them are left", flood.held() < open_before / 3);
-  play.end();
+  scenario.fleet.process->signal(SIGHUP);
+  scenario.fleet.process->expect_log("new configuration", 2);
+  scenario.fleet.loop.run_for(2);
+  say("fewer than a third of them are left open", flood.held() < open_before / 3);
+  scenario.end();
 }
 
 }  // namespace
@@ -261,5 +266,5 @@
                        {"no_descriptors", no_descriptors},
                        {"drained", drained},
                        {"survives", survives},
-                       {"questions", questions}});
+                       {"control_queries", control_queries}});
 }
--- a/tests/conns/connection_limiter_traces.cpp
+++ b/tests/conns/connection_limiter_traces.cpp
@@ -1,4 +1,4 @@
-// The connection limiter without sockets: step by step, and in simulated floods by a seed. CTest compares
+// The connection limiter without sockets: step by step, and in simulated floods with seeds. CTest compares
 // with tests/traces/conns_NAME.txt. usage: connection_limiter_traces steps|floods, or
 // connection_limiter_traces floods SEED
 #include <cstdio>
@@ -21,23 +21,24 @@
 
 constexpr std::uint64_t kFloods = 300;
 
-// A limiter that is told what happens; prints what it answers.
+// Drives a limiter and prints its decisions.
 class ScriptedLimiter {
  public:
   ScriptedLimiter(ConnectionLimiterOptions options, std::size_t total,
                   const std::vector<double>& shares = {1})
       : quota(total, shares), known({7 * 86400, 2, 64}), limiter(std::move(options), quota, known) {}
 
-  // One connection; 0: it was rejected. One that is evicted for it ends at once.
+  // Opens one connection; returns 0 if it was rejected. A connection that is evicted for it is closed at
+  // once.
   ConnectionId connect(const Address& from, std::size_t listener = 0, bool is_out_of_descriptors = false) {
     const ConnectionId id = ++last_id;
     const AdmissionResult result = limiter.admit(id, listener, from, now, kUnix + now, is_out_of_descriptors);
     const std::string outcome =
-        result.is_admitted ? "in as " + std::to_string(id) : std::string(text_of(result.cause));
+        result.is_admitted ? "admitted as " + std::to_string(id) : std::string(text_of(result.cause));
     std::printf("  %-12s %s", text_of(client_of(from)).c_str(), outcome.c_str());
-    if (!result.is_admitted) std::printf(", back in %.2f", result.retry_after);
+    if (!result.is_admitted) std::printf(", retry after %.2f", result.retry_after);
     if (result.evicts) {
-      std::printf(", sheds %d", static_cast<int>(*result.evicts));
+      std::printf(", evicts %d", static_cast<int>(*result.evicts));
       limiter.on_closed(*result.evicts);
     }
     std::printf("\n");
@@ -52,7 +53,7 @@
       if (!result.is_admitted) ++causes[text_of(result.cause)];
       if (result.evicts) limiter.on_closed(*result.evicts);
     }
-    std::printf("  %d from %s: %d in", count, text_of(client_of(from)).c_str(), admitted);
+    std::printf("  %d from %s: %d admitted", count, text_of(client_of(from)).c_str(), admitted);
     for (const auto& [cause, rejected] : causes) std::printf(", %s %d", cause.c_str(), rejected);
     std::printf("\n");
   }
@@ -91,7 +92,8 @@
 }
 
 void caps() {
-  std::printf("caps: 20 places, a quarter a client, half a network, a quarter for known clients\n");
+  std::printf(
+      "caps: 20 connections, a quarter per client, half per network, a quarter reserved for known clients\n");
   ScriptedLimiter script(with_high_rates({}), 20);
   script.connect_many(v4(10, 0, 0, 1), 6);
   script.connect_many(v4(10, 0, 0, 2), 6);
@@ -100,14 +102,18 @@
   script.connect_many(v4(10, 0, 2, 1), 6);
   const Address known = v4(10, 9, 9, 9);
   script.make_known(known);
-  std::printf("a known client finds its reserve, then moves silent strangers, up to its own share\n");
+  std::printf(
+      "a known client uses the reserve, then evicts silent connections of unknown clients, up to its own "
+      "cap\n");
   script.connect_many(known, 12);
-  std::printf("open %zu, strangers %zu of %zu\n", script.limiter.open_count(), script.limiter.unknown_count(),
-              script.limiter.max_unknown());
+  std::printf("open %zu, of unknown clients %zu of at most %zu\n", script.limiter.open_count(),
+              script.limiter.unknown_count(), script.limiter.max_unknown());
 }
 
 void eviction_order() {
-  std::printf("who is kept: silent, then idle strangers by what they did, never who is busy\n");
+  std::printf(
+      "eviction order: connections without a request, then idle ones of unknown clients by usefulness, never "
+      "busy ones\n");
   ScriptedLimiter script(with_high_rates(without_shares()), 4);
   script.connect(v4(10, 0, 0, 1));  // stays silent
   const ConnectionId useful = script.connect(v4(10, 0, 0, 2));
@@ -129,7 +135,9 @@
   script.now += 3;
   script.connect(v4(10, 0, 1, 6));
   script.connect(v4(10, 0, 1, 7));
-  std::printf("a stranger never moves a known client; another known one does, past its time\n");
+  std::printf(
+      "an unknown client never evicts a known one; another known client does after its protection has "
+      "expired\n");
   for (unsigned n = 1; n <= 4; ++n) {
     script.make_known(v4(10, 5, 0, n));
     script.connect(v4(10, 5, 0, n));
@@ -141,7 +149,7 @@
 }
 
 void rates() {
-  std::printf("rates: 2 a second and 3 at once a client; all strangers 10 at once\n");
+  std::printf("rates: 2 per second and a burst of 3 per client; a burst of 10 for all unknown clients\n");
   ConnectionLimiterOptions options;
   options.client_rate = 2;
   options.client_burst = 3;
@@ -153,12 +161,14 @@
   script.connect_many(v4(10, 0, 0, 1), 2);
   for (unsigned n = 2; n < 5; ++n) script.connect_many(v4(10, 0, n, 1), 3);
   script.make_known(v4(10, 7, 0, 1));
-  std::printf("a known client has four times the rate, and no part in the strangers'\n");
+  std::printf(
+      "a known client has four times the rate, and does not count towards the rate of unknown clients\n");
   script.connect_many(v4(10, 7, 0, 1), 14);
 }
 
 void reconfigured_rates() {
-  std::printf("a rate that is raised counts at once, and a shorter half-life makes no points\n");
+  std::printf(
+      "a raised rate takes effect immediately, and a shorter half-life does not add penalty points\n");
   ConnectionLimiterOptions options;
   options.client_rate = 1;
   options.client_burst = 10;
@@ -175,7 +185,7 @@
 }
 
 void penalties() {
-  std::printf("points: half a request four times, then it waits outside until they fade\n");
+  std::printf("penalty points: rejected after four incomplete requests, until the points have decayed\n");
   ScriptedLimiter script({}, 100);
   for (int i = 0; i < 4; ++i)
     script.close_penalized(script.connect(v4(10, 0, 0, 1)), Penalty::kIncompleteRequest);
@@ -185,7 +195,7 @@
   script.connect(v4(10, 0, 0, 1));
   script.now += 25;
   script.connect(v4(10, 0, 0, 1));
-  std::printf("a known client that turns bad loses its standing, then its patience with us\n");
+  std::printf("a known client that misbehaves is no longer known, then it is rejected\n");
   script.make_known(v4(10, 0, 0, 9));
   for (int i = 0; i < 4; ++i) {
     const ConnectionId id = script.connect(v4(10, 0, 0, 9));
@@ -195,7 +205,7 @@
 }
 
 void groups() {
-  std::printf("groups: 30%% for two networks together, whose members have no smaller cap\n");
+  std::printf("groups: 30%% for two networks together, whose clients have no smaller cap\n");
   ConnectionLimiterOptions options;
   options.client_share = 0.1;
   options.client_burst = 100;
@@ -205,14 +215,14 @@
   script.connect_many(v4(10, 1, 0, 1), 4);
   script.connect_many(v4(10, 2, 0, 1), 4);
   script.connect_many(v4(10, 3, 0, 1), 4);
-  std::printf("who reconnects takes the place of its own dead connection\n");
+  std::printf("a client that reconnects replaces its own dead connection\n");
   script.now += 1;
   script.connect_many(v4(10, 2, 0, 1), 1);
   script.connect_many(v4(10, 3, 0, 1), 3);
 }
 
-void narrowest_group() {
-  std::printf("the narrowest network says which group; a network of strangers has a rate of its own\n");
+void longest_prefix_group() {
+  std::printf("the longest prefix decides the group; each network of unknown clients has a separate rate\n");
   ConnectionLimiterOptions options;
   options.network_rate = 1;
   options.network_burst = 3;
@@ -225,28 +235,29 @@
   script.connect_many(v4(10, 4, 0, 1), 2);
   script.connect_many(v4(10, 4, 0, 2), 2);
   std::printf(
-      "a silent connection costs no standing; who becomes known is no stranger any more; none is kept for "
-      "good\n");
+      "a silent connection does not affect a known client; a client that becomes known is counted as known; "
+      "protection is limited\n");
   const Address from = v4(10, 5, 0, 1);
   const ConnectionId id = script.connect(from);
   const std::size_t unknown_before = script.limiter.unknown_count();
   script.serve_request(id, 3);
   script.serve_request(id, 3);
-  std::printf("  strangers %zu, then %zu, earned %.1f", unknown_before, script.limiter.unknown_count(),
-              script.known.score(client_of(from)));
+  std::printf("  of unknown clients %zu, then %zu, score %.1f", unknown_before,
+              script.limiter.unknown_count(), script.known.score(client_of(from)));
   script.limiter.penalize(id, Penalty::kSilent, script.now);
-  std::printf(", after a silent one %.1f", script.known.score(client_of(from)));
+  std::printf(", after a silent connection %.1f", script.known.score(client_of(from)));
   script.quota.resize(0);
   script.now += 1.29;
   const std::size_t early = script.limiter.excess_connections(script.now).size();
   script.now += 0.02;
-  std::printf("; beyond no place: %zu, then %zu\n", early,
+  std::printf("; excess connections with a total of 0: %zu, then %zu\n", early,
               script.limiter.excess_connections(script.now).size());
 }
 
 void sketch_size() {
   std::printf(
-      "a sketch as large as it has to be: who comes all the time is held to its rate among 400 others\n");
+      "sufficient sketch size: a client that connects all the time is limited to its rate among 400 "
+      "others\n");
   ConnectionLimiterOptions options;
   options.clients = 1;
   options.client_rate = 1;
@@ -261,11 +272,11 @@
     if (result.is_admitted) ++admitted;
     script.limiter.admit(++script.last_id, 0, v4(10, 7, i / 250, i % 250), script.now, kUnix);
   }
-  std::printf("  300 tries at once: %d in\n", admitted);
+  std::printf("  300 connections at once: %d admitted\n", admitted);
 }
 
 void no_descriptor_left() {
-  std::printf("no descriptor left: in only where another goes\n");
+  std::printf("no descriptor left: admitted only if another connection is evicted\n");
   ScriptedLimiter script({}, 100);
   script.connect(v4(10, 0, 0, 1));
   script.connect(v4(10, 0, 0, 2), 0, true);
@@ -275,7 +286,8 @@
 }
 
 void two_listeners() {
-  std::printf("two fronts of four places each: a place must be one that the front may take\n");
+  std::printf(
+      "two listeners with four connections each: an evicted connection must free a slot for the listener\n");
   ScriptedLimiter script(without_shares(), 8, {0.5, 0.5});
   for (int i = 0; i < 4; ++i) script.connect(v4(10, 0, 1, 1), 0);
   script.now += 1;
@@ -288,17 +300,17 @@
 }
 
 void lowered_limit() {
-  std::printf("fewer places than are open: who has outstayed its time goes, busy ones stay\n");
+  std::printf("lowered limit: connections whose protection has expired are closed, busy ones stay\n");
   const ConnectionLimiterOptions options = without_shares();
   ScriptedLimiter script(options, 8);
   for (int i = 0; i < 6; ++i) script.connect(v4(10, 0, 0, 1));
   script.limiter.set_busy(2, true);
   script.quota.resize(2);
   script.limiter.reconfigure(options, script.now);
-  std::printf("  at once: %zu\n", script.limiter.excess_connections(script.now).size());
+  std::printf("  immediately: %zu\n", script.limiter.excess_connections(script.now).size());
   script.now += 1;
   for (const ConnectionId id : script.limiter.excess_connections(script.now)) {
-    std::printf("  %d goes\n", static_cast<int>(id));
+    std::printf("  %d is closed\n", static_cast<int>(id));
     script.limiter.on_closed(id);
   }
   script.connect(v4(10, 0, 0, 2));
@@ -311,7 +323,7 @@
   reconfigured_rates();
   penalties();
   groups();
-  narrowest_group();
+  longest_prefix_group();
   sketch_size();
   no_descriptor_left();
   two_listeners();
@@ -319,30 +331,31 @@
 }
 
 void floods() {
-  long known_in = 0;
-  long known_asked = 0;
-  long honest_in = 0;
-  long honest_asked = 0;
-  long flood_in = 0;
-  long flood_asked = 0;
+  long known_admitted = 0;
+  long known_attempted = 0;
+  long unknown_admitted = 0;
+  long unknown_attempted = 0;
+  long flood_admitted = 0;
+  long flood_attempted = 0;
   for (std::uint64_t seed = 1; seed <= kFloods; ++seed) {
     GateFlood flood(seed, false);
-    const std::string broken = flood.play();
-    if (!broken.empty()) {
-      std::printf("seed %llu: %s\n", static_cast<unsigned long long>(seed), broken.c_str());
+    const std::string violation = flood.play();
+    if (!violation.empty()) {
+      std::printf("seed %llu: %s\n", static_cast<unsigned long long>(seed), violation.c_str());
       return;
     }
-    known_in += flood.known_in;
-    known_asked += flood.known_asked;
-    honest_in += flood.honest_in;
-    honest_asked += flood.honest_asked;
-    flood_in += flood.flood_in;
-    flood_asked += flood.flood_asked;
+    known_admitted += flood.known_in;
+    known_attempted += flood.known_asked;
+    unknown_admitted += flood.honest_in;
+    unknown_attempted += flood.honest_asked;
+    flood_admitted += flood.flood_in;
+    flood_attempted += flood.flood_asked;
   }
-  std::printf("300 floods: nothing broke; known clients %s, honest strangers %s, of the flood %s\n",
-              known_in == known_asked && known_in > 3000 ? "all in" : "NOT all in",
-              honest_in * 2 > honest_asked ? "more than half in" : "fewer than half in",
-              flood_in * 3 < flood_asked ? "less than a third in" : "more than a third in");
+  std::printf(
+      "300 floods: no violation; known clients %s, unknown clients outside of the flood %s, the flood %s\n",
+      known_admitted == known_attempted && known_admitted > 3000 ? "all admitted" : "NOT all admitted",
+      unknown_admitted * 2 > unknown_attempted ? "more than half admitted" : "fewer than half admitted",
+      flood_admitted * 3 < flood_attempted ? "less than a third admitted" : "more than a third admitted");
 }
 
 }  // namespace
--- a/tests/conns/connection_quota_test.cpp
+++ b/tests/conns/connection_quota_test.cpp
@@ -5,14 +5,14 @@
 namespace damsonspoke::conns {
 namespace {
 
-TEST(ConnectionQuota, NoListenerTakesWhatAnotherIsGuaranteed) {
+TEST(ConnectionQuota, GuaranteedMinimumIsKeptForItsListener) {
   ConnectionQuota quota(8, {0.5, 0.25});
   while (quota.has_capacity(0)) quota.on_opened(0);
   EXPECT_EQ(quota.open_count(0), 6u);
   EXPECT_TRUE(quota.has_capacity(1));
 }
 
-TEST(ConnectionQuota, ResizeKeepsTheSharesAndWhatIsOpen) {
+TEST(ConnectionQuota, ResizeKeepsSharesAndOpenConnections) {
   ConnectionQuota quota(8, {0.5, 0.5});
   for (int i = 0; i < 4; ++i) quota.on_opened(0);
   quota.resize(4);
@@ -21,7 +21,7 @@
   EXPECT_FALSE(quota.has_capacity(0));
 }
 
-TEST(ConnectionQuota, ReadingIsLimitedOnlyWhileOthersRead) {
+TEST(ConnectionQuota, ReadingIsLimitedOnlyWhileOtherListenersRead) {
   ConnectionQuota quota(8, {0.5, 0.5}, {0.01, 4});
   for (int i = 0; i < 100; ++i) EXPECT_TRUE(quota.try_read(0, 1.0));
   EXPECT_TRUE(quota.try_read(1, 1.0));
--- a/tests/conns/known_clients_traces.cpp
+++ b/tests/conns/known_clients_traces.cpp
@@ -1,4 +1,4 @@
-// How clients become known and lose that, and what a restart takes over from the stored record. CTest
+// How clients become known and lose this status, and what a restart restores from the stored record. CTest
 // compares with tests/traces/conns_known.txt.
 #include <cmath>
 #include <cstdio>
@@ -44,15 +44,15 @@
 
 void become_known_and_lose_it(Table& table) {
   table.succeed(1, 3);
-  table.print("three acked");
+  table.print("three successes");
   table.succeed(1, 1);
-  table.print("four");
+  table.print("four successes");
   table.succeed(1, 20);
-  table.print("no more than twice that is earned");
+  table.print("the score is at most twice the requirement");
   table.misbehave(1, 4);
-  table.print("misbehaved four times");
+  table.print("misbehavior, four times");
   table.misbehave(1, 3);
-  table.print("seven times: lost");
+  table.print("seven times: no longer known");
 }
 
 void evict_and_age(Table& table) {
@@ -62,34 +62,34 @@
   }
   table.now += 1;
   table.succeed(3, 1);
-  table.print("two known, one seen");
+  table.print("two known, one not known");
   table.now += 1;
   table.succeed(4, 1);
-  table.print("a fourth takes the place of who is not known");
+  table.print("a fourth evicts the one that is not known");
   table.succeed(4, 4);
   table.now += 1;
   table.succeed(5, 1);
-  table.print("among known ones the oldest goes");
+  table.print("the oldest known client is evicted");
   table.now += 99;
   table.print("nearly too old");
   table.now += 2;
   table.print("too old");
   table.succeed(4, 1);
-  table.print("who comes after that is a stranger");
+  table.print("a success after that does not make it known");
 }
 
 void restore_leaves_out_implausible_entries(const Table& table) {
   const double now = table.now;
   std::vector<KnownClient> stored = table.clients.entries();
-  stored.push_back({client(7), 4, now + 1000, true});         // from the future
+  stored.push_back({client(7), 4, now + 1000, true});         // in the future
   stored.push_back({client(8), 4, now - 101, true});          // too old
   stored.push_back({client(9), -1, now, true});               // impossible score
   stored.push_back({{v4(10, 0, 0, 10), 100}, 4, now, true});  // bits beyond the prefix
-  stored.push_back({client(11), 1, now, true});               // marked as known without the score for it
+  stored.push_back({client(11), 1, now, true});               // flagged as known, with too low a score
   stored.push_back({client(12), 4, std::nan(""), true});
-  stored.push_back({client(13), 2.5, now, true});  // has lost some of its score and is known still
+  stored.push_back({client(13), 2.5, now, true});  // has lost some of its score but is still known
   KnownClients restored(kOptions);
-  std::printf("an heir takes %zu of %zu, of whom are known", restored.restore(stored, now), stored.size());
+  std::printf("restored %zu of %zu, known:", restored.restore(stored, now), stored.size());
   for (unsigned n = 1; n <= 13; ++n) {
     if (restored.is_known(client(n), now)) std::printf(" %u", n);
   }
@@ -99,16 +99,16 @@
 void record_is_read_as_written_or_rejected(const Table& table) {
   const KnownClient invalid{{v4(10, 0, 0, 1), 200}, 4, table.now, true};
   std::printf("a prefix of 200 bits: %s\n",
-              decode_known_clients(encode_known_clients({invalid})) ? "taken" : "no record");
+              decode_known_clients(encode_known_clients({invalid})) ? "accepted" : "rejected");
   const std::string bytes = encode_known_clients(table.clients.entries());
   const auto read = decode_known_clients(bytes);
   const bool is_same = read && read->size() == table.clients.size() && encode_known_clients(*read) == bytes;
-  std::printf("round trip: %s\n", is_same ? "the same" : "another");
-  int truncated_taken = 0;
+  std::printf("round trip: %s\n", is_same ? "identical" : "different");
+  int accepted = 0;
   for (std::size_t n = 0; n < bytes.size(); ++n) {
-    if (decode_known_clients(bytes.substr(0, n))) ++truncated_taken;
+    if (decode_known_clients(bytes.substr(0, n))) ++accepted;
   }
-  std::printf("cut anywhere: %d of %s taken\n", truncated_taken, "all prefixes");
+  std::printf("truncated anywhere: %d of %s accepted\n", accepted, "all prefixes");
 }
 
 int implausible_entries(const KnownClients& clients, double now) {
@@ -135,7 +135,7 @@
     restored.restore(*clients, table.now);
     implausible += implausible_entries(restored, table.now);
   }
-  std::printf("spoilt bytes: %d entries that no life could have written\n", implausible);
+  std::printf("damaged bytes: %d implausible entries\n", implausible);
 }
 
 }  // namespace
--- a/tests/conns/rejection_log_test.cpp
+++ b/tests/conns/rejection_log_test.cpp
@@ -5,7 +5,7 @@
 namespace damsonspoke::conns {
 namespace {
 
-TEST(RejectionLog, CountsEachCauseAndKeepsTheLatest) {
+TEST(RejectionLog, CountsEachCauseAndStoresTheLatest) {
   RejectionLog log;
   for (int i = 0; i < 40; ++i) log.record(RejectCause::kClientRate, {}, i);
   log.record(RejectCause::kTableFull, {}, 40);
--- a/tests/conns/sketch_traces.cpp
+++ b/tests/conns/sketch_traces.cpp
@@ -21,7 +21,7 @@
 
 namespace {
 
-constexpr int kPlays = 200;
+constexpr int kSequences = 200;
 
 void prefixes() {
   for (const char* text :
@@ -47,10 +47,10 @@
   int score_too_high = 0;
 };
 
-// One sequence of arrivals, counted by the sketches and exactly. One client makes a third of them.
-class SketchPlay {
+// One sequence of arrivals, counted by the sketches and exactly. One client causes a third of them.
+class ArrivalSequence {
  public:
-  explicit SketchPlay(std::uint64_t seed)
+  explicit ArrivalSequence(std::uint64_t seed)
       : random_(seed),
         entries_(16 + random_() % 64),
         arrivals_(entries_, kRate, kBurst),
@@ -69,7 +69,7 @@
       const Prefix client = is_heavy ? heavy_client : client_of(v4(10, n / 65536, n / 256 % 256, n % 256));
       if (arrive(client, faults) && is_heavy) ++heavy_admitted;
       add_score(client, faults);
-      // With n entries the smallest has at most the n-th part of all that was admitted.
+      // With n entries, the smallest one counts at most 1/n of all admitted arrivals.
       if (arrivals_.max_error(now_) > admitted_ / static_cast<double>(entries_) + kTolerance)
         ++faults.error_beyond_bound;
     }
@@ -86,7 +86,8 @@
 
   double chance() { return std::ldexp(static_cast<double>(random_() >> 11), -53); }
 
-  // Whether the client was admitted. All together are held to less than the table drains, as in the limiter.
+  // Whether the client was admitted. As in the limiter, all clients together are limited to less than the
+  // rate at which the table drains.
   bool arrive(const Prefix& client, SketchFaults& faults) {
     double& empty_at = exact_empty_at_.try_emplace(client, now_).first->second;
     empty_at = std::max(empty_at, now_);
@@ -122,15 +123,16 @@
 
 void sketches() {
   SketchFaults faults;
-  for (std::uint64_t seed = 1; seed <= kPlays; ++seed) SketchPlay(seed).run(faults);
+  for (std::uint64_t seed = 1; seed <= kSequences; ++seed) ArrivalSequence(seed).run(faults);
   std::printf(
-      "%d plays: refused for what others did %d, error beyond its bound %d, a third of all not held to its "
-      "rate %d, points beyond the true ones %d\n",
-      kPlays, faults.wrongly_rejected, faults.error_beyond_bound, faults.heavy_client_missed,
+      "%d sequences: rejected because of other clients %d, error above its bound %d, client with a third of "
+      "all "
+      "arrivals above its rate %d, scores above the exact ones %d\n",
+      kSequences, faults.wrongly_rejected, faults.error_beyond_bound, faults.heavy_client_missed,
       faults.score_too_high);
 }
 
-// Counts without decay: the bounds hold of each key, in the table or not.
+// Counts without decay: the bounds are correct for each key, in the table or not.
 int wrong_counts(std::uint64_t seed) {
   pcg32 random(seed);
   SpaceSaving table(4 + random() % 20);
@@ -152,32 +154,34 @@
   return wrong;
 }
 
-void space() {
+void space_saving() {
   int wrong = 0;
-  for (std::uint64_t seed = 1; seed <= kPlays; ++seed) wrong += wrong_counts(seed);
-  std::printf("200 plays: %d counts outside of what the table says\n", wrong);
+  for (std::uint64_t seed = 1; seed <= kSequences; ++seed) wrong += wrong_counts(seed);
+  std::printf("200 sequences: %d counts outside of the bounds of the table\n", wrong);
 }
 
-void pace() {
+void minimum_byte_rate() {
   const MinimumByteRateOptions options{0.5, 1000};
   MinimumByteRate rate;
-  std::printf("not begun: %d\n", rate.is_too_slow(9, 0, options));
+  std::printf("not started: %d\n", rate.is_too_slow(9, 0, options));
   rate.start(1, 100);
-  std::printf("in the grace: %d, after it with nothing: %d, with enough: %d, one short: %d\n",
+  std::printf("within the grace: %d, after it without bytes: %d, with enough bytes: %d, one byte short: %d\n",
               rate.is_too_slow(1.4, 100, options), rate.is_too_slow(1.6, 100, options),
               rate.is_too_slow(2.5, 1100, options), rate.is_too_slow(2.5, 1099, options));
   rate.stop();
-  std::printf("over: %d\n", rate.is_too_slow(9, 0, options));
+  std::printf("stopped: %d\n", rate.is_too_slow(9, 0, options));
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-  const std::pair<const char*, void (*)()> scenarios[] = {
-      {"prefixes", prefixes}, {"sketches", sketches}, {"space", space}, {"pace", pace}};
-  for (const auto& [name, play] : scenarios) {
+  const std::pair<const char*, void (*)()> scenarios[] = {{"prefixes", prefixes},
+                                                          {"sketches", sketches},
+                                                          {"space_saving", space_saving},
+                                                          {"minimum_byte_rate", minimum_byte_rate}};
+  for (const auto& [name, run] : scenarios) {
     if (argc != 2 || std::strcmp(argv[1], name) != 0) continue;
-    play();
+    run();
     return 0;
   }
   std::fprintf(stderr, "usage: sketch_traces SCENARIO\n");
--- a/tests/results/results_program.cpp
+++ b/tests/results/results_program.cpp
@@ -268,7 +268,7 @@
   site.caller_hears(caller);
   site.write_operators("results\n    enabled on\n    entries 5\n    memry 1M\n");
   site.signal(SIGHUP);
-  std::string line = site.expect_log("not taken");
+  std::string line = site.expect_log("configuration rejected");
   std::printf("log: %s\n", line.substr(line.find("new conf"), 47).c_str());
   std::printf("log: both errors are told: %s\n",
               line.find("'entries' expects") != std::string::npos && line.find("'memry'") != std::string::npos
--- a/tests/settings/operator_file.cpp
+++ b/tests/settings/operator_file.cpp
@@ -1,4 +1,4 @@
-// The operators' file: all errors of a file at once, values, and defaults. CTest compares with
+// The operators' file: the complete list of errors of a file, values, and defaults. CTest compares with
 // tests/traces/operator_NAME.txt. usage: operator_file SCENARIO
 #include "settings/operator_file.h"
 
@@ -23,33 +23,34 @@
 }
 
 void errors() {
-  parse_and_print("names", "reslts\n    enabled on\nresults\n    enabld on\n    xyz 1\nresults more\n");
-  parse_and_print("no section", "    enabled on\n    memory 1M\n");
-  parse_and_print("values",
+  parse_and_print("unknown names",
+                  "reslts\n    enabled on\nresults\n    enabld on\n    xyz 1\nresults more\n");
+  parse_and_print("directives outside of a section", "    enabled on\n    memory 1M\n");
+  parse_and_print("invalid values",
                   "results\n enabled yes\n memory 1T\n memory\n memory 1M 2M\n entries 1.5\n entries 3\n"
                   " patience 1\n patience 61s\n safety both\n key-field \"\"\n key-length -1\n");
-  parse_and_print("twice", "results\n enabled on\n enabled on\nresults\n enabled off\n");
-  parse_and_print("quotes", "results\n store \"/a b\n store /a\"b\n store \"/a\"b\n");
-  parse_and_print("bytes",
+  parse_and_print("duplicate directives", "results\n enabled on\n enabled on\nresults\n enabled off\n");
+  parse_and_print("invalid quotes", "results\n store \"/a b\n store /a\"b\n store \"/a\"b\n");
+  parse_and_print("invalid bytes",
                   std::string("results\n enabled\0 on\n", 21) + " store \x01\xff\n\r\n enabled on\r\n");
-  parse_and_print("a line that never ends", "results\n store " + std::string(5000, 'x'));
+  parse_and_print("a very long line", "results\n store " + std::string(5000, 'x'));
 }
 
 void values() {
-  parse_and_print("nothing", "");
+  parse_and_print("an empty file", "");
   parse_and_print("comments and blanks", "# one\n\n   \nresults # two\n\tenabled on# three\n");
   parse_and_print(
-      "all forms",
+      "all forms of values",
       "results\n enabled on\n memory 1.5M\n entries 100\n store \"/var/a \\\"b\\\"/c\"\n safety power\n"
       " patience 250ms\n digest push pull \"a b\"");
-  parse_and_print("sections again", "results\n enabled on\nresults\n memory 128K\n");
-  std::printf("-- what is in force\n%s",
+  parse_and_print("a section given twice", "results\n enabled on\nresults\n memory 128K\n");
+  std::printf("-- effective options\n%s",
               parse_operator_file("results\n store \"/a b\"\n memory 2M # why\n").effective().c_str());
-  // What `show` prints is itself such a file, with the same meaning.
+  // The output of `config show` is a valid operators' file with the same meaning.
   const std::string shown =
       parse_operator_file("results\n enabled on\n digest \"a b\" c\n store \"x\\\\y\"\n").effective();
   const OperatorFile again = parse_operator_file(shown);
-  std::printf("-- read again: %zu errors, digest %zu, store '%s'\n", again.errors.size(),
+  std::printf("-- the output parsed again: %zu errors, digest %zu, store '%s'\n", again.errors.size(),
               again.options.results.digest.size(), again.options.results.store.c_str());
 }
 
--- a/tests/settings/program.cpp
+++ b/tests/settings/program.cpp
@@ -1,4 +1,4 @@
-// Features that follow from the platform's settings alone, without an operators' file.
+// A backend that runs with the platform's settings alone, without an operators' file.
 // CTest compares with tests/traces/settings_NAME.txt. usage: settings_program BINARY SCENARIO
 #include "scenarios.h"
 #include "scripted_site.h"
@@ -7,9 +7,9 @@
 
 namespace {
 
-const std::string kMarked = R"("ram":10,"limit":3000,"unique":"MARK")";
+const std::string kKeyedParams = R"("ram":10,"limit":3000,"unique":"KEY")";
 
-std::string marked(const std::string& mark) { return replaced(kMarked, "MARK", mark); }
+std::string keyed_params(const std::string& key) { return replaced(kKeyedParams, "KEY", key); }
 
 std::string transaction_id(int id) {
   char text[20];
@@ -17,7 +17,8 @@
   return text;
 }
 
-// A route with idempotency keys: repeats are recognized by the protocol's own key, and run once.
+// A route with idempotency keys: duplicates are recognized by the key of the protocol, and the request runs
+// once.
 void keyed() {
   Site site("", "",
             {R"([{"name":"push","target":400,"give-up":3000,"semantics":"dedup","window":20000},)"
@@ -25,51 +26,52 @@
              ""});
   site.comes_up();
   const int caller = site.connect();
-  site.send_request(caller, 1, "push", marked("a").c_str());
+  site.send_request(caller, 1, "push", keyed_params("a").c_str());
   site.runtime_hears(2);
-  site.send_request(caller, 2, "push", marked("a").c_str());
+  site.send_request(caller, 2, "push", keyed_params("a").c_str());
   site.pause(0.05);
   site.runtime_says("end 1 " + transaction_id(1) + " complete 20 6\r\nresult");
   site.caller_hears(caller);
   site.caller_hears(caller);
-  site.send_request(caller, 3, "push", marked("a").c_str());
+  site.send_request(caller, 3, "push", keyed_params("a").c_str());
   site.caller_hears(caller);
-  site.send_request(caller, 4, "push");  // a keyed request without its mark
+  site.send_request(caller, 4, "push");  // a keyed route without a key
   site.caller_hears(caller);
-  site.send_request(caller, 5, "pull");  // one that needs none
+  site.send_request(caller, 5, "pull");  // a route that needs no key
   site.runtime_hears(2);
   site.counters({"runs.started", "results.remembered", "results.coalesced", "bad.params"});
 }
 
-// A window shorter than the run: the repeat that waits as it ends still gets the one result, one that comes
-// as the first ends does not run beside it, and only what comes after both runs again.
+// The idempotency window is shorter than the run. A duplicate that waits when the run ends gets its result, a
+// duplicate that arrives at that moment does not run concurrently, and only a request that arrives later runs
+// again.
 void window() {
   Site site("", "",
             {R"([{"name":"push","target":2000,"give-up":3000,"semantics":"dedup","window":200}])", ""});
   site.comes_up();
   const int caller = site.connect();
-  site.send_request(caller, 1, "push", marked("a").c_str());
+  site.send_request(caller, 1, "push", keyed_params("a").c_str());
   site.runtime_hears(2);
-  site.send_request(caller, 2, "push", marked("a").c_str());
-  site.pause(0.5);  // the window is over, the run is not
-  site.send_request(caller, 3, "push", marked("a").c_str());
+  site.send_request(caller, 2, "push", keyed_params("a").c_str());
+  site.pause(0.5);  // the window has expired, the run has not ended
+  site.send_request(caller, 3, "push", keyed_params("a").c_str());
   site.pause(0.05);
-  site.signal(SIGSTOP);  // the run's end and another repeat are read in one turn
+  site.signal(SIGSTOP);  // the end of the run and another duplicate are read in one event-loop iteration
   site.pause(0.05);
   site.runtime_says("end 1 " + transaction_id(1) + " complete 500 6\r\nresult");
-  site.send_request(caller, 4, "push", marked("a").c_str());
+  site.send_request(caller, 4, "push", keyed_params("a").c_str());
   site.pause(0.05);
   site.signal(SIGCONT);
   int succeeded = 0;
   for (int i = 0; i < 3; ++i) succeeded += site.heard(caller).find("cmVzdWx0") != std::string::npos;
-  std::printf("the first and those that waited for it, succeeded with its result: %d\n", succeeded);
+  std::printf("the original and its waiting duplicates that succeeded with its result: %d\n", succeeded);
   site.pause(0.5);
-  site.send_request(caller, 5, "push", marked("a").c_str());
+  site.send_request(caller, 5, "push", keyed_params("a").c_str());
   site.pause(0.1);
   site.counters({"requests.read", "results.conflicts", "results.unknown"});
 }
 
-// Tenants are identified by name; a request without one, or with an unknown one, gets an error.
+// Tenants are identified by name; a request without a tenant, or with an unknown one, gets an error.
 void tenants() {
   Site site("", "", {}, R"("customers":[{"name":"alba","quota-per-s":7},{"name":"brera","quota-per-s":0}],)");
   site.comes_up();
@@ -89,36 +91,36 @@
   site.counters({"requests.read", "requests.succeeded", "bad.params"});
 }
 
-// A new configuration that is another deployment's, with no keyed route: its addresses are taken, our request
-// types, tenants and keys stay.
+// The new configuration is that of another deployment without a keyed route: its addresses are used, but the
+// routes, tenants and keys of the running process stay.
 void reload() {
   Site site("", "",
             {R"([{"name":"push","target":400,"give-up":3000,"semantics":"dedup","window":20000}])", ""});
   site.comes_up();
   const int caller = site.connect();
-  site.send_request(caller, 1, "push", marked("a").c_str());
+  site.send_request(caller, 1, "push", keyed_params("a").c_str());
   site.runtime_hears(2);
   site.runtime_says("end 1 " + transaction_id(1) + " complete 20 6\r\nresult");
   site.caller_hears(caller);
   site.other_types(R"([{"name":"read","target":400,"give-up":3000}])");
   site.reload();
   site.runtime_comes_up("hot 900");
-  site.send_request(caller, 2, "push", marked("a").c_str());
+  site.send_request(caller, 2, "push", keyed_params("a").c_str());
   site.caller_hears(caller);
-  site.send_request(caller, 3, "push", marked("b").c_str());
+  site.send_request(caller, 3, "push", keyed_params("b").c_str());
   site.runtime_hears(2);
   site.send_request(caller, 4, "read");
   site.caller_hears(caller);
   site.counters({"runs.started", "results.remembered", "results.no_capacity", "bad.routes"});
 }
 
-// Where requests are valued by work they carry hints, and the settings need not say so: a request with fifty
-// times the work of those that ran is rejected at once, one with a tenth waits.
-void told_work() {
+// If requests are valued by their work, they carry work hints by default: a request with fifty times the work
+// of earlier ones is rejected at once, one with a tenth of it waits.
+void work_hints() {
   Site site("", "", {}, R"("counted-by":"work",)");
   site.comes_up();
   const int caller = site.connect();
-  const auto request = [&](int id, const char* more) { site.send_request(caller, id, "pull", more); };
+  const auto request = [&](int id, const char* params) { site.send_request(caller, id, "pull", params); };
   request(1, R"("ram":10,"limit":3000,"cpu":100)");
   site.runtime_hears(2);
   site.pause(0.2);
@@ -129,21 +131,21 @@
   site.runtime_hears(4);
   request(4, R"("ram":10,"limit":3000,"cpu":5000)");
   const bool rejected = site.heard(caller).find("-32001") != std::string::npos;
-  std::printf("the one of much work: %s\n", rejected ? "rejected" : "waits");
+  std::printf("the request with much work: %s\n", rejected ? "rejected" : "waits");
   request(5, R"("ram":10,"limit":3000,"cpu":10)");
   request(6, R"("ram":10,"limit":3000,"cpu":"much")");
   site.caller_hears(caller);
   site.counters({"requests.read", "requests.succeeded", "requests.rejected", "bad.params"});
 }
 
-// One route, twenty routes, and no route that calls a dependency where there is none.
+// One route, twenty routes, and no route that calls a dependency if none is configured.
 void shapes() {
-  const auto serve = [](Site& site, const std::string& type, int notice, bool calls) {
+  const auto serve = [](Site& site, const std::string& route, int notice, bool calls_dependency) {
     site.comes_up();
     const int caller = site.connect();
-    site.send_request(caller, 1, type.c_str());
+    site.send_request(caller, 1, route.c_str());
     site.runtime_hears(2);
-    if (calls) {
+    if (calls_dependency) {
       site.runtime_says("wants " + std::to_string(notice++) + " " + transaction_id(1) + " 4\r\ncall");
       site.below_hears(2);
       site.below_says(transaction_id(1) + " ok 5\r\nreply");
@@ -158,14 +160,14 @@
   Site one(R"(,"calls-by-class":[true],"worth-without":[0])", "",
            {R"([{"name":"only","target":400,"give-up":3000}])", ""});
   serve(one, "only", 1, true);
-  std::printf("-- twenty, the calls of the first told and no more\n");
+  std::printf("-- twenty routes, calls-by-class for the first only\n");
   std::string routes;
   for (int i = 0; i < 20; ++i)
     routes += (i > 0 ? "," : "") + std::string(R"({"name":"t)") + std::to_string(i) +
               R"(","target":400,"give-up":3000,"worth":)" + std::to_string(i + 1) + "}";
   Site twenty("", "", {"[" + routes + "]", ""});
   serve(twenty, "t19", 1, false);
-  std::printf("-- none that calls below\n");
+  std::printf("-- no route that calls the dependency\n");
   Site alone(R"(,"below":"off","calls-by-class":[])", R"(,"backend":null)");
   serve(alone, "pull", 1, false);
 }
@@ -178,6 +180,6 @@
                        {"window", window},
                        {"customers", tenants},
                        {"shapes", shapes},
-                       {"told_work", told_work},
+                       {"work_hints", work_hints},
                        {"reload", reload}});
 }
--- a/tests/settings/supported_shapes.cpp
+++ b/tests/settings/supported_shapes.cpp
@@ -1,5 +1,5 @@
-// Which shapes of the settings are supported: an invalid one is rejected with one line that names the key.
-// CTest compares with tests/traces/settings_shape.txt.
+// Which forms of the settings are supported: an invalid one is rejected with a message of one line that names
+// the key. CTest compares with tests/traces/settings_shape.txt.
 #include <cstdio>
 #include <string>
 
@@ -20,30 +20,30 @@
     "rules": {"fall-multiple": 6, "stop-sending-within": 2500}}})";
 }
 
-void show(const char* name, const std::string& extra) {
+void check(const char* name, const std::string& extra) {
   try {
     const Config config = parse_config(config_with(extra));
     const auto unsupported = find_unsupported(config, OperatorOptions{});
     std::printf("%-22s hints %d, by work %d: %s\n", name, config.site.has_work_hints,
-                config.site.counted_by_work, unsupported ? to_string(*unsupported).c_str() : "served");
+                config.site.counted_by_work, unsupported ? to_string(*unsupported).c_str() : "supported");
   } catch (const SettingsError& error) {
-    std::printf("%-22s refused: %s\n", name, error.what());
+    std::printf("%-22s rejected: %s\n", name, error.what());
   }
 }
 
 }  // namespace
 
 int main() {
-  show("old shape", "");
-  show("new shape", R"("hints": "good", "counted-by": "work", )");
-  show("rough hints", R"("hints": "rough", )");
-  show("by work, not a word", R"("counted-by": "work", )");
-  show("by work without hints", R"("hints": "none", "counted-by": "work", )");
-  show("hints of no kind", R"("hints": "sometimes", )");
-  show("no load report", R"("stats": {"how": "off", "columns": []}, )");
-  show("customers", R"("customers": [{"name": "a"}, {"name": "b", "quota-per-s": 3}], )");
-  show("one customer twice", R"("customers": [{"name": "a"}, {"name": "a"}], )");
-  show("nameless customer", R"("customers": [{"quota-per-s": 3}], )");
-  show("counted by no unit", R"("hints": "good", "counted-by": "hour", )");
+  check("default form", "");
+  check("hints and by work", R"("hints": "good", "counted-by": "work", )");
+  check("rough hints", R"("hints": "rough", )");
+  check("by work, hints absent", R"("counted-by": "work", )");
+  check("by work without hints", R"("hints": "none", "counted-by": "work", )");
+  check("unknown kind of hints", R"("hints": "sometimes", )");
+  check("load report off", R"("stats": {"how": "off", "columns": []}, )");
+  check("customers", R"("customers": [{"name": "a"}, {"name": "b", "quota-per-s": 3}], )");
+  check("duplicate customer", R"("customers": [{"name": "a"}, {"name": "a"}], )");
+  check("customer without name", R"("customers": [{"quota-per-s": 3}], )");
+  check("unknown counting unit", R"("hints": "good", "counted-by": "hour", )");
   return 0;
 }
