--- a/tests/catalog/catalog_fixtures.h
+++ b/tests/catalog/catalog_fixtures.h
@@ -1,4 +1,5 @@
-// What the catalog's tests share: short forms of changes, files in memory, a catalog that follows them.
+// Helpers for the tests of the catalog: short forms of changes, files in memory, and a catalog that follows
+// them.
 #pragma once
 
 #include <algorithm>
@@ -18,8 +19,8 @@
 
 namespace damsonspoke::catalog::testing {
 
-// The prefix followed by the number. Appends, because GCC 12 warns falsely of an overlap (-Wrestrict) where a
-// literal is put in front of a temporary string in an optimized build.
+// The prefix followed by the number. Appends, because in optimized builds GCC 12 falsely reports an overlap
+// (-Wrestrict) if a literal is prepended to a temporary string.
 inline std::string numbered(std::string_view prefix, long long number) {
   std::string text(prefix);
   text += std::to_string(number);
@@ -37,7 +38,7 @@
   return {name, {quota_per_second, 0}};
 }
 
-// Applies a change that must be accepted.
+// Applies a change; prints an error if it is rejected.
 inline void apply(Catalog& catalog, const Change& change) {
   if (const auto error = catalog.apply(change))
     std::printf("NO: %s: %s\n", describe(change).c_str(), to_string(*error).c_str());
@@ -95,7 +96,7 @@
   MemorySource source;
   double now = 0;
   Follower follower{catalog, source, [this] { return now; }};
-  HistoryDigest history = 0;  // of what was written
+  HistoryDigest history = 0;  // digest of the written changes
   std::uint64_t written = 0;  // sequence number of the last written change
 
   // Writes a batch of changes.
@@ -103,7 +104,7 @@
     source.files[kChangesFile].bytes += encode_batch(epoch, written + 1, history, lines);
     written += static_cast<std::uint64_t>(std::count(lines.begin(), lines.end(), '\n'));
   }
-  // Reads all that was written.
+  // Polls the files until everything is read.
   void read() {
     follower.poll();
     while (follower.step(1) != Follower::State::kIdle) continue;
@@ -111,7 +112,7 @@
   // Reads, then prints the state of the catalog and the errors.
   void read_and_print(const char* what) {
     read();
-    std::printf("%-44s %d.%d, %d routes, %d tenants, quotas %g, most important %g\n", what,
+    std::printf("%-44s %d.%d, %d routes, %d tenants, total quota %g, highest weight %g\n", what,
                 static_cast<int>(catalog.version().epoch), static_cast<int>(catalog.version().sequence),
                 static_cast<int>(catalog.route_count()), static_cast<int>(catalog.tenant_count()),
                 catalog.total_quota_per_second(), catalog.highest_priority_weight());
--- a/tests/catalog/decisions.cpp
+++ b/tests/catalog/decisions.cpp
@@ -1,5 +1,5 @@
-// The decisions with a catalog that changes. CTest compares with tests/traces/catalog_NAME.txt.
-// usage: decisions - SCENARIO
+// Decisions of the admission controller while the catalog changes. CTest compares with
+// tests/traces/catalog_NAME.txt. usage: decisions - SCENARIO
 #include <algorithm>
 #include <cstdio>
 #include <map>
@@ -30,28 +30,29 @@
   return within;
 }
 
-// The buckets of tenants in bounded memory decide like one for each; an evicted one begins full.
+// Token buckets in bounded memory decide like one bucket per tenant; a bucket that was evicted starts full.
 void quotas() {
   const StartSettings site = standins::synthetic_site({1, 200000}, 1);
   Catalog catalog({1, 200000, true}, 1);
   apply(catalog, route("r"));
   for (int i = 0; i < 200000; ++i) apply(catalog, tenant(numbered("t", i), 1));
   TenantQuotas many(catalog, 1);
-  std::printf("of 40 at once, of one tenant of 200000: %d within\n", count_within_quota(many, 5, 0));
-  // Four others of its set evict it, a while later: then its bucket is full anyway.
+  std::printf("40 requests at once, of one tenant of 200000: %d within its quota\n",
+              count_within_quota(many, 5, 0));
+  // A minute later, four other tenants of its cache set evict it; its bucket would be full by then anyway.
   for (int i = 1; i <= 4; ++i) many.observe(5 + i * 16384, 60);
-  std::printf("a minute later, pushed out meanwhile: %d within\n", count_within_quota(many, 5, 60));
+  std::printf("a minute later, after eviction: %d within its quota\n", count_within_quota(many, 5, 60));
   for (int i = 1; i <= 3; ++i) many.observe(5 + i * 16384, 60);
-  std::printf("three others of its set push nobody out: %s\n",
+  std::printf("three other tenants of its set evict none: %s\n",
               many.observe(5, 60) ? "NO" : "its bucket is empty");
   apply(catalog, RemoveTenant{"t5"});
   apply(catalog, tenant("t5", 1));
-  std::printf("removed and back: %s\n", many.observe(5, 60) ? "a full bucket" : "NO");
+  std::printf("removed and added again: %s\n", many.observe(5, 60) ? "a full bucket" : "NO");
   apply(catalog, tenant("t5", 0));
-  std::printf("its quota is nothing now: %d within\n", count_within_quota(many, 5, 60));
+  std::printf("with a quota of 0: %d within its quota\n", count_within_quota(many, 5, 60));
 }
 
-// Records how each request was answered.
+// Records the answer to each request.
 struct RecordingSink : standins::SilentSink {
   void reject(RequestId id, double, bool) override { answers[id] = "rejected"; }
   void fail(RequestId id) override { answers[id] = "failed"; }
@@ -68,7 +69,8 @@
   return sum;
 }
 
-// The decisions go by the route as it was when a request was read, and do not learn of one route for another.
+// Decisions use the settings that the route had when the request was read, and the statistics of a removed
+// route are not used for the route that reuses its position.
 void decided() {
   const StartSettings site = standins::synthetic_site({2, 0}, 1);
   Catalog catalog({10, 10, true}, 1);
@@ -83,29 +85,30 @@
   request.route = position;
   request.size_kb = 1;
   for (request.id = 1; request.id <= 9; ++request.id)
-    controller.on_request(0.1, request);  // eight run, the ninth is held
-  apply(catalog, route("r", 1));          // may be repeated, from now on
+    controller.on_request(0.1, request);  // eight run, the ninth is queued
+  apply(catalog, route("r", 1));          // idempotent from now on
   controller.on_timer(2, sink.wakeup, {});
-  std::printf("a held one that was not to be repeated when it was read: %s\n", sink.answers[9].c_str());
+  std::printf("a queued request whose route was not idempotent when it was read: %s\n",
+              sink.answers[9].c_str());
   request.id = 10;
   controller.on_request(2, request);
   controller.on_timer(4, sink.wakeup, {});
-  std::printf("one that came after the change: %s\n", sink.answers[10].c_str());
+  std::printf("a request that arrived after the change: %s\n", sink.answers[10].c_str());
   apply(catalog, RemoveRoute{"r"});
   apply(catalog, route("new", 1));
-  say("another route has its position", catalog.find_route("new") == position);
+  say("another route reuses the position", catalog.find_route("new") == position);
   request.id = 11;
   controller.on_request(4, request);
   controller.on_run_finished(4.1, 1, Outcome::kOk, 0);
   controller.on_run_finished(4.1, 2, Outcome::kOk, 0);
-  say("runs of the one that went teach nothing of it", values_learned(controller, position) == 0);
+  say("runs of the removed route are not counted for it", values_learned(controller, position) == 0);
   for (RequestId id = 3; id <= 8; ++id) controller.on_run_finished(4.2, id, Outcome::kOk, 0);
   controller.on_run_finished(4.3, 11, Outcome::kOk, 0);
-  say("its own do", values_learned(controller, position) == 1);
-  say("nothing is charged in the end", controller.pool_used_kb() == 0);
+  say("its own runs are counted", values_learned(controller, position) == 1);
+  say("no memory is charged at the end", controller.pool_used_kb() == 0);
 }
 
-// Counts what a decision looks up.
+// Counts the lookups of decisions.
 class CountingDirectory : public RouteDirectory {
  public:
   explicit CountingDirectory(const Catalog& catalog) : catalog_(catalog) {}
@@ -134,7 +137,8 @@
   const Catalog& catalog_;
 };
 
-// What a request looks up, and what a change reads, does not grow with routes and tenants.
+// The lookups of a request, and the bytes read for a change, do not depend on the number of routes and
+// tenants.
 void costs() {
   for (const standins::SiteSize size : {standins::SiteSize{3, 100}, standins::SiteSize{4400, 96000}}) {
     const StartSettings site = standins::synthetic_site(size);
@@ -163,8 +167,9 @@
       bytes = std::max(bytes, followed.source.read_bytes);
     }
     std::printf(
-        "%5d routes, %6d tenants: at most 8 look-ups a request: %s, a change reads under 8 KB: %s, %d in "
-        "force\n",
+        "%5d routes, %6d tenants: at most 8 lookups per request: %s, less than 8 KB read per change: %s, "
+        "version "
+        "%d\n",
         static_cast<int>(size.routes), static_cast<int>(size.tenants),
         lookups_per_request <= 8 ? "yes" : "NO", bytes < 8192 ? "yes" : "NO",
         static_cast<int>(followed.catalog.version().sequence));
--- a/tests/catalog/entries.cpp
+++ b/tests/catalog/entries.cpp
@@ -1,4 +1,4 @@
-// Entries of the catalog: names, positions, sums over all entries, their lines. CTest compares with
+// Entries of the catalog: names, positions, aggregates over all entries, and their lines. CTest compares with
 // tests/traces/catalog_NAME.txt. usage: entries - SCENARIO
 #include <cmath>
 #include <cstdio>
@@ -20,42 +20,44 @@
 
 std::uint64_t constant_hash(std::string_view, std::uint64_t) { return 42; }
 
-// Names are found again among any others, also where all of them hash alike, and after any removals.
+// Names are found among other names, also if all of them have the same hash, and after removals.
 void names() {
   for (const HashFunction hash : {keyed_hash, constant_hash}) {
     const std::size_t capacity = hash == keyed_hash ? 5000 : 300;
     NameIndex index(capacity, 3, hash);
     std::map<std::string, int> expected;
     pcg32 random(5);
-    bool found = true;
+    bool all_found = true;
     for (int step = 0; step < 20000; ++step) {
       const std::string name = numbered("name-", random(static_cast<std::uint32_t>(capacity)));
-      const bool there = expected.contains(name);
-      if (!there && random(3) > 0) {
+      const bool is_present = expected.contains(name);
+      if (!is_present && random(3) > 0) {
         index.add(name, step);
         expected[name] = step;
-      } else if (there) {
+      } else if (is_present) {
         index.remove(name);
         expected.erase(name);
       }
-      const std::string asked = numbered("name-", random(static_cast<std::uint32_t>(capacity)));
-      const auto known = expected.find(asked);
-      found = found && index.find(asked) == (known == expected.end() ? -1 : known->second);
+      const std::string looked_up = numbered("name-", random(static_cast<std::uint32_t>(capacity)));
+      const auto known = expected.find(looked_up);
+      all_found = all_found && index.find(looked_up) == (known == expected.end() ? -1 : known->second);
     }
-    for (const auto& [name, position] : expected) found = found && index.find(name) == position;
-    say(hash == keyed_hash ? "any names" : "names that hash alike", found && index.size() == expected.size());
+    for (const auto& [name, position] : expected) all_found = all_found && index.find(name) == position;
+    say(hash == keyed_hash ? "any names" : "names with the same hash",
+        all_found && index.size() == expected.size());
   }
   NameIndex index(1000, 3);
   for (int i = 0; i < 500; ++i) index.add(numbered("name-", i), i);
   const std::size_t before = index.memory_bytes();
   int known = 0;
   for (int i = 0; i < 1000000; ++i) known += index.find(numbered("unknown-", i)) >= 0;
-  say("a million unknown names are none, and take no memory", known == 0 && index.memory_bytes() == before);
+  say("a million unknown names are not found, and use no memory",
+      known == 0 && index.memory_bytes() == before);
   for (int i = 0; i < 100000; ++i) {
     index.remove(numbered("name-", i % 500));
     index.add(numbered("name-", i % 500), i);
   }
-  say("names that come and go take no more memory", index.memory_bytes() == before);
+  say("adding and removing names does not use more memory", index.memory_bytes() == before);
 }
 
 // The text of the error; empty when the change was accepted.
@@ -64,8 +66,8 @@
   return error ? to_string(*error) : std::string();
 }
 
-// An entry keeps its position and generation, one that takes its place has another generation, and the sums
-// follow.
+// An entry keeps its position and generation, an entry that reuses its position has another generation, and
+// the aggregates are updated.
 void positions() {
   Catalog catalog({10, 10, true}, 1);
   apply(catalog, route("r"));
@@ -74,42 +76,42 @@
   const int b = catalog.find_tenant("b");
   const std::uint32_t generation = catalog.tenant(b).generation;
   apply(catalog, tenant("b", 7));
-  say("another quota, the same position and generation", catalog.find_tenant("b") == b &&
-                                                             catalog.tenant(b).generation == generation &&
-                                                             catalog.tenant(b).quota_per_second == 7);
-  say("the sum follows", catalog.total_quota_per_second() == 17);
+  say("another quota, same position and generation", catalog.find_tenant("b") == b &&
+                                                         catalog.tenant(b).generation == generation &&
+                                                         catalog.tenant(b).quota_per_second == 7);
+  say("the total quota is updated", catalog.total_quota_per_second() == 17);
   apply(catalog, RemoveTenant{"b"});
   say("removed", catalog.find_tenant("b") == -1 && catalog.total_quota_per_second() == 10 &&
                      catalog.tenant_count() == 1);
   apply(catalog, tenant("c", 1));
-  say("its position goes to another generation",
+  say("its position is reused with another generation",
       catalog.find_tenant("c") == b && catalog.tenant(b).generation != generation);
   apply(catalog, tenant("b", 5));
-  say("one that comes back has a new generation",
+  say("an entry that is added again has a new generation",
       catalog.tenant(catalog.find_tenant("b")).generation > generation + 1);
   apply(catalog, route("important", 0.4, 9));
-  say("the most important follows", catalog.highest_priority_weight() == 9);
+  say("the highest weight is updated", catalog.highest_priority_weight() == 9);
   apply(catalog, route("important", 0.4, 2));
-  say("down as well", catalog.highest_priority_weight() == 2);
+  say("also if it is lowered", catalog.highest_priority_weight() == 2);
   apply(catalog, RemoveRoute{"important"});
-  say("and when it goes", catalog.highest_priority_weight() == 1);
+  say("and if the route is removed", catalog.highest_priority_weight() == 1);
   for (const Change& bad : std::initializer_list<Change>{
            RemoveRoute{"r"}, RemoveRoute{"none"}, RemoveTenant{"none"}, tenant("", 1), tenant("two words", 1),
            tenant(std::string(2000, 'x'), 1), tenant("d", -1), tenant("d", std::nan("")), route("s", 0),
            route("s", 0.4, -1), route("s", 1e9)})
-    std::printf("refused: %s\n", apply_error(catalog, bad).c_str());
+    std::printf("rejected: %s\n", apply_error(catalog, bad).c_str());
   for (int i = 0; i < 12; ++i) {
     const std::string error = apply_error(catalog, tenant(numbered("t", i), 1));
     if (!error.empty()) std::printf("t%d: %s\n", i, error.c_str());
   }
-  std::printf("of one that is there: '%s'\n", apply_error(catalog, tenant("t1", 2)).c_str());
+  std::printf("replacing an existing entry: '%s'\n", apply_error(catalog, tenant("t1", 2)).c_str());
   Catalog unkeyed({10, 10, false}, 1);
   PutRoute keyed = route("k");
   keyed.settings.idempotency = Idempotency::kWithKey;
-  std::printf("keyed: %s\n", apply_error(unkeyed, keyed).c_str());
+  std::printf("a keyed route: %s\n", apply_error(unkeyed, keyed).c_str());
 }
 
-// Sums over a long history of changes are those over the entries.
+// After a long history of changes the aggregates equal those computed from the entries.
 void sums() {
   Catalog catalog({50, 500, true}, 1);
   apply(catalog, route("r"));
@@ -136,14 +138,15 @@
   double highest = 0;
   for (const auto& [name, quota] : quotas) sum += quota;
   for (const auto& [name, weight] : weights) highest = std::max(highest, weight);
-  say("the sum of quotas", std::abs(catalog.total_quota_per_second() - sum) < 1e-6 * sum);
-  say("the most important", catalog.highest_priority_weight() == highest);
-  say("how many", catalog.tenant_count() == quotas.size() && catalog.route_count() == weights.size());
+  say("the total quota", std::abs(catalog.total_quota_per_second() - sum) < 1e-6 * sum);
+  say("the highest weight", catalog.highest_priority_weight() == highest);
+  say("the number of entries",
+      catalog.tenant_count() == quotas.size() && catalog.route_count() == weights.size());
   for (const auto& [name, quota] : quotas) apply(catalog, RemoveTenant{name});
-  say("nothing is left of the sum when all have gone", catalog.total_quota_per_second() == 0);
+  say("the total quota is 0 when all tenants are removed", catalog.total_quota_per_second() == 0);
 }
 
-// Each change is the same when it was encoded and decoded; what is no change has its error.
+// Each change is unchanged after encoding and decoding; each invalid line has its error.
 void lines() {
   PutRoute full = route("svc/r", 0.4, 2.5);
   full.settings.idempotency_window = 5;
@@ -155,7 +158,7 @@
                                                             RemoveTenant{"acme"}}) {
     std::string line = encode_change(change);
     const Change again = decode_change(std::string_view(line).substr(0, line.size() - 1));
-    std::printf("%s%s, the same when read: %s\n", line.c_str(), describe(again).c_str(),
+    std::printf("%s%s, unchanged after decoding: %s\n", line.c_str(), describe(again).c_str(),
                 encode_change(again) == line ? "yes" : "NO");
   }
   for (const std::string& bad :
@@ -168,7 +171,7 @@
         std::string(R"({"route":"a","target":1,"give-up":2,"worth-without":2})"), std::string(5000, ' ')}) {
     try {
       decode_change(bad);
-      std::printf("taken: %s\n", bad.c_str());
+      std::printf("accepted: %s\n", bad.c_str());
     } catch (const CodecError& error) {
       std::printf("%.44s: %s\n", bad.c_str(), error.what());
     }
--- a/tests/catalog/folder.cpp
+++ b/tests/catalog/folder.cpp
@@ -1,4 +1,4 @@
-// The writer's side of the catalog's files. CTest compares with tests/traces/catalog_NAME.txt.
+// Writing the catalog's files. CTest compares with tests/traces/catalog_NAME.txt.
 // usage: folder - SCENARIO
 #include "catalog/folder.h"
 
@@ -18,7 +18,7 @@
 
 namespace {
 
-// A writer that dies at any byte loses no complete batch.
+// A writer that is killed after writing any number of bytes loses no complete batch.
 void folders() {
   char path[] = "/tmp/damsonspoke-catalog-XXXXXX";
   if (::mkdtemp(path) == nullptr) std::abort();
@@ -30,27 +30,28 @@
   say("a snapshot and three changes", version == Version{1, 4});
   const std::string file = folder + "/" + kChangesFile;
   std::ifstream in(file, std::ios::binary);
-  const std::string whole((std::istreambuf_iterator<char>(in)), {});
-  bool prefixes = true;
-  bool goes_on = true;
-  for (std::size_t size = 0; size < whole.size(); ++size) {
-    std::ofstream(file, std::ios::binary) << whole.substr(0, size);
+  const std::string complete((std::istreambuf_iterator<char>(in)), {});
+  bool all_accepted = true;
+  bool all_continued = true;
+  for (std::size_t size = 0; size < complete.size(); ++size) {
+    std::ofstream(file, std::ios::binary) << complete.substr(0, size);
     const LoadedFolder loaded = load_folder(folder, limits);
     const std::uint64_t sequence = loaded.catalog->version().sequence;
-    prefixes = prefixes && loaded.rejected_changes.empty() && (sequence == 1 || sequence == 2);
+    all_accepted = all_accepted && loaded.rejected_changes.empty() && (sequence == 1 || sequence == 2);
     if (size % 16 != 0) continue;
     append_changes(folder, 1, encode_changes({tenant("e", 1)}), limits);
     const LoadedFolder next = load_folder(folder, limits);
-    goes_on = goes_on && next.rejected_changes.empty() && next.catalog->version().sequence == sequence + 1;
+    all_continued =
+        all_continued && next.rejected_changes.empty() && next.catalog->version().sequence == sequence + 1;
   }
-  say("cut at any byte: the whole batches are in force, nothing is refused", prefixes);
-  say("and the next one goes on behind them", goes_on);
-  std::ofstream(file, std::ios::binary) << whole;
+  say("truncated at any byte: the complete batches are active, nothing is rejected", all_accepted);
+  say("the next batch is appended after them", all_continued);
+  std::ofstream(file, std::ios::binary) << complete;
   const LoadedFolder loaded = load_folder(folder, limits);
   write_snapshot(folder, loaded.catalog->version(), loaded.catalog->history(),
                  encode_entries(*loaded.catalog));
   const LoadedFolder again = load_folder(folder, limits);
-  say("a snapshot of what is there is the same",
+  say("a snapshot of the loaded catalog is identical",
       encode_entries(*again.catalog) == encode_entries(*loaded.catalog) &&
           again.catalog->version() == loaded.catalog->version() && again.rejected_changes.empty());
   try {
--- a/tests/catalog/program.cpp
+++ b/tests/catalog/program.cpp
@@ -1,4 +1,4 @@
-// One backend process whose routes and tenants change while it serves. CTest compares with
+// A backend process whose routes and tenants change while it serves requests. CTest compares with
 // tests/traces/catalog_program_NAME.txt. usage: catalog_program BINARY SCENARIO
 #include "catalog/folder.h"
 #include "catalog_fixtures.h"
@@ -36,8 +36,8 @@
     write(encode_changes(changes));
     reload();
   }
-  // Prints the log lines of so many rejections, then waits until the files are read: a signal that comes
-  // earlier would have them read once more, and the rejections logged once more.
+  // Prints the log lines of the given number of rejections, then waits until the files are read: an earlier
+  // signal would cause another read, which would log the rejections again.
   void reload_with_rejections(int rejections) {
     signal(SIGHUP);
     for (int i = 0; i < rejections; ++i) {
@@ -45,8 +45,8 @@
       std::printf("log: %s\n", line.substr(std::min(line.size(), line.find("catalog: "))).c_str());
     }
     const std::string line = expect_log("catalog: ");
-    const bool over = line.find("after the reload request") != std::string::npos;
-    if (!over) std::printf("NO: it went on with: %s\n", line.c_str());
+    const bool is_read = line.find("after the reload request") != std::string::npos;
+    if (!is_read) std::printf("NO: another message: %s\n", line.c_str());
   }
   void run_ends(int id) {
     runtime_says("end " + std::to_string(++notices_) + " " + transaction_id(id) + " complete 20 6\r\nresult");
@@ -60,7 +60,7 @@
   int notices_ = 0;
 };
 
-// A route and tenants that come while it serves, and go again.
+// A route and tenants that are added and removed while it serves.
 void served() {
   CatalogSite site;
   site.comes_up();
@@ -77,7 +77,7 @@
   site.change({RemoveTenant{"acme"}, PutTenant{"other", {1, 0}}});
   site.send_request(caller, 5, "extra", R"("ram":10,"limit":3000,"team":"acme")");
   site.caller_hears(caller);
-  site.run_ends(2);  // its tenant has gone meanwhile
+  site.run_ends(2);  // its tenant was removed meanwhile
   site.caller_hears(caller);
   site.change({PutTenant{"acme", {7, 0}}, RemoveRoute{"extra"}});
   site.send_request(caller, 6, "push", R"("ram":10,"limit":3000,"team":"acme")");
@@ -88,21 +88,21 @@
                  "catalog.rejected"});
 }
 
-// Open requests keep the settings they began with when a timeout shrinks, a route is removed, or its name is
-// used for another route.
-void open() {
+// Requests in flight keep the settings with which they started if a timeout is lowered, a route is removed,
+// or its name is reused for another route.
+void in_flight() {
   CatalogSite site;
   site.comes_up();
   const int caller = site.connect();
   site.change({route("extra", 3)});
   for (int id = 1; id <= 3; ++id)
-    site.send_request(caller, id, "extra", R"("ram":10)");  // two run, one is held
+    site.send_request(caller, id, "extra", R"("ram":10)");  // two run, one is queued
   site.runtime_hears(3);
   site.change({route("extra", 0.3)});
   site.pause(0.6);
   site.run_ends(1);
   site.caller_hears(caller);
-  site.runtime_hears();  // the held one
+  site.runtime_hears();  // the queued one
   site.change({RemoveRoute{"extra"}, route("other", 0.2)});
   site.run_ends(2);
   site.caller_hears(caller);
@@ -110,15 +110,17 @@
   site.send_request(caller, 4, "extra", R"("ram":10)");
   site.runtime_hears();
   const bool rejected = site.heard(caller).find("-32001") != std::string::npos;
-  std::printf("by its own timeout, before the one that began earlier: %s\n", rejected ? "rejected" : "NO");
+  std::printf("by the new timeout, before a request that started earlier: %s\n",
+              rejected ? "rejected" : "NO");
   site.run_ends(3);
   site.caller_hears(caller);
   site.counters(
       {"requests.read", "requests.succeeded", "requests.rejected", "requests.failed", "requests.overdue"});
 }
 
-// An invalid change among valid ones, a gap and a torn file are logged in one line each; requests are served.
-void refused() {
+// Invalid changes among valid ones, a sequence gap and a torn file are logged in one line each; requests are
+// served.
+void rejected() {
   CatalogSite site;
   site.comes_up();
   const int caller = site.connect();
@@ -136,7 +138,7 @@
       << encode_batch(1, 90, history, encode_changes({route("four", 3)}));
   site.reload_with_rejections(1);
   std::ofstream(site.folder() + "/" + kSnapshotFile) << "DSPKFILE and then nothing of use";
-  site.reload_with_rejections(2);  // and the gap once more
+  site.reload_with_rejections(2);  // and the gap again
   site.run_ends(1);
   site.caller_hears(caller);
   site.send_request(caller, 2, "four");
@@ -149,8 +151,8 @@
   site.runtime_hears(2);
 }
 
-// Signals while it reads: everything that was written before the last one is active in the end.
-void asked_again() {
+// Signals while it reads: everything that was written before the last signal becomes active.
+void repeated_polls() {
   CatalogSite site;
   site.comes_up();
   std::string lines;
@@ -161,13 +163,14 @@
     site.signal(SIGHUP);
     site.pause(0.005);
   }
-  bool there = false;
-  for (int i = 0; i < 50 && !there; ++i) there = !site.expect_log("1.5020 active").empty();
-  std::printf("all in force: %s\n", there ? "yes" : "NO");
+  bool is_active = false;
+  for (int i = 0; i < 50 && !is_active; ++i) is_active = !site.expect_log("1.5020 active").empty();
+  std::printf("all changes active: %s\n", is_active ? "yes" : "NO");
   site.counters({"catalog.sequence", "catalog.tenants", "catalog.applied", "catalog.rejected"});
 }
 
-// Thousands of changes are read during a graceful shutdown: what was read is answered, and it ends in time.
+// Thousands of changes are read during a graceful shutdown: requests are answered, and the process ends in
+// time.
 void drained() {
   CatalogSite site;
   site.comes_up();
@@ -179,7 +182,7 @@
   site.write(lines);
   site.signal(SIGHUP);
   site.signal(SIGTERM);
-  site.caller_hears(caller);  // no more
+  site.caller_hears(caller);  // the request to send no more
   site.signal(SIGHUP);
   site.run_ends(1);
   site.caller_hears(caller);
@@ -187,39 +190,39 @@
   site.ends();
 }
 
-// Killed at some moment of each reading, from the signal on; every other time the writer had died within its
-// last batch as well. After each start all complete batches are active, nothing is refused, and requests are
-// served.
+// The process is killed at a different moment of each read; every second time the writer was also killed
+// within its last batch. After each restart all complete batches are active, nothing is rejected, and
+// requests are served.
 void kills() {
   constexpr int kill_count = 16;
-  constexpr int changes_per_batch = 200;      // of a batch
-  constexpr double kill_delay_step = 0.0004;  // seconds by which each kill comes later after its signal
+  constexpr int changes_per_batch = 200;
+  constexpr double kill_delay_step = 0.0004;  // seconds by which each kill is later after its signal
   CatalogSite site;
   site.comes_up();
   const std::string file = site.folder() + "/" + kChangesFile;
-  std::uint64_t whole = 0;
-  bool all_in_force = true;
+  std::uint64_t complete_changes = 0;
+  bool all_active = true;
   for (int kill = 0; kill < kill_count; ++kill) {
     std::string lines;
     for (int i = 0; i < changes_per_batch; ++i)
       lines += encode_change(PutTenant{"tenant-" + std::to_string(kill * changes_per_batch + i), {1, 0}});
     const std::uintmax_t before = kill == 0 ? 0 : std::filesystem::file_size(file);
     site.write(lines);
-    const bool torn = kill % 2 == 1;
-    if (torn)
+    const bool is_torn = kill % 2 == 1;
+    if (is_torn)
       std::filesystem::resize_file(file,
                                    before + (std::filesystem::file_size(file) - before) * kill / kill_count);
     else
-      whole += changes_per_batch;
+      complete_changes += changes_per_batch;
     site.signal(SIGHUP);
     site.pause(kill * kill_delay_step);
     site.restart();
     std::map<std::string, std::string> counters = site.counter_values();
-    all_in_force = all_in_force && counters["catalog.sequence"] == std::to_string(whole) &&
-                   counters["catalog.rejected"] == "0" && counters["invariants.broken"] == "0";
-    if (torn) std::filesystem::resize_file(file, before);  // as the next writer does
+    all_active = all_active && counters["catalog.sequence"] == std::to_string(complete_changes) &&
+                 counters["catalog.rejected"] == "0" && counters["invariants.broken"] == "0";
+    if (is_torn) std::filesystem::resize_file(file, before);  // like the next writer
   }
-  say("all whole batches in force after each of 16 kills, nothing refused", all_in_force);
+  say("all complete batches active after each of 16 kills, nothing rejected", all_active);
   site.comes_up();
   const int caller = site.connect();
   site.send_request(caller, 1, "push", R"("ram":10,"limit":3000,"team":"tenant-2900")");
@@ -228,13 +231,13 @@
   site.caller_hears(caller);
 }
 
-// The log line of each answer names the version that decided it.
+// The log line of each answer names the catalog version that decided it.
 void versions() {
   debug_log = true;
   CatalogSite site;
   site.comes_up();
   const int caller = site.connect();
-  const auto answered = [&](int id) {
+  const auto end_and_print = [&](int id) {
     site.run_ends(id);
     site.caller_hears(caller);
     const std::string line = site.expect_log("request: " + transaction_id(id));
@@ -246,12 +249,12 @@
   site.send_request(caller, 2, "extra");
   site.runtime_hears();
   site.change({route("extra", 2)});
-  answered(1);
-  answered(2);
+  end_and_print(1);
+  end_and_print(2);
 }
 
-// A start that finds a torn snapshot takes the one before it; without one, what the settings name is served.
-void begins() {
+// A start with a torn snapshot loads the previous one; without that, the routes of the settings are served.
+void startup() {
   CatalogSite site;
   site.comes_up();
   write_snapshot(site.folder(), {1, 7}, 3, encode_changes({route("push", 3), route("extra", 3)}));
@@ -280,11 +283,11 @@
 int main(int argc, char** argv) {
   return run_scenario(argc, argv, damsonspoke::standins::scripted::binary,
                       {{"served", served},
-                       {"open", open},
-                       {"refused", refused},
-                       {"asked_again", asked_again},
+                       {"in_flight", in_flight},
+                       {"rejected", rejected},
+                       {"repeated_polls", repeated_polls},
                        {"drained", drained},
                        {"versions", versions},
-                       {"begins", begins},
+                       {"startup", startup},
                        {"kills", kills}});
 }
