--- a/src/app/backend.cpp
+++ b/src/app/backend.cpp
@@ -17,7 +17,7 @@
 namespace damsonspoke {
 namespace {
 
-// One connection to the dependency is allowed for each so many descriptors of the process.
+// The number of connections to the dependency is limited to the descriptors of the process divided by this.
 constexpr int kDescriptorsPerDependencyConnection = 8;
 
 // Shares of the memory limit. The rest is for the program itself and for requests in flight.
--- a/src/app/results_command.cpp
+++ b/src/app/results_command.cpp
@@ -78,7 +78,8 @@
 int verify(Database& database, const std::string& path) {
   const std::vector<std::string> problems = database.verify();
   for (const std::string& line : problems) fmt::print("{}\n", line);
-  fmt::print("{}: {}\n", path, problems.empty() ? "sound" : fmt::format("{} things wrong", problems.size()));
+  fmt::print("{}: {}\n", path,
+             problems.empty() ? "sound" : fmt::format("{} problems found", problems.size()));
   return problems.empty() ? kExitSuccess : kExitFailure;
 }
 
@@ -104,9 +105,10 @@
     }
   }
   database.commit();
-  fmt::print(
-      "{} {}\n", keys.size(),
-      is_store_in_use ? "keys asked of the running program, which drops what has ended" : "keys dropped");
+  fmt::print("{} {}\n", keys.size(),
+             is_store_in_use
+                 ? "keys requested to be dropped by the running program, if their requests have ended"
+                 : "keys dropped");
 }
 
 int drop(Database& database, const std::string& path, const cxxopts::ParseResult& flags) {
@@ -114,7 +116,7 @@
   if (flags.count("key") > 0) {
     const std::string text = flags["key"].as<std::string>();
     const std::optional<Key> key = results::parse_key(text);
-    if (!key) throw UsageError(fmt::format("'{}' is no key of 32 hex digits", text));
+    if (!key) throw UsageError(fmt::format("'{}' is not a key of 32 hex digits", text));
     if (!database.fetch(*key)) {
       fmt::print("{}: no such key\n", text);
       return kExitFailure;
@@ -123,7 +125,8 @@
   } else if (only_expired || flags.count("all") > 0) {
     drop_keys(database, path, stored_keys(database, only_expired));
   } else {
-    throw UsageError("results drop takes --key KEY, --expired or --all; a dropped key's op may run again");
+    throw UsageError(
+        "results drop takes --key KEY, --expired or --all; the request of a dropped key may run again");
   }
   return kExitSuccess;
 }
--- a/src/catalog/codec.h
+++ b/src/catalog/codec.h
@@ -64,7 +64,8 @@
 constexpr std::uint32_t kSnapshotFormat = 1;
 constexpr std::uint32_t kBatchFormat = 2;
 constexpr const char* kSnapshotFile = "catalog.snapshot";
-constexpr const char* kPreviousSnapshotFile = "catalog.snapshot.1";  // as store::ChecksummedFile keeps it
+constexpr const char* kPreviousSnapshotFile =
+    "catalog.snapshot.1";  // the name that store::ChecksummedFile gives it
 constexpr const char* kChangesFile = "catalog.changes";
 constexpr std::size_t kMaxSnapshotBytes = std::size_t{256} << 20;
 constexpr std::size_t kMaxBatchBytes = std::size_t{256} << 10;  // about 2,500 changes
