--- a/src/app/command_line.cpp
+++ b/src/app/command_line.cpp
@@ -131,7 +131,7 @@
 }
 
 int run_command(const Command& command, int argc, char** argv) {
-  cxxopts::Options options(fmt::format("damsonspoke {}", command.name), command.meaning);
+  cxxopts::Options options(fmt::format("damsonspoke {}", command.name), command.description);
   options.add_options()("h,help", "print this help");
   command.add_options(options);
   const cxxopts::ParseResult flags = options.parse(argc, argv);
