--- a/src/app/catalog_watch.cpp
+++ b/src/app/catalog_watch.cpp
@@ -8,10 +8,10 @@
 namespace damsonspoke {
 namespace {
 
-constexpr double kStepSeconds = 0.0005;   // bounds how long a step holds the reactor
-constexpr double kPauseSeconds = 0.0005;  // between two steps: half of the time is left to other work
+constexpr double kStepSeconds = 0.0005;   // limits the time for which a step blocks the reactor
+constexpr double kPauseSeconds = 0.0005;  // between two steps, so that half of the time is left to other work
 constexpr double kStartStepSeconds = 0.1;
-constexpr double kChunkTimeoutSeconds = 2;  // a start does not wait longer for a chunk
+constexpr double kChunkTimeoutSeconds = 2;  // for reading one chunk at start-up
 constexpr double kMicrosecondsPerSecond = 1e6;
 
 std::uint64_t random_key() {
@@ -21,15 +21,16 @@
 
 }  // namespace
 
-CatalogWatch::CatalogWatch(net::Reactor& reactor, const Choice& choice, Counters& counters, Logger& log)
-    : reactor_(reactor), counters_(counters), log_(log), folder_(choice.options.catalog.folder) {
+CatalogWatch::CatalogWatch(net::Reactor& reactor, const ProcessConfig& process_config, Counters& counters,
+                           Logger& log)
+    : reactor_(reactor), counters_(counters), log_(log), folder_(process_config.options.catalog.folder) {
   catalog::CatalogLimits limits;
   if (!folder_.empty()) {
-    limits.routes = choice.options.catalog.routes;
-    limits.tenants = choice.options.catalog.tenants;
+    limits.routes = process_config.options.catalog.routes;
+    limits.tenants = process_config.options.catalog.tenants;
   }
-  limits.allows_keyed_routes = choice.options.results.enabled;
-  catalog_ = catalog::Catalog::from_settings(choice.config.site, limits, random_key());
+  limits.allows_keyed_routes = process_config.options.results.enabled;
+  catalog_ = catalog::Catalog::from_settings(process_config.config.site, limits, random_key());
   if (folder_.empty()) return;
   source_ = std::make_unique<catalog::ThreadedSource>(
       std::make_unique<catalog::FolderSource>(folder_),
@@ -39,7 +40,7 @@
 }
 
 CatalogWatch::~CatalogWatch() {
-  source_.reset();  // afterwards its thread posts nothing to the reactor
+  source_.reset();  // stops its thread, which posts to the reactor
   reactor_.cancel(timer_);
 }
 
@@ -49,13 +50,14 @@
   while (follower_->state() != catalog::Follower::State::kIdle) {
     if (follower_->step(kStartStepSeconds) != catalog::Follower::State::kWaiting) continue;
     if (source_->wait(kChunkTimeoutSeconds)) continue;
-    log_.error("catalog", "'{}' does not respond: starts with what was read", folder_);
+    log_.error("catalog", "folder '{}' does not respond: starts with the part of the catalog that was read",
+               folder_);
     break;
   }
   log_messages();
-  log_.info("catalog", "version {}.{}, {} routes, {} tenants, read in {:.3f} s", catalog_->version().epoch,
-            catalog_->version().sequence, catalog_->route_count(), catalog_->tenant_count(),
-            net::monotonic_now() - begin);
+  log_.info("catalog", "catalog loaded: version {}.{}, {} routes, {} tenants, read in {:.3f} s",
+            catalog_->version().epoch, catalog_->version().sequence, catalog_->route_count(),
+            catalog_->tenant_count(), net::monotonic_now() - begin);
 }
 
 void CatalogWatch::poll() {
@@ -75,7 +77,7 @@
   reactor_.cancel(timer_);
   if (state == catalog::Follower::State::kWorking) timer_ = reactor_.after(kPauseSeconds, [this] { step(); });
   if (state != catalog::Follower::State::kIdle || !poll_requested_at_) return;
-  log_.info("catalog", "version {}.{} in force {:.3f} s after the reload request", catalog_->version().epoch,
+  log_.info("catalog", "version {}.{} active {:.3f} s after the reload request", catalog_->version().epoch,
             catalog_->version().sequence, net::monotonic_now() - *poll_requested_at_);
   poll_requested_at_.reset();
 }
@@ -103,10 +105,10 @@
   counters_.set(Count::kCatalogSnapshots, counts.snapshots);
 }
 
-void CatalogWatch::answer_questions(control::Server& control) {
-  control.add("catalog", [this](const std::vector<std::string>&) {
+void CatalogWatch::register_command(control::Server& control) {
+  control.add_handler("catalog", [this](const std::vector<std::string>&) {
     if (follower_ == nullptr)
-      throw std::runtime_error("the catalog is off: no section 'catalog' with 'folder'");
+      throw std::runtime_error("the catalog is off: no 'folder' in section 'catalog' of the operators' file");
     return describe_status();
   });
 }
@@ -115,14 +117,14 @@
   const catalog::Version version = catalog_->version();
   const catalog::FollowerCounts& counts = follower_->counts();
   std::string text = fmt::format(
-      "version {}.{}, in force for {:.1f} s\n{} routes, {} tenants, {} bytes\n"
-      "{} changes and {} snapshots taken, {} refused; {} bytes of changes read\n",
+      "version {}.{}, active for {:.1f} s\n{} routes, {} tenants, {} bytes\n"
+      "{} changes and {} snapshots applied, {} rejected; {} bytes of changes read\n",
       version.epoch, version.sequence, net::monotonic_now() - follower_->active_since(),
       catalog_->route_count(), catalog_->tenant_count(), catalog_->memory_bytes(), counts.applied,
       counts.snapshots, counts.rejected, follower_->changes_offset());
-  if (follower_->state() != catalog::Follower::State::kIdle) text += "reading now\n";
+  if (follower_->state() != catalog::Follower::State::kIdle) text += "reading the files now\n";
   for (const catalog::RejectedChange& rejected : follower_->rejected_changes())
-    text += fmt::format("refused: {}: {}\n", rejected.what, rejected.reason);
+    text += fmt::format("rejected: {}: {}\n", rejected.what, rejected.reason);
   return text;
 }
 
--- a/src/app/results_command.cpp
+++ b/src/app/results_command.cpp
@@ -1,4 +1,5 @@
-// damsonspoke results stat|list|verify|drop: a results store, at rest or in use by a running program.
+// `damsonspoke results stat|list|verify|drop`: inspects a results store or drops entries of it, also while a
+// running program uses it.
 #include <fmt/chrono.h>
 #include <fmt/format.h>
 
@@ -27,9 +28,9 @@
 std::string store_path(const cxxopts::ParseResult& flags) {
   if (flags.count("store") > 0) return flags["store"].as<std::string>();
   const std::string path = operator_path(flags);
-  if (path.empty()) throw WrongUse("no store: give --store FILE, or an operators' file that names one");
+  if (path.empty()) throw UsageError("no store: use --store FILE, or an operators' file that names one");
   std::string store = read_operator_file(path).options.results.store;
-  if (store.empty()) throw WrongUse(fmt::format("{} names no store", path));
+  if (store.empty()) throw UsageError(fmt::format("{}: no 'store' in section 'results'", path));
   return store;
 }
 
@@ -59,7 +60,7 @@
     fmt::print("windows  soonest {}, latest {}\n", remaining_text(totals.first_expiry_ms),
                remaining_text(totals.last_expiry_ms));
   }
-  return kDone;
+  return kExitSuccess;
 }
 
 int list(Database& database, std::size_t max_rows) {
@@ -71,14 +72,15 @@
                row.has_result ? "result" : "intent", row.result_bytes, remaining_text(row.expires_at_ms));
   });
   if (rows > max_rows) fmt::print("and {} more; --limit shows more\n", rows - max_rows);
-  return kDone;
+  return kExitSuccess;
 }
 
 int verify(Database& database, const std::string& path) {
   const std::vector<std::string> problems = database.verify();
   for (const std::string& line : problems) fmt::print("{}\n", line);
-  fmt::print("{}: {}\n", path, problems.empty() ? "sound" : fmt::format("{} things wrong", problems.size()));
-  return problems.empty() ? kDone : kFailed;
+  fmt::print("{}: {}\n", path,
+             problems.empty() ? "sound" : fmt::format("{} problems found", problems.size()));
+  return problems.empty() ? kExitSuccess : kExitFailure;
 }
 
 std::vector<Key> stored_keys(Database& database, bool only_expired) {
@@ -90,12 +92,13 @@
   return keys;
 }
 
-// A running program is asked to drop the keys, since it has them in memory; otherwise they are erased here.
+// If a running program uses the store, requests that it drop the keys, because it also has them in memory;
+// otherwise erases them.
 void drop_keys(Database& database, const std::string& path, const std::vector<Key>& keys) {
-  const bool is_requested = is_in_use(path);
+  const bool is_store_in_use = is_in_use(path);
   database.begin();
   for (const Key& key : keys) {
-    if (is_requested) {
+    if (is_store_in_use) {
       database.request_drop(key);
     } else {
       database.erase(key);
@@ -103,7 +106,9 @@
   }
   database.commit();
   fmt::print("{} {}\n", keys.size(),
-             is_requested ? "keys asked of the running program, which drops what has ended" : "keys dropped");
+             is_store_in_use
+                 ? "keys requested to be dropped by the running program, if their requests have ended"
+                 : "keys dropped");
 }
 
 int drop(Database& database, const std::string& path, const cxxopts::ParseResult& flags) {
@@ -111,18 +116,19 @@
   if (flags.count("key") > 0) {
     const std::string text = flags["key"].as<std::string>();
     const std::optional<Key> key = results::parse_key(text);
-    if (!key) throw WrongUse(fmt::format("'{}' is no key of 32 hex digits", text));
+    if (!key) throw UsageError(fmt::format("'{}' is not a key of 32 hex digits", text));
     if (!database.fetch(*key)) {
       fmt::print("{}: no such key\n", text);
-      return kFailed;
+      return kExitFailure;
     }
     drop_keys(database, path, {*key});
   } else if (only_expired || flags.count("all") > 0) {
     drop_keys(database, path, stored_keys(database, only_expired));
   } else {
-    throw WrongUse("results drop takes --key KEY, --expired or --all; a dropped key's op may run again");
+    throw UsageError(
+        "results drop takes --key KEY, --expired or --all; the request of a dropped key may run again");
   }
-  return kDone;
+  return kExitSuccess;
 }
 
 }  // namespace
@@ -130,7 +136,7 @@
 int results_command(const cxxopts::ParseResult& flags) {
   const std::string action = flags.count("action") > 0 ? flags["action"].as<std::string>() : "";
   if (action != "stat" && action != "list" && action != "verify" && action != "drop")
-    throw WrongUse("results takes stat, list, verify or drop");
+    throw UsageError("results takes stat, list, verify or drop");
   const std::string path = store_path(flags);
   Database::Options options;
   options.must_exist = true;
--- a/src/benchlink/main.cpp
+++ b/src/benchlink/main.cpp
@@ -1,7 +1,7 @@
-// The adapter to the simulator: decodes its batches of events into calls of admission controllers, and
-// encodes their decisions. One process carries many instances; they share nothing but the stream. Malformed
-// input ends the process with one line and status 1; an exception in a controller is reported as a fault of
-// its instance.
+// The adapter to the simulator: decodes batches of events on standard input into calls to admission
+// controllers, and encodes their decisions on standard output. One process runs many instances, which share
+// only the stream. Malformed input ends the process with a message of one line and status 1; an exception in
+// a controller is reported as a fault of its instance.
 #include <cmath>
 #include <cstdio>
 #include <exception>
@@ -18,85 +18,86 @@
 
 constexpr double kSecondsPerMs = 0.001;
 constexpr double kMsPerSecond = 1000;
-constexpr std::size_t kMaxBatchBytes = std::size_t{1} << 30;  // a longer frame is a broken stream
+constexpr std::size_t kMaxBatchBytes = std::size_t{1}
+                                       << 30;  // a longer frame means that the stream is corrupt
 
-// Codes on the wire, in its own words.
+// Codes of events and actions in the simulator's protocol, by position.
 enum EventCode : std::uint8_t {
-  kSubmit = 1,
-  kWake,
-  kRunOver,
+  kRequest = 1,
+  kTimer,
+  kRunFinished,
   kCreate,
-  kTerminateSoon,
-  kGone,
-  kBlocked,
-  kReturned,
-  kCrashNow
+  kDrain,
+  kCallerDisconnected,
+  kCallNeeded,
+  kCallFinished,
+  kCrash
 };
 enum ActionCode : std::uint8_t {
   kSetHealth = 1,
-  kBug,
-  kPushBack,
-  kJournalLine,
-  kAnnounce,
-  kProcess,
+  kFault,
+  kReject,
+  kLog,
+  kPublishLoadFeedback,
+  kStart,
   kRemember,
-  kAfter,
-  kDegrade,
-  kIdle,
+  kScheduleWakeup,
+  kSkipCall,
+  kSetIdleTimeout,
   kJoin,
-  kDial,
-  kSurrender,
+  kCall,
+  kFail,
   kInterrupt,
-  kEvict
+  kForget
 };
 
-// Flags of a request.
+// Flags of a request event.
 constexpr unsigned kHasWorkHint = 1;
 constexpr unsigned kIsRetry = 2;
 constexpr unsigned kIsWrite = 4;
 
-// Encodes one instance's actions in the order in which they are taken.
+// Encodes the actions of one instance in the order in which they are taken.
 class WireDecisionSink : public DecisionSink {
  public:
-  WireDecisionSink(Writer& out, std::uint32_t who) : out_(out), who_(who) {}
+  WireDecisionSink(Writer& out, std::uint32_t instance_id) : out_(out), instance_id_(instance_id) {}
 
-  void start(RequestId id) override { put_request(kProcess, id); }
+  void start(RequestId id) override { put_request(kStart, id); }
   void interrupt(RequestId id) override { put_request(kInterrupt, id); }
   void reject(RequestId id, double retry_after, bool no_retry) override {
-    put_request(kPushBack, id);
+    put_request(kReject, id);
     out_.put(retry_after * kMsPerSecond);
     out_.put(static_cast<std::uint8_t>(no_retry));
   }
-  void fail(RequestId id) override { put_request(kSurrender, id); }
-  void call(RequestId id, double timeout) override { put_request(kDial, id, timeout); }
-  void skip_call(RequestId id) override { put_request(kDegrade, id); }
+  void fail(RequestId id) override { put_request(kFail, id); }
+  void call(RequestId id, double timeout) override { put_request(kCall, id, timeout); }
+  void skip_call(RequestId id) override { put_request(kSkipCall, id); }
   void remember(RequestId id, double ttl) override { put_request(kRemember, id, ttl); }
-  void forget(RequestId id) override { put_request(kEvict, id); }
+  void forget(RequestId id) override { put_request(kForget, id); }
   void join(RequestId id) override { put_request(kJoin, id); }
   void set_health(bool healthy, bool from_store) override {
-    out_.begin_record(kSetHealth, who_);
+    out_.begin_record(kSetHealth, instance_id_);
     out_.put(static_cast<std::uint8_t>(healthy));
     out_.put(static_cast<std::uint8_t>(from_store));
   }
   void publish_load_feedback(double value) override {
-    out_.begin_record(kAnnounce, who_);
+    out_.begin_record(kPublishLoadFeedback, instance_id_);
     out_.put(static_cast<float>(value));
   }
   void set_idle_timeout(double seconds) override {
-    out_.begin_record(kIdle, who_);
+    out_.begin_record(kSetIdleTimeout, instance_id_);
     out_.put(seconds * kMsPerSecond);
   }
   void schedule_wakeup(double time, std::uint64_t token) override {
-    out_.begin_record(kAfter, who_);
+    out_.begin_record(kScheduleWakeup, instance_id_);
     out_.put(time * kMsPerSecond);
     out_.put(token);
   }
-  void log(const std::string& line) override { put_text(kJournalLine, line); }
-  void report_fault(const std::string& line) { put_text(kBug, line); }
+  void log(const std::string& line) override { put_text(kLog, line); }
+  void report_fault(const std::string& line) { put_text(kFault, line); }
 
  private:
   void put_request(ActionCode code, RequestId id) {
-    out_.begin_record(code, who_);
+    out_.begin_record(code, instance_id_);
     out_.put(id);
   }
   void put_request(ActionCode code, RequestId id, double time) {
@@ -104,18 +105,18 @@
     out_.put(time * kMsPerSecond);
   }
   void put_text(ActionCode code, const std::string& line) {
-    out_.begin_record(code, who_);
+    out_.begin_record(code, instance_id_);
     out_.put_text(line);
   }
 
   Writer& out_;
-  std::uint32_t who_;
+  std::uint32_t instance_id_;
 };
 
 // One simulated server.
 struct Instance {
-  Instance(Writer& out, std::uint32_t who, const StartSettings& start, std::uint64_t seed, double now)
-      : sink(out, who),
+  Instance(Writer& out, std::uint32_t instance_id, const StartSettings& start, std::uint64_t seed, double now)
+      : sink(out, instance_id),
         gauges(start.gauges),
         routes(start.admission.routes.size()),
         tenants(start.admission.tenants.size()) {
@@ -166,12 +167,12 @@
   request.age = in.take_number<double>("age") * kSecondsPerMs;
   request.duplicate_of = in.take<std::uint64_t>();
   if (static_cast<std::size_t>(request.route) >= instance.routes)
-    throw MalformedInput("a class that the settings lack");
+    throw MalformedInput("the route number of a request is not in the settings");
   if (request.tenant != 0 && static_cast<std::size_t>(request.tenant) >= instance.tenants) {
-    throw MalformedInput("a customer that the settings lack");
+    throw MalformedInput("the tenant number of a request is not in the settings");
   }
   if (request.size_kb < 0 || request.age < 0 || request.remaining_timeout < 0)
-    throw MalformedInput("a negative size or time");
+    throw MalformedInput("a size or time of a request is negative");
   return request;
 }
 
@@ -191,8 +192,8 @@
   return gauges;
 }
 
-// Each record is read in full before the decision, so that an exception in a controller can't shift the
-// stream.
+// Calls the controller and reports an exception as a fault of the instance. The caller has read the event's
+// record completely, so that an exception can't leave the reader in the middle of a record.
 template <typename Decision>
 void decide(Instance& instance, Decision decision) {
   if (!instance.controller) return;
@@ -205,44 +206,44 @@
 
 void handle_record(Reader& in, double now, Instances& instances, Writer& out) {
   const auto code = in.take<std::uint8_t>();
-  if (code < kSubmit || code > kCrashNow) throw MalformedInput("unknown event code " + std::to_string(code));
-  const auto who = in.take<std::uint32_t>();
+  if (code < kRequest || code > kCrash) throw MalformedInput("unknown event code " + std::to_string(code));
+  const auto instance_id = in.take<std::uint32_t>();
   if (code == kCreate) {
     const auto seed = in.take<std::uint64_t>();
     const StartSettings start = read_settings(in.take_bytes(in.take<std::uint32_t>()));
-    instances[who] = std::make_unique<Instance>(out, who, start, seed, now);
+    instances[instance_id] = std::make_unique<Instance>(out, instance_id, start, seed, now);
     return;
   }
-  if (code == kCrashNow) {
-    instances.erase(who);
+  if (code == kCrash) {
+    instances.erase(instance_id);
     return;
   }
-  const auto found = instances.find(who);
-  if (found == instances.end()) throw MalformedInput("an event for an instance that was not created");
+  const auto found = instances.find(instance_id);
+  if (found == instances.end()) throw MalformedInput("event for an instance that was not created");
   Instance& instance = *found->second;
-  if (code == kSubmit) {
+  if (code == kRequest) {
     const Request request = read_request(in, instance);
     decide(instance, [&](AdmissionController& controller) { controller.on_request(now, request); });
     return;
   }
-  if (code == kTerminateSoon) {
-    const double left = in.take_number<double>("expires-in") * kSecondsPerMs;
-    decide(instance, [&](AdmissionController& controller) { controller.on_drain(now, left); });
+  if (code == kDrain) {
+    const double remaining = in.take_number<double>("expires-in") * kSecondsPerMs;
+    decide(instance, [&](AdmissionController& controller) { controller.on_drain(now, remaining); });
     return;
   }
   const auto id = in.take<std::uint64_t>();
-  if (code == kWake) {
+  if (code == kTimer) {
     const Gauges gauges = read_gauges(in, instance);
     decide(instance, [&](AdmissionController& controller) { controller.on_timer(now, id, gauges); });
-  } else if (code == kGone) {
+  } else if (code == kCallerDisconnected) {
     decide(instance, [&](AdmissionController& controller) { controller.on_caller_disconnected(now, id); });
-  } else if (code == kBlocked) {
+  } else if (code == kCallNeeded) {
     decide(instance, [&](AdmissionController& controller) { controller.on_call_needed(now, id); });
   } else {
     const Outcome outcome = outcome_of(in.take<std::uint8_t>());
     const double spent = in.take_number<double>("spent") * kSecondsPerMs;
     decide(instance, [&](AdmissionController& controller) {
-      if (code == kRunOver) {
+      if (code == kRunFinished) {
         controller.on_run_finished(now, id, outcome, spent);
       } else {
         controller.on_call_finished(now, id, outcome, spent);
@@ -251,17 +252,17 @@
   }
 }
 
-// False at the end of the stream; a frame cut off in the middle is malformed.
+// Returns false at the end of the stream. Throws MalformedInput if the stream ends in the middle of a frame.
 bool read_fully(char* into, std::size_t count, bool may_end) {
   const std::size_t got = std::fread(into, 1, count, stdin);
   if (got == count) return true;
   if (got == 0 && may_end && std::feof(stdin) != 0) return false;
-  throw MalformedInput("the input ends in the middle of a frame");
+  throw MalformedInput("truncated input: it ends in the middle of a frame");
 }
 
 void write_fully(const std::string& bytes) {
   if (std::fwrite(bytes.data(), 1, bytes.size(), stdout) != bytes.size())
-    throw MalformedInput("cannot write a reply");
+    throw MalformedInput("cannot write a reply to standard output");
 }
 
 void serve() {
@@ -275,13 +276,13 @@
     const auto count = fields.take<std::uint32_t>();
     const auto length = fields.take<std::uint32_t>();
     const double now = fields.take_number<double>("the clock") * kSecondsPerMs;
-    if (length > kMaxBatchBytes) throw MalformedInput("a batch longer than any that can be meant");
+    if (length > kMaxBatchBytes) throw MalformedInput("batch length exceeds the limit of 1 GiB");
     body.resize(length);
     if (length > 0) read_fully(body.data(), length, false);
     Reader in(body);
     out.clear();
     for (std::uint32_t i = 0; i < count; ++i) handle_record(in, now, instances, out);
-    if (!in.at_end()) throw MalformedInput("a batch holds more bytes than its records");
+    if (!in.at_end()) throw MalformedInput("trailing bytes after the last record of a batch");
     header.clear();
     header.put(out.records());
     header.put(static_cast<std::uint32_t>(out.bytes().size()));
--- a/src/control/server.cpp
+++ b/src/control/server.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr std::size_t kMaxOpenQueries = 4;
-constexpr double kQueryTimeoutSeconds = 1;  // from the connection to the end of the answer
+constexpr double kQueryTimeoutSeconds = 1;  // from accepting the connection to the end of the response
 constexpr int kListenBacklog = 8;           // connections
 
 sockaddr_un address_of(const std::string& path) {
@@ -27,18 +27,19 @@
   return out;
 }
 
-// Only its owner may enter it: whoever can reach the socket may send queries.
+// Checks that only the owner may enter the folder, because every process that can reach the socket may send
+// queries.
 void check_private(const std::string& folder) {
   struct stat status {};
   if (::stat(folder.c_str(), &status) != 0)
     throw std::runtime_error("control: folder '" + folder + "': " + std::strerror(errno));
-  if (!S_ISDIR(status.st_mode)) throw std::runtime_error("control: '" + folder + "' is no folder");
+  if (!S_ISDIR(status.st_mode)) throw std::runtime_error("control: '" + folder + "' is not a folder");
   if (status.st_uid != ::geteuid() || (status.st_mode & 077) != 0)
     throw std::runtime_error("control: folder '" + folder +
-                             "' is not private: it has to be ours, with mode 700");
+                             "' is not private: this user must own it and its mode must be 700");
 }
 
-// Owns a socket of the asking side.
+// Owns the socket of a client.
 struct Socket {
   int fd = ::socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0);
   Socket() = default;
@@ -57,33 +58,34 @@
 int listen_at(const std::string& path) {
   const sockaddr_un address = address_of(path);
   {
-    // A socket that a killed process left behind refuses connections; one that accepts has an owner.
+    // The socket that a killed process left behind refuses connections. One that accepts belongs to a running
+    // process.
     Socket probe;
     if (probe.fd >= 0 && connect_to(path, probe.fd) == 0)
-      throw std::runtime_error("control: another process answers at '" + path + "'");
+      throw std::runtime_error("control: another process listens on '" + path + "'");
   }
   struct stat status {};
   if (::lstat(path.c_str(), &status) == 0) {
-    if (!S_ISSOCK(status.st_mode)) throw std::runtime_error("control: '" + path + "' is no socket");
+    if (!S_ISSOCK(status.st_mode)) throw std::runtime_error("control: '" + path + "' is not a socket");
     ::unlink(path.c_str());
   }
   const int fd = ::socket(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-  if (fd < 0) throw std::runtime_error("control: cannot make a socket");
+  if (fd < 0) throw std::runtime_error("control: cannot create a socket");
   if (::bind(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0 ||
       ::listen(fd, kListenBacklog) != 0) {
-    const std::string why = std::strerror(errno);
+    const std::string reason = std::strerror(errno);
     ::close(fd);
-    throw std::runtime_error("control: cannot listen at '" + path + "': " + why);
+    throw std::runtime_error("control: cannot listen on '" + path + "': " + reason);
   }
   return fd;
 }
 
 }  // namespace
 
-std::string socket_in(const std::string& folder) { return folder + "/control"; }
+std::string socket_path(const std::string& folder) { return folder + "/control"; }
 
 Server::Server(net::Reactor& reactor, const std::string& folder, Logger& log)
-    : reactor_(reactor), log_(log), path_(socket_in(folder)) {
+    : reactor_(reactor), log_(log), path_(socket_path(folder)) {
   check_private(folder);
   listener_ = std::make_unique<net::Listener>(reactor, listen_at(path_),
                                               [this](const net::Accepted& one) { on_accept(one); });
@@ -110,11 +112,12 @@
   });
 }
 
-std::string Server::answer(const std::vector<std::string>& words) const {
-  const auto found = answerers_.find(words.front());
-  if (found == answerers_.end()) return encode_error("'" + words.front() + "' is not answered here");
+std::string Server::handle(const std::vector<std::string>& tokens) const {
+  const auto found = handlers_.find(tokens.front());
+  if (found == handlers_.end())
+    return encode_error("'" + tokens.front() + "' is not a query of this process");
   try {
-    return encode_response(found->second(words));
+    return encode_response(found->second(tokens));
   } catch (const std::exception& error) {
     return encode_error(error.what());
   }
@@ -122,15 +125,15 @@
 
 std::size_t Server::on_input(net::Connection& connection, std::string_view bytes) {
   const auto found = queries_.find(connection.tag);
-  if (found == queries_.end() || found->second.answered) return bytes.size();
-  const Query request = parse_query(bytes);
-  if (request.state == ParseStatus::kNeedMore) return 0;
-  found->second.answered = true;
-  if (request.state == ParseStatus::kMalformed) {
-    log_.debug("control", "a question that can't be read");
-    connection.send(encode_error("no question: one line of words"));
+  if (found == queries_.end() || found->second.is_answered) return bytes.size();
+  const Query query = parse_query(bytes);
+  if (query.state == ParseStatus::kNeedMore) return 0;
+  found->second.is_answered = true;
+  if (query.state == ParseStatus::kMalformed) {
+    log_.debug("control", "malformed query rejected");
+    connection.send(encode_error("malformed query: expected one line of tokens"));
   } else {
-    connection.send(answer(request.tokens));
+    connection.send(handle(query.tokens));
   }
   if (connection.waiting() == 0) connection.end();
   return bytes.size();
@@ -138,7 +141,7 @@
 
 void Server::on_end_of_input(net::Connection& connection) {
   const auto found = queries_.find(connection.tag);
-  if (found != queries_.end() && !found->second.answered) connection.close();
+  if (found != queries_.end() && !found->second.is_answered) connection.close();
 }
 
 void Server::on_output_sent(net::Connection& connection) { connection.end(); }
@@ -150,29 +153,31 @@
   queries_.erase(found);
 }
 
-std::string send_query(const std::string& folder, const std::vector<std::string>& words, double seconds) {
-  const std::string path = socket_in(folder);
+std::string send_query(const std::string& folder, const std::vector<std::string>& tokens,
+                       double timeout_seconds) {
+  const std::string path = socket_path(folder);
   Socket socket;
-  const timeval timeout{static_cast<time_t>(seconds),
-                        static_cast<suseconds_t>((seconds - static_cast<long>(seconds)) * 1e6)};
+  const timeval timeout{
+      static_cast<time_t>(timeout_seconds),
+      static_cast<suseconds_t>((timeout_seconds - static_cast<long>(timeout_seconds)) * 1e6)};
   ::setsockopt(socket.fd, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
   ::setsockopt(socket.fd, SOL_SOCKET, SO_SNDTIMEO, &timeout, sizeof timeout);
   if (connect_to(path, socket.fd) != 0)
-    throw std::runtime_error("nobody answers at '" + path + "': " + std::strerror(errno));
-  const std::string query = encode_query(words);
-  std::string in;
+    throw std::runtime_error("no process listens on '" + path + "': " + std::strerror(errno));
+  const std::string query = encode_query(tokens);
+  std::string input;
   if (::send(socket.fd, query.data(), query.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(query.size())) {
     char bytes[16384];
-    for (ssize_t got = 0; (got = ::recv(socket.fd, bytes, sizeof bytes, 0)) > 0;) {
-      in.append(bytes, static_cast<std::size_t>(got));
-      const Response answer = parse_response(in);
-      if (answer.state == ParseStatus::kMalformed) break;
-      if (answer.state == ParseStatus::kNeedMore) continue;
-      if (!answer.is_ok) throw std::runtime_error(answer.text);
-      return answer.text;
+    for (ssize_t received = 0; (received = ::recv(socket.fd, bytes, sizeof bytes, 0)) > 0;) {
+      input.append(bytes, static_cast<std::size_t>(received));
+      const Response response = parse_response(input);
+      if (response.state == ParseStatus::kMalformed) break;
+      if (response.state == ParseStatus::kNeedMore) continue;
+      if (!response.is_ok) throw std::runtime_error(response.text);
+      return response.text;
     }
   }
-  throw std::runtime_error("no whole answer came from '" + path + "'");
+  throw std::runtime_error("no complete response from '" + path + "'");
 }
 
 }  // namespace damsonspoke::control
--- a/src/observability/logger.h
+++ b/src/observability/logger.h
@@ -1,6 +1,6 @@
-// Log lines on standard error, as text (`time level component: text`) or as one JSON object a line, written
-// by spdlog. Like the counters and the invariants it depends on nothing else of the project, so that every
-// layer may use it.
+// Writes log lines to standard error by spdlog, as text (`time level component: text`) or as one JSON object
+// per line. Like the counters and the invariants, the logger depends on no other module of the project, so
+// that every layer may use it.
 #pragma once
 
 #include <fmt/format.h>
@@ -19,30 +19,30 @@
 namespace damsonspoke {
 
 enum class Level { kError, kWarning, kInfo, kDebug };
-enum class LogForm { kText, kJson };
+enum class LogFormat { kText, kJson };
 
-// None: no level, or no form, of that name.
-std::optional<Level> level_of(std::string_view name);
-std::optional<LogForm> log_form_of(std::string_view name);
+// Nothing if there is no level or format of that name.
+std::optional<Level> parse_level(std::string_view name);
+std::optional<LogFormat> parse_log_format(std::string_view name);
 
-// A named value of a log line: ` name=value` behind the text, a member of its own in JSON.
+// A named value of a log line: ` name=value` after the text, or a separate member in JSON.
 struct Field {
   std::string_view name;
   std::string value;
-  bool number = false;  // written without quotes in JSON
+  bool is_number = false;  // written without quotes in JSON
 
   Field(std::string_view n, std::string_view v) : name(n), value(v) {}
   Field(std::string_view n, const char* v) : name(n), value(v) {}
   template <typename T>
   requires std::is_arithmetic_v<T> Field(std::string_view n, T v)
-      : name(n), value(fmt::format("{}", v)), number(true) {}
+      : name(n), value(fmt::format("{}", v)), is_number(true) {}
 };
 
-// At most 50 lines a second are written; the others are counted. For one thread.
+// At most 50 lines per second are written; the others are counted as suppressed. Not thread-safe.
 class Logger {
  public:
-  // Lines above the level are not written.
-  explicit Logger(Level level, LogForm form = LogForm::kText);
+  // Lines less severe than `level` are not written.
+  explicit Logger(Level level, LogFormat form = LogFormat::kText);
 
   template <typename... Args>
   void error(std::string_view component, fmt::format_string<Args...> text, Args&&... args) {
@@ -60,14 +60,14 @@
   void debug(std::string_view component, fmt::format_string<Args...> text, Args&&... args) {
     line(Level::kDebug, component, text, std::forward<Args>(args)...);
   }
-  // A line with named values.
+  // Writes a line with named values.
   void event(Level level, std::string_view component, std::string_view text,
              std::initializer_list<Field> fields) {
     if (level <= level_) write(level, component, text, fields);
   }
-  // Writes the text as it is, whatever the level: for reports that an operator has asked for.
-  void block(std::string_view text);
-  [[nodiscard]] std::uint64_t withheld() const { return withheld_; }
+  // Writes the text unchanged and regardless of the level, for reports that an operator requested.
+  void write_raw(std::string_view text);
+  [[nodiscard]] std::uint64_t suppressed_lines() const { return suppressed_lines_; }
 
  private:
   template <typename... Args>
@@ -80,11 +80,11 @@
              std::initializer_list<Field> fields);
 
   Level level_;
-  LogForm form_;
+  LogFormat format_;
   std::shared_ptr<spdlog::sinks::sink> sink_;
-  std::int64_t second_ = 0;  // the second in which lines_ were written
-  int lines_ = 0;            // written in it
-  std::uint64_t withheld_ = 0;
+  std::int64_t second_ = 0;  // the Unix second to which lines_ belongs
+  int lines_ = 0;            // written in this second, including suppressed ones
+  std::uint64_t suppressed_lines_ = 0;
 };
 
 }  // namespace damsonspoke
--- a/src/settings/operator_values.cpp
+++ b/src/settings/operator_values.cpp
@@ -11,10 +11,10 @@
 
 constexpr double kMinGroupShare = 0.01;
 constexpr double kMaxGroupShare = 1;
-constexpr double kInputGraceSeconds = 0.5;  // for one retransmitted packet at the start of a request
-constexpr double kOutputGraceSeconds = 1;   // for some lost packets, or a short pause of the reader
+constexpr double kInputGraceSeconds = 0.5;  // enough for one retransmitted packet at the start of a request
+constexpr double kOutputGraceSeconds = 1;   // enough for some lost packets or a short pause of the reader
 
-// The values of one section by type; the default where a directive is not given.
+// Reads the values of one section by type. A directive that is not given has its default.
 class SectionReader {
  public:
   SectionReader(const OperatorValues& given, const char* section) : given_(given), section_(section) {}
@@ -37,7 +37,7 @@
     return read_number(find_directive(section_, name)->type, text(name)).value_or(0);
   }
   [[nodiscard]] std::size_t integer(const char* name) const { return static_cast<std::size_t>(number(name)); }
-  // The words that are addresses or networks.
+  // The words of the directive as prefixes.
   [[nodiscard]] std::vector<conns::Prefix> prefixes(const char* name) const {
     std::vector<conns::Prefix> prefixes;
     for (const std::string& word : words(name)) {
@@ -69,16 +69,16 @@
   return results;
 }
 
-StatisticsPersistenceOptions read_knowledge(const OperatorValues& given) {
+StatisticsPersistenceOptions read_statistics(const OperatorValues& given) {
   const SectionReader section(given, "knowledge");
-  StatisticsPersistenceOptions knowledge;
-  knowledge.enabled = section.flag("enabled");
-  knowledge.folder = section.text("folder");
-  knowledge.interval = section.number("interval");
-  knowledge.half_life = section.number("half-life");
-  knowledge.max_age = section.number("most-age");
-  knowledge.weight = section.number("weight");
-  return knowledge;
+  StatisticsPersistenceOptions statistics;
+  statistics.enabled = section.flag("enabled");
+  statistics.folder = section.text("folder");
+  statistics.interval = section.number("interval");
+  statistics.half_life = section.number("half-life");
+  statistics.max_age = section.number("most-age");
+  statistics.weight = section.number("weight");
+  return statistics;
 }
 
 ForwardOptions read_forward(const OperatorValues& given) {
@@ -111,7 +111,7 @@
   ajp.dependency_secret = section.text("below-secret");
   ajp.dependency_refusal_is_proof = section.flag("below-refuses");
   for (const std::vector<std::string>& line : section.lines("map")) {
-    const auto route = read_ajp_route(line);  // lines with an error are not among them
+    const auto route = read_ajp_route(line);  // invalid lines were left out
     if (const auto* valid = std::get_if<AjpRoute>(&route)) ajp.routes.push_back(*valid);
   }
   return ajp;
@@ -134,26 +134,26 @@
   limiter.idle_protection = section.number("keep-idle");
   limiter.listed = section.prefixes("known");
   for (const std::vector<std::string>& line : section.lines("group")) {
-    const auto group = read_gate_group(line);  // lines with an error are not among them
+    const auto group = read_client_group(line);  // invalid lines were left out
     if (const auto* valid = std::get_if<conns::ClientGroup>(&group)) limiter.groups.push_back(*valid);
   }
   return limiter;
 }
 
-ConnectionAdmissionOptions read_gate(const OperatorValues& given) {
+ConnectionAdmissionOptions read_connection_admission(const OperatorValues& given) {
   const SectionReader section(given, "gate");
-  ConnectionAdmissionOptions gate;
-  gate.enabled = section.flag("enabled");
-  gate.connections = section.integer("connections");
-  gate.limiter = read_limiter(section);
-  gate.client_output = section.number("client-output");
-  gate.input = {kInputGraceSeconds, section.number("input-rate")};
-  gate.output = {kOutputGraceSeconds, section.number("output-rate")};
-  gate.known.max_age = section.number("known-for");
-  gate.known.required_successes = section.number("known-after");
-  gate.known_folder = section.text("known-folder");
-  gate.known_interval = section.number("known-interval");
-  return gate;
+  ConnectionAdmissionOptions admission;
+  admission.enabled = section.flag("enabled");
+  admission.connections = section.integer("connections");
+  admission.limiter = read_limiter(section);
+  admission.client_output = section.number("client-output");
+  admission.input = {kInputGraceSeconds, section.number("input-rate")};
+  admission.output = {kOutputGraceSeconds, section.number("output-rate")};
+  admission.known.max_age = section.number("known-for");
+  admission.known.required_successes = section.number("known-after");
+  admission.known_folder = section.text("known-folder");
+  admission.known_interval = section.number("known-interval");
+  return admission;
 }
 
 CatalogOptions read_catalog(const OperatorValues& given) {
@@ -197,16 +197,16 @@
   }
 }
 
-std::variant<conns::ClientGroup, GateGroupError> read_gate_group(const std::vector<std::string>& words) {
+std::variant<conns::ClientGroup, ClientGroupError> read_client_group(const std::vector<std::string>& words) {
   conns::ClientGroup group;
   group.name = words[0];
   const std::optional<double> share = read_percentage(words[1]);
   if (!share || *share < kMinGroupShare || *share > kMaxGroupShare)
-    return GateGroupError{1, fmt::format("'{}' is no percentage from 1% to 100%", words[1])};
+    return ClientGroupError{1, fmt::format("'{}' is not a percentage from 1% to 100%", words[1])};
   group.share = *share;
   for (std::size_t i = 2; i < words.size(); ++i) {
     const std::optional<conns::Prefix> prefix = conns::parse_prefix(words[i]);
-    if (!prefix) return GateGroupError{i, fmt::format("'{}' is no address or network", words[i])};
+    if (!prefix) return ClientGroupError{i, fmt::format("'{}' is not an address or network", words[i])};
     group.prefixes.push_back(*prefix);
   }
   return group;
@@ -215,10 +215,10 @@
 OperatorOptions convert_to_options(const OperatorValues& given) {
   OperatorOptions options;
   options.results = read_results(given);
-  options.knowledge = read_knowledge(given);
+  options.statistics = read_statistics(given);
   options.forward = read_forward(given);
   options.ajp = read_ajp(given);
-  options.gate = read_gate(given);
+  options.connection_admission = read_connection_admission(given);
   options.catalog = read_catalog(given);
   options.members = read_members(given);
   options.control.folder = SectionReader(given, "control").text("folder");
