--- a/src/tier/dispatch.cpp
+++ b/src/tier/dispatch.cpp
@@ -6,7 +6,7 @@
 namespace damsonspoke::tier {
 namespace {
 
-constexpr double kPollSeconds = 0.05;       // while requests wait
+constexpr double kPollSeconds = 0.05;       // interval of wakeups while requests wait
 constexpr double kStopMarginSeconds = 0.2;  // before the stop, when the last replies are sent
 constexpr double kFenceRecheckSeconds = 0.05;
 
--- a/src/tier/slow_start_shares.cpp
+++ b/src/tier/slow_start_shares.cpp
@@ -97,7 +97,7 @@
   for (const auto& [member, allotment] : present) {
     if (remainder == 0) return;
     if (allotment->share != even) continue;
-    // No other member may overtake this one while it waits for reserved attempts to become free.
+    // No other member may overtake this one while it waits for attempts that are still reserved.
     if (!raise(member, *allotment, even + 1)) return;
     allotment->raised_at = now;
     --remainder;
--- a/tests/tier/policy_traces.cpp
+++ b/tests/tier/policy_traces.cpp
@@ -213,22 +213,24 @@
   WaitEstimator estimator({}, 2, 0);
   estimator.on_planner_available();
   estimator.set_busy(true, 0);
-  std::printf("no observations, 50 requests ahead, 0.1 s remaining: %s\n",
+  std::printf("can finish without observations, 50 requests ahead, 0.1 s remaining: %s\n",
               estimator.can_finish_in_time(0, 50, 0.1, 0.1) ? "yes" : "no");
   for (int i = 1; i <= 300; ++i)
     estimator.on_capacity_freed(i * 0.01), estimator.on_success(0, 0.05);  // 100 a second
-  std::printf("100 freed per second, 40 requests ahead, 0.3 s remaining: %s, 0.8 s remaining: %s\n",
-              estimator.can_finish_in_time(0, 40, 0.3, 3) ? "yes" : "no",
-              estimator.can_finish_in_time(0, 40, 0.8, 3) ? "yes" : "no");
-  std::printf("a route without observations, no request ahead, 0.03 s remaining: %s\n",
+  std::printf(
+      "can finish with 100 freed per second, 40 requests ahead, 0.3 s remaining: %s, 0.8 s remaining: %s\n",
+      estimator.can_finish_in_time(0, 40, 0.3, 3) ? "yes" : "no",
+      estimator.can_finish_in_time(0, 40, 0.8, 3) ? "yes" : "no");
+  std::printf("can finish on a route without observations, no request ahead, 0.03 s remaining: %s\n",
               estimator.can_finish_in_time(1, 0, 0.03, 3) ? "yes" : "no");
   std::printf("retry after, behind 40 requests: %.2f to %.2f s\n", estimator.retry_after_seconds(40, 3, 0),
               estimator.retry_after_seconds(40, 3, 0.999));
   estimator.set_busy(false, 3);
-  std::printf("after 60 idle seconds, 40 requests ahead, 0.8 s remaining: %s\n",
+  std::printf("can finish after 60 idle seconds, 40 requests ahead, 0.8 s remaining: %s\n",
               estimator.can_finish_in_time(0, 40, 0.8, 63) ? "yes" : "no");
   estimator.set_busy(true, 63);
-  std::printf("no capacity freed for 3 s: %s\n", estimator.can_finish_in_time(0, 40, 0.8, 66) ? "yes" : "no");
+  std::printf("can finish when no capacity was freed for 3 s: %s\n",
+              estimator.can_finish_in_time(0, 40, 0.8, 66) ? "yes" : "no");
   estimator.on_no_planner(3);
   std::printf(
       "no planner: healthy after 0.5 s %s, after 1.5 s %s; retry after %.2f s after 0.5 s, %.2f s after 5 "
