--- a/tests/ajp_program.cpp
+++ b/tests/ajp_program.cpp
@@ -202,11 +202,11 @@
 void stalls() {
   Scenario scenario;
   Script head(scenario), body(scenario), first_piece(scenario), drips(scenario), silent(scenario);
-  const std::string whole = bare::forward(post("/ops/read", 100));
-  head.send(whole.substr(0, 20));
-  body.send(whole);
-  first_piece.send(whole + bare::body("abc"));
-  drips.send(whole + bare::body("abc"));
+  const std::string request_bytes = bare::forward(post("/ops/read", 100));
+  head.send(request_bytes.substr(0, 20));
+  body.send(request_bytes);
+  first_piece.send(request_bytes + bare::body("abc"));
+  drips.send(request_bytes + bare::body("abc"));
   bool dripping = true;
   const std::function<void()> drip = [&] {
     if (!dripping) return;
@@ -232,9 +232,9 @@
   Script body(scenario), head(scenario), open(scenario), idle(scenario);
   print_answer("a ping", idle.send(bare::cping()).answer());
   scenario.loop.run_for(0.7);
-  const std::string whole = bare::forward(post("/ops/close", 6));
-  body.send(whole + bare::body("abc"));
-  head.send(whole.substr(0, 20));
+  const std::string request_bytes = bare::forward(post("/ops/close", 6));
+  body.send(request_bytes + bare::body("abc"));
+  head.send(request_bytes.substr(0, 20));
   open.send(bare::forward(post("/ops/close", 3)) + bare::body("abc"));
   scenario.loop.run_for(0.03);
   scenario.server.notice();
@@ -281,9 +281,9 @@
 void notice_between() {
   Scenario scenario;
   Script early(scenario), late(scenario);
-  const std::string whole = bare::forward(post("/ops/close", 3));
-  early.send(whole);
-  late.send(whole);
+  const std::string request_bytes = bare::forward(post("/ops/close", 3));
+  early.send(request_bytes);
+  late.send(request_bytes);
   scenario.loop.run_for(0.1);
   scenario.server.notice();
   scenario.loop.run_for(0.1);
@@ -339,8 +339,8 @@
   scenario.end();
 }
 
-// Silent connections take up the whole share of the gateway's listener: callers of the other listener are
-// not affected, and a gateway that sends a request gets in.
+// Silent connections take up the request_bytes share of the gateway's listener: callers of the other listener
+// are not affected, and a gateway that sends a request gets in.
 void silence() {
   Scenario scenario(60, 30, {}, 0.005, "", 384);
   std::vector<int> silent;
--- a/tests/link_ends.cpp
+++ b/tests/link_ends.cpp
@@ -104,10 +104,10 @@
 
 // A client of the dependency whose other side is a bare listener.
 struct Calls : peers::DependencyEvents {
-  explicit Calls(std::size_t most = 8, int backlog = 64)
+  explicit Calls(std::size_t max_links = 8, int backlog = 64)
       : bare(backlog),
         log(Level::kError),
-        dependency(stepped.reactor, bare.address(), most, *this, counters, log) {}
+        dependency(stepped.reactor, bare.address(), max_links, *this, counters, log) {}
   Calls(const Calls&) = delete;
   Calls& operator=(const Calls&) = delete;
   ~Calls() override { stepped.end(); }
@@ -462,7 +462,7 @@
 
 // Guards against a start that is lost on a link whose end, closed by the runtime, the program has not read
 // yet: the start was never sent, so it goes over the next link, also where it must not run twice.
-void closed_unseen() {
+void closed_unnoticed() {
   Link link;
   link.wait_for_input("sync 0");
   BareListener::say(link.bare.newest(), "ready hot 0\r\n");
@@ -490,5 +490,5 @@
                        {"restart", restart},
                        {"old_gauges", old_gauges},
                        {"end_behind_gauges", end_behind_gauges},
-                       {"closed_unseen", closed_unseen}});
+                       {"closed_unnoticed", closed_unnoticed}});
 }
