--- a/src/app/forwarder.cpp
+++ b/src/app/forwarder.cpp
@@ -57,7 +57,7 @@
       membership_(
           reactor_, process_config, "forwarder",
           [this] {
-            return Membership::Load{static_cast<double>(request_forwarder_.open()),
+            return Membership::Load{static_cast<double>(request_forwarder_.in_flight()),
                                     static_cast<double>(options_.forward.queue_length)};
           },
           counters_, log_),
@@ -90,7 +90,7 @@
 
 int Forwarder::run() {
   const std::string host = config_.listen.substr(0, config_.listen.rfind(':'));
-  request_forwarder_.begin();
+  request_forwarder_.start();
   membership_.start(caller_server_.port());
   log_.info("forwarder", "forwarder {} listens on {}:{}", config_.name, host, caller_server_.port());
   deliver_signals();
@@ -101,7 +101,7 @@
 }
 
 void Forwarder::log_counters() {
-  request_forwarder_.report();
+  request_forwarder_.update_counters();
   membership_.report();
   log_.write_raw(counters_.report());
 }
@@ -136,8 +136,8 @@
   if (shutdown_started_at_ >= 0) return;
   shutdown_started_at_ = net::monotonic_now();
   log_.info("forwarder", "forwarder draining: {} requests in flight, {} connections open",
-            request_forwarder_.open(), caller_server_.connections());
-  request_forwarder_.leave(config_.stop_after);
+            request_forwarder_.in_flight(), caller_server_.connections());
+  request_forwarder_.drain(config_.stop_after);
   membership_.leave();
   check_shutdown();
 }
@@ -148,7 +148,7 @@
   const double elapsed = net::monotonic_now() - shutdown_started_at_;
   if (!is_listening_ && elapsed >= config_.stop_after - kCloseConnectionsMarginSeconds)
     caller_server_.close_idle_connections();
-  const bool is_idle = request_forwarder_.open() == 0 && caller_server_.connections() == 0;
+  const bool is_idle = request_forwarder_.in_flight() == 0 && caller_server_.connections() == 0;
   const bool is_done = is_idle && !caller_server_.is_listening() && reactor_.lingering_closes().empty();
   const bool is_grace_over = elapsed > config_.site.admission.drain_grace;
   if (is_listening_ &&
@@ -157,7 +157,7 @@
     caller_server_.stop_listening();
   } else if (!is_listening_ && (is_done || elapsed >= config_.stop_after - kStopMarginSeconds)) {
     log_.info("forwarder", "forwarder shutdown complete, left after {:.2f} s; {} requests unanswered",
-              elapsed, request_forwarder_.open());
+              elapsed, request_forwarder_.in_flight());
     return reactor_.stop();
   }
   reactor_.after(kShutdownCheckIntervalSeconds, [this] { check_shutdown(); });
--- a/src/catalog/file_error.cpp
+++ b/src/catalog/file_error.cpp
@@ -16,7 +16,8 @@
     return fmt::format("it contains {} bytes, the limit is {}", error.bytes, error.limit);
   }
   std::string operator()(const WrongFileSize& error) const {
-    return fmt::format("its size is {} bytes instead of {}: truncated or corrupt", error.bytes, error.expected);
+    return fmt::format("its size is {} bytes instead of {}: truncated or corrupt", error.bytes,
+                       error.expected);
   }
   std::string operator()(const MissingHeader&) const { return "it has no header"; }
   std::string operator()(const InvalidLine& error) const {
--- a/src/control/server.cpp
+++ b/src/control/server.cpp
@@ -135,7 +135,7 @@
   } else {
     connection.send(handle(query.tokens));
   }
-  if (connection.waiting() == 0) connection.end();
+  if (connection.pending_output_bytes() == 0) connection.close_gracefully();
   return bytes.size();
 }
 
@@ -144,7 +144,7 @@
   if (found != queries_.end() && !found->second.is_answered) connection.close();
 }
 
-void Server::on_output_sent(net::Connection& connection) { connection.end(); }
+void Server::on_output_sent(net::Connection& connection) { connection.close_gracefully(); }
 
 void Server::on_end(net::Connection& connection, net::CloseReason) {
   const auto found = queries_.find(connection.tag);
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -73,7 +73,7 @@
 Connection::~Connection() {
   if (state_ == State::kClosed) return;
   set_observers(false, false, false);
-  release(waiting());
+  release(pending_output_bytes());
   socket_.close();
 }
 
@@ -118,8 +118,8 @@
 
 void Connection::send(std::string_view bytes) {
   if (state_ == State::kClosed) return;
-  if (waiting() + bytes.size() > limits_.output) return close(CloseReason::kOverflow);
-  if (state_ == State::kOpen && waiting() == 0) {
+  if (pending_output_bytes() + bytes.size() > limits_.output) return close(CloseReason::kOverflow);
+  if (state_ == State::kOpen && pending_output_bytes() == 0) {
     const ssize_t wrote = ::send(fd(), bytes.data(), bytes.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
     if (wrote >= 0) {
       bytes.remove_prefix(static_cast<std::size_t>(wrote));
@@ -140,9 +140,9 @@
 }
 
 void Connection::write_some() {
-  while (waiting() > 0) {
+  while (pending_output_bytes() > 0) {
     const ssize_t wrote =
-        ::send(fd(), output_.data() + output_offset_, waiting(), MSG_NOSIGNAL | MSG_DONTWAIT);
+        ::send(fd(), output_.data() + output_offset_, pending_output_bytes(), MSG_NOSIGNAL | MSG_DONTWAIT);
     if (wrote < 0) {
       if (errno == EINTR) continue;
       if (errno != EAGAIN && errno != EWOULDBLOCK) close(CloseReason::kBroken);
@@ -179,18 +179,18 @@
   if (state_ == State::kClosed) return;
   set_observers(false, false, false);
   state_ = State::kClosed;
-  unsent_bytes_ = waiting();
-  release(waiting());
+  unsent_bytes_ = pending_output_bytes();
+  release(pending_output_bytes());
   output_ = {};
   output_offset_ = 0;
   socket_.close();
   reactor_.post([self = shared_from_this(), why] { self->owner_.on_end(*self, why); });
 }
 
-void Connection::end() {
+void Connection::close_gracefully() {
   if (state_ != State::kOpen) return close();
   stop_reading();
-  if (waiting() == 0) return begin_lingering_close();
+  if (pending_output_bytes() == 0) return begin_lingering_close();
   closes_after_output_ = true;
 }
 
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -40,11 +40,11 @@
 
 // A budget for the pending output of several connections together.
 struct OutputPool {
-  std::size_t most = 0;
+  std::size_t max_bytes = 0;
   std::size_t used_bytes = 0;
   OutputPool* parent = nullptr;  // of which this is a part; must outlive it
   bool fits(std::size_t bytes) const {
-    return used_bytes + bytes <= most && (parent == nullptr || parent->fits(bytes));
+    return used_bytes + bytes <= max_bytes && (parent == nullptr || parent->fits(bytes));
   }
   void charge(std::size_t bytes) {
     used_bytes += bytes;
@@ -78,7 +78,7 @@
       CloseReason why = CloseReason::kOrderly);  // at once; on_end() follows in the next event-loop iteration
   // Closes gracefully: stops reading, writes the pending output, then begins a lingering close of the
   // socket (net/lingering_close.h). on_end() follows once all output is written.
-  void end();
+  void close_gracefully();
   // Reads and delivers the input that is in the socket now, without waiting for the next event-loop
   // iteration. Must not be called from inside a callback of the owner.
   void read_now();
@@ -87,10 +87,10 @@
   void stop_reading();                    // permanently; pending output is still written
   bool connected() const { return state_ == State::kOpen; }
   bool open() const { return state_ != State::kClosed; }
-  std::size_t waiting() const { return output_.size() - output_offset_; }
+  std::size_t pending_output_bytes() const { return output_.size() - output_offset_; }
   // Once closed: bytes of pending output that were never written to the socket, for example as it never
   // connected.
-  std::size_t unwritten() const { return unsent_bytes_; }
+  std::size_t unsent_bytes() const { return unsent_bytes_; }
   // Bytes read from the socket, and written to it, so far.
   std::uint64_t bytes_in() const { return bytes_in_; }
   std::uint64_t bytes_out() const { return bytes_out_; }
@@ -133,7 +133,7 @@
   bool observes_readable_ = false, observes_writable_ = false, observes_errors_ = false;
   bool is_paused_ = false, is_input_stopped_ = false, is_delivering_ = false;
   bool has_peer_ended_ = false;       // its end was read: no input can be unread
-  bool closes_after_output_ = false;  // end() was called; closes once all output is written
+  bool closes_after_output_ = false;  // close_gracefully() was called; closes once all output is written
 };
 
 }  // namespace damsonspoke::net
--- a/src/peers/ajp/server.cpp
+++ b/src/peers/ajp/server.cpp
@@ -82,13 +82,13 @@
 
 void AjpServer::update_busy(const Client& client) {
   const bool has_request = client.state == State::kInFlight || client.state == State::kClosing;
-  admission_.set_busy(client, has_request || client.connection->waiting() > 0);
+  admission_.set_busy(client, has_request || client.connection->pending_output_bytes() > 0);
 }
 
 // No request is in flight or partly read, no output is pending, and no input is unread.
 bool AjpServer::is_idle(const Client& client) {
   return client.state == State::kIdle && !client.is_message_incomplete() &&
-         client.connection->waiting() == 0 && client.connection->nothing_to_read();
+         client.connection->pending_output_bytes() == 0 && client.connection->nothing_to_read();
 }
 
 bool AjpServer::evict_one() {
@@ -298,7 +298,7 @@
 void AjpServer::close_after_output(Client& client) {
   client.state = State::kClosing;
   client.connection->stop_reading();
-  if (client.connection->waiting() == 0) client.connection->end();
+  if (client.connection->pending_output_bytes() == 0) client.connection->close_gracefully();
 }
 
 AjpServer::Client* AjpServer::find_in_flight(ReplyAddress reply_to) {
@@ -361,7 +361,7 @@
   if (client == nullptr) return;
   client->output_rate.stop();
   update_busy(*client);
-  if (client->state == State::kClosing) connection.end();
+  if (client->state == State::kClosing) connection.close_gracefully();
 }
 
 // A gateway that has ended its input still gets the answer to a complete request; an incomplete one is
@@ -410,9 +410,9 @@
   } else if (!client.has_requested && idle_seconds > kFirstRequestTimeoutSeconds) {
     counters_.add(Count::kCallersSilent);
     admission_.penalize(client, conns::Penalty::kSilent);
-    connection.end();
+    connection.close_gracefully();
   } else if (idle_seconds > options_.idle) {
-    connection.end();
+    connection.close_gracefully();
   }
 }
 
@@ -423,7 +423,7 @@
 void AjpServer::announce_drain() {
   is_draining_ = true;
   for (auto& [tag, client] : clients_) {
-    if (client.connection->open() && is_idle(client)) client.connection->end();
+    if (client.connection->open() && is_idle(client)) client.connection->close_gracefully();
   }
 }
 
--- a/src/peers/client_connection.h
+++ b/src/peers/client_connection.h
@@ -54,8 +54,8 @@
   }
   // Records since when output is pending; returns whether that exceeds kOutputTimeoutSeconds.
   [[nodiscard]] bool check_output_overdue(double now) {
-    if (connection->waiting() == 0) output_waits_since = -1;
-    if (connection->waiting() > 0 && output_waits_since < 0) output_waits_since = now;
+    if (connection->pending_output_bytes() == 0) output_waits_since = -1;
+    if (connection->pending_output_bytes() > 0 && output_waits_since < 0) output_waits_since = now;
     return output_waits_since >= 0 && now - output_waits_since > kOutputTimeoutSeconds;
   }
 };
--- a/src/peers/connection_admission.cpp
+++ b/src/peers/connection_admission.cpp
@@ -155,7 +155,7 @@
   net::OutputPool& all = *listeners_[listener].output;
   ClientPool& client = pools_[key];
   if (client.connections++ == 0) {
-    const double max_bytes = static_cast<double>(all.most) * options_.client_output;
+    const double max_bytes = static_cast<double>(all.max_bytes) * options_.client_output;
     client.pool = {static_cast<std::size_t>(max_bytes), 0, &all};
   }
   pool_key_by_tag_.emplace(tag, key);
--- a/src/peers/dependency/client.cpp
+++ b/src/peers/dependency/client.cpp
@@ -18,7 +18,7 @@
 Outcome outcome_of(wire::CallEnd end) {
   switch (end) {
     case wire::CallEnd::kOk: return Outcome::kOk;
-    case wire::CallEnd::kRefused: return Outcome::kRejected;
+    case wire::CallEnd::kRejected: return Outcome::kRejected;
     case wire::CallEnd::kFailed: return Outcome::kError;
     case wire::CallEnd::kTimedOut: return Outcome::kTimeout;
     case wire::CallEnd::kObsolete: return Outcome::kObsolete;
--- a/src/peers/json_rpc/server.cpp
+++ b/src/peers/json_rpc/server.cpp
@@ -65,14 +65,14 @@
 }
 
 void JsonRpcServer::update_busy(const Client& client) {
-  admission_.set_busy(client, !client.requests.empty() || client.connection->waiting() > 0);
+  admission_.set_busy(client, !client.requests.empty() || client.connection->pending_output_bytes() > 0);
 }
 
 // No request is in flight, no output is pending, and no input is unread, neither in the socket nor in the
 // buffer.
 bool JsonRpcServer::is_idle(const Client& client) {
-  return client.requests.empty() && client.connection->waiting() == 0 && !client.is_message_incomplete() &&
-         client.connection->nothing_to_read();
+  return client.requests.empty() && client.connection->pending_output_bytes() == 0 &&
+         !client.is_message_incomplete() && client.connection->nothing_to_read();
 }
 
 // Evicts an idle connection or, if there is none, the oldest silent one that has sent only a part of a
@@ -129,7 +129,7 @@
     if (!admission_.try_read(connection)) break;
     used += frame.length;
     if (!read_frame(*client, frame.body)) return bytes.size();
-    if (connection.waiting() > kPauseReadingBytes) {
+    if (connection.pending_output_bytes() > kPauseReadingBytes) {
       connection.pause_reading(true);
       counters_.add(Count::kCallersBytesIn, used);
       return used;
@@ -252,8 +252,8 @@
 
 // Closes the connection of a client that has ended its input, once its last answer is written.
 void JsonRpcServer::close_if_done(Client& client) {
-  if (client.requests.empty() && client.input_ended && client.connection->waiting() == 0)
-    client.connection->end();
+  if (client.requests.empty() && client.input_ended && client.connection->pending_output_bytes() == 0)
+    client.connection->close_gracefully();
 }
 
 void JsonRpcServer::answer_succeeded(ReplyAddress reply_to, std::string_view result) {
@@ -348,7 +348,7 @@
   } else if (!client.has_requested && idle_seconds > kFirstRequestTimeoutSeconds && is_idle(client)) {
     counters_.add(Count::kCallersSilent);
     admission_.penalize(client, conns::Penalty::kSilent);
-    connection.end();
+    connection.close_gracefully();
   } else if (client.is_message_overdue(now)) {
     counters_.add(Count::kCallersIncomplete);
     admission_.penalize(client, conns::Penalty::kIncompleteRequest);
@@ -356,7 +356,8 @@
     reject_input(client, wire::encode_error(0, wire::RpcError::kParse, "not whole in time"));
   } else if (client.requests.empty() && idle_seconds > kMaxIdleSeconds) {
     announce_drain(client);
-    if (now - client.drain_announced_at > kDrainTimeoutSeconds && is_idle(client)) connection.end();
+    if (now - client.drain_announced_at > kDrainTimeoutSeconds && is_idle(client))
+      connection.close_gracefully();
   }
 }
 
@@ -397,7 +398,7 @@
     } else if (client.drain_announced_at < 0) {
       announce_drain(client);
     } else if (now - client.drain_announced_at > kDrainTimeoutSeconds && is_idle(client)) {
-      client.connection->end();
+      client.connection->close_gracefully();
     }
   }
   const double wait = std::clamp(next_check_seconds, kMinIdleCheckSeconds, kMaxIdleCheckSeconds);
@@ -415,7 +416,7 @@
     connection->read_now();
     const Client* client = clients_.find(connection->tag);
     if (client == nullptr || !connection->open()) continue;
-    if (client->requests.empty() && connection->waiting() == 0) connection->end();
+    if (client->requests.empty() && connection->pending_output_bytes() == 0) connection->close_gracefully();
   }
 }
 
--- a/src/peers/listener_admission.cpp
+++ b/src/peers/listener_admission.cpp
@@ -49,7 +49,7 @@
 
 void ListenerAdmission::evict(ClientConnection& client) {
   counters_.add(Count::kCallersEvicted);
-  client.connection->end();
+  client.connection->close_gracefully();
   if (limits_.quota != nullptr) limits_.quota->on_closed(limits_.listener);
   client.is_evicted = true;
 }
@@ -99,7 +99,7 @@
 bool ListenerAdmission::is_output_too_slow(ClientConnection& client, double now) const {
   if (!is_by_client()) return false;
   const net::Connection& connection = *client.connection;
-  if (connection.waiting() > 0 && !client.output_rate.is_running())
+  if (connection.pending_output_bytes() > 0 && !client.output_rate.is_running())
     client.output_rate.start(now, connection.bytes_out());
   return client.output_rate.is_too_slow(now, connection.bytes_out(), limits_.admission->output_rate());
 }
--- a/src/peers/members/transport.cpp
+++ b/src/peers/members/transport.cpp
@@ -261,7 +261,7 @@
   view_.on_push_pull(decoded.records, now);
   // If the kernel accepted the whole answer, on_output_sent() is not called, and the push-pull would stay
   // open until its timeout.
-  if (is_initiator || connection.waiting() == 0) connection.close();
+  if (is_initiator || connection.pending_output_bytes() == 0) connection.close();
   return bytes.size();
 }
 
--- a/src/peers/tier/forwarder_server.cpp
+++ b/src/peers/tier/forwarder_server.cpp
@@ -389,7 +389,7 @@
   for (const auto& [tag, link] : links_) connections.push_back(link.connection);
   for (const auto& connection : connections) connection->read_now();
   if (sessions_.open_attempts() > 0) return;
-  for (const auto& connection : connections) connection->end();
+  for (const auto& connection : connections) connection->close_gracefully();
 }
 
 }  // namespace damsonspoke::peers
--- a/src/peers/tier/planner_client.cpp
+++ b/src/peers/tier/planner_client.cpp
@@ -91,7 +91,7 @@
   link.unproven_submits.push_back(
       {was_taken ? link.sent_bytes : std::numeric_limits<std::uint64_t>::max(), submit.attempt});
   if (!link.connection || !link.connection->open()) return;
-  const std::uint64_t written = link.sent_bytes - link.connection->waiting();
+  const std::uint64_t written = link.sent_bytes - link.connection->pending_output_bytes();
   while (!link.unproven_submits.empty() && link.unproven_submits.front().end <= written)
     link.unproven_submits.pop_front();
 }
@@ -113,7 +113,7 @@
   std::optional<Poco::Net::SocketAddress> local;
   if (!self_.local_address.empty()) local.emplace(self_.local_address, 0);
   link.connection = net::Connection::connecting(reactor_, *this, net::parse_address(link.address),
-                                                {kMaxInputBytes, output_.most, &output_}, local);
+                                                {kMaxInputBytes, output_.max_bytes, &output_}, local);
   link.connection->tag = static_cast<std::uint64_t>(planner);
 }
 
@@ -182,7 +182,7 @@
 // The attempts whose frames were not completely written to a connection that has ended.
 std::vector<std::uint64_t> PlannerClient::unwritten_attempts(const Link& link) {
   const std::uint64_t written =
-      link.sent_bytes - std::min<std::uint64_t>(link.sent_bytes, link.connection->unwritten());
+      link.sent_bytes - std::min<std::uint64_t>(link.sent_bytes, link.connection->unsent_bytes());
   std::vector<std::uint64_t> unwritten;
   for (const UnprovenSubmit& submit : link.unproven_submits) {
     if (submit.end > written) unwritten.push_back(submit.attempt);
--- a/src/stages/request_forwarder.cpp
+++ b/src/stages/request_forwarder.cpp
@@ -120,7 +120,7 @@
   reactor_.cancel(check_timer_);
 }
 
-void RequestForwarder::begin() {
+void RequestForwarder::start() {
   restore_history();
   connect_planners();
   check();
@@ -313,7 +313,7 @@
   ports_.registry->report(healthy || !site_.registry_follows_health);
 }
 
-void RequestForwarder::leave(double time_left) {
+void RequestForwarder::drain(double time_left) {
   dispatch_->on_drain(time_left, site_.admission.drain_grace, net::monotonic_now());
   ports_.registry->report(false);
   reported_healthy_ = false;
@@ -398,7 +398,7 @@
   if (history_file_) history_file_->write(tier::encode(endpoint_lists_));
 }
 
-void RequestForwarder::report() {
+void RequestForwarder::update_counters() {
   const tier::DispatchCounters& c = dispatch_->counters();
   counters_.set(Count::kTierFirstAttempts, c.first_attempts);
   counters_.set(Count::kTierRetries, c.retries);
--- a/src/stages/request_forwarder.h
+++ b/src/stages/request_forwarder.h
@@ -43,15 +43,15 @@
   RequestForwarder& operator=(const RequestForwarder&) = delete;
 
   // Must be called after all ports have been set.
-  void begin();
+  void start();
   // Shuts down gracefully within `time_left` s.
-  void leave(double time_left);
+  void drain(double time_left);
   // Sets the endpoint list. Planners that remain listed keep their links and attempts. A planner that is no
   // longer listed keeps its link for as long as it may have to be queried about the keys that it remembers.
   void set_planners(const std::vector<std::string>& addresses);
-  [[nodiscard]] std::size_t open() const { return in_flight_.size(); }
+  [[nodiscard]] std::size_t in_flight() const { return in_flight_.size(); }
   // Updates the counters.
-  void report();
+  void update_counters();
 
   // ---- Callers.
   bool is_in_use(RequestId id) const override { return in_flight_.contains(id); }
--- a/src/wire/dependency_lines.cpp
+++ b/src/wire/dependency_lines.cpp
@@ -24,7 +24,7 @@
 
 CallEnd call_end_of(std::string_view token) {
   if (token == "ok") return CallEnd::kOk;
-  if (token == "overload") return CallEnd::kRefused;
+  if (token == "overload") return CallEnd::kRejected;
   if (token == "internal") return CallEnd::kFailed;
   if (token == "deadline") return CallEnd::kTimedOut;
   if (token == "stale") return CallEnd::kObsolete;
--- a/src/wire/dependency_lines.h
+++ b/src/wire/dependency_lines.h
@@ -11,9 +11,9 @@
 
 namespace damsonspoke::wire {
 
-// How a call ended, as the dependency reports it. kRefused and kObsolete: it never ran. kUnknown: the line
+// How a call ended, as the dependency reports it. kRejected and kObsolete: it never ran. kUnknown: the line
 // is complete but invalid.
-enum class CallEnd { kOk, kRefused, kFailed, kTimedOut, kObsolete, kUnknown };
+enum class CallEnd { kOk, kRejected, kFailed, kTimedOut, kObsolete, kUnknown };
 
 // One reply, as far as it was received.
 struct ReplyRead {
--- a/tests/compatibility/wire_messages_test.cpp
+++ b/tests/compatibility/wire_messages_test.cpp
@@ -161,7 +161,7 @@
   using namespace wire;
   const Messages recorded = recorded_messages("dependency_replies.txt");
   const std::map<std::string, CallEnd> ends = {
-      {"ok", CallEnd::kOk},           {"overload", CallEnd::kRefused},
+      {"ok", CallEnd::kOk},           {"overload", CallEnd::kRejected},
       {"internal", CallEnd::kFailed}, {"deadline", CallEnd::kTimedOut},
       {"stale", CallEnd::kObsolete},  {"other", CallEnd::kUnknown}};
   for (const auto& [name, end] : ends) {
