--- a/bench/ajp.cpp
+++ b/bench/ajp.cpp
@@ -61,7 +61,8 @@
   Callers::Options load;
   load.flows = flows(rpc, kCloses);
   load.connections = 12, load.seed = seed;
-  load.hotels = 9;  // the same ones as the gateway's: a hotel with over half of what waits loses room first
+  load.caller_ids =
+      9;  // the same ones as the gateway's: a hotel with over half of what waits loses room first
   AjpGateway::Options asking;
   asking.flows = flows(ajp, ajp_closes);
   asking.connections = 150, asking.seed = seed + 1;
@@ -78,23 +79,26 @@
   loop.run_for(seconds);
   out.cpu = server.process->processor_time() - began;
   out.requests = server.process->counters()["requests.read"];
-  callers.want_more(false);
+  callers.set_load_enabled(false);
   gateway.want_more(false);
-  loop.run_until([&] { return callers.open() == 0 && callers.still_wanted() == 0 && gateway.open() == 0; },
-                 4);
-  out.broken += !server.leave();
+  loop.run_until(
+      [&] {
+        return callers.attempts_in_flight() == 0 && callers.unfinished_tasks() == 0 && gateway.open() == 0;
+      },
+      4);
+  out.broken += !server.shut_down();
   for (const auto& [request, t] : journal.attempts) {
-    if (t.refused) continue;
+    if (t.was_not_sent) continue;
     const bool in_time = !t.answers.empty() && t.answers[0].kind == AnswerKind::kSucceeded &&
                          t.answers[0].at - t.sent <= kTarget;
     ++out.asked, out.served += in_time;
     if (t.type != "close") continue;
     ++out.all_closes_asked, out.all_closes_served += in_time;
-    if (t.has_servers_number) continue;
+    if (t.is_numbered_by_server) continue;
     ++out.closes_asked, out.closes_served += in_time;
   }
   RuleLimits limits;
-  limits.survivable = 8 * kCores;
+  limits.survivable_concurrency = 8 * kCores;
   const Verdict verdict = check_rules(journal, limits);
   for (const std::string& text : verdict.broken) fmt::print("  {}\n", text);
   out.lost = verdict.unanswered, out.late = verdict.late;
--- a/bench/conns.cpp
+++ b/bench/conns.cpp
@@ -6,7 +6,7 @@
 #include <algorithm>
 #include <cxxopts.hpp>
 
-#include "crowd.h"
+#include "connection_flood.h"
 #include "fleet.h"
 
 using namespace damsonspoke::standins;
@@ -27,8 +27,8 @@
 constexpr Shape kShapes[] = {{"crowd, silent", FloodShape::kSilent, 1000, 50},
                              {"connect and reset", FloodShape::kReset, 1000, 50},
                              {"a byte a second", FloodShape::kDrip, 1000, 50},
-                             {"asking, and staying", FloodShape::kAsking, 1000, 50},
-                             {"few descriptors", FloodShape::kAsking, 1000, 50, true}};
+                             {"asking, and staying", FloodShape::kHealthRequests, 1000, 50},
+                             {"few descriptors", FloodShape::kHealthRequests, 1000, 50, true}};
 constexpr rlim_t kFew = 100;  // descriptors, then
 
 struct Played {
@@ -68,7 +68,7 @@
   if (!fleet.start()) return out.broken = 1, out;
   fleet.loop.run_until([&] { return fleet.server.registry.is_listed(); }, 5);
   fleet.loop.run_for(1.5);  // the client becomes known
-  Newcomers client(fleet.loop, fleet.server.port(), {kClient, 0.02, kPatience, 0});
+  ReconnectingClient client(fleet.loop, fleet.server.port(), {kClient, 0.02, kPatience, 0});
   const double began = now(), cpu = fleet.process->processor_time();
   const std::uint64_t links = fleet.callers.dialled();
   if (shape.scarce && per_s > 0) {
@@ -86,13 +86,14 @@
     if (flood) out.dialled = static_cast<double>(flood->dialled());
     out.dialled_again = fleet.callers.dialled() - links;
     client.stop();
-    fleet.loop.run_until([&] { return client.quiet(); }, 6);
+    fleet.loop.run_until([&] { return client.is_idle(); }, 6);
   }
-  out.came = client.came(), out.in_time = client.in_time(), out.longest = client.longest();
+  out.came = client.connects(), out.in_time = client.answered_in_time(),
+  out.longest = client.max_answer_seconds();
   fleet.settle(4);
-  out.broken += !fleet.leave();
+  out.broken += !fleet.shut_down();
   for (const auto& [request, t] : fleet.journal.attempts) {
-    if (t.sent < began || t.sent > began + seconds || t.refused) continue;
+    if (t.sent < began || t.sent > began + seconds || t.was_not_sent) continue;
     const double worth = t.type == "close" ? 3 : 1;
     const bool served =
         !t.answers.empty() && t.answers[0].kind == AnswerKind::kSucceeded && t.answers[0].at - t.sent <= 0.5;
--- a/bench/knowledge.cpp
+++ b/bench/knowledge.cpp
@@ -92,7 +92,7 @@
   if (!fleet.start()) return std::nullopt;
   fleet.loop.run_for(seconds);
   fleet.settle(2);
-  fleet.leave();
+  fleet.shut_down();
   const auto disk = store::open_folder(fleet.folder());
   return statistics::StatisticsFolder(*disk).read().record;
 }
@@ -174,7 +174,7 @@
   out.first = fate_of(journal, from, std::min(until, from + 5));
   out.all = fate_of(journal, from, until);
   RuleLimits limits = Fleet::limits_of(site_of(""));
-  limits.survivable *= kRelays;  // the journal counts all runtimes together
+  limits.survivable_concurrency *= kRelays;  // the journal counts all runtimes together
   const Verdict verdict = check_rules(journal, limits);
   for (const std::string& line : verdict.broken) fmt::print("  {}: {}\n", name, line);
   out.broken = static_cast<int>(verdict.broken.size());
@@ -200,10 +200,10 @@
   for (int i = 0; i < kRelays; ++i) {
     Server& relay = *relays[static_cast<std::size_t>(i)];
     const double turn = now();
-    relay.notice();
+    relay.send_shutdown_notice();
     loop.run_for(0.2);  // the list is read by then
     callers.avoid(i);
-    if (!relay.ended()) return out.broken = 1, out;
+    if (!relay.wait_for_end()) return out.broken = 1, out;
     if (plan.bad_spell) leave_behind(relay.folder(), record, true);
     relay.runtime.options = runtime_of(plan.slower, true);
     if (!relay.start()) return out.broken = 1, out;
@@ -211,10 +211,10 @@
   }
   loop.run_for(std::max(0.0, from + seconds - now()));
   const double until = now();
-  callers.want_more(false);
+  callers.set_load_enabled(false);
   for (const auto& relay : relays) look_at(out, *relay);
-  loop.run_until([&] { return callers.open() == 0 && callers.still_wanted() == 0; }, 6);
-  for (const auto& relay : relays) relay->leave();
+  loop.run_until([&] { return callers.attempts_in_flight() == 0 && callers.unfinished_tasks() == 0; }, 6);
+  for (const auto& relay : relays) relay->shut_down();
   judge(out, plan.name, journal, from, until);
   return out;
 }
@@ -230,10 +230,10 @@
   if (!fleet.start()) return out.broken = 1, out;
   fleet.loop.run_for(seconds);
   const double until = now();
-  fleet.callers.want_more(false);
+  fleet.callers.set_load_enabled(false);
   look_at(out, fleet.server);
   fleet.settle(6);
-  fleet.leave();
+  fleet.shut_down();
   judge(out, plan.name, fleet.journal, from, until);
   return out;
 }
--- a/bench/results.cpp
+++ b/bench/results.cpp
@@ -87,9 +87,9 @@
   if (!fleet.start()) return sums;
   fleet.loop.run_for(seconds);
   fleet.settle(5);
-  fleet.leave();
+  fleet.shut_down();
   std::set<std::string> unique;
-  for (const RunSeen& run : fleet.journal.runs) unique.insert(run.key);
+  for (const RecordedRun& run : fleet.journal.runs) unique.insert(run.key);
   sums.calls_per_unique = static_cast<double>(fleet.journal.runs.size()) /
                           static_cast<double>(std::max<std::size_t>(1, unique.size()));
   add(sums, check_rules(fleet.journal, fleet.limits()));
@@ -112,14 +112,14 @@
   if (!with.start() || !without.start()) return cost;
   for (double spent = 0; spent < seconds; spent += 0.6) {
     for (Fleet* fleet : {&with, &without}) {
-      fleet->callers.want_more(true);
+      fleet->callers.set_load_enabled(true);
       fleet->loop.run_for(0.3);
-      fleet->callers.want_more(false);
-      fleet->loop.run_until([&] { return fleet->callers.open() == 0; }, 0.3);
+      fleet->callers.set_load_enabled(false);
+      fleet->loop.run_until([&] { return fleet->callers.attempts_in_flight() == 0; }, 0.3);
     }
   }
   with.settle(2), without.settle(2);
-  with.leave(), without.leave();
+  with.shut_down(), without.shut_down();
   cost.with = success_times(with.journal), cost.without = success_times(without.journal);
   return cost;
 }
@@ -137,7 +137,7 @@
   fleet.start();
   fleet.loop.run_for(0.5);
   fleet.settle(15);
-  fleet.leave();
+  fleet.shut_down();
   add(sums, check_rules(fleet.journal, fleet.limits()));
   int unknown = 0;
   for (const auto& [request, t] : fleet.journal.attempts) {
@@ -158,7 +158,7 @@
   Memory memory;
   {
     Fleet off(kBinary, site_of("retryable", ""), work_of(0.002), load_of(1, 1, false, seed));
-    off.callers.want_more(false);
+    off.callers.set_load_enabled(false);
     if (!off.start()) return memory;
     off.loop.run_for(0.5);
     memory.rest_off = static_cast<double>(off.process->resident_kb()) / 1024;
@@ -170,11 +170,11 @@
   Callers::Options load = load_of(750, 1, true, seed);
   load.connections = 16;
   Fleet on(kBinary, site, work, load);
-  on.callers.want_more(false);
+  on.callers.set_load_enabled(false);
   if (!on.start()) return memory;
   on.loop.run_for(0.5);
   memory.rest_on = static_cast<double>(on.process->resident_kb()) / 1024;
-  on.callers.want_more(true);
+  on.callers.set_load_enabled(true);
   on.loop.run_for(seconds);
   on.settle(3);
   memory.full = static_cast<double>(on.process->resident_kb()) / 1024;
@@ -183,7 +183,7 @@
   memory.entries = count("results.entries");
   memory.latest_wake_ms = static_cast<double>(count("timers.max_delay_us")) / 1000;
   memory.commit_ms = static_cast<double>(count("results.max_commit_us")) / 1000;
-  on.leave();
+  on.shut_down();
   return memory;
 }
 
--- a/bench/scale_backend.cpp
+++ b/bench/scale_backend.cpp
@@ -111,7 +111,7 @@
   if (!fleet.start()) return out;
   fleet.loop.run_for(2);
   std::map<std::uint64_t, double> written;  // number of a change, until it is in force
-  fleet.process->on_line = [&](const std::string& line) {
+  fleet.process->on_log_line = [&](const std::string& line) {
     const std::size_t at = line.find("in force ");
     if (line.find("catalog: version 1.") == std::string::npos || at == std::string::npos) return;
     const std::uint64_t sequence = std::strtoull(line.c_str() + line.find("version 1.") + 10, nullptr, 10);
@@ -146,9 +146,9 @@
   out.sequence = counters["catalog.sequence"];
   out.overdue = counters["requests.overdue"];
   out.last_written = files.sequence();
-  fleet.leave();
+  fleet.shut_down();
   std::map<std::uint64_t, double> ran;  // s at the runtime, by request
-  for (const RunSeen& run : fleet.journal.runs) ran[run.request] = run.ended - run.began;
+  for (const RecordedRun& run : fleet.journal.runs) ran[run.request] = run.ended - run.began;
   for (const auto& [request, asked] : fleet.journal.attempts) {
     if (asked.sent < begin) continue;
     ++out.wanted;
@@ -178,7 +178,7 @@
 void measure_backend(const ScaleOptions& options, Figures& figures) {
   fmt::print("One backend with {} routes and {} tenants, {:.0f} requests a second:\n", kWhole.routes,
              kWhole.tenants, kRequestsPerS);
-  const Folder folder;
+  const TemporaryFolder folder;
   Files files(folder.path("."), kWhole);
   std::vector<std::pair<double, double>> share;
   for (const double per_s : {163.0, 326.0, 652.0, kRequestsPerS}) {
--- a/bench/scale_catalog.cpp
+++ b/bench/scale_catalog.cpp
@@ -115,7 +115,7 @@
 
 void measure_catalog(const ScaleOptions& options, Figures& figures) {
   configurations();
-  const Folder folder;
+  const TemporaryFolder folder;
   fmt::print("A snapshot, read whole:\n");
   std::vector<std::pair<double, double>> seconds, bytes;
   for (const std::size_t share : {std::size_t{100}, std::size_t{10}, std::size_t{3}, std::size_t{1}}) {
--- a/bench/scale_members.cpp
+++ b/bench/scale_members.cpp
@@ -62,7 +62,7 @@
   }
 
  private:
-  Folder folder_;
+  TemporaryFolder folder_;
   std::vector<std::unique_ptr<Process>> processes_;
 };
 
--- a/bench/tier.cpp
+++ b/bench/tier.cpp
@@ -126,11 +126,11 @@
   } else if (!kill_in_turn(loop, relays, seconds, kills)) {
     return out.broken = 1, out;
   }
-  callers.want_more(false);
-  loop.run_until([&] { return callers.open() == 0 && callers.still_wanted() == 0; }, 4);
-  for (const auto& relay : relays) relay->leave();
+  callers.set_load_enabled(false);
+  loop.run_until([&] { return callers.attempts_in_flight() == 0 && callers.unfinished_tasks() == 0; }, 4);
+  for (const auto& relay : relays) relay->shut_down();
   RuleLimits limits = Fleet::limits_of(site());
-  limits.survivable *= kPlanners;
+  limits.survivable_concurrency *= kPlanners;
   judge(out, journal, limits, kills);
   return out;
 }
@@ -153,7 +153,7 @@
     out.forwarder_cpu += forwarder->process->processor_time();
     out.forwarder_kb = std::max(out.forwarder_kb, forwarder->process->resident_kb());
   }
-  if (!fleet.leave()) fmt::print("  did not leave in time\n"), ++out.broken;
+  if (!fleet.shut_down()) fmt::print("  did not leave in time\n"), ++out.broken;
   judge(out, fleet.journal, fleet.limits(), kills);
   return out;
 }
@@ -173,7 +173,7 @@
   const double spent = process.processor_time() - begin;
   const auto counters = fleet.forwarders[0]->process->counters();
   fleet.settle(2);
-  fleet.leave();
+  fleet.shut_down();
   return spent / static_cast<double>(std::max<std::uint64_t>(1, counters.at("requests.read"))) * 1e6;
 }
 
@@ -199,14 +199,14 @@
       if (!fleet.server.start()) return waits;
       fleet.loop.run_for(seconds / kTurns);
       fleet.settle(2);
-      fleet.server.leave();
+      fleet.server.shut_down();
       collect(fleet.journal, waits.first);
     }
     TwoLevel fleet(kBinary, site(), quick, load, 1, 1);
     if (!fleet.start()) return waits;
     fleet.loop.run_for(seconds / kTurns);
     fleet.settle(2);
-    fleet.leave();
+    fleet.shut_down();
     collect(fleet.journal, waits.second);
   }
   return waits;
--- a/standins/ajp_gateway.cpp
+++ b/standins/ajp_gateway.cpp
@@ -111,9 +111,9 @@
 }
 double AjpGateway::chance() { return std::ldexp(static_cast<double>(random_() >> 11), -53); }
 
-void AjpGateway::reach(std::uint16_t port, int life) {
+void AjpGateway::reach(std::uint16_t port, int incarnation) {
   port_ = port;
-  life_ = life;
+  life_ = incarnation;
 }
 
 void AjpGateway::next_thing(std::size_t flow) {
@@ -169,10 +169,10 @@
   seen.request = id;
   seen.key = key;
   seen.type = flow.type;
-  seen.life = life_;
-  seen.has_servers_number = true;
+  seen.incarnation = life_;
+  seen.is_numbered_by_server = true;
   seen.sent = now();
-  seen.due = seen.sent + flow.timeout;
+  seen.deadline = seen.sent + flow.timeout;
   journal_.attempts[id] = std::move(seen);
   ++owed_;
   loop_.send(fd, out);
@@ -217,7 +217,7 @@
                   : link.status == 502 || link.status == 504        ? AnswerKind::kFailed
                   : link.status == 500 && link.outcome == "unknown" ? AnswerKind::kUnknownOutcome
                   : link.status == 422                              ? AnswerKind::kConflict
-                                                                    : AnswerKind::kBad;
+                                                                    : AnswerKind::kInvalid;
     found->second.answers.push_back(std::move(answer));
     --owed_;
   }
@@ -228,7 +228,7 @@
 
 void AjpGateway::drop(int fd) {
   if (const std::uint64_t request = links_.at(fd).request; request != 0) {
-    journal_.attempts.at(request).lost = true;
+    journal_.attempts.at(request).is_lost = true;
     --owed_;
   }
   links_.erase(fd);
--- a/standins/ajp_gateway.h
+++ b/standins/ajp_gateway.h
@@ -54,7 +54,7 @@
   AjpGateway(Loop& loop, Journal& journal, Options options);
   ~AjpGateway();
 
-  void reach(std::uint16_t port, int life);
+  void reach(std::uint16_t port, int incarnation);
   void want_more(bool more) { more_ = more; }
   std::size_t open() const { return owed_; }
   std::size_t connections() const { return links_.size(); }
--- a/standins/crowd.cpp
+++ b/standins/connection_flood.cpp
@@ -1,4 +1,4 @@
-#include "crowd.h"
+#include "connection_flood.h"
 
 #include <arpa/inet.h>
 #include <fmt/format.h>
@@ -14,10 +14,10 @@
 namespace damsonspoke::standins {
 namespace {
 
-constexpr double kTurnSeconds = 0.002;  // of the flood's thread
-constexpr double kAskAgainSeconds = 0.5, kDripSeconds = 1, kJunkSeconds = 0.05;
-constexpr std::size_t kMostConnections = 8000;  // of a flood
-constexpr double kLongestStaySeconds = 5;       // of a newcomer without its answer
+constexpr double kPollSeconds = 0.002;  // of the flood's thread
+constexpr double kHealthIntervalSeconds = 0.5, kDripIntervalSeconds = 1, kJunkIntervalSeconds = 0.05;
+constexpr std::size_t kMaxConnections = 8000;  // of a flood
+constexpr double kMaxAnswerWaitSeconds = 5;    // of a newcomer without its answer
 
 std::string health_request() {
   const std::string text = R"({"jsonrpc":"2.0","id":1,"method":"health","params":{}})";
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-int dialled_socket(std::uint16_t port, const std::string& from) {
+int connecting_socket(std::uint16_t port, const std::string& from) {
   const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
   if (fd < 0) return -1;
   sockaddr_in mine{}, theirs{};
@@ -45,18 +45,21 @@
   return -1;
 }
 
-std::string crowd_address(unsigned n) {
+std::string flood_address(unsigned n) {
   return fmt::format("127.{}.{}.{}", 20 + n / 64000, n % 256, 1 + n / 256 % 250);
 }
 
 // ---- Floods.
 Flood::Flood(std::uint16_t port, Options options)
-    : port_(port), options_(options), poll_(::epoll_create1(EPOLL_CLOEXEC)), held_by_(options.addresses, 0) {
+    : port_(port),
+      options_(options),
+      poll_(::epoll_create1(EPOLL_CLOEXEC)),
+      connections_by_address_(options.addresses, 0) {
   thread_ = std::thread([this] { run(); });
 }
 
 Flood::~Flood() {
-  is_over_ = true;
+  is_stopping_ = true;
   thread_.join();
   for (const auto& [fd, connection] : connections_) ::close(fd);
   ::close(poll_);
@@ -64,9 +67,9 @@
 
 void Flood::run() {
   const double began = now();
-  while (!is_over_) {
+  while (!is_stopping_) {
     epoll_event events[512];
-    const int got = ::epoll_wait(poll_, events, 512, static_cast<int>(kTurnSeconds * 1000));
+    const int got = ::epoll_wait(poll_, events, 512, static_cast<int>(kPollSeconds * 1000));
     for (int i = 0; i < got; ++i)
       handle(events[i].data.fd, (events[i].events & EPOLLOUT) != 0, (events[i].events & EPOLLIN) != 0,
              (events[i].events & (EPOLLERR | EPOLLHUP)) != 0);
@@ -77,8 +80,8 @@
 }
 
 void Flood::dial_due(double began, double time) {
-  while (!is_over_ && static_cast<double>(dialled_) < (time - began) * options_.per_s &&
-         connections_.size() < kMostConnections) {
+  while (!is_stopping_ && static_cast<double>(dialled_) < (time - began) * options_.connections_per_second &&
+         connections_.size() < kMaxConnections) {
     const std::uint64_t before = dialled_;
     dial(time);
     if (dialled_ == before) return;  // all hold what they may
@@ -96,12 +99,12 @@
 void Flood::dial(double time) {
   for (unsigned tried = 0; tried < options_.addresses; ++tried) {
     const unsigned address = next_address_++ % options_.addresses;
-    if (held_by_[address] >= options_.each) continue;
-    const int fd = dialled_socket(port_, crowd_address(address));
+    if (connections_by_address_[address] >= options_.connections_per_address) continue;
+    const int fd = connecting_socket(port_, flood_address(address));
     ++dialled_;
     if (fd < 0) return;
     connections_[fd] = {address, false, time, 0};
-    ++held_by_[address];
+    ++connections_by_address_[address];
     epoll_event event{};
     event.events = EPOLLIN | EPOLLOUT | EPOLLET;
     event.data.fd = fd;
@@ -114,12 +117,12 @@
   const auto found = connections_.find(fd);
   if (found == connections_.end()) return;
   if (is_broken) {
-    ++turned_away_;
+    ++closed_by_server_;
     return drop(fd, false);
   }
   if (is_writable && !found->second.is_up) {
     found->second.is_up = true;
-    ++held_;
+    ++open_connections_;
     if (options_.shape == FloodShape::kReset) return drop(fd, true);
   }
   if (!is_readable) return;
@@ -129,7 +132,7 @@
     if (got < 0 && errno == EAGAIN) return;
     if (got <= 0) break;
   }
-  ++turned_away_;
+  ++closed_by_server_;
   drop(fd, false);
 }
 
@@ -139,15 +142,15 @@
   switch (options_.shape) {
     case FloodShape::kDrip:
       bytes = kHealth.substr(connection.sent_bytes++ % kHealth.size(), 1);
-      connection.next_send_at = time + kDripSeconds;
+      connection.next_send_at = time + kDripIntervalSeconds;
       break;
-    case FloodShape::kAsking:
+    case FloodShape::kHealthRequests:
       bytes = kHealth;
-      connection.next_send_at = time + kAskAgainSeconds;
+      connection.next_send_at = time + kHealthIntervalSeconds;
       break;
     case FloodShape::kJunk:
       bytes = "Content-Length: 4\r\n\r\nnone";
-      connection.next_send_at = time + kJunkSeconds;
+      connection.next_send_at = time + kJunkIntervalSeconds;
       break;
     default: return;
   }
@@ -156,8 +159,8 @@
 
 void Flood::drop(int fd, bool with_reset) {
   const auto found = connections_.find(fd);
-  if (found->second.is_up) --held_;
-  --held_by_[found->second.address];
+  if (found->second.is_up) --open_connections_;
+  --connections_by_address_[found->second.address];
   connections_.erase(found);
   if (with_reset) {
     const linger at_once{1, 0};
@@ -167,38 +170,38 @@
 }
 
 // ---- Newcomers.
-Newcomers::Newcomers(Loop& loop, std::uint16_t port, Options options)
+ReconnectingClient::ReconnectingClient(Loop& loop, std::uint16_t port, Options options)
     : loop_(loop), port_(port), options_(std::move(options)) {
-  come();
+  connect();
 }
 
-Newcomers::~Newcomers() {
-  *is_here_ = false;
+ReconnectingClient::~ReconnectingClient() {
+  *is_alive_ = false;
   while (!began_at_.empty()) end(began_at_.begin()->first);
 }
 
-void Newcomers::come() {
-  if (!comes_) return;
-  loop_.after(options_.every, [this, here = is_here_] {
-    if (*here) come();
+void ReconnectingClient::connect() {
+  if (!is_connecting_) return;
+  loop_.after(options_.interval, [this, is_alive = is_alive_] {
+    if (*is_alive) connect();
   });
-  ++came_;
-  const int fd = dialled_socket(port_, options_.from);
+  ++connects_;
+  const int fd = connecting_socket(port_, options_.from);
   if (fd < 0) return;
   began_at_[fd] = now();
   serials_[fd] = ++last_serial_;
   loop_.watch(fd, [this, fd] { read(fd); });
   loop_.send(fd, health_request());
-  end_after(fd, kLongestStaySeconds);
+  end_after(fd, kMaxAnswerWaitSeconds);
 }
 
-void Newcomers::end_after(int fd, double seconds) {
-  loop_.after(seconds, [this, here = is_here_, fd, serial = serials_.at(fd)] {
-    if (*here && serials_.contains(fd) && serials_.at(fd) == serial) end(fd);
+void ReconnectingClient::end_after(int fd, double seconds) {
+  loop_.after(seconds, [this, is_alive = is_alive_, fd, serial = serials_.at(fd)] {
+    if (*is_alive && serials_.contains(fd) && serials_.at(fd) == serial) end(fd);
   });
 }
 
-void Newcomers::read(int fd) {
+void ReconnectingClient::read(int fd) {
   char bytes[4096];
   const ssize_t got = ::recv(fd, bytes, sizeof bytes, MSG_DONTWAIT);
   if (got < 0 && errno == EAGAIN) return;
@@ -207,14 +210,14 @@
   in.append(bytes, static_cast<std::size_t>(got));
   if (in.find("\"result\"") == std::string::npos) return;
   const double took = now() - began_at_.at(fd);
-  longest_ = std::max(longest_, took);
-  in_time_ += took <= options_.patience;
-  if (options_.stays <= 0) return end(fd);
+  max_answer_seconds_ = std::max(max_answer_seconds_, took);
+  answered_in_time_ += took <= options_.timeout;
+  if (options_.stay_seconds <= 0) return end(fd);
   loop_.forget(fd);
-  end_after(fd, options_.stays);
+  end_after(fd, options_.stay_seconds);
 }
 
-void Newcomers::end(int fd) {
+void ReconnectingClient::end(int fd) {
   loop_.forget(fd);
   ::close(fd);
   began_at_.erase(fd);
--- a/standins/crowd.h
+++ b/standins/connection_flood.h
@@ -17,17 +17,17 @@
 
 // Begins to connect from an address of 127.0.0.0/8 and does not wait; -1 where there is no socket, or it is
 // refused at once.
-int dialled_socket(std::uint16_t port, const std::string& from);
+int connecting_socket(std::uint16_t port, const std::string& from);
 // The n-th of many addresses, each next one in another /24.
-std::string crowd_address(unsigned n);
+std::string flood_address(unsigned n);
 
 // What each connection of a flood does.
 enum class FloodShape {
-  kSilent,  // connects and says nothing
-  kReset,   // connects and resets
-  kDrip,    // sends a request a byte a second
-  kAsking,  // asks for health every half second and stays
-  kJunk     // sends what is no request, over and over
+  kSilent,          // connects and says nothing
+  kReset,           // connects and resets
+  kDrip,            // sends a request a byte a second
+  kHealthRequests,  // asks for health every half second and stays
+  kJunk             // sends what is no request, over and over
 };
 
 // A flood from its construction on, until its end.
@@ -36,8 +36,8 @@
   struct Options {
     FloodShape shape = FloodShape::kSilent;
     unsigned addresses = 1000;
-    unsigned each = 50;   // connections that one address holds at most
-    double per_s = 2000;  // new connections in all
+    unsigned connections_per_address = 50;  // connections that one address holds at most
+    double connections_per_second = 2000;   // new connections in all
   };
   Flood(std::uint16_t port, Options options);
   Flood(const Flood&) = delete;
@@ -46,9 +46,9 @@
   // Connections that it began so far.
   std::uint64_t dialled() const { return dialled_; }
   // Connections that the server has ended so far.
-  std::uint64_t turned_away() const { return turned_away_; }
+  std::uint64_t closed_by_server() const { return closed_by_server_; }
   // Connections that are up now.
-  std::uint64_t held() const { return held_; }
+  std::uint64_t open_connections() const { return open_connections_; }
 
  private:
   struct Connection {
@@ -69,39 +69,39 @@
   const std::uint16_t port_;
   const Options options_;
   int poll_ = -1;
-  std::map<int, Connection> connections_;  // by descriptor
-  std::vector<unsigned> held_by_;          // connections, by address
+  std::map<int, Connection> connections_;         // by descriptor
+  std::vector<unsigned> connections_by_address_;  // connections, by address
   unsigned next_address_ = 0;
-  std::atomic<bool> is_over_ = false;
-  std::atomic<std::uint64_t> dialled_ = 0, turned_away_ = 0, held_ = 0;
+  std::atomic<bool> is_stopping_ = false;
+  std::atomic<std::uint64_t> dialled_ = 0, closed_by_server_ = 0, open_connections_ = 0;
   std::thread thread_;
 };
 
 // A client that connects anew every so often; it is in when its health request is answered.
-class Newcomers {
+class ReconnectingClient {
  public:
   struct Options {
     std::string from = "127.0.0.1";
-    double every = 0.02;    // s
-    double patience = 0.1;  // s after which its answer counts as late
-    double stays = 0;       // s that it stays connected after its answer
+    double interval = 0.02;   // s
+    double timeout = 0.1;     // s after which its answer counts as late
+    double stay_seconds = 0;  // s that it stays connected after its answer
   };
-  Newcomers(Loop& loop, std::uint16_t port, Options options);
-  Newcomers(const Newcomers&) = delete;
-  Newcomers& operator=(const Newcomers&) = delete;
-  ~Newcomers();
+  ReconnectingClient(Loop& loop, std::uint16_t port, Options options);
+  ReconnectingClient(const ReconnectingClient&) = delete;
+  ReconnectingClient& operator=(const ReconnectingClient&) = delete;
+  ~ReconnectingClient();
   // Nobody comes any more; who is connected goes on.
-  void stop() { comes_ = false; }
+  void stop() { is_connecting_ = false; }
   // Whether nobody is connected.
-  bool quiet() const { return began_at_.empty(); }
+  bool is_idle() const { return began_at_.empty(); }
   // Who has come so far, and who of them was answered in time.
-  int came() const { return came_; }
-  int in_time() const { return in_time_; }
+  int connects() const { return connects_; }
+  int answered_in_time() const { return answered_in_time_; }
   // The longest time until an answer, in s.
-  double longest() const { return longest_; }
+  double max_answer_seconds() const { return max_answer_seconds_; }
 
  private:
-  void come();
+  void connect();
   void read(int fd);
   void end_after(int fd, double seconds);
   void end(int fd);
@@ -111,12 +111,12 @@
   const Options options_;
   std::map<int, double> began_at_;  // by descriptor
   std::map<int, std::string> in_;
-  std::shared_ptr<bool> is_here_ = std::make_shared<bool>(true);  // timers may outlive this
+  std::shared_ptr<bool> is_alive_ = std::make_shared<bool>(true);  // timers may outlive this
   std::uint64_t last_serial_ = 0;
   std::map<int, std::uint64_t> serials_;  // a descriptor may come again
-  bool comes_ = true;
-  int came_ = 0, in_time_ = 0;
-  double longest_ = 0;
+  bool is_connecting_ = true;
+  int connects_ = 0, answered_in_time_ = 0;
+  double max_answer_seconds_ = 0;
 };
 
 }  // namespace damsonspoke::standins
--- a/standins/demo.cpp
+++ b/standins/demo.cpp
@@ -60,7 +60,7 @@
   const auto counters = fleet.process->counters();
   const long resident = fleet.process->resident_kb();
   fleet.settle(3);
-  const bool left = fleet.leave();
+  const bool left = fleet.shut_down();
   std::map<std::string, Row> rows;
   std::map<std::string, std::map<std::string, bool>> keys;
   for (const auto& [request, t] : fleet.journal.attempts) {
@@ -77,7 +77,7 @@
     }
   }
   std::map<std::string, int> runs;
-  for (const RunSeen& run : fleet.journal.runs) ++runs[run.type];
+  for (const RecordedRun& run : fleet.journal.runs) ++runs[run.type];
   fmt::print("{:<8}{:>8}{:>8}{:>9}{:>8}{:>8}{:>8}{:>10}{:>10}\n", "op type", "tries", "acked", "in time",
              "nacked", "failed", "runs", "p50 ms", "p99 ms");
   for (auto& [type, row] : rows) {
--- a/standins/dependency.cpp
+++ b/standins/dependency.cpp
@@ -13,14 +13,14 @@
 namespace {
 
 constexpr std::string_view kLineEnd = "\r\n";
-constexpr std::string_view kCallWord = "invoke ";
+constexpr std::string_view kCallCommand = "invoke ";
 constexpr std::size_t kIdDigits = 16;
 
-bool is_call(const std::string& line) { return line.starts_with(kCallWord); }
+bool is_call(const std::string& line) { return line.starts_with(kCallCommand); }
 
 }  // namespace
 
-Dependency::Dependency(Loop& loop, Options chosen) : options(chosen), loop_(loop) {
+Dependency::Dependency(Loop& loop, Options initial_options) : options(initial_options), loop_(loop) {
   listener_ = listening_socket(port_);
   loop_.watch(listener_, [this] { accept(); });
 }
@@ -52,7 +52,7 @@
   in.append(bytes, static_cast<std::size_t>(got));
   std::string line, body;
   while (take_line(in, line, body)) {
-    if (is_call(line)) answer(fd, {line.substr(kCallWord.size(), kIdDigits), body});
+    if (is_call(line)) answer(fd, {line.substr(kCallCommand.size(), kIdDigits), body});
   }
 }
 
@@ -60,23 +60,23 @@
   const std::size_t end = in.find(kLineEnd);
   if (end == std::string::npos) return false;
   line = in.substr(0, end);
-  std::size_t used = end + kLineEnd.size();
+  std::size_t consumed = end + kLineEnd.size();
   body.clear();
   if (is_call(line)) {  // its last word is the length of its body
     const auto length = static_cast<std::size_t>(std::atoll(line.substr(line.rfind(' ')).c_str()));
-    if (in.size() < used + length + kLineEnd.size()) return false;
-    body = in.substr(used, length);
-    used += length + kLineEnd.size();
+    if (in.size() < consumed + length + kLineEnd.size()) return false;
+    body = in.substr(consumed, length);
+    consumed += length + kLineEnd.size();
   }
-  in.erase(0, used);
+  in.erase(0, consumed);
   return true;
 }
 
 void Dependency::answer(int fd, const Call& call) {
   ++calls_;
-  if (in_flight_ >= options.most) return loop_.send(fd, call.id + " overload\r\n");
+  if (in_flight_ >= options.max_calls_in_flight) return loop_.send(fd, call.id + " overload\r\n");
   ++in_flight_;
-  loop_.after(options.takes, [this, fd, call, serial = connections_.at(fd).serial] {
+  loop_.after(options.reply_seconds, [this, fd, call, serial = connections_.at(fd).serial] {
     --in_flight_;
     reply(fd, serial, call);
   });
@@ -85,13 +85,13 @@
 void Dependency::reply(int fd, std::uint64_t serial, const Call& call) {
   const auto found = connections_.find(fd);
   if (found == connections_.end() || found->second.serial != serial) return;  // it has ended
-  const std::string text = kReplyTo + call.body;
+  const std::string text = kReplyPrefix + call.body;
   loop_.send(fd, fmt::format("{} ok {}\r\n{}\r\n", call.id, text.size(), text));
 }
 
 Registry::Registry(Loop& loop) : loop_(loop) { listen(); }
 
-Registry::~Registry() { go_down(); }
+Registry::~Registry() { stop_listening(); }
 
 void Registry::listen() {
   if (fd_ >= 0) return;
@@ -99,7 +99,7 @@
   loop_.watch(fd_, [this] { read(); });
 }
 
-void Registry::go_down() {
+void Registry::stop_listening() {
   if (fd_ < 0) return;
   loop_.forget(fd_);
   ::close(fd_);
--- a/standins/dependency.h
+++ b/standins/dependency.h
@@ -14,8 +14,8 @@
 class Dependency {
  public:
   struct Options {
-    double takes = 0.01;         // s a call
-    std::size_t most = 1 << 30;  // calls in flight; further ones are rejected
+    double reply_seconds = 0.01;                // s a call
+    std::size_t max_calls_in_flight = 1 << 30;  // calls in flight; further ones are rejected
   };
   Dependency(Loop& loop, Options options);
   Dependency(const Dependency&) = delete;
@@ -69,7 +69,7 @@
   bool is_listed() const { return is_listed_; }
   std::uint64_t reports() const { return reports_; }  // so far
   // Its port refuses reports until it listens again; it lists nobody then.
-  void go_down();
+  void stop_listening();
   // Does nothing where it listens already.
   void listen();
 
--- a/standins/endings_draw.cpp
+++ b/standins/endings_draw.cpp
@@ -9,21 +9,20 @@
 namespace {
 
 constexpr double kFirstEventSeconds = 0.3;
-constexpr double kLongestPauseSeconds = 0.25;
-constexpr double kLongestDeafSeconds =
-    0.05;  // that commands before a break may be lost, says the service page
-constexpr double kLongestLevelCutSeconds = 0.4;
-constexpr double kLongestRegistryDownSeconds = 1.5;
-constexpr double kBetweenCutsSeconds = 0.15;  // at least, of cuts as runs end
+constexpr double kMaxPauseSeconds = 0.25;
+constexpr double kMaxUnreadSeconds = 0.05;  // that commands before a break may be lost, says the service page
+constexpr double kMaxLevelCutSeconds = 0.4;
+constexpr double kMaxRegistryDownSeconds = 1.5;
+constexpr double kMinCutIntervalSeconds = 0.15;  // at least, of cuts as runs end
 
 bool one_in(pcg64& random, unsigned n) { return random() % n == 0; }
 
-std::size_t members_of(const EndingsFleet& fleet) {
+std::size_t count_members(const EndingsFleet& fleet) {
   return static_cast<std::size_t>(fleet.planners) + static_cast<std::size_t>(fleet.forwarders) +
          static_cast<std::size_t>(fleet.backends);
 }
 
-double event_time(pcg64& random) {
+double draw_event_time(pcg64& random) {
   return kFirstEventSeconds + draw_chance(random) * (kEndingsLoadSeconds - kFirstEventSeconds);
 }
 
@@ -37,10 +36,10 @@
   }
   out.by_ajp = out.backends == 1 && one_in(random, 2);
   // A key is remembered by one backend: with two, a further try at the other would run again.
-  out.keeps_results = out.backends != 2 && one_in(random, 2);
+  out.stores_results = out.backends != 2 && one_in(random, 2);
   out.limits_connections = out.backends > 0 && one_in(random, 2);
-  out.keeps_statistics = one_in(random, 2);
-  out.has_crowd = out.backends > 0 && one_in(random, 3);
+  out.stores_statistics = one_in(random, 2);
+  out.has_flood = out.backends > 0 && one_in(random, 3);
   return out;
 }
 
@@ -56,11 +55,11 @@
     default: out.backends = 1;
   }
   out.by_ajp = out.backends == 1 && one_in(random, 2);
-  out.keeps_results = out.backends != 2 && !one_in(random, 4);
+  out.stores_results = out.backends != 2 && !one_in(random, 4);
   out.limits_connections = out.backends > 0 && one_in(random, 2);
-  out.keeps_statistics = one_in(random, 2);
-  out.has_crowd = out.backends > 0 && one_in(random, 3);
-  out.crowd_by_ajp = out.has_crowd && out.by_ajp;
+  out.stores_statistics = one_in(random, 2);
+  out.has_flood = out.backends > 0 && one_in(random, 3);
+  out.is_flood_by_ajp = out.has_flood && out.by_ajp;
   out.calls_in_a_row = one_in(random, 2) ? 1 + static_cast<int>(random() % 3) : 0;
   out.run_seconds = std::array{0.004, 0.01, 0.02}[random() % 3];
   return out;
@@ -71,15 +70,15 @@
   static constexpr std::array kKinds = {kNotice,    kNotice,   kNotice, kKill,      kReload,
                                         kBadReload, kCounters, kPause,  kCutRuntime};
   EndingsEvent event{when, member, kKinds[random() % kKinds.size()], 0};
-  if (event.kind == kPause) event.seconds = draw_chance(random) * kLongestPauseSeconds;
+  if (event.kind == kPause) event.seconds = draw_chance(random) * kMaxPauseSeconds;
   return event;
 }
 
 void draw_narrow_events(pcg64& random, const EndingsFleet& fleet, std::vector<EndingsEvent>& events) {
   const int count = 6 + static_cast<int>(random() % 8);
   for (int i = 0; i < count; ++i) {
-    const std::size_t member = random() % members_of(fleet);
-    const double when = event_time(random);
+    const std::size_t member = random() % count_members(fleet);
+    const double when = draw_event_time(random);
     events.push_back(draw_narrow_event(random, member, when));
     // A second one in the same millisecond, or while the first is carried out.
     if (!one_in(random, 3)) continue;
@@ -89,37 +88,39 @@
 }
 
 // A member with a runtime: planners are the first ones, backends are alone.
-std::size_t draw_runner(pcg64& random, const EndingsFleet& fleet) {
+std::size_t draw_member_with_runtime(pcg64& random, const EndingsFleet& fleet) {
   return random() % static_cast<unsigned>(fleet.planners > 0 ? fleet.planners : fleet.backends);
 }
 
 void draw_cuts_at_run_ends(pcg64& random, const EndingsFleet& fleet, std::vector<EndingsEvent>& events) {
   double when = kFirstEventSeconds;
   while (when < kEndingsLoadSeconds) {
-    events.push_back({when, draw_runner(random, fleet), EndingsEventKind::kCutAtRunEnds, 0});
-    when += kBetweenCutsSeconds * (1 + draw_chance(random));
+    events.push_back({when, draw_member_with_runtime(random, fleet), EndingsEventKind::kCutAtRunEnds, 0});
+    when += kMinCutIntervalSeconds * (1 + draw_chance(random));
   }
 }
 
 void draw_wide_events(pcg64& random, const EndingsFleet& fleet, std::vector<EndingsEvent>& events) {
   using enum EndingsEventKind;
   if (!one_in(random, 3)) draw_cuts_at_run_ends(random, fleet, events);
-  const int deaf_cuts = static_cast<int>(random() % 4);
-  for (int i = 0; i < deaf_cuts; ++i)
-    events.push_back({event_time(random), draw_runner(random, fleet), kCutDeaf,
-                      draw_chance(random) * kLongestDeafSeconds});
-  if (one_in(random, 3)) events.push_back({event_time(random), draw_runner(random, fleet), kMoveRuntime, 0});
-  if (one_in(random, 3)) events.push_back({event_time(random), draw_runner(random, fleet), kRuntimeAnew, 0});
+  const int unread_cuts = static_cast<int>(random() % 4);
+  for (int i = 0; i < unread_cuts; ++i)
+    events.push_back({draw_event_time(random), draw_member_with_runtime(random, fleet), kCutWithUnreadInput,
+                      draw_chance(random) * kMaxUnreadSeconds});
+  if (one_in(random, 3))
+    events.push_back({draw_event_time(random), draw_member_with_runtime(random, fleet), kMoveRuntime, 0});
+  if (one_in(random, 3))
+    events.push_back({draw_event_time(random), draw_member_with_runtime(random, fleet), kRestartRuntime, 0});
   if (one_in(random, 2)) {
-    const std::size_t member = random() % members_of(fleet);
+    const std::size_t member = random() % count_members(fleet);
     events.push_back(
-        {event_time(random), member, kRegistryDown, draw_chance(random) * kLongestRegistryDownSeconds});
+        {draw_event_time(random), member, kRegistryDown, draw_chance(random) * kMaxRegistryDownSeconds});
   }
   if (fleet.planners == 0) return;
   for (int i = 0; i < 3; ++i) {
     const EndingsEventKind kind = one_in(random, 2) ? kCutLevels : kResetLevels;
-    events.push_back({event_time(random), draw_runner(random, fleet), kind,
-                      draw_chance(random) * kLongestLevelCutSeconds});
+    events.push_back({draw_event_time(random), draw_member_with_runtime(random, fleet), kind,
+                      draw_chance(random) * kMaxLevelCutSeconds});
   }
 }
 
@@ -138,10 +139,10 @@
                         ? fmt::format("{} backends", fleet.backends)
                         : fmt::format("{} forwarders, {} planners", fleet.forwarders, fleet.planners);
   if (fleet.by_ajp) out += ", AJP too";
-  if (fleet.keeps_results) out += ", results stored";
-  if (fleet.keeps_statistics) out += ", statistics stored";
+  if (fleet.stores_results) out += ", results stored";
+  if (fleet.stores_statistics) out += ", statistics stored";
   if (fleet.limits_connections) out += ", connections limited";
-  if (fleet.has_crowd) out += fleet.crowd_by_ajp ? ", a crowd at AJP" : ", a crowd";
+  if (fleet.has_flood) out += fleet.is_flood_by_ajp ? ", a crowd at AJP" : ", a crowd";
   if (fleet.calls_in_a_row > 0) out += fmt::format(", {} calls a run", fleet.calls_in_a_row);
   if (fleet.is_wide) out += fmt::format(", runs of {:.0f} ms", fleet.run_seconds * 1000);
   return out;
@@ -154,14 +155,14 @@
   return events;
 }
 
-std::optional<EndingsCrowd> draw_endings_crowd(pcg64& random, const EndingsFleet& fleet) {
-  if (!fleet.has_crowd) return std::nullopt;
+std::optional<EndingsFlood> draw_endings_flood(pcg64& random, const EndingsFleet& fleet) {
+  if (!fleet.has_flood) return std::nullopt;
   static constexpr std::array kShapes = {FloodShape::kSilent, FloodShape::kReset, FloodShape::kDrip,
                                          FloodShape::kJunk};
-  EndingsCrowd crowd;
-  crowd.shape = kShapes[random() % kShapes.size()];
-  crowd.at = 0.5 + draw_chance(random);
-  return crowd;
+  EndingsFlood flood;
+  flood.shape = kShapes[random() % kShapes.size()];
+  flood.at = 0.5 + draw_chance(random);
+  return flood;
 }
 
 }  // namespace damsonspoke::standins
--- a/standins/endings_draw.h
+++ b/standins/endings_draw.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "crowd.h"
+#include "connection_flood.h"
 
 namespace damsonspoke::standins {
 
@@ -21,13 +21,13 @@
   int forwarders = 0;
   int planners = 0;
   bool by_ajp = false;
-  bool keeps_results = false;  // a store; "close" is keyed then
+  bool stores_results = false;  // a store; "close" is keyed then
   bool limits_connections = false;
-  bool keeps_statistics = false;
-  bool has_crowd = false;
+  bool stores_statistics = false;
+  bool has_flood = false;
   // Of wide seeds only:
   bool is_wide = false;
-  bool crowd_by_ajp = false;
+  bool is_flood_by_ajp = false;
   int calls_in_a_row = 0;     // of half of the runs
   double run_seconds = 0.01;  // of work
 };
@@ -41,10 +41,10 @@
   kPause,
   kCutRuntime,
   // Of wide seeds only:
-  kCutAtRunEnds,  // the runtime's link; runs end as the new link is synchronized
-  kCutDeaf,       // the runtime's link, and what is written in the seconds before is lost
-  kMoveRuntime,   // SIGHUP with another address
-  kRuntimeAnew,
+  kCutAtRunEnds,        // the runtime's link; runs end as the new link is synchronized
+  kCutWithUnreadInput,  // the runtime's link, and what is written in the seconds before is lost
+  kMoveRuntime,         // SIGHUP with another address
+  kRestartRuntime,
   kRegistryDown,
   kCutLevels,   // the links of a planner, both directions, for some seconds
   kResetLevels  // the same, reset at once
@@ -57,7 +57,7 @@
   double seconds = 0;
 };
 
-struct EndingsCrowd {
+struct EndingsFlood {
   FloodShape shape = FloodShape::kSilent;
   double at = 0;  // s
 };
@@ -67,7 +67,7 @@
 [[nodiscard]] std::string text_of(const EndingsFleet& fleet);
 // Members are numbered as they are built: planners, forwarders, backends.
 [[nodiscard]] std::vector<EndingsEvent> draw_endings_events(pcg64& random, const EndingsFleet& fleet);
-[[nodiscard]] std::optional<EndingsCrowd> draw_endings_crowd(pcg64& random, const EndingsFleet& fleet);
+[[nodiscard]] std::optional<EndingsFlood> draw_endings_flood(pcg64& random, const EndingsFleet& fleet);
 // Evenly from 0 to under 1.
 [[nodiscard]] double draw_chance(pcg64& random);
 
--- a/standins/endings_play.cpp
+++ b/standins/endings_play.cpp
@@ -16,54 +16,55 @@
 
 constexpr double kLoadSeconds = kEndingsLoadSeconds;
 constexpr double kStopSeconds = kEndingsStopSeconds;
-constexpr double kLatestStartSeconds = 0.3;  // of a new life after an end
-constexpr double kReloadSeconds = 0.15;      // that a file stays in place to be read
-constexpr double kResumeSeconds = 0.3;       // after a pause, in which what waited is caught up with
-constexpr double kExitSeconds =
+constexpr double kMaxRestartDelaySeconds = 0.3;  // of a new life after an end
+constexpr double kInvalidFileSeconds = 0.15;     // that a file stays in place to be read
+constexpr double kResumeSeconds = 0.3;           // after a pause, in which what waited is caught up with
+constexpr double kExitTimeoutSeconds =
     3;  // beyond the stop, once all is closed: sanitizers look for leaks at the exit
-constexpr double kUpSeconds = 20;
-constexpr int kWritesAtTheEnd = 12;
+constexpr double kStartupTimeoutSeconds = 20;
+constexpr int kRequestsAtStop = 12;
 constexpr int kLateReaders = 3;
-constexpr int kOwedToLateReaders = 8;         // requests, asked at the notice
-constexpr int kWritesOfLateReaders = 24;      // while connections end
-constexpr double kLateWritesFrom = 0.2;       // s before the stop
-constexpr double kConnectionsEndFrom = 0.12;  // s before the stop: connections are ended in order
-constexpr double kLateWritesUntil =
+constexpr int kEarlyRequestsPerLateReader = 8;         // requests, asked at the notice
+constexpr int kLateRequestsPerLateReader = 24;         // while connections end
+constexpr double kLateRequestsFromSeconds = 0.2;       // s before the stop
+constexpr double kConnectionsCloseFromSeconds = 0.12;  // s before the stop: connections are ended in order
+constexpr double kLateRequestsUntilSeconds =
     0.08;  // s before the stop as the process counts; it waits for its peers until 0.06 s
-constexpr double kLatestWrite = 0.06;  // s before the stop as counted here
-constexpr double kHeardSoonSeconds =
-    0.03;                                // from the notice to its line in the log; else the log was read late
-constexpr double kLateReadFrom = 0.03;   // s before the stop
-constexpr double kLateReadWithin = 0.1;  // s
+constexpr double kLastRequestSeconds = 0.06;  // s before the stop as counted here
+constexpr double kPromptLogSeconds =
+    0.03;  // from the notice to its line in the log; else the log was read late
+constexpr double kLateReadFromSeconds = 0.03;   // s before the stop
+constexpr double kLateReadSpreadSeconds = 0.1;  // s
 constexpr std::size_t kLateResultBytes = 3500;
-constexpr double kEndPauseFrom =
+constexpr double kStopPauseFromSeconds =
     0.128;  // s before the stop: it listens no more, and its connections are open
-constexpr double kEndPauseUntil = 0.045;
-constexpr double kEndPauseLatest = 0.005;  // s that it may begin late; otherwise it is left out
-constexpr int kWritesInEndPause = 6;
-constexpr double kCountSeconds = 0.25;  // after the start, and before the first event
-constexpr double kConnectPatience =
-    0.02;                        // s; a listener that is about to close lets connections wait for 1 s
-constexpr double kPatience = 1;  // s, of most callers
-constexpr double kKeyWindow = 20;
+constexpr double kStopPauseUntilSeconds = 0.045;
+constexpr double kMaxStopPauseDelaySeconds = 0.005;  // s that it may begin late; otherwise it is left out
+constexpr int kRequestsInStopPause = 6;
+constexpr double kDescriptorCountSeconds = 0.25;  // after the start, and before the first event
+constexpr double kConnectTimeoutSeconds =
+    0.02;  // s; a listener that is about to close lets connections wait for 1 s
+constexpr double kClientTimeoutSeconds = 1;  // s, of most callers
+constexpr double kKeyWindowSeconds = 20;
 
 const char* const kAjpRoutes =
     "    map POST /ops/read  read  wait=header:x-wait-ms caller=header:x-hotel held=10\n"
     "    map POST /ops/close close wait=header:x-wait-ms caller=header:x-hotel held=10\n"
     "    map POST /ops/brief brief wait=header:x-wait-ms caller=header:x-hotel held=10\n";
 
-Callers::Options load_of(const EndingsFleet& fleet, std::uint64_t seed) {
+Callers::Options load_for(const EndingsFleet& fleet, std::uint64_t seed) {
   Callers::Options load;
-  load.flows = {{"read", 70, kPatience}, {"close", 30, kPatience}, {"brief", 10, 0.002}};
+  load.flows = {
+      {"read", 70, kClientTimeoutSeconds}, {"close", 30, kClientTimeoutSeconds}, {"brief", 10, 0.002}};
   for (Flow& flow : load.flows) {
     flow.retries = 2;
     flow.pause = 0.05;
   }
-  load.flows[1].has_key = fleet.keeps_results;
+  load.flows[1].has_key = fleet.stores_results;
   load.connections = 4;
   load.seed = seed;
-  load.ignores_no_more = true;
-  if (fleet.is_wide) load.connect_timeout = kConnectPatience;
+  load.ignores_drain_notice = true;
+  if (fleet.is_wide) load.connect_timeout = kConnectTimeoutSeconds;
   return load;
 }
 
@@ -77,33 +78,34 @@
       random_(seed),
       drawn_(draw_endings_fleet(random_, seed)) {
   std::filesystem::create_directories(folder_);
-  if (drawn_.is_wide) between_ = std::make_unique<Between>(loop_, seed);
-  callers_ = std::make_unique<Callers>(loop_, journal_, load_of(drawn_, seed));
+  if (drawn_.is_wide) network_ = std::make_unique<FaultyNetwork>(loop_, seed);
+  callers_ = std::make_unique<Callers>(loop_, journal_, load_for(drawn_, seed));
   build();
 }
 
 EndingsPlay::~EndingsPlay() = default;
 
-void EndingsPlay::note(const std::string& text) {
+void EndingsPlay::record(const std::string& text) {
   std::ofstream(folder_ + "/timeline.txt", std::ios::app) << fmt::format("{:.4f} {}\n", now() - began_, text);
 }
 
 // ---- The fleet.
 
-SiteSpec EndingsPlay::site_of(const std::string& command, const std::string& name) const {
+SiteSpec EndingsPlay::site_for(const std::string& command, const std::string& name) const {
   SiteSpec site;
-  const char* close = drawn_.keeps_results ? "dedup" : "retryable";
-  site.types = {{"read", "retryable", 0.5, kPatience, 0, 1},
-                {"close", close, 0.5, kPatience, drawn_.keeps_results ? kKeyWindow : 0, 3},
-                {"brief", "retryable", 0.1, kPatience, 0, 1}};
+  const char* close = drawn_.stores_results ? "dedup" : "retryable";
+  site.types = {
+      {"read", "retryable", 0.5, kClientTimeoutSeconds, 0, 1},
+      {"close", close, 0.5, kClientTimeoutSeconds, drawn_.stores_results ? kKeyWindowSeconds : 0, 3},
+      {"brief", "retryable", 0.1, kClientTimeoutSeconds, 0, 1}};
   site.command = command;
   site.name = name;
   site.stop_after = kStopSeconds;
-  const bool has_statistics = drawn_.keeps_statistics && command != "forward";
+  const bool has_statistics = drawn_.stores_statistics && command != "forward";
   site.operators =
       has_statistics ? "knowledge\n    enabled on\n    folder FOLDER\n" : "control\n    folder FOLDER\n";
   // Forwarders read the name of the key's field there.
-  if (drawn_.keeps_results) site.operators += "results\n    enabled on\n    store STORE\n";
+  if (drawn_.stores_results) site.operators += "results\n    enabled on\n    store STORE\n";
   return site;
 }
 
@@ -112,9 +114,9 @@
   auto member = std::make_unique<Member>();
   member->name = name;
   member->number = number;
-  SiteSpec site = site_of(command, name);
+  SiteSpec site = site_for(command, name);
   site.operators += more;
-  if (command != "plan") site.port = lasting_port();
+  if (command != "plan") site.port = non_ephemeral_port();
   Runtime::Options runtime;
   runtime.work = drawn_.run_seconds;
   if (drawn_.is_wide) runtime.result_bytes = kLateResultBytes;
@@ -125,7 +127,9 @@
   member->server = std::make_unique<Server>(loop_, journal_, *callers_, binary_, site, runtime, number);
   std::ifstream in(member->server->operators_path());
   member->operators = {std::istreambuf_iterator<char>(in), {}};
-  member->server->on_line = [this, one = member.get()](const std::string& line) { on_line(*one, line); };
+  member->server->on_log_line = [this, one = member.get()](const std::string& line) {
+    on_log_line(*one, line);
+  };
   members_.push_back(std::move(member));
 }
 
@@ -137,7 +141,7 @@
     if (member->name[0] != 'p') continue;
     const std::string address = member->server->address();
     const auto port = static_cast<std::uint16_t>(std::atoi(address.c_str() + address.rfind(':') + 1));
-    out += between_ ? fmt::format(" 127.0.0.1:{}", between_->path(kForwarders, member->name, port))
+    out += network_ ? fmt::format(" 127.0.0.1:{}", network_->path(kForwarders, member->name, port))
                     : ' ' + address;
   }
   return out;
@@ -155,27 +159,27 @@
   for (int i = 0; i < drawn_.backends; ++i) add_member("serve", fmt::format("r{}", i + 1), i, more);
   if (!drawn_.by_ajp) return;
   AjpGateway::Options options;
-  options.flows = {{"read", 20, kPatience}};
-  if (!drawn_.keeps_results) options.flows.push_back({"close", 10, kPatience});
+  options.flows = {{"read", 20, kClientTimeoutSeconds}};
+  if (!drawn_.stores_results) options.flows.push_back({"close", 10, kClientTimeoutSeconds});
   options.connections = 8;
   gateway_ = std::make_unique<AjpGateway>(loop_, journal_, options);
 }
 
-void EndingsPlay::on_line(Member& member, const std::string& line) {
+void EndingsPlay::on_log_line(Member& member, const std::string& line) {
   std::ofstream(folder_ + "/" + member.name + ".log", std::ios::app) << line << '\n';
   for (const char* bad : {"ERROR: AddressSanitizer", "runtime error:", "ERROR: LeakSanitizer",
                           "state=disabled", "state=unavailable"}) {
     if (line.find(bad) != std::string::npos) findings_.push_back(member.name + ": " + line);
   }
   if (line.find("left after") != std::string::npos) {
-    member.has_left = true;
-    if (drawn_.is_wide) signal_unasked(member);
+    member.has_logged_exit = true;
+    if (drawn_.is_wide) send_early_or_late_signal(member);
   }
-  if (drawn_.is_wide && !std::exchange(member.has_said_a_line, true)) signal_unasked(member);
+  if (drawn_.is_wide && !std::exchange(member.has_logged_line, true)) send_early_or_late_signal(member);
   const std::size_t ajp = line.find("takes AJP callers on port ");
   if (ajp == std::string::npos || !gateway_) return;
   const int port = std::atoi(line.c_str() + line.rfind(' ') + 1);
-  gateway_->reach(static_cast<std::uint16_t>(port), member.server->life_number());
+  gateway_->reach(static_cast<std::uint16_t>(port), member.server->incarnation_number());
 }
 
 // ---- What happens to a process.
@@ -183,102 +187,106 @@
 bool EndingsPlay::start(Member& member) {
   if (member.is_up) return true;
   member.server->write_operators(member.operators);
-  member.has_said_a_line = false;
+  member.has_logged_line = false;
   member.is_up = member.server->start();
   member.stop_at = -1;
-  member.was_stopped_by_force = member.has_left = false;
-  note(fmt::format("{} is up as life {}: {}", member.name, member.server->life_number(), member.is_up));
+  member.was_killed_at_stop = member.has_logged_exit = false;
+  record(
+      fmt::format("{} is up as life {}: {}", member.name, member.server->incarnation_number(), member.is_up));
   if (!member.is_up) findings_.push_back(member.name + " does not start");
   return member.is_up;
 }
 
 void EndingsPlay::kill(Member& member) {
   if (!member.is_up || member.stop_at >= 0) return;
-  note(member.name + " is killed without notice");
+  record(member.name + " is killed without notice");
   member.server->kill();
   member.is_up = false;
-  at(now() - began_ + chance() * kLatestStartSeconds, [this, &member] { start(member); });
+  at(now() - began_ + chance() * kMaxRestartDelaySeconds, [this, &member] { start(member); });
 }
 
 void EndingsPlay::give_notice(Member& member) {
   if (!member.is_up) return;
   if (member.stop_at >= 0) return signal(member, SIGTERM, "SIGTERM again");
-  note(member.name + " gets its notice");
-  member.server->notice();
+  record(member.name + " gets its notice");
+  member.server->send_shutdown_notice();
   // A process that stands still hears of it later; that time does not count against it.
   member.stop_at = std::max(now(), member.paused_until) + kStopSeconds;
-  write_at_the_end(member);
+  send_requests_at_stop(member);
   if (!drawn_.is_wide || member.name[0] == 'p') return;
   // Not both: after the pause no time is left for peers that still write. Beside a crowd more connections end
   // than the process waits for, which is a bound that it states.
   if (one_in(3))
-    pause_at_the_end(member);
-  else if (!drawn_.has_crowd)
-    read_late_at_the_end(member);
+    pause_at_stop(member);
+  else if (!drawn_.has_flood)
+    open_late_readers(member);
 }
 
 // Connections with answers that are not read yet, and on which more is written while the server ends them.
-void EndingsPlay::read_late_at_the_end(const Member& member) {
-  const Flow flow{"read", 0, 2 * kPatience};
+void EndingsPlay::open_late_readers(const Member& member) {
+  const Flow flow{"read", 0, 2 * kClientTimeoutSeconds};
   for (int i = 0; i < kLateReaders; ++i) {
-    const double read_at = member.stop_at - kLateReadFrom + chance() * kLateReadWithin;
+    const double read_at = member.stop_at - kLateReadFromSeconds + chance() * kLateReadSpreadSeconds;
     const int reader = callers_->open_late_reader(member.number, read_at);
     if (reader < 0) return;
-    const std::string name = fmt::format("{}-{}", member.server->life_number(), i);
-    for (int j = 0; j < kOwedToLateReaders; ++j) {
+    const std::string name = fmt::format("{}-{}", member.server->incarnation_number(), i);
+    for (int j = 0; j < kEarlyRequestsPerLateReader; ++j) {
       const std::string key = fmt::format("owed-{}-{}", name, j);
-      callers_->ask_on(reader, flow, key, key + ' ');
+      callers_->send_request_on(reader, flow, key, key + ' ');
     }
-    for (int j = 0; j < kWritesOfLateReaders; ++j) {
+    for (int j = 0; j < kLateRequestsPerLateReader; ++j) {
       // Half of them as connections end.
-      const double from = j % 2 == 0 ? kLateWritesFrom : kConnectionsEndFrom;
-      const double before = kLatestWrite + chance() * (from - kLatestWrite);
+      const double from = j % 2 == 0 ? kLateRequestsFromSeconds : kConnectionsCloseFromSeconds;
+      const double before = kLastRequestSeconds + chance() * (from - kLastRequestSeconds);
       const std::string key = fmt::format("late-{}-{}", name, j);
-      write_late(member, reader, flow, key, member.stop_at - before);
+      schedule_late_request(member, reader, flow, key, member.stop_at - before);
     }
   }
 }
 
 // By timers of the loop, which go on while another process is started. None is written after its time: the
 // process counts from when it heard of the notice.
-void EndingsPlay::write_late(const Member& member, int reader, const Flow& flow, const std::string& key,
-                             double when) {
-  loop_.at(when, [this, reader, flow, key, life = member.server->life_number()] {
-    const Life& of = journal_.lives.at(static_cast<std::size_t>(life));
-    const bool is_heard_soon = of.heard_at >= 0 && of.heard_at - of.leave_at < kHeardSoonSeconds;
-    const double since = is_heard_soon ? of.heard_at : of.leave_at;
-    if (now() < since + kStopSeconds - kLateWritesUntil) callers_->ask_on(reader, flow, key, key + ' ');
+void EndingsPlay::schedule_late_request(const Member& member, int reader, const Flow& flow,
+                                        const std::string& key, double when) {
+  loop_.at(when, [this, reader, flow, key, incarnation = member.server->incarnation_number()] {
+    const Incarnation& of = journal_.incarnations.at(static_cast<std::size_t>(incarnation));
+    const bool is_logged_promptly =
+        of.shutdown_logged_at >= 0 && of.shutdown_logged_at - of.shutdown_notice_at < kPromptLogSeconds;
+    const double since = is_logged_promptly ? of.shutdown_logged_at : of.shutdown_notice_at;
+    if (now() < since + kStopSeconds - kLateRequestsUntilSeconds)
+      callers_->send_request_on(reader, flow, key, key + ' ');
   });
 }
 
 // It stands still between its last listening and the end of its connections, on which requests arrive
 // meanwhile. The stop comes later by as much.
-void EndingsPlay::pause_at_the_end(Member& member) {
-  const double from = member.stop_at - kEndPauseFrom;
-  const double seconds = kEndPauseFrom - kEndPauseUntil;
+void EndingsPlay::pause_at_stop(Member& member) {
+  const double from = member.stop_at - kStopPauseFromSeconds;
+  const double seconds = kStopPauseFromSeconds - kStopPauseUntilSeconds;
   member.stop_at += seconds;
   loop_.at(from, [this, &member, from, seconds] {
-    const bool is_late = now() > from + kEndPauseLatest;
-    if (is_late || !member.is_up || member.server->process->over()) return;
+    const bool is_late = now() > from + kMaxStopPauseDelaySeconds;
+    if (is_late || !member.is_up || member.server->process->has_ended()) return;
     signal(member, SIGSTOP, "SIGSTOP as its connections end");
-    auto& life = journal_.lives.at(static_cast<std::size_t>(member.server->life_number()));
-    life.out_of_reach.emplace_back(now(), now() + seconds + kResumeSeconds);
+    auto& incarnation =
+        journal_.incarnations.at(static_cast<std::size_t>(member.server->incarnation_number()));
+    incarnation.unreachable_periods.emplace_back(now(), now() + seconds + kResumeSeconds);
     loop_.after(seconds, [this, &member] { signal(member, SIGCONT, "SIGCONT"); });
   });
-  for (int i = 0; i < kWritesInEndPause; ++i) {
+  for (int i = 0; i < kRequestsInStopPause; ++i) {
     loop_.at(from + chance() * seconds / 2, [this, i] {
       const std::string key = fmt::format("paused-{}-{}", now(), i);
-      callers_->ask({"read", 0, kPatience}, key, key + ' ');
+      callers_->send_request({"read", 0, kClientTimeoutSeconds}, key, key + ' ');
     });
   }
 }
 
 // As soon as it is heard of, and once it only has to exit: handlers are not there yet, or no more.
-void EndingsPlay::signal_unasked(Member& member) {
+void EndingsPlay::send_early_or_late_signal(Member& member) {
   if (!member.server->process) return;
   const int number = one_in(2) ? SIGHUP : SIGUSR1;
-  note(fmt::format("{} gets signal {} at its {}", member.name, number,
-                   member.has_left ? "exit" : "first line"));
+  record(fmt::format("{} gets signal {} at its {}", member.name, number,
+                     member.has_logged_exit ? "exit" : "first line"));
   member.server->process->signal(number);
 }
 
@@ -286,88 +294,88 @@
   member.server->move_runtime();
   signal(member, SIGHUP, "SIGHUP with another runtime address");
   // Once more: a file that can't be used may have been there at that moment.
-  at(now() - began_ + 2 * kReloadSeconds, [this, &member] { signal(member, SIGHUP, "SIGHUP"); });
+  at(now() - began_ + 2 * kInvalidFileSeconds, [this, &member] { signal(member, SIGHUP, "SIGHUP"); });
 }
 
 void EndingsPlay::take_registry_down(Member& member, double seconds) {
-  note(fmt::format("the registry of {} is down for {:.3f} s", member.name, seconds));
-  member.server->registry.go_down();
+  record(fmt::format("the registry of {} is down for {:.3f} s", member.name, seconds));
+  member.server->registry.stop_listening();
   at(now() - began_ + seconds, [&member] { member.server->registry.listen(); });
 }
 
 void EndingsPlay::cut_levels(const Member& planner, bool cut) {
-  note(fmt::format("the links of {} are {}", planner.name, cut ? "cut" : "whole again"));
-  Weather weather;
+  record(fmt::format("the links of {} are {}", planner.name, cut ? "cut" : "whole again"));
+  LinkConditions weather;
   weather.cut = cut;
-  between_->set(kForwarders, planner.name, weather);
-  between_->set(planner.name, kForwarders, weather);
+  network_->set(kForwarders, planner.name, weather);
+  network_->set(planner.name, kForwarders, weather);
 }
 
 void EndingsPlay::reset_levels(const Member& planner) {
-  note(fmt::format("the links of {} are reset", planner.name));
-  between_->reset(kForwarders, planner.name);
+  record(fmt::format("the links of {} are reset", planner.name));
+  network_->reset(kForwarders, planner.name);
 }
 
 // Tries in the moments in which the listener closes, connections end and the process exits.
-void EndingsPlay::write_at_the_end(const Member& member) {
+void EndingsPlay::send_requests_at_stop(const Member& member) {
   if (member.server->port() == 0 || member.name[0] == 'p') return;
-  for (int i = 0; i < kWritesAtTheEnd; ++i) {
+  for (int i = 0; i < kRequestsAtStop; ++i) {
     const double when = member.stop_at - began_ - chance() * 0.2;
     at(when, [this, i] {
-      const Flow flow{"read", 0, i % 3 == 0 ? 0.002 : kPatience};
+      const Flow flow{"read", 0, i % 3 == 0 ? 0.002 : kClientTimeoutSeconds};
       const std::string key = fmt::format("end-{}-{}", now(), i);
-      callers_->ask(flow, key, key + ' ', i % 4 == 3);
+      callers_->send_request(flow, key, key + ' ', i % 4 == 3);
     });
   }
 }
 
 void EndingsPlay::signal(Member& member, int number, const char* name) {
   if (!member.is_up) return;
-  note(fmt::format("{} gets {}", member.name, name));
+  record(fmt::format("{} gets {}", member.name, name));
   member.server->process->signal(number);
 }
 
 // A file that can't be used is only there until it has been read: the next start needs a sound one.
-void EndingsPlay::reload(Member& member, bool sound) {
+void EndingsPlay::reload(Member& member, bool is_valid) {
   if (!member.is_up) return;
-  if (!sound) member.server->write_operators(member.operators + "results\n    entries -1\n");
-  signal(member, SIGHUP, sound ? "SIGHUP" : "SIGHUP with a bad file");
-  if (sound) return;
-  at(now() - began_ + kReloadSeconds, [&member] { member.server->write_operators(member.operators); });
+  if (!is_valid) member.server->write_operators(member.operators + "results\n    entries -1\n");
+  signal(member, SIGHUP, is_valid ? "SIGHUP" : "SIGHUP with a bad file");
+  if (is_valid) return;
+  at(now() - began_ + kInvalidFileSeconds, [&member] { member.server->write_operators(member.operators); });
 }
 
 void EndingsPlay::pause(Member& member, double seconds) {
   if (!member.is_up || member.stop_at >= 0) return;
   signal(member, SIGSTOP, "SIGSTOP");
-  auto& life = journal_.lives.at(static_cast<std::size_t>(member.server->life_number()));
-  life.out_of_reach.emplace_back(now(), now() + seconds + kResumeSeconds);
+  auto& incarnation = journal_.incarnations.at(static_cast<std::size_t>(member.server->incarnation_number()));
+  incarnation.unreachable_periods.emplace_back(now(), now() + seconds + kResumeSeconds);
   member.paused_until = now() + seconds;
   at(now() - began_ + seconds, [this, &member] { signal(member, SIGCONT, "SIGCONT"); });
 }
 
 // Who was given notice is killed at its stop, no sooner; who has ended starts again.
-void EndingsPlay::look_after_ends() {
+void EndingsPlay::check_ends() {
   for (const auto& one : members_) {
     Member& member = *one;
     if (!member.is_up || member.stop_at < 0) continue;
-    if (member.server->process->over()) {
-      finish_end(member);
-    } else if (now() >= member.stop_at + (member.has_left ? kExitSeconds : 0) &&
-               !member.was_stopped_by_force) {
-      note(member.name + " is killed at its stop");
-      member.was_stopped_by_force = true;
+    if (member.server->process->has_ended()) {
+      handle_end(member);
+    } else if (now() >= member.stop_at + (member.has_logged_exit ? kExitTimeoutSeconds : 0) &&
+               !member.was_killed_at_stop) {
+      record(member.name + " is killed at its stop");
+      member.was_killed_at_stop = true;
       member.server->process->signal(SIGKILL);
     }
   }
 }
 
-void EndingsPlay::finish_end(Member& member) {
-  member.server->ended();
-  note(member.name + " has ended");
+void EndingsPlay::handle_end(Member& member) {
+  member.server->wait_for_end();
+  record(member.name + " has ended");
   member.is_up = false;
   member.stop_at = -1;
   if (now() - began_ < kLoadSeconds)
-    at(now() - began_ + chance() * kLatestStartSeconds, [this, &member] { start(member); });
+    at(now() - began_ + chance() * kMaxRestartDelaySeconds, [this, &member] { start(member); });
 }
 
 // ---- The timeline.
@@ -384,7 +392,7 @@
     case kPause: return at(event.at, [this, &member, seconds = event.seconds] { pause(member, seconds); });
     case kCutRuntime:
       return at(event.at, [this, &member] {
-        note("the runtime's link of " + member.name + " is cut");
+        record("the runtime's link of " + member.name + " is cut");
         member.server->runtime.break_link();
       });
     default: return add_wide_event(member, event);
@@ -397,20 +405,21 @@
   switch (event.kind) {
     case kCutAtRunEnds:
       return at(event.at, [this, &member] {
-        note("the runtime's link of " + member.name + " is cut, and runs end as the next one is up");
+        record("the runtime's link of " + member.name + " is cut, and runs end as the next one is up");
         member.server->runtime.end_runs_at_next_link();
         member.server->runtime.break_link();
       });
-    case kCutDeaf:
+    case kCutWithUnreadInput:
       return at(event.at, [this, &member, seconds] {
-        note(fmt::format("the runtime's link of {} loses {:.0f} ms and is cut", member.name, seconds * 1000));
+        record(
+            fmt::format("the runtime's link of {} loses {:.0f} ms and is cut", member.name, seconds * 1000));
         member.server->runtime.break_link_after(seconds);
       });
     case kMoveRuntime: return at(event.at, [this, &member] { move_runtime(member); });
-    case kRuntimeAnew:
+    case kRestartRuntime:
       return at(event.at, [this, &member] {
-        note("the runtime of " + member.name + " starts anew");
-        member.server->runtime.start_anew();
+        record("the runtime of " + member.name + " starts anew");
+        member.server->runtime.restart();
       });
     case kRegistryDown:
       return at(event.at, [this, &member, seconds] { take_registry_down(member, seconds); });
@@ -422,13 +431,13 @@
   }
 }
 
-void EndingsPlay::add_crowd() {
-  const auto crowd = draw_endings_crowd(random_, drawn_);
-  if (!crowd) return;
-  at(crowd->at, [this, shape = crowd->shape] {
+void EndingsPlay::add_flood() {
+  const auto flood = draw_endings_flood(random_, drawn_);
+  if (!flood) return;
+  at(flood->at, [this, shape = flood->shape] {
     if (!members_.front()->is_up) return;
-    note("a crowd comes");
-    const std::uint16_t port = drawn_.crowd_by_ajp ? gateway_->port() : members_.front()->server->port();
+    record("a crowd comes");
+    const std::uint16_t port = drawn_.is_flood_by_ajp ? gateway_->port() : members_.front()->server->port();
     floods_.push_back(std::make_unique<Flood>(port, Flood::Options{shape, 200, 10, 800}));
   });
   at(2.5, [this] { floods_.clear(); });
@@ -436,8 +445,8 @@
 
 void EndingsPlay::draw_timeline() {
   for (const EndingsEvent& event : draw_endings_events(random_, drawn_)) add_event(event);
-  add_crowd();
-  if (drawn_.is_wide) at(kCountSeconds, [this] { count_descriptors(); });
+  add_flood();
+  if (drawn_.is_wide) at(kDescriptorCountSeconds, [this] { count_descriptors(); });
 }
 
 void EndingsPlay::run_until(double time) {
@@ -446,10 +455,10 @@
     const double until = std::min(time, next_step());
     loop_.run_until(
         [&] {
-          look_after_ends();
+          check_ends();
           return now() - began_ >= std::min(until, next_step());
         },
-        kLoadSeconds + kUpSeconds);
+        kLoadSeconds + kStartupTimeoutSeconds);
     while (!steps_.empty() && steps_.begin()->first <= now() - began_)
       steps_.extract(steps_.begin()).mapped()();
   }
@@ -466,16 +475,16 @@
           return member->name[0] == 'p' || member->server->registry.is_listed();
         });
       },
-      kUpSeconds);
+      kStartupTimeoutSeconds);
   if (!listed) return {"the fleet does not come up"};
   began_ = now();
-  note("seed draws " + text_of(drawn_));
+  record("seed draws " + text_of(drawn_));
   draw_timeline();
   run_until(kLoadSeconds);
   settle(broken);
-  leave(broken);
+  shut_down_all(broken);
   check_losses(broken);
-  check_rules_of_service(broken);
+  check_service_rules(broken);
   broken.insert(broken.end(), findings_.begin(), findings_.end());
   write_journal(journal_, began_, folder_ + "/journal.txt");
   return broken;
--- a/standins/endings_play.h
+++ b/standins/endings_play.h
@@ -13,9 +13,9 @@
 #include <vector>
 
 #include "ajp_gateway.h"
-#include "between.h"
-#include "crowd.h"
+#include "connection_flood.h"
 #include "endings_draw.h"
+#include "faulty_network.h"
 #include "fleet.h"
 
 namespace damsonspoke::standins {
@@ -40,52 +40,53 @@
     bool is_up = false;
     double stop_at = -1;  // of SIGKILL after the notice; < 0: no notice was given
     double paused_until = -1;
-    bool has_left = false;  // it has said that it left, and has only to exit
-    bool was_stopped_by_force = false;
-    bool has_said_a_line = false;         // in this life
-    std::ptrdiff_t own_descriptors = -1;  // after its first start, without connections; < 0: not counted
+    bool has_logged_exit = false;  // it has said that it left, and has only to exit
+    bool was_killed_at_stop = false;
+    bool has_logged_line = false;          // in this life
+    std::ptrdiff_t base_descriptors = -1;  // after its first start, without connections; < 0: not counted
   };
 
   void build();
   [[nodiscard]] std::string addresses_of_planners();
-  [[nodiscard]] SiteSpec site_of(const std::string& command, const std::string& name) const;
+  [[nodiscard]] SiteSpec site_for(const std::string& command, const std::string& name) const;
   void add_member(const std::string& command, const std::string& name, int number, const std::string& more);
   void draw_timeline();
   void add_event(const EndingsEvent& event);
   void add_wide_event(Member& member, const EndingsEvent& event);
-  void add_crowd();
+  void add_flood();
   void at(double time, std::function<void()> act) { steps_.emplace(time, std::move(act)); }
-  void note(const std::string& text);
-  void on_line(Member& member, const std::string& line);
+  void record(const std::string& text);
+  void on_log_line(Member& member, const std::string& line);
 
   bool start(Member& member);
   void kill(Member& member);
   void give_notice(Member& member);
-  void write_at_the_end(const Member& member);
-  void read_late_at_the_end(const Member& member);
-  void write_late(const Member& member, int reader, const Flow& flow, const std::string& key, double when);
-  void pause_at_the_end(Member& member);
+  void send_requests_at_stop(const Member& member);
+  void open_late_readers(const Member& member);
+  void schedule_late_request(const Member& member, int reader, const Flow& flow, const std::string& key,
+                             double when);
+  void pause_at_stop(Member& member);
   void move_runtime(Member& member);
   void take_registry_down(Member& member, double seconds);
   void cut_levels(const Member& planner, bool cut);
   void reset_levels(const Member& planner);
-  void signal_unasked(Member& member);
+  void send_early_or_late_signal(Member& member);
   void signal(Member& member, int number, const char* name);
-  void reload(Member& member, bool sound);
+  void reload(Member& member, bool is_valid);
   void pause(Member& member, double seconds);
-  void look_after_ends();
-  void finish_end(Member& member);
+  void check_ends();
+  void handle_end(Member& member);
   void run_until(double time);
 
   void settle(std::vector<std::string>& broken);
   void check_counters(Member& member, std::vector<std::string>& broken);
-  void leave(std::vector<std::string>& broken);
-  [[nodiscard]] std::ptrdiff_t own_descriptors(const Member& member) const;
+  void shut_down_all(std::vector<std::string>& broken);
+  [[nodiscard]] std::ptrdiff_t base_descriptors(const Member& member) const;
   void count_descriptors();
   void check_descriptors(Member& member, std::vector<std::string>& broken);
   void check_registry(std::vector<std::string>& broken);
   void check_losses(std::vector<std::string>& broken) const;
-  void check_rules_of_service(std::vector<std::string>& broken) const;
+  void check_service_rules(std::vector<std::string>& broken) const;
 
   [[nodiscard]] double chance() { return draw_chance(random_); }
   [[nodiscard]] bool one_in(int n) { return random_() % static_cast<unsigned>(n) == 0; }
@@ -96,7 +97,7 @@
   const EndingsFleet drawn_;
   Loop loop_;
   Journal journal_;
-  std::unique_ptr<Between> between_;  // the levels, in wide seeds
+  std::unique_ptr<FaultyNetwork> network_;  // the levels, in wide seeds
   std::unique_ptr<Callers> callers_;
   std::unique_ptr<AjpGateway> gateway_;
   std::vector<std::unique_ptr<Member>> members_;
--- a/standins/endings_verdict.cpp
+++ b/standins/endings_verdict.cpp
@@ -10,10 +10,10 @@
 namespace {
 
 constexpr double kSettleSeconds = 8;
-constexpr double kQuietSeconds = 3;  // until counters agree once callers want nothing
-constexpr double kCrossingSeconds =
+constexpr double kQuiescenceSeconds = 3;  // until counters agree once callers want nothing
+constexpr double kCloseCrossingSeconds =
     0.05;  // a request that crosses a close may be lost, says the protocol page
-constexpr double kLateCrossingSeconds =
+constexpr double kLateReaderCrossingSeconds =
     0.5;  // late readers are owed what they asked at the notice, 1 s before
 constexpr std::ptrdiff_t kSpareDescriptors =
     2;  // of a file that is being replaced, and of a connection that ends
@@ -23,7 +23,7 @@
 // All are up again, callers want nothing more, and nothing is left over.
 void EndingsPlay::settle(std::vector<std::string>& broken) {
   floods_.clear();
-  callers_->want_more(false);
+  callers_->set_load_enabled(false);
   if (gateway_) gateway_->want_more(false);
   const double until = now() + kSettleSeconds;
   const auto all_up = [this] {
@@ -39,7 +39,8 @@
   }
   const bool settled = loop_.run_until(
       [this] {
-        return callers_->open() == 0 && callers_->still_wanted() == 0 && (!gateway_ || gateway_->open() == 0);
+        return callers_->attempts_in_flight() == 0 && callers_->unfinished_tasks() == 0 &&
+               (!gateway_ || gateway_->open() == 0);
       },
       kSettleSeconds);
   if (!settled) broken.emplace_back("some tries never end");
@@ -51,7 +52,7 @@
 
 // Without connections of callers and calls below. The runtime's link and those between levels are always
 // there.
-std::ptrdiff_t EndingsPlay::own_descriptors(const Member& member) const {
+std::ptrdiff_t EndingsPlay::base_descriptors(const Member& member) const {
   auto open = static_cast<std::ptrdiff_t>(member.server->process->descriptors());
   if (member.name[0] != 'p') open -= static_cast<std::ptrdiff_t>(callers_->connections(member.number));
   if (gateway_) open -= static_cast<std::ptrdiff_t>(gateway_->connections());
@@ -59,19 +60,19 @@
 }
 
 void EndingsPlay::count_descriptors() {
-  for (const auto& member : members_) member->own_descriptors = own_descriptors(*member);
+  for (const auto& member : members_) member->base_descriptors = base_descriptors(*member);
 }
 
 void EndingsPlay::check_descriptors(Member& member, std::vector<std::string>& broken) {
-  if (!member.is_up || member.own_descriptors < 0) return;
-  const std::ptrdiff_t most = member.own_descriptors + kSpareDescriptors;
-  loop_.run_until([&] { return own_descriptors(member) <= most; }, kQuietSeconds);
-  const std::ptrdiff_t open = own_descriptors(member);
-  note(fmt::format("{} has {} descriptors beside connections, {} at first", member.name, open,
-                   member.own_descriptors));
-  if (open > most)
+  if (!member.is_up || member.base_descriptors < 0) return;
+  const std::ptrdiff_t allowed = member.base_descriptors + kSpareDescriptors;
+  loop_.run_until([&] { return base_descriptors(member) <= allowed; }, kQuiescenceSeconds);
+  const std::ptrdiff_t open = base_descriptors(member);
+  record(fmt::format("{} has {} descriptors beside connections, {} at first", member.name, open,
+                     member.base_descriptors));
+  if (open > allowed)
     broken.push_back(fmt::format("{} once quiet: {} descriptors beside connections, {} after the start",
-                                 member.name, open, member.own_descriptors));
+                                 member.name, open, member.base_descriptors));
 }
 
 // Who is up and serves is on the list.
@@ -79,7 +80,7 @@
   for (const auto& member : members_) {
     if (member->name[0] == 'p' || !member->is_up) continue;
     const Registry& registry = member->server->registry;
-    if (!loop_.run_until([&] { return registry.is_listed(); }, kQuietSeconds))
+    if (!loop_.run_until([&] { return registry.is_listed(); }, kQuiescenceSeconds))
       broken.push_back(member->name + " once quiet: not listed");
   }
 }
@@ -87,16 +88,16 @@
 // What was read was answered or has lost its caller; what was started has ended.
 void EndingsPlay::check_counters(Member& member, std::vector<std::string>& broken) {
   std::string wrong;
-  const double until = now() + kQuietSeconds;
+  const double until = now() + kQuiescenceSeconds;
   do {
     wrong.clear();
     auto c = member.server->process->counters();
     if (c["invariants.broken"] > 0) wrong = "an invariant is broken";
     const std::uint64_t answered = c["requests.succeeded"] + c["requests.rejected"] + c["requests.failed"];
-    const std::uint64_t gone = c["requests.caller_gone"];
-    if (c["requests.read"] != answered + gone)
+    const std::uint64_t disconnected = c["requests.caller_gone"];
+    if (c["requests.read"] != answered + disconnected)
       wrong = fmt::format("{} requests read, {} answered, {} without a caller", c["requests.read"], answered,
-                          gone);
+                          disconnected);
     const std::uint64_t ended = c["runs.succeeded"] + c["runs.failed"] + c["runs.cancelled"] +
                                 c["runs.not_started"] + c["runs.given_up"];
     if (member.name[0] != 'f' && c["runs.started"] > ended + c["runs.resumed"])
@@ -107,14 +108,14 @@
 }
 
 // Forwarders first: a planner ends once nothing is open there.
-void EndingsPlay::leave(std::vector<std::string>& broken) {
+void EndingsPlay::shut_down_all(std::vector<std::string>& broken) {
   for (const char level : {'f', 'p', 'r'}) {
     for (const auto& member : members_) {
-      if (member->name[0] == level && member->is_up) member->server->notice();
+      if (member->name[0] == level && member->is_up) member->server->send_shutdown_notice();
     }
     for (const auto& member : members_) {
       if (member->name[0] != level || !member->is_up) continue;
-      if (!member->server->ended()) broken.push_back(member->name + " does not end by its stop");
+      if (!member->server->wait_for_end()) broken.push_back(member->name + " does not end by its stop");
     }
   }
 }
@@ -124,29 +125,29 @@
 // newcomers turned away.
 void EndingsPlay::check_losses(std::vector<std::string>& broken) const {
   std::set<std::uint64_t> ran;
-  for (const RunSeen& run : journal_.runs) ran.insert(run.request);
+  for (const RecordedRun& run : journal_.runs) ran.insert(run.request);
   for (const auto& [request, t] : journal_.attempts) {
     for (const Answer& answer : t.answers) {
-      if (answer.kind == AnswerKind::kBad)
+      if (answer.kind == AnswerKind::kInvalid)
         broken.push_back(fmt::format("{} {:016x} has an invalid answer", t.key, request));
     }
-    const Life& life = journal_.lives.at(static_cast<std::size_t>(t.life));
-    if (!t.lost || life.killed || !t.answers.empty()) continue;
-    if (drawn_.is_wide && drawn_.has_crowd && t.connection_was_new && !ran.contains(request)) continue;
-    if (t.lost_at - t.sent <= (t.is_read_late ? kLateCrossingSeconds : kCrossingSeconds)) continue;
+    const Incarnation& incarnation = journal_.incarnations.at(static_cast<std::size_t>(t.incarnation));
+    if (!t.is_lost || incarnation.was_killed || !t.answers.empty()) continue;
+    if (drawn_.is_wide && drawn_.has_flood && t.was_on_new_connection && !ran.contains(request)) continue;
+    if (t.lost_at - t.sent <= (t.is_read_late ? kLateReaderCrossingSeconds : kCloseCrossingSeconds)) continue;
     broken.push_back(fmt::format("{} {:016x} was lost in life {}, {:.0f} ms after it was sent", t.key,
-                                 request, t.life, (t.lost_at - t.sent) * 1000));
+                                 request, t.incarnation, (t.lost_at - t.sent) * 1000));
   }
 }
 
-void EndingsPlay::check_rules_of_service(std::vector<std::string>& broken) const {
+void EndingsPlay::check_service_rules(std::vector<std::string>& broken) const {
   RuleLimits limits;
-  if (drawn_.keeps_results) limits.keyed = {"close"};
+  if (drawn_.stores_results) limits.keyed_routes = {"close"};
   limits.replies_name_calls = true;
-  limits.starts_are_sent_again = drawn_.is_wide;
+  limits.are_starts_resent = drawn_.is_wide;
   // Runs that wait for their calls take no cores.
   if (drawn_.calls_in_a_row == 0)
-    limits.survivable = 8 * 2 * std::max(1, std::max(drawn_.planners, drawn_.backends));
+    limits.survivable_concurrency = 8 * 2 * std::max(1, std::max(drawn_.planners, drawn_.backends));
   const Verdict verdict = check_rules(journal_, limits);
   broken.insert(broken.end(), verdict.broken.begin(), verdict.broken.end());
 }
--- a/standins/between.h
+++ b/standins/faulty_network.h
@@ -27,26 +27,26 @@
 namespace damsonspoke::standins {
 
 // Of one direction of one pair.
-struct Weather {
-  double delay = 0, jitter = 0;                  // s; jitter is evenly on top of the delay
-  double loss = 0, doubled = 0, disordered = 0;  // shares of datagrams; a disordered one comes 50 ms later
-  double bytes_per_s = 0;                        // of streams; 0: any
+struct LinkConditions {
+  double delay = 0, jitter = 0;                    // s; jitter is evenly on top of the delay
+  double loss = 0, duplicated = 0, reordered = 0;  // shares of datagrams; a disordered one comes 50 ms later
+  double bytes_per_s = 0;                          // of streams; 0: any
   bool cut = false;
   bool refused = false;  // new streams are, old ones are reset
 };
 
-class Between {
+class FaultyNetwork {
  public:
-  Between(Loop& loop, std::uint64_t seed);
-  ~Between();
-  Between(const Between&) = delete;
-  Between& operator=(const Between&) = delete;
+  FaultyNetwork(Loop& loop, std::uint64_t seed);
+  ~FaultyNetwork();
+  FaultyNetwork(const FaultyNetwork&) = delete;
+  FaultyNetwork& operator=(const FaultyNetwork&) = delete;
 
   struct Host {
-    std::string home, face;  // addresses, without a port
-    std::uint16_t port = 0;  // the same on both
-    std::string home_at() const { return home + ':' + std::to_string(port); }
-    std::string face_at() const { return face + ':' + std::to_string(port); }
+    std::string bind_address, advertised_address;  // addresses, without a port
+    std::uint16_t port = 0;                        // the same on both
+    std::string bind_endpoint() const { return bind_address + ':' + std::to_string(port); }
+    std::string advertised_endpoint() const { return advertised_address + ':' + std::to_string(port); }
   };
   const Host& add_host(const std::string& name);
   // What listens at that port on 127.0.0.1 as this host is reached at its face and the same port, by those
@@ -56,8 +56,8 @@
   // time that it is asked for, also when the other listens somewhere else by then.
   std::uint16_t path(const std::string& from, const std::string& to, std::uint16_t port);
 
-  void set(const std::string& from, const std::string& to, const Weather& weather);
-  const Weather& weather(const std::string& from, const std::string& to) const;
+  void set(const std::string& from, const std::string& to, const LinkConditions& conditions);
+  const LinkConditions& conditions(const std::string& from, const std::string& to) const;
   void reset(const std::string& from, const std::string& to);  // the streams that there are, in either order
 
   struct Counted {
@@ -66,10 +66,10 @@
   const Counted& counted(const std::string& from) const;  // by who sent
 
  private:
-  struct Face {
+  struct HostSockets {
     Host host;
     int datagrams = -1, listener = -1;
-    sockaddr_in home{};
+    sockaddr_in bind_address{};
   };
   struct Path {
     std::string from, to;
@@ -83,34 +83,34 @@
     std::deque<std::pair<double, std::string>> waiting;  // when each is due at the sink
     std::size_t bytes = 0;
     double free_at = 0;
-    bool ended = false, told = false;  // the source wrote its last; the sink has been told so
+    bool has_ended = false, is_end_sent = false;  // the source wrote its last; the sink has been told so
   };
   struct Stream {
-    Flow there, back;
+    Flow outbound, inbound;
   };
 
   static sockaddr_in address(const std::string& ip, std::uint16_t port);
   void on_datagram(const std::string& to);
   void deliver(const std::string& from, const std::string& to, std::string bytes, double at);
   void on_stream(int listener, const std::string& to, const sockaddr_in& target, const std::string* from);
-  void read(std::uint64_t stream, bool back);
-  void pump(std::uint64_t stream, bool back);
+  void read(std::uint64_t stream, bool is_inbound);
+  void pump(std::uint64_t stream, bool is_inbound);
   void drop(std::uint64_t stream, bool reset);
-  std::string name_of_home(const sockaddr_in& address) const;
-  double chance();
+  std::string host_at(const sockaddr_in& address) const;
+  double random_unit();
 
   Loop& loop_;
   pcg64 random_;
-  std::shared_ptr<bool> here_ = std::make_shared<bool>(true);  // timers may outlive this
-  std::map<std::string, Face> faces_;
+  std::shared_ptr<bool> is_alive_ = std::make_shared<bool>(true);  // timers may outlive this
+  std::map<std::string, HostSockets> hosts_;
   std::map<std::pair<std::string, std::string>, Path> paths_;
-  std::map<std::pair<std::string, std::uint16_t>, int> opened_;  // listeners
-  std::map<std::pair<std::string, std::string>, Weather> weather_;
+  std::map<std::pair<std::string, std::uint16_t>, int> extra_listeners_;  // listeners
+  std::map<std::pair<std::string, std::string>, LinkConditions> conditions_;
   std::map<std::string, Counted> counted_;
   std::map<std::uint64_t, Stream> streams_;
   std::uint64_t next_stream_ = 1;
   std::string network_;
-  const Weather calm_;
+  const LinkConditions no_faults_;
 };
 
 }  // namespace damsonspoke::standins
--- a/standins/fleet.cpp
+++ b/standins/fleet.cpp
@@ -14,22 +14,22 @@
 namespace {
 
 constexpr std::uint16_t kDiscardPort = 9;  // nothing here listens there
-constexpr double kKillSeconds = 5;         // for a process to be gone
+constexpr double kKillTimeoutSeconds = 5;  // for a process to be gone
 
 }  // namespace
 
-Folder::Folder() {
+TemporaryFolder::TemporaryFolder() {
   const char* root = std::getenv("TMPDIR");
   std::string name = fmt::format("{}/damsonspoke-XXXXXX", root ? root : "/tmp");
   if (::mkdtemp(name.data()) == nullptr) throw std::runtime_error("no folder for the play");
   path_ = name;
 }
-Folder::~Folder() {
+TemporaryFolder::~TemporaryFolder() {
   std::error_code ignored;
   std::filesystem::remove_all(path_, ignored);
 }
 
-std::uint16_t lasting_port() {
+std::uint16_t non_ephemeral_port() {
   static int next = static_cast<int>(::getpid()) * 61;
   for (int tries = 0; tries < 1000; ++tries) {
     auto port = static_cast<std::uint16_t>(20000 + ++next % 12000);
@@ -53,7 +53,7 @@
       binary_(std::move(binary)),
       spec_(std::move(spec)),
       number_(number) {
-  port_ = spec_.port != 0 ? spec_.port : spec_.command == "plan" ? lasting_port() : std::uint16_t{0};
+  port_ = spec_.port != 0 ? spec_.port : spec_.command == "plan" ? non_ephemeral_port() : std::uint16_t{0};
   write_config();
   if (!spec_.operators.empty()) write_operators(spec_.operators);
 }
@@ -67,7 +67,7 @@
 }
 
 void Server::move_runtime() {
-  runtime.move();
+  runtime.move_to_new_port();
   write_config();
 }
 
@@ -88,7 +88,7 @@
                        {"listen", at(port_)},
                        {"runtime", at(runtime.port())},
                        {"roster", at(spec_.registry_is_down ? kDiscardPort : registry.port())},
-                       {"backend", at(by_way("below", dependency.port()))},
+                       {"backend", at(proxied_port("below", dependency.port()))},
                        {"seed", "7"},
                        {"stop_ms", spec_.stop_after * 1000},
                        {"limits", {{"cores", 1}, {"memory_mb", spec_.memory_mb}, {"sockets", spec_.sockets}}},
@@ -120,63 +120,66 @@
   std::ofstream(folder_.path("config.json")) << config.dump();
 }
 
-Life& Server::life() { return journal_.lives.at(static_cast<std::size_t>(life_)); }
+Incarnation& Server::incarnation() {
+  return journal_.incarnations.at(static_cast<std::size_t>(incarnation_));
+}
 
 bool Server::start() {
-  journal_.lives.emplace_back().began = now();
-  life_ = static_cast<int>(journal_.lives.size()) - 1;
-  runtime.new_life(life_);
-  if (way) write_config();  // by now somebody stands between
+  journal_.incarnations.emplace_back().began = now();
+  incarnation_ = static_cast<int>(journal_.incarnations.size()) - 1;
+  runtime.begin_incarnation(incarnation_);
+  if (proxy_port) write_config();  // by now somebody stands between
   std::vector<std::string> command = {binary_,       spec_.command,  "--config", folder_.path("config.json"),
                                       "--log-level", spec_.log_level};
   if (!spec_.operators.empty()) command.insert(command.end(), {"--operator", operators_path()});
-  command.insert(command.begin(), spec_.under.begin(), spec_.under.end());
+  command.insert(command.begin(), spec_.command_prefix.begin(), spec_.command_prefix.end());
   process = std::make_unique<Process>(loop_, command);
-  process->on_line = [this](const std::string& line) {
-    if (on_line) on_line(line);
-    if (life().heard_at < 0 && line.find("notice to leave") != std::string::npos) life().heard_at = now();
+  process->on_log_line = [this](const std::string& line) {
+    if (on_log_line) on_log_line(line);
+    if (incarnation().shutdown_logged_at < 0 && line.find("notice to leave") != std::string::npos)
+      incarnation().shutdown_logged_at = now();
   };
   if (on_spawned) on_spawned(process->pid());
   const std::uint16_t port = listening_port_ = process->port();
   if (port == 0) return false;
-  if (spec_.command != "plan") callers_.reach(by_way("callers", port), number_, life_);
+  if (spec_.command != "plan") callers_.set_server(proxied_port("callers", port), number_, incarnation_);
   return true;
 }
 
 void Server::kill() {
-  if (process->over()) return note_own_end();
-  life().killed = true;
-  life().killed_at = now();
+  if (process->has_ended()) return record_exit();
+  incarnation().was_killed = true;
+  incarnation().killed_at = now();
   process->signal(SIGKILL);
-  loop_.run_until([this] { return process->over(); }, kKillSeconds);
-  life().ended_at = now();
-  cut_callers_off();
+  loop_.run_until([this] { return process->has_ended(); }, kKillTimeoutSeconds);
+  incarnation().ended_at = now();
+  disconnect_callers();
 }
 
-void Server::note_own_end() {
-  life().ended_at = now();
-  life().status = process->status();
-  cut_callers_off();
+void Server::record_exit() {
+  incarnation().ended_at = now();
+  incarnation().status = process->status();
+  disconnect_callers();
 }
 
-void Server::cut_callers_off() {
-  if (spec_.command != "plan") callers_.cut_off(number_);
+void Server::disconnect_callers() {
+  if (spec_.command != "plan") callers_.disconnect_server(number_);
 }
 
-void Server::notice() {
-  life().leave_at = now();
+void Server::send_shutdown_notice() {
+  incarnation().shutdown_notice_at = now();
   process->signal(SIGTERM);
 }
 
-bool Server::ended() {
-  const bool over = loop_.run_until([this] { return process->over(); }, spec_.stop_after + 1);
-  if (over) note_own_end();
-  return over;
+bool Server::wait_for_end() {
+  const bool has_ended = loop_.run_until([this] { return process->has_ended(); }, spec_.stop_after + 1);
+  if (has_ended) record_exit();
+  return has_ended;
 }
 
-bool Server::leave() {
-  notice();
-  return ended();
+bool Server::shut_down() {
+  send_shutdown_notice();
+  return wait_for_end();
 }
 
 Fleet::Fleet(std::string binary, SiteSpec spec, Runtime::Options runtime_options,
@@ -186,17 +189,18 @@
       server(loop, journal, callers, std::move(binary), spec_, std::move(runtime_options)) {}
 
 bool Fleet::settle(double timeout_seconds) {
-  callers.want_more(false);
-  return loop.run_until([this] { return callers.open() == 0 && callers.still_wanted() == 0; },
-                        timeout_seconds);
+  callers.set_load_enabled(false);
+  return loop.run_until(
+      [this] { return callers.attempts_in_flight() == 0 && callers.unfinished_tasks() == 0; },
+      timeout_seconds);
 }
 
 RuleLimits Fleet::limits_of(const SiteSpec& spec) {
   RuleLimits limits;
   for (const RouteSpec& type : spec.types) {
-    if (type.idempotency != "retryable") limits.keyed.push_back(type.name);
+    if (type.idempotency != "retryable") limits.keyed_routes.push_back(type.name);
   }
-  limits.survivable = 8 * spec.cores;
+  limits.survivable_concurrency = 8 * spec.cores;
   return limits;
 }
 
--- a/standins/fleet.h
+++ b/standins/fleet.h
@@ -39,20 +39,20 @@
   std::string operators;          // text of the operators' file; empty: none
   std::string command = "serve";  // or plan, forward
   std::string name = "n1";
-  std::uint16_t port = 0;          // that it listens on; 0: as it comes
-  int sockets = 512;               // descriptors that it may have
-  bool registry_is_down = false;   // nobody listens to its reports
-  std::vector<std::string> under;  // words before the program's own: a program that starts it
+  std::uint16_t port = 0;                   // that it listens on; 0: as it comes
+  int sockets = 512;                        // descriptors that it may have
+  bool registry_is_down = false;            // nobody listens to its reports
+  std::vector<std::string> command_prefix;  // words before the program's own: a program that starts it
   std::string log_level = "info";
 };
 
 // A new folder under TMPDIR, deleted with this. Throws std::runtime_error where it can't be made.
-class Folder {
+class TemporaryFolder {
  public:
-  Folder();
-  Folder(const Folder&) = delete;
-  Folder& operator=(const Folder&) = delete;
-  ~Folder();
+  TemporaryFolder();
+  TemporaryFolder(const TemporaryFolder&) = delete;
+  TemporaryFolder& operator=(const TemporaryFolder&) = delete;
+  ~TemporaryFolder();
   std::string path(const std::string& name) const { return path_ + "/" + name; }
 
  private:
@@ -61,7 +61,7 @@
 
 // A port that stays free for its server between two lives: below those that the system gives to whoever
 // connects meanwhile. Throws std::runtime_error where none is found.
-std::uint16_t lasting_port();
+std::uint16_t non_ephemeral_port();
 
 // One server. It shares loop, journal and callers with others, by its number; these outlive it.
 class Server {
@@ -75,13 +75,13 @@
   // end.
   void kill();
   // Shuts it down gracefully; true where it ended by itself in time.
-  bool leave();
+  bool shut_down();
   // Sends the notice to leave, and does not wait.
-  void notice();
+  void send_shutdown_notice();
   // That its present life listens on.
   std::uint16_t port() const { return listening_port_; }
   // Waits for its end after the notice; false where it has not ended 1 s after it should have.
-  bool ended();
+  bool wait_for_end();
   // Replaces the operators' file; STORE and FOLDER in the text stand for the server's own.
   void write_operators(const std::string& text);
   // Moves the runtime to another address and writes that into the configuration, which the server reads
@@ -93,26 +93,28 @@
   // Of a planner, the same in all its lives.
   std::string address() const { return fmt::format("127.0.0.1:{}", port_); }
   // Of its present life, in the journal.
-  int life_number() const { return life_; }
+  int incarnation_number() const { return incarnation_; }
 
   // Gives the port by which others reach it, or it reaches others, where something stands between them:
   // "callers" or "below", and the port behind it.
-  std::function<std::uint16_t(const char* what, std::uint16_t port)> way;
+  std::function<std::uint16_t(const char* what, std::uint16_t port)> proxy_port;
 
   Runtime runtime;
   Dependency dependency;
   Registry registry;
   std::unique_ptr<Process> process;
-  std::function<void(pid_t)> on_spawned;            // each time, before it listens
-  std::function<void(const std::string&)> on_line;  // each line of its log, in all its lives
+  std::function<void(pid_t)> on_spawned;                // each time, before it listens
+  std::function<void(const std::string&)> on_log_line;  // each line of its log, in all its lives
 
  private:
-  std::uint16_t by_way(const char* what, std::uint16_t port) const { return way ? way(what, port) : port; }
+  std::uint16_t proxied_port(const char* what, std::uint16_t port) const {
+    return proxy_port ? proxy_port(what, port) : port;
+  }
   void write_config();
-  Life& life();
+  Incarnation& incarnation();
   // The present life has ended by itself.
-  void note_own_end();
-  void cut_callers_off();
+  void record_exit();
+  void disconnect_callers();
 
   Loop& loop_;
   Journal& journal_;
@@ -120,10 +122,10 @@
   const std::string binary_;
   SiteSpec spec_;
   const int number_;
-  int life_ = -1;
+  int incarnation_ = -1;
   std::uint16_t port_ = 0;  // 0: the system picks one each time
   std::uint16_t listening_port_ = 0;
-  Folder folder_;
+  TemporaryFolder folder_;
 };
 
 // One server with its callers, in a loop and with a journal of their own.
@@ -133,7 +135,7 @@
 
   bool start() { return server.start(); }
   void kill() { server.kill(); }
-  bool leave() { return server.leave(); }
+  bool shut_down() { return server.shut_down(); }
   // Wants nothing new and runs until all attempts have ended; false where they have not in so many seconds.
   bool settle(double timeout_seconds);
   void write_operators(const std::string& text) { server.write_operators(text); }
--- a/standins/forwarder.h
+++ b/standins/forwarder.h
@@ -24,10 +24,10 @@
   }
   ScriptedForwarder(const ScriptedForwarder&) = delete;
   ScriptedForwarder& operator=(const ScriptedForwarder&) = delete;
-  ~ScriptedForwarder() { cut(); }
+  ~ScriptedForwarder() { close_link(); }
 
   // Closes the link.
-  void cut() {
+  void close_link() {
     if (fd_ >= 0 && !is_closed_) loop_.forget(fd_);
     if (fd_ >= 0) ::close(fd_);
     fd_ = -1;
@@ -40,7 +40,7 @@
   // Sends a hello and waits for the planner's, 1 s at most.
   ScriptedForwarder& hello(const char* name, std::uint64_t epoch) {
     send(hello_of(name, epoch));
-    loop_.run_until([this] { return greeted; }, 1);
+    loop_.run_until([this] { return has_hello; }, 1);
     return *this;
   }
   static wire::tier::Hello hello_of(const char* name, std::uint64_t epoch) {
@@ -66,7 +66,7 @@
     return answers.contains(attempt) ? static_cast<int>(answers[attempt]) : -1;
   }
   // Whether the planner closes the link within so many seconds.
-  bool closed(double timeout_seconds) {
+  bool is_closed_within(double timeout_seconds) {
     return loop_.run_until([this] { return is_closed_; }, timeout_seconds);
   }
   // Sends nothing but pings for so long.
@@ -79,7 +79,7 @@
   }
 
   // What came so far.
-  bool greeted = false, no_more = false;
+  bool has_hello = false, has_drain_notice = false;
   int pongs = 0;
   std::uint32_t window = 0;         // that it was told of last
   std::uint64_t planner_epoch = 0;  // of the planner's hello
@@ -107,12 +107,12 @@
   }
   void take(const wire::tier::Message& message) {
     if (const auto* hello = std::get_if<wire::tier::Hello>(&message)) {
-      greeted = true;
+      has_hello = true;
       window = hello->window;
       planner_epoch = hello->epoch;
     }
     if (const auto* report = std::get_if<wire::tier::LoadReport>(&message)) window = report->window;
-    if (std::holds_alternative<wire::tier::Draining>(message)) no_more = true;
+    if (std::holds_alternative<wire::tier::Draining>(message)) has_drain_notice = true;
     if (std::holds_alternative<wire::tier::Pong>(message)) ++pongs;
     if (const auto* answer = std::get_if<wire::tier::Answer>(&message))
       answers[answer->attempt] = answer->result;
--- a/standins/journal.h
+++ b/standins/journal.h
@@ -11,7 +11,7 @@
 namespace damsonspoke::standins {
 
 // How a request was answered; kBad: by what no answer may be.
-enum class AnswerKind { kSucceeded, kRejected, kFailed, kUnknownOutcome, kConflict, kBad };
+enum class AnswerKind { kSucceeded, kRejected, kFailed, kUnknownOutcome, kConflict, kInvalid };
 
 // One answer, as the caller read it.
 struct Answer {
@@ -26,56 +26,56 @@
   std::uint64_t request = 0;
   std::string key;  // of what is wanted; all attempts at it share the key
   std::string type;
-  int life = 0;  // of the program, when it was sent
+  int incarnation = 0;  // of the program, when it was sent
   double sent = 0;
-  double due = 0;
-  bool lost = false;  // its connection ended before an answer
+  double deadline = 0;
+  bool is_lost = false;  // its connection ended before an answer
   double lost_at = -1;
-  bool refused = false;             // never sent
-  bool is_read_late = false;        // its caller read nothing for a while: the times tell when it read
-  bool connection_was_new = false;  // when lost: nothing had been answered on its connection
-  bool has_servers_number =
+  bool was_not_sent = false;           // never sent
+  bool is_read_late = false;           // its caller read nothing for a while: the times tell when it read
+  bool was_on_new_connection = false;  // when lost: nothing had been answered on its connection
+  bool is_numbered_by_server =
       false;  // the program numbered its request itself: its runs are known by key alone
   std::vector<Answer> answers;
 };
 
 // One run, as the runtime saw it.
-struct RunSeen {
+struct RecordedRun {
   std::uint64_t request = 0;
   std::string key;
   std::string type;
-  int life = 0;
+  int incarnation = 0;
   double began = 0, ended = 0;
   std::string result;  // what it was given to end with
   bool completed = false;
 };
 
 // One call that a run made, as the runtime saw it.
-struct CallSeen {
+struct RecordedCall {
   std::uint64_t request = 0;
   int number = 0;  // from 1, of its run
   bool replied = false;
   std::string reply;  // as it was given to the run while it waited for this call
 };
 // The body of a call. A dependency that names calls replies with kReplyTo and that.
-std::string call_name(const CallSeen& call);
-inline constexpr char kReplyTo[] = "reply to ";
+std::string call_body(const RecordedCall& call);
+inline constexpr char kReplyPrefix[] = "reply to ";
 
 // One life of the program: a process, from its start to its end.
-struct Life {
+struct Incarnation {
   double began = 0;
-  double leave_at = -1;  // the notice to leave was sent
-  double heard_at = -1;  // its log said that it heard that, as read here: never sooner than it did
+  double shutdown_notice_at = -1;  // the notice to leave was sent
+  double shutdown_logged_at = -1;  // its log said that it heard that, as read here: never sooner than it did
   double ended_at = -1;
-  bool killed = false;  // by the play
-  int status = 0;       // where it ended by itself
+  bool was_killed = false;  // by the play
+  int status = 0;           // where it ended by itself
   // Times in which it could do nothing for callers by the play's doing: it stood still, or its callers' link
   // was cut.
-  std::vector<std::pair<double, double>> out_of_reach;
+  std::vector<std::pair<double, double>> unreachable_periods;
   double killed_at = -1;  // SIGKILL was sent
   // Whether none of these times touches this one.
   bool is_reachable(double from, double to) const {
-    for (const auto& [began, ended] : out_of_reach) {
+    for (const auto& [began, ended] : unreachable_periods) {
       if (from <= ended && to >= began) return false;
     }
     return true;
@@ -85,24 +85,24 @@
 // All that a play records.
 struct Journal {
   std::map<std::uint64_t, Attempt> attempts;  // by request
-  std::vector<RunSeen> runs;
-  std::vector<CallSeen> calls;
-  std::vector<Life> lives;
-  int most_running = 0;  // requests at once
+  std::vector<RecordedRun> runs;
+  std::vector<RecordedCall> calls;
+  std::vector<Incarnation> incarnations;
+  int max_concurrency = 0;  // requests at once
 };
 
 // What the rules allow in a play.
 struct RuleLimits {
-  std::vector<std::string> keyed;   // routes that must not run twice a key
-  double slack = 0.1;               // s after the due time that an answer may come
-  double grace = 0.3;               // s after the notice in which what comes may still run
-  double hearing = 0.25;            // s that the notice may take to be heard on a crowded machine
-  double rounding = 0.001;          // s; callers tell in whole milliseconds when a request came
-  int survivable = 0;               // requests running at once; 0: any
-  bool replies_name_calls = false;  // the dependency does: each other reply has been changed
+  std::vector<std::string> keyed_routes;      // routes that must not run twice a key
+  double deadline_slack_seconds = 0.1;        // s after the due time that an answer may come
+  double grace_seconds = 0.3;                 // s after the notice in which what comes may still run
+  double max_signal_delay_seconds = 0.25;     // s that the notice may take to be heard on a crowded machine
+  double timestamp_rounding_seconds = 0.001;  // s; callers tell in whole milliseconds when a request came
+  int survivable_concurrency = 0;             // requests running at once; 0: any
+  bool replies_name_calls = false;            // the dependency does: each other reply has been changed
   // Links of runtimes are cut: a retryable request's start may be sent again after its end. Where the program
   // numbers a request itself, its runs count as one then.
-  bool starts_are_sent_again = false;
+  bool are_starts_resent = false;
 };
 
 // How the rules were kept: how often each was broken, and how.
--- a/standins/journal_file.cpp
+++ b/standins/journal_file.cpp
@@ -16,7 +16,7 @@
     case AnswerKind::kFailed: return "failed";
     case AnswerKind::kUnknownOutcome: return "outcome unknown";
     case AnswerKind::kConflict: return "key conflict";
-    case AnswerKind::kBad: break;
+    case AnswerKind::kInvalid: break;
   }
   return "invalid";
 }
@@ -32,21 +32,22 @@
   std::ofstream out(path);
   if (!out) throw std::runtime_error(fmt::format("{}: can't be written", path));
   int number = 0;
-  for (const Life& life : journal.lives)
+  for (const Incarnation& incarnation : journal.incarnations)
     fmt::print(out, "life {} began {} notice {} killed {} ended {} status {}\n", number++,
-               time_text(life.began, began), time_text(life.leave_at, began),
-               time_text(life.killed_at, began), time_text(life.ended_at, began), life.status);
+               time_text(incarnation.began, began), time_text(incarnation.shutdown_notice_at, began),
+               time_text(incarnation.killed_at, began), time_text(incarnation.ended_at, began),
+               incarnation.status);
   for (const auto& [request, t] : journal.attempts) {
-    fmt::print(out, "try {:016x} {} life {} sent {} due {}", request, t.key, t.life, time_text(t.sent, began),
-               time_text(t.due, began));
-    if (t.lost) fmt::print(out, " lost {}", time_text(t.lost_at, began));
+    fmt::print(out, "try {:016x} {} life {} sent {} due {}", request, t.key, t.incarnation,
+               time_text(t.sent, began), time_text(t.deadline, began));
+    if (t.is_lost) fmt::print(out, " lost {}", time_text(t.lost_at, began));
     for (const Answer& answer : t.answers)
       fmt::print(out, " {} {} retry after {:.3f}", text_of(answer.kind), time_text(answer.at, began),
                  answer.retry_after);
     fmt::print(out, "\n");
   }
-  for (const RunSeen& run : journal.runs)
-    fmt::print(out, "run {:016x} {} life {} began {} ended {}{}\n", run.request, run.key, run.life,
+  for (const RecordedRun& run : journal.runs)
+    fmt::print(out, "run {:016x} {} life {} began {} ended {}{}\n", run.request, run.key, run.incarnation,
                time_text(run.began, began), time_text(run.ended, began), run.completed ? " complete" : "");
 }
 
--- a/standins/loop.cpp
+++ b/standins/loop.cpp
@@ -17,8 +17,8 @@
 namespace damsonspoke::standins {
 namespace {
 
-constexpr int kMostTimersATurn = 1000;        // sockets are looked at between two lots of them
-constexpr double kLongestWaitSeconds = 0.01;  // until a condition is looked at again
+constexpr int kMaxTimersPerIteration = 1000;  // sockets are looked at between two lots of them
+constexpr double kMaxWaitSeconds = 0.01;      // until a condition is looked at again
 
 sockaddr_in loopback(std::uint16_t port) {
   sockaddr_in address{};
@@ -67,9 +67,9 @@
 namespace {
 
 // Whether a connection that has begun is made in time.
-bool is_made(int fd, double timeout_seconds) {
-  pollfd made{fd, POLLOUT, 0};
-  if (::poll(&made, 1, static_cast<int>(timeout_seconds * 1000)) <= 0) return false;
+bool is_connected_within(int fd, double timeout_seconds) {
+  pollfd connecting{fd, POLLOUT, 0};
+  if (::poll(&connecting, 1, static_cast<int>(timeout_seconds * 1000)) <= 0) return false;
   int error = 0;
   socklen_t size = sizeof error;
   return ::getsockopt(fd, SOL_SOCKET, SO_ERROR, &error, &size) == 0 && error == 0;
@@ -85,10 +85,10 @@
   ::inet_pton(AF_INET, from.c_str(), &mine.sin_addr);
   const int bytes = options.receive_bytes;
   if (fd >= 0 && bytes > 0) ::setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &bytes, sizeof bytes);
-  bool good = fd >= 0 && ::bind(fd, reinterpret_cast<const sockaddr*>(&mine), sizeof mine) == 0;
-  if (good && ::connect(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0)
-    good = non_blocking != 0 && errno == EINPROGRESS && is_made(fd, options.timeout);
-  if (!good) {
+  bool is_connected = fd >= 0 && ::bind(fd, reinterpret_cast<const sockaddr*>(&mine), sizeof mine) == 0;
+  if (is_connected && ::connect(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0)
+    is_connected = non_blocking != 0 && errno == EINPROGRESS && is_connected_within(fd, options.timeout);
+  if (!is_connected) {
     ::close(fd);
     return -1;
   }
@@ -120,7 +120,7 @@
 
 void Loop::at(double time, std::function<void()> task) { timers_.emplace(time, std::move(task)); }
 
-void Loop::turn(double longest_wait) {
+void Loop::run_iteration(double max_wait) {
   std::vector<pollfd> fds;
   for (const auto& [fd, task] : watched_) {
     const bool has_unsent = unsent_.contains(fd);
@@ -128,8 +128,8 @@
     if (task || has_unsent)
       fds.push_back({fd, static_cast<short>((task ? POLLIN : 0) | (has_unsent ? POLLOUT : 0)), 0});
   }
-  double wait = longest_wait;
-  if (!timers_.empty()) wait = std::clamp(timers_.begin()->first - now(), 0.0, longest_wait);
+  double wait = max_wait;
+  if (!timers_.empty()) wait = std::clamp(timers_.begin()->first - now(), 0.0, max_wait);
   timespec time{static_cast<time_t>(wait), static_cast<long>(std::fmod(wait, 1.0) * 1e9)};
   ::ppoll(fds.data(), fds.size(), &time, nullptr);
   for (const pollfd& ready : fds)
@@ -150,17 +150,17 @@
 }
 
 void Loop::call_due_timers() {
-  for (int i = 0; i < kMostTimersATurn && !timers_.empty() && timers_.begin()->first <= now(); ++i) {
+  for (int i = 0; i < kMaxTimersPerIteration && !timers_.empty() && timers_.begin()->first <= now(); ++i) {
     const auto first = timers_.extract(timers_.begin());
     first.mapped()();
   }
 }
 
-bool Loop::run_until(const std::function<bool()>& is_enough, double timeout_seconds) {
+bool Loop::run_until(const std::function<bool()>& is_done, double timeout_seconds) {
   const double until = now() + timeout_seconds;
-  while (!is_enough()) {
+  while (!is_done()) {
     if (now() >= until) return false;
-    turn(kLongestWaitSeconds);
+    run_iteration(kMaxWaitSeconds);
   }
   return true;
 }
--- a/standins/loop.h
+++ b/standins/loop.h
@@ -37,7 +37,7 @@
   // Neither reads nor sends any more; what was not sent yet is dropped.
   void forget(int fd);
   // Reads no more from the socket; what waits to be sent still goes.
-  void mute(int fd) { watched_[fd] = nullptr; }
+  void stop_reading(int fd) { watched_[fd] = nullptr; }
   // Bytes that wait for the peer to take them.
   std::size_t unsent(int fd) const;
   // Sends at once what the system takes, the rest when it can.
@@ -46,12 +46,12 @@
   void at(double time, std::function<void()> task);
   void after(double seconds, std::function<void()> task) { at(now() + seconds, std::move(task)); }
   // Runs until `is_enough` says so; false when so many seconds pass first.
-  bool run_until(const std::function<bool()>& is_enough, double timeout_seconds);
+  bool run_until(const std::function<bool()>& is_done, double timeout_seconds);
   void run_for(double seconds);
 
  private:
   // Waits for sockets and timers, so many seconds at most, and serves them.
-  void turn(double longest_wait);
+  void run_iteration(double max_wait);
   void serve(int fd, bool is_writable, bool is_readable);
   void call_due_timers();
 
--- a/standins/planner.cpp
+++ b/standins/planner.cpp
@@ -13,22 +13,22 @@
 namespace wt = wire::tier;
 
 namespace {
-constexpr double kBlindSeconds =
+constexpr double kUnreadSeconds =
     0.05;  // that a stranger reads nothing: a few requests are sent to it meanwhile
-constexpr std::uint64_t kGuesses = 16;   // attempts that it answers then
-constexpr double kSharesSeconds = 0.05;  // between two rounds of shares
+constexpr std::uint64_t kForgedAnswerCount = 16;  // attempts that it answers then
+constexpr double kShareIntervalSeconds = 0.05;    // between two rounds of shares
 }  // namespace
 
-Planner::Planner(Loop& loop, Journal& journal, Options chosen, std::uint16_t port)
-    : options(chosen), loop_(loop), journal_(journal), port_(port) {
-  static std::uint64_t lives = 0;
-  epoch_ = 500 + ++lives;
+Planner::Planner(Loop& loop, Journal& journal, Options initial_options, std::uint16_t port)
+    : options(initial_options), loop_(loop), journal_(journal), port_(port) {
+  static std::uint64_t instances = 0;
+  epoch_ = 500 + ++instances;
   listener_ = listening_socket(port_);
   loop_.watch(listener_, [this] { accept(); });
 }
 
 Planner::~Planner() {
-  *is_here_ = false;
+  *is_alive_ = false;
   for (const auto& [fd, link] : links_) {
     loop_.forget(fd);
     ::close(fd);
@@ -63,16 +63,16 @@
     in.erase(0, taken.length);
     take(fd, taken.message);
   }
-  if (const Link& link = links_.at(fd); options.manner == PlannerManner::kStranger && link.last_attempt != 0)
-    guess(fd, link.serial, link.last_attempt);
+  if (const Link& link = links_.at(fd); options.mode == PlannerMode::kForgedAnswers && link.last_attempt != 0)
+    forge_answers(fd, link.serial, link.last_attempt);
 }
 
 // Reads nothing for a while, and then answers what may have been sent meanwhile before it has seen any of it.
-void Planner::guess(int fd, std::uint64_t serial, std::uint64_t last) {
+void Planner::forge_answers(int fd, std::uint64_t serial, std::uint64_t last) {
   loop_.forget(fd);
-  loop_.after(kBlindSeconds, [this, here = is_here_, fd, serial, last] {
-    if (!*here || !links_.contains(fd) || links_.at(fd).serial != serial) return;
-    for (std::uint64_t other = last + 1; other <= last + kGuesses; ++other)
+  loop_.after(kUnreadSeconds, [this, is_alive = is_alive_, fd, serial, last] {
+    if (!*is_alive || !links_.contains(fd) || links_.at(fd).serial != serial) return;
+    for (std::uint64_t other = last + 1; other <= last + kForgedAnswerCount; ++other)
       answer(fd, serial, other, wire::tier::Result::kSucceeded, "of nobody");
     links_.at(fd).last_attempt = 0;
     loop_.watch(fd, [this, fd] { read(fd); });
@@ -80,11 +80,11 @@
 }
 
 void Planner::take(int fd, const wt::Message& message) {
-  if (links_.at(fd).is_halved) return;
+  if (links_.at(fd).is_cut_short) return;
   if (const auto* hello = std::get_if<wt::Hello>(&message)) {
-    greet(fd, *hello);
+    answer_hello(fd, *hello);
   } else if (const auto* ping = std::get_if<wt::Ping>(&message)) {
-    put(fd, wt::Pong{ping->token});
+    send_message(fd, wt::Pong{ping->token});
   } else if (const auto* request = std::get_if<wt::Submit>(&message)) {
     submit(fd, *request);
   } else if (const auto* fence = std::get_if<wt::Fence>(&message)) {
@@ -92,37 +92,37 @@
   }
 }
 
-void Planner::greet(int fd, const wt::Hello& hello) {
+void Planner::answer_hello(int fd, const wt::Hello& hello) {
   links_.at(fd).routes = hello.routes;
-  wt::Hello mine;
-  mine.is_planner = true;
-  mine.epoch = epoch_;
-  mine.name = "scripted";
-  mine.cores = 4;
-  mine.window = options.cold > 0 ? 0 : options.window;
-  put(fd, mine);
-  if (options.cold <= 0) return;
+  wt::Hello own_hello;
+  own_hello.is_planner = true;
+  own_hello.epoch = epoch_;
+  own_hello.name = "scripted";
+  own_hello.cores = 4;
+  own_hello.window = options.slow_start_budget > 0 ? 0 : options.window;
+  send_message(fd, own_hello);
+  if (options.slow_start_budget <= 0) return;
   shares_.add(links_.at(fd).serial);
-  if (links_.size() == 1) hand_out_shares();
+  if (links_.size() == 1) announce_shares();
 }
 
 void Planner::answer_fence(int fd, const wt::Fence& fence) {
-  ++fences_;
-  if (options.manner == PlannerManner::kMute) return;
+  ++fences_received_;
+  if (options.mode == PlannerMode::kSilent) return;
   // Sound ones have run what they took: it is under way.
-  const bool lies = options.manner == PlannerManner::kLies;
+  const bool is_false = options.mode == PlannerMode::kFalseProofs;
   wt::Answer proof;
   proof.attempt = fence.attempt;
-  proof.result = lies ? wt::Result::kNeverRan : wt::Result::kRunning;
-  put(fd, proof);
-  if (lies) answer(fd, links_.at(fd).serial, fence.attempt, wt::Result::kSucceeded, "a lie");
+  proof.result = is_false ? wt::Result::kNeverRan : wt::Result::kRunning;
+  send_message(fd, proof);
+  if (is_false) answer(fd, links_.at(fd).serial, fence.attempt, wt::Result::kSucceeded, "a lie");
 }
 
 // As a real one does while it is cold: what all may have open sums to its budget.
-void Planner::hand_out_shares() {
-  shares_.rebalance(now(), options.cold, [this](std::uint64_t serial) {
+void Planner::announce_shares() {
+  shares_.rebalance(now(), options.slow_start_budget, [this](std::uint64_t serial) {
     for (const auto& [fd, link] : links_) {
-      if (link.serial == serial) return link.open;
+      if (link.serial == serial) return link.in_flight;
     }
     return std::size_t{0};
   });
@@ -130,65 +130,66 @@
     wt::LoadReport window;
     window.window = shares_.share(link.serial);
     window.is_healthy = true;
-    if (window.window == link.told_share) continue;
-    link.told_share = window.window;
-    put(fd, window);
+    if (window.window == link.announced_share) continue;
+    link.announced_share = window.window;
+    send_message(fd, window);
   }
-  loop_.after(kSharesSeconds, [this, here = is_here_] {
-    if (*here) hand_out_shares();
+  loop_.after(kShareIntervalSeconds, [this, is_alive = is_alive_] {
+    if (*is_alive) announce_shares();
   });
 }
 
-std::size_t Planner::count_open() const {
+std::size_t Planner::count_in_flight() const {
   std::size_t all = 0;
-  for (const auto& [fd, link] : links_) all += link.open;
+  for (const auto& [fd, link] : links_) all += link.in_flight;
   return all;
 }
 
-std::uint64_t Planner::fewest_sent() const {
-  std::uint64_t fewest = links_.empty() ? 0 : ~std::uint64_t{0};
-  for (const auto& [fd, link] : links_) fewest = std::min(fewest, link.sent);
-  return fewest;
+std::uint64_t Planner::min_attempts_per_forwarder() const {
+  std::uint64_t least = links_.empty() ? 0 : ~std::uint64_t{0};
+  for (const auto& [fd, link] : links_) least = std::min(least, link.sent);
+  return least;
 }
 
 void Planner::submit(int fd, const wt::Submit& request) {
-  ++taken_;
+  ++attempts_received_;
   const std::uint64_t serial = links_.at(fd).serial, attempt = request.attempt;
   links_.at(fd).last_attempt = attempt;
   ++links_.at(fd).sent;
-  ++links_.at(fd).open;
-  most_open_ = std::max(most_open_, count_open());
-  switch (options.manner) {
-    case PlannerManner::kMute:
-    case PlannerManner::kLies: return;
-    case PlannerManner::kRejections: return answer(fd, serial, attempt, wt::Result::kRejected, "");
-    case PlannerManner::kStranger:
+  ++links_.at(fd).in_flight;
+  max_in_flight_ = std::max(max_in_flight_, count_in_flight());
+  switch (options.mode) {
+    case PlannerMode::kSilent:
+    case PlannerMode::kFalseProofs: return;
+    case PlannerMode::kRejectsAll: return answer(fd, serial, attempt, wt::Result::kRejected, "");
+    case PlannerMode::kForgedAnswers:
       for (const std::uint64_t other : {attempt + 1000, std::uint64_t{0}})
         answer(fd, serial, other, wt::Result::kSucceeded, "of nobody");
       break;
     default: break;
   }
-  const std::string key = Runtime::key_of(request.body), result = fmt::format("{} made {}", key, ++made_);
-  const int life = static_cast<int>(journal_.lives.size()) - 1;
+  const std::string key = Runtime::key_of(request.body),
+                    result = fmt::format("{} made {}", key, ++result_count_);
+  const int incarnation = static_cast<int>(journal_.incarnations.size()) - 1;
   journal_.runs.push_back(
-      {request.request, key, links_.at(fd).routes.at(request.route), life, now(), 0, result, true});
-  loop_.after(options.takes, [this, here = is_here_, fd, serial, attempt, result] {
-    if (*here) answer(fd, serial, attempt, wt::Result::kSucceeded, result);
+      {request.request, key, links_.at(fd).routes.at(request.route), incarnation, now(), 0, result, true});
+  loop_.after(options.run_seconds, [this, is_alive = is_alive_, fd, serial, attempt, result] {
+    if (*is_alive) answer(fd, serial, attempt, wt::Result::kSucceeded, result);
   });
 }
 
 void Planner::answer(int fd, std::uint64_t serial, std::uint64_t attempt, wt::Result result,
                      const std::string& body) {
   const auto found = links_.find(fd);
-  if (found == links_.end() || found->second.serial != serial || found->second.is_halved) return;
-  if (found->second.open > 0) --found->second.open;
+  if (found == links_.end() || found->second.serial != serial || found->second.is_cut_short) return;
+  if (found->second.in_flight > 0) --found->second.in_flight;
   wt::Answer out;
   out.attempt = attempt;
   out.result = result;
   out.body = body;
   const std::string bytes = wt::encode(out);
-  if (options.manner == PlannerManner::kHalf) {
-    found->second.is_halved = true;
+  if (options.mode == PlannerMode::kPartialAnswer) {
+    found->second.is_cut_short = true;
     return loop_.send(fd, bytes.substr(0, bytes.size() / 2));
   }
   loop_.send(fd, bytes);
--- a/standins/process.cpp
+++ b/standins/process.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 constexpr int kUserTimeField = 14, kSystemTimeField = 15;  // of /proc/PID/stat, from 1; see proc(5)
-constexpr double kCountersSeconds = 2;                     // for them to come
+constexpr double kCountersTimeoutSeconds = 2;              // for them to come
 
 }  // namespace
 
@@ -24,14 +24,14 @@
   int log[2];
   if (::pipe2(log, O_CLOEXEC) != 0) throw std::runtime_error("no pipe");
   std::vector<std::string> copies = command;  // execv() takes words that it might change
-  std::vector<char*> words;
-  words.reserve(copies.size() + 1);
-  for (std::string& word : copies) words.push_back(word.data());
-  words.push_back(nullptr);
+  std::vector<char*> arguments;
+  arguments.reserve(copies.size() + 1);
+  for (std::string& argument : copies) arguments.push_back(argument.data());
+  arguments.push_back(nullptr);
   pid_ = ::fork();
   if (pid_ == 0) {
     ::dup2(log[1], STDERR_FILENO);
-    ::execv(words[0], words.data());
+    ::execv(arguments[0], arguments.data());
     std::_Exit(127);
   }
   ::close(log[1]);
@@ -41,7 +41,7 @@
 }
 
 Process::~Process() {
-  if (!over()) {
+  if (!has_ended()) {
     ::kill(pid_, SIGKILL);
     ::waitpid(pid_, nullptr, 0);
   }
@@ -57,7 +57,7 @@
   buffer_.append(bytes, static_cast<std::size_t>(got));
   for (std::size_t end; (end = buffer_.find('\n')) != std::string::npos;) {
     lines_.push_back(buffer_.substr(0, end));
-    if (on_line) on_line(lines_.back());
+    if (on_log_line) on_log_line(lines_.back());
     buffer_.erase(0, end + 1);
   }
 }
@@ -72,7 +72,7 @@
           if (found.find(part) != std::string::npos) return true;
         }
         found.clear();
-        return over();
+        return has_ended();
       },
       timeout_seconds);
   return found;
@@ -84,13 +84,13 @@
 }
 
 void Process::signal(int number) {
-  if (!over()) ::kill(pid_, number);
+  if (!has_ended()) ::kill(pid_, number);
 }
 
-bool Process::over() {
+bool Process::has_ended() {
   int status = 0;
-  if (over_ || ::waitpid(pid_, &status, WNOHANG) != pid_) return over_;
-  over_ = true;
+  if (has_ended_ || ::waitpid(pid_, &status, WNOHANG) != pid_) return has_ended_;
+  has_ended_ = true;
   status_ = WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status);
   return true;
 }
@@ -114,9 +114,9 @@
 }
 
 std::size_t Process::descriptors() const {
-  std::error_code gone;
-  std::filesystem::directory_iterator open(fmt::format("/proc/{}/fd", pid_), gone);
-  return gone ? 0 : static_cast<std::size_t>(std::distance(begin(open), end(open)));
+  std::error_code error;
+  std::filesystem::directory_iterator open(fmt::format("/proc/{}/fd", pid_), error);
+  return error ? 0 : static_cast<std::size_t>(std::distance(begin(open), end(open)));
 }
 
 std::map<std::string, std::uint64_t> Process::counters() {
@@ -135,7 +135,7 @@
         }
         return seen.contains("invariants.broken");
       },
-      kCountersSeconds);
+      kCountersTimeoutSeconds);
   return seen;
 }
 
--- a/standins/process.h
+++ b/standins/process.h
@@ -35,7 +35,7 @@
   // Does nothing where the process has ended.
   void signal(int number);
   // Whether the process has ended; status() is known then.
-  bool over();
+  bool has_ended();
   // The exit status, or minus the signal that ended it.
   int status() const { return status_; }
   pid_t pid() const { return pid_; }
@@ -47,7 +47,7 @@
   // Asks for the counters and waits for them, 2 s at most; by name, as far as they came.
   std::map<std::string, std::uint64_t> counters();
 
-  std::function<void(const std::string&)> on_line;  // called for each line of the log
+  std::function<void(const std::string&)> on_log_line;  // called for each line of the log
 
  private:
   void read();
@@ -55,7 +55,7 @@
   Loop& loop_;
   pid_t pid_ = -1;
   int log_ = -1, status_ = 0;
-  bool over_ = false;
+  bool has_ended_ = false;
   std::string buffer_;             // of the log, without the end of a line yet
   std::deque<std::string> lines_;  // that were not looked at yet
 };
--- a/standins/rehearsal.cpp
+++ b/standins/rehearsal.cpp
@@ -79,20 +79,20 @@
     out += '\n';
   }
   if (script.members) {
-    const Between::Host& host = between_.add_host(name);
+    const FaultyNetwork::Host& host = between_.add_host(name);
     out += fmt::format("members\n    cluster rehearsal\n    bind {}\n    face {}\n    peers 127.0.0.0/8\n",
-                       host.home_at(), host.face_at());
+                       host.bind_endpoint(), host.advertised_endpoint());
     if (role == "plan" && script.planners_told) {
-      const std::uint16_t port = lasting_port();
+      const std::uint16_t port = non_ephemeral_port();
       ports_[name] = port;
       between_.open(name, port);
-      out += fmt::format("    serves {}:{}\n", host.face, port);
+      out += fmt::format("    serves {}:{}\n", host.advertised_address, port);
     }
     if (!script.zones.empty())
       out += fmt::format("    zone {}\n", script.zones[number % script.zones.size()]);
     out += "    seeds";
     for (const std::string& other : names_) {
-      if (other != name) out += ' ' + between_.add_host(other).face_at();
+      if (other != name) out += ' ' + between_.add_host(other).advertised_endpoint();
     }
     out += "\ncontrol\n    folder FOLDER\n";
   }
@@ -144,17 +144,17 @@
         one->clock = clocks_.path(one->name);
         const double none = 0;
         std::ofstream(one->clock, std::ios::binary).write(reinterpret_cast<const char*>(&none), sizeof none);
-        site.under = {"/usr/bin/env", "CLOCK_SHIFT_FILE=" + one->clock, "LD_PRELOAD=" + clock_library,
-                      "ASAN_OPTIONS=verify_asan_link_order=0"};
+        site.command_prefix = {"/usr/bin/env", "CLOCK_SHIFT_FILE=" + one->clock,
+                               "LD_PRELOAD=" + clock_library, "ASAN_OPTIONS=verify_asan_link_order=0"};
       }
       one->server = std::make_unique<Server>(loop, journal, callers_, binary_, site, work,
                                              kind.letter == 'p' ? 0 : front++);
       one->server->dependency.options = {script.below_takes, static_cast<std::size_t>(script.below_most)};
-      one->server->way = [this, name = one->name](const char* what, std::uint16_t port) {
+      one->server->proxy_port = [this, name = one->name](const char* what, std::uint16_t port) {
         return std::string_view(what) == "below" ? between_.path(name, "below", port)
                                                  : between_.path("callers", name, port);
       };
-      one->server->on_line = [this, name = one->name](const std::string& line) {
+      one->server->on_log_line = [this, name = one->name](const std::string& line) {
         look_at_line(name, line);
         if (!log_folder.empty())
           std::ofstream(fmt::format("{}/{}.log", log_folder, name), std::ios::app) << line << '\n';
@@ -218,13 +218,14 @@
 }
 
 void Rehearsal::settle(Played& out) {
-  callers_.want_more(false);
+  callers_.set_load_enabled(false);
   for (; !steps_.empty(); steps_.erase(steps_.begin())) steps_.begin()->second();  // faults end with the play
   for (const auto& one : members_) start(one->name);
   double longest = 0;
   for (const LoadRequest& request : script.requests) longest = std::max(longest, request.timeout);
-  out.settled = loop.run_until([this] { return callers_.open() == 0 && callers_.still_wanted() == 0; },
-                               longest + kSettle);
+  out.settled = loop.run_until(
+      [this] { return callers_.attempts_in_flight() == 0 && callers_.unfinished_tasks() == 0; },
+      longest + kSettle);
 }
 
 void Rehearsal::compare_all_views(Played& out) {
@@ -245,7 +246,7 @@
   for (const auto& one : members_) begin_leaving(one->name);
   bool in_order = true;
   for (const auto& one : members_) {
-    if (one->leaving) in_order &= one->server->ended();
+    if (one->leaving) in_order &= one->server->wait_for_end();
   }
   return in_order;
 }
--- a/standins/rehearsal.h
+++ b/standins/rehearsal.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "between.h"
+#include "faulty_network.h"
 #include "fleet.h"
 #include "rehearsal_script.h"
 
@@ -58,7 +58,7 @@
   static std::string log_folder;
   Server* find(const std::string& name);
   const std::vector<std::string>& names() const { return names_; }
-  Between& between() { return between_; }
+  FaultyNetwork& between() { return between_; }
   // Called with what is going on, for a terminal; and just before the fleet is told to leave.
   std::function<void(const std::string&)> on_progress;
   std::function<void()> before_end;
@@ -97,8 +97,8 @@
   void plan_dependency(const FaultSpec& fault);
   void end_burners();
   void plan_pairs(const FaultSpec& fault);
-  void weather(const FaultSpec& fault, const std::function<void(Weather&)>& change,
-               const std::function<void(Weather&)>& back);
+  void weather(const FaultSpec& fault, const std::function<void(LinkConditions&)>& change,
+               const std::function<void(LinkConditions&)>& back);
   void add(double at, std::function<void()> act) { steps_.emplace(at, std::move(act)); }
   Member& member(const std::string& name);
   void start(const std::string& name);
@@ -122,13 +122,13 @@
   std::string compare_views();
 
   const std::string binary_;
-  Between between_;
+  FaultyNetwork between_;
   Callers callers_;
   std::vector<std::unique_ptr<Member>> members_;
   std::vector<std::string> names_;
   std::multimap<double, std::function<void()>> steps_;
   std::map<std::string, std::uint16_t> ports_;  // of planners that members tell
-  Folder clocks_;
+  TemporaryFolder clocks_;
   std::vector<pid_t> burners_;
   double began_ = 0;
   double last_start_seconds_ = 0;
--- a/standins/rehearsal_faults.cpp
+++ b/standins/rehearsal_faults.cpp
@@ -39,14 +39,15 @@
 // ---- What happens to a process.
 
 void Rehearsal::out_of_reach(const std::string& name, double from, double to) {
-  const int life = member(name).server->life_number();
-  if (life >= 0) journal.lives.at(static_cast<std::size_t>(life)).out_of_reach.emplace_back(from, to);
+  const int incarnation = member(name).server->incarnation_number();
+  if (incarnation >= 0)
+    journal.incarnations.at(static_cast<std::size_t>(incarnation)).unreachable_periods.emplace_back(from, to);
 }
 
 void Rehearsal::start(const std::string& name) {
   Member& one = member(name);
   if (one.leaving) {
-    one.server->ended();
+    one.server->wait_for_end();
     one.ended_at = now();
     one.up = one.leaving = false;
   }
@@ -54,7 +55,7 @@
   const double asked_at = now();
   one.up = one.server->start();
   last_start_seconds_ = now() - asked_at;
-  if (!one.up) journal.lives.back().status = -1, journal.lives.back().ended_at = now();
+  if (!one.up) journal.incarnations.back().status = -1, journal.incarnations.back().ended_at = now();
 }
 
 void Rehearsal::kill(const std::string& name) {
@@ -69,7 +70,7 @@
   Member& one = member(name);
   if (!one.up || one.leaving) return;
   one.leaving = true;
-  one.server->notice();
+  one.server->send_shutdown_notice();
 }
 
 // Its Unix clock jumps; what its callers tell it in Unix time is wrong from then on until it is set right, so
@@ -106,11 +107,11 @@
   return out;
 }
 
-void Rehearsal::weather(const FaultSpec& fault, const std::function<void(Weather&)>& change,
-                        const std::function<void(Weather&)>& back) {
+void Rehearsal::weather(const FaultSpec& fault, const std::function<void(LinkConditions&)>& change,
+                        const std::function<void(LinkConditions&)>& back) {
   const auto apply = [this](const std::pair<std::string, std::string>& pair,
-                            const std::function<void(Weather&)>& how) {
-    Weather now_there = between_.weather(pair.first, pair.second);
+                            const std::function<void(LinkConditions&)>& how) {
+    LinkConditions now_there = between_.conditions(pair.first, pair.second);
     how(now_there);
     between_.set(pair.first, pair.second, now_there);
   };
@@ -130,32 +131,33 @@
 
 void Rehearsal::plan_pairs(const FaultSpec& fault) {
   const double amount = fault.amount;
-  const auto none = [](Weather&) {};
+  const auto none = [](LinkConditions&) {};
   if (fault.what == "cut" || fault.what == "part") {
     weather(
-        fault, [](Weather& w) { w.cut = true; }, [](Weather& w) { w.cut = false; });
+        fault, [](LinkConditions& w) { w.cut = true; }, [](LinkConditions& w) { w.cut = false; });
     if (fault.what == "cut") return;
     FaultSpec other = fault;
     std::swap(other.who[0], other.who[1]);
     weather(
-        other, [](Weather& w) { w.cut = true; }, [](Weather& w) { w.cut = false; });
+        other, [](LinkConditions& w) { w.cut = true; }, [](LinkConditions& w) { w.cut = false; });
   } else if (fault.what == "refuse") {
     weather(
-        fault, [](Weather& w) { w.refused = true; }, [](Weather& w) { w.refused = false; });
+        fault, [](LinkConditions& w) { w.refused = true; }, [](LinkConditions& w) { w.refused = false; });
   } else if (fault.what == "delay") {
     weather(
-        fault, [amount](Weather& w) { w.delay = amount, w.jitter = amount / 2; },
-        [](Weather& w) { w.delay = w.jitter = 0; });
+        fault, [amount](LinkConditions& w) { w.delay = amount, w.jitter = amount / 2; },
+        [](LinkConditions& w) { w.delay = w.jitter = 0; });
   } else if (fault.what == "lose") {
     weather(
-        fault, [amount](Weather& w) { w.loss = amount; }, [](Weather& w) { w.loss = 0; });
+        fault, [amount](LinkConditions& w) { w.loss = amount; }, [](LinkConditions& w) { w.loss = 0; });
   } else if (fault.what == "muddle") {
     weather(
-        fault, [amount](Weather& w) { w.doubled = w.disordered = amount; },
-        [](Weather& w) { w.doubled = w.disordered = 0; });
+        fault, [amount](LinkConditions& w) { w.duplicated = w.reordered = amount; },
+        [](LinkConditions& w) { w.duplicated = w.reordered = 0; });
   } else if (fault.what == "narrow") {
     weather(
-        fault, [amount](Weather& w) { w.bytes_per_s = amount; }, [](Weather& w) { w.bytes_per_s = 0; });
+        fault, [amount](LinkConditions& w) { w.bytes_per_s = amount; },
+        [](LinkConditions& w) { w.bytes_per_s = 0; });
   } else if (fault.what == "reset") {
     weather(fault, none, none);
     add(fault.at, [this, fault] {
@@ -276,7 +278,7 @@
 void Rehearsal::plan_dependency(const FaultSpec& fault) {
   const auto set = [this](double takes) {
     return [this, takes] {
-      for (const auto& one : members_) one->server->dependency.options.takes = takes;
+      for (const auto& one : members_) one->server->dependency.options.reply_seconds = takes;
     };
   };
   add(fault.at, set(fault.amount));
--- a/standins/rehearsal_verdict.cpp
+++ b/standins/rehearsal_verdict.cpp
@@ -156,19 +156,20 @@
 void Rehearsal::judge(Played& out, double began) {
   RuleLimits limits;
   for (const LoadRequest& request : script.requests) {
-    if (request.idempotency != "retryable") limits.keyed.push_back(request.name);
+    if (request.idempotency != "retryable") limits.keyed_routes.push_back(request.name);
   }
   // The stand-in keeps runs whose request has failed at a call, which the platform's runtime ends: with calls
   // its count says nothing of the crowd.
-  if (script.calls <= 0) limits.survivable = 8 * script.cores * std::max(script.relays, script.planners);
+  if (script.calls <= 0)
+    limits.survivable_concurrency = 8 * script.cores * std::max(script.relays, script.planners);
   out.verdict = check_rules(journal, limits);
   out.seconds.resize(static_cast<std::size_t>(out.lasted) + 1);
   Service service(script, began, out);
   for (const auto& [number, attempt] : journal.attempts) {
-    if (!attempt.refused && attempt.sent >= began) service.count_try(attempt);
+    if (!attempt.was_not_sent && attempt.sent >= began) service.count_try(attempt);
   }
   for (const auto& [number, attempt] : journal.attempts) {
-    if (!attempt.refused && attempt.sent >= began) service.count_answers(attempt);
+    if (!attempt.was_not_sent && attempt.sent >= began) service.count_answers(attempt);
   }
   service.sum_up();
 }
--- a/standins/rules.cpp
+++ b/standins/rules.cpp
@@ -10,14 +10,15 @@
 namespace damsonspoke::standins {
 namespace {
 
-constexpr std::size_t kMostSentences = 5;  // about breaks of one kind
+constexpr std::size_t kMaxReportedViolations = 5;  // about breaks of one kind
 
 // Counts the breaks of one kind and puts the first of them into the verdict.
-class BreakReport {
+class ViolationReport {
  public:
-  BreakReport(Verdict& verdict, int& count) : verdict_(verdict), count_(count) {}
+  ViolationReport(Verdict& verdict, int& count) : verdict_(verdict), count_(count) {}
   void add(std::string text) {
-    if (static_cast<std::size_t>(count_++) < kMostSentences) verdict_.broken.push_back(std::move(text));
+    if (static_cast<std::size_t>(count_++) < kMaxReportedViolations)
+      verdict_.broken.push_back(std::move(text));
   }
 
  private:
@@ -27,34 +28,37 @@
 
 // Rule 1: one final answer each, in time, unless its caller or the program itself was cut off.
 void check_one_answer(const Journal& journal, const RuleLimits& limits, Verdict& verdict) {
-  BreakReport none(verdict, verdict.unanswered), late(verdict, verdict.late),
+  ViolationReport missing(verdict, verdict.unanswered), late(verdict, verdict.late),
       twice(verdict, verdict.answered_twice);
   for (const auto& [request, attempt] : journal.attempts) {
-    if (attempt.refused) continue;
-    const Life& life = journal.lives.at(static_cast<std::size_t>(attempt.life));
-    const bool is_reachable = life.is_reachable(attempt.sent, attempt.due + limits.slack);
-    const bool was_cut = attempt.lost && (life.killed || life.leave_at >= 0);
-    if (attempt.answers.empty() && !was_cut && is_reachable)
-      none.add(fmt::format("rule 1: {} {:016x} has no answer", attempt.type, request));
+    if (attempt.was_not_sent) continue;
+    const Incarnation& incarnation = journal.incarnations.at(static_cast<std::size_t>(attempt.incarnation));
+    const bool is_reachable =
+        incarnation.is_reachable(attempt.sent, attempt.deadline + limits.deadline_slack_seconds);
+    const bool was_cut_off =
+        attempt.is_lost && (incarnation.was_killed || incarnation.shutdown_notice_at >= 0);
+    if (attempt.answers.empty() && !was_cut_off && is_reachable)
+      missing.add(fmt::format("rule 1: {} {:016x} has no answer", attempt.type, request));
     if (attempt.answers.size() > 1)
       twice.add(
           fmt::format("rule 1: {} {:016x} has {} answers", attempt.type, request, attempt.answers.size()));
-    if (!attempt.answers.empty() && attempt.answers.front().at > attempt.due + limits.slack && is_reachable) {
+    if (!attempt.answers.empty() &&
+        attempt.answers.front().at > attempt.deadline + limits.deadline_slack_seconds && is_reachable) {
       late.add(fmt::format("rule 1: {} {:016x} answered {:.0f} ms after its due time", attempt.type, request,
-                           (attempt.answers.front().at - attempt.due) * 1000));
+                           (attempt.answers.front().at - attempt.deadline) * 1000));
     }
   }
 }
 
 // Rule 1: a reply reaches the run as it was, at the call that it belongs to.
 void check_replies(const Journal& journal, const RuleLimits& limits, Verdict& verdict) {
-  BreakReport changed(verdict, verdict.changed_replies);
-  for (const CallSeen& call : journal.calls) {
-    if (!call.replied || call.reply == kReplyTo + call_name(call)) continue;
+  ViolationReport changed(verdict, verdict.changed_replies);
+  for (const RecordedCall& call : journal.calls) {
+    if (!call.replied || call.reply == kReplyPrefix + call_body(call)) continue;
     int number = 0;
     std::uint64_t request = 0;
-    const std::string shape = std::string(kReplyTo) + "call %d of %" SCNx64;
-    if (std::sscanf(call.reply.c_str(), shape.c_str(), &number, &request) == 2) {
+    const std::string format = std::string(kReplyPrefix) + "call %d of %" SCNx64;
+    if (std::sscanf(call.reply.c_str(), format.c_str(), &number, &request) == 2) {
       if (request == call.request)
         changed.add(fmt::format("rule 1: {:016x}: the reply to call {} answered call {}", request, number,
                                 call.number));
@@ -70,36 +74,37 @@
 
 // Rule 2: a key runs once, and what anybody is told of it is what that run came to.
 void check_one_effect(const Journal& journal, const RuleLimits& limits, Verdict& verdict) {
-  BreakReport runs(verdict, verdict.double_runs), wrong(verdict, verdict.wrong_results);
-  std::map<std::string, std::vector<const RunSeen*>> by_key;
-  for (const RunSeen& run : journal.runs) by_key[run.type + " " + run.key].push_back(&run);
-  for (const auto& [name, of] : by_key) {
-    const bool keyed =
-        std::find(limits.keyed.begin(), limits.keyed.end(), of.front()->type) != limits.keyed.end();
-    if (keyed && of.size() > 1) {
-      runs.add(fmt::format("rule 2: key {} ran {} times, in lives {} and {}", name, of.size(), of[0]->life,
-                           of[1]->life));
+  ViolationReport runs(verdict, verdict.double_runs), wrong(verdict, verdict.wrong_results);
+  std::map<std::string, std::vector<const RecordedRun*>> by_key;
+  for (const RecordedRun& run : journal.runs) by_key[run.type + " " + run.key].push_back(&run);
+  for (const auto& [name, runs_of_key] : by_key) {
+    const bool keyed = std::find(limits.keyed_routes.begin(), limits.keyed_routes.end(),
+                                 runs_of_key.front()->type) != limits.keyed_routes.end();
+    if (keyed && runs_of_key.size() > 1) {
+      runs.add(fmt::format("rule 2: key {} ran {} times, in lives {} and {}", name, runs_of_key.size(),
+                           runs_of_key[0]->incarnation, runs_of_key[1]->incarnation));
     }
   }
   // A request belongs to one process: what runs in two lives was given out twice.
-  std::map<std::uint64_t, int> ran;
-  for (const RunSeen& run : journal.runs) {
-    const auto [at, fresh] = ran.emplace(run.request, run.life);
-    if (fresh || at->second == run.life) continue;
+  std::map<std::uint64_t, int> run_incarnations;
+  for (const RecordedRun& run : journal.runs) {
+    const auto [at, is_first] = run_incarnations.emplace(run.request, run.incarnation);
+    if (is_first || at->second == run.incarnation) continue;
     runs.add(fmt::format("rule 2: {} {:016x} ran in lives {} and {}", run.type, run.request, at->second,
-                         run.life));
+                         run.incarnation));
   }
   for (const auto& [request, attempt] : journal.attempts) {
     for (const Answer& answer : attempt.answers) {
-      if (answer.kind == AnswerKind::kRejected && ran.contains(request)) {
+      if (answer.kind == AnswerKind::kRejected && run_incarnations.contains(request)) {
         wrong.add(fmt::format("rule 2: {} {:016x} was nacked and had run", attempt.type, request));
       }
       if (answer.kind != AnswerKind::kSucceeded) continue;
       const auto found = by_key.find(attempt.type + " " + attempt.key);
-      const bool known = found != by_key.end() &&
-                         std::any_of(found->second.begin(), found->second.end(),
-                                     [&](const RunSeen* run) { return run->result == answer.result; });
-      if (!known)
+      const bool is_result_of_a_run =
+          found != by_key.end() &&
+          std::any_of(found->second.begin(), found->second.end(),
+                      [&](const RecordedRun* run) { return run->result == answer.result; });
+      if (!is_result_of_a_run)
         wrong.add(fmt::format("rule 2: {} {:016x} was acked with what no run of its key made", attempt.type,
                               request));
     }
@@ -109,27 +114,30 @@
 // Rules 2 and 3 where the program numbers requests itself: by key, of which there are no more runs than
 // attempts that were not rejected, and none at all where each attempt came after the grace.
 void check_runs_by_key(const Journal& journal, const RuleLimits& limits, Verdict& verdict) {
-  BreakReport wrong(verdict, verdict.wrong_results);
-  std::map<std::string, int> may_run, runs;
+  ViolationReport wrong(verdict, verdict.wrong_results);
+  std::map<std::string, int> allowed_runs, runs;
   for (const auto& [request, attempt] : journal.attempts) {
-    if (!attempt.has_servers_number) continue;
-    const Life& life = journal.lives.at(static_cast<std::size_t>(attempt.life));
-    const double heard = std::clamp(life.heard_at, life.leave_at, life.leave_at + limits.hearing);
-    const bool late = life.leave_at >= 0 && attempt.sent > heard + limits.grace + limits.rounding;
+    if (!attempt.is_numbered_by_server) continue;
+    const Incarnation& incarnation = journal.incarnations.at(static_cast<std::size_t>(attempt.incarnation));
+    const double notice_at = std::clamp(incarnation.shutdown_logged_at, incarnation.shutdown_notice_at,
+                                        incarnation.shutdown_notice_at + limits.max_signal_delay_seconds);
+    const bool late = incarnation.shutdown_notice_at >= 0 &&
+                      attempt.sent > notice_at + limits.grace_seconds + limits.timestamp_rounding_seconds;
     const bool rejected = !attempt.answers.empty() && attempt.answers.front().kind == AnswerKind::kRejected;
-    may_run[attempt.type + " " + attempt.key] += !late && !rejected;
+    allowed_runs[attempt.type + " " + attempt.key] += !late && !rejected;
   }
   std::set<std::uint64_t> seen;
-  for (const RunSeen& run : journal.runs) {
-    const bool is_keyed = std::find(limits.keyed.begin(), limits.keyed.end(), run.type) != limits.keyed.end();
-    const bool is_again = !seen.insert(run.request).second;
-    if (is_again && limits.starts_are_sent_again && !is_keyed) continue;
+  for (const RecordedRun& run : journal.runs) {
+    const bool is_keyed = std::find(limits.keyed_routes.begin(), limits.keyed_routes.end(), run.type) !=
+                          limits.keyed_routes.end();
+    const bool is_repeated = !seen.insert(run.request).second;
+    if (is_repeated && limits.are_starts_resent && !is_keyed) continue;
     ++runs[run.type + " " + run.key];
   }
-  for (const auto& [key, most] : may_run) {
-    if (runs.contains(key) && runs.at(key) > most)
+  for (const auto& [key, allowed] : allowed_runs) {
+    if (runs.contains(key) && runs.at(key) > allowed)
       wrong.add(fmt::format("rules 2, 3: {} ran {} times, and {} tries of it were to run", key, runs.at(key),
-                            most));
+                            allowed));
   }
 }
 
@@ -137,30 +145,33 @@
 // which it has to do soon: between the sending of a signal and its arrival lies what the machine makes of it.
 void check_drain(const Journal& journal, const RuleLimits& limits, Verdict& verdict) {
   int count = 0;
-  BreakReport broken(verdict, count);
-  for (const RunSeen& run : journal.runs) {
-    const Life& life = journal.lives.at(static_cast<std::size_t>(run.life));
+  ViolationReport broken(verdict, count);
+  for (const RecordedRun& run : journal.runs) {
+    const Incarnation& incarnation = journal.incarnations.at(static_cast<std::size_t>(run.incarnation));
     const auto found = journal.attempts.find(run.request);
-    if (life.leave_at < 0 || found == journal.attempts.end()) continue;
-    const double heard = std::clamp(life.heard_at, life.leave_at, life.leave_at + limits.hearing);
-    if (found->second.sent > heard + limits.grace + limits.rounding)
+    if (incarnation.shutdown_notice_at < 0 || found == journal.attempts.end()) continue;
+    const double notice_at = std::clamp(incarnation.shutdown_logged_at, incarnation.shutdown_notice_at,
+                                        incarnation.shutdown_notice_at + limits.max_signal_delay_seconds);
+    if (found->second.sent > notice_at + limits.grace_seconds + limits.timestamp_rounding_seconds)
       broken.add(fmt::format("rule 3: {:016x} came after the grace and ran", run.request));
   }
 }
 
 // Rule 4: it ends when it is told to, and no more requests run at once than the runtime survives.
 void check_endurance(const Journal& journal, const RuleLimits& limits, Verdict& verdict) {
-  for (const Life& life : journal.lives) {
-    if (life.ended_at >= 0 && !life.killed && (life.leave_at < 0 || life.status != 0))
-      verdict.broken.push_back(fmt::format("rule 4: the program ended by itself, status {}", life.status));
+  for (const Incarnation& incarnation : journal.incarnations) {
+    if (incarnation.ended_at >= 0 && !incarnation.was_killed &&
+        (incarnation.shutdown_notice_at < 0 || incarnation.status != 0))
+      verdict.broken.push_back(
+          fmt::format("rule 4: the program ended by itself, status {}", incarnation.status));
   }
-  if (limits.survivable > 0 && journal.most_running > limits.survivable)
-    verdict.broken.push_back(fmt::format("rule 4: {} ops ran at once", journal.most_running));
+  if (limits.survivable_concurrency > 0 && journal.max_concurrency > limits.survivable_concurrency)
+    verdict.broken.push_back(fmt::format("rule 4: {} ops ran at once", journal.max_concurrency));
 }
 
 }  // namespace
 
-std::string call_name(const CallSeen& call) {
+std::string call_body(const RecordedCall& call) {
   return fmt::format("call {} of {:016x}", call.number, call.request);
 }
 
--- a/standins/runtime.cpp
+++ b/standins/runtime.cpp
@@ -12,19 +12,19 @@
 namespace damsonspoke::standins {
 namespace {
 
-constexpr double kStepSeconds = 0.001;      // between steps of the work
-constexpr double kBusyMeanSeconds = 0.5;    // over which the busy gauge is a mean
-constexpr std::size_t kKeptNotices = 4000;  // as the protocol says
-constexpr double kMovedSeconds = 1.5;       // that the old link stays after a move, as the service page says
+constexpr double kStepIntervalSeconds = 0.001;   // between steps of the work
+constexpr double kBusyAverageSeconds = 0.5;      // over which the busy gauge is a mean
+constexpr std::size_t kMaxStoredNotices = 4000;  // as the protocol says
+constexpr double kOldLinkSeconds = 1.5;  // that the old link stays after a move, as the service page says
 constexpr std::size_t kMaxInputBytes = 1 << 22;
 
 }  // namespace
 
-Runtime::Runtime(Loop& loop, Journal& journal, Options chosen)
-    : options(std::move(chosen)), loop_(loop), journal_(journal), worked_at_(now()), began_(now()) {
+Runtime::Runtime(Loop& loop, Journal& journal, Options initial_options)
+    : options(std::move(initial_options)), loop_(loop), journal_(journal), worked_at_(now()), began_(now()) {
   listener_ = listening_socket(port_);
   loop_.watch(listener_, [this] { accept(); });
-  work();
+  advance_runs();
 }
 
 Runtime::~Runtime() {
@@ -43,14 +43,14 @@
                            (1 - options.slow_start_speed) * (now() - began_) / options.slow_start_seconds);
 }
 
-void Runtime::new_life(int life) {
-  life_ = life;
-  start_anew();
+void Runtime::begin_incarnation(int incarnation) {
+  incarnation_ = incarnation;
+  restart();
 }
 
-void Runtime::start_anew() {
+void Runtime::restart() {
   began_ = now();
-  kept_notices_.clear();
+  stored_notices_.clear();
   notices_ = 0;
   known_requests_.clear();
   runs_.clear();  // their effects stand; the journal has them
@@ -72,21 +72,21 @@
   close_link();
 }
 
-void Runtime::break_link_after(double deaf_seconds) {
+void Runtime::break_link_after(double unread_seconds) {
   if (link_ < 0) return;
-  loop_.mute(link_);
-  loop_.after(deaf_seconds, [this, serial = link_serial_] {
+  loop_.stop_reading(link_);
+  loop_.after(unread_seconds, [this, serial = link_serial_] {
     if (serial == link_serial_) break_link();
   });
 }
 
-void Runtime::move() {
+void Runtime::move_to_new_port() {
   loop_.forget(listener_);
   ::close(listener_);
   port_ = 0;
   listener_ = listening_socket(port_);
   loop_.watch(listener_, [this] { accept(); });
-  loop_.after(kMovedSeconds, [this, serial = link_serial_] {
+  loop_.after(kOldLinkSeconds, [this, serial = link_serial_] {
     if (serial == link_serial_) break_link();
   });
 }
@@ -109,10 +109,10 @@
     return;
   }
   if (got > 0) in_.append(bytes, static_cast<std::size_t>(got));
-  while (const auto command = take_command(in_)) carry_out(*command);
+  while (const auto command = take_command(in_)) execute(*command);
 }
 
-void Runtime::carry_out(const RuntimeCommand& command) {
+void Runtime::execute(const RuntimeCommand& command) {
   switch (command.kind) {
     case CommandKind::kSync: return synchronize(command.notice);
     case CommandKind::kGauges: return send_gauges(command.tag);
@@ -142,7 +142,7 @@
   }
   loop_.send(link_, fmt::format("ready {} {:.0f}\r\n", options.slow_start_seconds > 0 ? "chilly" : "hot",
                                 (now() - began_) * 1000));
-  for (const auto& [number, text] : kept_notices_) {
+  for (const auto& [number, text] : stored_notices_) {
     if (number > last_notice) loop_.send(link_, text);
   }
 }
@@ -159,7 +159,7 @@
 
 bool Runtime::check_known(const RuntimeCommand& command) {
   if (known_requests_.contains(command.request)) return true;
-  loop_.send(link_, fmt::format("nack {} {:016x}\r\n", command.word, command.request));
+  loop_.send(link_, fmt::format("nack {} {:016x}\r\n", command.name, command.request));
   return false;
 }
 
@@ -168,7 +168,7 @@
   const auto found = runs_.find(request);
   if (found == runs_.end() || !found->second.awaits_reply) return;
   found->second.awaits_reply = false;
-  CallSeen& call = journal_.calls.at(found->second.call);
+  RecordedCall& call = journal_.calls.at(found->second.call);
   call.replied = true;
   call.reply = reply;
 }
@@ -184,14 +184,14 @@
   if (runs_.contains(request)) return;  // it runs already
   std::string result = fmt::format("{} made {} ", key_of(body), ++results_);
   if (result.size() < options.result_bytes) result.resize(options.result_bytes, 'r');
-  journal_.runs.push_back({request, key_of(body), type, life_, now(), 0, std::move(result), false});
+  journal_.runs.push_back({request, key_of(body), type, incarnation_, now(), 0, std::move(result), false});
   const auto special = options.work_by_type.find(type);
   const double work = special == options.work_by_type.end() ? options.work : special->second;
   Run run;
   run.record = journal_.runs.size() - 1;
   run.work = run.left = work;
   runs_[request] = run;
-  journal_.most_running = std::max(journal_.most_running, static_cast<int>(runs_.size()));
+  journal_.max_concurrency = std::max(journal_.max_concurrency, static_cast<int>(runs_.size()));
 }
 
 void Runtime::end(std::uint64_t request, const char* outcome, const std::string& result) {
@@ -202,8 +202,8 @@
 }
 
 void Runtime::send_notice(const std::string& text) {
-  kept_notices_.emplace_back(notices_, text);
-  if (kept_notices_.size() > kKeptNotices) kept_notices_.pop_front();
+  stored_notices_.emplace_back(notices_, text);
+  if (stored_notices_.size() > kMaxStoredNotices) stored_notices_.pop_front();
   if (link_ >= 0) loop_.send(link_, text);
 }
 
@@ -212,16 +212,16 @@
   run.awaits_reply = true;
   run.notice = ++notices_;
   run.call = journal_.calls.size();
-  CallSeen call;
+  RecordedCall call;
   call.request = request;
   call.number = ++run.calls;
   journal_.calls.push_back(call);
-  const std::string body = call_name(call);
+  const std::string body = call_body(call);
   send_notice(fmt::format("wants {} {:016x} {}\r\n{}\r\n", notices_, request, body.size(), body));
 }
 
 void Runtime::complete(std::uint64_t request) {
-  RunSeen& seen = journal_.runs[runs_.at(request).record];
+  RecordedRun& seen = journal_.runs[runs_.at(request).record];
   const bool fails = static_cast<double>(request / 1000 % 1000) / 1000 < options.failing_share;
   seen.completed = !fails;
   seen.ended = now();
@@ -233,11 +233,11 @@
 }
 
 void Runtime::end_runs_of_last_link() {
-  std::vector<std::uint64_t> over;
+  std::vector<std::uint64_t> completed;
   for (const auto& [request, run] : runs_) {
-    if (run.ends_at_next_link) over.push_back(request);
+    if (run.ends_at_next_link) completed.push_back(request);
   }
-  for (const std::uint64_t request : over) complete(request);
+  for (const std::uint64_t request : completed) complete(request);
 }
 
 int Runtime::count_on_cores() const {
@@ -245,29 +245,29 @@
       std::count_if(runs_.begin(), runs_.end(), [](const auto& one) { return !one.second.awaits_reply; }));
 }
 
-void Runtime::work() {
-  const double dt = now() - worked_at_;
+void Runtime::advance_runs() {
+  const double elapsed_seconds = now() - worked_at_;
   worked_at_ = now();
   const int on_cores = count_on_cores();
   const double share = on_cores > options.cores ? static_cast<double>(options.cores) / on_cores : 1;
   busy_ += (std::min(1.0, static_cast<double>(on_cores) / options.cores) - busy_) *
-           std::min(1.0, dt / kBusyMeanSeconds);
-  std::vector<std::uint64_t> over, calling;
+           std::min(1.0, elapsed_seconds / kBusyAverageSeconds);
+  std::vector<std::uint64_t> completed, calling;
   for (auto& [request, run] : runs_) {
     if (run.awaits_reply) continue;
-    run.left -= dt * share * speed();
+    run.left -= elapsed_seconds * share * speed();
     // A request fares the same each time that it runs.
     const double drawn = static_cast<double>(request % 1000) / 1000;
     const bool makes_call = drawn < options.calls && run.calls < options.calls_in_a_row;
     if (makes_call && run.left < run.work / 2) {
       calling.push_back(request);
     } else if (run.left <= 0) {
-      over.push_back(request);
+      completed.push_back(request);
     }
   }
   for (const std::uint64_t request : calling) request_call(request);
-  for (const std::uint64_t request : over) complete(request);
-  loop_.after(kStepSeconds, [this] { work(); });
+  for (const std::uint64_t request : completed) complete(request);
+  loop_.after(kStepIntervalSeconds, [this] { advance_runs(); });
 }
 
 }  // namespace damsonspoke::standins
--- a/standins/runtime.h
+++ b/standins/runtime.h
@@ -40,18 +40,18 @@
   std::uint16_t port() const { return port_; }
   // Starts anew, as start_anew() does, beside a program that has started; `life` is the program's number in
   // the journal.
-  void new_life(int life);
+  void begin_incarnation(int incarnation);
   // Closes the link; what runs goes on, and a new link hears of it.
   void break_link();
   // The same after so many seconds, in which what comes is not read and is lost with the link.
-  void break_link_after(double deaf_seconds);
+  void break_link_after(double unread_seconds);
   // Runs that are there at the next break end as soon as the new link has brought the first gauges: just
   // before what is sent again can arrive.
   void end_runs_at_next_link() { ends_runs_at_next_link_ = true; }
   // The runtime's process starts anew: its runs are lost, notices count from 1, and it knows no request.
-  void start_anew();
+  void restart();
   // Listens on another port from now on; the old link ends after 1.5 s, if none has taken its place.
-  void move();
+  void move_to_new_port();
   // The key that the journal keeps of a body: what it begins with, up to the first blank.
   static std::string key_of(const std::string& body);
   // That it has now, as a share of full speed.
@@ -73,7 +73,7 @@
   };
   void accept();
   void read();
-  void carry_out(const RuntimeCommand& command);
+  void execute(const RuntimeCommand& command);
   // Says that it is ready, and sends what was missed after the last notice that was read.
   void synchronize(std::uint64_t last_notice);
   void send_gauges(const std::string& tag);
@@ -90,25 +90,25 @@
   void end(std::uint64_t request, const char* outcome, const std::string& result);
   void send_notice(const std::string& text);
   // One step of the work: what runs shares the cores evenly.
-  void work();
+  void advance_runs();
   // Runs of it that the cores are busy with, or wait for.
   int count_on_cores() const;
 
   Loop& loop_;
   Journal& journal_;
-  int listener_ = -1, link_ = -1, life_ = 0;
+  int listener_ = -1, link_ = -1, incarnation_ = 0;
   std::uint16_t port_ = 0;
   std::string in_;
   std::map<std::uint64_t, Run> runs_;
   std::set<std::uint64_t> known_requests_;  // that came to this process
   std::uint64_t link_serial_ = 0;           // a descriptor may come again
   bool ends_runs_at_next_link_ = false;
-  std::uint64_t notices_ = 0;                                       // the number of the last one
-  std::deque<std::pair<std::uint64_t, std::string>> kept_notices_;  // with their numbers
-  double worked_at_ = 0;                                            // s, monotonic
-  double began_ = 0;                                                // s, monotonic
-  double busy_ = 0;                                                 // share of the cores, a mean
-  std::uint64_t results_ = 0;                                       // so far: no two are alike
+  std::uint64_t notices_ = 0;                                         // the number of the last one
+  std::deque<std::pair<std::uint64_t, std::string>> stored_notices_;  // with their numbers
+  double worked_at_ = 0;                                              // s, monotonic
+  double began_ = 0;                                                  // s, monotonic
+  double busy_ = 0;                                                   // share of the cores, a mean
+  std::uint64_t results_ = 0;                                         // so far: no two are alike
 };
 
 }  // namespace damsonspoke::standins
--- a/standins/runtime_commands.h
+++ b/standins/runtime_commands.h
@@ -12,7 +12,7 @@
 
 struct RuntimeCommand {
   CommandKind kind = CommandKind::kNone;  // kNone: a line that is no command
-  std::string word;                       // as it was written
+  std::string name;                       // as it was written
   std::uint64_t request = 0;              // of start, stop, cont, give, omit
   std::uint64_t notice = 0;  // of sync, the last one read; of omit, the one that asked for the call
   std::string type;          // of start
--- a/standins/service_over_kills.cpp
+++ b/standins/service_over_kills.cpp
@@ -8,50 +8,51 @@
 namespace damsonspoke::standins {
 namespace {
 
-struct Wanted {
-  bool served = false;
+struct TaskOutcome {
+  bool is_served = false;
   double last_answer_at = -1;
-  bool says_when_to_retry = false;  // the last answer
+  bool has_retry_time = false;  // the last answer
 };
 
-bool lost_by_kill(const Journal& journal, const Attempt& t) {
-  const Life& life = journal.lives.at(static_cast<std::size_t>(t.life));
-  return t.lost && life.killed && t.sent <= life.ended_at && t.lost_at >= life.killed_at;
+bool was_lost_by_kill(const Journal& journal, const Attempt& t) {
+  const Incarnation& incarnation = journal.incarnations.at(static_cast<std::size_t>(t.incarnation));
+  return t.is_lost && incarnation.was_killed && t.sent <= incarnation.ended_at &&
+         t.lost_at >= incarnation.killed_at;
 }
 
-void record(Wanted& wanted, const Answer& answer) {
-  wanted.served |= answer.kind == AnswerKind::kSucceeded;
-  if (answer.at < wanted.last_answer_at) return;
-  wanted.last_answer_at = answer.at;
-  wanted.says_when_to_retry = answer.kind == AnswerKind::kRejected && answer.retry_after > 0;
+void record(TaskOutcome& task, const Answer& answer) {
+  task.is_served |= answer.kind == AnswerKind::kSucceeded;
+  if (answer.at < task.last_answer_at) return;
+  task.last_answer_at = answer.at;
+  task.has_retry_time = answer.kind == AnswerKind::kRejected && answer.retry_after > 0;
 }
 
 }  // namespace
 
 ServiceOverKills judge_service_over_kills(const Journal& journal) {
-  ServiceOverKills out;
-  std::map<std::string, Wanted> things;
+  ServiceOverKills service;
+  std::map<std::string, TaskOutcome> tasks;
   for (const auto& [request, t] : journal.attempts) {
-    if (t.refused) continue;
-    Wanted& wanted = things[t.type + ' ' + t.key];
-    for (const Answer& answer : t.answers) record(wanted, answer);
-    if (lost_by_kill(journal, t)) {
-      ++out.tries_killed;
+    if (t.was_not_sent) continue;
+    TaskOutcome& task = tasks[t.type + ' ' + t.key];
+    for (const Answer& answer : t.answers) record(task, answer);
+    if (was_lost_by_kill(journal, t)) {
+      ++service.attempts_killed;
       continue;
     }
-    ++out.tries;
-    out.tries_succeeded += std::any_of(t.answers.begin(), t.answers.end(), [](const Answer& answer) {
+    ++service.attempts;
+    service.attempts_succeeded += std::any_of(t.answers.begin(), t.answers.end(), [](const Answer& answer) {
       return answer.kind == AnswerKind::kSucceeded;
     });
-    if (t.lost)
-      out.lost.push_back(fmt::format("{} {:016x} in life {}, {:.3f} s after its start", t.key, request,
-                                     t.life,
-                                     t.lost_at - journal.lives.at(static_cast<std::size_t>(t.life)).began));
+    if (t.is_lost)
+      service.lost.push_back(
+          fmt::format("{} {:016x} in life {}, {:.3f} s after its start", t.key, request, t.incarnation,
+                      t.lost_at - journal.incarnations.at(static_cast<std::size_t>(t.incarnation)).began));
   }
-  for (const auto& [name, wanted] : things) {
-    if (!wanted.served && !wanted.says_when_to_retry) out.unserved.push_back(name);
+  for (const auto& [name, task] : tasks) {
+    if (!task.is_served && !task.has_retry_time) service.unserved.push_back(name);
   }
-  return out;
+  return service;
 }
 
 }  // namespace damsonspoke::standins
--- a/standins/service_over_kills.h
+++ b/standins/service_over_kills.h
@@ -11,9 +11,9 @@
 
 struct ServiceOverKills {
   // Tries that were in flight when their server was killed: sent before its end was noticed, lost by it.
-  int tries_killed = 0;
-  int tries = 0;            // the others
-  int tries_succeeded = 0;  // of those
+  int attempts_killed = 0;
+  int attempts = 0;            // the others
+  int attempts_succeeded = 0;  // of those
   // Tries that were lost otherwise.
   std::vector<std::string> lost;
   // Wanted things of which no try succeeded, and whose last answer is no rejection that says when to retry.
--- a/standins/two_level.cpp
+++ b/standins/two_level.cpp
@@ -6,15 +6,16 @@
 
 TwoLevel::TwoLevel(const std::string& binary, SiteSpec site, Runtime::Options runtime, Callers::Options load,
                    int forwarder_count, int planner_count, const std::string& forwarding,
-                   const std::vector<std::vector<std::string>>& planners_under)
+                   const std::vector<std::vector<std::string>>& planner_command_prefixes)
     : callers(loop, journal, std::move(load)), site_(std::move(site)) {
   std::string addresses;
   for (int i = 0; i < planner_count; ++i) {
     SiteSpec spec = site_;
     spec.command = "plan";
     spec.name = fmt::format("p{}", i + 1);
-    if (!planners_under.empty())
-      spec.under = planners_under[static_cast<std::size_t>(i) % planners_under.size()];
+    if (!planner_command_prefixes.empty())
+      spec.command_prefix =
+          planner_command_prefixes[static_cast<std::size_t>(i) % planner_command_prefixes.size()];
     planners.push_back(std::make_unique<Server>(loop, journal, callers, binary, spec, runtime));
     addresses += ' ' + planners.back()->address();
   }
@@ -43,23 +44,26 @@
   return loop.run_until(linked, 20);  // a crowded machine may take its time over dozens of processes
 }
 
-bool TwoLevel::settle(double patience) {
-  callers.want_more(false);
-  return loop.run_until([this] { return callers.open() == 0 && callers.still_wanted() == 0; }, patience);
+bool TwoLevel::settle(double timeout_seconds) {
+  callers.set_load_enabled(false);
+  return loop.run_until(
+      [this] { return callers.attempts_in_flight() == 0 && callers.unfinished_tasks() == 0; },
+      timeout_seconds);
 }
 
-bool TwoLevel::leave() {
-  bool good = true;
+bool TwoLevel::shut_down() {
+  bool has_shut_down = true;
   for (auto* level : {&forwarders, &planners}) {
-    for (const auto& server : *level) server->notice();
-    for (const auto& server : *level) good &= server->ended();
+    for (const auto& server : *level) server->send_shutdown_notice();
+    for (const auto& server : *level) has_shut_down &= server->wait_for_end();
   }
-  return good;
+  return has_shut_down;
 }
 
 RuleLimits TwoLevel::limits() const {
   RuleLimits limits = Fleet::limits_of(site_);
-  limits.survivable *= static_cast<int>(planners.size());  // the journal counts all runtimes together
+  limits.survivable_concurrency *=
+      static_cast<int>(planners.size());  // the journal counts all runtimes together
   return limits;
 }
 
--- a/standins/two_level.h
+++ b/standins/two_level.h
@@ -15,12 +15,12 @@
   // `site` is a planner's; forwarders share its routes. `forwarding`: more lines of their section.
   TwoLevel(const std::string& binary, SiteSpec site, Runtime::Options runtime, Callers::Options load,
            int forwarders, int planners, const std::string& forwarding = "",
-           const std::vector<std::vector<std::string>>& planners_under = {});
+           const std::vector<std::vector<std::string>>& planner_command_prefixes = {});
 
   bool start();
   // No new things are wanted; goes on until all tries have ended.
-  bool settle(double patience);
-  bool leave();  // forwarders, then planners
+  bool settle(double timeout_seconds);
+  bool shut_down();  // forwarders, then planners
   RuleLimits limits() const;
 
   Loop loop;
--- a/tests/ajp_program.cpp
+++ b/tests/ajp_program.cpp
@@ -73,10 +73,12 @@
     return load;
   }
   bool settle(double timeout = 4) {
-    callers.want_more(false);
+    callers.set_load_enabled(false);
     gateway.want_more(false);
     return loop.run_until(
-        [this] { return callers.open() == 0 && callers.still_wanted() == 0 && gateway.open() == 0; },
+        [this] {
+          return callers.attempts_in_flight() == 0 && callers.unfinished_tasks() == 0 && gateway.open() == 0;
+        },
         timeout);
   }
   std::uint64_t count(const char* name) {
@@ -86,12 +88,12 @@
   void end() {
     say("all attempts end", settle());
     say("no invariant broken", count("invariants.broken") == 0);
-    say("shuts down gracefully", server.leave());
+    say("shuts down gracefully", server.shut_down());
     rules();
   }
   void rules() {
     RuleLimits limits;
-    limits.survivable = survivable_runs;
+    limits.survivable_concurrency = survivable_runs;
     const Verdict v = check_rules(journal, limits);
     for (const std::string& line : v.broken) fmt::print("{}\n", line);
     say("rules kept", v.kept());
@@ -237,12 +239,12 @@
   head.send(request_bytes.substr(0, 20));
   open.send(bare::forward(post("/ops/close", 3)) + bare::body("abc"));
   scenario.loop.run_for(0.03);
-  scenario.server.notice();
+  scenario.server.send_shutdown_notice();
   print_answer("the request in flight is answered, and its connection closes", open.answer());
   say("an idle connection is closed", idle.closed(0.5));
   print_answer("an incomplete body", body.answer(1.9));
   print_answer("incomplete headers", head.answer(1.9));
-  say("shuts down gracefully", scenario.server.ended());
+  say("shuts down gracefully", scenario.server.wait_for_end());
   scenario.rules();
 }
 
@@ -265,14 +267,14 @@
   one.send(bare::forward(post("/ops/close", 3, {{"x-key", "k"}})) + bare::body("abc"));
   loop.run_for(0.1);
   say("the request runs", journal.runs.size() == 1);
-  server.notice();
+  server.send_shutdown_notice();
   loop.run_for(1.5);
   sqlite3* other = nullptr;
   sqlite3_open(server.store_path().c_str(), &other);
   say("the store is locked", sqlite3_exec(other, "begin immediate", nullptr, nullptr, nullptr) == SQLITE_OK);
   const std::string answer = one.answer();
   say("answered", !answer.empty() && answer != "closed");
-  say("shuts down gracefully", server.ended());
+  say("shuts down gracefully", server.wait_for_end());
   sqlite3_close(other);
 }
 
@@ -285,12 +287,12 @@
   early.send(request_bytes);
   late.send(request_bytes);
   scenario.loop.run_for(0.1);
-  scenario.server.notice();
+  scenario.server.send_shutdown_notice();
   scenario.loop.run_for(0.1);
   print_answer("its body arrives within the grace", early.send(bare::body("abc")).answer());
   scenario.loop.run_for(0.4);
   print_answer("its body arrives after the grace", late.send(bare::body("abc")).answer());
-  say("shuts down gracefully", scenario.server.ended());
+  say("shuts down gracefully", scenario.server.wait_for_end());
   scenario.rules();
 }
 
@@ -374,12 +376,12 @@
   const bool settled = scenario.settle();
   int sent[2][2] = {}, succeeded[2][2] = {}, rejected = 0, failed = 0;
   for (const auto& [request, t] : scenario.journal.attempts) {
-    const int front = t.has_servers_number, close = t.type == "close";
+    const int front = t.is_numbered_by_server, close = t.type == "close";
     ++sent[front][close];
     for (const Answer& a : t.answers) {
       succeeded[front][close] += a.kind == AnswerKind::kSucceeded;
       rejected += a.kind == AnswerKind::kRejected;
-      failed += a.kind == AnswerKind::kBad;
+      failed += a.kind == AnswerKind::kInvalid;
     }
   }
   say("both listeners received many requests", sent[0][1] > 25 && sent[1][0] > 500);
@@ -390,7 +392,7 @@
       succeeded[0][0] < 0.6 * sent[0][0] && succeeded[1][0] < 0.6 * sent[1][0]);
   say("reads are served by both listeners", succeeded[0][0] > 10 && succeeded[1][0] > 80);
   say("all attempts end", settled);
-  say("shuts down gracefully", scenario.server.leave());
+  say("shuts down gracefully", scenario.server.shut_down());
   scenario.rules();
 }
 
@@ -404,7 +406,7 @@
   for (const auto& [request, t] : scenario.journal.attempts)
     succeeded += !t.answers.empty() && t.answers[0].kind == AnswerKind::kSucceeded;
   say("served", succeeded > 120);
-  say("shuts down gracefully", scenario.server.leave());
+  say("shuts down gracefully", scenario.server.shut_down());
   scenario.rules();
 }
 
--- a/tests/conns/connection_admission_program.cpp
+++ b/tests/conns/connection_admission_program.cpp
@@ -11,7 +11,7 @@
 #include <filesystem>
 #include <fstream>
 
-#include "crowd.h"
+#include "connection_flood.h"
 #include "fleet.h"
 #include "scenarios.h"
 #include "service_over_kills.h"
@@ -59,7 +59,7 @@
   void end(bool all_succeeded = true) {
     say("all attempts end", fleet.settle(5));
     say("no invariant violated", count("invariants.broken") == 0);
-    say("it shuts down gracefully", fleet.leave());
+    say("it shuts down gracefully", fleet.shut_down());
     const Verdict verdict = check_rules(fleet.journal, fleet.limits());
     for (const std::string& line : verdict.broken) std::printf("%s\n", line.c_str());
     std::printf("rules: %s\n", verdict.kept() ? "kept" : "VIOLATED");
@@ -82,23 +82,24 @@
 void flooded(FloodShape shape, unsigned addresses, unsigned each) {
   Scenario scenario(site("    known-after 10\n"));
   scenario.fleet.loop.run_for(1);
-  Newcomers client(scenario.fleet.loop, scenario.port, {kClient, 0.02, 0.25, 0});
+  ReconnectingClient client(scenario.fleet.loop, scenario.port, {kClient, 0.02, 0.25, 0});
   {
     Flood flood(scenario.port, {shape, addresses, each, 1500});
     scenario.fleet.loop.run_for(2.5);
     say("the flood opened its connections", flood.dialled() > 500);
   }
   client.stop();
-  scenario.fleet.loop.run_until([&] { return client.quiet(); }, 6);
-  say("the known client was always admitted", client.came() > 50 && client.in_time() >= client.came() - 1);
+  scenario.fleet.loop.run_until([&] { return client.is_idle(); }, 6);
+  say("the known client was always admitted",
+      client.connects() > 50 && client.answered_in_time() >= client.connects() - 1);
   say("connections of unknown clients were rejected", scenario.count("callers.rejected") > 100);
   scenario.fleet.loop.run_for(0.5);
-  Newcomers unknown_client(scenario.fleet.loop, scenario.port, {"127.9.9.9", 0.1, 0.5, 0});
+  ReconnectingClient unknown_client(scenario.fleet.loop, scenario.port, {"127.9.9.9", 0.1, 0.5, 0});
   scenario.fleet.loop.run_for(1);
   unknown_client.stop();
-  scenario.fleet.loop.run_until([&] { return unknown_client.quiet(); }, 6);
+  scenario.fleet.loop.run_until([&] { return unknown_client.is_idle(); }, 6);
   say("an unknown client is admitted after the flood",
-      unknown_client.came() > 3 && unknown_client.in_time() == unknown_client.came());
+      unknown_client.connects() > 3 && unknown_client.answered_in_time() == unknown_client.connects());
   scenario.end();
 }
 void silent() { flooded(FloodShape::kSilent, 1000, 50); }
@@ -113,7 +114,7 @@
   scenario.fleet.loop.run_for(1);
   const rlimit limit{70, 70};
   ::prlimit(scenario.fleet.process->pid(), RLIMIT_NOFILE, &limit, nullptr);
-  Newcomers client(scenario.fleet.loop, scenario.port, {kClient, 0.05, 0.25, 0});
+  ReconnectingClient client(scenario.fleet.loop, scenario.port, {kClient, 0.05, 0.25, 0});
   Flood flood(scenario.port, {FloodShape::kSilent, 200, 5, 800});
   scenario.fleet.loop.run_for(1.5);
   say("the last descriptor was used", scenario.count("admission.last_descriptor") > 0);
@@ -126,9 +127,9 @@
   say("a new configuration is read without a free descriptor",
       !scenario.fleet.process->expect_log("new configuration: runtime", 2).empty());
   client.stop();
-  scenario.fleet.loop.run_until([&] { return client.quiet(); }, 6);
+  scenario.fleet.loop.run_until([&] { return client.is_idle(); }, 6);
   say("the known client was admitted nevertheless",
-      client.came() > 30 && client.in_time() >= client.came() * 9 / 10);
+      client.connects() > 30 && client.answered_in_time() >= client.connects() * 9 / 10);
   std::printf("graceful shutdown during the flood\n");
   scenario.end(false);
 }
@@ -154,7 +155,7 @@
   say("every request is served, or rejected with a retry time", service.unserved.empty());
   say("attempts are lost only in flight at a kill", service.lost.empty());
   say("nearly all other attempts are served",
-      service.tries > 20 && service.tries_succeeded > 0.97 * service.tries);
+      service.attempts > 20 && service.attempts_succeeded > 0.97 * service.attempts);
 }
 
 // Known clients are still known after a kill; after a damaged record no client is known.
@@ -236,9 +237,9 @@
   Scenario scenario(
       site("    known-after 10\n    client-share 100%\n    network-share 100%\n    known-share 100%\n"));
   scenario.fleet.loop.run_for(0.5);
-  Flood flood(scenario.port, {FloodShape::kAsking, 40, 2, 400});
+  Flood flood(scenario.port, {FloodShape::kHealthRequests, 40, 2, 400});
   scenario.fleet.loop.run_for(1);
-  const std::uint64_t open_before = flood.held();
+  const std::uint64_t open_before = flood.open_connections();
   say("many connections are open", open_before > 50);
   std::ofstream(scenario.fleet.operators_path()) << "gate\n    enabled on\n    connections many\n";
   scenario.fleet.process->signal(SIGHUP);
@@ -248,7 +249,7 @@
   scenario.fleet.process->signal(SIGHUP);
   scenario.fleet.process->expect_log("new configuration", 2);
   scenario.fleet.loop.run_for(2);
-  say("fewer than a third of them are left open", flood.held() < open_before / 3);
+  say("fewer than a third of them are left open", flood.open_connections() < open_before / 3);
   scenario.end();
 }
 
--- a/tests/endings.cpp
+++ b/tests/endings.cpp
@@ -519,9 +519,9 @@
     say("it starts", server.start());
     say("signals are held back until it can act on them", held);
     say("the one that came is carried out", !server.process->expect_log("new configuration", 3).empty());
-    server.notice();
+    server.send_shutdown_notice();
     const double until = now() + 5;
-    while (!server.process->over() && now() < until) {
+    while (!server.process->has_ended() && now() < until) {
       for (const int signal : {SIGHUP, SIGUSR1, SIGTERM}) server.process->signal(signal);
       loop.run_for(0.0002);
     }
--- a/tests/rehearsals.cpp
+++ b/tests/rehearsals.cpp
@@ -7,7 +7,7 @@
 
 #include <cmath>
 
-#include "between.h"
+#include "faulty_network.h"
 #include "rehearsal_search.h"
 #include "scenarios.h"
 
@@ -19,11 +19,11 @@
 struct Hosts {
   Hosts() {
     for (const char* name : {"a", "b"}) {
-      const Between::Host& host = between.add_host(name);
+      const FaultyNetwork::Host& host = between.add_host(name);
       sockaddr_in at{};
       at.sin_family = AF_INET;
       at.sin_port = htons(host.port);
-      ::inet_pton(AF_INET, host.home.c_str(), &at.sin_addr);
+      ::inet_pton(AF_INET, host.bind_address.c_str(), &at.sin_addr);
       int& fd = name[0] == 'a' ? a : b;
       fd = ::socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
       if (::bind(fd, reinterpret_cast<const sockaddr*>(&at), sizeof at) != 0) std::puts("no address");
@@ -31,11 +31,11 @@
   }
   ~Hosts() { ::close(a), ::close(b); }
   void send(int from, const char* to, const std::string& text) {
-    const Between::Host& host = between.add_host(to);
+    const FaultyNetwork::Host& host = between.add_host(to);
     sockaddr_in at{};
     at.sin_family = AF_INET;
     at.sin_port = htons(host.port);
-    ::inet_pton(AF_INET, host.face.c_str(), &at.sin_addr);
+    ::inet_pton(AF_INET, host.advertised_address.c_str(), &at.sin_addr);
     ::sendto(from, text.data(), text.size(), 0, reinterpret_cast<const sockaddr*>(&at), sizeof at);
   }
   // All that comes within so long; a datagram's source has to be the face of its sender.
@@ -49,13 +49,14 @@
                                         reinterpret_cast<sockaddr*>(&source), &size)) >= 0;) {
       char text[INET_ADDRSTRLEN] = "";
       ::inet_ntop(AF_INET, &source.sin_addr, text, sizeof text);
-      out.push_back(between.add_host(from).face == text ? std::string(bytes, static_cast<std::size_t>(got))
-                                                        : "stranger");
+      out.push_back(between.add_host(from).advertised_address == text
+                        ? std::string(bytes, static_cast<std::size_t>(got))
+                        : "stranger");
     }
     return out;
   }
   Loop loop;
-  Between between{loop, 1};
+  FaultyNetwork between{loop, 1};
   int a = -1, b = -1;
 };
 
@@ -64,19 +65,19 @@
   hosts.send(hosts.a, "b", "one");
   say("a datagram comes, from its sender's face",
       hosts.heard(hosts.b, 0.05, "a") == std::vector<std::string>{"one"});
-  Weather cut;
+  LinkConditions cut;
   cut.cut = true;
   hosts.between.set("a", "b", cut);
   hosts.send(hosts.a, "b", "two"), hosts.send(hosts.b, "a", "three");
   say("a cut swallows what goes one way", hosts.heard(hosts.b, 0.05, "a").empty());
   say("and lets the other way be", hosts.heard(hosts.a, 0.01, "b") == std::vector<std::string>{"three"});
-  Weather late;
-  late.delay = 0.1, late.doubled = 1;
+  LinkConditions late;
+  late.delay = 0.1, late.duplicated = 1;
   hosts.between.set("a", "b", late);
   hosts.send(hosts.a, "b", "four");
   say("a late one is not there at once", hosts.heard(hosts.b, 0.03, "a").empty());
   say("and comes, doubled", hosts.heard(hosts.b, 0.15, "a").size() == 2);
-  Weather lossy;
+  LinkConditions lossy;
   lossy.loss = 0.3;
   hosts.between.set("a", "b", lossy);
   std::size_t came = 0;
@@ -89,7 +90,7 @@
 
 void streams() {
   Loop loop;
-  Between between(loop, 1);
+  FaultyNetwork between(loop, 1);
   std::uint16_t port = 0;
   const int listener = listening_socket(port);
   const std::uint16_t way = between.path("a", "b", port);
@@ -111,7 +112,7 @@
   meet(near, far);
   ::send(near, "hello", 5, 0);
   say("bytes go through", read(far, 0.05) == "hello");
-  Weather cut;
+  LinkConditions cut;
   cut.cut = true;
   between.set("a", "b", cut);
   ::send(near, "held", 4, 0), ::send(far, "back", 4, 0);
@@ -125,7 +126,7 @@
   between.reset("a", "b");
   say("a reset is one", read(near, 0.05) == "reset" || read(near, 0.05) == "end");
   ::close(near), ::close(far);
-  Weather refused;
+  LinkConditions refused;
   refused.refused = true;
   between.set("a", "b", refused);
   near = connected_socket(way);
--- a/tests/results/results_fleet.cpp
+++ b/tests/results/results_fleet.cpp
@@ -63,7 +63,7 @@
 // Waits for all attempts to end, then shuts the server down gracefully.
 void end(Fleet& fleet, double timeout_seconds) {
   std::printf("settles: %s\n", yes_or_no(fleet.settle(timeout_seconds)));
-  std::printf("shuts down: %s\n", yes_or_no(fleet.leave()));
+  std::printf("shuts down: %s\n", yes_or_no(fleet.shut_down()));
 }
 
 // Three attempts at each request: each request runs once, and all its attempts are answered.
@@ -73,7 +73,7 @@
   fleet.loop.run_for(2);
   end(fleet, 5);
   std::set<std::string> unique;
-  for (const RunSeen& run : fleet.journal.runs) unique.insert(run.key);
+  for (const RecordedRun& run : fleet.journal.runs) unique.insert(run.key);
   const auto attempts = static_cast<int>(fleet.journal.attempts.size());
   std::printf("runs per request: %.2f; nearly all attempts succeeded: %s; enough attempts: %s\n",
               static_cast<double>(fleet.journal.runs.size()) / static_cast<double>(unique.size()),
@@ -88,7 +88,7 @@
   Fleet fleet(binary, site_of("    store STORE\n    safety power\n"), work_of(0.02), load_of(200, 3));
   std::printf("starts: %s\n", yes_or_no(fleet.start()));
   fleet.loop.run_for(1.5);
-  std::printf("shuts down gracefully: %s\n", yes_or_no(fleet.leave()));
+  std::printf("shuts down gracefully: %s\n", yes_or_no(fleet.shut_down()));
   const int succeeded = count_answers(fleet.journal, AnswerKind::kSucceeded),
             rejected = count_answers(fleet.journal, AnswerKind::kRejected);
   std::printf("some succeeded: %s, some were rejected: %s\n", yes_or_no(succeeded > 100),
--- a/tests/results/results_kills.cpp
+++ b/tests/results/results_kills.cpp
@@ -81,13 +81,13 @@
   if (!run_and_kill(fleet, kills, seed)) return 1;
   fleet.loop.run_for(0.3);
   const bool has_settled = fleet.settle(15);
-  const bool has_shut_down = fleet.leave();
+  const bool has_shut_down = fleet.shut_down();
   const Verdict verdict = check_rules(fleet.journal, fleet.limits());
   for (const std::string& line : verdict.broken) std::printf("%s\n", line.c_str());
   std::map<AnswerKind, int> answers = count_answers(fleet.journal);
   std::fprintf(stderr,
                "incarnations %zu, attempts %zu, runs %zu, succeeded %d, unknown %d, failed %d, rejected %d\n",
-               fleet.journal.lives.size(), fleet.journal.attempts.size(), fleet.journal.runs.size(),
+               fleet.journal.incarnations.size(), fleet.journal.attempts.size(), fleet.journal.runs.size(),
                answers[AnswerKind::kSucceeded], answers[AnswerKind::kUnknownOutcome],
                answers[AnswerKind::kFailed], answers[AnswerKind::kRejected]);
   std::printf("double runs %d, wrong results %d, without an answer %d, late %d, answered twice %d\n",
