--- a/tests/standins/runtime_test.cpp
+++ b/tests/standins/runtime_test.cpp
@@ -8,14 +8,14 @@
 namespace damsonspoke::standins {
 namespace {
 
-constexpr double kPatienceSeconds = 5;
+constexpr double kTimeoutSeconds = 5;
 constexpr double kQuietSeconds = 0.05;
 constexpr char kStart[] = "start 00000000000000ab read 3\r\nkey\r\n";
 
 class RuntimeTest : public testing::Test {
  protected:
   RuntimeTest() : runtime_(loop_, journal_, options()) {
-    runtime_.new_life(0);
+    runtime_.begin_incarnation(0);
     connect();
   }
   void TearDown() override { disconnect(); }
@@ -40,17 +40,17 @@
   void read() {
     char bytes[4096];
     const ssize_t got = ::recv(link_, bytes, sizeof bytes, MSG_DONTWAIT);
-    if (got > 0) return static_cast<void>(heard_.append(bytes, static_cast<std::size_t>(got)));
+    if (got > 0) return static_cast<void>(received_.append(bytes, static_cast<std::size_t>(got)));
     if (got == 0 || (errno != EAGAIN && errno != EWOULDBLOCK)) disconnect();
   }
-  void say(const std::string& text) { loop_.send(link_, text); }
-  bool hears(const std::string& text) {
-    return loop_.run_until([&] { return heard_.find(text) != std::string::npos; }, kPatienceSeconds);
+  void send(const std::string& text) { loop_.send(link_, text); }
+  bool receives(const std::string& text) {
+    return loop_.run_until([&] { return received_.find(text) != std::string::npos; }, kTimeoutSeconds);
   }
-  std::vector<std::string> broken() {
+  std::vector<std::string> violations() {
     RuleLimits limits;
     limits.replies_name_calls = true;
-    journal_.lives.resize(1);
+    journal_.incarnations.resize(1);
     return check_rules(journal_, limits).broken;
   }
 
@@ -58,95 +58,95 @@
   Journal journal_;
   Runtime runtime_;
   int link_ = -1;
-  std::string heard_;
+  std::string received_;
 };
 
 // Guards against an omit that comes late and takes a later call's reply away.
 TEST_F(RuntimeTest, OmitActsOnlyOnTheCallThatItsNoticeAskedFor) {
-  say("sync 0\r\n" + std::string(kStart));
-  ASSERT_TRUE(hears("wants 1 00000000000000ab 26\r\ncall 1 of 00000000000000ab"));
-  say("omit 00000000000000ab 2\r\n");
+  send("sync 0\r\n" + std::string(kStart));
+  ASSERT_TRUE(receives("wants 1 00000000000000ab 26\r\ncall 1 of 00000000000000ab"));
+  send("omit 00000000000000ab 2\r\n");
   loop_.run_for(kQuietSeconds);
   EXPECT_EQ(journal_.calls.size(), 1U);
-  say("omit 00000000000000ab 1\r\n");
-  ASSERT_TRUE(hears("wants 2 00000000000000ab 26\r\ncall 2 of 00000000000000ab"));
-  say("omit 00000000000000ab 1\r\n");
+  send("omit 00000000000000ab 1\r\n");
+  ASSERT_TRUE(receives("wants 2 00000000000000ab 26\r\ncall 2 of 00000000000000ab"));
+  send("omit 00000000000000ab 1\r\n");
   loop_.run_for(kQuietSeconds);
-  EXPECT_EQ(heard_.find("end "), std::string::npos);
-  say("omit 00000000000000ab 2\r\n");
-  EXPECT_TRUE(hears("end 3 00000000000000ab complete"));
-  EXPECT_TRUE(broken().empty());
+  EXPECT_EQ(received_.find("end "), std::string::npos);
+  send("omit 00000000000000ab 2\r\n");
+  EXPECT_TRUE(receives("end 3 00000000000000ab complete"));
+  EXPECT_TRUE(violations().empty());
 }
 
 // Guards against a checker that takes a reply which is sent again for the next call's.
 TEST_F(RuntimeTest, ReplyThatAnswersAnotherCallBreaksRuleOne) {
   const std::string reply = "give 00000000000000ab 35\r\nreply to call 1 of 00000000000000ab\r\n";
-  say("sync 0\r\n" + std::string(kStart));
-  ASSERT_TRUE(hears("wants 1 "));
-  say(reply);
-  ASSERT_TRUE(hears("wants 2 "));
-  EXPECT_TRUE(broken().empty());
-  say(reply);
-  ASSERT_TRUE(hears("end 3 00000000000000ab complete"));
-  ASSERT_EQ(broken().size(), 1U);
-  EXPECT_EQ(broken()[0], "rule 1: 00000000000000ab: the reply to call 1 answered call 2");
+  send("sync 0\r\n" + std::string(kStart));
+  ASSERT_TRUE(receives("wants 1 "));
+  send(reply);
+  ASSERT_TRUE(receives("wants 2 "));
+  EXPECT_TRUE(violations().empty());
+  send(reply);
+  ASSERT_TRUE(receives("end 3 00000000000000ab complete"));
+  ASSERT_EQ(violations().size(), 1U);
+  EXPECT_EQ(violations()[0], "rule 1: 00000000000000ab: the reply to call 1 answered call 2");
 }
 
 // Guards against a checker that passes a reply which is no longer what the layer below said.
 TEST_F(RuntimeTest, ChangedReplyBreaksRuleOne) {
-  say("sync 0\r\n" + std::string(kStart));
-  ASSERT_TRUE(hears("wants 1 "));
-  say("give 00000000000000ab 5\r\nreply\r\n");
-  ASSERT_TRUE(hears("wants 2 "));
-  ASSERT_EQ(broken().size(), 1U);
-  EXPECT_EQ(broken()[0], "rule 1: 00000000000000ab: the reply to call 1 was changed");
+  send("sync 0\r\n" + std::string(kStart));
+  ASSERT_TRUE(receives("wants 1 "));
+  send("give 00000000000000ab 5\r\nreply\r\n");
+  ASSERT_TRUE(receives("wants 2 "));
+  ASSERT_EQ(violations().size(), 1U);
+  EXPECT_EQ(violations()[0], "rule 1: 00000000000000ab: the reply to call 1 was changed");
 }
 
 // Guards against a runtime that passes over commands for requests which never came.
 TEST_F(RuntimeTest, RejectsCommandsOfRequestsThatNeverCame) {
-  say("sync 0\r\nstop 00000000000000cd\r\ngive 00000000000000cd 2\r\nno\r\nomit 00000000000000cd 1\r\n");
+  send("sync 0\r\nstop 00000000000000cd\r\ngive 00000000000000cd 2\r\nno\r\nomit 00000000000000cd 1\r\n");
   EXPECT_TRUE(
-      hears("nack stop 00000000000000cd\r\nnack give 00000000000000cd\r\nnack omit 00000000000000cd\r\n"));
+      receives("nack stop 00000000000000cd\r\nnack give 00000000000000cd\r\nnack omit 00000000000000cd\r\n"));
 }
 
 // Guards against notices and requests of a former process that pass for this one's.
 TEST_F(RuntimeTest, StartsAnewWithoutRunsAndNoticesFromOne) {
-  say("sync 0\r\n" + std::string(kStart));
-  ASSERT_TRUE(hears("wants 1 "));
-  runtime_.start_anew();
+  send("sync 0\r\n" + std::string(kStart));
+  ASSERT_TRUE(receives("wants 1 "));
+  runtime_.restart();
   EXPECT_EQ(runtime_.running(), 0);
   loop_.run_for(kQuietSeconds);
   EXPECT_LT(link_, 0);
-  heard_.clear();
+  received_.clear();
   connect();
-  say("sync 1\r\nomit 00000000000000ab 1\r\n");
-  ASSERT_TRUE(hears("nack omit 00000000000000ab"));
-  say(kStart);
-  EXPECT_TRUE(hears("wants 1 00000000000000ab"));
+  send("sync 1\r\nomit 00000000000000ab 1\r\n");
+  ASSERT_TRUE(receives("nack omit 00000000000000ab"));
+  send(kStart);
+  EXPECT_TRUE(receives("wants 1 00000000000000ab"));
 }
 
 // Guards against a link that goes on at the old address once the runtime has moved.
 TEST_F(RuntimeTest, MovesToAnotherPortAndKeepsItsRuns) {
-  say("sync 0\r\n" + std::string(kStart));
-  ASSERT_TRUE(hears("wants 1 "));
+  send("sync 0\r\n" + std::string(kStart));
+  ASSERT_TRUE(receives("wants 1 "));
   const std::uint16_t before = runtime_.port();
-  runtime_.move();
+  runtime_.move_to_new_port();
   EXPECT_NE(runtime_.port(), before);
   EXPECT_LT(connected_socket(before), 0);
   disconnect();
-  heard_.clear();
+  received_.clear();
   connect();
-  say("sync 0\r\n");
-  EXPECT_TRUE(hears("wants 1 00000000000000ab"));
+  send("sync 0\r\n");
+  EXPECT_TRUE(receives("wants 1 00000000000000ab"));
   EXPECT_EQ(runtime_.running(), 1);
 }
 
 // Guards against a cut after which what was written before it is read all the same.
 TEST_F(RuntimeTest, CommandsOfTheDeafTimeAreLostWithTheLink) {
-  say("sync 0\r\n");
-  ASSERT_TRUE(hears("ready "));
+  send("sync 0\r\n");
+  ASSERT_TRUE(receives("ready "));
   runtime_.break_link_after(kQuietSeconds);
-  say(kStart);
+  send(kStart);
   loop_.run_for(2 * kQuietSeconds);
   EXPECT_LT(link_, 0);
   EXPECT_TRUE(journal_.runs.empty());
@@ -156,16 +156,16 @@
 TEST_F(RuntimeTest, RunsEndRightAfterTheGaugesOfTheNextLink) {
   runtime_.options.calls = 0;
   runtime_.options.work = 30;
-  say("sync 0\r\n" + std::string(kStart));
-  ASSERT_TRUE(loop_.run_until([this] { return runtime_.running() == 1; }, kPatienceSeconds));
+  send("sync 0\r\n" + std::string(kStart));
+  ASSERT_TRUE(loop_.run_until([this] { return runtime_.running() == 1; }, kTimeoutSeconds));
   runtime_.end_runs_at_next_link();
   runtime_.break_link();
   loop_.run_for(kQuietSeconds);
   EXPECT_EQ(runtime_.running(), 1);
   connect();
-  say("sync 0\r\ngauges 1\r\n" + std::string(kStart));
-  ASSERT_TRUE(loop_.run_until([this] { return journal_.runs.size() == 2; }, kPatienceSeconds));
-  EXPECT_TRUE(hears("end 1 00000000000000ab complete"));
+  send("sync 0\r\ngauges 1\r\n" + std::string(kStart));
+  ASSERT_TRUE(loop_.run_until([this] { return journal_.runs.size() == 2; }, kTimeoutSeconds));
+  EXPECT_TRUE(receives("end 1 00000000000000ab complete"));
 }
 
 }  // namespace
--- a/tests/statistics/restarts.cpp
+++ b/tests/statistics/restarts.cpp
@@ -36,10 +36,10 @@
 
 // Returns the seconds until a request of this incarnation succeeded; negative: none succeeded in time.
 double seconds_until_success(Fleet& fleet, double started_at) {
-  const int life = fleet.server.life_number();
+  const int incarnation = fleet.server.incarnation_number();
   double succeeded_at = -1;
   fleet.callers.on_answer = [&](const Attempt& one) {
-    if (succeeded_at < 0 && one.life == life && !one.answers.empty() &&
+    if (succeeded_at < 0 && one.incarnation == incarnation && !one.answers.empty() &&
         one.answers.back().kind == AnswerKind::kSucceeded)
       succeeded_at = one.answers.back().at;
   };
@@ -51,7 +51,7 @@
 SiteSpec restarted_site() {
   SiteSpec site;
   site.types = {{"push", "dedup", 1, 2, 600, 1}, {"pull", "retryable", 1, 2, 0, 1}};
-  site.port = lasting_port();
+  site.port = non_ephemeral_port();
   site.registry_is_down = true;
   site.operators =
       "results\n    enabled on\n    memory 32M\n    entries 100000\n    store STORE\n"
@@ -126,12 +126,12 @@
   const std::optional<RestartReport> report = restart_repeatedly(fleet, restarts, argc > 3);
   if (!report) return 1;
   const bool has_settled = fleet.settle(15);
-  const bool has_shut_down = fleet.leave();
+  const bool has_shut_down = fleet.shut_down();
   // This test checks starts. On a busy machine the simulated peers themselves receive answers late, so the
   // slack for late answers is larger here; other tests, without repeated kills, check that answers arrive in
   // time.
   RuleLimits limits = fleet.limits();
-  limits.slack = 2;
+  limits.deadline_slack_seconds = 2;
   const Verdict verdict = check_rules(fleet.journal, limits);
   for (const std::string& line : verdict.broken) std::printf("%s\n", line.c_str());
   std::fprintf(stderr, "restarts %d, ready within %.0f s %d, slowest %.2f s\n", restarts, kMaxReadySeconds,
--- a/tests/tier/forwarder_program.cpp
+++ b/tests/tier/forwarder_program.cpp
@@ -85,11 +85,12 @@
     return counters.contains(name) ? counters.at(name) : 0;
   }
   void end() {
-    callers.want_more(false);
+    callers.set_load_enabled(false);
     say("all attempts end",
-        loop.run_until([this] { return callers.open() == 0 && callers.still_wanted() == 0; }, 4));
+        loop.run_until(
+            [this] { return callers.attempts_in_flight() == 0 && callers.unfinished_tasks() == 0; }, 4));
     say("no invariant broken", count("invariants.broken") == 0);
-    say("the forwarder shuts down gracefully", forwarder->leave());
+    say("the forwarder shuts down gracefully", forwarder->shut_down());
     RuleLimits limits;
     print_rules_verdict(journal, limits);
   }
@@ -100,24 +101,23 @@
   std::unique_ptr<Server> forwarder;
 };
 
-Planner::Options planner_options(PlannerManner manner) { return {manner, 0.005, 64}; }
+Planner::Options planner_options(PlannerMode mode) { return {mode, 0.005, 64}; }
 
 void silent_planner() {
-  ScriptedFixture fixture(planner_options(PlannerManner::kMute), planner_options(PlannerManner::kSound));
+  ScriptedFixture fixture(planner_options(PlannerMode::kSilent), planner_options(PlannerMode::kCorrect));
   fixture.loop.run_for(1.5);
   const double measured_from = now();
   fixture.loop.run_for(1.5);
-  say("the silent planner gets fences", fixture.planners[0]->fences() > 0);
+  say("the silent planner gets fences", fixture.planners[0]->fences_received() > 0);
   say("few requests are sent to it: the other planner is the better of two",
-      fixture.planners[0]->taken() < 12);
+      fixture.planners[0]->attempts_received() < 12);
   const Tally t = tally(fixture.journal, measured_from);
   fixture.end();
   say("nine tenths of the later requests are served", t.succeeded > 0.9 * (t.attempts - 8));
 }
 
 void rejecting_planner() {
-  ScriptedFixture fixture(planner_options(PlannerManner::kRejections),
-                          planner_options(PlannerManner::kSound));
+  ScriptedFixture fixture(planner_options(PlannerMode::kRejectsAll), planner_options(PlannerMode::kCorrect));
   fixture.loop.run_for(2);
   say("retries were made", fixture.count("tier.retries") > 0);
   say("they stay within the retry budget",
@@ -129,22 +129,23 @@
 }
 
 void stalled_frame() {
-  ScriptedFixture fixture(planner_options(PlannerManner::kHalf), planner_options(PlannerManner::kSound));
+  ScriptedFixture fixture(planner_options(PlannerMode::kPartialAnswer),
+                          planner_options(PlannerMode::kCorrect));
   fixture.loop.run_for(3.5);
   say("the link that stalls within a frame is reconnected", fixture.count("tier.silent") > 0);
   fixture.end();
 }
 
 void false_fence_answers() {
-  ScriptedFixture fixture(planner_options(PlannerManner::kLies), planner_options(PlannerManner::kSound));
+  ScriptedFixture fixture(planner_options(PlannerMode::kFalseProofs), planner_options(PlannerMode::kCorrect));
   fixture.loop.run_for(2);
   say("answers after a fence are dropped", fixture.count("tier.answers_dropped") > 0);
   fixture.end();
 }
 
 void forged_answers() {
-  ScriptedFixture fixture(planner_options(PlannerManner::kStranger),
-                          planner_options(PlannerManner::kStranger));
+  ScriptedFixture fixture(planner_options(PlannerMode::kForgedAnswers),
+                          planner_options(PlannerMode::kForgedAnswers));
   fixture.loop.run_for(1);
   say("answers to attempts that were never sent are dropped", fixture.count("tier.answers_dropped") > 0);
   fixture.end();
@@ -153,9 +154,9 @@
 }
 
 void slow_planner() {
-  Planner::Options slow_options = planner_options(PlannerManner::kSound);
-  slow_options.takes = 0.3;
-  ScriptedFixture fixture(slow_options, planner_options(PlannerManner::kSound));
+  Planner::Options slow_options = planner_options(PlannerMode::kCorrect);
+  slow_options.run_seconds = 0.3;
+  ScriptedFixture fixture(slow_options, planner_options(PlannerMode::kCorrect));
   fixture.loop.run_for(3);
   say("the planner is ejected", fixture.count("tier.ejections") > 0);
   fixture.end();
@@ -164,7 +165,7 @@
 }
 
 void all_planners_closed() {
-  ScriptedFixture fixture(planner_options(PlannerManner::kSound), planner_options(PlannerManner::kSound));
+  ScriptedFixture fixture(planner_options(PlannerMode::kCorrect), planner_options(PlannerMode::kCorrect));
   fixture.loop.run_for(0.5);
   const std::uint16_t ports[2] = {fixture.planners[0]->port(), fixture.planners[1]->port()};
   for (auto& planner : fixture.planners) planner.reset();
@@ -177,7 +178,7 @@
       t.attempts > 50 && t.rejected >= t.attempts - 2 && t.longest_rejection < 0.1);
   for (int i = 0; i < 2; ++i)
     fixture.planners[i] = std::make_unique<Planner>(fixture.loop, fixture.journal,
-                                                    planner_options(PlannerManner::kSound), ports[i]);
+                                                    planner_options(PlannerMode::kCorrect), ports[i]);
   say("in the registry again",
       fixture.loop.run_until([&] { return fixture.forwarder->registry.is_listed(); }, 3));
   const double restored_at = now();
@@ -212,11 +213,11 @@
     std::uint64_t broken = 0;
     for (auto* level : {&fleet.forwarders, &fleet.planners}) {
       for (const auto& server : *level) {
-        if (!server->process->over()) broken += server->process->counters()["invariants.broken"];
+        if (!server->process->has_ended()) broken += server->process->counters()["invariants.broken"];
       }
     }
     say("no invariant broken", broken == 0);
-    say("all shut down gracefully", fleet.leave());
+    say("all shut down gracefully", fleet.shut_down());
     print_rules_verdict(fleet.journal, fleet.limits());
   }
   TwoLevel fleet;
@@ -302,16 +303,16 @@
   fixture.fleet.loop.run_for(0.7);
   Server& planner = *fixture.fleet.planners[0];
   const double notified_at = now();
-  planner.notice();
-  say("a planner shuts down gracefully", planner.ended());
+  planner.send_shutdown_notice();
+  say("a planner shuts down gracefully", planner.wait_for_end());
   say("it stops early, because forwarders close their links", now() - notified_at < 1.2);
   fixture.fleet.loop.run_for(0.3);
   say("it restarts", planner.start());
   fixture.fleet.loop.run_for(0.7);
   Server& forwarder = *fixture.fleet.forwarders[0];
-  forwarder.notice();
+  forwarder.send_shutdown_notice();
   fixture.fleet.callers.avoid(0);
-  say("a forwarder shuts down gracefully", forwarder.ended());
+  say("a forwarder shuts down gracefully", forwarder.wait_for_end());
   say("it restarts", forwarder.start());
   fixture.fleet.loop.run_for(0.5);
   const Tally t = tally(fixture.fleet.journal);
@@ -324,10 +325,10 @@
 constexpr double kRecentRunSeconds = 0.05;  // maximum age of a run that counts as recent
 
 // Whether a run requested through this forwarder has just begun.
-bool has_recent_run(const Journal& journal, int life) {
-  return std::any_of(journal.runs.begin(), journal.runs.end(), [&](const RunSeen& run) {
+bool has_recent_run(const Journal& journal, int incarnation) {
+  return std::any_of(journal.runs.begin(), journal.runs.end(), [&](const RecordedRun& run) {
     const auto found = journal.attempts.find(run.request);
-    return found != journal.attempts.end() && found->second.life == life &&
+    return found != journal.attempts.end() && found->second.incarnation == incarnation &&
            run.began > now() - kRecentRunSeconds;
   });
 }
@@ -342,8 +343,8 @@
   for (Flow& flow : load.flows) flow.timeout = kLongTimeoutSeconds;
   RealFixture fixture(spec, load, 2, 3, 0.9);
   fixture.fleet.loop.run_for(1.5);
-  const int life = fixture.fleet.forwarders[0]->life_number();
-  if (!fixture.fleet.loop.run_until([&] { return has_recent_run(fixture.fleet.journal, life); }, 5))
+  const int incarnation = fixture.fleet.forwarders[0]->incarnation_number();
+  if (!fixture.fleet.loop.run_until([&] { return has_recent_run(fixture.fleet.journal, incarnation); }, 5))
     std::printf("no run for its callers has begun\n");
   fixture.fleet.forwarders[0]->kill();
   fixture.fleet.loop.run_for(1.2);
@@ -402,7 +403,7 @@
   fleet.planners[0]->start();
   fleet.loop.run_for(1);
   say("all attempts end", fleet.settle(5));
-  say("all shut down gracefully", fleet.leave());
+  say("all shut down gracefully", fleet.shut_down());
   print_rules_verdict(fleet.journal, fleet.limits());
 }
 
@@ -446,9 +447,9 @@
   count(*fleet.forwarders[0]);
   Server& restarted = *fleet.forwarders[1];
   count(restarted);
-  restarted.notice();
+  restarted.send_shutdown_notice();
   fleet.callers.avoid(1);
-  say("the second forwarder shuts down", restarted.ended());
+  say("the second forwarder shuts down", restarted.wait_for_end());
   write_list(1, {0, 1, 2});
   write_list(0, {0, 1, 2});
   fleet.forwarders[0]->process->signal(SIGHUP);
@@ -457,7 +458,7 @@
   say("it also asks former owners", count(restarted) > 5);
   say("former owners were asked, and some knew the key", lookups > 50 && known > 10);
   say("all attempts end", fleet.settle(5));
-  say("all shut down gracefully", fleet.leave());
+  say("all shut down gracefully", fleet.shut_down());
   print_rules_verdict(fleet.journal, fleet.limits());
   const Tally t = tally(fleet.journal, 0, "close");
   say("half of the keyed requests are still served", t.succeeded > t.attempts / 2);
--- a/tests/tier/planner_program.cpp
+++ b/tests/tier/planner_program.cpp
@@ -50,7 +50,7 @@
   }
   void end() {
     say("no invariant broken", count("invariants.broken") == 0);
-    say("shuts down gracefully", server.leave());
+    say("shuts down gracefully", server.shut_down());
   }
   Loop loop;
   Journal journal;
@@ -68,7 +68,7 @@
   const auto expect_closed = [&](const char* what, const wt::Message& message) {
     Link link(fixture);
     link.send(message);
-    say(what, link.closed(0.5));
+    say(what, link.is_closed_within(0.5));
   };
   wt::Hello hello = Link::hello_of("f1", 7);
   hello.version = 99;
@@ -84,16 +84,17 @@
   expect_closed("a message that only planners send", wt::LoadReport{});
   Link twice(fixture);
   twice.hello("f1", 7).send(Link::hello_of("f1", 7));
-  say("a second hello", twice.closed(0.5));
+  say("a second hello", twice.is_closed_within(0.5));
   Link silent_hello(fixture);
-  say("closed after a second without a hello", !silent_hello.closed(0.8) && silent_hello.closed(0.6));
+  say("closed after a second without a hello",
+      !silent_hello.is_closed_within(0.8) && silent_hello.is_closed_within(0.6));
   Link silent(fixture);
   silent.hello("f2", 8);
   say("closed after a second and a half of silence",
-      silent.greeted && !silent.closed(1.2) && silent.closed(0.7));
+      silent.has_hello && !silent.is_closed_within(1.2) && silent.is_closed_within(0.7));
   Link pinging(fixture);
   pinging.hello("f3", 9).ping_for(2);
-  say("a link with pings stays open", pinging.pongs >= 8 && !pinging.closed(0));
+  say("a link with pings stays open", pinging.pongs >= 8 && !pinging.is_closed_within(0));
   say("and is served", pinging.submit(1, 11).answer(1) == 0);
   fixture.end();
 }
@@ -134,7 +135,7 @@
   Fixture fixture(0.4);
   const auto ran = [&fixture](std::uint64_t request) {
     return std::count_if(fixture.journal.runs.begin(), fixture.journal.runs.end(),
-                         [request](const RunSeen& run) { return run.request == request; });
+                         [request](const RecordedRun& run) { return run.request == request; });
   };
   Link first(fixture), other(fixture);
   first.hello("f1", 7);
@@ -212,7 +213,7 @@
   fixture.loop.run_for(0.1);
   Link second(fixture);
   second.hello("f1", 7);
-  say("a second link of the same epoch closes the first", again.closed(0.5));
+  say("a second link of the same epoch closes the first", again.is_closed_within(0.5));
   say("the second link gets the answer", second.answer(2) == 0);
   second.submit(3, 2003);
   fixture.loop.run_for(0.1);
@@ -282,7 +283,7 @@
   say("both have a window", first.window > 0 && other.window > 0);
   Link next(fixture);
   next.hello("f1", 7);
-  say("the next link closes the first", first.closed(0.5));
+  say("the next link closes the first", first.is_closed_within(0.5));
   next.ping_for(1);
   say("the next link has a window too", next.window > 0);
   say("and is served", next.submit(1, 5001).answer(1) == 0);
@@ -295,17 +296,17 @@
   Link connected(fixture);
   connected.hello("f1", 7).submit(1, 3001);
   fixture.loop.run_for(0.1);
-  fixture.server.notice();
+  fixture.server.send_shutdown_notice();
   fixture.loop.run_for(0.05);
   Link late(fixture);
   late.hello("f2", 8);
   fixture.loop.run_for(0.1);
-  say("announced to a connected forwarder", connected.no_more);
-  say("announced to a forwarder that connects later", late.no_more);
+  say("announced to a connected forwarder", connected.has_drain_notice);
+  say("announced to a forwarder that connects later", late.has_drain_notice);
   say("the open attempt is answered", connected.answer(1) == 0);
-  connected.cut();
-  late.cut();
-  say("shuts down gracefully", fixture.server.ended());
+  connected.close_link();
+  late.close_link();
+  say("shuts down gracefully", fixture.server.wait_for_end());
 }
 
 // Guards against a planner that exits without answering: a keyed request has run in time, but its result
@@ -330,7 +331,7 @@
   submit(1, 3001, "k ");
   fixture.loop.run_for(0.1);
   say("it runs", fixture.journal.runs.size() == 1);
-  fixture.server.notice();
+  fixture.server.send_shutdown_notice();
   fixture.loop.run_for(0.05);
   submit(2, 3002, "k ");
   connected.ping_for(1.25);
@@ -345,7 +346,7 @@
       first >= 0 && first != static_cast<int>(wt::Result::kRejected));
   say("its duplicate fails", second == kMayHaveRun);
   say("it ran once", fixture.journal.runs.size() == 1);
-  say("shuts down gracefully", fixture.server.ended());
+  say("shuts down gracefully", fixture.server.wait_for_end());
   sqlite3_close(other);
 }
 
@@ -363,7 +364,7 @@
   first.ping_for(1);
   Link later(fixture);
   later.hello("f1", 2);
-  say("capacity again after the silent links are closed", later.greeted);
+  say("capacity again after the silent links are closed", later.has_hello);
   connection_flood.clear();
   fixture.end();
 }
--- a/tests/tier/slow_start.cpp
+++ b/tests/tier/slow_start.cpp
@@ -216,16 +216,16 @@
 // ---- Real forwarders, whose callers demand more than the capacity, and one scripted planner that counts
 // attempts.
 void processes() {
-  for (const PlannerManner manner : {PlannerManner::kSound, PlannerManner::kRejections}) {
+  for (const PlannerMode mode : {PlannerMode::kCorrect, PlannerMode::kRejectsAll}) {
     constexpr int forwarder_count = 20;
     constexpr double budget = 12;
     Loop loop;
     Journal journal;
-    journal.lives.emplace_back().began = now();
+    journal.incarnations.emplace_back().began = now();
     Planner::Options planner_options;
-    planner_options.manner = manner;
-    planner_options.takes = 0.1;
-    planner_options.cold = budget;
+    planner_options.mode = mode;
+    planner_options.run_seconds = 0.1;
+    planner_options.slow_start_budget = budget;
     Planner planner(loop, journal, planner_options);
     Callers::Options load;
     Flow pull{"pull", 400, 1};
@@ -243,24 +243,24 @@
           std::make_unique<Server>(loop, journal, callers, binary, spec, Runtime::Options{}, i));
       if (!forwarders.back()->start()) std::printf("a forwarder did not start\n");
     }
-    const bool linked = loop.run_until([&] { return planner.linked() == forwarder_count; }, 20);
+    const bool linked = loop.run_until([&] { return planner.connected_forwarders() == forwarder_count; }, 20);
     loop.run_for(1);
-    const std::uint64_t before = planner.taken();
+    const std::uint64_t before = planner.attempts_received();
     loop.run_for(4);
-    const double attempts_per_second = static_cast<double>(planner.taken() - before) / 4;
+    const double attempts_per_second = static_cast<double>(planner.attempts_received() - before) / 4;
     say("twenty processes are connected", linked);
     say(fmt::format("{}: open attempts within {} and tolerance",
-                    manner == PlannerManner::kRejections ? "all rejected" : "all served", budget),
-        static_cast<double>(planner.most_open()) <= budget + random_tolerance(budget));
+                    mode == PlannerMode::kRejectsAll ? "all rejected" : "all served", budget),
+        static_cast<double>(planner.max_in_flight()) <= budget + random_tolerance(budget));
     // A rejected attempt uses capacity for a quarter of a second, so at most four budgets per second are
     // sent, within the tolerance.
-    if (manner == PlannerManner::kRejections)
+    if (mode == PlannerMode::kRejectsAll)
       say("sent within four budgets per second and tolerance",
           attempts_per_second <= 4 * budget + random_tolerance(4 * budget));
-    say("every forwarder has sent attempts", planner.fewest_sent() >= 1);
+    say("every forwarder has sent attempts", planner.min_attempts_per_forwarder() >= 1);
     say("the budget is used", attempts_per_second > budget);
-    std::fprintf(stderr, "most open %zu, %.1f a second, fewest sent %llu\n", planner.most_open(),
-                 attempts_per_second, static_cast<unsigned long long>(planner.fewest_sent()));
+    std::fprintf(stderr, "most open %zu, %.1f a second, fewest sent %llu\n", planner.max_in_flight(),
+                 attempts_per_second, static_cast<unsigned long long>(planner.min_attempts_per_forwarder()));
   }
 }
 
@@ -326,7 +326,7 @@
   bool wide = true;
   for (const auto& link : links) wide &= !link || link->window >= 4;
   say("after the slow start each forwarder has its window", wide);
-  say("shuts down gracefully", server.leave());
+  say("shuts down gracefully", server.shut_down());
 }
 
 }  // namespace
