--- a/standins/callers.cpp
+++ b/standins/callers.cpp
@@ -11,9 +11,10 @@
 namespace damsonspoke::standins {
 namespace {
 
-constexpr std::size_t kMaxInFlightOnLink = 24;  // of the 32 that the protocol allows
-constexpr int kLateReaderBytes = 2048;          // under one answer: the rest waits in the server's buffer
-constexpr std::uint64_t kSubjects = 8;          // of shared reads
+constexpr std::size_t kMaxInFlightOnLink = 24;  // the protocol allows 32
+constexpr int kLateReaderBytes =
+    2048;  // smaller than an answer, so that the rest waits in the server's buffer
+constexpr std::uint64_t kSubjects = 8;  // items of shared reads
 
 constexpr std::string_view kDigits = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
 
@@ -52,7 +53,7 @@
   }
 }
 
-// What an answer says, as read now.
+// Decodes an answer that is read now.
 Answer decode_answer(const nlohmann::json& message) {
   Answer answer;
   answer.at = now();
@@ -67,7 +68,7 @@
   return answer;
 }
 
-// Whether nothing more is attempted after such an answer.
+// Whether a task is not retried after such an answer.
 bool is_final(AnswerKind kind) {
   return kind == AnswerKind::kSucceeded || kind == AnswerKind::kUnknownOutcome ||
          kind == AnswerKind::kConflict || kind == AnswerKind::kInvalid;
@@ -92,7 +93,7 @@
   servers_[at] = {port, incarnation, false};
 }
 void Callers::avoid(int server) { servers_.at(static_cast<std::size_t>(server)).is_avoided = true; }
-void Callers::set_load_enabled(bool more) { is_load_enabled_ = more; }
+void Callers::set_load_enabled(bool is_enabled) { is_load_enabled_ = is_enabled; }
 
 void Callers::disconnect_server(int server) {
   for (auto it = links_.begin(); it != links_.end();) {
@@ -115,7 +116,7 @@
   return from.empty() ? -1 : from[from.size() == 1 ? 0 : random_() % from.size()];
 }
 
-// Things come at random, whatever becomes of those before: load does not wait for answers.
+// Tasks arrive at random times, independently of earlier ones: an open-loop load.
 void Callers::schedule_next_task(std::size_t flow) {
   const double pause = -std::log(1 - draw()) / options_.flows[flow].per_s;
   loop_.after(pause, [this, flow] {
@@ -150,7 +151,7 @@
     task_by_request_[request] = number;
     return;
   }
-  // Nobody listens: once more, as long as somebody may.
+  // No server accepts the request: tries again after a pause.
   loop_.after(flow.pause, [this, number] { attempt(number); });
 }
 
@@ -161,7 +162,7 @@
 }
 
 int Callers::link_to(int server, bool is_new) {
-  int count = 0, best = -1;  // the emptiest one of those there are
+  int count = 0, best = -1;  // best: the connection with the fewest requests in flight
   for (auto& [fd, link] : links_) {
     if (link.server != server || link.reads_late) continue;
     ++count;
@@ -213,7 +214,8 @@
   const int server = links_.at(fd).server;
   const std::uint64_t request = (random_() & 0xffffffff00000000ULL) | next_request_++,
                       number = next_number_++;
-  // Before the time that the server is told: a process that stands still in between sends later than that.
+  // Taken before the time that the request carries: if this process is paused in between, the recorded
+  // deadline is the earlier one.
   const double sent_at = now();
   const double received_at = unix_now();
   std::string type;
--- a/standins/connection_flood.cpp
+++ b/standins/connection_flood.cpp
@@ -14,10 +14,10 @@
 namespace damsonspoke::standins {
 namespace {
 
-constexpr double kPollSeconds = 0.002;  // of the flood's thread
+constexpr double kPollSeconds = 0.002;  // maximum wait of the flood's thread
 constexpr double kHealthIntervalSeconds = 0.5, kDripIntervalSeconds = 1, kJunkIntervalSeconds = 0.05;
-constexpr std::size_t kMaxConnections = 8000;  // of a flood
-constexpr double kMaxAnswerWaitSeconds = 5;    // of a newcomer without its answer
+constexpr std::size_t kMaxConnections = 8000;  // open at once, of a flood
+constexpr double kMaxAnswerWaitSeconds = 5;    // a connection without an answer is closed after this
 
 std::string health_request() {
   const std::string text = R"({"jsonrpc":"2.0","id":1,"method":"health","params":{}})";
@@ -84,7 +84,7 @@
          connections_.size() < kMaxConnections) {
     const std::uint64_t before = dialled_;
     dial(time);
-    if (dialled_ == before) return;  // all hold what they may
+    if (dialled_ == before) return;  // all addresses have their maximum number of connections
   }
 }
 
@@ -169,7 +169,7 @@
   ::close(fd);
 }
 
-// ---- Newcomers.
+// ---- Clients that reconnect.
 ReconnectingClient::ReconnectingClient(Loop& loop, std::uint16_t port, Options options)
     : loop_(loop), port_(port), options_(std::move(options)) {
   connect();
--- a/standins/connection_flood.h
+++ b/standins/connection_flood.h
@@ -1,6 +1,6 @@
-// Who fills a server's connection table: floods of connections of several shapes, from many loopback
-// addresses, on a thread of their own; and newcomers that connect again and again, ask for health, and note
-// how long that took.
+// Clients that fill a server's connection table: floods of connections of several shapes from many loopback
+// addresses, on their own thread; and a client that repeatedly opens a new connection, sends a health request
+// and measures how long the answer takes.
 #pragma once
 
 #include <atomic>
@@ -15,50 +15,50 @@
 
 namespace damsonspoke::standins {
 
-// Begins to connect from an address of 127.0.0.0/8 and does not wait; -1 where there is no socket, or it is
-// refused at once.
+// Starts to connect from an address of 127.0.0.0/8 without waiting; -1 if there is no socket or the connect
+// fails immediately.
 int connecting_socket(std::uint16_t port, const std::string& from);
-// The n-th of many addresses, each next one in another /24.
+// The n-th of many addresses. Consecutive ones are in different /24 networks.
 std::string flood_address(unsigned n);
 
-// What each connection of a flood does.
+// The behavior of each connection of a flood.
 enum class FloodShape {
-  kSilent,          // connects and says nothing
-  kReset,           // connects and resets
-  kDrip,            // sends a request a byte a second
-  kHealthRequests,  // asks for health every half second and stays
-  kJunk             // sends what is no request, over and over
+  kSilent,          // connects and sends nothing
+  kReset,           // connects and resets the connection
+  kDrip,            // sends a request at one byte per second
+  kHealthRequests,  // sends a health request every half second
+  kJunk             // sends invalid requests repeatedly
 };
 
-// A flood from its construction on, until its end.
+// A flood that runs from construction to destruction.
 class Flood {
  public:
   struct Options {
     FloodShape shape = FloodShape::kSilent;
     unsigned addresses = 1000;
-    unsigned connections_per_address = 50;  // connections that one address holds at most
-    double connections_per_second = 2000;   // new connections in all
+    unsigned connections_per_address = 50;  // maximum number of open connections of an address
+    double connections_per_second = 2000;   // new connections of all addresses
   };
   Flood(std::uint16_t port, Options options);
   Flood(const Flood&) = delete;
   Flood& operator=(const Flood&) = delete;
   ~Flood();
-  // Connections that it began so far.
+  // Connections started so far.
   std::uint64_t dialled() const { return dialled_; }
-  // Connections that the server has ended so far.
+  // Connections that the server has closed so far.
   std::uint64_t closed_by_server() const { return closed_by_server_; }
-  // Connections that are up now.
+  // Connections that are established now.
   std::uint64_t open_connections() const { return open_connections_; }
 
  private:
   struct Connection {
-    unsigned address = 0;  // from 0
+    unsigned address = 0;  // index, from 0
     bool is_up = false;
     double next_send_at = 0;     // s, monotonic
-    std::size_t sent_bytes = 0;  // where it drips
+    std::size_t sent_bytes = 0;  // for kDrip
   };
   void run();
-  // Begins the connections that are due, and sends what is due on those that are up.
+  // Starts the connections that are due, and sends on the established connections whose time has come.
   void dial_due(double began, double time);
   void send_due(double time);
   void dial(double time);
@@ -70,34 +70,34 @@
   const Options options_;
   int poll_ = -1;
   std::map<int, Connection> connections_;         // by descriptor
-  std::vector<unsigned> connections_by_address_;  // connections, by address
+  std::vector<unsigned> connections_by_address_;  // open connections, by address index
   unsigned next_address_ = 0;
   std::atomic<bool> is_stopping_ = false;
   std::atomic<std::uint64_t> dialled_ = 0, closed_by_server_ = 0, open_connections_ = 0;
   std::thread thread_;
 };
 
-// A client that connects anew every so often; it is in when its health request is answered.
+// A client that opens a new connection periodically and sends a health request on each.
 class ReconnectingClient {
  public:
   struct Options {
     std::string from = "127.0.0.1";
     double interval = 0.02;   // s
-    double timeout = 0.1;     // s after which its answer counts as late
-    double stay_seconds = 0;  // s that it stays connected after its answer
+    double timeout = 0.1;     // s, after which an answer counts as late
+    double stay_seconds = 0;  // s that a connection stays open after its answer
   };
   ReconnectingClient(Loop& loop, std::uint16_t port, Options options);
   ReconnectingClient(const ReconnectingClient&) = delete;
   ReconnectingClient& operator=(const ReconnectingClient&) = delete;
   ~ReconnectingClient();
-  // Nobody comes any more; who is connected goes on.
+  // Stops opening connections; the open ones continue.
   void stop() { is_connecting_ = false; }
-  // Whether nobody is connected.
+  // Whether no connection is open.
   bool is_idle() const { return began_at_.empty(); }
-  // Who has come so far, and who of them was answered in time.
+  // Connections started so far, and those answered in time.
   int connects() const { return connects_; }
   int answered_in_time() const { return answered_in_time_; }
-  // The longest time until an answer, in s.
+  // The longest time from a connect to its answer, in seconds.
   double max_answer_seconds() const { return max_answer_seconds_; }
 
  private:
@@ -111,9 +111,10 @@
   const Options options_;
   std::map<int, double> began_at_;  // by descriptor
   std::map<int, std::string> in_;
-  std::shared_ptr<bool> is_alive_ = std::make_shared<bool>(true);  // timers may outlive this
+  std::shared_ptr<bool> is_alive_ =
+      std::make_shared<bool>(true);  // false after destruction, for timers that outlive this
   std::uint64_t last_serial_ = 0;
-  std::map<int, std::uint64_t> serials_;  // a descriptor may come again
+  std::map<int, std::uint64_t> serials_;  // identify connections, as descriptors are reused
   bool is_connecting_ = true;
   int connects_ = 0, answered_in_time_ = 0;
   double max_answer_seconds_ = 0;
--- a/standins/dependency.cpp
+++ b/standins/dependency.cpp
@@ -62,7 +62,7 @@
   line = in.substr(0, end);
   std::size_t consumed = end + kLineEnd.size();
   body.clear();
-  if (is_call(line)) {  // its last word is the length of its body
+  if (is_call(line)) {  // the last token is the length of the body
     const auto length = static_cast<std::size_t>(std::atoll(line.substr(line.rfind(' ')).c_str()));
     if (in.size() < consumed + length + kLineEnd.size()) return false;
     body = in.substr(consumed, length);
@@ -84,7 +84,7 @@
 
 void Dependency::reply(int fd, std::uint64_t serial, const Call& call) {
   const auto found = connections_.find(fd);
-  if (found == connections_.end() || found->second.serial != serial) return;  // it has ended
+  if (found == connections_.end() || found->second.serial != serial) return;  // the connection has ended
   const std::string text = kReplyPrefix + call.body;
   loop_.send(fd, fmt::format("{} ok {}\r\n{}\r\n", call.id, text.size(), text));
 }
--- a/standins/dependency.h
+++ b/standins/dependency.h
@@ -1,5 +1,5 @@
-// A dependency that answers each call after a time of its own with a reply that names the call, and a
-// registry that counts the reports that it gets.
+// A simulated dependency, which replies to each call after a set time with a reply that names the call, and a
+// simulated registry, which counts the reports that it receives.
 #pragma once
 
 #include <cstdint>
@@ -10,12 +10,12 @@
 
 namespace damsonspoke::standins {
 
-// The dependency that runs call, on a loopback socket.
+// Listens on a loopback port for calls of runs.
 class Dependency {
  public:
   struct Options {
-    double reply_seconds = 0.01;                // s a call
-    std::size_t max_calls_in_flight = 1 << 30;  // calls in flight; further ones are rejected
+    double reply_seconds = 0.01;                // s from a call to its reply
+    std::size_t max_calls_in_flight = 1 << 30;  // further calls are rejected
   };
   Dependency(Loop& loop, Options options);
   Dependency(const Dependency&) = delete;
@@ -23,27 +23,27 @@
   ~Dependency();
 
   std::uint16_t port() const { return port_; }
-  // So far, those that were rejected too.
+  // Calls received so far, including rejected ones.
   std::uint64_t calls() const { return calls_; }
-  // That are open now.
+  // Open connections.
   std::size_t connections() const { return connections_.size(); }
 
   Options options;  // may change at any time
 
  private:
   struct Connection {
-    std::string in;            // bytes of calls that have not come complete
-    std::uint64_t serial = 0;  // a descriptor may come again
+    std::string in;            // received bytes of incomplete calls
+    std::uint64_t serial = 0;  // identifies a connection, as descriptors are reused
   };
-  // One call, complete with its body.
+  // One call with its body.
   struct Call {
-    std::string id;  // as it came
+    std::string id;  // as received
     std::string body;
   };
   void accept();
   void read(int fd);
   void close_connection(int fd);
-  // Takes the next line off what has come, with the body that belongs to it; false where they are incomplete.
+  // Removes the next line and its body from the input; false if they are incomplete.
   static bool take_line(std::string& in, std::string& line, std::string& body);
   void answer(int fd, const Call& call);
   void reply(int fd, std::uint64_t serial, const Call& call);
@@ -56,7 +56,7 @@
   std::size_t in_flight_ = 0;  // calls
 };
 
-// The registry that servers report to, on a loopback socket. It serves one server.
+// Receives the reports of one server on a loopback UDP port.
 class Registry {
  public:
   explicit Registry(Loop& loop);
@@ -65,12 +65,12 @@
   ~Registry();
 
   std::uint16_t port() const { return port_; }
-  // Whether the last report said that the server takes work.
+  // Whether the last report listed the server as accepting work.
   bool is_listed() const { return is_listed_; }
-  std::uint64_t reports() const { return reports_; }  // so far
-  // Its port refuses reports until it listens again; it lists nobody then.
+  std::uint64_t reports() const { return reports_; }  // received so far
+  // Closes the port, so that reports fail until listen() is called, and removes the server from the list.
   void stop_listening();
-  // Does nothing where it listens already.
+  // Does nothing if it listens already.
   void listen();
 
  private:
--- a/standins/endings_draw.cpp
+++ b/standins/endings_draw.cpp
@@ -10,10 +10,11 @@
 
 constexpr double kFirstEventSeconds = 0.3;
 constexpr double kMaxPauseSeconds = 0.25;
-constexpr double kMaxUnreadSeconds = 0.05;  // that commands before a break may be lost, says the service page
+constexpr double kMaxUnreadSeconds =
+    0.05;  // before a break, in which commands may be lost according to the runtime protocol
 constexpr double kMaxLevelCutSeconds = 0.4;
 constexpr double kMaxRegistryDownSeconds = 1.5;
-constexpr double kMinCutIntervalSeconds = 0.15;  // at least, of cuts as runs end
+constexpr double kMinCutIntervalSeconds = 0.15;  // between cuts at run ends
 
 bool one_in(pcg64& random, unsigned n) { return random() % n == 0; }
 
@@ -35,7 +36,7 @@
     out.backends = 1 + static_cast<int>(random() % 2);
   }
   out.by_ajp = out.backends == 1 && one_in(random, 2);
-  // A key is remembered by one backend: with two, a further try at the other would run again.
+  // Each backend remembers only its own keys: with two, a retry at the other one would run again.
   out.stores_results = out.backends != 2 && one_in(random, 2);
   out.limits_connections = out.backends > 0 && one_in(random, 2);
   out.stores_statistics = one_in(random, 2);
@@ -80,14 +81,14 @@
     const std::size_t member = random() % count_members(fleet);
     const double when = draw_event_time(random);
     events.push_back(draw_narrow_event(random, member, when));
-    // A second one in the same millisecond, or while the first is carried out.
+    // A second event at the same time, or while the first takes effect.
     if (!one_in(random, 3)) continue;
     const double later = one_in(random, 2) ? 0 : draw_chance(random) * kEndingsStopSeconds;
     events.push_back(draw_narrow_event(random, member, when + later));
   }
 }
 
-// A member with a runtime: planners are the first ones, backends are alone.
+// Draws a member with a runtime: planners come before forwarders, and backends are the only members.
 std::size_t draw_member_with_runtime(pcg64& random, const EndingsFleet& fleet) {
   return random() % static_cast<unsigned>(fleet.planners > 0 ? fleet.planners : fleet.backends);
 }
@@ -138,12 +139,13 @@
   std::string out = fleet.backends > 0
                         ? fmt::format("{} backends", fleet.backends)
                         : fmt::format("{} forwarders, {} planners", fleet.forwarders, fleet.planners);
-  if (fleet.by_ajp) out += ", AJP too";
+  if (fleet.by_ajp) out += ", AJP as well";
   if (fleet.stores_results) out += ", results stored";
   if (fleet.stores_statistics) out += ", statistics stored";
   if (fleet.limits_connections) out += ", connections limited";
-  if (fleet.has_flood) out += fleet.is_flood_by_ajp ? ", a crowd at AJP" : ", a crowd";
-  if (fleet.calls_in_a_row > 0) out += fmt::format(", {} calls a run", fleet.calls_in_a_row);
+  if (fleet.has_flood)
+    out += fleet.is_flood_by_ajp ? ", a flood of AJP connections" : ", a flood of connections";
+  if (fleet.calls_in_a_row > 0) out += fmt::format(", {} calls per run", fleet.calls_in_a_row);
   if (fleet.is_wide) out += fmt::format(", runs of {:.0f} ms", fleet.run_seconds * 1000);
   return out;
 }
--- a/standins/endings_draw.h
+++ b/standins/endings_draw.h
@@ -1,5 +1,6 @@
-// What a seed of the soak of endings draws: the fleet, and the timeline of ends, signals and faults. Seeds
-// below kFirstWideSeed draw what they have always drawn; from there on more kinds are drawn.
+// The random draws of an endings play: the fleet, and the timeline of ends, signals and faults. Seeds from
+// kFirstWideSeed on draw more kinds of events; the draws of lower seeds must not change, so that recorded
+// seeds can be replayed.
 #pragma once
 
 #include <cstdint>
@@ -14,22 +15,22 @@
 
 inline constexpr std::uint64_t kFirstWideSeed = 1000;
 inline constexpr double kEndingsLoadSeconds = 4;
-inline constexpr double kEndingsStopSeconds = 1;  // from the notice to SIGKILL, as the settings tell
+inline constexpr double kEndingsStopSeconds = 1;  // from the shutdown notice to SIGKILL, as in the settings
 
 struct EndingsFleet {
-  int backends = 0;  // or two levels:
+  int backends = 0;  // 0: a two-level fleet of forwarders and planners
   int forwarders = 0;
   int planners = 0;
   bool by_ajp = false;
-  bool stores_results = false;  // a store; "close" is keyed then
+  bool stores_results = false;  // in a store; the route "close" is keyed then
   bool limits_connections = false;
   bool stores_statistics = false;
   bool has_flood = false;
-  // Of wide seeds only:
+  // Drawn by wide seeds only:
   bool is_wide = false;
   bool is_flood_by_ajp = false;
-  int calls_in_a_row = 0;     // of half of the runs
-  double run_seconds = 0.01;  // of work
+  int calls_in_a_row = 0;     // by half of the runs
+  double run_seconds = 0.01;  // core seconds of a run
 };
 
 enum class EndingsEventKind {
@@ -40,18 +41,18 @@
   kCounters,
   kPause,
   kCutRuntime,
-  // Of wide seeds only:
-  kCutAtRunEnds,        // the runtime's link; runs end as the new link is synchronized
-  kCutWithUnreadInput,  // the runtime's link, and what is written in the seconds before is lost
-  kMoveRuntime,         // SIGHUP with another address
+  // Drawn by wide seeds only:
+  kCutAtRunEnds,        // cuts the runtime's link; runs end when the next link is synchronized
+  kCutWithUnreadInput,  // cuts the runtime's link after `seconds` in which it is not read
+  kMoveRuntime,         // moves the runtime to another port and sends SIGHUP
   kRestartRuntime,
   kRegistryDown,
-  kCutLevels,   // the links of a planner, both directions, for some seconds
-  kResetLevels  // the same, reset at once
+  kCutLevels,   // cuts the links of a planner in both directions for `seconds`
+  kResetLevels  // resets the links of a planner
 };
 
 struct EndingsEvent {
-  double at = 0;  // s
+  double at = 0;  // s since the start of the load
   std::size_t member = 0;
   EndingsEventKind kind = EndingsEventKind::kNotice;
   double seconds = 0;
@@ -59,16 +60,16 @@
 
 struct EndingsFlood {
   FloodShape shape = FloodShape::kSilent;
-  double at = 0;  // s
+  double at = 0;  // s since the start of the load
 };
 
 [[nodiscard]] bool is_wide_seed(std::uint64_t seed);
 [[nodiscard]] EndingsFleet draw_endings_fleet(pcg64& random, std::uint64_t seed);
 [[nodiscard]] std::string text_of(const EndingsFleet& fleet);
-// Members are numbered as they are built: planners, forwarders, backends.
+// Members are numbered in this order: planners, forwarders, backends.
 [[nodiscard]] std::vector<EndingsEvent> draw_endings_events(pcg64& random, const EndingsFleet& fleet);
 [[nodiscard]] std::optional<EndingsFlood> draw_endings_flood(pcg64& random, const EndingsFleet& fleet);
-// Evenly from 0 to under 1.
+// Uniformly random in [0, 1).
 [[nodiscard]] double draw_chance(pcg64& random);
 
 }  // namespace damsonspoke::standins
--- a/standins/endings_play.cpp
+++ b/standins/endings_play.cpp
@@ -16,35 +16,35 @@
 
 constexpr double kLoadSeconds = kEndingsLoadSeconds;
 constexpr double kStopSeconds = kEndingsStopSeconds;
-constexpr double kMaxRestartDelaySeconds = 0.3;  // of a new life after an end
-constexpr double kInvalidFileSeconds = 0.15;     // that a file stays in place to be read
-constexpr double kResumeSeconds = 0.3;           // after a pause, in which what waited is caught up with
+constexpr double kMaxRestartDelaySeconds = 0.3;  // from an end to the restart
+constexpr double kInvalidFileSeconds = 0.15;     // during which an invalid file stays in place to be read
+constexpr double kResumeSeconds = 0.3;           // after a pause, to process the backlog
 constexpr double kExitTimeoutSeconds =
-    3;  // beyond the stop, once all is closed: sanitizers look for leaks at the exit
+    3;  // after the stop, once the shutdown is complete: sanitizers check for leaks at the exit
 constexpr double kStartupTimeoutSeconds = 20;
 constexpr int kRequestsAtStop = 12;
 constexpr int kLateReaders = 3;
-constexpr int kEarlyRequestsPerLateReader = 8;         // requests, asked at the notice
-constexpr int kLateRequestsPerLateReader = 24;         // while connections end
-constexpr double kLateRequestsFromSeconds = 0.2;       // s before the stop
-constexpr double kConnectionsCloseFromSeconds = 0.12;  // s before the stop: connections are ended in order
+constexpr int kEarlyRequestsPerLateReader = 8;    // sent at the shutdown notice
+constexpr int kLateRequestsPerLateReader = 24;    // sent while connections are closed
+constexpr double kLateRequestsFromSeconds = 0.2;  // before the stop
+constexpr double kConnectionsCloseFromSeconds =
+    0.12;  // before the stop; connections are closed in order from here on
 constexpr double kLateRequestsUntilSeconds =
-    0.08;  // s before the stop as the process counts; it waits for its peers until 0.06 s
-constexpr double kLastRequestSeconds = 0.06;  // s before the stop as counted here
-constexpr double kPromptLogSeconds =
-    0.03;  // from the notice to its line in the log; else the log was read late
-constexpr double kLateReadFromSeconds = 0.03;   // s before the stop
-constexpr double kLateReadSpreadSeconds = 0.1;  // s
+    0.08;  // before the stop by the clock of the process, which waits for its peers until 0.06 s
+constexpr double kLastRequestSeconds = 0.06;  // before the stop as computed here
+constexpr double kPromptLogSeconds = 0.03;  // from the notice to its log line; longer: the log was read late
+constexpr double kLateReadFromSeconds = 0.03;  // before the stop
+constexpr double kLateReadSpreadSeconds = 0.1;
 constexpr std::size_t kLateResultBytes = 3500;
 constexpr double kStopPauseFromSeconds =
-    0.128;  // s before the stop: it listens no more, and its connections are open
+    0.128;  // before the stop: it no longer listens, and its connections are still open
 constexpr double kStopPauseUntilSeconds = 0.045;
-constexpr double kMaxStopPauseDelaySeconds = 0.005;  // s that it may begin late; otherwise it is left out
+constexpr double kMaxStopPauseDelaySeconds = 0.005;  // the pause is skipped if it would start later
 constexpr int kRequestsInStopPause = 6;
-constexpr double kDescriptorCountSeconds = 0.25;  // after the start, and before the first event
+constexpr double kDescriptorCountSeconds = 0.25;  // after the start and before the first event
 constexpr double kConnectTimeoutSeconds =
-    0.02;  // s; a listener that is about to close lets connections wait for 1 s
-constexpr double kClientTimeoutSeconds = 1;  // s, of most callers
+    0.02;  // a listener that is about to close leaves connects waiting for 1 s
+constexpr double kClientTimeoutSeconds = 1;  // of most requests
 constexpr double kKeyWindowSeconds = 20;
 
 const char* const kAjpRoutes =
@@ -68,7 +68,7 @@
   return load;
 }
 
-constexpr const char* kForwarders = "forwarders";  // all of them, as a host between processes
+constexpr const char* kForwarders = "forwarders";  // all forwarders, as one host of the faulty network
 
 }  // namespace
 
@@ -104,7 +104,7 @@
   const bool has_statistics = drawn_.stores_statistics && command != "forward";
   site.operators =
       has_statistics ? "knowledge\n    enabled on\n    folder FOLDER\n" : "control\n    folder FOLDER\n";
-  // Forwarders read the name of the key's field there.
+  // Forwarders read the name of the key field from this section.
   if (drawn_.stores_results) site.operators += "results\n    enabled on\n    store STORE\n";
   return site;
 }
@@ -133,8 +133,8 @@
   members_.push_back(std::move(member));
 }
 
-// Where all forwarders reach them: the owner of a key follows from the planners' addresses, which have to be
-// the same for each.
+// The addresses at which all forwarders reach the planners. The owner of a key is computed from them, so they
+// have to be the same for each forwarder.
 std::string EndingsPlay::addresses_of_planners() {
   std::string out;
   for (const auto& member : members_) {
@@ -182,7 +182,7 @@
   gateway_->reach(static_cast<std::uint16_t>(port), member.server->incarnation_number());
 }
 
-// ---- What happens to a process.
+// ---- Events of a process.
 
 bool EndingsPlay::start(Member& member) {
   if (member.is_up) return true;
@@ -199,7 +199,7 @@
 
 void EndingsPlay::kill(Member& member) {
   if (!member.is_up || member.stop_at >= 0) return;
-  record(member.name + " is killed without notice");
+  record(member.name + " is killed without a shutdown notice");
   member.server->kill();
   member.is_up = false;
   at(now() - began_ + chance() * kMaxRestartDelaySeconds, [this, &member] { start(member); });
@@ -208,21 +208,22 @@
 void EndingsPlay::give_notice(Member& member) {
   if (!member.is_up) return;
   if (member.stop_at >= 0) return signal(member, SIGTERM, "SIGTERM again");
-  record(member.name + " gets its notice");
+  record(member.name + " gets its shutdown notice");
   member.server->send_shutdown_notice();
-  // A process that stands still hears of it later; that time does not count against it.
+  // A paused process handles the notice after the pause, so its stop time counts from there.
   member.stop_at = std::max(now(), member.paused_until) + kStopSeconds;
   send_requests_at_stop(member);
   if (!drawn_.is_wide || member.name[0] == 'p') return;
-  // Not both: after the pause no time is left for peers that still write. Beside a crowd more connections end
-  // than the process waits for, which is a bound that it states.
+  // Not both: after the pause there is no time left for peers that still write. During a flood more
+  // connections close than the process waits for, which is a documented limit.
   if (one_in(3))
     pause_at_stop(member);
   else if (!drawn_.has_flood)
     open_late_readers(member);
 }
 
-// Connections with answers that are not read yet, and on which more is written while the server ends them.
+// Opens connections whose answers are read late and on which more requests are sent while the server closes
+// them.
 void EndingsPlay::open_late_readers(const Member& member) {
   const Flow flow{"read", 0, 2 * kClientTimeoutSeconds};
   for (int i = 0; i < kLateReaders; ++i) {
@@ -235,7 +236,7 @@
       callers_->send_request_on(reader, flow, key, key + ' ');
     }
     for (int j = 0; j < kLateRequestsPerLateReader; ++j) {
-      // Half of them as connections end.
+      // Half of them are sent while connections are closed.
       const double from = j % 2 == 0 ? kLateRequestsFromSeconds : kConnectionsCloseFromSeconds;
       const double before = kLastRequestSeconds + chance() * (from - kLastRequestSeconds);
       const std::string key = fmt::format("late-{}-{}", name, j);
@@ -244,8 +245,8 @@
   }
 }
 
-// By timers of the loop, which go on while another process is started. None is written after its time: the
-// process counts from when it heard of the notice.
+// Uses timers of the loop, which run while another process is being started. Sends nothing after the time
+// limit, which the process counts from the handling of the notice.
 void EndingsPlay::schedule_late_request(const Member& member, int reader, const Flow& flow,
                                         const std::string& key, double when) {
   loop_.at(when, [this, reader, flow, key, incarnation = member.server->incarnation_number()] {
@@ -258,8 +259,8 @@
   });
 }
 
-// It stands still between its last listening and the end of its connections, on which requests arrive
-// meanwhile. The stop comes later by as much.
+// Pauses the process between the end of its listening and the closing of its connections, while requests
+// arrive on them. Its stop time is delayed by the duration of the pause.
 void EndingsPlay::pause_at_stop(Member& member) {
   const double from = member.stop_at - kStopPauseFromSeconds;
   const double seconds = kStopPauseFromSeconds - kStopPauseUntilSeconds;
@@ -267,7 +268,7 @@
   loop_.at(from, [this, &member, from, seconds] {
     const bool is_late = now() > from + kMaxStopPauseDelaySeconds;
     if (is_late || !member.is_up || member.server->process->has_ended()) return;
-    signal(member, SIGSTOP, "SIGSTOP as its connections end");
+    signal(member, SIGSTOP, "SIGSTOP before its connections are closed");
     auto& incarnation =
         journal_.incarnations.at(static_cast<std::size_t>(member.server->incarnation_number()));
     incarnation.unreachable_periods.emplace_back(now(), now() + seconds + kResumeSeconds);
@@ -281,7 +282,8 @@
   }
 }
 
-// As soon as it is heard of, and once it only has to exit: handlers are not there yet, or no more.
+// Sends a signal right after the first log line, or when only the exit remains: its handler may not be
+// installed yet, or no longer.
 void EndingsPlay::send_early_or_late_signal(Member& member) {
   if (!member.server->process) return;
   const int number = one_in(2) ? SIGHUP : SIGUSR1;
@@ -293,7 +295,7 @@
 void EndingsPlay::move_runtime(Member& member) {
   member.server->move_runtime();
   signal(member, SIGHUP, "SIGHUP with another runtime address");
-  // Once more: a file that can't be used may have been there at that moment.
+  // Sent again, because an invalid file may have been in place at that moment.
   at(now() - began_ + 2 * kInvalidFileSeconds, [this, &member] { signal(member, SIGHUP, "SIGHUP"); });
 }
 
@@ -304,7 +306,7 @@
 }
 
 void EndingsPlay::cut_levels(const Member& planner, bool cut) {
-  record(fmt::format("the links of {} are {}", planner.name, cut ? "cut" : "whole again"));
+  record(fmt::format("the links of {} are {}", planner.name, cut ? "cut" : "restored"));
   LinkConditions weather;
   weather.cut = cut;
   network_->set(kForwarders, planner.name, weather);
@@ -316,7 +318,7 @@
   network_->reset(kForwarders, planner.name);
 }
 
-// Tries in the moments in which the listener closes, connections end and the process exits.
+// Sends requests around the times at which the listener closes, connections are closed and the process exits.
 void EndingsPlay::send_requests_at_stop(const Member& member) {
   if (member.server->port() == 0 || member.name[0] == 'p') return;
   for (int i = 0; i < kRequestsAtStop; ++i) {
@@ -335,11 +337,11 @@
   member.server->process->signal(number);
 }
 
-// A file that can't be used is only there until it has been read: the next start needs a sound one.
+// An invalid file is in place only until it has been read, because the next start needs a valid one.
 void EndingsPlay::reload(Member& member, bool is_valid) {
   if (!member.is_up) return;
   if (!is_valid) member.server->write_operators(member.operators + "results\n    entries -1\n");
-  signal(member, SIGHUP, is_valid ? "SIGHUP" : "SIGHUP with a bad file");
+  signal(member, SIGHUP, is_valid ? "SIGHUP" : "SIGHUP with an invalid file");
   if (is_valid) return;
   at(now() - began_ + kInvalidFileSeconds, [&member] { member.server->write_operators(member.operators); });
 }
@@ -353,7 +355,7 @@
   at(now() - began_ + seconds, [this, &member] { signal(member, SIGCONT, "SIGCONT"); });
 }
 
-// Who was given notice is killed at its stop, no sooner; who has ended starts again.
+// Kills members that have not ended by their stop time, and schedules the restart of those that have ended.
 void EndingsPlay::check_ends() {
   for (const auto& one : members_) {
     Member& member = *one;
@@ -362,7 +364,7 @@
       handle_end(member);
     } else if (now() >= member.stop_at + (member.has_logged_exit ? kExitTimeoutSeconds : 0) &&
                !member.was_killed_at_stop) {
-      record(member.name + " is killed at its stop");
+      record(member.name + " is killed at its stop time");
       member.was_killed_at_stop = true;
       member.server->process->signal(SIGKILL);
     }
@@ -405,20 +407,20 @@
   switch (event.kind) {
     case kCutAtRunEnds:
       return at(event.at, [this, &member] {
-        record("the runtime's link of " + member.name + " is cut, and runs end as the next one is up");
+        record("the runtime's link of " + member.name + " is cut, and its runs end when the next one is up");
         member.server->runtime.end_runs_at_next_link();
         member.server->runtime.break_link();
       });
     case kCutWithUnreadInput:
       return at(event.at, [this, &member, seconds] {
-        record(
-            fmt::format("the runtime's link of {} loses {:.0f} ms and is cut", member.name, seconds * 1000));
+        record(fmt::format("the runtime's link of {} is not read for {:.0f} ms and then cut", member.name,
+                           seconds * 1000));
         member.server->runtime.break_link_after(seconds);
       });
     case kMoveRuntime: return at(event.at, [this, &member] { move_runtime(member); });
     case kRestartRuntime:
       return at(event.at, [this, &member] {
-        record("the runtime of " + member.name + " starts anew");
+        record("the runtime of " + member.name + " restarts");
         member.server->runtime.restart();
       });
     case kRegistryDown:
@@ -436,7 +438,7 @@
   if (!flood) return;
   at(flood->at, [this, shape = flood->shape] {
     if (!members_.front()->is_up) return;
-    record("a crowd comes");
+    record("a flood of connections starts");
     const std::uint16_t port = drawn_.is_flood_by_ajp ? gateway_->port() : members_.front()->server->port();
     floods_.push_back(std::make_unique<Flood>(port, Flood::Options{shape, 200, 10, 800}));
   });
@@ -476,9 +478,9 @@
         });
       },
       kStartupTimeoutSeconds);
-  if (!listed) return {"the fleet does not come up"};
+  if (!listed) return {"the members are not all listed in time"};
   began_ = now();
-  record("seed draws " + text_of(drawn_));
+  record("the seed draws " + text_of(drawn_));
   draw_timeline();
   run_until(kLoadSeconds);
   settle(broken);
--- a/standins/endings_play.h
+++ b/standins/endings_play.h
@@ -1,6 +1,6 @@
-// One play of the soak of endings: a fleet and a timeline of ends, signals and faults, both drawn by a seed,
-// among callers that use their connections until the end. Judged by the service rules and by what an end may
-// cost.
+// A randomized test of process ends, one play per seed. The seed draws a fleet and a timeline of ends,
+// signals and faults; callers use their connections until they are closed. The result is checked against the
+// service rules and against the losses that an end may cause.
 #pragma once
 
 #include <cstdint>
@@ -28,22 +28,22 @@
   EndingsPlay(const EndingsPlay&) = delete;
   EndingsPlay& operator=(const EndingsPlay&) = delete;
 
-  // What was broken; empty: nothing.
+  // Plays the timeline and returns the violations.
   [[nodiscard]] std::vector<std::string> play();
 
  private:
   struct Member {
     std::string name;
-    int number = 0;         // as callers know it
-    std::string operators;  // the sound file
+    int number = 0;         // of the server, for callers
+    std::string operators;  // the valid operators' file
     std::unique_ptr<Server> server;
     bool is_up = false;
-    double stop_at = -1;  // of SIGKILL after the notice; < 0: no notice was given
+    double stop_at = -1;  // time of SIGKILL after a shutdown notice; < 0: no notice was sent
     double paused_until = -1;
-    bool has_logged_exit = false;  // it has said that it left, and has only to exit
+    bool has_logged_exit = false;  // its shutdown is complete, only the exit remains
     bool was_killed_at_stop = false;
-    bool has_logged_line = false;          // in this life
-    std::ptrdiff_t base_descriptors = -1;  // after its first start, without connections; < 0: not counted
+    bool has_logged_line = false;          // since its start
+    std::ptrdiff_t base_descriptors = -1;  // after its first start, apart from connections; < 0: not counted
   };
 
   void build();
@@ -97,13 +97,13 @@
   const EndingsFleet drawn_;
   Loop loop_;
   Journal journal_;
-  std::unique_ptr<FaultyNetwork> network_;  // the levels, in wide seeds
+  std::unique_ptr<FaultyNetwork> network_;  // between the levels, for wide seeds
   std::unique_ptr<Callers> callers_;
   std::unique_ptr<AjpGateway> gateway_;
   std::vector<std::unique_ptr<Member>> members_;
   std::vector<std::unique_ptr<Flood>> floods_;
   std::multimap<double, std::function<void()>> steps_;
-  std::vector<std::string> findings_;  // of sanitizers, and stores that are not open
+  std::vector<std::string> findings_;  // errors of sanitizers, and stores that are not open
   double began_ = 0;
 };
 
--- a/standins/endings_verdict.cpp
+++ b/standins/endings_verdict.cpp
@@ -1,4 +1,4 @@
-// What a play of the soak of endings is judged by, once its timeline is over.
+// The checks of an endings play after its timeline.
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -10,17 +10,17 @@
 namespace {
 
 constexpr double kSettleSeconds = 8;
-constexpr double kQuiescenceSeconds = 3;  // until counters agree once callers want nothing
+constexpr double kQuiescenceSeconds = 3;  // until counters are consistent after the load
 constexpr double kCloseCrossingSeconds =
-    0.05;  // a request that crosses a close may be lost, says the protocol page
+    0.05;  // a request that crosses a close may be lost according to the protocol
 constexpr double kLateReaderCrossingSeconds =
-    0.5;  // late readers are owed what they asked at the notice, 1 s before
+    0.5;  // late readers must get answers to the requests sent at the notice, 1 s before the stop
 constexpr std::ptrdiff_t kSpareDescriptors =
-    2;  // of a file that is being replaced, and of a connection that ends
+    2;  // for a file that is being replaced and a connection that is being closed
 
 }  // namespace
 
-// All are up again, callers want nothing more, and nothing is left over.
+// Stops the load, restarts members that are down, waits for all attempts, and checks that no resources leak.
 void EndingsPlay::settle(std::vector<std::string>& broken) {
   floods_.clear();
   callers_->set_load_enabled(false);
@@ -43,15 +43,15 @@
                (!gateway_ || gateway_->open() == 0);
       },
       kSettleSeconds);
-  if (!settled) broken.emplace_back("some tries never end");
+  if (!settled) broken.emplace_back("some attempts do not end");
   for (const auto& member : members_) check_counters(*member, broken);
   if (!drawn_.is_wide) return;
   for (const auto& member : members_) check_descriptors(*member, broken);
   check_registry(broken);
 }
 
-// Without connections of callers and calls below. The runtime's link and those between levels are always
-// there.
+// Open descriptors except connections of callers and to the dependency. The links to the runtime and between
+// the levels are permanent, so they are included.
 std::ptrdiff_t EndingsPlay::base_descriptors(const Member& member) const {
   auto open = static_cast<std::ptrdiff_t>(member.server->process->descriptors());
   if (member.name[0] != 'p') open -= static_cast<std::ptrdiff_t>(callers_->connections(member.number));
@@ -68,46 +68,48 @@
   const std::ptrdiff_t allowed = member.base_descriptors + kSpareDescriptors;
   loop_.run_until([&] { return base_descriptors(member) <= allowed; }, kQuiescenceSeconds);
   const std::ptrdiff_t open = base_descriptors(member);
-  record(fmt::format("{} has {} descriptors beside connections, {} at first", member.name, open,
+  record(fmt::format("{} has {} descriptors apart from connections, {} after its start", member.name, open,
                      member.base_descriptors));
   if (open > allowed)
-    broken.push_back(fmt::format("{} once quiet: {} descriptors beside connections, {} after the start",
-                                 member.name, open, member.base_descriptors));
+    broken.push_back(
+        fmt::format("{} after the load: {} descriptors apart from connections, {} after its start",
+                    member.name, open, member.base_descriptors));
 }
 
-// Who is up and serves is on the list.
+// Each running member that callers use is listed in the registry.
 void EndingsPlay::check_registry(std::vector<std::string>& broken) {
   for (const auto& member : members_) {
     if (member->name[0] == 'p' || !member->is_up) continue;
     const Registry& registry = member->server->registry;
     if (!loop_.run_until([&] { return registry.is_listed(); }, kQuiescenceSeconds))
-      broken.push_back(member->name + " once quiet: not listed");
+      broken.push_back(member->name + " after the load: not listed in the registry");
   }
 }
 
-// What was read was answered or has lost its caller; what was started has ended.
+// Each request that was read was answered or its caller disconnected, and each run that was started has
+// ended.
 void EndingsPlay::check_counters(Member& member, std::vector<std::string>& broken) {
   std::string wrong;
   const double until = now() + kQuiescenceSeconds;
   do {
     wrong.clear();
     auto c = member.server->process->counters();
-    if (c["invariants.broken"] > 0) wrong = "an invariant is broken";
+    if (c["invariants.broken"] > 0) wrong = "an invariant is violated";
     const std::uint64_t answered = c["requests.succeeded"] + c["requests.rejected"] + c["requests.failed"];
     const std::uint64_t disconnected = c["requests.caller_gone"];
     if (c["requests.read"] != answered + disconnected)
-      wrong = fmt::format("{} requests read, {} answered, {} without a caller", c["requests.read"], answered,
-                          disconnected);
+      wrong = fmt::format("{} requests read, {} answered, {} with disconnected callers", c["requests.read"],
+                          answered, disconnected);
     const std::uint64_t ended = c["runs.succeeded"] + c["runs.failed"] + c["runs.cancelled"] +
                                 c["runs.not_started"] + c["runs.given_up"];
     if (member.name[0] != 'f' && c["runs.started"] > ended + c["runs.resumed"])
       wrong = fmt::format("{} runs started, {} ended", c["runs.started"], ended);
     if (!wrong.empty()) loop_.run_for(0.2);
   } while (!wrong.empty() && now() < until);
-  if (!wrong.empty()) broken.push_back(member.name + " once quiet: " + wrong);
+  if (!wrong.empty()) broken.push_back(member.name + " after the load: " + wrong);
 }
 
-// Forwarders first: a planner ends once nothing is open there.
+// Shuts down forwarders first, because a planner ends when no links or requests are open.
 void EndingsPlay::shut_down_all(std::vector<std::string>& broken) {
   for (const char level : {'f', 'p', 'r'}) {
     for (const auto& member : members_) {
@@ -115,14 +117,15 @@
     }
     for (const auto& member : members_) {
       if (member->name[0] != level || !member->is_up) continue;
-      if (!member->server->wait_for_end()) broken.push_back(member->name + " does not end by its stop");
+      if (!member->server->wait_for_end())
+        broken.push_back(member->name + " does not end before its stop time");
     }
   }
 }
 
-// A request may be lost with a kill without notice, or where it crosses an orderly close. One on a new
-// connection that is closed with nothing run has failed and is not lost, says the service page: a crowd has
-// newcomers turned away.
+// A request may be lost only if its process is killed without notice, or if it crosses an orderly close of
+// its connection. During a flood new connections may be rejected, so a request on a new connection that is
+// closed before anything ran has failed rather than been lost.
 void EndingsPlay::check_losses(std::vector<std::string>& broken) const {
   std::set<std::uint64_t> ran;
   for (const RecordedRun& run : journal_.runs) ran.insert(run.request);
@@ -145,7 +148,7 @@
   if (drawn_.stores_results) limits.keyed_routes = {"close"};
   limits.replies_name_calls = true;
   limits.are_starts_resent = drawn_.is_wide;
-  // Runs that wait for their calls take no cores.
+  // Runs that wait for their calls use no cores, so the limit holds only without calls.
   if (drawn_.calls_in_a_row == 0)
     limits.survivable_concurrency = 8 * 2 * std::max(1, std::max(drawn_.planners, drawn_.backends));
   const Verdict verdict = check_rules(journal_, limits);
--- a/standins/faulty_network.cpp
+++ b/standins/faulty_network.cpp
@@ -15,12 +15,13 @@
 namespace damsonspoke::standins {
 namespace {
 
-constexpr std::uint16_t kPort = 7400;               // of all hosts, each on addresses of its own
-constexpr std::size_t kMaxWaitingBytes = 4u << 20;  // bytes of one direction of a stream; beyond, it is reset
-constexpr double kReorderDelaySeconds = 0.05;       // s; a disordered datagram
+constexpr std::uint16_t kPort = 7400;  // of all hosts, as each has its own addresses
+constexpr std::size_t kMaxWaitingBytes = 4u
+                                         << 20;  // per direction of a stream, which is reset when it has more
+constexpr double kReorderDelaySeconds = 0.05;    // of a reordered datagram
 constexpr int kMaxHosts = 120;
 
-// Networks of several plays at once, and of several tests at once, are others.
+// The first three octets of the hosts' addresses, different for plays and tests that run at the same time.
 std::string draw_network() {
   static unsigned serial = 0;
   const unsigned number = static_cast<unsigned>(::getpid()) + 4099u * serial++;
@@ -58,7 +59,7 @@
 const FaultyNetwork::Host& FaultyNetwork::add_host(const std::string& name) {
   if (hosts_.contains(name)) return hosts_.at(name).host;
   const int number = static_cast<int>(hosts_.size());
-  if (number >= kMaxHosts) throw std::runtime_error("too many hosts");
+  if (number >= kMaxHosts) throw std::runtime_error("too many hosts in the faulty network");
   HostSockets& sockets = hosts_[name];
   sockets.host = {fmt::format("{}.{}", network_, 2 * number + 1),
                   fmt::format("{}.{}", network_, 2 * number + 2), kPort};
@@ -70,9 +71,10 @@
   ::setsockopt(sockets.listener, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
   for (const int fd : {sockets.datagrams, sockets.listener}) {
     if (fd < 0 || ::bind(fd, reinterpret_cast<const sockaddr*>(&at), sizeof at) != 0)
-      throw std::runtime_error("no address for a host between processes");
+      throw std::runtime_error("cannot bind the address of a host of the faulty network");
   }
-  if (::listen(sockets.listener, 64) != 0) throw std::runtime_error("cannot listen between processes");
+  if (::listen(sockets.listener, 64) != 0)
+    throw std::runtime_error("cannot listen on the address of a host of the faulty network");
   loop_.watch(sockets.datagrams, [this, name] { on_datagram(name); });
   loop_.watch(sockets.listener, [this, name] {
     const HostSockets& of = hosts_.at(name);
@@ -102,7 +104,7 @@
   const int on = 1;
   ::setsockopt(listener, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
   if (::bind(listener, reinterpret_cast<const sockaddr*>(&at), sizeof at) != 0 || ::listen(listener, 64) != 0)
-    throw std::runtime_error("cannot listen between processes");
+    throw std::runtime_error("cannot open another port of a host of the faulty network");
   loop_.watch(listener, [this, fd = listener, name, target = address("127.0.0.1", port)] {
     on_stream(fd, name, target, nullptr);
   });
@@ -113,7 +115,7 @@
   if (conditions.refused) reset(from, to);
   std::vector<std::uint64_t> all;
   for (const auto& [number, stream] : streams_) all.push_back(number);
-  for (const std::uint64_t number : all) {  // what a cut had held back goes on
+  for (const std::uint64_t number : all) {  // forwards the bytes that a cut held back
     if (streams_.contains(number)) pump(number, false);
     if (streams_.contains(number)) pump(number, true);
   }
@@ -157,7 +159,7 @@
                                    reinterpret_cast<sockaddr*>(&source), &size);
     if (got < 0) return;
     const std::string from = host_at(source);
-    if (from.empty()) continue;  // a stranger: has no way in
+    if (from.empty()) continue;  // not sent by a host of this network
     const LinkConditions& link = conditions(from, to);
     Counted& count = counted_[from];
     ++count.datagrams;
@@ -178,7 +180,7 @@
 void FaultyNetwork::deliver(const std::string& from, const std::string& to, std::string bytes, double at) {
   const auto send = [this, from, to, data = std::move(bytes)] {
     const HostSockets& sockets = hosts_.at(to);
-    // The receiver sees who sent it by the face that it knows.
+    // Sent from the sender's advertised address, by which the receiver knows it.
     ::sendto(hosts_.at(from).datagrams, data.data(), data.size(), MSG_DONTWAIT | MSG_NOSIGNAL,
              reinterpret_cast<const sockaddr*>(&sockets.bind_address), sizeof sockets.bind_address);
   };
@@ -209,7 +211,7 @@
   if (fixed_source == nullptr) mine = address(hosts_.at(from).host.advertised_address, 0);
   const bool bound =
       fixed_source != nullptr || ::bind(other, reinterpret_cast<const sockaddr*>(&mine), sizeof mine) == 0;
-  // On loopback a connection is made or refused at once: there is nobody who could be slow about it.
+  // A blocking connect is acceptable, because on loopback it succeeds or fails immediately.
   if (other < 0 || !bound ||
       ::connect(other, reinterpret_cast<const sockaddr*>(&target), sizeof target) != 0) {
     if (other >= 0) ::close(other);
@@ -246,7 +248,8 @@
     const double begins = std::max(now(), flow.free_at);
     flow.free_at = link.bytes_per_s > 0 ? begins + static_cast<double>(size) / link.bytes_per_s : now();
     double due = std::max(now(), flow.free_at) + link.delay + link.jitter * random_unit();
-    if (!flow.waiting.empty()) due = std::max(due, flow.waiting.back().first);  // a stream keeps its order
+    if (!flow.waiting.empty())
+      due = std::max(due, flow.waiting.back().first);  // preserves the order of the stream
     flow.waiting.emplace_back(due, std::string(bytes, size));
     flow.bytes += size;
     if (flow.bytes + loop_.unsent(flow.sink) > kMaxWaitingBytes) return drop(number, true);
@@ -257,7 +260,7 @@
 void FaultyNetwork::pump(std::uint64_t number, bool is_inbound) {
   Stream& stream = streams_.at(number);
   Flow& flow = is_inbound ? stream.inbound : stream.outbound;
-  if (conditions(flow.from, flow.to).cut) return;  // set() goes on with it
+  if (conditions(flow.from, flow.to).cut) return;  // set() calls this again when the cut ends
   while (!flow.waiting.empty() && flow.waiting.front().first <= now()) {
     loop_.send(flow.sink, flow.waiting.front().second);
     flow.bytes -= flow.waiting.front().second.size();
--- a/standins/faulty_network.h
+++ b/standins/faulty_network.h
@@ -1,14 +1,13 @@
-// A faulty network in user space, without privileges: processes reach one another through it, and for every
-// ordered pair it delays, loses, doubles, disorders, slows down, cuts, refuses or resets what goes from the
-// one to the other.
+// A faulty network between processes, in user space and without privileges. For each ordered pair of hosts it
+// can delay, lose, duplicate, reorder, slow down, cut, refuse or reset the traffic from one to the other.
 //
-// Hosts have two addresses on loopback: `home`, which the process listens on and sends from, and `face`,
-// which all others know it by and behind which this network stands, for datagrams and streams alike. Streams
-// of processes that listen on a port of their own choice go through paths: one listener an ordered pair.
+// Each host has two loopback addresses. Its process listens on and sends from `bind_address`; all other hosts
+// use `advertised_address`, on which this network accepts datagrams and streams and forwards them. Streams to
+// a process that listens on another port go through a path: one listener for each ordered pair of hosts.
 //
-// A cut swallows nothing of a stream for good, as TCP would send it again: it arrives when the cut ends, the
-// end of the stream too, unless somebody has lost patience meanwhile. A connection is made even over a cut
-// link, by the system, and is silent then: only a refusal refuses.
+// A cut does not lose bytes of a stream, as TCP would retransmit them: the bytes and the end of the stream
+// arrive when the cut ends, unless an endpoint has timed out meanwhile. A new connection over a cut link is
+// accepted by the system and then stays silent; only `refused` rejects connections.
 #pragma once
 
 #include <netinet/in.h>
@@ -26,13 +25,13 @@
 
 namespace damsonspoke::standins {
 
-// Of one direction of one pair.
+// The conditions of one direction between two hosts.
 struct LinkConditions {
-  double delay = 0, jitter = 0;                    // s; jitter is evenly on top of the delay
-  double loss = 0, duplicated = 0, reordered = 0;  // shares of datagrams; a disordered one comes 50 ms later
-  double bytes_per_s = 0;                          // of streams; 0: any
+  double delay = 0, jitter = 0;  // s; a uniformly random part of jitter is added to the delay
+  double loss = 0, duplicated = 0, reordered = 0;  // shares of datagrams; a reordered one is 50 ms late
+  double bytes_per_s = 0;                          // limit for each stream; 0: none
   bool cut = false;
-  bool refused = false;  // new streams are, old ones are reset
+  bool refused = false;  // new streams are rejected, existing ones are reset
 };
 
 class FaultyNetwork {
@@ -43,27 +42,28 @@
   FaultyNetwork& operator=(const FaultyNetwork&) = delete;
 
   struct Host {
-    std::string bind_address, advertised_address;  // addresses, without a port
-    std::uint16_t port = 0;                        // the same on both
+    std::string bind_address, advertised_address;  // without port
+    std::uint16_t port = 0;                        // the same on both addresses
     std::string bind_endpoint() const { return bind_address + ':' + std::to_string(port); }
     std::string advertised_endpoint() const { return advertised_address + ':' + std::to_string(port); }
   };
   const Host& add_host(const std::string& name);
-  // What listens at that port on 127.0.0.1 as this host is reached at its face and the same port, by those
-  // who come from their homes.
+  // Forwards streams to this port of the host's advertised address to the same port on 127.0.0.1, for hosts
+  // that connect from their bind addresses.
   void open(const std::string& name, std::uint16_t port);
-  // A port on 127.0.0.1 that leads from the one to what listens at `port` as the other; the same one each
-  // time that it is asked for, also when the other listens somewhere else by then.
+  // A port on 127.0.0.1 for streams of host `from` to host `to`, which listens on `port` of 127.0.0.1. The
+  // result stays the same for a pair; a call with a new `port` changes the target.
   std::uint16_t path(const std::string& from, const std::string& to, std::uint16_t port);
 
   void set(const std::string& from, const std::string& to, const LinkConditions& conditions);
   const LinkConditions& conditions(const std::string& from, const std::string& to) const;
-  void reset(const std::string& from, const std::string& to);  // the streams that there are, in either order
+  void reset(const std::string& from,
+             const std::string& to);  // existing streams between the two, in both directions
 
   struct Counted {
     std::uint64_t datagrams = 0, lost = 0, bytes = 0, streams = 0;
   };
-  const Counted& counted(const std::string& from) const;  // by who sent
+  const Counted& counted(const std::string& from) const;  // by sending host
 
  private:
   struct HostSockets {
@@ -80,10 +80,10 @@
   struct Flow {
     std::string from, to;
     int source = -1, sink = -1;
-    std::deque<std::pair<double, std::string>> waiting;  // when each is due at the sink
+    std::deque<std::pair<double, std::string>> waiting;  // with the times at which they are due at the sink
     std::size_t bytes = 0;
     double free_at = 0;
-    bool has_ended = false, is_end_sent = false;  // the source wrote its last; the sink has been told so
+    bool has_ended = false, is_end_sent = false;  // the source's end was read; it was passed on to the sink
   };
   struct Stream {
     Flow outbound, inbound;
@@ -101,10 +101,11 @@
 
   Loop& loop_;
   pcg64 random_;
-  std::shared_ptr<bool> is_alive_ = std::make_shared<bool>(true);  // timers may outlive this
+  std::shared_ptr<bool> is_alive_ =
+      std::make_shared<bool>(true);  // false after destruction, for timers that outlive this
   std::map<std::string, HostSockets> hosts_;
   std::map<std::pair<std::string, std::string>, Path> paths_;
-  std::map<std::pair<std::string, std::uint16_t>, int> extra_listeners_;  // listeners
+  std::map<std::pair<std::string, std::uint16_t>, int> extra_listeners_;  // by host and port, of open()
   std::map<std::pair<std::string, std::string>, LinkConditions> conditions_;
   std::map<std::string, Counted> counted_;
   std::map<std::uint64_t, Stream> streams_;
--- a/standins/fleet.cpp
+++ b/standins/fleet.cpp
@@ -13,15 +13,15 @@
 namespace damsonspoke::standins {
 namespace {
 
-constexpr std::uint16_t kDiscardPort = 9;  // nothing here listens there
-constexpr double kKillTimeoutSeconds = 5;  // for a process to be gone
+constexpr std::uint16_t kDiscardPort = 9;  // no listener on this port
+constexpr double kKillTimeoutSeconds = 5;  // for the end of a killed process
 
 }  // namespace
 
 TemporaryFolder::TemporaryFolder() {
   const char* root = std::getenv("TMPDIR");
   std::string name = fmt::format("{}/damsonspoke-XXXXXX", root ? root : "/tmp");
-  if (::mkdtemp(name.data()) == nullptr) throw std::runtime_error("no folder for the play");
+  if (::mkdtemp(name.data()) == nullptr) throw std::runtime_error("cannot create a temporary folder");
   path_ = name;
 }
 TemporaryFolder::~TemporaryFolder() {
@@ -36,10 +36,10 @@
     try {
       ::close(listening_socket(port));
       return port;
-    } catch (const std::runtime_error&) {  // taken
+    } catch (const std::runtime_error&) {  // in use
     }
   }
-  throw std::runtime_error("no lasting port");
+  throw std::runtime_error("no free port below the ephemeral range");
 }
 
 Server::Server(Loop& loop, Journal& journal, Callers& callers, std::string binary, SiteSpec spec,
@@ -128,7 +128,7 @@
   journal_.incarnations.emplace_back().began = now();
   incarnation_ = static_cast<int>(journal_.incarnations.size()) - 1;
   runtime.begin_incarnation(incarnation_);
-  if (proxy_port) write_config();  // by now somebody stands between
+  if (proxy_port) write_config();  // the proxies exist by now
   std::vector<std::string> command = {binary_,       spec_.command,  "--config", folder_.path("config.json"),
                                       "--log-level", spec_.log_level};
   if (!spec_.operators.empty()) command.insert(command.end(), {"--operator", operators_path()});
--- a/standins/fleet.h
+++ b/standins/fleet.h
@@ -1,6 +1,5 @@
-// Servers of the program among their stand-ins: each with its configuration and operators' file, its runtime,
-// dependency and registry; and how they are started, killed, shut down gracefully and started again. A Fleet
-// is one of them with its callers, in one loop.
+// Starts, kills, shuts down and restarts servers of the program. Each server has its own configuration,
+// operators' file, runtime, dependency and registry. A Fleet is one server with its callers, in one loop.
 #pragma once
 
 #include <fmt/format.h>
@@ -22,31 +21,31 @@
 // A route in the settings of a server.
 struct RouteSpec {
   std::string name;
-  std::string idempotency = "retryable";  // dedup: keyed, fragile: non-retryable
+  std::string idempotency = "retryable";  // dedup: with a key, fragile: non-retryable
   double target = 1, timeout = 3;         // s
   double window = 0;                      // s
   double priority_weight = 1;
 };
 
-// The settings of a server, and how it is started.
+// The settings of a server and its command line.
 struct SiteSpec {
   std::vector<RouteSpec> types;
-  double fresh = 0;                                     // s that reads may share an answer
-  double slow_start_speed = 1, slow_start_seconds = 0;  // s, as the settings tell
+  double fresh = 0;                                     // s in which equal reads share an answer
+  double slow_start_speed = 1, slow_start_seconds = 0;  // s; values of the settings
   int cores = 2;
   double memory_mb = 192;
-  double stop_after = 2;          // s after the notice to leave
+  double stop_after = 2;          // s after the shutdown notice
   std::string operators;          // text of the operators' file; empty: none
-  std::string command = "serve";  // or plan, forward
+  std::string command = "serve";  // serve, plan or forward
   std::string name = "n1";
-  std::uint16_t port = 0;                   // that it listens on; 0: as it comes
-  int sockets = 512;                        // descriptors that it may have
-  bool registry_is_down = false;            // nobody listens to its reports
-  std::vector<std::string> command_prefix;  // words before the program's own: a program that starts it
+  std::uint16_t port = 0;                   // listening port; 0: chosen by the system
+  int sockets = 512;                        // limit of descriptors
+  bool registry_is_down = false;            // its reports go to a port without a listener
+  std::vector<std::string> command_prefix;  // a program, with arguments, that executes the server
   std::string log_level = "info";
 };
 
-// A new folder under TMPDIR, deleted with this. Throws std::runtime_error where it can't be made.
+// A new folder under TMPDIR that is deleted on destruction. Throws std::runtime_error if it can't be created.
 class TemporaryFolder {
  public:
   TemporaryFolder();
@@ -59,52 +58,53 @@
   std::string path_;
 };
 
-// A port that stays free for its server between two lives: below those that the system gives to whoever
-// connects meanwhile. Throws std::runtime_error where none is found.
+// A port that stays free while its server restarts, because it is below the range that the system assigns to
+// outgoing connections. Throws std::runtime_error if none is free.
 std::uint16_t non_ephemeral_port();
 
-// One server. It shares loop, journal and callers with others, by its number; these outlive it.
+// One server. Several servers share loop, journal and callers, which outlive them; callers know a server by
+// its number.
 class Server {
  public:
   Server(Loop& loop, Journal& journal, Callers& callers, std::string binary, SiteSpec spec,
          Runtime::Options runtime, int number = 0);
 
-  // Begins a new life and waits until it listens; false where it does not.
+  // Starts a process and waits until it listens; false if it does not.
   bool start();
-  // Sends SIGKILL and waits for the end. Where the process had ended before, the journal has that as its own
-  // end.
+  // Sends SIGKILL and waits for the end. If the process has already ended, the journal records that it ended
+  // by itself.
   void kill();
-  // Shuts it down gracefully; true where it ended by itself in time.
+  // Shuts it down gracefully; false if it does not end in time.
   bool shut_down();
-  // Sends the notice to leave, and does not wait.
+  // Sends SIGTERM without waiting for the end.
   void send_shutdown_notice();
-  // That its present life listens on.
+  // The port on which the current process listens.
   std::uint16_t port() const { return listening_port_; }
-  // Waits for its end after the notice; false where it has not ended 1 s after it should have.
+  // Waits for the end after the shutdown notice; false if it is over 1 s late.
   bool wait_for_end();
-  // Replaces the operators' file; STORE and FOLDER in the text stand for the server's own.
+  // Replaces the operators' file; STORE and FOLDER in the text are replaced by the server's own paths.
   void write_operators(const std::string& text);
-  // Moves the runtime to another address and writes that into the configuration, which the server reads
-  // later.
+  // Moves the runtime to another port and writes that into the configuration, which the server reads on its
+  // next reload.
   void move_runtime();
   std::string folder() const { return folder_.path("."); }
   std::string store_path() const { return folder_.path("results"); }
   std::string operators_path() const { return folder_.path("operator.conf"); }
-  // Of a planner, the same in all its lives.
+  // The address of a planner, which restarts keep.
   std::string address() const { return fmt::format("127.0.0.1:{}", port_); }
-  // Of its present life, in the journal.
+  // The index of the current process in the journal.
   int incarnation_number() const { return incarnation_; }
 
-  // Gives the port by which others reach it, or it reaches others, where something stands between them:
-  // "callers" or "below", and the port behind it.
+  // If set, returns the port of a proxy for a port: `what` is "callers" for connections to this server,
+  // "below" for its connections to the dependency.
   std::function<std::uint16_t(const char* what, std::uint16_t port)> proxy_port;
 
   Runtime runtime;
   Dependency dependency;
   Registry registry;
   std::unique_ptr<Process> process;
-  std::function<void(pid_t)> on_spawned;                // each time, before it listens
-  std::function<void(const std::string&)> on_log_line;  // each line of its log, in all its lives
+  std::function<void(pid_t)> on_spawned;                // at each start, before it listens
+  std::function<void(const std::string&)> on_log_line;  // for each line of its log, over all restarts
 
  private:
   std::uint16_t proxied_port(const char* what, std::uint16_t port) const {
@@ -112,7 +112,7 @@
   }
   void write_config();
   Incarnation& incarnation();
-  // The present life has ended by itself.
+  // Records that the current process ended without being killed.
   void record_exit();
   void disconnect_callers();
 
@@ -123,12 +123,12 @@
   SiteSpec spec_;
   const int number_;
   int incarnation_ = -1;
-  std::uint16_t port_ = 0;  // 0: the system picks one each time
+  std::uint16_t port_ = 0;  // 0: the system chooses one at each start
   std::uint16_t listening_port_ = 0;
   TemporaryFolder folder_;
 };
 
-// One server with its callers, in a loop and with a journal of their own.
+// One server and its callers, with their own loop and journal.
 class Fleet {
  public:
   Fleet(std::string binary, SiteSpec spec, Runtime::Options runtime, Callers::Options callers);
@@ -136,7 +136,7 @@
   bool start() { return server.start(); }
   void kill() { server.kill(); }
   bool shut_down() { return server.shut_down(); }
-  // Wants nothing new and runs until all attempts have ended; false where they have not in so many seconds.
+  // Stops the load and waits until all attempts have ended; false on a timeout.
   bool settle(double timeout_seconds);
   void write_operators(const std::string& text) { server.write_operators(text); }
   std::string folder() const { return server.folder(); }
--- a/standins/forwarder.h
+++ b/standins/forwarder.h
@@ -1,4 +1,4 @@
-// A scripted forwarder, for planners: it sends what a test tells it to, and keeps what it gets.
+// A scripted forwarder for tests of planners: sends messages on request and stores the received ones.
 #pragma once
 
 #include <sys/socket.h>
@@ -16,7 +16,7 @@
 
 namespace damsonspoke::standins {
 
-// One forwarder with one link, from its construction on; `loop` outlives it.
+// One forwarder with one link, which is connected on construction; `loop` outlives this.
 class ScriptedForwarder {
  public:
   ScriptedForwarder(Loop& loop, std::uint16_t port) : loop_(loop), fd_(connected_socket(port)) {
@@ -32,12 +32,12 @@
     if (fd_ >= 0) ::close(fd_);
     fd_ = -1;
   }
-  // Sends nothing where the link has ended.
+  // Does nothing if the link has ended.
   ScriptedForwarder& send(const wire::tier::Message& message) {
     if (fd_ >= 0 && !is_closed_) loop_.send(fd_, wire::tier::encode(message));
     return *this;
   }
-  // Sends a hello and waits for the planner's, 1 s at most.
+  // Sends a hello and waits for the planner's for at most 1 s.
   ScriptedForwarder& hello(const char* name, std::uint64_t epoch) {
     send(hello_of(name, epoch));
     loop_.run_until([this] { return has_hello; }, 1);
@@ -50,7 +50,7 @@
     hello.routes = {"read"};
     return hello;
   }
-  // Sends an attempt at a request of 10 kB that its caller awaits for 1.9 s.
+  // Sends an attempt at a request that needs 10 kB and has 1.9 s left.
   ScriptedForwarder& submit(std::uint64_t attempt, std::uint64_t request) {
     wire::tier::Submit submit;
     submit.attempt = attempt;
@@ -60,16 +60,16 @@
     submit.body = "k ";
     return send(submit);
   }
-  // The result of an attempt that is answered within so many seconds; -1 where it is not.
+  // Waits for the answer to an attempt and returns its result; -1 on a timeout.
   int answer(std::uint64_t attempt, double timeout_seconds = 1) {
     loop_.run_until([&] { return answers.contains(attempt); }, timeout_seconds);
     return answers.contains(attempt) ? static_cast<int>(answers[attempt]) : -1;
   }
-  // Whether the planner closes the link within so many seconds.
+  // Whether the planner closes the link within this time.
   bool is_closed_within(double timeout_seconds) {
     return loop_.run_until([this] { return is_closed_; }, timeout_seconds);
   }
-  // Sends nothing but pings for so long.
+  // Sends only pings for this time.
   void ping_for(double seconds) {
     const int pings = static_cast<int>(std::ceil(seconds / kPingSeconds));
     for (int i = 0; i < pings; ++i) {
@@ -78,10 +78,10 @@
     }
   }
 
-  // What came so far.
+  // The state received so far.
   bool has_hello = false, has_drain_notice = false;
   int pongs = 0;
-  std::uint32_t window = 0;         // that it was told of last
+  std::uint32_t window = 0;         // the last one received
   std::uint64_t planner_epoch = 0;  // of the planner's hello
   std::map<std::uint64_t, wire::tier::Result> answers;
 
--- a/standins/hollow.cpp
+++ b/standins/hollow.cpp
@@ -14,12 +14,13 @@
 namespace {
 
 constexpr int kSeedMembers = 3;
-// The defaults of the operators' directives.
+// The default values of the operators' directives.
 constexpr double kProbeIntervalSeconds = 0.3;
 constexpr double kSuspicionSeconds = 2;
 constexpr double kDeadRetentionSeconds = 7200;
 constexpr std::uint64_t kFirstEpoch = 1000;
-constexpr std::uint64_t kSeedFactor = 100003;  // keeps the draws of fleets with different seeds apart
+constexpr std::uint64_t kSeedFactor =
+    100003;  // gives members of fleets with different seeds different random seeds
 
 }  // namespace
 
--- a/standins/journal.h
+++ b/standins/journal.h
@@ -1,5 +1,5 @@
-// What the stand-ins saw, and the four service rules over it. One journal for a whole play, over all lives of
-// the program. Times are monotonic, in s; -1 where a time never came.
+// The events that the stand-ins record, and the check of the four service rules over them. One journal covers
+// a whole play with all incarnations of the program. Times are monotonic, in seconds; -1: it did not happen.
 #pragma once
 
 #include <cstdint>
@@ -10,70 +10,69 @@
 
 namespace damsonspoke::standins {
 
-// How a request was answered; kBad: by what no answer may be.
+// How a request was answered. kInvalid: the answer violates the protocol.
 enum class AnswerKind { kSucceeded, kRejected, kFailed, kUnknownOutcome, kConflict, kInvalid };
 
-// One answer, as the caller read it.
+// One answer, as read by the caller.
 struct Answer {
   double at = 0;
   AnswerKind kind = AnswerKind::kFailed;
   std::string result;
-  double retry_after = 0;  // s, told with a rejection; 0: none
+  double retry_after = 0;  // s, from a rejection; 0: none given
 };
 
-// One attempt at what a caller wants, as its caller saw it: a request of its own.
+// One attempt at a caller's task, as seen by the caller. Each attempt is a request with its own id.
 struct Attempt {
   std::uint64_t request = 0;
-  std::string key;  // of what is wanted; all attempts at it share the key
+  std::string key;  // of the task; all its attempts share it
   std::string type;
-  int incarnation = 0;  // of the program, when it was sent
+  int incarnation = 0;  // of the program when the attempt was sent
   double sent = 0;
   double deadline = 0;
-  bool is_lost = false;  // its connection ended before an answer
+  bool is_lost = false;  // the connection ended before an answer was read
   double lost_at = -1;
-  bool was_not_sent = false;           // never sent
-  bool is_read_late = false;           // its caller read nothing for a while: the times tell when it read
-  bool was_on_new_connection = false;  // when lost: nothing had been answered on its connection
+  bool was_not_sent = false;
+  bool is_read_late = false;           // the caller paused reading; answer times are times of reading
+  bool was_on_new_connection = false;  // if lost: its connection had not carried any answer
   bool is_numbered_by_server =
-      false;  // the program numbered its request itself: its runs are known by key alone
+      false;  // the program chose the request id, so its runs can be matched by key only
   std::vector<Answer> answers;
 };
 
-// One run, as the runtime saw it.
+// One run, as seen by the runtime.
 struct RecordedRun {
   std::uint64_t request = 0;
   std::string key;
   std::string type;
   int incarnation = 0;
   double began = 0, ended = 0;
-  std::string result;  // what it was given to end with
+  std::string result;  // sent when the run completes
   bool completed = false;
 };
 
-// One call that a run made, as the runtime saw it.
+// One call to the dependency that a run made, as seen by the runtime.
 struct RecordedCall {
   std::uint64_t request = 0;
-  int number = 0;  // from 1, of its run
+  int number = 0;  // within its run, from 1
   bool replied = false;
-  std::string reply;  // as it was given to the run while it waited for this call
+  std::string reply;  // delivered while the run waited for this call
 };
-// The body of a call. A dependency that names calls replies with kReplyTo and that.
+// The body of a call. A dependency that names calls replies with kReplyPrefix and this body.
 std::string call_body(const RecordedCall& call);
 inline constexpr char kReplyPrefix[] = "reply to ";
 
-// One life of the program: a process, from its start to its end.
+// One process of the program, from its start to its end.
 struct Incarnation {
   double began = 0;
-  double shutdown_notice_at = -1;  // the notice to leave was sent
-  double shutdown_logged_at = -1;  // its log said that it heard that, as read here: never sooner than it did
+  double shutdown_notice_at = -1;  // the shutdown notice (SIGTERM) was sent
+  double shutdown_logged_at = -1;  // the log line about the notice was read here, which may be late
   double ended_at = -1;
-  bool was_killed = false;  // by the play
-  int status = 0;           // where it ended by itself
-  // Times in which it could do nothing for callers by the play's doing: it stood still, or its callers' link
-  // was cut.
+  bool was_killed = false;  // by the play, with SIGKILL
+  int status = 0;           // exit status, unless it was killed
+  // Periods in which the play kept it from serving callers: it was paused, or its callers' link was cut.
   std::vector<std::pair<double, double>> unreachable_periods;
   double killed_at = -1;  // SIGKILL was sent
-  // Whether none of these times touches this one.
+  // Whether no such period overlaps this one.
   bool is_reachable(double from, double to) const {
     for (const auto& [began, ended] : unreachable_periods) {
       if (from <= ended && to >= began) return false;
@@ -88,26 +87,26 @@
   std::vector<RecordedRun> runs;
   std::vector<RecordedCall> calls;
   std::vector<Incarnation> incarnations;
-  int max_concurrency = 0;  // requests at once
+  int max_concurrency = 0;  // maximum number of requests that ran at once
 };
 
-// What the rules allow in a play.
+// Tolerances and expectations of the rules in a play.
 struct RuleLimits {
-  std::vector<std::string> keyed_routes;      // routes that must not run twice a key
-  double deadline_slack_seconds = 0.1;        // s after the due time that an answer may come
-  double grace_seconds = 0.3;                 // s after the notice in which what comes may still run
-  double max_signal_delay_seconds = 0.25;     // s that the notice may take to be heard on a crowded machine
-  double timestamp_rounding_seconds = 0.001;  // s; callers tell in whole milliseconds when a request came
-  int survivable_concurrency = 0;             // requests running at once; 0: any
-  bool replies_name_calls = false;            // the dependency does: each other reply has been changed
-  // Links of runtimes are cut: a retryable request's start may be sent again after its end. Where the program
-  // numbers a request itself, its runs count as one then.
+  std::vector<std::string> keyed_routes;   // routes on which each key may run only once
+  double deadline_slack_seconds = 0.1;     // after its deadline, in which an answer still counts as in time
+  double grace_seconds = 0.3;              // after the shutdown notice, in which new requests may run
+  double max_signal_delay_seconds = 0.25;  // until the signal takes effect on a busy machine
+  double timestamp_rounding_seconds = 0.001;  // callers send times in whole milliseconds
+  int survivable_concurrency = 0;             // limit of requests that run at once; 0: none
+  bool replies_name_calls = false;            // every reply has to name its call; others were changed
+  // The links to runtimes are cut during the play, so the start of a retryable request may be sent again
+  // after its run has ended. If the program chose the request id, such runs count as one.
   bool are_starts_resent = false;
 };
 
-// How the rules were kept: how often each was broken, and how.
+// The violations of the rules: descriptions, and the number of each kind.
 struct Verdict {
-  std::vector<std::string> broken;  // sentences, the first five of each kind
+  std::vector<std::string> broken;  // descriptions, the first five of each kind
   int double_runs = 0;
   int wrong_results = 0;
   int unanswered = 0;
@@ -117,7 +116,7 @@
   bool kept() const { return broken.empty(); }
 };
 
-// Holds the four service rules against all that was recorded.
+// Checks the recorded events against the four service rules.
 Verdict check_rules(const Journal& journal, const RuleLimits& limits);
 
 }  // namespace damsonspoke::standins
--- a/standins/journal_file.cpp
+++ b/standins/journal_file.cpp
@@ -21,7 +21,7 @@
   return "invalid";
 }
 
-// Times that never came are negative in the journal.
+// Times of events that did not happen are negative in the journal.
 std::string time_text(double at, double began) {
   return at < 0 ? std::string("never") : fmt::format("{:.4f}", at - began);
 }
@@ -30,7 +30,7 @@
 
 void write_journal(const Journal& journal, double began, const std::string& path) {
   std::ofstream out(path);
-  if (!out) throw std::runtime_error(fmt::format("{}: can't be written", path));
+  if (!out) throw std::runtime_error(fmt::format("{}: the journal can't be written", path));
   int number = 0;
   for (const Incarnation& incarnation : journal.incarnations)
     fmt::print(out, "life {} began {} notice {} killed {} ended {} status {}\n", number++,
--- a/standins/journal_file.h
+++ b/standins/journal_file.h
@@ -1,4 +1,4 @@
-// A journal as lines of text, for whoever follows one request through a play.
+// Writes a journal as lines of text, to trace single requests through a play.
 #pragma once
 
 #include <string>
@@ -7,8 +7,8 @@
 
 namespace damsonspoke::standins {
 
-// Writes lives, tries and runs, a line each, with times in s from `began` on. Throws std::runtime_error where
-// the file can't be written.
+// Writes one line for each incarnation, attempt and run, with times in seconds since `began`. Throws
+// std::runtime_error if the file can't be written.
 void write_journal(const Journal& journal, double began, const std::string& path);
 
 }  // namespace damsonspoke::standins
--- a/standins/loop.cpp
+++ b/standins/loop.cpp
@@ -17,8 +17,8 @@
 namespace damsonspoke::standins {
 namespace {
 
-constexpr int kMaxTimersPerIteration = 1000;  // sockets are looked at between two lots of them
-constexpr double kMaxWaitSeconds = 0.01;      // until a condition is looked at again
+constexpr int kMaxTimersPerIteration = 1000;  // bounds the time until sockets are polled again
+constexpr double kMaxWaitSeconds = 0.01;      // until the condition of run_until() is checked again
 
 sockaddr_in loopback(std::uint16_t port) {
   sockaddr_in address{};
@@ -31,11 +31,11 @@
 int bound_socket(int kind, std::uint16_t& port) {
   const int fd = ::socket(AF_INET, kind | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
   sockaddr_in address = loopback(port);
-  const int on = 1;  // a port that was given may have been somebody's a moment ago
+  const int on = 1;  // a requested port may still be in TIME_WAIT
   ::setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
   socklen_t size = sizeof address;
   if (fd < 0 || ::bind(fd, reinterpret_cast<sockaddr*>(&address), size) != 0)
-    throw std::runtime_error("no loopback socket");
+    throw std::runtime_error("loopback port not available");
   ::getsockname(fd, reinterpret_cast<sockaddr*>(&address), &size);
   port = ntohs(address.sin_port);
   return fd;
@@ -66,7 +66,7 @@
 
 namespace {
 
-// Whether a connection that has begun is made in time.
+// Whether a started connect succeeds in time.
 bool is_connected_within(int fd, double timeout_seconds) {
   pollfd connecting{fd, POLLOUT, 0};
   if (::poll(&connecting, 1, static_cast<int>(timeout_seconds * 1000)) <= 0) return false;
@@ -124,7 +124,8 @@
   std::vector<pollfd> fds;
   for (const auto& [fd, task] : watched_) {
     const bool has_unsent = unsent_.contains(fd);
-    // A mute one is looked at only while it has something to send: its peer's end would wake us for ever.
+    // A socket that is not read is polled only while it has output: otherwise the end of its stream would
+    // wake the loop continuously.
     if (task || has_unsent)
       fds.push_back({fd, static_cast<short>((task ? POLLIN : 0) | (has_unsent ? POLLOUT : 0)), 0});
   }
@@ -141,11 +142,11 @@
   if (is_writable && unsent_.contains(fd)) send(fd, "");
   const auto found = watched_.find(fd);
   if (!is_readable || found == watched_.end()) return;
-  if (!found->second) {  // mute, and broken: nobody takes what waits
+  if (!found->second) {  // not read, and broken: its output can't be sent
     unsent_.erase(fd);
     return;
   }
-  const std::function<void()> task = found->second;  // it may forget itself
+  const std::function<void()> task = found->second;  // it may call forget() on its own socket
   task();
 }
 
--- a/standins/planner.cpp
+++ b/standins/planner.cpp
@@ -14,9 +14,9 @@
 
 namespace {
 constexpr double kUnreadSeconds =
-    0.05;  // that a stranger reads nothing: a few requests are sent to it meanwhile
-constexpr std::uint64_t kForgedAnswerCount = 16;  // attempts that it answers then
-constexpr double kShareIntervalSeconds = 0.05;    // between two rounds of shares
+    0.05;  // without reading, before answers are forged: a few requests are sent meanwhile
+constexpr std::uint64_t kForgedAnswerCount = 16;  // attempts that are answered then
+constexpr double kShareIntervalSeconds = 0.05;    // between two announcements
 }  // namespace
 
 Planner::Planner(Loop& loop, Journal& journal, Options initial_options, std::uint16_t port)
@@ -67,13 +67,14 @@
     forge_answers(fd, link.serial, link.last_attempt);
 }
 
-// Reads nothing for a while, and then answers what may have been sent meanwhile before it has seen any of it.
+// Stops reading for a while, then answers the attempts that may have been sent meanwhile, without having read
+// them.
 void Planner::forge_answers(int fd, std::uint64_t serial, std::uint64_t last) {
   loop_.forget(fd);
   loop_.after(kUnreadSeconds, [this, is_alive = is_alive_, fd, serial, last] {
     if (!*is_alive || !links_.contains(fd) || links_.at(fd).serial != serial) return;
     for (std::uint64_t other = last + 1; other <= last + kForgedAnswerCount; ++other)
-      answer(fd, serial, other, wire::tier::Result::kSucceeded, "of nobody");
+      answer(fd, serial, other, wire::tier::Result::kSucceeded, "forged");
     links_.at(fd).last_attempt = 0;
     loop_.watch(fd, [this, fd] { read(fd); });
   });
@@ -109,16 +110,16 @@
 void Planner::answer_fence(int fd, const wt::Fence& fence) {
   ++fences_received_;
   if (options.mode == PlannerMode::kSilent) return;
-  // Sound ones have run what they took: it is under way.
+  // A correct planner runs each request that it has received, so it answers that the attempt is running.
   const bool is_false = options.mode == PlannerMode::kFalseProofs;
   wt::Answer proof;
   proof.attempt = fence.attempt;
   proof.result = is_false ? wt::Result::kNeverRan : wt::Result::kRunning;
   send_message(fd, proof);
-  if (is_false) answer(fd, links_.at(fd).serial, fence.attempt, wt::Result::kSucceeded, "a lie");
+  if (is_false) answer(fd, links_.at(fd).serial, fence.attempt, wt::Result::kSucceeded, "false");
 }
 
-// As a real one does while it is cold: what all may have open sums to its budget.
+// As a real planner does during slow start: the windows of all forwarders add up to the budget.
 void Planner::announce_shares() {
   shares_.rebalance(now(), options.slow_start_budget, [this](std::uint64_t serial) {
     for (const auto& [fd, link] : links_) {
@@ -164,7 +165,7 @@
     case PlannerMode::kRejectsAll: return answer(fd, serial, attempt, wt::Result::kRejected, "");
     case PlannerMode::kForgedAnswers:
       for (const std::uint64_t other : {attempt + 1000, std::uint64_t{0}})
-        answer(fd, serial, other, wt::Result::kSucceeded, "of nobody");
+        answer(fd, serial, other, wt::Result::kSucceeded, "forged");
       break;
     default: break;
   }
--- a/standins/planner.h
+++ b/standins/planner.h
@@ -1,5 +1,5 @@
-// A scripted planner: it speaks the protocol between the tiers and is sound, or wrong in one way. What it
-// runs goes to the journal.
+// A scripted planner that speaks the tier protocol, either correctly or with one fault. Its runs are recorded
+// in the journal.
 #pragma once
 
 #include <cstdint>
@@ -15,25 +15,26 @@
 
 namespace damsonspoke::standins {
 
-// How a planner behaves.
+// The behavior of a planner: correct, or the fault that it shows.
 enum class PlannerMode {
   kCorrect,
-  kSilent,         // takes requests, answers pings, says nothing of requests, not even in answer to a fence
-  kRejectsAll,     // rejects everything
-  kPartialAnswer,  // sends the first half of its first answer and then nothing, ever
-  kFalseProofs,    // says that a fenced attempt never ran, and answers it all the same
-  kForgedAnswers   // answers attempts that it was never given, those on their way to it too, then what it was
+  kSilent,         // takes requests and answers pings, but answers neither requests nor fences
+  kRejectsAll,     // rejects every request
+  kPartialAnswer,  // sends the first half of its first answer, then nothing more
+  kFalseProofs,    // reports that a fenced attempt never ran, then answers it with a success
+  kForgedAnswers   // answers attempts that it has not received, some of them in transit, then the received
+                   // ones
 };
 
-// A planner on a loopback socket, from its construction on; `loop` and `journal` outlive it.
+// Listens on a loopback port from its construction on; `loop` and `journal` outlive this.
 class Planner {
  public:
   struct Options {
     PlannerMode mode = PlannerMode::kCorrect;
-    double run_seconds = 0.005;  // s a request
+    double run_seconds = 0.005;  // s per request
     std::uint32_t window = 64;
-    double slow_start_budget =
-        0;  // attempts: its budget while it warms up, shared out; 0: warm, everybody has the window
+    double slow_start_budget = 0;  // attempts in flight that forwarders share during slow start; 0: no slow
+                                   // start, each has the window
   };
   Planner(Loop& loop, Journal& journal, Options options, std::uint16_t port = 0);
   Planner(const Planner&) = delete;
@@ -41,14 +42,14 @@
   ~Planner();
   std::uint16_t port() const { return port_; }
   std::string address() const { return "127.0.0.1:" + std::to_string(port_); }
-  // Attempts and fences that it got so far.
+  // Attempts and fences received so far.
   std::uint64_t attempts_received() const { return attempts_received_; }
   std::uint64_t fences_received() const { return fences_received_; }
-  // Forwarders that are linked now.
+  // Forwarders that are connected now.
   std::size_t connected_forwarders() const { return links_.size(); }
-  // The most attempts that were open here at once, over all forwarders.
+  // The maximum number of attempts in flight at once, over all forwarders.
   std::size_t max_in_flight() const { return max_in_flight_; }
-  // The fewest attempts that any of the linked forwarders has sent.
+  // The minimum number of attempts that a connected forwarder has sent.
   std::uint64_t min_attempts_per_forwarder() const;
 
   Options options;  // may change at any time
@@ -70,22 +71,23 @@
   // A forwarder's link.
   struct Link {
     std::string in;
-    std::uint64_t serial = 0;           // a descriptor may come again
-    bool is_cut_short = false;          // half an answer was sent on it, and nothing follows
-    std::uint64_t last_attempt = 0;     // that came
-    std::vector<std::string> routes;    // as its hello names them
-    std::uint64_t sent = 0;             // attempts that came
-    std::size_t in_flight = 0;          // of them without an answer
-    std::uint32_t announced_share = 0;  // that the forwarder was told of
+    std::uint64_t serial = 0;           // identifies a link, as descriptors are reused
+    bool is_cut_short = false;          // half an answer was sent; nothing follows
+    std::uint64_t last_attempt = 0;     // number of the last one received
+    std::vector<std::string> routes;    // from its hello
+    std::uint64_t sent = 0;             // attempts received
+    std::size_t in_flight = 0;          // attempts without an answer
+    std::uint32_t announced_share = 0;  // last one sent to the forwarder
   };
-  // Tells forwarders of their shares, as a planner does while it warms up, and goes on with that.
+  // Announces their shares to the forwarders, as a planner does during slow start, periodically.
   void announce_shares();
-  // Attempts of all forwarders.
+  // Attempts in flight of all forwarders.
   std::size_t count_in_flight() const;
 
   tier::SlowStartShares shares_;
   std::size_t max_in_flight_ = 0;
-  std::shared_ptr<bool> is_alive_ = std::make_shared<bool>(true);  // timers may outlive this
+  std::shared_ptr<bool> is_alive_ =
+      std::make_shared<bool>(true);  // false after destruction, for timers that outlive this
   Loop& loop_;
   Journal& journal_;
   int listener_ = -1;
--- a/standins/process.cpp
+++ b/standins/process.cpp
@@ -15,15 +15,15 @@
 namespace damsonspoke::standins {
 namespace {
 
-constexpr int kUserTimeField = 14, kSystemTimeField = 15;  // of /proc/PID/stat, from 1; see proc(5)
-constexpr double kCountersTimeoutSeconds = 2;              // for them to come
+constexpr int kUserTimeField = 14, kSystemTimeField = 15;  // fields of /proc/PID/stat, from 1; see proc(5)
+constexpr double kCountersTimeoutSeconds = 2;
 
 }  // namespace
 
 Process::Process(Loop& loop, const std::vector<std::string>& command) : loop_(loop) {
   int log[2];
-  if (::pipe2(log, O_CLOEXEC) != 0) throw std::runtime_error("no pipe");
-  std::vector<std::string> copies = command;  // execv() takes words that it might change
+  if (::pipe2(log, O_CLOEXEC) != 0) throw std::runtime_error("cannot create a pipe for the log");
+  std::vector<std::string> copies = command;  // execv() takes non-const arguments
   std::vector<char*> arguments;
   arguments.reserve(copies.size() + 1);
   for (std::string& argument : copies) arguments.push_back(argument.data());
--- a/standins/rules.cpp
+++ b/standins/rules.cpp
@@ -10,9 +10,9 @@
 namespace damsonspoke::standins {
 namespace {
 
-constexpr std::size_t kMaxReportedViolations = 5;  // about breaks of one kind
+constexpr std::size_t kMaxReportedViolations = 5;  // of one kind
 
-// Counts the breaks of one kind and puts the first of them into the verdict.
+// Counts the violations of one kind and describes the first of them in the verdict.
 class ViolationReport {
  public:
   ViolationReport(Verdict& verdict, int& count) : verdict_(verdict), count_(count) {}
@@ -26,7 +26,8 @@
   int& count_;
 };
 
-// Rule 1: one final answer each, in time, unless its caller or the program itself was cut off.
+// Rule 1: each request gets exactly one final answer, in time, unless the program was killed, shut down or
+// unreachable.
 void check_one_answer(const Journal& journal, const RuleLimits& limits, Verdict& verdict) {
   ViolationReport missing(verdict, verdict.unanswered), late(verdict, verdict.late),
       twice(verdict, verdict.answered_twice);
@@ -50,7 +51,7 @@
   }
 }
 
-// Rule 1: a reply reaches the run as it was, at the call that it belongs to.
+// Rule 1: a reply of the dependency is delivered unchanged, and to the call that it belongs to.
 void check_replies(const Journal& journal, const RuleLimits& limits, Verdict& verdict) {
   ViolationReport changed(verdict, verdict.changed_replies);
   for (const RecordedCall& call : journal.calls) {
@@ -72,7 +73,7 @@
   }
 }
 
-// Rule 2: a key runs once, and what anybody is told of it is what that run came to.
+// Rule 2: a key runs once, and each success that is answered for it carries the result of that run.
 void check_one_effect(const Journal& journal, const RuleLimits& limits, Verdict& verdict) {
   ViolationReport runs(verdict, verdict.double_runs), wrong(verdict, verdict.wrong_results);
   std::map<std::string, std::vector<const RecordedRun*>> by_key;
@@ -85,7 +86,7 @@
                            runs_of_key[0]->incarnation, runs_of_key[1]->incarnation));
     }
   }
-  // A request belongs to one process: what runs in two lives was given out twice.
+  // A request id belongs to one process. A run in two incarnations means that the id was used twice.
   std::map<std::uint64_t, int> run_incarnations;
   for (const RecordedRun& run : journal.runs) {
     const auto [at, is_first] = run_incarnations.emplace(run.request, run.incarnation);
@@ -96,7 +97,7 @@
   for (const auto& [request, attempt] : journal.attempts) {
     for (const Answer& answer : attempt.answers) {
       if (answer.kind == AnswerKind::kRejected && run_incarnations.contains(request)) {
-        wrong.add(fmt::format("rule 2: {} {:016x} was nacked and had run", attempt.type, request));
+        wrong.add(fmt::format("rule 2: {} {:016x} was rejected although it had run", attempt.type, request));
       }
       if (answer.kind != AnswerKind::kSucceeded) continue;
       const auto found = by_key.find(attempt.type + " " + attempt.key);
@@ -105,14 +106,14 @@
           std::any_of(found->second.begin(), found->second.end(),
                       [&](const RecordedRun* run) { return run->result == answer.result; });
       if (!is_result_of_a_run)
-        wrong.add(fmt::format("rule 2: {} {:016x} was acked with what no run of its key made", attempt.type,
-                              request));
+        wrong.add(fmt::format("rule 2: {} {:016x} succeeded with a result that no run of its key made",
+                              attempt.type, request));
     }
   }
 }
 
-// Rules 2 and 3 where the program numbers requests itself: by key, of which there are no more runs than
-// attempts that were not rejected, and none at all where each attempt came after the grace.
+// Rules 2 and 3 for requests whose ids the program chose, which are matched by key: a key has at most as many
+// runs as attempts that were neither rejected nor sent after the grace period.
 void check_runs_by_key(const Journal& journal, const RuleLimits& limits, Verdict& verdict) {
   ViolationReport wrong(verdict, verdict.wrong_results);
   std::map<std::string, int> allowed_runs, runs;
@@ -136,13 +137,13 @@
   }
   for (const auto& [key, allowed] : allowed_runs) {
     if (runs.contains(key) && runs.at(key) > allowed)
-      wrong.add(fmt::format("rules 2, 3: {} ran {} times, and {} tries of it were to run", key, runs.at(key),
-                            allowed));
+      wrong.add(fmt::format("rules 2, 3: {} ran {} times, but only {} attempts were allowed to run", key,
+                            runs.at(key), allowed));
   }
 }
 
-// Rule 3: nothing that comes after the grace runs. The grace begins when the program hears of the notice,
-// which it has to do soon: between the sending of a signal and its arrival lies what the machine makes of it.
+// Rule 3: a request that arrives after the grace period does not run. The grace period begins when the
+// program handles the shutdown signal, for which a busy machine is allowed max_signal_delay_seconds.
 void check_drain(const Journal& journal, const RuleLimits& limits, Verdict& verdict) {
   int count = 0;
   ViolationReport broken(verdict, count);
@@ -153,11 +154,12 @@
     const double notice_at = std::clamp(incarnation.shutdown_logged_at, incarnation.shutdown_notice_at,
                                         incarnation.shutdown_notice_at + limits.max_signal_delay_seconds);
     if (found->second.sent > notice_at + limits.grace_seconds + limits.timestamp_rounding_seconds)
-      broken.add(fmt::format("rule 3: {:016x} came after the grace and ran", run.request));
+      broken.add(fmt::format("rule 3: {:016x} was sent after the grace period and ran", run.request));
   }
 }
 
-// Rule 4: it ends when it is told to, and no more requests run at once than the runtime survives.
+// Rule 4: the program ends only when it is shut down, with status 0, and no more requests run at once than
+// the runtime survives.
 void check_endurance(const Journal& journal, const RuleLimits& limits, Verdict& verdict) {
   for (const Incarnation& incarnation : journal.incarnations) {
     if (incarnation.ended_at >= 0 && !incarnation.was_killed &&
@@ -166,7 +168,7 @@
           fmt::format("rule 4: the program ended by itself, status {}", incarnation.status));
   }
   if (limits.survivable_concurrency > 0 && journal.max_concurrency > limits.survivable_concurrency)
-    verdict.broken.push_back(fmt::format("rule 4: {} ops ran at once", journal.max_concurrency));
+    verdict.broken.push_back(fmt::format("rule 4: {} requests ran at once", journal.max_concurrency));
 }
 
 }  // namespace
--- a/standins/runtime.cpp
+++ b/standins/runtime.cpp
@@ -12,10 +12,11 @@
 namespace damsonspoke::standins {
 namespace {
 
-constexpr double kStepIntervalSeconds = 0.001;   // between steps of the work
-constexpr double kBusyAverageSeconds = 0.5;      // over which the busy gauge is a mean
-constexpr std::size_t kMaxStoredNotices = 4000;  // as the protocol says
-constexpr double kOldLinkSeconds = 1.5;  // that the old link stays after a move, as the service page says
+constexpr double kStepIntervalSeconds = 0.001;   // between two steps of the runs
+constexpr double kBusyAverageSeconds = 0.5;      // averaging time of the busy gauge
+constexpr std::size_t kMaxStoredNotices = 4000;  // as the protocol requires
+constexpr double kOldLinkSeconds =
+    1.5;  // during which the old link stays open after a move, as operators are told
 constexpr std::size_t kMaxInputBytes = 1 << 22;
 
 }  // namespace
@@ -53,7 +54,7 @@
   stored_notices_.clear();
   notices_ = 0;
   known_requests_.clear();
-  runs_.clear();  // their effects stand; the journal has them
+  runs_.clear();  // their effects stay recorded in the journal
   close_link();
 }
 
@@ -128,13 +129,15 @@
     case CommandKind::kOmit:
       if (check_known(command)) omit(command.request, command.notice);
       return;
-    case CommandKind::kContinue: static_cast<void>(check_known(command)); return;  // nothing is ever paused
+    case CommandKind::kContinue:
+      static_cast<void>(check_known(command));
+      return;  // runs are never paused here
     case CommandKind::kNone: return;
   }
 }
 
 void Runtime::synchronize(std::uint64_t last_notice) {
-  if (options.link_delay_seconds > 0) {  // the link is taken, and nothing said on it meanwhile
+  if (options.link_delay_seconds > 0) {  // the link is accepted, but stays silent for this time
     loop_.after(std::exchange(options.link_delay_seconds, 0), [this, link = link_] {
       if (link == link_) synchronize(0);
     });
@@ -163,7 +166,7 @@
   return false;
 }
 
-// Whichever call the run waits for: a reply does not say which one it belongs to.
+// Delivers the reply to whichever call the run waits for, because `give` does not name the call.
 void Runtime::give(std::uint64_t request, const std::string& reply) {
   const auto found = runs_.find(request);
   if (found == runs_.end() || !found->second.awaits_reply) return;
@@ -181,7 +184,7 @@
 
 void Runtime::start(std::uint64_t request, const std::string& type, const std::string& body) {
   known_requests_.insert(request);
-  if (runs_.contains(request)) return;  // it runs already
+  if (runs_.contains(request)) return;  // already running
   std::string result = fmt::format("{} made {} ", key_of(body), ++results_);
   if (result.size() < options.result_bytes) result.resize(options.result_bytes, 'r');
   journal_.runs.push_back({request, key_of(body), type, incarnation_, now(), 0, std::move(result), false});
@@ -256,7 +259,7 @@
   for (auto& [request, run] : runs_) {
     if (run.awaits_reply) continue;
     run.left -= elapsed_seconds * share * speed();
-    // A request fares the same each time that it runs.
+    // Derived from the request id, so that a request behaves the same each time it runs.
     const double drawn = static_cast<double>(request % 1000) / 1000;
     const bool makes_call = drawn < options.calls && run.calls < options.calls_in_a_row;
     if (makes_call && run.left < run.work / 2) {
--- a/standins/runtime.h
+++ b/standins/runtime.h
@@ -1,6 +1,5 @@
-// A runtime that does work: it runs what it is told to, shares its cores evenly among what runs, and records
-// every run in the journal. The effect of a request counts from the start of its run. Its words are those of
-// the runtime's protocol.
+// A simulated runtime that speaks the runtime protocol. It shares its cores evenly among the running requests
+// and records each run in the journal. A run counts as having taken effect as soon as it starts.
 #pragma once
 
 #include <cstdint>
@@ -16,71 +15,72 @@
 
 namespace damsonspoke::standins {
 
-// A runtime on a loopback socket, for one server at a time.
+// Listens on a loopback port for one server at a time.
 class Runtime {
  public:
   struct Options {
     int cores = 2;
-    double work = 0.01;                          // core s of a run
-    std::map<std::string, double> work_by_type;  // the same of routes where it differs
-    double failing_share = 0;                    // of runs, which end in error
-    double slow_start_speed = 1;                 // share of full speed with which a life begins
-    double slow_start_seconds = 0;               // until it is warm
+    double work = 0.01;                          // core seconds of a run
+    std::map<std::string, double> work_by_type;  // core seconds of a run of these routes
+    double failing_share = 0;                    // share of runs that end in error
+    double slow_start_speed = 1;                 // share of the full speed after a start
+    double slow_start_seconds = 0;               // until the full speed is reached
     double calls = 0;                            // share of runs that call the dependency
-    int calls_in_a_row = 1;                      // that such a run makes
-    std::size_t result_bytes = 64;               // of a result, at least
-    double link_delay_seconds = 0;               // until the first link is up, once it is made
+    int calls_in_a_row = 1;                      // calls of such a run, one after another
+    std::size_t result_bytes = 64;               // minimum size of a result
+    double link_delay_seconds = 0;               // from the first connection until `ready` is sent on it
   };
-  // Listens from now on. `loop` and `journal` outlive it.
+  // Listens immediately. `loop` and `journal` outlive this.
   Runtime(Loop& loop, Journal& journal, Options options);
   Runtime(const Runtime&) = delete;
   Runtime& operator=(const Runtime&) = delete;
   ~Runtime();
 
   std::uint16_t port() const { return port_; }
-  // Starts anew, as start_anew() does, beside a program that has started; `life` is the program's number in
-  // the journal.
+  // Restarts the runtime together with a new process of the program; `incarnation` is the index of that
+  // process in the journal.
   void begin_incarnation(int incarnation);
-  // Closes the link; what runs goes on, and a new link hears of it.
+  // Closes the link. Runs continue, and their notices are sent again on the next link.
   void break_link();
-  // The same after so many seconds, in which what comes is not read and is lost with the link.
+  // Stops reading the link and closes it after this time; commands that arrive in between are lost.
   void break_link_after(double unread_seconds);
-  // Runs that are there at the next break end as soon as the new link has brought the first gauges: just
-  // before what is sent again can arrive.
+  // Makes the runs that exist at the next break_link() complete when the next link asks for gauges, just
+  // before commands that are sent again can arrive.
   void end_runs_at_next_link() { ends_runs_at_next_link_ = true; }
-  // The runtime's process starts anew: its runs are lost, notices count from 1, and it knows no request.
+  // Simulates a restart of the runtime's process: its runs are lost, notices are numbered from 1 again, and
+  // no request is known.
   void restart();
-  // Listens on another port from now on; the old link ends after 1.5 s, if none has taken its place.
+  // Listens on another port from now on. The old link is closed after 1.5 s unless a new one has replaced it.
   void move_to_new_port();
-  // The key that the journal keeps of a body: what it begins with, up to the first blank.
+  // The key that the journal records for a body: its text up to the first space.
   static std::string key_of(const std::string& body);
-  // That it has now, as a share of full speed.
+  // The current speed, as a share of the full speed.
   double speed() const;
-  // Requests that run now.
+  // The number of running requests.
   int running() const { return static_cast<int>(runs_.size()); }
 
   Options options;  // may change at any time
 
  private:
   struct Run {
-    std::size_t record = 0;     // in the journal
+    std::size_t record = 0;     // index in the journal
     double work = 0, left = 0;  // core s
     bool awaits_reply = false;
-    int calls = 0;                   // so far
-    std::uint64_t notice = 0;        // that asked for the last of them
-    std::size_t call = 0;            // of the last one, in the journal
-    bool ends_at_next_link = false;  // once that has its gauges
+    int calls = 0;                   // requested so far
+    std::uint64_t notice = 0;        // number of the notice that requested the last call
+    std::size_t call = 0;            // index of the last call in the journal
+    bool ends_at_next_link = false;  // after its first gauges
   };
   void accept();
   void read();
   void execute(const RuntimeCommand& command);
-  // Says that it is ready, and sends what was missed after the last notice that was read.
+  // Sends `ready` and the notices after the last one that the program has read.
   void synchronize(std::uint64_t last_notice);
   void send_gauges(const std::string& tag);
   void stop(std::uint64_t request);
   void give(std::uint64_t request, const std::string& reply);
   void omit(std::uint64_t request, std::uint64_t notice);
-  // Whether the command's request ever came; where it did not, the command is answered with `nack`.
+  // Whether the command's request was ever started here; if not, answers the command with `nack`.
   bool check_known(const RuntimeCommand& command);
   void request_call(std::uint64_t request);
   void complete(std::uint64_t request);
@@ -89,9 +89,9 @@
   void start(std::uint64_t request, const std::string& type, const std::string& body);
   void end(std::uint64_t request, const char* outcome, const std::string& result);
   void send_notice(const std::string& text);
-  // One step of the work: what runs shares the cores evenly.
+  // One step of all runs, which share the cores evenly.
   void advance_runs();
-  // Runs of it that the cores are busy with, or wait for.
+  // Runs that use or wait for a core, i.e. do not wait for a reply.
   int count_on_cores() const;
 
   Loop& loop_;
@@ -100,15 +100,15 @@
   std::uint16_t port_ = 0;
   std::string in_;
   std::map<std::uint64_t, Run> runs_;
-  std::set<std::uint64_t> known_requests_;  // that came to this process
-  std::uint64_t link_serial_ = 0;           // a descriptor may come again
+  std::set<std::uint64_t> known_requests_;  // started since the last restart
+  std::uint64_t link_serial_ = 0;           // identifies a link, as descriptors are reused
   bool ends_runs_at_next_link_ = false;
-  std::uint64_t notices_ = 0;                                         // the number of the last one
-  std::deque<std::pair<std::uint64_t, std::string>> stored_notices_;  // with their numbers
+  std::uint64_t notices_ = 0;                                         // number of the last one
+  std::deque<std::pair<std::uint64_t, std::string>> stored_notices_;  // by number, for the next link
   double worked_at_ = 0;                                              // s, monotonic
   double began_ = 0;                                                  // s, monotonic
-  double busy_ = 0;                                                   // share of the cores, a mean
-  std::uint64_t results_ = 0;                                         // so far: no two are alike
+  double busy_ = 0;            // moving average of the share of busy cores
+  std::uint64_t results_ = 0;  // number of results; makes each one unique
 };
 
 }  // namespace damsonspoke::standins
--- a/standins/runtime_commands.cpp
+++ b/standins/runtime_commands.cpp
@@ -13,7 +13,7 @@
 
 struct CommandFormat {
   CommandKind kind = CommandKind::kNone;
-  std::size_t tokens = 0;  // at least
+  std::size_t tokens = 0;  // minimum number
 };
 
 CommandFormat format_of(const std::string& token) {
--- a/standins/service_over_kills.cpp
+++ b/standins/service_over_kills.cpp
@@ -11,7 +11,7 @@
 struct TaskOutcome {
   bool is_served = false;
   double last_answer_at = -1;
-  bool has_retry_time = false;  // the last answer
+  bool has_retry_time = false;  // in the last answer
 };
 
 bool was_lost_by_kill(const Journal& journal, const Attempt& t) {
--- a/standins/service_over_kills.h
+++ b/standins/service_over_kills.h
@@ -1,5 +1,5 @@
-// What callers may expect of a program that is killed while they use it: what was in flight at the kill is
-// lost and asked again; everything else is as good as without a kill.
+// The service that callers get from a program that is killed under load. Attempts in flight at a kill are
+// lost and retried; all other attempts should be served as well as without kills.
 #pragma once
 
 #include <string>
@@ -10,13 +10,13 @@
 namespace damsonspoke::standins {
 
 struct ServiceOverKills {
-  // Tries that were in flight when their server was killed: sent before its end was noticed, lost by it.
+  // Attempts lost by a kill: sent before the end of their server was noticed, and lost after SIGKILL.
   int attempts_killed = 0;
-  int attempts = 0;            // the others
-  int attempts_succeeded = 0;  // of those
-  // Tries that were lost otherwise.
+  int attempts = 0;            // all others
+  int attempts_succeeded = 0;  // of the others
+  // Attempts that were lost for other reasons.
   std::vector<std::string> lost;
-  // Wanted things of which no try succeeded, and whose last answer is no rejection that says when to retry.
+  // Tasks without a successful attempt whose last answer is not a rejection with a retry time.
   std::vector<std::string> unserved;
 };
 
--- a/standins/silent_sink.h
+++ b/standins/silent_sink.h
@@ -1,4 +1,4 @@
-// A host of decisions that does nothing; tests and loads override what they look at.
+// A decision sink that does nothing. Tests and benchmarks override the functions that they observe.
 #pragma once
 
 #include <string>
--- a/standins/soak.cpp
+++ b/standins/soak.cpp
@@ -1,5 +1,6 @@
-// damsonspoke-soak: ends of processes, by the seed. Each seed draws a fleet and a timeline of notices, kills
-// and signals (endings_play.h). Exit status: 0 nothing was broken, 1 something was, 2 wrong use.
+// damsonspoke-soak: plays randomized tests of process ends. Each seed draws a fleet and a timeline of
+// shutdown notices, kills and signals (endings_play.h). Exit status: 0: no violations, 1: violations, 2:
+// usage error.
 #include <fmt/format.h>
 
 #include <csignal>
@@ -19,19 +20,19 @@
   std::uint64_t last = 10;
 };
 
-// "A-B", or one number.
+// Parses "A-B" or one number.
 Range range_of(const std::string& text) {
   std::size_t used = 0;
   Range range;
   range.first = range.last = std::stoull(text, &used);
   if (used == text.size()) return range;
-  if (text[used] != '-') throw std::invalid_argument("seeds are A-B or a number");
+  if (text[used] != '-') throw std::invalid_argument("seeds must be A-B or a number");
   range.last = std::stoull(text.substr(used + 1));
-  if (range.last < range.first) throw std::invalid_argument("the last seed is below the first");
+  if (range.last < range.first) throw std::invalid_argument("the last seed is less than the first");
   return range;
 }
 
-// Whether nothing was broken.
+// Plays a seed and prints its violations; true if there are none.
 bool play_seed(const cxxopts::ParseResult& flags, std::uint64_t seed) {
   const std::string binary = flags["binary"].as<std::string>();
   const std::string folder = fmt::format("{}/{}", flags["folder"].as<std::string>(), seed);
@@ -73,16 +74,15 @@
 }
 
 int run(int argc, char** argv) {
-  cxxopts::Options options("damsonspoke-soak", "ends of processes among callers, drawn by seeds");
-  options.add_options()("seeds", "the first and the last, A-B",
-                        cxxopts::value<std::string>()->default_value("1-10"),
-                        "A-B")("seed", "one alone", cxxopts::value<std::uint64_t>(), "N")(
-      "minutes", "no seed begins after so many; 0: no limit", cxxopts::value<double>()->default_value("0"),
-      "N")("binary", "the program", cxxopts::value<std::string>()->default_value("build/damsonspoke"),
-           "FILE")("folder", "for logs and journals of what is broken",
+  cxxopts::Options options("damsonspoke-soak", "tests the ends of processes under load, randomized by seed");
+  options.add_options()("seeds", "first and last seed", cxxopts::value<std::string>()->default_value("1-10"),
+                        "A-B")("seed", "a single seed", cxxopts::value<std::uint64_t>(), "N")(
+      "minutes", "start no seed after this time; 0: no limit", cxxopts::value<double>()->default_value("0"),
+      "N")("binary", "the program to test", cxxopts::value<std::string>()->default_value("build/damsonspoke"),
+           "FILE")("folder", "for logs and journals of seeds with violations",
                    cxxopts::value<std::string>()->default_value("soak"),
-                   "FOLDER")("keep", "keep the folders of seeds that are well too")("quiet", "no progress")(
-      "h,help", "print this help");
+                   "FOLDER")("keep", "also keep the folders of seeds without violations")(
+      "quiet", "print no progress")("h,help", "print this help");
   const cxxopts::ParseResult flags = options.parse(argc, argv);
   if (flags.count("help") > 0) {
     fmt::print("{}", options.help());
--- a/standins/two_level.cpp
+++ b/standins/two_level.cpp
@@ -41,7 +41,7 @@
     }
     return true;
   };
-  return loop.run_until(linked, 20);  // a crowded machine may take its time over dozens of processes
+  return loop.run_until(linked, 20);  // long enough for dozens of processes on a busy machine
 }
 
 bool TwoLevel::settle(double timeout_seconds) {
--- a/standins/two_level.h
+++ b/standins/two_level.h
@@ -1,5 +1,5 @@
-// Two levels among their stand-ins: forwarders that callers reach, planners behind them with a runtime each,
-// in one loop and one journal.
+// A two-level fleet: callers send to forwarders, which send to planners, each with a simulated runtime, in
+// one loop and one journal.
 #pragma once
 
 #include <memory>
@@ -12,13 +12,14 @@
 
 class TwoLevel {
  public:
-  // `site` is a planner's; forwarders share its routes. `forwarding`: more lines of their section.
+  // `site`: the settings of planners; forwarders have the same routes. `forwarding`: more lines of the
+  // `forward` section. `planner_command_prefixes`: of the planners in turn; empty: none.
   TwoLevel(const std::string& binary, SiteSpec site, Runtime::Options runtime, Callers::Options load,
            int forwarders, int planners, const std::string& forwarding = "",
            const std::vector<std::vector<std::string>>& planner_command_prefixes = {});
 
   bool start();
-  // No new things are wanted; goes on until all tries have ended.
+  // Stops the load and waits until all attempts have ended; false on a timeout.
   bool settle(double timeout_seconds);
   bool shut_down();  // forwarders, then planners
   RuleLimits limits() const;
--- a/tests/standins/runtime_test.cpp
+++ b/tests/standins/runtime_test.cpp
@@ -1,4 +1,4 @@
-// The stand-in runtime against the protocol's words: what tests are played with has to do what the page says.
+// Tests that the simulated runtime follows the runtime protocol, as other tests rely on it.
 #include "runtime.h"
 
 #include <gtest/gtest.h>
@@ -61,7 +61,7 @@
   std::string received_;
 };
 
-// Guards against an omit that comes late and takes a later call's reply away.
+// Guards against a late `omit` that skips the reply to a later call.
 TEST_F(RuntimeTest, OmitActsOnlyOnTheCallThatItsNoticeAskedFor) {
   send("sync 0\r\n" + std::string(kStart));
   ASSERT_TRUE(receives("wants 1 00000000000000ab 26\r\ncall 1 of 00000000000000ab"));
@@ -78,7 +78,7 @@
   EXPECT_TRUE(violations().empty());
 }
 
-// Guards against a checker that takes a reply which is sent again for the next call's.
+// Guards against a checker that misses a repeated reply that answers the next call.
 TEST_F(RuntimeTest, ReplyThatAnswersAnotherCallBreaksRuleOne) {
   const std::string reply = "give 00000000000000ab 35\r\nreply to call 1 of 00000000000000ab\r\n";
   send("sync 0\r\n" + std::string(kStart));
@@ -92,7 +92,7 @@
   EXPECT_EQ(violations()[0], "rule 1: 00000000000000ab: the reply to call 1 answered call 2");
 }
 
-// Guards against a checker that passes a reply which is no longer what the layer below said.
+// Guards against a checker that misses a reply that differs from what the dependency sent.
 TEST_F(RuntimeTest, ChangedReplyBreaksRuleOne) {
   send("sync 0\r\n" + std::string(kStart));
   ASSERT_TRUE(receives("wants 1 "));
@@ -102,15 +102,15 @@
   EXPECT_EQ(violations()[0], "rule 1: 00000000000000ab: the reply to call 1 was changed");
 }
 
-// Guards against a runtime that passes over commands for requests which never came.
-TEST_F(RuntimeTest, RejectsCommandsOfRequestsThatNeverCame) {
+// Guards against a runtime that ignores commands for unknown requests instead of rejecting them.
+TEST_F(RuntimeTest, RejectsCommandsOfUnknownRequests) {
   send("sync 0\r\nstop 00000000000000cd\r\ngive 00000000000000cd 2\r\nno\r\nomit 00000000000000cd 1\r\n");
   EXPECT_TRUE(
       receives("nack stop 00000000000000cd\r\nnack give 00000000000000cd\r\nnack omit 00000000000000cd\r\n"));
 }
 
-// Guards against notices and requests of a former process that pass for this one's.
-TEST_F(RuntimeTest, StartsAnewWithoutRunsAndNoticesFromOne) {
+// Guards against notices and requests of the process before a restart that are taken for those after it.
+TEST_F(RuntimeTest, RestartsWithoutRunsAndNumbersNoticesFromOne) {
   send("sync 0\r\n" + std::string(kStart));
   ASSERT_TRUE(receives("wants 1 "));
   runtime_.restart();
@@ -125,7 +125,7 @@
   EXPECT_TRUE(receives("wants 1 00000000000000ab"));
 }
 
-// Guards against a link that goes on at the old address once the runtime has moved.
+// Guards against a runtime that still accepts links at its old address after a move.
 TEST_F(RuntimeTest, MovesToAnotherPortAndKeepsItsRuns) {
   send("sync 0\r\n" + std::string(kStart));
   ASSERT_TRUE(receives("wants 1 "));
@@ -141,8 +141,8 @@
   EXPECT_EQ(runtime_.running(), 1);
 }
 
-// Guards against a cut after which what was written before it is read all the same.
-TEST_F(RuntimeTest, CommandsOfTheDeafTimeAreLostWithTheLink) {
+// Guards against commands that are read although they arrive after reading has stopped before a cut.
+TEST_F(RuntimeTest, CommandsThatArriveUnreadBeforeACutAreLost) {
   send("sync 0\r\n");
   ASSERT_TRUE(receives("ready "));
   runtime_.break_link_after(kQuietSeconds);
@@ -152,7 +152,7 @@
   EXPECT_TRUE(journal_.runs.empty());
 }
 
-// Guards against a soak that does not meet a run which ends as its start is sent again.
+// Guards against a soak test that does not cover a run that ends just before its start is sent again.
 TEST_F(RuntimeTest, RunsEndRightAfterTheGaugesOfTheNextLink) {
   runtime_.options.calls = 0;
   runtime_.options.work = 30;
