--- a/standins/loop.cpp
+++ b/standins/loop.cpp
@@ -17,8 +17,8 @@
 namespace damsonspoke::standins {
 namespace {
 
-constexpr int kMostTimersATurn = 1000;        // sockets are looked at between two lots of them
-constexpr double kLongestWaitSeconds = 0.01;  // until a condition is looked at again
+constexpr int kMaxTimersPerIteration = 1000;  // bounds the time until sockets are polled again
+constexpr double kMaxWaitSeconds = 0.01;      // until the condition of run_until() is checked again
 
 sockaddr_in loopback(std::uint16_t port) {
   sockaddr_in address{};
@@ -31,11 +31,11 @@
 int bound_socket(int kind, std::uint16_t& port) {
   const int fd = ::socket(AF_INET, kind | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
   sockaddr_in address = loopback(port);
-  const int on = 1;  // a port that was given may have been somebody's a moment ago
+  const int on = 1;  // a requested port may still be in TIME_WAIT
   ::setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
   socklen_t size = sizeof address;
   if (fd < 0 || ::bind(fd, reinterpret_cast<sockaddr*>(&address), size) != 0)
-    throw std::runtime_error("no loopback socket");
+    throw std::runtime_error("loopback port not available");
   ::getsockname(fd, reinterpret_cast<sockaddr*>(&address), &size);
   port = ntohs(address.sin_port);
   return fd;
@@ -66,10 +66,10 @@
 
 namespace {
 
-// Whether a connection that has begun is made in time.
-bool is_made(int fd, double timeout_seconds) {
-  pollfd made{fd, POLLOUT, 0};
-  if (::poll(&made, 1, static_cast<int>(timeout_seconds * 1000)) <= 0) return false;
+// Whether a started connect succeeds in time.
+bool is_connected_within(int fd, double timeout_seconds) {
+  pollfd connecting{fd, POLLOUT, 0};
+  if (::poll(&connecting, 1, static_cast<int>(timeout_seconds * 1000)) <= 0) return false;
   int error = 0;
   socklen_t size = sizeof error;
   return ::getsockopt(fd, SOL_SOCKET, SO_ERROR, &error, &size) == 0 && error == 0;
@@ -85,10 +85,10 @@
   ::inet_pton(AF_INET, from.c_str(), &mine.sin_addr);
   const int bytes = options.receive_bytes;
   if (fd >= 0 && bytes > 0) ::setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &bytes, sizeof bytes);
-  bool good = fd >= 0 && ::bind(fd, reinterpret_cast<const sockaddr*>(&mine), sizeof mine) == 0;
-  if (good && ::connect(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0)
-    good = non_blocking != 0 && errno == EINPROGRESS && is_made(fd, options.timeout);
-  if (!good) {
+  bool is_connected = fd >= 0 && ::bind(fd, reinterpret_cast<const sockaddr*>(&mine), sizeof mine) == 0;
+  if (is_connected && ::connect(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0)
+    is_connected = non_blocking != 0 && errno == EINPROGRESS && is_connected_within(fd, options.timeout);
+  if (!is_connected) {
     ::close(fd);
     return -1;
   }
@@ -120,16 +120,17 @@
 
 void Loop::at(double time, std::function<void()> task) { timers_.emplace(time, std::move(task)); }
 
-void Loop::turn(double longest_wait) {
+void Loop::run_iteration(double max_wait) {
   std::vector<pollfd> fds;
   for (const auto& [fd, task] : watched_) {
     const bool has_unsent = unsent_.contains(fd);
-    // A mute one is looked at only while it has something to send: its peer's end would wake us for ever.
+    // A socket that is not read is polled only while it has output: otherwise the end of its stream would
+    // wake the loop continuously.
     if (task || has_unsent)
       fds.push_back({fd, static_cast<short>((task ? POLLIN : 0) | (has_unsent ? POLLOUT : 0)), 0});
   }
-  double wait = longest_wait;
-  if (!timers_.empty()) wait = std::clamp(timers_.begin()->first - now(), 0.0, longest_wait);
+  double wait = max_wait;
+  if (!timers_.empty()) wait = std::clamp(timers_.begin()->first - now(), 0.0, max_wait);
   timespec time{static_cast<time_t>(wait), static_cast<long>(std::fmod(wait, 1.0) * 1e9)};
   ::ppoll(fds.data(), fds.size(), &time, nullptr);
   for (const pollfd& ready : fds)
@@ -141,26 +142,26 @@
   if (is_writable && unsent_.contains(fd)) send(fd, "");
   const auto found = watched_.find(fd);
   if (!is_readable || found == watched_.end()) return;
-  if (!found->second) {  // mute, and broken: nobody takes what waits
+  if (!found->second) {  // not read, and broken: its output can't be sent
     unsent_.erase(fd);
     return;
   }
-  const std::function<void()> task = found->second;  // it may forget itself
+  const std::function<void()> task = found->second;  // it may call forget() on its own socket
   task();
 }
 
 void Loop::call_due_timers() {
-  for (int i = 0; i < kMostTimersATurn && !timers_.empty() && timers_.begin()->first <= now(); ++i) {
+  for (int i = 0; i < kMaxTimersPerIteration && !timers_.empty() && timers_.begin()->first <= now(); ++i) {
     const auto first = timers_.extract(timers_.begin());
     first.mapped()();
   }
 }
 
-bool Loop::run_until(const std::function<bool()>& is_enough, double timeout_seconds) {
+bool Loop::run_until(const std::function<bool()>& is_done, double timeout_seconds) {
   const double until = now() + timeout_seconds;
-  while (!is_enough()) {
+  while (!is_done()) {
     if (now() >= until) return false;
-    turn(kLongestWaitSeconds);
+    run_iteration(kMaxWaitSeconds);
   }
   return true;
 }
