--- a/tests/catalog/program.cpp
+++ b/tests/catalog/program.cpp
@@ -3,7 +3,7 @@
 #include "catalog/folder.h"
 #include "catalog_fixtures.h"
 #include "scenarios.h"
-#include "scripted_site.h"
+#include "server_fixture.h"
 
 using namespace damsonspoke;
 using namespace damsonspoke::catalog;
@@ -22,8 +22,8 @@
 }
 
 // A site with a catalog folder that the test writes to.
-struct CatalogSite : Site {
-  CatalogSite() : Site("", "", {"", kOperatorFile}) {}
+struct CatalogFixture : ServerFixture {
+  CatalogFixture() : ServerFixture("", "", {"", kOperatorFile}) {}
 
   void write(const std::string& lines) { append_changes(folder(), 1, lines, kLimits); }
   void reload() {
@@ -48,11 +48,12 @@
     const bool is_read = line.find("after the reload request") != std::string::npos;
     if (!is_read) std::printf("NO: another message: %s\n", line.c_str());
   }
-  void run_ends(int id) {
-    runtime_says("end " + std::to_string(++notices_) + " " + transaction_id(id) + " complete 20 6\r\nresult");
+  void send_run_end(int id) {
+    send_from_runtime("end " + std::to_string(++notices_) + " " + transaction_id(id) +
+                      " complete 20 6\r\nresult");
   }
-  void restart_killed() {
-    kill_and_start();
+  void restart_process() {
+    restart_and_print();
     notices_ = 0;
   }
 
@@ -62,132 +63,132 @@
 
 // A route and tenants that are added and removed while it serves.
 void served() {
-  CatalogSite site;
-  site.comes_up();
-  const int caller = site.connect();
-  site.send_request(caller, 1, "extra");
-  site.caller_hears(caller);
-  site.change({route("extra", 3), PutTenant{"acme", {7, 0}}});
-  site.send_request(caller, 2, "extra", R"("ram":10,"limit":3000,"team":"acme")");
-  site.runtime_hears(2);
-  site.send_request(caller, 3, "extra");
-  site.caller_hears(caller);
-  site.send_request(caller, 4, "extra", R"("ram":10,"limit":3000,"team":"other")");
-  site.caller_hears(caller);
-  site.change({RemoveTenant{"acme"}, PutTenant{"other", {1, 0}}});
-  site.send_request(caller, 5, "extra", R"("ram":10,"limit":3000,"team":"acme")");
-  site.caller_hears(caller);
-  site.run_ends(2);  // its tenant was removed meanwhile
-  site.caller_hears(caller);
-  site.change({PutTenant{"acme", {7, 0}}, RemoveRoute{"extra"}});
-  site.send_request(caller, 6, "push", R"("ram":10,"limit":3000,"team":"acme")");
-  site.runtime_hears();
-  site.send_request(caller, 7, "extra", R"("ram":10,"limit":3000,"team":"acme")");
-  site.caller_hears(caller);
-  site.counters({"requests.read", "requests.succeeded", "bad.routes", "bad.params", "catalog.applied",
-                 "catalog.rejected"});
+  CatalogFixture fixture;
+  fixture.complete_startup();
+  const int caller = fixture.connect();
+  fixture.send_request(caller, 1, "extra");
+  fixture.print_caller_message(caller);
+  fixture.change({route("extra", 3), PutTenant{"acme", {7, 0}}});
+  fixture.send_request(caller, 2, "extra", R"("ram":10,"limit":3000,"team":"acme")");
+  fixture.print_runtime_lines(2);
+  fixture.send_request(caller, 3, "extra");
+  fixture.print_caller_message(caller);
+  fixture.send_request(caller, 4, "extra", R"("ram":10,"limit":3000,"team":"other")");
+  fixture.print_caller_message(caller);
+  fixture.change({RemoveTenant{"acme"}, PutTenant{"other", {1, 0}}});
+  fixture.send_request(caller, 5, "extra", R"("ram":10,"limit":3000,"team":"acme")");
+  fixture.print_caller_message(caller);
+  fixture.send_run_end(2);  // its tenant was removed meanwhile
+  fixture.print_caller_message(caller);
+  fixture.change({PutTenant{"acme", {7, 0}}, RemoveRoute{"extra"}});
+  fixture.send_request(caller, 6, "push", R"("ram":10,"limit":3000,"team":"acme")");
+  fixture.print_runtime_lines();
+  fixture.send_request(caller, 7, "extra", R"("ram":10,"limit":3000,"team":"acme")");
+  fixture.print_caller_message(caller);
+  fixture.print_counters({"requests.read", "requests.succeeded", "bad.routes", "bad.params",
+                          "catalog.applied", "catalog.rejected"});
 }
 
 // Requests in flight keep the settings with which they started if a timeout is lowered, a route is removed,
 // or its name is reused for another route.
 void in_flight() {
-  CatalogSite site;
-  site.comes_up();
-  const int caller = site.connect();
-  site.change({route("extra", 3)});
+  CatalogFixture fixture;
+  fixture.complete_startup();
+  const int caller = fixture.connect();
+  fixture.change({route("extra", 3)});
   for (int id = 1; id <= 3; ++id)
-    site.send_request(caller, id, "extra", R"("ram":10)");  // two run, one is queued
-  site.runtime_hears(3);
-  site.change({route("extra", 0.3)});
-  site.pause(0.6);
-  site.run_ends(1);
-  site.caller_hears(caller);
-  site.runtime_hears();  // the queued one
-  site.change({RemoveRoute{"extra"}, route("other", 0.2)});
-  site.run_ends(2);
-  site.caller_hears(caller);
-  site.change({route("extra", 0.3)});
-  site.send_request(caller, 4, "extra", R"("ram":10)");
-  site.runtime_hears();
-  const bool rejected = site.heard(caller).find("-32001") != std::string::npos;
+    fixture.send_request(caller, id, "extra", R"("ram":10)");  // two run, one is queued
+  fixture.print_runtime_lines(3);
+  fixture.change({route("extra", 0.3)});
+  fixture.pause(0.6);
+  fixture.send_run_end(1);
+  fixture.print_caller_message(caller);
+  fixture.print_runtime_lines();  // the queued one
+  fixture.change({RemoveRoute{"extra"}, route("other", 0.2)});
+  fixture.send_run_end(2);
+  fixture.print_caller_message(caller);
+  fixture.change({route("extra", 0.3)});
+  fixture.send_request(caller, 4, "extra", R"("ram":10)");
+  fixture.print_runtime_lines();
+  const bool rejected = fixture.next_message(caller).find("-32001") != std::string::npos;
   std::printf("by the new timeout, before a request that started earlier: %s\n",
               rejected ? "rejected" : "NO");
-  site.run_ends(3);
-  site.caller_hears(caller);
-  site.counters(
+  fixture.send_run_end(3);
+  fixture.print_caller_message(caller);
+  fixture.print_counters(
       {"requests.read", "requests.succeeded", "requests.rejected", "requests.failed", "requests.overdue"});
 }
 
 // Invalid changes among valid ones, a sequence gap and a torn file are logged in one line each; requests are
 // served.
 void rejected() {
-  CatalogSite site;
-  site.comes_up();
-  const int caller = site.connect();
-  site.write(encode_changes({route("one", 3)}) + "{\"route\":\"two\",\"target\":1}\n" +
-             encode_changes({route("three", 3), RemoveTenant{"nobody"}}));
-  site.reload_with_rejections(2);
-  site.send_request(caller, 1, "three");
-  site.runtime_hears(2);
+  CatalogFixture fixture;
+  fixture.complete_startup();
+  const int caller = fixture.connect();
+  fixture.write(encode_changes({route("one", 3)}) + "{\"route\":\"two\",\"target\":1}\n" +
+                encode_changes({route("three", 3), RemoveTenant{"nobody"}}));
+  fixture.reload_with_rejections(2);
+  fixture.send_request(caller, 1, "three");
+  fixture.print_runtime_lines(2);
   PutRoute keyed = route("keyed", 3);
   keyed.settings.idempotency = Idempotency::kWithKey;
-  site.write(encode_changes({keyed}));
-  site.reload_with_rejections(1);
+  fixture.write(encode_changes({keyed}));
+  fixture.reload_with_rejections(1);
   HistoryDigest history = 1;
-  std::ofstream(site.folder() + "/" + kChangesFile, std::ios::app)
+  std::ofstream(fixture.folder() + "/" + kChangesFile, std::ios::app)
       << encode_batch(1, 90, history, encode_changes({route("four", 3)}));
-  site.reload_with_rejections(1);
-  std::ofstream(site.folder() + "/" + kSnapshotFile) << "DSPKFILE and then nothing of use";
-  site.reload_with_rejections(2);  // and the gap again
-  site.run_ends(1);
-  site.caller_hears(caller);
-  site.send_request(caller, 2, "four");
-  site.caller_hears(caller);
-  site.restart_killed();
-  site.comes_up();
-  site.counters({"catalog.epoch", "catalog.sequence", "catalog.routes", "catalog.rejected"});
-  const int again = site.connect();
-  site.send_request(again, 3, "three");
-  site.runtime_hears(2);
+  fixture.reload_with_rejections(1);
+  std::ofstream(fixture.folder() + "/" + kSnapshotFile) << "DSPKFILE and then nothing of use";
+  fixture.reload_with_rejections(2);  // and the gap again
+  fixture.send_run_end(1);
+  fixture.print_caller_message(caller);
+  fixture.send_request(caller, 2, "four");
+  fixture.print_caller_message(caller);
+  fixture.restart_process();
+  fixture.complete_startup();
+  fixture.print_counters({"catalog.epoch", "catalog.sequence", "catalog.routes", "catalog.rejected"});
+  const int again = fixture.connect();
+  fixture.send_request(again, 3, "three");
+  fixture.print_runtime_lines(2);
 }
 
 // Signals while it reads: everything that was written before the last signal becomes active.
 void repeated_polls() {
-  CatalogSite site;
-  site.comes_up();
+  CatalogFixture fixture;
+  fixture.complete_startup();
   std::string lines;
   for (int i = 0; i < 5000; ++i) lines += encode_change(PutTenant{"tenant-" + std::to_string(i), {1, 0}});
-  site.write(lines);
+  fixture.write(lines);
   for (int round = 0; round < 20; ++round) {
-    site.write(encode_changes({PutTenant{"late-" + std::to_string(round), {1, 0}}}));
-    site.signal(SIGHUP);
-    site.pause(0.005);
+    fixture.write(encode_changes({PutTenant{"late-" + std::to_string(round), {1, 0}}}));
+    fixture.signal(SIGHUP);
+    fixture.pause(0.005);
   }
   bool is_active = false;
-  for (int i = 0; i < 50 && !is_active; ++i) is_active = !site.expect_log("1.5020 active").empty();
+  for (int i = 0; i < 50 && !is_active; ++i) is_active = !fixture.expect_log("1.5020 active").empty();
   std::printf("all changes active: %s\n", is_active ? "yes" : "NO");
-  site.counters({"catalog.sequence", "catalog.tenants", "catalog.applied", "catalog.rejected"});
+  fixture.print_counters({"catalog.sequence", "catalog.tenants", "catalog.applied", "catalog.rejected"});
 }
 
 // Thousands of changes are read during a graceful shutdown: requests are answered, and the process ends in
 // time.
 void drained() {
-  CatalogSite site;
-  site.comes_up();
-  const int caller = site.connect();
-  site.send_request(caller, 1, "push");
-  site.runtime_hears(2);
+  CatalogFixture fixture;
+  fixture.complete_startup();
+  const int caller = fixture.connect();
+  fixture.send_request(caller, 1, "push");
+  fixture.print_runtime_lines(2);
   std::string lines;
   for (int i = 0; i < 9000; ++i) lines += encode_change(PutTenant{"tenant-" + std::to_string(i), {1, 0}});
-  site.write(lines);
-  site.signal(SIGHUP);
-  site.signal(SIGTERM);
-  site.caller_hears(caller);  // the request to send no more
-  site.signal(SIGHUP);
-  site.run_ends(1);
-  site.caller_hears(caller);
-  site.hang_up(caller);
-  site.ends();
+  fixture.write(lines);
+  fixture.signal(SIGHUP);
+  fixture.signal(SIGTERM);
+  fixture.print_caller_message(caller);  // the request to send no more
+  fixture.signal(SIGHUP);
+  fixture.send_run_end(1);
+  fixture.print_caller_message(caller);
+  fixture.disconnect(caller);
+  fixture.print_exit_status();
 }
 
 // The process is killed at a different moment of each read; every second time the writer was also killed
@@ -197,9 +198,9 @@
   constexpr int kill_count = 16;
   constexpr int changes_per_batch = 200;
   constexpr double kill_delay_step = 0.0004;  // seconds by which each kill is later after its signal
-  CatalogSite site;
-  site.comes_up();
-  const std::string file = site.folder() + "/" + kChangesFile;
+  CatalogFixture fixture;
+  fixture.complete_startup();
+  const std::string file = fixture.folder() + "/" + kChangesFile;
   std::uint64_t complete_changes = 0;
   bool all_active = true;
   for (int kill = 0; kill < kill_count; ++kill) {
@@ -207,75 +208,75 @@
     for (int i = 0; i < changes_per_batch; ++i)
       lines += encode_change(PutTenant{"tenant-" + std::to_string(kill * changes_per_batch + i), {1, 0}});
     const std::uintmax_t before = kill == 0 ? 0 : std::filesystem::file_size(file);
-    site.write(lines);
+    fixture.write(lines);
     const bool is_torn = kill % 2 == 1;
     if (is_torn)
       std::filesystem::resize_file(file,
                                    before + (std::filesystem::file_size(file) - before) * kill / kill_count);
     else
       complete_changes += changes_per_batch;
-    site.signal(SIGHUP);
-    site.pause(kill * kill_delay_step);
-    site.restart();
-    std::map<std::string, std::string> counters = site.counter_values();
+    fixture.signal(SIGHUP);
+    fixture.pause(kill * kill_delay_step);
+    fixture.restart();
+    std::map<std::string, std::string> counters = fixture.counter_values();
     all_active = all_active && counters["catalog.sequence"] == std::to_string(complete_changes) &&
                  counters["catalog.rejected"] == "0" && counters["invariants.broken"] == "0";
     if (is_torn) std::filesystem::resize_file(file, before);  // like the next writer
   }
   say("all complete batches active after each of 16 kills, nothing rejected", all_active);
-  site.comes_up();
-  const int caller = site.connect();
-  site.send_request(caller, 1, "push", R"("ram":10,"limit":3000,"team":"tenant-2900")");
-  site.runtime_hears(2);
-  site.send_request(caller, 2, "push", R"("ram":10,"limit":3000,"team":"tenant-3100")");
-  site.caller_hears(caller);
+  fixture.complete_startup();
+  const int caller = fixture.connect();
+  fixture.send_request(caller, 1, "push", R"("ram":10,"limit":3000,"team":"tenant-2900")");
+  fixture.print_runtime_lines(2);
+  fixture.send_request(caller, 2, "push", R"("ram":10,"limit":3000,"team":"tenant-3100")");
+  fixture.print_caller_message(caller);
 }
 
 // The log line of each answer names the catalog version that decided it.
 void versions() {
-  debug_log = true;
-  CatalogSite site;
-  site.comes_up();
-  const int caller = site.connect();
+  logs_at_debug_level = true;
+  CatalogFixture fixture;
+  fixture.complete_startup();
+  const int caller = fixture.connect();
   const auto end_and_print = [&](int id) {
-    site.run_ends(id);
-    site.caller_hears(caller);
-    const std::string line = site.expect_log("request: " + transaction_id(id));
+    fixture.send_run_end(id);
+    fixture.print_caller_message(caller);
+    const std::string line = fixture.expect_log("request: " + transaction_id(id));
     std::printf("log: %s\n", line.substr(std::min(line.size(), line.find("request: "))).c_str());
   };
-  site.send_request(caller, 1, "push");
-  site.runtime_hears(2);
-  site.change({route("extra", 3)});
-  site.send_request(caller, 2, "extra");
-  site.runtime_hears();
-  site.change({route("extra", 2)});
+  fixture.send_request(caller, 1, "push");
+  fixture.print_runtime_lines(2);
+  fixture.change({route("extra", 3)});
+  fixture.send_request(caller, 2, "extra");
+  fixture.print_runtime_lines();
+  fixture.change({route("extra", 2)});
   end_and_print(1);
   end_and_print(2);
 }
 
 // A start with a torn snapshot loads the previous one; without that, the routes of the settings are served.
 void startup() {
-  CatalogSite site;
-  site.comes_up();
-  write_snapshot(site.folder(), {1, 7}, 3, encode_changes({route("push", 3), route("extra", 3)}));
-  site.restart_killed();
-  site.comes_up();
-  site.counters({"catalog.epoch", "catalog.sequence", "catalog.routes", "catalog.rejected"});
-  write_snapshot(site.folder(), {1, 9}, 4, encode_changes({route("push", 3), route("more", 3)}));
-  const std::string file = site.folder() + "/" + kSnapshotFile;
+  CatalogFixture fixture;
+  fixture.complete_startup();
+  write_snapshot(fixture.folder(), {1, 7}, 3, encode_changes({route("push", 3), route("extra", 3)}));
+  fixture.restart_process();
+  fixture.complete_startup();
+  fixture.print_counters({"catalog.epoch", "catalog.sequence", "catalog.routes", "catalog.rejected"});
+  write_snapshot(fixture.folder(), {1, 9}, 4, encode_changes({route("push", 3), route("more", 3)}));
+  const std::string file = fixture.folder() + "/" + kSnapshotFile;
   std::filesystem::resize_file(file, std::filesystem::file_size(file) - 1);
-  site.restart_killed();
-  site.comes_up();
-  site.counters({"catalog.epoch", "catalog.sequence", "catalog.routes", "catalog.rejected"});
+  fixture.restart_process();
+  fixture.complete_startup();
+  fixture.print_counters({"catalog.epoch", "catalog.sequence", "catalog.routes", "catalog.rejected"});
   std::filesystem::remove(file + ".1");
-  site.restart_killed();
-  site.comes_up();
-  site.counters({"catalog.epoch", "catalog.sequence", "catalog.routes", "catalog.rejected"});
-  const int caller = site.connect();
-  site.send_request(caller, 1, "extra");
-  site.caller_hears(caller);
-  site.send_request(caller, 2, "pull");
-  site.runtime_hears(2);
+  fixture.restart_process();
+  fixture.complete_startup();
+  fixture.print_counters({"catalog.epoch", "catalog.sequence", "catalog.routes", "catalog.rejected"});
+  const int caller = fixture.connect();
+  fixture.send_request(caller, 1, "extra");
+  fixture.print_caller_message(caller);
+  fixture.send_request(caller, 2, "pull");
+  fixture.print_runtime_lines(2);
 }
 
 }  // namespace
--- a/tests/endings.cpp
+++ b/tests/endings.cpp
@@ -8,7 +8,7 @@
 
 #include "fleet.h"
 #include "scenarios.h"
-#include "scripted_site.h"
+#include "server_fixture.h"
 
 using namespace damsonspoke::standins::scripted;
 using damsonspoke::standins::Callers;
@@ -52,15 +52,15 @@
         in_(std::move(other.in_)),
         ended_(other.ended_),
         reset_(other.reset_) {}
-  ~Raw() { hang_up(); }
-  void hang_up() {
+  ~Raw() { disconnect(); }
+  void disconnect() {
     if (fd_ >= 0) ::close(fd_);
     fd_ = -1;
   }
   void resets() {
     const linger now{1, 0};
     ::setsockopt(fd_, SOL_SOCKET, SO_LINGER, &now, sizeof now);
-    hang_up();
+    disconnect();
   }
   int fd() const { return fd_; }
   // Writes what the system takes at once; how much that was.
@@ -69,7 +69,7 @@
     return wrote < 0 ? 0 : static_cast<std::size_t>(wrote);
   }
   // Reads until so many answers are there, the end, or patience (s) is over.
-  int answers(int wanted, double patience = kPatience) {
+  int answers(int wanted, double patience = kTimeoutSeconds) {
     const auto until = Clock::now() + std::chrono::duration<double>(patience);
     while (!ended_ && count() < wanted && Clock::now() < until) {
       pollfd one{fd_, POLLIN, 0};
@@ -83,7 +83,7 @@
     return count();
   }
   // How it ended, once it has.
-  const char* end(double patience = kPatience) {
+  const char* end(double patience = kTimeoutSeconds) {
     answers(1 << 30, patience);
     return !ended_ ? "open" : reset_ ? "reset" : "in order";
   }
@@ -102,32 +102,32 @@
 };
 
 // While the program stands still.
-void stopped(Site& site, double seconds, const std::function<void()>& meanwhile) {
-  site.signal(SIGSTOP);
+void stopped(ServerFixture& fixture, double seconds, const std::function<void()>& meanwhile) {
+  fixture.signal(SIGSTOP);
   ::usleep(50'000);
   meanwhile();
   ::usleep(static_cast<useconds_t>(seconds * 1e6));
-  site.signal(SIGCONT);
+  fixture.signal(SIGCONT);
 }
 
-std::size_t descriptors_of(const Site& site) {
+std::size_t descriptors_of(const ServerFixture& fixture) {
   std::size_t n = 0;
   for ([[maybe_unused]] const auto& entry :
-       std::filesystem::directory_iterator("/proc/" + std::to_string(site.pid()) + "/fd"))
+       std::filesystem::directory_iterator("/proc/" + std::to_string(fixture.pid()) + "/fd"))
     ++n;
   return n;
 }
 
 // All connections are idle and have a request unread as newcomers come, who ask too or say nothing.
 struct Crossing {
-  Crossing(Site& site, std::uint16_t port, const std::string& first, const std::string& second, int table,
-           const std::string& newcomers = "") {
+  Crossing(ServerFixture& fixture, std::uint16_t port, const std::string& first, const std::string& second,
+           int table, const std::string& newcomers = "") {
     for (int i = 0; i < table; ++i) {
       known.emplace_back(port);
       known.back().say(first);
       known.back().answers(1);
     }
-    stopped(site, 0.05, [&] {
+    stopped(fixture, 0.05, [&] {
       for (int i = 0; i < table; ++i) {
         fresh.emplace_back(port);
         fresh.back().say(newcomers);
@@ -144,9 +144,9 @@
 
 // None of them gives way, and no newcomer is reset.
 void evicted() {
-  Site site("", kFewDescriptors);
-  site.comes_up();
-  Crossing crossing(site, site.port(), check(1), check(2), kTable, check(1));
+  ServerFixture fixture("", kFewDescriptors);
+  fixture.complete_startup();
+  Crossing crossing(fixture, fixture.port(), check(1), check(2), kTable, check(1));
   int resets = 0;
   for (Raw& one : crossing.fresh)
     resets += std::strcmp(one.answers(1) == 1 ? "answered" : one.end(2), "reset") == 0;
@@ -155,22 +155,22 @@
 
 // A table full of requests that are half said, and stay so, turns no newcomer away.
 void halves() {
-  Site site("", kFewDescriptors);
-  site.comes_up();
+  ServerFixture fixture("", kFewDescriptors);
+  fixture.complete_startup();
   std::vector<Raw> half, fresh;
   for (int i = 0; i < kTable; ++i) {
-    half.emplace_back(site.port());
+    half.emplace_back(fixture.port());
     half.back().say(check(1).substr(0, 30));
   }
-  site.pause(0.3);
+  fixture.pause(0.3);
   int answered = 0;
   for (int i = 0; i < kTable; ++i) {
-    fresh.emplace_back(site.port());
+    fresh.emplace_back(fixture.port());
     fresh.back().say(check(1));
     answered += fresh.back().answers(1, 2) == 1;
   }
   std::printf("newcomers: %d, answered: %d\n", kTable, answered);
-  site.counters({"callers.rejected"});
+  fixture.print_counters({"callers.rejected"});
 }
 
 const char* const kGate =
@@ -179,19 +179,20 @@
 
 // The same where operators have a gate: who gives way to a newcomer is read first, and answered.
 void shed() {
-  Site site("", kFewDescriptors, {"", kGate});
-  site.comes_up();
-  Crossing crossing(site, site.port(), check(1), check(2), kTable);
+  ServerFixture fixture("", kFewDescriptors, {"", kGate});
+  fixture.complete_startup();
+  Crossing crossing(fixture, fixture.port(), check(1), check(2), kTable);
 }
 
 // And at the front for gateways that speak AJP, whose pings are answered without a slot.
 void by_ajp(const std::string& more) {
-  Site site("", kFewDescriptors, {"", "ajp\n    listen 127.0.0.1:0\n    map GET /health health\n" + more});
-  const std::string line = site.expect_log("takes AJP callers");
+  ServerFixture fixture("", kFewDescriptors,
+                        {"", "ajp\n    listen 127.0.0.1:0\n    map GET /health health\n" + more});
+  const std::string line = fixture.expect_log("takes AJP callers");
   const auto port = static_cast<std::uint16_t>(std::atoi(line.substr(line.rfind(' ') + 1).c_str()));
-  site.comes_up();
+  fixture.complete_startup();
   const std::string ping("\x12\x34\x00\x01\x0a", 5);
-  Crossing crossing(site, port, ping, ping, kTable / 2);  // the other front keeps its half
+  Crossing crossing(fixture, port, ping, ping, kTable / 2);  // the other front keeps its half
 }
 void evicted_ajp() { by_ajp(""); }
 void shed_ajp() { by_ajp(kGate); }
@@ -200,67 +201,68 @@
 // the peer does. A machine that let the half second pass unseen says nothing: then once more.
 void exit_waits() {
   for (int tries = 0; tries < 5; ++tries) {
-    Site site;
-    Raw caller(site.port());
+    ServerFixture fixture;
+    Raw caller(fixture.port());
     caller.say(check(1));
     caller.answers(1);
-    site.signal(SIGTERM);
+    fixture.signal(SIGTERM);
     for (int i = 0; i < 100 && !caller.heard("noMore"); ++i) caller.answers(1000, 0.1);
     const auto begin = Clock::now();
     caller.say("Content-Length: 99999\r\n\r\n");
     const char* end = caller.end();
-    site.pause(0.15);
-    std::ifstream file("/proc/" + std::to_string(site.pid()) + "/stat");
+    fixture.pause(0.15);
+    std::ifstream file("/proc/" + std::to_string(fixture.pid()) + "/stat");
     const std::string state((std::istreambuf_iterator<char>(file)), {});
     if (Clock::now() - begin > std::chrono::milliseconds(400)) continue;
     const bool there = !state.empty() && state.find(") Z") == std::string::npos;
     std::printf("last words: %s, the end: %s, the program is still there: %s\n",
                 caller.heard("broken frame") ? "yes" : "no", end, there ? "yes" : "no");
-    caller.hang_up();
-    return site.ends();
+    caller.disconnect();
+    return fixture.print_exit_status();
   }
   std::printf("this machine is too crowded to tell\n");
 }
 
 // A newcomer that finds every connection busy is ended in order, not by a reset over the request it brought.
 void turned_away() {
-  Site site(R"(,"cores":16)", kFewDescriptors, {R"([{"name":"push","target":60000,"give-up":60000}])", ""});
-  site.comes_up();
+  ServerFixture fixture(R"(,"cores":16)", kFewDescriptors,
+                        {R"([{"name":"push","target":60000,"give-up":60000}])", ""});
+  fixture.complete_startup();
   std::vector<Raw> busy;
   for (int i = 1; i <= kTable; ++i) {
-    busy.emplace_back(site.port());
+    busy.emplace_back(fixture.port());
     busy.back().say(request(i));
   }
-  site.pause(0.2);
+  fixture.pause(0.2);
   std::vector<Raw> fresh;
-  stopped(site, 0.05, [&] {
+  stopped(fixture, 0.05, [&] {
     for (int i = 0; i < 8; ++i) {
-      fresh.emplace_back(site.port());
+      fresh.emplace_back(fixture.port());
       fresh.back().say(request(100 + i));
     }
   });
   int in_order = 0;
   for (Raw& one : fresh) in_order += std::strcmp(one.end(), "in order") == 0;
   std::printf("newcomers at a full table: 8, ended in order: %d\n", in_order);
-  site.counters({"callers.rejected"});
+  fixture.print_counters({"callers.rejected"});
 }
 
 // One that has said nothing for its two seconds asks in the instant in which it would be closed.
 void silent() {
-  Site site;
-  site.comes_up();
-  Raw late(site.port());
-  site.pause(1.5);
-  stopped(site, 0.8, [&] { late.say(check(1)); });
+  ServerFixture fixture;
+  fixture.complete_startup();
+  Raw late(fixture.port());
+  fixture.pause(1.5);
+  stopped(fixture, 0.8, [&] { late.say(check(1)); });
   std::printf("asked as its time for asking ended, answered: %d\n", late.answers(1));
-  site.counters({"callers.silent"});
+  fixture.print_counters({"callers.silent"});
 }
 
 // One that was asked for no more and stays asks in the instant in which it would be closed.
 void resting() {
-  Site site(R"(,"caller-idle":3000)");
-  site.comes_up();
-  Raw caller(site.port());
+  ServerFixture fixture(R"(,"caller-idle":3000)");
+  fixture.complete_startup();
+  Raw caller(fixture.port());
   for (int i = 1; i <= 40; ++i) {  // callers that do not come back: idle connections are closed early
     caller.say(framed(R"({"jsonrpc":"2.0","id":)" + std::to_string(i) +
                       R"(,"method":"push","params":{"txn":"00000000000000)" + std::to_string(10 + i) +
@@ -269,7 +271,7 @@
   }
   for (int i = 0; i < 100 && !caller.heard("noMore"); ++i) caller.answers(1000, 0.1);
   std::printf("it is asked for no more: %s\n", caller.heard("noMore") ? "yes" : "no");
-  stopped(site, 5.3, [&] { caller.say(check(100)); });
+  stopped(fixture, 5.3, [&] { caller.say(check(100)); });
   caller.answers(41);
   const bool answered = caller.heard("\"id\":100,");
   const char* end = caller.end(20);
@@ -279,31 +281,31 @@
 // Noise after a request: the request is answered, the last words come, and the noise that nobody reads turns
 // neither into a reset.
 void refused() {
-  Site site;
-  site.comes_up();
-  Raw caller(site.port());
-  site.send_request(caller.fd(), 1);
-  site.runtime_hears(2);
+  ServerFixture fixture;
+  fixture.complete_startup();
+  Raw caller(fixture.port());
+  fixture.send_request(caller.fd(), 1);
+  fixture.print_runtime_lines(2);
   caller.say("Content-Length: 99999\r\n\r\n");
-  site.pause(0.1);
+  fixture.pause(0.1);
   caller.say(std::string(100'000, 'x'));
-  site.pause(0.1);
-  site.runtime_says("end 1 0000000000000001 complete 20 6\r\nresult");
+  fixture.pause(0.1);
+  fixture.send_from_runtime("end 1 0000000000000001 complete 20 6\r\nresult");
   const char* end = caller.end();
   std::printf("last words: %s, the result: %s, the end: %s\n", caller.heard("broken frame") ? "yes" : "no",
               caller.heard("cmVzdWx0") ? "yes" : "no", end);
   // Who never closes its side costs no descriptor for long, and who floods is not read for long.
-  site.pause(1);
-  const std::size_t before = descriptors_of(site);
+  fixture.pause(1);
+  const std::size_t before = descriptors_of(fixture);
   std::vector<Raw> held;
   for (int i = 0; i < 16; ++i) {
-    held.emplace_back(site.port());
+    held.emplace_back(fixture.port());
     held.back().say("Content-Length: 99999\r\n\r\n");
   }
-  site.pause(1.5);
+  fixture.pause(1.5);
   std::printf("sixteen that never close their side; descriptors more than before: %d\n",
-              static_cast<int>(descriptors_of(site)) - static_cast<int>(before));
-  Raw flood(site.port());
+              static_cast<int>(descriptors_of(fixture)) - static_cast<int>(before));
+  Raw flood(fixture.port());
   flood.say("Content-Length: 99999\r\n\r\n");
   const std::string noise(65536, 'y');
   std::size_t wrote = 0;
@@ -320,59 +322,59 @@
 void last_look() {
   for (const bool up : {false, true}) {
     std::printf("-- the runtime is %s\n", up ? "up" : "not up");
-    Site site;
-    if (up) site.comes_up();
-    Raw caller(site.port());
+    ServerFixture fixture;
+    if (up) fixture.complete_startup();
+    Raw caller(fixture.port());
     caller.say(check(1));
     caller.answers(1);
-    site.signal(SIGTERM);
+    fixture.signal(SIGTERM);
     for (int i = 0; i < 100 && !caller.heard("noMore"); ++i) caller.answers(1000, 0.1);
-    site.pause(1);
+    fixture.pause(1);
     std::string all;
     constexpr int kMany = 400;
     for (int i = 2; i <= kMany; ++i) all += up ? request(i) : check(i);
-    stopped(site, 1.2, [&] { caller.say(all); });
+    stopped(fixture, 1.2, [&] { caller.say(all); });
     const char* end = caller.end();
     const int answered = caller.answers(kMany);
     std::printf("requests: %d, answered: %d, the end: %s\n", kMany, answered, end);
     std::printf("of those that came too late to run, nacked: %s\n",
                 up ? (caller.heard("-32001") && !caller.heard("-32000") ? "all" : "not all") : "none came");
-    site.ends();
+    fixture.print_exit_status();
   }
 }
 
 // SIGTERM again, SIGHUP in a drain, and SIGTERM with the runtime's link down: one drain, what is open
 // answered.
 void signals() {
-  Site site;
-  site.comes_up();
-  Raw caller(site.port());
-  site.send_request(caller.fd(), 1);
-  site.runtime_hears(2);
-  site.signal(SIGTERM);
-  site.roster_hears("HERE n1 off");
-  site.signal(SIGTERM);
-  site.reload();
-  site.roster_hears("HERE n1 off");
-  site.runtime_comes_up("hot 900");  // on the new link, in the drain
-  site.runtime_says("end 1 0000000000000001 complete 20 6\r\nresult");
+  ServerFixture fixture;
+  fixture.complete_startup();
+  Raw caller(fixture.port());
+  fixture.send_request(caller.fd(), 1);
+  fixture.print_runtime_lines(2);
+  fixture.signal(SIGTERM);
+  fixture.await_registry_report("HERE n1 off");
+  fixture.signal(SIGTERM);
+  fixture.reload();
+  fixture.await_registry_report("HERE n1 off");
+  fixture.complete_runtime_handshake("hot 900");  // on the new link, in the drain
+  fixture.send_from_runtime("end 1 0000000000000001 complete 20 6\r\nresult");
   const int answers = caller.answers(1);
   std::printf("answered: %d, the result: %s\n", answers, caller.heard("cmVzdWx0") ? "yes" : "no");
-  caller.hang_up();
-  site.ends();
-  Site broken;
-  broken.comes_up();
+  caller.disconnect();
+  fixture.print_exit_status();
+  ServerFixture broken;
+  broken.complete_startup();
   Raw other(broken.port());
   broken.send_request(other.fd(), 1, "push", R"("ram":10,"limit":900)");
-  broken.runtime_hears(2);
-  broken.runtime_breaks();
+  broken.print_runtime_lines(2);
+  broken.break_runtime_link();
   broken.signal(SIGTERM);
   std::printf("without a runtime, answered by its due time: %d\n", other.answers(1, 1.2));
-  other.hang_up();
-  broken.ends();
+  other.disconnect();
+  broken.print_exit_status();
   // Two seconds from the first notice, not from the second.
-  Site twice;
-  twice.comes_up();
+  ServerFixture twice;
+  twice.complete_startup();
   Raw rests(twice.port());
   rests.say(check(1));
   rests.answers(1);
@@ -380,7 +382,7 @@
   twice.signal(SIGTERM);
   twice.pause(1.5);
   twice.signal(SIGTERM);
-  twice.ends();
+  twice.print_exit_status();
   std::printf("in the time of the first notice: %s\n",
               Clock::now() - begin < std::chrono::milliseconds(3000) ? "yes" : "no");
 }
@@ -388,78 +390,79 @@
 // A thousand connections that end in every way leave no descriptor and no memory behind.
 void thousand() {
   ::setenv("ASAN_OPTIONS", "quarantine_size_mb=1", 1);
-  Site site("", kFewDescriptors);
-  site.comes_up();
+  ServerFixture fixture("", kFewDescriptors);
+  fixture.complete_startup();
   const auto resident = [&] {
-    std::ifstream file("/proc/" + std::to_string(site.pid()) + "/statm");
+    std::ifstream file("/proc/" + std::to_string(fixture.pid()) + "/statm");
     long size = 0, pages = 0;
     file >> size >> pages;
     return pages * 4;  // KiB
   };
   const auto cross = [&](int rounds) {
     for (int i = 0; i < rounds; ++i) {
-      Raw one(site.port()), two(site.port()), three(site.port()), four(site.port()), five(site.port());
+      Raw one(fixture.port()), two(fixture.port()), three(fixture.port()), four(fixture.port()),
+          five(fixture.port());
       one.say(check(1));
       two.say(check(1) + "Content-Length: 99999\r\n\r\n" + std::string(3000, 'x'));
       three.say(check(1) + "Content-Length: 50\r\n\r\nhalf");
       four.say(request(i));
       if (i % 2 == 0) two.resets();
       three.resets();
-      five.hang_up();
+      five.disconnect();
       four.answers(1, 0.2);
       one.answers(1);
-      if (i % 16 == 0) site.pause(0.01);
+      if (i % 16 == 0) fixture.pause(0.01);
     }
-    site.pause(3.5);  // what was half said has had its time, what ran without an end is due
+    fixture.pause(3.5);  // what was half said has had its time, what ran without an end is due
   };
-  const std::size_t before = descriptors_of(site);
+  const std::size_t before = descriptors_of(fixture);
   cross(100);
   const long kib = resident();
   cross(200);
   std::printf("descriptors more than before: %d\n",
-              static_cast<int>(descriptors_of(site)) - static_cast<int>(before));
+              static_cast<int>(descriptors_of(fixture)) - static_cast<int>(before));
   const long grown = resident() - kib;
   std::printf("memory grew by under 4 MiB: %s\n", grown < 4096 ? "yes" : std::to_string(grown).c_str());
-  site.counters({});
+  fixture.print_counters({});
 }
 
 // Idle clients fill the table while nobody tells who is there; then the runtime and the layer below begin
 // anew. Callers are served, health is answered, our own links come back, nothing spins.
 void idle_fill() {
-  Site site("", kFewDescriptors);
-  site.comes_up();
+  ServerFixture fixture("", kFewDescriptors);
+  fixture.complete_startup();
   const rlimit few{64, 64};  // as it is told: our own links are made again from what it keeps for itself
-  ::prlimit(site.pid(), RLIMIT_NOFILE, &few, nullptr);
-  site.roster_goes_away();
+  ::prlimit(fixture.pid(), RLIMIT_NOFILE, &few, nullptr);
+  fixture.close_registry();
   std::vector<Raw> idle;
-  for (int i = 0; i < 3 * kTable; ++i) idle.emplace_back(site.port());
-  site.pause(0.3);
-  int caller = site.connect();
-  site.send(caller, replaced(kCheck, "ID", "1"));
-  site.caller_hears(caller);
+  for (int i = 0; i < 3 * kTable; ++i) idle.emplace_back(fixture.port());
+  fixture.pause(0.3);
+  int caller = fixture.connect();
+  fixture.send(caller, replaced(kCheck, "ID", "1"));
+  fixture.print_caller_message(caller);
   const auto serve = [&](int id, int notice) {
     const std::string txn = "000000000000000" + std::to_string(id);
-    site.send_request(caller, id);
-    site.runtime_hears(2);
-    site.runtime_says("wants " + std::to_string(notice) + " " + txn + " 4\r\ncall");
-    site.below_hears(2);
-    site.below_says(txn + " ok 5\r\nreply");
-    site.runtime_hears(2);
-    site.runtime_says("end " + std::to_string(notice + 1) + " " + txn + " complete 20 6\r\nresult");
-    site.caller_hears(caller);
+    fixture.send_request(caller, id);
+    fixture.print_runtime_lines(2);
+    fixture.send_from_runtime("wants " + std::to_string(notice) + " " + txn + " 4\r\ncall");
+    fixture.print_dependency_lines(2);
+    fixture.send_from_dependency(txn + " ok 5\r\nreply");
+    fixture.print_runtime_lines(2);
+    fixture.send_from_runtime("end " + std::to_string(notice + 1) + " " + txn + " complete 20 6\r\nresult");
+    fixture.print_caller_message(caller);
   };
   serve(2, 1);
-  for (int i = 0; i < 3 * kTable; ++i) idle.emplace_back(site.port());
-  site.runtime_breaks();
-  site.below_closes();
-  site.runtime_comes_up("hot 900");
-  const double used = site.processor_time();
-  site.pause(1);
+  for (int i = 0; i < 3 * kTable; ++i) idle.emplace_back(fixture.port());
+  fixture.break_runtime_link();
+  fixture.print_whether_dependency_connection_closes();
+  fixture.complete_runtime_handshake("hot 900");
+  const double used = fixture.processor_seconds();
+  fixture.pause(1);
   std::printf("processor time in a second of it: %s\n",
-              site.processor_time() - used < 0.3 ? "little" : "much");
-  caller = site.connect();
+              fixture.processor_seconds() - used < 0.3 ? "little" : "much");
+  caller = fixture.connect();
   serve(3, 3);
-  site.counters({"requests.succeeded", "runtime.links"});
+  fixture.print_counters({"requests.succeeded", "runtime.links"});
 }
 
 bool holds_back(pid_t pid, int signal) {
--- a/tests/runtime/link_crossings.cpp
+++ b/tests/runtime/link_crossings.cpp
@@ -10,7 +10,7 @@
 
 namespace damsonspoke::testing {
 
-Site::Remembering routes(const std::string& idempotency) {
+ServerFixture::Configuration routes(const std::string& idempotency) {
   const std::string more =
       R"(","target":400,"give-up":3000,"semantics":")" + idempotency + R"(","window":20000})";
   return {R"([{"name":"push)" + more + R"(,{"name":"pull)" + more + "]",
@@ -32,20 +32,20 @@
          "\r\n" + result;
 }
 
-void print_runtime_input(Site& site, double seconds) {
-  const std::vector<std::string> lines = site.runtime_lines_within(seconds);
+void print_runtime_input(ServerFixture& fixture, double seconds) {
+  const std::vector<std::string> lines = fixture.runtime_lines_within(seconds);
   for (const std::string& line : lines) std::printf("runtime hears: %s\n", line.c_str());
   if (lines.empty()) std::printf("runtime hears: (nothing)\n");
 }
 
-void print_command_count(Site& site, const std::string& command, double seconds) {
+void print_command_count(ServerFixture& fixture, const std::string& command, double seconds) {
   int count = 0;
-  for (const std::string& line : site.runtime_lines_within(seconds)) count += line.rfind(command, 0) == 0;
+  for (const std::string& line : fixture.runtime_lines_within(seconds)) count += line.rfind(command, 0) == 0;
   std::printf("runtime hears '%s': %d times\n", command.c_str(), count);
 }
 
-void print_caller_failure(Site& site, int caller) {
-  const std::string answer = site.heard(caller);
+void print_caller_failure(ServerFixture& fixture, int caller) {
+  const std::string answer = fixture.next_message(caller);
   const bool is_failure = answer.find("\"error\"") != std::string::npos;
   const bool is_rejection = answer.find("-32001") != std::string::npos;
   std::printf("caller hears: %s\n", is_rejection ? "rejected" : is_failure ? "failed" : answer.c_str());
--- a/tests/runtime/link_crossings.h
+++ b/tests/runtime/link_crossings.h
@@ -8,7 +8,7 @@
 #include <span>
 #include <string>
 
-#include "scripted_site.h"
+#include "server_fixture.h"
 
 namespace damsonspoke::testing {
 
@@ -22,7 +22,7 @@
 std::span<const Scenario> resumption_scenarios();
 std::span<const Scenario> restart_scenarios();
 
-using standins::scripted::Site;
+using standins::scripted::ServerFixture;
 
 // The numbers of the first requests, as the runtime receives them.
 inline const std::string kId1 = "0000000000000001";
@@ -40,7 +40,7 @@
 
 // The routes of a site, both with this idempotency: "push" may continue without its call, "pull" may not.
 // Results are remembered where requests have keys.
-Site::Remembering routes(const std::string& idempotency);
+ServerFixture::Configuration routes(const std::string& idempotency);
 
 // Parameters of a request whose caller waits this many milliseconds. The first attempts on a dedup route
 // all have the key "a".
@@ -54,13 +54,13 @@
 std::string run_end_notice(int notice, const std::string& id, const std::string& result = "result");
 
 // Prints all lines that the runtime receives in this time.
-void print_runtime_input(Site& site, double seconds = kQuietSeconds);
+void print_runtime_input(ServerFixture& fixture, double seconds = kQuietSeconds);
 
 // Prints how many commands that begin with this text the runtime receives in this time, ignoring others.
-void print_command_count(Site& site, const std::string& command, double seconds = kQuietSeconds);
+void print_command_count(ServerFixture& fixture, const std::string& command, double seconds = kQuietSeconds);
 
 // Prints whether the caller receives a failure, of any kind, or a rejection, which would mean that nothing
 // ran.
-void print_caller_failure(Site& site, int caller);
+void print_caller_failure(ServerFixture& fixture, int caller);
 
 }  // namespace damsonspoke::testing
