--- a/tests/link_ends.cpp
+++ b/tests/link_ends.cpp
@@ -66,8 +66,8 @@
     const ssize_t got = ::recv(fd, bytes, sizeof bytes, MSG_DONTWAIT);
     return got > 0 ? std::string(bytes, static_cast<std::size_t>(got)) : std::string();
   }
-  static void say(int fd, const std::string& text) {
-    if (::send(fd, text.data(), text.size(), MSG_NOSIGNAL) < 0) std::printf("(cannot say it)\n");
+  static void send(int fd, const std::string& text) {
+    if (::send(fd, text.data(), text.size(), MSG_NOSIGNAL) < 0) std::printf("(cannot send)\n");
   }
   void close(int fd, bool with_reset) {
     const linger now{1, 0};
@@ -144,18 +144,18 @@
 std::string reply(RequestId id) { return fmt::format("{:016x} ok 5\r\nreply\r\n", id); }
 
 // Events that coincide in one event-loop iteration.
-void one_turn() {
+void one_iteration() {
   {
     Calls calls;
     const int fd = calls.call_and_read(1, 0.2);
     ::usleep(250'000);  // the timeout expires before the reactor polls again; the reply is there too
-    BareListener::say(fd, reply(1));
+    BareListener::send(fd, reply(1));
     fmt::print("reply and timeout: {}\n", calls.end_of(1));
   }
   {
     Calls calls;
     const int fd = calls.call_and_read(1, 5);
-    BareListener::say(fd, reply(1));
+    BareListener::send(fd, reply(1));
     calls.bare.close(fd, true);
     const std::string end = calls.end_of(1);
     say("reply and reset: one end, and none that proves it did not run",
@@ -164,14 +164,14 @@
   {
     Calls calls;
     const int fd = calls.call_and_read(1, 5);
-    BareListener::say(fd, reply(1) + reply(1));
+    BareListener::send(fd, reply(1) + reply(1));
     calls.bare.close(fd, false);
     fmt::print("reply twice and the end: {}\n", calls.end_of(1));
   }
   {
     Calls calls;
     const int fd = calls.call_and_read(1, 0.2);
-    BareListener::say(fd, reply(1));
+    BareListener::send(fd, reply(1));
     calls.dependency.cancel(1);
     ::usleep(250'000);
     calls.run(0.1);
@@ -226,7 +226,7 @@
     calls.run(0.05);
     fmt::print("two on a connection that was just established, the second one times out: {}\n",
                calls.end_of(2));
-    BareListener::say(calls.bare.newest(), reply(1));
+    BareListener::send(calls.bare.newest(), reply(1));
     fmt::print("  the first: {}\n", calls.end_of(1));
   }
 }
@@ -236,18 +236,18 @@
   {
     Calls calls;
     const int fd = calls.call_and_read(1, 5);
-    BareListener::say(fd, reply(1));
+    BareListener::send(fd, reply(1));
     calls.end_of(1);
     calls.bare.close(fd, false);  // its end was not read yet
     const int next = calls.call_and_read(2, 5);
     fmt::print("closed before the next call, which uses another one: {}\n", next >= 0 ? "yes" : "no");
-    BareListener::say(next, reply(2));
+    BareListener::send(next, reply(2));
     fmt::print("  {}\n", calls.end_of(2));
   }
   {
     Calls calls;
     const int fd = calls.call_and_read(1, 5);
-    BareListener::say(fd, reply(1));
+    BareListener::send(fd, reply(1));
     calls.end_of(1);
     calls.dependency.call(2, 5, "body");  // written at once, on the open connection
     calls.bare.close(fd, true);
@@ -266,7 +266,7 @@
     for (std::size_t at = 0; at < complete.size(); at += step, ++runs) {
       Calls calls;
       const int fd = calls.call_and_read(1, 0.6);
-      if (at > 0) BareListener::say(fd, complete.substr(0, at));
+      if (at > 0) BareListener::send(fd, complete.substr(0, at));
       if (std::strcmp(how, "silent") != 0) calls.bare.close(fd, std::strcmp(how, "reset") == 0);
       calls.end_of(1);
       ends += static_cast<int>(calls.ends[1].size());
@@ -330,7 +330,7 @@
     for (std::size_t at; (at = in.find("gauges ")) != std::string::npos;) {
       const std::size_t end = in.find("\r\n", at);
       if (end == std::string::npos) return;
-      BareListener::say(fd, "load " + in.substr(at + 7, end - at - 7) + "\r\n");
+      BareListener::send(fd, "load " + in.substr(at + 7, end - at - 7) + "\r\n");
       in.erase(at, end + 2 - at);
     }
   }
@@ -372,15 +372,15 @@
     for (std::size_t at = 0; at <= complete.size(); ++at, ++runs) {
       Link link;
       link.wait_for_input("sync 0");
-      BareListener::say(link.bare.newest(), "ready hot 0\r\n");
+      BareListener::send(link.bare.newest(), "ready hot 0\r\n");
       link.synchronize();
       link.start(1);
       link.stepped.run_for(0.03);
-      if (at > 0) BareListener::say(link.bare.newest(), complete.substr(0, at));
+      if (at > 0) BareListener::send(link.bare.newest(), complete.substr(0, at));
       link.reset_link();
       link.wait_for_input("sync ");
       const bool seen = link.in.find("sync 1") != std::string::npos;
-      BareListener::say(link.bare.newest(), "ready hot 50\r\n" + (seen ? std::string() : complete));
+      BareListener::send(link.bare.newest(), "ready hot 50\r\n" + (seen ? std::string() : complete));
       link.stepped.run_for(0.05);
       once += link.ends_of(1) == "ok result" || link.calls[1] == "call;";
     }
@@ -394,9 +394,9 @@
 void restart() {
   Link link;
   link.wait_for_input("sync 0");
-  BareListener::say(link.bare.newest(), "ready hot 3000\r\n");
+  BareListener::send(link.bare.newest(), "ready hot 3000\r\n");
   link.synchronize();
-  BareListener::say(link.bare.newest(), "end 1 0000000000000009 complete 1 0\r\n\r\n");
+  BareListener::send(link.bare.newest(), "end 1 0000000000000009 complete 1 0\r\n\r\n");
   link.start(1);
   link.wait_for_input("start 0000000000000001");
   link.stepped.run_for(0.6);
@@ -405,17 +405,17 @@
   link.start(2);               // waits in the client, never sent
   link.in.clear();
   link.wait_for_input("sync 1");
-  BareListener::say(link.bare.newest(), "ready chilly 20\r\n");
+  BareListener::send(link.bare.newest(), "ready chilly 20\r\n");
   link.wait_for_input("start 0000000000000002");
   fmt::print("restarts: {}, starts that were not sent: {}\n", link.restarts, link.unsent_starts);
   fmt::print("starts sent to the new process: of the first {}, of the second {}\n",
              link.count("start 0000000000000001"), link.count("start 0000000000000002"));
-  BareListener::say(link.bare.newest(), "end 1 0000000000000002 complete 20 3\r\ntwo\r\n");
+  BareListener::send(link.bare.newest(), "end 1 0000000000000002 complete 20 3\r\ntwo\r\n");
   link.stepped.run_for(0.05);
   fmt::print("the second, by a notice numbered 1: {}; ready events {}\n", link.ends_of(2), link.readies);
   link.reset_link();
   link.wait_for_input("sync 1");
-  BareListener::say(link.bare.newest(), "ready chilly 5000\r\n");
+  BareListener::send(link.bare.newest(), "ready chilly 5000\r\n");
   link.stepped.run_for(0.05);
   fmt::print("the same process after a break: restarts {}\n", link.restarts);
 }
@@ -424,18 +424,18 @@
 void old_gauges() {
   Link link;
   link.wait_for_input("sync 0");
-  BareListener::say(link.bare.newest(), "ready hot 0\r\n");
+  BareListener::send(link.bare.newest(), "ready hot 0\r\n");
   link.wait_for_input("gauges ", false);
   const std::string tag = link.gauges_tag();
   link.start(1);  // not sent before the missed notices are read
   link.reset_link();
   link.in.clear();
   link.wait_for_input("sync 0");
-  BareListener::say(link.bare.newest(), "load " + tag + " 0.25 1\r\n");
+  BareListener::send(link.bare.newest(), "load " + tag + " 0.25 1\r\n");
   link.stepped.run_for(0.05);
   link.in += BareListener::received(link.bare.newest());
   fmt::print("gauges of the old link on the new one: starts sent {}\n", link.count("start "));
-  BareListener::say(link.bare.newest(), "ready hot 100\r\n");
+  BareListener::send(link.bare.newest(), "ready hot 100\r\n");
   link.wait_for_input("start ");
   fmt::print("gauges of the new link: starts sent {}\n", link.count("start "));
 }
@@ -445,17 +445,17 @@
 void end_behind_gauges() {
   Link link;
   link.wait_for_input("sync 0");
-  BareListener::say(link.bare.newest(), "ready hot 0\r\n");
+  BareListener::send(link.bare.newest(), "ready hot 0\r\n");
   link.synchronize();
   link.start(1);
   link.wait_for_input("start 0000000000000001");
   link.reset_link();
   link.wait_for_input("sync 0");
-  BareListener::say(link.bare.newest(), "ready hot 5000\r\n");
+  BareListener::send(link.bare.newest(), "ready hot 5000\r\n");
   link.wait_for_input("gauges ", false);
   const std::string tag = link.gauges_tag();
-  BareListener::say(link.bare.newest(),
-                    "load " + tag + " 0.25 1\r\nend 1 0000000000000001 complete 20 6\r\nresult\r\n");
+  BareListener::send(link.bare.newest(),
+                     "load " + tag + " 0.25 1\r\nend 1 0000000000000001 complete 20 6\r\nresult\r\n");
   link.wait_for_input("start ");
   fmt::print("end of the run: {}, starts on the new link: {}\n", link.ends_of(1), link.count("start "));
 }
@@ -465,13 +465,13 @@
 void closed_unnoticed() {
   Link link;
   link.wait_for_input("sync 0");
-  BareListener::say(link.bare.newest(), "ready hot 0\r\n");
+  BareListener::send(link.bare.newest(), "ready hot 0\r\n");
   link.synchronize();
   link.bare.close(link.bare.newest(), false);
   link.in.clear();
   link.start(1, false);  // the reactor is paused
   link.wait_for_input("sync 0");
-  BareListener::say(link.bare.newest(), "ready hot 5000\r\n");
+  BareListener::send(link.bare.newest(), "ready hot 5000\r\n");
   link.wait_for_input("start 0000000000000001");
   fmt::print("starts on the new link: {}, in doubt: {}\n", link.count("start "),
              link.counters[Count::kRuntimeInDoubt]);
@@ -482,7 +482,7 @@
 int main(int argc, char** argv) {
   std::string unused;
   return run_scenario(argc, argv, unused,
-                      {{"one_turn", one_turn},
+                      {{"one_iteration", one_iteration},
                        {"connects", connects},
                        {"reuse", reuse},
                        {"cut", cut},
--- a/tests/runtime_client_crossings.cpp
+++ b/tests/runtime_client_crossings.cpp
@@ -62,8 +62,8 @@
     return link_ >= 0;
   }
   bool has_link() const { return link_ >= 0; }
-  void say(const std::string& text) {
-    if (::send(link_, text.data(), text.size(), MSG_NOSIGNAL) < 0) fmt::print("(cannot say it)\n");
+  void send(const std::string& text) {
+    if (::send(link_, text.data(), text.size(), MSG_NOSIGNAL) < 0) fmt::print("(cannot send)\n");
   }
   // The input on the link; with a timeout, all of it until the link ends.
   std::string received(int timeout_ms = 0) {
@@ -112,13 +112,13 @@
   // On a new link: answers its gauges, and sends `right_after` before it reads what the client sends then.
   void synchronize(const std::string& state, const std::string& right_after = "") {
     wait_for_input("sync ");
-    bare.say("ready " + state + "\r\n");
+    bare.send("ready " + state + "\r\n");
     wait_for_input("gauges ");
     const std::size_t at = in.find("gauges ") + 7;
     in += bare.received();
-    bare.say("load " + in.substr(at, in.find("\r\n", at) - at) + " 0.25 1\r\n");
+    bare.send("load " + in.substr(at, in.find("\r\n", at) - at) + " 0.25 1\r\n");
     stepped.run_for(kStepSeconds);
-    bare.say(right_after);
+    bare.send(right_after);
     for (int i = 0; i < kQuietSteps; ++i) {
       stepped.run_for(kStepSeconds);
       in += bare.received();
@@ -166,7 +166,7 @@
     const std::size_t tag = at + 7;
     const std::size_t end = client.in.find("\r\n", tag);
     if (end == std::string::npos) return;
-    client.bare.say("load " + client.in.substr(tag, end - tag) + " 0.25 1\r\n");
+    client.bare.send("load " + client.in.substr(tag, end - tag) + " 0.25 1\r\n");
     client.in.replace(at, 6, "asked!");
   }
 }
@@ -224,7 +224,7 @@
   client.synchronize("hot 0");
   start(client, 1, "body", true);
   client.wait_for_input("body\r\n");
-  client.bare.say("wants 1 0000000000000001 5\r\nfirst\r\n");
+  client.bare.send("wants 1 0000000000000001 5\r\nfirst\r\n");
   client.stepped.run_for(kStepSeconds);
   for (int i = 0; i < kMaxSteps && client.calls[1] == 0; ++i) client.stepped.run_for(kStepSeconds);
   send_reply(client, 1, "reply", 1, may_be_skipped);
@@ -245,7 +245,7 @@
   client.synchronize("hot 0");
   for (RequestId id = 1; id <= 2; ++id) start(client, id, "body", false);
   client.wait_for_input(start_of(2));
-  client.bare.say("wants 1 0000000000000001 5\r\nfirst\r\nend 2 0000000000000002 cancelled 5 0\r\n\r\n");
+  client.bare.send("wants 1 0000000000000001 5\r\nfirst\r\nend 2 0000000000000002 cancelled 5 0\r\n\r\n");
   for (int i = 0; i < kMaxSteps && client.ends[2] == 0; ++i) client.stepped.run_for(kStepSeconds);
   client.cut();
   for (int i = 0; i < kMaxSteps && client.counters[Count::kRuntimeBroken] == 0; ++i)
