--- a/standins/server_fixture.h
+++ b/standins/server_fixture.h
@@ -178,7 +178,8 @@
   // Replaces the configuration file and has the program read it: by one with new addresses for all peers, or
   // by this invalid text.
   void reload(const std::string& invalid = "") {
-    std::printf("-- a new configuration, %s\n", invalid.empty() ? "all peers elsewhere" : invalid.c_str());
+    std::printf("-- a new configuration, %s\n",
+                invalid.empty() ? "all peers at new addresses" : invalid.c_str());
     invalid.empty() ? write_config() : static_cast<void>(std::ofstream(config_path_) << invalid);
     signal(SIGHUP);
     const std::string line = expect_log("new configuration");
@@ -201,7 +202,7 @@
   // arrives.
   void complete_runtime_handshake(const std::string& state = "hot 0") {
     if (!receive_until([&] { return !runtime_lines_.empty(); })) return;
-    std::printf("runtime hears: %s\n", pop_front(runtime_lines_).c_str());
+    std::printf("runtime received: %s\n", pop_front(runtime_lines_).c_str());
     send_runtime_ready(state);
   }
   // Sends `ready` without printing it, because the state may contain a time.
@@ -215,11 +216,11 @@
   void print_runtime_lines(int lines = 1) {
     for (int i = 0; i < lines; ++i) {
       const bool is_there = receive_until([&] { return !runtime_lines_.empty(); });
-      std::printf("runtime hears: %s\n", is_there ? pop_front(runtime_lines_).c_str() : "(nothing)");
+      std::printf("runtime received: %s\n", is_there ? pop_front(runtime_lines_).c_str() : "(nothing)");
     }
   }
   void send_from_runtime(const std::string& text) {
-    std::printf("runtime says: %s\n", replaced(text, "\r\n", " / ").c_str());
+    std::printf("runtime sent: %s\n", replaced(text, "\r\n", " / ").c_str());
     send_all(runtime_, text + "\r\n");
   }
   void break_runtime_link() {
@@ -236,7 +237,7 @@
   // answer, and before the fixture reads the commands that the program sends on receipt of it. The text and
   // these commands cross.
   void send_from_runtime_after_gauges(const std::string& text) {
-    std::printf("runtime says right after its gauges: %s\n", replaced(text, "\r\n", " / ").c_str());
+    std::printf("runtime sends right after its gauges: %s\n", replaced(text, "\r\n", " / ").c_str());
     after_gauges_ = text + "\r\n";
   }
   // The same after the first such answer on the next link; answers on the present link do not count.
@@ -261,11 +262,11 @@
                              : "(nothing)";
       // The timeout differs between runs.
       if (line.rfind("invoke", 0) == 0) line.replace(24, line.find(' ', 24) - 24, "MS");
-      std::printf("below hears: %s\n", line.c_str());
+      std::printf("dependency received: %s\n", line.c_str());
     }
   }
   void send_from_dependency(const std::string& text) {
-    std::printf("below says: %s\n", replaced(text, "\r\n", " / ").c_str());
+    std::printf("dependency sent: %s\n", replaced(text, "\r\n", " / ").c_str());
     send_all(dependency_, text + "\r\n");
   }
   // Returns the present connection, which stays open and is not read from until it is passed to
@@ -273,17 +274,17 @@
   int set_dependency_connection_aside() { return std::exchange(dependency_, -1); }
   void use_dependency_connection(int fd) { dependency_ = fd; }
   void close_dependency_connection() {
-    std::printf("-- the connection below breaks\n");
+    std::printf("-- the dependency connection breaks\n");
     ::close(dependency_);
     dependency_ = -1;
   }
   // Waits until the program closes the connection, and prints whether it does.
   void print_whether_dependency_connection_closes() {
-    std::printf("the connection below is closed: %s\n",
+    std::printf("the dependency connection is closed: %s\n",
                 receive_until([&] { return dependency_ < 0; }) ? "yes" : "no");
   }
   void stop_dependency_listener() {
-    std::printf("-- the layer below refuses connections\n");
+    std::printf("-- the dependency refuses connections\n");
     ::close(dependency_listener_);
     dependency_listener_ = -1;
   }
@@ -297,11 +298,11 @@
       }
       return false;
     });
-    std::printf("roster hears: %s\n", is_there ? wanted.c_str() : "(nothing)");
+    std::printf("registry received: %s\n", is_there ? wanted.c_str() : "(nothing)");
   }
 
   void close_registry() {
-    std::printf("-- nobody listens to reports any more\n");
+    std::printf("-- the registry is closed\n");
     ::close(registry_);
     registry_ = -1;
   }
@@ -347,17 +348,17 @@
         text, sizeof text,
         R"({"jsonrpc":"2.0","id":%d,"method":"%s","params":{"txn":"%016x","door":%.0f,"lb":1,%s,"arg":"%s"}})",
         id, route, id, now * 1000, more, body);
-    std::printf("caller asks: %s, id %d, %s\n", route, id, more);
+    std::printf("caller sent: %s, id %d, %s\n", route, id, more);
     send(fd, text);
   }
-  void print_caller_message(int fd) { std::printf("caller hears: %s\n", next_message(fd).c_str()); }
-  // Waits for the next message on a connection. "(the end)" if the connection ends first,
+  void print_caller_message(int fd) { std::printf("caller received: %s\n", next_message(fd).c_str()); }
+  // Waits for the next message on a connection. "(connection closed)" if the connection ends first,
   // "(nothing)" if neither happens in time.
   std::string next_message(int fd) {
     Caller& caller = callers_[fd];
     receive_until([&] { return !caller.messages.empty() || caller.is_closed; });
     if (!caller.messages.empty()) return pop_front(caller.messages);
-    return caller.is_closed ? "(the end)" : "(nothing)";
+    return caller.is_closed ? "(connection closed)" : "(nothing)";
   }
 
   // ---- The process.
--- a/tests/program.cpp
+++ b/tests/program.cpp
@@ -57,7 +57,8 @@
   fixture.send_request(caller, 4, "pull", R"("ram":10,"limit":3000,"work":5000)");
   const std::string answer =
       fixture.next_message(caller);  // "later" follows real run times: only the verdict is kept
-  std::printf("caller hears: %s\n", answer.find("-32001") != std::string::npos ? "nacked" : answer.c_str());
+  std::printf("caller received: %s\n",
+              answer.find("-32001") != std::string::npos ? "nacked" : answer.c_str());
   fixture.send_request(caller, 5, "pull", R"("ram":10,"limit":3000,"work":10)");
   fixture.pause(0.05);
   fixture.print_counters({"requests.read", "requests.succeeded", "requests.rejected"});
@@ -447,11 +448,11 @@
   };
   newcomers();
   int ended = 0;
-  for (const int fd : silent) ended += fixture.next_message(fd) == "(the end)";
+  for (const int fd : silent) ended += fixture.next_message(fd) == "(connection closed)";
   std::printf("silent ones closed: %d\n", ended);
   fixture.print_counters({"callers.evicted", "callers.max_open"});
   newcomers();
-  std::printf("the longest idle hears: %s\n", fixture.next_message(known[0]).c_str());
+  std::printf("the longest idle connection received: %s\n", fixture.next_message(known[0]).c_str());
   fixture.print_counters({"callers.evicted", "callers.rejected", "callers.max_open"});
 }
 
@@ -498,7 +499,7 @@
         head + R"("push","params":{"txn":"0000000000000005","ram":1,"arg":"a"}})",
         head + R"("push","params":{"txn":"0000000000000001","ram":1}})",
         replaced(head, "5", "1") + R"("push","params":{"txn":"0000000000000005","ram":1}})"}) {
-    std::printf("caller asks: %s\n", body.c_str());
+    std::printf("caller sent: %s\n", body.c_str());
     fixture.send(caller, body);
     fixture.print_caller_message(caller);
   }
--- a/tests/results/results_program.cpp
+++ b/tests/results/results_program.cpp
@@ -158,7 +158,7 @@
   fixture.send_from_runtime("end 2 " + kId2 + " complete 320 6\r\nresult");
   for (int i = 0; i < 3; ++i) {
     const std::string answer = fixture.next_message(caller);
-    std::printf("caller hears: %s\n", answer.substr(0, answer.find(",\"data\"")).c_str());
+    std::printf("caller received: %s\n", answer.substr(0, answer.find(",\"data\"")).c_str());
   }
   fixture.print_counters({"runs.started", "requests.rejected", "results.entries"});
 }
@@ -249,7 +249,7 @@
     fixture.print_caller_message(caller);
   }
   const std::string answer = fixture.next_message(caller);
-  std::printf("caller hears: %s\n", answer.substr(0, answer.find("\"later\":") + 8).c_str());
+  std::printf("caller received: %s\n", answer.substr(0, answer.find("\"later\":") + 8).c_str());
   fixture.send_request(caller, 18, "push", R"("ram":10,"limit":3000,"key":"k16")");
   fixture.print_caller_message(caller);
   fixture.pause(1.6);
@@ -341,7 +341,7 @@
     caller = fixture.connect();
     fixture.send_request(caller, 2, "push", kParamsWithKeyA);
     const std::string answer = fixture.next_message(caller);
-    std::printf("caller hears: %s\n", answer.substr(0, answer.find(",\"data\"")).c_str());
+    std::printf("caller received: %s\n", answer.substr(0, answer.find(",\"data\"")).c_str());
     fixture.send_request(caller, 3, "pull", R"("ram":10,"limit":700)");
     fixture.print_runtime_lines(2);
     fixture.send_from_runtime("end 1 " + kId3 + " complete 20 5\r\nthree");
@@ -361,7 +361,7 @@
   const int caller = fixture.connect();
   fixture.send_request(caller, 1, "push", kParamsWithKeyA);
   const std::string answer = fixture.next_message(caller);
-  std::printf("caller hears: %s\n", answer.substr(0, answer.find(",\"data\"")).c_str());
+  std::printf("caller received: %s\n", answer.substr(0, answer.find(",\"data\"")).c_str());
   ::mkdir(folder.c_str(), 0755);
   wait_for_store(fixture);
   fixture.send_request(caller, 2, "push", kParamsWithKeyA);
@@ -452,7 +452,7 @@
   std::printf("log: %s\n", line.empty() ? "(nothing)" : line.substr(line.find("; ") + 2).c_str());
   fixture.send_request(caller, 2, "push", R"("ram":10,"limit":3000,"key":"b")");
   const std::string answer = fixture.next_message(caller);
-  std::printf("caller hears: %s\n", answer.substr(0, answer.find(",\"data\"")).c_str());
+  std::printf("caller received: %s\n", answer.substr(0, answer.find(",\"data\"")).c_str());
   fixture.send_request(caller, 3, "push", kParamsWithKeyA);  // answered from memory
   fixture.print_caller_message(caller);
   sqlite3_exec(db, "rollback", nullptr, nullptr, nullptr);
--- a/tests/runtime/link_crossings.cpp
+++ b/tests/runtime/link_crossings.cpp
@@ -34,21 +34,21 @@
 
 void print_runtime_input(ServerFixture& fixture, double seconds) {
   const std::vector<std::string> lines = fixture.runtime_lines_within(seconds);
-  for (const std::string& line : lines) std::printf("runtime hears: %s\n", line.c_str());
-  if (lines.empty()) std::printf("runtime hears: (nothing)\n");
+  for (const std::string& line : lines) std::printf("runtime received: %s\n", line.c_str());
+  if (lines.empty()) std::printf("runtime received: (nothing)\n");
 }
 
 void print_command_count(ServerFixture& fixture, const std::string& command, double seconds) {
   int count = 0;
   for (const std::string& line : fixture.runtime_lines_within(seconds)) count += line.rfind(command, 0) == 0;
-  std::printf("runtime hears '%s': %d times\n", command.c_str(), count);
+  std::printf("runtime received '%s': %d times\n", command.c_str(), count);
 }
 
 void print_caller_failure(ServerFixture& fixture, int caller) {
   const std::string answer = fixture.next_message(caller);
   const bool is_failure = answer.find("\"error\"") != std::string::npos;
   const bool is_rejection = answer.find("-32001") != std::string::npos;
-  std::printf("caller hears: %s\n", is_rejection ? "rejected" : is_failure ? "failed" : answer.c_str());
+  std::printf("caller received: %s\n", is_rejection ? "rejected" : is_failure ? "failed" : answer.c_str());
 }
 
 }  // namespace damsonspoke::testing
--- a/tests/runtime/restart_crossings.cpp
+++ b/tests/runtime/restart_crossings.cpp
@@ -137,7 +137,7 @@
 void print_whether_both_answered(ServerFixture& fixture, int caller) {
   int answers = 0;
   for (int i = 0; i < 2; ++i) answers += fixture.next_message(caller).find("\"id\":") != std::string::npos;
-  std::printf("caller hears two answers: %s\n", answers == 2 ? "yes" : "no");
+  std::printf("caller received two answers: %s\n", answers == 2 ? "yes" : "no");
 }
 
 // Guards against a runtime that replaces another one and is taken for it because the program reads its
