--- a/standins/ajp_gateway.cpp
+++ b/standins/ajp_gateway.cpp
@@ -7,15 +7,15 @@
 #include <cmath>
 
 namespace damsonspoke::standins {
-namespace bare {
+namespace raw_ajp {
 namespace {
 
-constexpr std::size_t kPiece = 8192 - 6;
+constexpr std::size_t kMaxPieceBytes = 8192 - 6;  // in a packet of 8 KiB
 
 std::string number(std::size_t value) { return {static_cast<char>(value >> 8), static_cast<char>(value)}; }
 std::string text(const std::string& value) { return number(value.size()) + value + '\0'; }
 
-// Bytes of a payload, one after the other; past its end there is nothing.
+// Reads the fields of a payload in order. Reads beyond its end return zeros and empty strings.
 class Cursor {
  public:
   explicit Cursor(const std::string& bytes) : bytes_(bytes) {}
@@ -46,7 +46,7 @@
 std::string packet(const std::string& payload, const char* magic) {
   return std::string(magic, 2) + number(payload.size()) + payload;
 }
-std::string forward(const Request& r) {
+std::string forward_request(const Request& r) {
   std::string out = {2, static_cast<char>(r.method)};
   out +=
       text("HTTP/1.1") + text(r.uri) + text("127.0.0.1") + text("") + text("localhost") + number(80) + '\0';
@@ -60,12 +60,12 @@
   if (!r.secret.empty()) out += '\x0c' + text(r.secret);
   return packet(out + '\xff');
 }
-std::string body(const std::string& piece) {
+std::string body_piece(const std::string& piece) {
   return packet(piece.empty() ? "" : number(piece.size()) + piece);
 }
 std::string cping() { return packet("\x0a"); }
 
-Reply take(std::string& input) {
+Reply take_reply(std::string& input) {
   Reply out;
   if (input.size() < 4) return out;
   if (input[0] != 'A' || input[1] != 'B') return out.kind = -1, out;
@@ -80,7 +80,7 @@
     out.status = in.number();
     in.text();
     for (int count = in.number(); count > 0; --count) {
-      const int code = in.number();  // a coded name, or the length of one
+      const int code = in.number();  // a coded name, or the length of a name
       std::string name;
       if (code >> 8 == 0xa0) {
         name = kNames[(code & 0xff) < 12 ? code & 0xff : 0];
@@ -96,34 +96,34 @@
     out.piece = in.rest(static_cast<std::size_t>(size));
   }
   if (out.kind == 5) out.reuse = in.byte() == 1;
-  if (out.kind == 6) out.most = in.number();
+  if (out.kind == 6) out.max_bytes = in.number();
   return out;
 }
 
-}  // namespace bare
+}  // namespace raw_ajp
 
 AjpGateway::AjpGateway(Loop& loop, Journal& journal, Options options)
     : loop_(loop), journal_(journal), options_(std::move(options)), random_(options_.seed) {
-  for (std::size_t i = 0; i < options_.flows.size(); ++i) next_thing(i);
+  for (std::size_t i = 0; i < options_.flows.size(); ++i) schedule_next_request(i);
 }
 AjpGateway::~AjpGateway() {
-  while (!links_.empty()) drop(links_.begin()->first);
+  while (!links_.empty()) close_link(links_.begin()->first);
 }
-double AjpGateway::chance() { return std::ldexp(static_cast<double>(random_() >> 11), -53); }
+double AjpGateway::draw() { return std::ldexp(static_cast<double>(random_() >> 11), -53); }
 
-void AjpGateway::reach(std::uint16_t port, int life) {
+void AjpGateway::reach(std::uint16_t port, int incarnation) {
   port_ = port;
-  life_ = life;
+  incarnation_ = incarnation;
 }
 
-void AjpGateway::next_thing(std::size_t flow) {
-  loop_.after(-std::log(1 - chance()) / options_.flows[flow].per_s, [this, flow] {
-    next_thing(flow);
-    if (more_ && port_ != 0) ask(options_.flows[flow]);
+void AjpGateway::schedule_next_request(std::size_t flow) {
+  loop_.after(-std::log(1 - draw()) / options_.flows[flow].per_s, [this, flow] {
+    schedule_next_request(flow);
+    if (generates_load_ && port_ != 0) send_request(options_.flows[flow]);
   });
 }
 
-void AjpGateway::ask(const Flow& flow) {
+void AjpGateway::send_request(const Flow& flow) {
   int fd = -1;
   for (const auto& [one, link] : links_) {
     if (link.request == 0 && !link.closing) fd = one;
@@ -139,12 +139,12 @@
     ++skipped_;
     return;
   }
-  const std::string key = fmt::format("ajp-{}-{}", flow.type, ++things_);
+  const std::string key = fmt::format("ajp-{}-{}", flow.type, ++generated_requests_);
   std::string body = key + ' ';
   if (body.size() < flow.body_bytes) body.resize(flow.body_bytes, 'b');
-  // Numbers of their own: the program gives its requests others.
+  // A number for the journal only: the server numbers AJP requests itself.
   const std::uint64_t id = std::uint64_t{0xa1} << 56 | next_request_++;
-  bare::Request request;
+  raw_ajp::Request request;
   request.uri = "/ops/" + flow.type;
   request.secret = options_.secret;
   request.headers = {{"x-wait-ms", fmt::format("{:.0f}", flow.timeout * 1000)},
@@ -158,23 +158,23 @@
   Link& link = links_.at(fd);
   link = {};
   link.request = id;
-  std::string out = bare::forward(request);
+  std::string out = raw_ajp::forward_request(request);
   if (options_.chunked) {
     link.rest = body;
   } else {
-    out += bare::body(body.substr(0, 8186));
-    link.rest = body.size() > 8186 ? body.substr(8186) : "";
+    out += raw_ajp::body_piece(body.substr(0, raw_ajp::kMaxPieceBytes));
+    link.rest = body.size() > raw_ajp::kMaxPieceBytes ? body.substr(raw_ajp::kMaxPieceBytes) : "";
   }
-  Attempt seen;
-  seen.request = id;
-  seen.key = key;
-  seen.type = flow.type;
-  seen.life = life_;
-  seen.has_servers_number = true;
-  seen.sent = now();
-  seen.due = seen.sent + flow.timeout;
-  journal_.attempts[id] = std::move(seen);
-  ++owed_;
+  Attempt attempt;
+  attempt.request = id;
+  attempt.key = key;
+  attempt.type = flow.type;
+  attempt.life = incarnation_;
+  attempt.has_servers_number = true;
+  attempt.sent = now();
+  attempt.due = attempt.sent + flow.timeout;
+  journal_.attempts[id] = std::move(attempt);
+  ++in_flight_;
   loop_.send(fd, out);
 }
 
@@ -182,16 +182,16 @@
   char bytes[65536];
   const ssize_t got = ::recv(fd, bytes, sizeof bytes, MSG_DONTWAIT);
   if (got < 0 && errno == EAGAIN) return;
-  if (got <= 0) return drop(fd);
+  if (got <= 0) return close_link(fd);
   links_.at(fd).in.append(bytes, static_cast<std::size_t>(got));
   for (;;) {
-    const bare::Reply reply = bare::take(links_.at(fd).in);
+    const raw_ajp::Reply reply = raw_ajp::take_reply(links_.at(fd).in);
     if (reply.kind == 0) return;
-    if (!take(fd, reply)) return;
+    if (!handle_reply(fd, reply)) return;
   }
 }
 
-bool AjpGateway::take(int fd, const bare::Reply& reply) {
+bool AjpGateway::handle_reply(int fd, const raw_ajp::Reply& reply) {
   Link& link = links_.at(fd);
   switch (reply.kind) {
     case 4:
@@ -200,13 +200,13 @@
       return true;
     case 3: link.result += reply.piece; return true;
     case 6: {
-      const std::size_t size = std::min(link.rest.size(), static_cast<std::size_t>(reply.most));
-      loop_.send(fd, bare::body(link.rest.substr(0, size)));
+      const std::size_t size = std::min(link.rest.size(), static_cast<std::size_t>(reply.max_bytes));
+      loop_.send(fd, raw_ajp::body_piece(link.rest.substr(0, size)));
       link.rest.erase(0, size);
       return true;
     }
     case 5: break;
-    default: return drop(fd), false;
+    default: return close_link(fd), false;
   }
   if (const auto found = journal_.attempts.find(link.request); found != journal_.attempts.end()) {
     Answer answer;
@@ -219,17 +219,17 @@
                   : link.status == 422                              ? AnswerKind::kConflict
                                                                     : AnswerKind::kBad;
     found->second.answers.push_back(std::move(answer));
-    --owed_;
+    --in_flight_;
   }
   link.request = 0;
   link.closing = !reply.reuse;
   return true;
 }
 
-void AjpGateway::drop(int fd) {
+void AjpGateway::close_link(int fd) {
   if (const std::uint64_t request = links_.at(fd).request; request != 0) {
     journal_.attempts.at(request).lost = true;
-    --owed_;
+    --in_flight_;
   }
   links_.erase(fd);
   loop_.forget(fd);
--- a/standins/ajp_gateway.h
+++ b/standins/ajp_gateway.h
@@ -1,6 +1,7 @@
-// A partner's gateway that speaks AJP 1.3: things are wanted at random, each a request on a connection of its
-// own from a pool that is kept. Its encoder and reader are its own: what is tested does not test itself.
-// Bare() are the packets themselves, for scripts that send what no gateway should.
+// A simulated gateway that speaks AJP 1.3: it generates requests at random times and sends each on an idle
+// connection of a pool. It encodes and decodes packets independently of src/wire, so that a fault there is
+// not hidden by the same fault here. Scripts use the packets of namespace raw_ajp to send input that no
+// gateway should send.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +16,7 @@
 
 namespace damsonspoke::standins {
 
-namespace bare {
+namespace raw_ajp {
 using Headers = std::vector<std::pair<std::string, std::string>>;
 struct Request {
   std::uint8_t method = 4;  // POST
@@ -24,57 +25,66 @@
   std::string query, secret;
   std::vector<std::pair<std::string, std::string>> attributes;
 };
-std::string forward(const Request& request);
-std::string body(const std::string& piece);  // empty: the packet without any bytes
+std::string forward_request(const Request& request);
+std::string body_piece(const std::string& piece);  // an empty piece: a packet with an empty payload
 std::string cping();
+// Adds the magic, by default that of gateways, and the length.
 std::string packet(const std::string& payload, const char* magic = "\x12\x34");
 
-// What a server sent.
+// A packet of a server.
 struct Reply {
-  int kind = 0;    // 3 piece, 4 headers, 5 end, 6 get piece, 9 cpong; 0: more bytes are needed; -1: no AJP
-  int status = 0;  // of headers
+  // The AJP packet type: 3 body piece, 4 headers, 5 end of response, 6 request for a body piece, 9 CPong. 0:
+  // more bytes are needed; -1: not a packet of a server.
+  int kind = 0;
+  int status = 0;  // with headers
   std::map<std::string, std::string> headers;
   std::string piece;
   bool reuse = false;
-  int most = 0;  // of get piece
+  int max_bytes = 0;  // of the requested body piece
 };
-Reply take(std::string& input);  // off its front
-}  // namespace bare
+// Decodes the packet at the start of the input and removes it from there.
+Reply take_reply(std::string& input);
+}  // namespace raw_ajp
 
 class AjpGateway {
  public:
   struct Options {
-    std::vector<Flow> flows;  // by route, mapped from POST /requests/TYPE
-    int connections = 16;     // at once
+    std::vector<Flow> flows;  // by route, sent as POST /ops/ROUTE
+    int connections = 16;     // open at the same time, at most
     std::uint64_t seed = 1;
     std::string secret;
-    bool chunked = false;  // bodies without a length
-    unsigned hotels = 8;   // whose requests it passes on, as callers' numbers from 2
+    bool chunked = false;  // bodies are sent without a length
+    unsigned hotels = 8;   // requests come from this many hotels; their caller numbers begin with 2
   };
   AjpGateway(Loop& loop, Journal& journal, Options options);
   ~AjpGateway();
 
-  void reach(std::uint16_t port, int life);
-  void want_more(bool more) { more_ = more; }
-  std::size_t open() const { return owed_; }
+  // Sends requests to this port, on which an incarnation of the server listens.
+  void reach(std::uint16_t port, int incarnation);
+  // Whether new requests are generated.
+  void want_more(bool more) { generates_load_ = more; }
+  // Requests in flight.
+  std::size_t open() const { return in_flight_; }
   std::size_t connections() const { return links_.size(); }
-  std::uint16_t port() const { return port_; }      // that it reaches; 0: none yet
-  std::size_t skipped() const { return skipped_; }  // wanted while all connections were busy
+  std::uint16_t port() const { return port_; }      // of the server; 0: not set yet
+  std::size_t skipped() const { return skipped_; }  // requests not sent because all connections were busy
 
  private:
   struct Link {
     std::uint64_t request = 0;  // 0: idle
-    std::string in, rest;       // of the body, not asked for yet
+    std::string in;             // input that is not decoded yet
+    std::string rest;           // part of the body that the server has not requested yet
     int status = 0;
     std::string result, outcome;
     bool closing = false;
   };
-  void next_thing(std::size_t flow);
-  void ask(const Flow& flow);
+  void schedule_next_request(std::size_t flow);
+  void send_request(const Flow& flow);
   void read(int fd);
-  bool take(int fd, const bare::Reply& reply);  // false: the link has ended
-  void drop(int fd);
-  double chance();
+  bool handle_reply(int fd, const raw_ajp::Reply& reply);  // false: the link was closed
+  void close_link(int fd);
+  // Evenly drawn from [0, 1).
+  double draw();
 
   Loop& loop_;
   Journal& journal_;
@@ -82,10 +92,10 @@
   pcg64 random_;
   std::map<int, Link> links_;
   std::uint16_t port_ = 0;
-  int life_ = 0;
-  std::uint64_t things_ = 0, next_request_ = 1;
-  std::size_t owed_ = 0, skipped_ = 0;
-  bool more_ = true;
+  int incarnation_ = 0;
+  std::uint64_t generated_requests_ = 0, next_request_ = 1;
+  std::size_t in_flight_ = 0, skipped_ = 0;
+  bool generates_load_ = true;
 };
 
 }  // namespace damsonspoke::standins
--- a/standins/ajp_server.cpp
+++ b/standins/ajp_server.cpp
@@ -6,7 +6,7 @@
 #include <cerrno>
 
 namespace damsonspoke::standins {
-namespace bare {
+namespace raw_ajp {
 namespace {
 
 std::string text(const std::string& value) {
@@ -24,14 +24,14 @@
 std::string end(bool reuse) { return packet(std::string({5, static_cast<char>(reuse)}), "AB"); }
 std::string answer(int status, const std::string& body) { return head(status) + piece(body) + end(); }
 
-}  // namespace bare
+}  // namespace raw_ajp
 
 AjpServer::AjpServer(Loop& loop) : loop_(loop), listener_(listening_socket(port)) {
   loop_.watch(listener_, [this] { accept(); });
 }
 AjpServer::~AjpServer() {
   stop_listening();
-  hang_up();
+  disconnect_all();
 }
 
 void AjpServer::stop_listening() {
@@ -40,10 +40,10 @@
   ::close(listener_);
   listener_ = -1;
 }
-void AjpServer::hang_up() {
-  while (!links_.empty()) drop(links_.begin()->first);
+void AjpServer::disconnect_all() {
+  while (!links_.empty()) close_link(links_.begin()->first);
 }
-void AjpServer::drop(int fd) {
+void AjpServer::close_link(int fd) {
   links_.erase(fd);
   loop_.forget(fd);
   ::close(fd);
@@ -54,7 +54,7 @@
     ++accepted;
     links_[fd];
     loop_.watch(fd, [this, fd] { serve(fd); });
-    if (closes_unread) drop(fd);
+    if (closes_on_accept) close_link(fd);
   }
 }
 
@@ -62,7 +62,7 @@
   char bytes[65536];
   const ssize_t got = ::recv(fd, bytes, sizeof bytes, MSG_DONTWAIT);
   if (got < 0 && errno == EAGAIN) return;
-  if (got <= 0) return drop(fd);
+  if (got <= 0) return close_link(fd);
   std::string& in = links_.at(fd);
   in.append(bytes, static_cast<std::size_t>(got));
   while (in.size() >= 4) {
@@ -75,13 +75,13 @@
     in.erase(0, 4 + length);
     if (payload == "\x0a") {
       ++pings;
-      if (pongs) loop_.send(fd, bare::packet("\x09", "AB"));
-    } else if (payload.size() > 2 && payload[0] != 2) {  // the body: the request is whole
+      if (answers_pings) loop_.send(fd, raw_ajp::packet("\x09", "AB"));
+    } else if (payload.size() > 2 && payload[0] != 2) {  // the body: the request is complete
       ++requests;
       last_body = payload.substr(2);
       const bool closes = !answer.empty() && answer.back() == '!';
       loop_.send(fd, closes ? answer.substr(0, answer.size() - 1) : answer);
-      if (closes) return drop(fd);
+      if (closes) return close_link(fd);
     }
   }
 }
--- a/standins/ajp_server.h
+++ b/standins/ajp_server.h
@@ -1,4 +1,5 @@
-// A scripted AJP server: what it does with a whole request is set by whoever plays with it.
+// A scripted AJP server: a test sets how it answers complete requests and pings. A request
+// counts as complete with the first piece of its body.
 #pragma once
 
 #include <cstdint>
@@ -10,30 +11,31 @@
 
 namespace damsonspoke::standins {
 
-namespace bare {
+namespace raw_ajp {
 std::string head(int status);
 std::string piece(const std::string& bytes);
 std::string end(bool reuse = true);
-std::string answer(int status, const std::string& body = "done");  // whole
-}  // namespace bare
+std::string answer(int status, const std::string& body = "done");  // complete
+}  // namespace raw_ajp
 
 class AjpServer {
  public:
   explicit AjpServer(Loop& loop);
   ~AjpServer();
   void stop_listening();
-  void hang_up();  // on all that are connected
+  void disconnect_all();
 
   std::uint16_t port = 0;
-  std::string answer = bare::answer(200);  // to each request; a '!' at its end: then it closes
-  bool pongs = true, closes_unread = false;
+  // Sent for each request; a '!' at its end is not sent, and the connection is closed after it.
+  std::string answer = raw_ajp::answer(200);
+  bool answers_pings = true, closes_on_accept = false;
   int requests = 0, pings = 0, accepted = 0;
   std::string last_body;
 
  private:
   void accept();
   void serve(int fd);
-  void drop(int fd);
+  void close_link(int fd);
 
   Loop& loop_;
   int listener_ = -1;
--- a/tests/ajp.cpp
+++ b/tests/ajp.cpp
@@ -16,7 +16,7 @@
 
 using namespace damsonspoke;
 namespace wa = damsonspoke::wire::ajp;
-namespace bare = damsonspoke::standins::bare;
+namespace raw_ajp = damsonspoke::standins::raw_ajp;
 
 namespace {
 
@@ -42,7 +42,7 @@
 
 // Packets made byte by byte according to the description.
 void packets() {
-  const std::string sound = bare::forward(
+  const std::string sound = raw_ajp::forward_request(
       {4, "/a/b", {{"content-length", "5"}, {"X-Thing", "7"}}, "q=1", "word", {{"AJP_REMOTE_PORT", "9"}}});
   request("a request", sound);
   std::string bytes = "\x02\xff";  // a method that is stored
@@ -51,44 +51,44 @@
            std::string("\x00\x50\x01\x00\x01\xa0\x0b\x00\x01h\x00", 11);
   const std::string head = bytes;
   bytes += std::string("\x0d\x00\x05PATCH\x00\x0b\x01\x00\xff", 13);
-  request("a stored method, no strings, a coded header name, a key size", bare::packet(bytes));
-  request("a missing stored method", bare::packet(head + "\xff"));
-  request("two stored methods", bare::packet(head + std::string("\x0d\x00\x01"
-                                                                "A\x00\x0d\x00\x01"
-                                                                "B\x00\xff",
-                                                                11)));
-  request("a method beside a stored one", bare::packet('\x02' + std::string("\x02") + head.substr(2) +
-                                                       std::string("\x0d\x00\x01"
-                                                                   "A\x00\xff",
-                                                                   6)));
-  request("no end of attributes", bare::packet(head));
-  request("an unknown attribute", bare::packet(head + "\x0e\xff"));
-  request("bytes after the end", bare::packet(head + "\xff\x01"));
+  request("a stored method, no strings, a coded header name, a key size", raw_ajp::packet(bytes));
+  request("a missing stored method", raw_ajp::packet(head + "\xff"));
+  request("two stored methods", raw_ajp::packet(head + std::string("\x0d\x00\x01"
+                                                                   "A\x00\x0d\x00\x01"
+                                                                   "B\x00\xff",
+                                                                   11)));
+  request("a method beside a stored one", raw_ajp::packet('\x02' + std::string("\x02") + head.substr(2) +
+                                                          std::string("\x0d\x00\x01"
+                                                                      "A\x00\xff",
+                                                                      6)));
+  request("no end of attributes", raw_ajp::packet(head));
+  request("an unknown attribute", raw_ajp::packet(head + "\x0e\xff"));
+  request("bytes after the end", raw_ajp::packet(head + "\xff\x01"));
   std::string modified = head + "\xff";
   modified[1] = '\x1c';
-  request("an unknown method", bare::packet(modified));
+  request("an unknown method", raw_ajp::packet(modified));
   modified = head + "\xff";
   modified[modified.find("\xa0\x0b") + 1] = '\x0f';
-  request("an unknown header", bare::packet(modified));
+  request("an unknown header", raw_ajp::packet(modified));
   modified = head + "\xff";
   modified[modified.find("\x01\xa0\x0b") - 1] = '\x7f';
-  request("32513 announced headers", bare::packet(modified));
-  bare::Request many;
+  request("32513 announced headers", raw_ajp::packet(modified));
+  raw_ajp::Request many;
   for (int i = 0; i < 64; ++i) many.headers.emplace_back("h", "v");
-  request("64 headers", bare::forward(many).substr(0, 0) + bare::forward(many));
+  request("64 headers", raw_ajp::forward_request(many).substr(0, 0) + raw_ajp::forward_request(many));
   many.headers.emplace_back("h", "v");
-  request("65 headers", bare::forward(many));
-  bare::Request attributes;
+  request("65 headers", raw_ajp::forward_request(many));
+  raw_ajp::Request attributes;
   for (int i = 0; i < 33; ++i) attributes.attributes.emplace_back("a", "v");
-  request("33 attributes", bare::forward(attributes));
-  bare::Request nul;
+  request("33 attributes", raw_ajp::forward_request(attributes));
+  raw_ajp::Request nul;
   nul.uri = std::string("/a\0b", 4);
-  request("a NUL inside", bare::forward(nul));
-  request("shutdown", bare::packet("\x07"));
-  request("ping", bare::packet("\x08"));
-  request("cping", bare::cping());
-  request("a packet of a server", bare::packet("\x05\x01"));
-  request("an empty payload", bare::packet(""));
+  request("a NUL inside", raw_ajp::forward_request(nul));
+  request("shutdown", raw_ajp::packet("\x07"));
+  request("ping", raw_ajp::packet("\x08"));
+  request("cping", raw_ajp::cping());
+  request("a packet of a server", raw_ajp::packet("\x05\x01"));
+  request("an empty payload", raw_ajp::packet(""));
   const auto framing = [](const char* what, std::string_view input,
                           std::size_t max_bytes = wa::kDefaultPacketBytes,
                           wa::From from = wa::From::kGateway) {
@@ -106,15 +106,15 @@
     const auto got = wa::decode_body(payload(packet));
     fmt::print("{}: {}\n", what, got ? fmt::format("{} bytes", got->size()) : "invalid");
   };
-  piece("a piece", bare::body("abc"));
-  piece("the end", bare::body(""));
-  piece("a piece of no bytes", bare::packet(std::string("\x00\x00", 2)));
-  piece("shorter than its length", bare::packet(std::string("\x00\x05"
-                                                            "abc",
-                                                            5)));
-  piece("longer than its length", bare::packet(std::string("\x00\x01"
-                                                           "abc",
-                                                           5)));
+  piece("a piece", raw_ajp::body_piece("abc"));
+  piece("the end", raw_ajp::body_piece(""));
+  piece("a piece of no bytes", raw_ajp::packet(std::string("\x00\x00", 2)));
+  piece("shorter than its length", raw_ajp::packet(std::string("\x00\x05"
+                                                               "abc",
+                                                               5)));
+  piece("longer than its length", raw_ajp::packet(std::string("\x00\x01"
+                                                              "abc",
+                                                              5)));
 }
 
 std::string text(pcg32& random, std::size_t max_bytes) {
@@ -185,10 +185,10 @@
                       wa::encode(wa::SendBodyChunk{"abc"}) + wa::encode(wa::GetBodyChunk{77}) +
                       wa::encode(wa::CPong{}) + wa::encode(wa::EndResponse{true});
   for (;;) {
-    const bare::Reply reply = bare::take(bytes);
+    const raw_ajp::Reply reply = raw_ajp::take_reply(bytes);
     if (reply.kind <= 0) break;
-    fmt::print("{}: status {}, '{}', most {}, reuse {}", reply.kind, reply.status, reply.piece, reply.most,
-               reply.reuse);
+    fmt::print("{}: status {}, '{}', max_bytes {}, reuse {}", reply.kind, reply.status, reply.piece,
+               reply.max_bytes, reply.reuse);
     for (const auto& [name, value] : reply.headers) fmt::print(", {}={}", name, value);
     fmt::print("\n");
   }
--- a/tests/ajp_dependency.cpp
+++ b/tests/ajp_dependency.cpp
@@ -13,7 +13,7 @@
 #include "stepped_reactor.h"
 
 using namespace damsonspoke;
-namespace bare = damsonspoke::standins::bare;
+namespace raw_ajp = damsonspoke::standins::raw_ajp;
 using standins::now;
 
 namespace {
@@ -30,8 +30,8 @@
   }
 }
 
-using bare::head, bare::piece;
-const std::string kEnd = bare::end(), kLastEnd = bare::end(false);
+using raw_ajp::head, raw_ajp::piece;
+const std::string kEnd = raw_ajp::end(), kLastEnd = raw_ajp::end(false);
 
 struct Scenario : peers::DependencyEvents {
   explicit Scenario(std::size_t links = 4) : server(loop), log(Level::kError) {
@@ -83,7 +83,7 @@
   run_one("503", head(503) + kEnd);
   run_one("500", head(500) + piece("why") + kEnd);
   run_one("a piece is requested",
-          bare::packet(std::string("\6\1\0", 3), "AB") + head(200) + piece("done") + kEnd);
+          raw_ajp::packet(std::string("\6\1\0", 3), "AB") + head(200) + piece("done") + kEnd);
   run_one("closed without an answer", "!");
   run_one("closed inside an answer", head(200) + piece("do") + "!");
   run_one("no answer", "");
@@ -94,7 +94,7 @@
   run_one("two heads", head(200) + head(200) + kEnd);
   run_one("an end before the head", kEnd);
   run_one("ends twice", head(200) + piece("done") + kEnd + kEnd);
-  run_one("a gateway's magic", bare::packet("\x0a"));
+  run_one("a gateway's magic", raw_ajp::packet("\x0a"));
   run_one("no AJP at all", "HTTP/1.1 200 OK\r\n\r\n");
   std::string much = head(200);
   for (int i = 0; i < 9; ++i) much += piece(std::string(8000, 'x'));
@@ -109,14 +109,14 @@
     fmt::print("an idle connection: {}, pings {}, connections {}\n", scenario.call(2), scenario.server.pings,
                scenario.server.accepted);
     scenario.run_for(0.7);
-    scenario.server.pongs = false;
+    scenario.server.answers_pings = false;
     fmt::print("a ping that is not answered: {}, connections {}, requests {}\n", scenario.call(3, 1),
                scenario.server.accepted, scenario.server.requests);
     scenario.run_for(0.7);
     fmt::print("the same with a short timeout: {}, requests {}\n", scenario.call(4, 0.1),
                scenario.server.requests);
-    scenario.server.closes_unread = true;
-    scenario.server.hang_up();
+    scenario.server.closes_on_accept = true;
+    scenario.server.disconnect_all();
     scenario.run_for(0.1);
     fmt::print("closed while idle, and after each connect: {}\n", scenario.call(5));
     scenario.server.stop_listening();
@@ -149,14 +149,14 @@
   {
     Scenario scenario;
     scenario.call(1);
-    scenario.server.hang_up();  // its end was not read yet
+    scenario.server.disconnect_all();  // its end was not read yet
     fmt::print("closed before the next call: {}; connections {}, requests {}\n", scenario.call(2),
                scenario.server.accepted, scenario.server.requests);
   }
   Scenario scenario;
   scenario.call(1);
   scenario.dependency->call(2, 0.4, "body");  // written at once, on the open connection
-  scenario.server.hang_up();
+  scenario.server.disconnect_all();
   scenario.run_for(0.6);
   fmt::print("closed as the next call was written: {}; connections {}, requests read {}\n", scenario.ends[2],
              scenario.server.accepted, scenario.server.requests);
--- a/tests/ajp_program.cpp
+++ b/tests/ajp_program.cpp
@@ -109,15 +109,15 @@
   explicit Script(Scenario& scenario) : AjpScript(scenario.loop, scenario.port) {}
 };
 
-bare::Request post(const std::string& uri, std::size_t length = 0, const bare::Headers& more = {}) {
-  bare::Request r;
+raw_ajp::Request post(const std::string& uri, std::size_t length = 0, const raw_ajp::Headers& more = {}) {
+  raw_ajp::Request r;
   r.uri = uri;
   if (length > 0) r.headers.emplace_back("content-length", std::to_string(length));
   r.headers.insert(r.headers.end(), more.begin(), more.end());
   return r;
 }
-bare::Request get(const std::string& uri) {
-  bare::Request r;
+raw_ajp::Request get(const std::string& uri) {
+  raw_ajp::Request r;
   r.method = 2;
   r.uri = uri;
   return r;
@@ -128,56 +128,68 @@
 void served() {
   Scenario scenario;
   Script one(scenario);
-  print_answer("a ping", one.send(bare::cping()).answer());
-  print_answer("a request", one.send(bare::forward(post("/ops/read", 3)) + bare::body("abc")).answer());
-  print_answer("a request without a body", one.send(bare::forward(post("/ops/read"))).answer());
-  print_answer("health", one.send(bare::forward(get("/health"))).answer());
-  print_answer("an unmapped path", one.send(bare::forward(get("/nothing"))).answer());
-  print_answer("an unmapped method", one.send(bare::forward(get("/ops/read"))).answer());
-  print_answer("an ambiguous path", one.send(bare::forward(post("/ops/../ops/read"))).answer());
-  print_answer("an invalid timeout",
-               one.send(bare::forward(post("/ops/read", 0, {{"x-wait-ms", "soon"}}))).answer());
-  print_answer("the connection is still usable",
-               one.send(bare::forward(post("/ops/close", 3)) + bare::body("abc")).answer());
-  Script pieces(scenario);
+  print_answer("a ping", one.send(raw_ajp::cping()).read_answer());
+  print_answer(
+      "a request",
+      one.send(raw_ajp::forward_request(post("/ops/read", 3)) + raw_ajp::body_piece("abc")).read_answer());
+  print_answer("a request without a body",
+               one.send(raw_ajp::forward_request(post("/ops/read"))).read_answer());
+  print_answer("health", one.send(raw_ajp::forward_request(get("/health"))).read_answer());
+  print_answer("an unmapped path", one.send(raw_ajp::forward_request(get("/nothing"))).read_answer());
+  print_answer("an unmapped method", one.send(raw_ajp::forward_request(get("/ops/read"))).read_answer());
+  print_answer("an ambiguous path",
+               one.send(raw_ajp::forward_request(post("/ops/../ops/read"))).read_answer());
+  print_answer(
+      "an invalid timeout",
+      one.send(raw_ajp::forward_request(post("/ops/read", 0, {{"x-wait-ms", "soon"}}))).read_answer());
   print_answer(
-      "a body in two pieces",
-      pieces.send(bare::forward(post("/ops/read", 6)) + bare::body("abc")).send(bare::body("def")).answer());
+      "the connection is still usable",
+      one.send(raw_ajp::forward_request(post("/ops/close", 3)) + raw_ajp::body_piece("abc")).read_answer());
+  Script pieces(scenario);
+  print_answer("a body in two pieces",
+               pieces.send(raw_ajp::forward_request(post("/ops/read", 6)) + raw_ajp::body_piece("abc"))
+                   .send(raw_ajp::body_piece("def"))
+                   .read_answer());
   print_answer("a body without a length",
                pieces
-                   .send(bare::forward(post("/ops/read", 0, {{"transfer-encoding", "chunked"}})) +
-                         bare::body("abc") + bare::body(""))
-                   .answer());
-  print_answer("two requests at once",
-               pieces.send(bare::forward(post("/ops/read")) + bare::forward(post("/ops/close"))).answer());
-  print_answer("the second", pieces.answer());
+                   .send(raw_ajp::forward_request(post("/ops/read", 0, {{"transfer-encoding", "chunked"}})) +
+                         raw_ajp::body_piece("abc") + raw_ajp::body_piece(""))
+                   .read_answer());
+  print_answer(
+      "two requests at once",
+      pieces.send(raw_ajp::forward_request(post("/ops/read")) + raw_ajp::forward_request(post("/ops/close")))
+          .read_answer());
+  print_answer("the second", pieces.read_answer());
   Script unread(scenario);
-  print_answer("an unmapped path, with a body",
-               unread.send(bare::forward(post("/nothing", 3)) + bare::body("abc")).answer());
-  say("then closed", unread.closed());
+  print_answer(
+      "an unmapped path, with a body",
+      unread.send(raw_ajp::forward_request(post("/nothing", 3)) + raw_ajp::body_piece("abc")).read_answer());
+  say("then closed", unread.wait_until_closed());
   const auto alone = [&](const char* what, const std::string& bytes) {
     Script script(scenario);
-    print_answer(what, script.send(bytes).answer(1));
-    say("  closed", script.closed(1));
+    print_answer(what, script.send(bytes).read_answer(1));
+    say("  closed", script.wait_until_closed(1));
   };
-  alone("a server's magic", bare::packet("\x05\x01", "AB"));
+  alone("a server's magic", raw_ajp::packet("\x05\x01", "AB"));
   alone("JSON", "Content-Length: 2\r\n\r\n{}");
-  alone("shutdown", bare::packet("\x07"));
-  alone("an invalid packet", bare::packet("\x02\x04zzz"));
-  alone("two lengths", bare::forward(post("/ops/read", 3, {{"content-length", "4"}})));
-  alone("a length and chunks", bare::forward(post("/ops/read", 3, {{"transfer-encoding", "chunked"}})));
-  alone("another encoding", bare::forward(post("/ops/read", 0, {{"transfer-encoding", "gzip"}})));
-  alone(
-      "two encodings",
-      bare::forward(post("/ops/read", 0, {{"transfer-encoding", "chunked"}, {"transfer-encoding", "gzip"}})));
-  alone("an invalid length", bare::forward(post("/ops/read", 0, {{"content-length", "-1"}})));
-  alone("a body shorter than announced",
-        bare::forward(post("/ops/read", 9)) + bare::body("abc") + bare::body(""));
-  alone("a piece beyond the announced length", bare::forward(post("/ops/read", 2)) + bare::body("abc"));
-  alone("an announced length beyond the limit", bare::forward(post("/ops/read", 3000)));
+  alone("shutdown", raw_ajp::packet("\x07"));
+  alone("an invalid packet", raw_ajp::packet("\x02\x04zzz"));
+  alone("two lengths", raw_ajp::forward_request(post("/ops/read", 3, {{"content-length", "4"}})));
+  alone("a length and chunks",
+        raw_ajp::forward_request(post("/ops/read", 3, {{"transfer-encoding", "chunked"}})));
+  alone("another encoding", raw_ajp::forward_request(post("/ops/read", 0, {{"transfer-encoding", "gzip"}})));
+  alone("two encodings",
+        raw_ajp::forward_request(
+            post("/ops/read", 0, {{"transfer-encoding", "chunked"}, {"transfer-encoding", "gzip"}})));
+  alone("an invalid length", raw_ajp::forward_request(post("/ops/read", 0, {{"content-length", "-1"}})));
+  alone("a body shorter than announced", raw_ajp::forward_request(post("/ops/read", 9)) +
+                                             raw_ajp::body_piece("abc") + raw_ajp::body_piece(""));
+  alone("a piece beyond the announced length",
+        raw_ajp::forward_request(post("/ops/read", 2)) + raw_ajp::body_piece("abc"));
+  alone("an announced length beyond the limit", raw_ajp::forward_request(post("/ops/read", 3000)));
   alone("a chunked body beyond the limit",
-        bare::forward(post("/ops/read", 0, {{"transfer-encoding", "chunked"}})) +
-            bare::body(std::string(2049, 'x')));
+        raw_ajp::forward_request(post("/ops/read", 0, {{"transfer-encoding", "chunked"}})) +
+            raw_ajp::body_piece(std::string(2049, 'x')));
   scenario.end();
 }
 
@@ -186,15 +198,16 @@
   Scenario scenario;
   const long before = scenario.server.process->resident_kb();
   Script script(scenario);
-  script.send(bare::forward(post("/ops/read", 2048)));
-  const std::string piece = bare::body(std::string(8000, 'x'));
+  script.send(raw_ajp::forward_request(post("/ops/read", 2048)));
+  const std::string piece = raw_ajp::body_piece(std::string(8000, 'x'));
   std::string all;
   for (int i = 0; i < 7500; ++i) all += piece;
-  print_answer("sixty megabytes", script.send(all).answer());
-  say("closed", script.closed());
+  print_answer("sixty megabytes", script.send(all).read_answer());
+  say("closed", script.wait_until_closed());
   say("it used no memory", scenario.server.process->resident_kb() - before < 4096);
   Script other(scenario);
-  print_answer("other connections are served", other.send(bare::forward(post("/ops/read"))).answer());
+  print_answer("other connections are served",
+               other.send(raw_ajp::forward_request(post("/ops/read"))).read_answer());
   scenario.end();
 }
 
@@ -202,27 +215,27 @@
 void stalls() {
   Scenario scenario;
   Script head(scenario), body(scenario), first_piece(scenario), drips(scenario), silent(scenario);
-  const std::string request_bytes = bare::forward(post("/ops/read", 100));
+  const std::string request_bytes = raw_ajp::forward_request(post("/ops/read", 100));
   head.send(request_bytes.substr(0, 20));
   body.send(request_bytes);
-  first_piece.send(request_bytes + bare::body("abc"));
-  drips.send(request_bytes + bare::body("abc"));
+  first_piece.send(request_bytes + raw_ajp::body_piece("abc"));
+  drips.send(request_bytes + raw_ajp::body_piece("abc"));
   bool dripping = true;
   const std::function<void()> drip = [&] {
     if (!dripping) return;
-    drips.send(bare::body("x"));
+    drips.send(raw_ajp::body_piece("x"));
     scenario.loop.after(0.1, drip);
   };
   drip();
   const double began = now();
-  print_answer("incomplete headers", head.answer(4));
-  print_answer("no body", body.answer(4));
-  print_answer("no second piece", first_piece.answer(4));
-  std::string last = drips.answer(4);
+  print_answer("incomplete headers", head.read_answer(4));
+  print_answer("no body", body.read_answer(4));
+  print_answer("no second piece", first_piece.read_answer(4));
+  std::string last = drips.read_answer(4);
   print_answer("a byte every 0.1 s", last.substr(last.size() > 12 ? last.size() - 12 : 0));
   dripping = false;
   say("all within two seconds", now() - began < 2.2);
-  say("no input: closed", silent.closed(3));
+  say("no input: closed", silent.wait_until_closed(3));
   scenario.end();
 }
 
@@ -230,18 +243,18 @@
 void drains() {
   Scenario scenario(5, 0, Scenario::gateway_load(5, 0, 8), 0.1);
   Script body(scenario), head(scenario), open(scenario), idle(scenario);
-  print_answer("a ping", idle.send(bare::cping()).answer());
+  print_answer("a ping", idle.send(raw_ajp::cping()).read_answer());
   scenario.loop.run_for(0.7);
-  const std::string request_bytes = bare::forward(post("/ops/close", 6));
-  body.send(request_bytes + bare::body("abc"));
+  const std::string request_bytes = raw_ajp::forward_request(post("/ops/close", 6));
+  body.send(request_bytes + raw_ajp::body_piece("abc"));
   head.send(request_bytes.substr(0, 20));
-  open.send(bare::forward(post("/ops/close", 3)) + bare::body("abc"));
+  open.send(raw_ajp::forward_request(post("/ops/close", 3)) + raw_ajp::body_piece("abc"));
   scenario.loop.run_for(0.03);
   scenario.server.notice();
-  print_answer("the request in flight is answered, and its connection closes", open.answer());
-  say("an idle connection is closed", idle.closed(0.5));
-  print_answer("an incomplete body", body.answer(1.9));
-  print_answer("incomplete headers", head.answer(1.9));
+  print_answer("the request in flight is answered, and its connection closes", open.read_answer());
+  say("an idle connection is closed", idle.wait_until_closed(0.5));
+  print_answer("an incomplete body", body.read_answer(1.9));
+  print_answer("incomplete headers", head.read_answer(1.9));
   say("shuts down gracefully", scenario.server.ended());
   scenario.rules();
 }
@@ -262,7 +275,7 @@
   loop.run_until([&] { return server.registry.is_listed(); }, 5);
   loop.run_for(0.5);
   AjpScript one(loop, static_cast<std::uint16_t>(std::atoi(line.substr(line.rfind(' ') + 1).c_str())));
-  one.send(bare::forward(post("/ops/close", 3, {{"x-key", "k"}})) + bare::body("abc"));
+  one.send(raw_ajp::forward_request(post("/ops/close", 3, {{"x-key", "k"}})) + raw_ajp::body_piece("abc"));
   loop.run_for(0.1);
   say("the request runs", journal.runs.size() == 1);
   server.notice();
@@ -270,7 +283,7 @@
   sqlite3* other = nullptr;
   sqlite3_open(server.store_path().c_str(), &other);
   say("the store is locked", sqlite3_exec(other, "begin immediate", nullptr, nullptr, nullptr) == SQLITE_OK);
-  const std::string answer = one.answer();
+  const std::string answer = one.read_answer();
   say("answered", !answer.empty() && answer != "closed");
   say("shuts down gracefully", server.ended());
   sqlite3_close(other);
@@ -281,15 +294,15 @@
 void notice_between() {
   Scenario scenario;
   Script early(scenario), late(scenario);
-  const std::string request_bytes = bare::forward(post("/ops/close", 3));
+  const std::string request_bytes = raw_ajp::forward_request(post("/ops/close", 3));
   early.send(request_bytes);
   late.send(request_bytes);
   scenario.loop.run_for(0.1);
   scenario.server.notice();
   scenario.loop.run_for(0.1);
-  print_answer("its body arrives within the grace", early.send(bare::body("abc")).answer());
+  print_answer("its body arrives within the grace", early.send(raw_ajp::body_piece("abc")).read_answer());
   scenario.loop.run_for(0.4);
-  print_answer("its body arrives after the grace", late.send(bare::body("abc")).answer());
+  print_answer("its body arrives after the grace", late.send(raw_ajp::body_piece("abc")).read_answer());
   say("shuts down gracefully", scenario.server.ended());
   scenario.rules();
 }
@@ -298,8 +311,8 @@
 void remap() {
   Scenario scenario;
   Script half(scenario), next(scenario);
-  half.send(bare::forward(post("/ops/close", 3)));
-  print_answer("before", next.send(bare::forward(post("/ops/close"))).answer());
+  half.send(raw_ajp::forward_request(post("/ops/close", 3)));
+  print_answer("before", next.send(raw_ajp::forward_request(post("/ops/close"))).read_answer());
   scenario.loop.run_for(0.1);
   const auto reread = [&](const std::string& text) {
     scenario.server.write_operators(text);
@@ -307,14 +320,15 @@
     scenario.loop.run_for(0.2);
   };
   reread("ajp\n    listen 127.0.0.1:0\n    map POST /other read\n");
-  print_answer("half read when the table changed", half.send(bare::body("abc")).answer());
-  print_answer("the old path", next.send(bare::forward(post("/ops/close"))).answer());
-  print_answer("the new path", next.send(bare::forward(post("/other"))).answer());
+  print_answer("half read when the table changed", half.send(raw_ajp::body_piece("abc")).read_answer());
+  print_answer("the old path", next.send(raw_ajp::forward_request(post("/ops/close"))).read_answer());
+  print_answer("the new path", next.send(raw_ajp::forward_request(post("/other"))).read_answer());
   reread("ajp\n    listen 127.0.0.1:0\n    map POST /third nonsense\n");
   print_answer("a table with an unknown route changes nothing",
-               next.send(bare::forward(post("/other"))).answer());
+               next.send(raw_ajp::forward_request(post("/other"))).read_answer());
   reread("ajp\n    listen 127.0.0.1:0\n    map POST other read\n");
-  print_answer("nor does one that cannot be parsed", next.send(bare::forward(post("/other"))).answer());
+  print_answer("nor does one that cannot be parsed",
+               next.send(raw_ajp::forward_request(post("/other"))).read_answer());
   scenario.end();
 }
 
@@ -322,10 +336,10 @@
   Scenario scenario(0, 0, {}, 0.01, "    secret opensesame\n    attributes AJP_REMOTE_PORT\n");
   const auto with = [&](const char* what, const std::string& secret, const std::string& attribute) {
     Script script(scenario);
-    bare::Request r = post("/ops/read");
+    raw_ajp::Request r = post("/ops/read");
     r.secret = secret;
     if (!attribute.empty()) r.attributes.emplace_back(attribute, "x");
-    print_answer(what, script.send(bare::forward(r)).answer());
+    print_answer(what, script.send(raw_ajp::forward_request(r)).read_answer());
   };
   with("the secret", "opensesame", "");
   with("no secret", "", "");
@@ -335,7 +349,7 @@
   with("an attribute on the list", "opensesame", "AJP_REMOTE_PORT");
   with("an attribute that is not on the list", "opensesame", "javax.servlet.include.request_uri");
   Script ping(scenario);
-  print_answer("a ping without a secret", ping.send(bare::cping()).answer());
+  print_answer("a ping without a secret", ping.send(raw_ajp::cping()).read_answer());
   scenario.end();
 }
 
@@ -352,7 +366,7 @@
   scenario.loop.run_for(0.3);
   Script late_gateway(scenario);
   print_answer("a gateway that sends a request",
-               late_gateway.send(bare::forward(post("/ops/read"))).answer());
+               late_gateway.send(raw_ajp::forward_request(post("/ops/read"))).read_answer());
   scenario.loop.run_for(0.5);
   int sent = 0, succeeded = 0;
   for (const auto& [request, t] : scenario.journal.attempts) {
@@ -424,13 +438,13 @@
   serve();
   scenario.loop.run_for(1.2);
   say("calls are answered", server.requests > 30 && scenario.count("calls.ok") > 30);
-  server.answer = bare::answer(503);
+  server.answer = raw_ajp::answer(503);
   scenario.loop.run_for(0.6);
   say("calls are rejected", scenario.count("calls.rejected") > 3);
   server.answer = "!";
   scenario.loop.run_for(0.6);
   say("connections break", scenario.count("calls.broken") > 0);
-  server.answer = bare::answer(200);
+  server.answer = raw_ajp::answer(200);
   scenario.end();
 }
 
@@ -439,10 +453,10 @@
   Scenario scenario(0, 0, {}, 0.4);
   {
     Script leaving_gateway(scenario);
-    leaving_gateway.send(bare::forward(post("/ops/read", 3)) + bare::body("abc"));
+    leaving_gateway.send(raw_ajp::forward_request(post("/ops/read", 3)) + raw_ajp::body_piece("abc"));
     scenario.loop.run_for(0.1);
     leaving_gateway.send(std::string(70000, 'x'));  // more than may be buffered: reset
-    say("the connection is closed", leaving_gateway.closed());
+    say("the connection is closed", leaving_gateway.wait_until_closed());
   }
   scenario.loop.run_for(0.2);
   say("its request is abandoned", scenario.count("requests.caller_gone") == 1);
