--- a/tests/program.cpp
+++ b/tests/program.cpp
@@ -1,5 +1,6 @@
-// Plays the program's four peers on loopback ports that the system picks, and prints what it tells them;
-// CTest compares that with tests/traces/program_NAME.txt. usage: program BINARY SCENARIO
+// A backend process between scripted peers on loopback ports that the system picks: requests, calls to the
+// dependency, lost links, invalid input, and shutdown. CTest compares the output with
+// tests/traces/program_NAME.txt. usage: program BINARY SCENARIO
 #include "server_fixture.h"
 
 using namespace damsonspoke::standins::scripted;
@@ -8,7 +9,8 @@
 
 const std::string kId1 = "0000000000000001", kId2 = "0000000000000002";
 
-// From the caller to the runtime, below and back, with every body unchanged; then the sums of the counters.
+// A request passes from the caller to the runtime, its call to the dependency and back, with every body
+// unchanged. Others fail, are rejected, and are stopped as their caller disconnects; then the counters.
 void served() {
   ServerFixture fixture;
   fixture.complete_startup();
@@ -39,10 +41,10 @@
                           "calls.made", "calls.ok", "checks.good"});
 }
 
-// Where the settings say that requests tell their work, a run is judged by it: the request that tells fifty
-// times the work of those that ran is rejected at once, the one that tells a tenth waits. Without "hints"
+// If the settings say that requests carry work hints, run times are estimated from these: a request with
+// fifty times the work of earlier ones is rejected at once, one with a tenth of it waits. Without "hints"
 // both are rejected.
-void hints() {
+void work_hints() {
   ServerFixture fixture("", "", {}, R"("hints":"good",)");
   fixture.complete_startup();
   const int caller = fixture.connect();
@@ -56,7 +58,7 @@
   fixture.print_runtime_lines(4);
   fixture.send_request(caller, 4, "pull", R"("ram":10,"limit":3000,"work":5000)");
   const std::string answer =
-      fixture.next_message(caller);  // "later" follows real run times: only the verdict is kept
+      fixture.next_message(caller);  // not printed: its "later" depends on measured run times
   std::printf("caller received: %s\n",
               answer.find("-32001") != std::string::npos ? "nacked" : answer.c_str());
   fixture.send_request(caller, 5, "pull", R"("ram":10,"limit":3000,"work":10)");
@@ -64,7 +66,7 @@
   fixture.print_counters({"requests.read", "requests.succeeded", "requests.rejected"});
 }
 
-// Nothing runs before the runtime is up; it may come up late.
+// Until the runtime is connected, health checks fail and requests are rejected; it may connect late.
 void late_runtime() {
   ServerFixture fixture;
   const int caller = fixture.connect();
@@ -78,8 +80,8 @@
   fixture.print_caller_message(caller);
 }
 
-// Guards against requests that are rejected because they come some milliseconds before the runtime's first
-// `ready`: one that comes shortly before it is run and answered, one that has little time left is rejected.
+// Guards against requests that are rejected because they arrive some milliseconds before the runtime's first
+// `ready`: a request that can wait for it is run and answered, one that has little time left is rejected.
 void early_request() {
   ServerFixture fixture;
   const int caller = fixture.connect();
@@ -93,9 +95,9 @@
   fixture.print_counters({"requests.read", "requests.succeeded", "requests.rejected"});
 }
 
-// Guards against a notice to leave that is lost because it comes before the runtime's first `ready`: what
-// came after the grace ran, and was not answered before the stop.
-void leaving_before_ready() {
+// Guards against a shutdown notice that is lost because it arrives before the runtime's first `ready`:
+// requests that arrived after the grace were run, and not answered before the process stopped.
+void shutdown_before_ready() {
   ServerFixture fixture;
   const int caller = fixture.connect();
   fixture.send(caller, R"({"jsonrpc":"2.0","id":1,"method":"health","params":{}})");
@@ -110,8 +112,8 @@
   fixture.print_exit_status();
 }
 
-// A command that may not have arrived is sent again, once what was missed has been read; what has arrived, or
-// has ended meanwhile, is not.
+// After the runtime's link is lost, a command that may not have arrived is sent again once the missed notices
+// are read. A command that has arrived, or whose run has ended meanwhile, is not.
 void broken_link() {
   ServerFixture fixture;
   fixture.complete_startup();
@@ -127,20 +129,20 @@
   fixture.complete_runtime_handshake("hot 900");
   fixture.send_from_runtime("end 1 " + kId1 + " complete 20 3\r\none");
   fixture.print_caller_message(caller);
-  fixture.print_runtime_lines();  // the start of 2 again
+  fixture.print_runtime_lines();  // the start of request 2, sent again
   fixture.print_runtime_lines();
-  fixture.pause(0.5);  // gauges have been answered since
+  fixture.pause(0.5);  // gauges are answered meanwhile
   fixture.break_runtime_link();
   fixture.complete_runtime_handshake("hot 1900");
-  fixture.send_from_runtime("end 1 " + kId1 + " complete 20 3\r\none");  // a repeat
+  fixture.send_from_runtime("end 1 " + kId1 + " complete 20 3\r\none");  // a duplicate
   fixture.send_from_runtime("end 2 " + kId2 + " complete 20 3\r\ntwo");
   fixture.print_caller_message(caller);
   fixture.print_counters(
       {"requests.read", "requests.succeeded", "runtime.links", "runtime.resent", "runtime.duplicates"});
 }
 
-// Lines that can't be used are counted; when the framing is lost, the link is opened anew.
-void bad_runtime() {
+// Invalid notices are counted; if the framing is lost, the program reconnects.
+void invalid_notices() {
   ServerFixture fixture;
   fixture.complete_startup();
   fixture.send_from_runtime("what is this");
@@ -158,8 +160,9 @@
       {"runtime.links", "runtime.invalid", "runtime.remarks", "runtime.rejections", "requests.failed"});
 }
 
-// Under load the peers move, twice: the runs go on, and what is unproven is sent again on the new link; a
-// call in hand ends where it began. A file that can't be used changes nothing.
+// All peers move to new addresses, twice, while requests are in flight. Runs continue, commands that may not
+// have arrived are sent again on the new link, and a call in flight ends on its old connection. An invalid
+// configuration file changes nothing.
 void reload() {
   ServerFixture fixture;
   fixture.complete_startup();
@@ -190,8 +193,9 @@
       {"requests.succeeded", "requests.failed", "calls.ok", "runtime.links", "runtime.broken"});
 }
 
-// A notice that is missing is asked for once more before those behind it are taken; what no longer comes is
-// gone. A command sent shortly before a break is sent again though its arrival seemed proven.
+// If a notice is missing, the program reconnects to request it before it handles later ones; a notice that is
+// missing again is skipped. A command that was sent shortly before the link was lost is sent again although
+// its arrival seemed proven.
 void missing_notice() {
   ServerFixture fixture;
   fixture.complete_startup();
@@ -212,7 +216,7 @@
   fixture.send_from_runtime("end 5 0000000000000055 complete 20 2\r\nhm");
   fixture.send_request(caller, 3);
   fixture.print_runtime_lines(2);
-  fixture.pause(0.12);  // gauges have been answered since
+  fixture.pause(0.12);  // gauges are answered meanwhile
   fixture.break_runtime_link();
   fixture.complete_runtime_handshake("hot 2900");
   fixture.print_runtime_lines(2);
@@ -221,8 +225,8 @@
   fixture.print_counters({"runtime.links", "runtime.gaps", "runtime.resent", "requests.succeeded"});
 }
 
-// Spoilt replies end the call that they belong to, at once, and no other.
-void spoilt_replies() {
+// An invalid reply ends its call at once, and no other call; that call is made again.
+void invalid_replies() {
   ServerFixture fixture;
   fixture.complete_startup();
   const int caller = fixture.connect();
@@ -231,14 +235,14 @@
   fixture.send_from_runtime("wants 1 " + kId1 + " 4\r\ncall");
   fixture.print_dependency_lines(2);
   const int other =
-      fixture.set_dependency_connection_aside();  // the next call comes on a connection of its own
+      fixture.set_dependency_connection_aside();  // so that the next call is made on a new connection
   fixture.send_request(caller, 2, "pull");
   fixture.print_runtime_lines(2);
   fixture.send_from_runtime("wants 2 " + kId2 + " 4\r\ncall");
   fixture.print_dependency_lines(2);
   for (const char* noise : {"\x01\x02 no id", "0000000000000002 ok 3000000000\r\n"}) {
     fixture.send_from_dependency(noise);
-    fixture.print_dependency_lines(2);  // the same call again
+    fixture.print_dependency_lines(2);  // the same call, made again
   }
   fixture.send_from_dependency("0000000000000099 ok 2\r\nhm\r\n" + kId2 + " ok 5\r\nreply\r\n" + kId2 +
                                " ok 5\r\nreply");
@@ -249,7 +253,8 @@
   fixture.print_counters({"calls.made", "calls.ok", "calls.broken", "dependency.invalid", "dependency.late"});
 }
 
-// Out of descriptors a call was never made: the run goes on without, and the next call is made.
+// If the process has no free descriptor, a call cannot be made: the run continues without a reply, and the
+// next call is made once there are descriptors.
 void no_descriptors() {
   ServerFixture fixture;
   fixture.complete_startup();
@@ -257,7 +262,7 @@
   for (int i = 1; i <= 3; ++i) {
     const std::string id = "000000000000000" + std::to_string(i);
     const std::string number = std::to_string(2 * i - 1);
-    if (i == 2) fixture.print_whether_dependency_connection_closes();  // it stood idle
+    if (i == 2) fixture.print_whether_dependency_connection_closes();  // because it is idle
     if (i == 2) fixture.limit_descriptors(0);
     if (i == 3) fixture.limit_descriptors(100);
     fixture.send_request(caller, i);
@@ -272,8 +277,9 @@
   fixture.print_counters({"calls.made", "calls.unreachable", "calls.skipped", "calls.ok"});
 }
 
-// Patience is kept here: a call that is given up takes its connection with it, and the run goes on without.
-void late_reply() {
+// The program enforces the timeout of a call: the connection of a call that timed out is closed, and the run
+// continues without a reply.
+void call_timeout() {
   ServerFixture fixture;
   fixture.complete_startup();
   const int caller = fixture.connect();
@@ -281,17 +287,18 @@
   fixture.print_runtime_lines(2);
   fixture.send_from_runtime("wants 1 " + kId1 + " 4\r\ncall");
   fixture.print_dependency_lines(2);
-  fixture.print_whether_dependency_connection_closes();  // given up
-  fixture.print_runtime_lines();                         // left out
+  fixture.print_whether_dependency_connection_closes();  // the call has timed out
+  fixture.print_runtime_lines();                         // `omit`
   fixture.send_from_runtime("end 2 " + kId1 + " complete 20 6\r\nresult");
   fixture.print_caller_message(caller);
   fixture.print_counters({"calls.made", "calls.timed_out", "calls.skipped"});
 }
 
-// Turned away and refused prove that a call never ran, a break proves nothing; a request that is safe is
-// tried again, one that must never take effect twice is not.
-void calls(const std::string& types) {
-  ServerFixture fixture("", "", {types, ""});
+// A rejected call and a refused connection prove that the call did not run; a lost connection proves nothing.
+// After that, the call of a retryable request is made again, and that of a request that must not take effect
+// twice is not.
+void calls(const std::string& routes) {
+  ServerFixture fixture("", "", {routes, ""});
   fixture.complete_startup();
   const int caller = fixture.connect();
   fixture.send_request(caller, 1, "pull");
@@ -302,18 +309,19 @@
   fixture.print_dependency_lines(2);
   fixture.stop_dependency_listener();
   fixture.close_dependency_connection();
-  fixture.print_caller_message(caller);  // failed: nothing can be left out
+  fixture.print_caller_message(caller);  // fails: this route cannot continue without the call
   fixture.print_counters(
       {"calls.made", "calls.rejected", "calls.broken", "calls.unreachable", "dependency.broken"});
 }
-void safe_calls() { calls(""); }
-void unsafe_calls() {
+void calls_retryable() { calls(""); }
+void calls_fragile() {
   calls(
       R"([{"name":"push","target":400,"give-up":3000},{"name":"pull","semantics":"fragile","target":400,"give-up":800}])");
 }
 
-// A request that is due is answered though its run goes on; a run that ends later gives no second answer.
-void due() {
+// A request is answered at its deadline although its run continues; the later end of the run gives no second
+// answer.
+void deadline() {
   ServerFixture fixture;
   fixture.complete_startup();
   const int caller = fixture.connect();
@@ -327,9 +335,9 @@
   fixture.print_counters({"requests.failed", "requests.overdue", "runs.succeeded"});
 }
 
-// The notice to leave: off the list, callers told, what is open answered, what comes too late rejected, an
-// end in time.
-void leaving() {
+// Graceful shutdown: the server is reported as unavailable, callers are notified, requests in flight are
+// answered, requests after the grace are rejected, and the process ends in time.
+void graceful_shutdown() {
   ServerFixture fixture;
   fixture.complete_startup();
   const int caller = fixture.connect();
@@ -342,10 +350,11 @@
   const int late = fixture.connect();
   fixture.print_caller_message(late);
   fixture.send_request(late, 2);
-  std::printf("late %s\n", replaced(fixture.next_message(late), "\"later\"", "\"LATER\"").find("-32001") !=
-                                   std::string::npos
-                               ? "nacked"
-                               : "taken");
+  std::printf(
+      "request after the grace: %s\n",
+      replaced(fixture.next_message(late), "\"later\"", "\"LATER\"").find("-32001") != std::string::npos
+          ? "nacked"
+          : "accepted");
   fixture.send_from_runtime("end 1 " + kId1 + " complete 20 6\r\nresult");
   fixture.print_caller_message(caller);
   fixture.disconnect(caller);
@@ -353,8 +362,8 @@
   fixture.print_exit_status();
 }
 
-// A runtime that says nothing any more: the link is opened anew, and what was under way goes on.
-void silent_link() {
+// If the runtime stops sending, the program reconnects, and requests in flight continue.
+void silent_runtime() {
   ServerFixture fixture;
   fixture.complete_startup();
   const int caller = fixture.connect();
@@ -369,8 +378,8 @@
   fixture.print_counters({"runtime.links", "runtime.silent", "runtime.resent"});
 }
 
-// A caller that does not read is not read from either, and holds up nobody; once it reads, it has every
-// answer.
+// The program stops reading from a caller that does not read its answers, and serves other callers meanwhile.
+// Once the caller reads, it receives all answers.
 void slow_reader() {
   ServerFixture fixture;
   fixture.complete_startup();
@@ -378,32 +387,32 @@
   const std::string body = R"({"jsonrpc":"2.0","id":5,"method":"health","params":{}})";
   const std::string frame = "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
   std::size_t sent = 0;
-  bool stuck = false;
-  for (std::string rest; !stuck && sent < 400000;) {
+  bool is_blocked = false;
+  for (std::string rest; !is_blocked && sent < 400000;) {
     if (rest.empty()) rest = frame, ++sent;
     const ssize_t wrote = ::send(slow, rest.data(), rest.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
     if (wrote > 0) rest.erase(0, static_cast<std::size_t>(wrote));
     if (wrote < 0) {
       pollfd writable{slow, POLLOUT, 0};
-      stuck = ::poll(&writable, 1, 500) == 0;
-      if (stuck && !rest.empty() && rest.size() < frame.size()) fixture.send_in_background(slow, rest);
-      if (stuck && rest.size() == frame.size()) --sent;
+      is_blocked = ::poll(&writable, 1, 500) == 0;
+      if (is_blocked && !rest.empty() && rest.size() < frame.size()) fixture.send_in_background(slow, rest);
+      if (is_blocked && rest.size() == frame.size()) --sent;
     }
   }
-  std::printf("the slow caller is kept waiting: %s\n", stuck ? "yes" : "no");
+  std::printf("the program stops reading from the slow caller: %s\n", is_blocked ? "yes" : "no");
   const int other = fixture.connect();
   fixture.send(other, R"({"jsonrpc":"2.0","id":1,"method":"health","params":{}})");
   fixture.print_caller_message(other);
   fixture.start_reading(slow);
   std::size_t answers = 0;
   while (answers < sent && fixture.next_message(slow).find("true") != std::string::npos) ++answers;
-  std::printf("every answer came: %s\n", answers == sent ? "yes" : "no");
+  std::printf("all answers received: %s\n", answers == sent ? "yes" : "no");
   fixture.print_counters({"bad.slow_peers", "callers.reset"});
 }
 
-// Callers that do not come back: idle connections are told to send no more, and a request that crosses that
-// is served.
-void idle() {
+// If callers do not return, idle connections get a drain notice early; a request that crosses the notice is
+// served.
+void idle_connections() {
   ServerFixture fixture(R"(,"caller-idle":3000)");
   fixture.complete_startup();
   const int caller = fixture.connect();
@@ -416,7 +425,7 @@
     fixture.send(caller, text);
     rejected += fixture.next_message(caller).find("-32001") != std::string::npos;
   }
-  std::printf("nacked, of as many callers: %d\n", rejected);
+  std::printf("nacked, each of another caller: %d\n", rejected);
   fixture.print_caller_message(caller);
   fixture.send_request(caller, 100);
   fixture.print_runtime_lines(2);
@@ -425,66 +434,67 @@
   fixture.print_counters({"callers.drained", "requests.rejected", "requests.succeeded"});
 }
 
-// More connections than descriptors allow: silent ones go first, then the longest idle; newcomers never wait.
-void flood() {
+// More connections than there are descriptors: connections without any input are evicted first, then those
+// that are idle for longest; new connections are served at once.
+void connection_flood() {
   ServerFixture fixture("", R"(,"limits":{"sockets":64})");
   fixture.complete_startup();
-  std::vector<int> silent, known;
+  std::vector<int> silent, idle;
   for (int i = 0; i < 12; ++i) {
-    known.push_back(fixture.connect());
-    fixture.send(known.back(), R"({"jsonrpc":"2.0","id":1,"method":"health","params":{}})");
-    fixture.next_message(known.back());
+    idle.push_back(fixture.connect());
+    fixture.send(idle.back(), R"({"jsonrpc":"2.0","id":1,"method":"health","params":{}})");
+    fixture.next_message(idle.back());
   }
   for (int i = 0; i < 12; ++i) silent.push_back(fixture.connect());
   fixture.pause(0.3);
-  const auto newcomers = [&] {
+  const auto serve_new_connections = [&] {
     int answered = 0;
     for (int i = 0; i < 12; ++i) {
-      known.push_back(fixture.connect());
-      fixture.send(known.back(), R"({"jsonrpc":"2.0","id":1,"method":"health","params":{}})");
-      answered += fixture.next_message(known.back()).find("true") != std::string::npos;
+      idle.push_back(fixture.connect());
+      fixture.send(idle.back(), R"({"jsonrpc":"2.0","id":1,"method":"health","params":{}})");
+      answered += fixture.next_message(idle.back()).find("true") != std::string::npos;
     }
-    std::printf("newcomers answered: %d\n", answered);
+    std::printf("new connections answered: %d\n", answered);
   };
-  newcomers();
-  int ended = 0;
-  for (const int fd : silent) ended += fixture.next_message(fd) == "(connection closed)";
-  std::printf("silent ones closed: %d\n", ended);
+  serve_new_connections();
+  int closed = 0;
+  for (const int fd : silent) closed += fixture.next_message(fd) == "(connection closed)";
+  std::printf("silent connections closed: %d\n", closed);
   fixture.print_counters({"callers.evicted", "callers.max_open"});
-  newcomers();
-  std::printf("the longest idle connection received: %s\n", fixture.next_message(known[0]).c_str());
+  serve_new_connections();
+  std::printf("the longest idle connection received: %s\n", fixture.next_message(idle[0]).c_str());
   fixture.print_counters({"callers.evicted", "callers.rejected", "callers.max_open"});
 }
 
-// Who says nothing, stalls in a request, sends what is of no use or never ends is told so, or closed, within
-// 3 s.
-void stallers() {
+// Within 3 s, a connection without input is closed, and connections with an incomplete body, an incomplete
+// header or too many invalid requests get an error and are closed.
+void stalled_callers() {
   ServerFixture fixture;
   fixture.complete_startup();
-  const auto begin = Clock::now();
-  const int silent = fixture.connect(), half = fixture.connect(), stuck = fixture.connect(),
-            noise = fixture.connect();
-  send_all(half, "Content-Length: 100\r\n\r\n{\"jsonrpc\"");
-  send_all(stuck, "Content-Le");
-  std::string all;
-  for (int i = 0; i < 20; ++i) all += "Content-Length: 1\r\n\r\n{";
-  send_all(noise, all);
+  const auto started_at = Clock::now();
+  const int silent = fixture.connect(), stalled_body = fixture.connect(), stalled_header = fixture.connect(),
+            invalid = fixture.connect();
+  send_all(stalled_body, "Content-Length: 100\r\n\r\n{\"jsonrpc\"");
+  send_all(stalled_header, "Content-Le");
+  std::string invalid_requests;
+  for (int i = 0; i < 20; ++i) invalid_requests += "Content-Length: 1\r\n\r\n{";
+  send_all(invalid, invalid_requests);
   int errors = 0;
   std::string last;
-  while ((last = fixture.next_message(noise)).find("no JSON") != std::string::npos) ++errors;
+  while ((last = fixture.next_message(invalid)).find("no JSON") != std::string::npos) ++errors;
   std::printf("errors: %d\n%s\n", errors, last.c_str());
-  fixture.print_caller_message(noise);
-  for (int i = 0; i < 2; ++i) fixture.print_caller_message(half);
-  for (int i = 0; i < 2; ++i) fixture.print_caller_message(stuck);
+  fixture.print_caller_message(invalid);
+  for (int i = 0; i < 2; ++i) fixture.print_caller_message(stalled_body);
+  for (int i = 0; i < 2; ++i) fixture.print_caller_message(stalled_header);
   fixture.print_caller_message(silent);
-  const double took = std::chrono::duration<double>(Clock::now() - begin).count();
-  std::printf("within 3 s: %s\n", took < 3 ? "yes" : "no");
+  const double seconds = std::chrono::duration<double>(Clock::now() - started_at).count();
+  std::printf("within 3 s: %s\n", seconds < 3 ? "yes" : "no");
   fixture.print_counters({"callers.silent", "callers.incomplete", "callers.invalid", "bad.json"});
 }
 
-// One error answer where the request can be told; the connection alone is closed where the frame can't be
-// trusted.
-void bad_callers() {
+// An invalid request gets one error, and its connection stays open. After an invalid frame, a connection gets
+// an error and is closed once its request is answered; other connections are not affected.
+void invalid_requests() {
   ServerFixture fixture;
   fixture.complete_startup();
   const int caller = fixture.connect();
@@ -511,7 +521,7 @@
   fixture.send_from_runtime("end 1 " + kId2 + " complete 20 3\r\ntwo");
   fixture.print_caller_message(other);
   fixture.print_caller_message(other);
-  // The first connection is as before; its caller closes its side and still hears the answer.
+  // The caller of the first connection closes its sending side and still receives the answer.
   ::shutdown(caller, SHUT_WR);
   fixture.pause(0.1);
   fixture.send_from_runtime("end 2 " + kId1 + " complete 20 6\r\nresult");
@@ -521,15 +531,15 @@
                           "requests.read", "requests.succeeded"});
 }
 
-// A poll that returns at once for ever shows in the processor time of a backend that does nothing.
-void rest() {
+// Guards against an event loop that never blocks: an idle backend would use much processor time.
+void idle_processor_time() {
   ServerFixture fixture;
   fixture.complete_startup();
   const int caller = fixture.connect();
   fixture.pause(0.2);
   const double before = fixture.processor_seconds();
   fixture.pause(1);
-  std::printf("processor time in a second of rest: %s\n",
+  std::printf("processor time in an idle second: %s\n",
               fixture.processor_seconds() - before < 0.3 ? "little" : "much");
   fixture.disconnect(caller);
 }
@@ -537,34 +547,34 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  const std::pair<const char*, void (*)()> kScenarios[] = {{"served", served},
-                                                           {"hints", hints},
-                                                           {"late_runtime", late_runtime},
-                                                           {"early_request", early_request},
-                                                           {"leaving_before_ready", leaving_before_ready},
-                                                           {"broken_link", broken_link},
-                                                           {"bad_runtime", bad_runtime},
-                                                           {"late_reply", late_reply},
-                                                           {"reload", reload},
-                                                           {"no_descriptors", no_descriptors},
-                                                           {"missing_notice", missing_notice},
-                                                           {"spoilt_replies", spoilt_replies},
-                                                           {"calls", safe_calls},
-                                                           {"unsafe", unsafe_calls},
-                                                           {"due", due},
-                                                           {"leaving", leaving},
-                                                           {"flood", flood},
-                                                           {"stallers", stallers},
-                                                           {"idle", idle},
-                                                           {"silent_link", silent_link},
-                                                           {"slow_reader", slow_reader},
-                                                           {"bad_callers", bad_callers},
-                                                           {"rest", rest}};
+  const std::pair<const char*, void (*)()> scenarios[] = {{"served", served},
+                                                          {"work_hints", work_hints},
+                                                          {"late_runtime", late_runtime},
+                                                          {"early_request", early_request},
+                                                          {"shutdown_before_ready", shutdown_before_ready},
+                                                          {"broken_link", broken_link},
+                                                          {"invalid_notices", invalid_notices},
+                                                          {"call_timeout", call_timeout},
+                                                          {"reload", reload},
+                                                          {"no_descriptors", no_descriptors},
+                                                          {"missing_notice", missing_notice},
+                                                          {"invalid_replies", invalid_replies},
+                                                          {"calls_retryable", calls_retryable},
+                                                          {"calls_fragile", calls_fragile},
+                                                          {"deadline", deadline},
+                                                          {"graceful_shutdown", graceful_shutdown},
+                                                          {"connection_flood", connection_flood},
+                                                          {"stalled_callers", stalled_callers},
+                                                          {"idle_connections", idle_connections},
+                                                          {"silent_runtime", silent_runtime},
+                                                          {"slow_reader", slow_reader},
+                                                          {"invalid_requests", invalid_requests},
+                                                          {"idle_processor_time", idle_processor_time}};
   std::setvbuf(stdout, nullptr, _IOLBF, 0);
   std::signal(SIGPIPE, SIG_IGN);
   if (argc == 3) binary = argv[1];
-  for (const auto& [name, play] : kScenarios) {
-    if (argc == 3 && std::strcmp(argv[2], name) == 0) return play(), 0;
+  for (const auto& [name, run] : scenarios) {
+    if (argc == 3 && std::strcmp(argv[2], name) == 0) return run(), 0;
   }
   std::fprintf(stderr, "usage: program BINARY SCENARIO\n");
   return 2;
