--- a/tests/endings.cpp
+++ b/tests/endings.cpp
@@ -1,6 +1,6 @@
-// The instants in which something is still owed as a connection, or the process, comes to its end. Each
-// crossing is forced: the program stands still (SIGSTOP) while its peers write, so that bytes lie unread when
-// it decides. CTest compares with tests/traces/endings_NAME.txt. usage: endings BINARY SCENARIO
+// Connections, or the process, that end while requests are unread or unanswered. The order of events is
+// forced: the program is stopped (SIGSTOP) while its peers write, so that input is unread when it continues
+// and decides. CTest compares with tests/traces/endings_NAME.txt. usage: endings BINARY SCENARIO
 #include <sys/stat.h>
 
 #include <fstream>
@@ -20,15 +20,15 @@
 
 namespace {
 
-const std::string kCheck = R"({"jsonrpc":"2.0","id":ID,"method":"health","params":{}})";
-constexpr int kTable = 24;  // callers' connections with 64 descriptors
+const std::string kHealthCheck = R"({"jsonrpc":"2.0","id":ID,"method":"health","params":{}})";
+constexpr int kMaxConnections = 24;  // of callers, with 64 descriptors
 const char* const kFewDescriptors = R"(,"limits":{"sockets":64})";
 
 std::string framed(const std::string& body) {
   return "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
-std::string check(int id) { return framed(replaced(kCheck, "ID", std::to_string(id))); }
-// A request that needs no runtime to be rejected.
+std::string health_check(int id) { return framed(replaced(kHealthCheck, "ID", std::to_string(id))); }
+// A request that is rejected without a runtime.
 std::string request(int id) {
   char text[200];
   std::snprintf(text, sizeof text,
@@ -37,72 +37,74 @@
   return framed(text);
 }
 
-// A caller that tells an end in order from a reset, and reads only when it is asked to.
-class Raw {
+// A caller that distinguishes a graceful close from a reset, and reads only when a test calls for it.
+class RawCaller {
  public:
-  explicit Raw(std::uint16_t port) : fd_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
+  explicit RawCaller(std::uint16_t port) : fd_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
     sockaddr_in address{};
     address.sin_family = AF_INET;
     address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
     address.sin_port = htons(port);
-    if (::connect(fd_, reinterpret_cast<sockaddr*>(&address), sizeof address) != 0) reset_ = ended_ = true;
+    if (::connect(fd_, reinterpret_cast<sockaddr*>(&address), sizeof address) != 0)
+      is_reset_ = is_closed_ = true;
   }
-  Raw(Raw&& other) noexcept
+  RawCaller(RawCaller&& other) noexcept
       : fd_(std::exchange(other.fd_, -1)),
-        in_(std::move(other.in_)),
-        ended_(other.ended_),
-        reset_(other.reset_) {}
-  ~Raw() { disconnect(); }
+        input_(std::move(other.input_)),
+        is_closed_(other.is_closed_),
+        is_reset_(other.is_reset_) {}
+  ~RawCaller() { disconnect(); }
   void disconnect() {
     if (fd_ >= 0) ::close(fd_);
     fd_ = -1;
   }
-  void resets() {
+  void reset() {
     const linger now{1, 0};
     ::setsockopt(fd_, SOL_SOCKET, SO_LINGER, &now, sizeof now);
     disconnect();
   }
   int fd() const { return fd_; }
-  // Writes what the system takes at once; how much that was.
-  std::size_t say(const std::string& text) {
+  // Writes what the system accepts at once, and returns how many bytes that was.
+  std::size_t send(const std::string& text) {
     const ssize_t wrote = ::send(fd_, text.data(), text.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
     return wrote < 0 ? 0 : static_cast<std::size_t>(wrote);
   }
-  // Reads until so many answers are there, the end, or patience (s) is over.
-  int answers(int wanted, double patience = kTimeoutSeconds) {
-    const auto until = Clock::now() + std::chrono::duration<double>(patience);
-    while (!ended_ && count() < wanted && Clock::now() < until) {
+  // Reads until there are so many answers in all, the connection has ended, or the time is over. Returns the
+  // number of answers.
+  int read_answers(int wanted, double timeout_seconds = kTimeoutSeconds) {
+    const auto until = Clock::now() + std::chrono::duration<double>(timeout_seconds);
+    while (!is_closed_ && answer_count() < wanted && Clock::now() < until) {
       pollfd one{fd_, POLLIN, 0};
       ::poll(&one, 1, 20);
       char bytes[65536];
       const ssize_t got = ::recv(fd_, bytes, sizeof bytes, MSG_DONTWAIT);
-      if (got > 0) in_.append(bytes, static_cast<std::size_t>(got));
-      if (got == 0) ended_ = true;
-      if (got < 0 && errno != EAGAIN && errno != EINTR) ended_ = reset_ = true;
+      if (got > 0) input_.append(bytes, static_cast<std::size_t>(got));
+      if (got == 0) is_closed_ = true;
+      if (got < 0 && errno != EAGAIN && errno != EINTR) is_closed_ = is_reset_ = true;
     }
-    return count();
+    return answer_count();
   }
-  // How it ended, once it has.
-  const char* end(double patience = kTimeoutSeconds) {
-    answers(1 << 30, patience);
-    return !ended_ ? "open" : reset_ ? "reset" : "in order";
+  // Reads until the connection has ended. Returns how.
+  const char* read_end(double timeout_seconds = kTimeoutSeconds) {
+    read_answers(1 << 30, timeout_seconds);
+    return !is_closed_ ? "open" : is_reset_ ? "reset" : "graceful";
   }
-  bool heard(const std::string& part) const { return in_.find(part) != std::string::npos; }
+  bool has_received(const std::string& part) const { return input_.find(part) != std::string::npos; }
 
  private:
-  int count() const {
+  int answer_count() const {
     int n = 0;
-    for (std::size_t at = 0; (at = in_.find("\"id\":", at)) != std::string::npos; ++at) ++n;
-    for (std::size_t at = 0; (at = in_.find("AB", at)) != std::string::npos; ++at) ++n;  // of AJP: a pong
+    for (std::size_t at = 0; (at = input_.find("\"id\":", at)) != std::string::npos; ++at) ++n;
+    for (std::size_t at = 0; (at = input_.find("AB", at)) != std::string::npos; ++at) ++n;  // AJP: a pong
     return n;
   }
   int fd_;
-  std::string in_;
-  bool ended_ = false, reset_ = false;
+  std::string input_;
+  bool is_closed_ = false, is_reset_ = false;
 };
 
-// While the program stands still.
-void stopped(ServerFixture& fixture, double seconds, const std::function<void()>& meanwhile) {
+// Stops the program, calls `meanwhile`, and lets the program continue after this time.
+void while_stopped(ServerFixture& fixture, double seconds, const std::function<void()>& meanwhile) {
   fixture.signal(SIGSTOP);
   ::usleep(50'000);
   meanwhile();
@@ -110,7 +112,7 @@
   fixture.signal(SIGCONT);
 }
 
-std::size_t descriptors_of(const ServerFixture& fixture) {
+std::size_t open_descriptors(const ServerFixture& fixture) {
   std::size_t n = 0;
   for ([[maybe_unused]] const auto& entry :
        std::filesystem::directory_iterator("/proc/" + std::to_string(fixture.pid()) + "/fd"))
@@ -118,237 +120,251 @@
   return n;
 }
 
-// All connections are idle and have a request unread as newcomers come, who ask too or say nothing.
+// All connections are idle and have an unread request when as many new connections arrive, each with this
+// input or none. Prints how many of the unread requests are answered.
 struct Crossing {
   Crossing(ServerFixture& fixture, std::uint16_t port, const std::string& first, const std::string& second,
-           int table, const std::string& newcomers = "") {
-    for (int i = 0; i < table; ++i) {
-      known.emplace_back(port);
-      known.back().say(first);
-      known.back().answers(1);
+           int count, const std::string& new_connection_input = "") {
+    for (int i = 0; i < count; ++i) {
+      idle.emplace_back(port);
+      idle.back().send(first);
+      idle.back().read_answers(1);
     }
-    stopped(fixture, 0.05, [&] {
-      for (int i = 0; i < table; ++i) {
-        fresh.emplace_back(port);
-        fresh.back().say(newcomers);
+    while_stopped(fixture, 0.05, [&] {
+      for (int i = 0; i < count; ++i) {
+        new_connections.emplace_back(port);
+        new_connections.back().send(new_connection_input);
       }
-      for (Raw& one : known) one.say(second);
+      for (RawCaller& one : idle) one.send(second);
     });
     int answered = 0, resets = 0;
-    for (Raw& one : known) answered += one.answers(2) == 2;
-    for (Raw& one : known) resets += std::strcmp(one.end(0.1), "reset") == 0;
-    std::printf("requests that lay unread: %d, answered: %d, resets: %d\n", table, answered, resets);
+    for (RawCaller& one : idle) answered += one.read_answers(2) == 2;
+    for (RawCaller& one : idle) resets += std::strcmp(one.read_end(0.1), "reset") == 0;
+    std::printf("unread requests: %d, answered: %d, resets: %d\n", count, answered, resets);
   }
-  std::vector<Raw> known, fresh;
+  std::vector<RawCaller> idle, new_connections;
 };
 
-// None of them gives way, and no newcomer is reset.
+// Guards against the eviction of a connection whose request is unread: all are answered, and no new
+// connection is reset.
 void evicted() {
   ServerFixture fixture("", kFewDescriptors);
   fixture.complete_startup();
-  Crossing crossing(fixture, fixture.port(), check(1), check(2), kTable, check(1));
+  Crossing crossing(fixture, fixture.port(), health_check(1), health_check(2), kMaxConnections,
+                    health_check(1));
   int resets = 0;
-  for (Raw& one : crossing.fresh)
-    resets += std::strcmp(one.answers(1) == 1 ? "answered" : one.end(2), "reset") == 0;
-  std::printf("newcomers that were reset: %d\n", resets);
+  for (RawCaller& one : crossing.new_connections)
+    resets += std::strcmp(one.read_answers(1) == 1 ? "answered" : one.read_end(2), "reset") == 0;
+  std::printf("new connections that were reset: %d\n", resets);
 }
 
-// A table full of requests that are half said, and stay so, turns no newcomer away.
-void halves() {
+// Connections whose first request stays incomplete use all connections: they are evicted for new connections,
+// none of which is rejected.
+void incomplete_requests() {
   ServerFixture fixture("", kFewDescriptors);
   fixture.complete_startup();
-  std::vector<Raw> half, fresh;
-  for (int i = 0; i < kTable; ++i) {
-    half.emplace_back(fixture.port());
-    half.back().say(check(1).substr(0, 30));
+  std::vector<RawCaller> incomplete, new_connections;
+  for (int i = 0; i < kMaxConnections; ++i) {
+    incomplete.emplace_back(fixture.port());
+    incomplete.back().send(health_check(1).substr(0, 30));
   }
   fixture.pause(0.3);
   int answered = 0;
-  for (int i = 0; i < kTable; ++i) {
-    fresh.emplace_back(fixture.port());
-    fresh.back().say(check(1));
-    answered += fresh.back().answers(1, 2) == 1;
+  for (int i = 0; i < kMaxConnections; ++i) {
+    new_connections.emplace_back(fixture.port());
+    new_connections.back().send(health_check(1));
+    answered += new_connections.back().read_answers(1, 2) == 1;
   }
-  std::printf("newcomers: %d, answered: %d\n", kTable, answered);
+  std::printf("new connections: %d, answered: %d\n", kMaxConnections, answered);
   fixture.print_counters({"callers.rejected"});
 }
 
-const char* const kGate =
+const char* const kAdmissionByClient =
     "gate\n    enabled on\n    reserve 0%\n    client-share 100%\n    network-share 100%\n    keep-idle "
     "50ms\n";
 
-// The same where operators have a gate: who gives way to a newcomer is read first, and answered.
-void shed() {
-  ServerFixture fixture("", kFewDescriptors, {"", kGate});
+// The same with admission by client: a connection that is evicted for a new one is read first, and its
+// request is answered.
+void evicted_by_client() {
+  ServerFixture fixture("", kFewDescriptors, {"", kAdmissionByClient});
   fixture.complete_startup();
-  Crossing crossing(fixture, fixture.port(), check(1), check(2), kTable);
+  Crossing crossing(fixture, fixture.port(), health_check(1), health_check(2), kMaxConnections);
 }
 
-// And at the front for gateways that speak AJP, whose pings are answered without a slot.
-void by_ajp(const std::string& more) {
+// The same at the AJP listener, with pings, which are answered at once.
+void evict_at_ajp_listener(const std::string& more) {
   ServerFixture fixture("", kFewDescriptors,
                         {"", "ajp\n    listen 127.0.0.1:0\n    map GET /health health\n" + more});
   const std::string line = fixture.expect_log("takes AJP callers");
   const auto port = static_cast<std::uint16_t>(std::atoi(line.substr(line.rfind(' ') + 1).c_str()));
   fixture.complete_startup();
   const std::string ping("\x12\x34\x00\x01\x0a", 5);
-  Crossing crossing(fixture, port, ping, ping, kTable / 2);  // the other front keeps its half
+  Crossing crossing(fixture, port, ping, ping, kMaxConnections / 2);  // the other listener has the other half
 }
-void evicted_ajp() { by_ajp(""); }
-void shed_ajp() { by_ajp(kGate); }
+void evicted_ajp() { evict_at_ajp_listener(""); }
+void evicted_by_client_ajp() { evict_at_ajp_listener(kAdmissionByClient); }
 
-// The last connection has been ended, its peer has not ended yet: the process is still there, and goes when
-// the peer does. A machine that let the half second pass unseen says nothing: then once more.
-void exit_waits() {
-  for (int tries = 0; tries < 5; ++tries) {
+// The program has shut down its side of the last connection, and the peer has not closed yet: the process
+// waits for that, for half a second at most, and ends when the peer closes. On a machine under load the check
+// may come too late to show this; then the test tries again.
+void exit_awaits_peer() {
+  for (int attempt = 0; attempt < 5; ++attempt) {
     ServerFixture fixture;
-    Raw caller(fixture.port());
-    caller.say(check(1));
-    caller.answers(1);
+    RawCaller caller(fixture.port());
+    caller.send(health_check(1));
+    caller.read_answers(1);
     fixture.signal(SIGTERM);
-    for (int i = 0; i < 100 && !caller.heard("noMore"); ++i) caller.answers(1000, 0.1);
-    const auto begin = Clock::now();
-    caller.say("Content-Length: 99999\r\n\r\n");
-    const char* end = caller.end();
+    for (int i = 0; i < 100 && !caller.has_received("noMore"); ++i) caller.read_answers(1000, 0.1);
+    const auto started_at = Clock::now();
+    caller.send("Content-Length: 99999\r\n\r\n");
+    const char* end = caller.read_end();
     fixture.pause(0.15);
     std::ifstream file("/proc/" + std::to_string(fixture.pid()) + "/stat");
     const std::string state((std::istreambuf_iterator<char>(file)), {});
-    if (Clock::now() - begin > std::chrono::milliseconds(400)) continue;
-    const bool there = !state.empty() && state.find(") Z") == std::string::npos;
-    std::printf("last words: %s, the end: %s, the program is still there: %s\n",
-                caller.heard("broken frame") ? "yes" : "no", end, there ? "yes" : "no");
+    if (Clock::now() - started_at > std::chrono::milliseconds(400)) continue;
+    const bool is_running = !state.empty() && state.find(") Z") == std::string::npos;
+    std::printf("error received: %s, close: %s, the program is still running: %s\n",
+                caller.has_received("broken frame") ? "yes" : "no", end, is_running ? "yes" : "no");
     caller.disconnect();
     return fixture.print_exit_status();
   }
-  std::printf("this machine is too crowded to tell\n");
+  std::printf("this machine is too slow for the check\n");
 }
 
-// A newcomer that finds every connection busy is ended in order, not by a reset over the request it brought.
-void turned_away() {
+// A new connection while all others are busy is closed gracefully, not by a reset because of its unread
+// request.
+void rejected_connections() {
   ServerFixture fixture(R"(,"cores":16)", kFewDescriptors,
                         {R"([{"name":"push","target":60000,"give-up":60000}])", ""});
   fixture.complete_startup();
-  std::vector<Raw> busy;
-  for (int i = 1; i <= kTable; ++i) {
+  std::vector<RawCaller> busy;
+  for (int i = 1; i <= kMaxConnections; ++i) {
     busy.emplace_back(fixture.port());
-    busy.back().say(request(i));
+    busy.back().send(request(i));
   }
   fixture.pause(0.2);
-  std::vector<Raw> fresh;
-  stopped(fixture, 0.05, [&] {
+  std::vector<RawCaller> new_connections;
+  while_stopped(fixture, 0.05, [&] {
     for (int i = 0; i < 8; ++i) {
-      fresh.emplace_back(fixture.port());
-      fresh.back().say(request(100 + i));
+      new_connections.emplace_back(fixture.port());
+      new_connections.back().send(request(100 + i));
     }
   });
-  int in_order = 0;
-  for (Raw& one : fresh) in_order += std::strcmp(one.end(), "in order") == 0;
-  std::printf("newcomers at a full table: 8, ended in order: %d\n", in_order);
+  int graceful = 0;
+  for (RawCaller& one : new_connections) graceful += std::strcmp(one.read_end(), "graceful") == 0;
+  std::printf("new connections while all others are busy: 8, closed gracefully: %d\n", graceful);
   fixture.print_counters({"callers.rejected"});
 }
 
-// One that has said nothing for its two seconds asks in the instant in which it would be closed.
-void silent() {
+// A connection sends its first request just as the timeout for that, 2 s, expires and it would be closed: the
+// request is answered.
+void silent_connection() {
   ServerFixture fixture;
   fixture.complete_startup();
-  Raw late(fixture.port());
+  RawCaller late(fixture.port());
   fixture.pause(1.5);
-  stopped(fixture, 0.8, [&] { late.say(check(1)); });
-  std::printf("asked as its time for asking ended, answered: %d\n", late.answers(1));
+  while_stopped(fixture, 0.8, [&] { late.send(health_check(1)); });
+  std::printf("request as its timeout expires, answered: %d\n", late.read_answers(1));
   fixture.print_counters({"callers.silent"});
 }
 
-// One that was asked for no more and stays asks in the instant in which it would be closed.
-void resting() {
+// A connection that stays open after a drain notice sends a request just as it would be closed: the request
+// is answered.
+void drained_connection() {
   ServerFixture fixture(R"(,"caller-idle":3000)");
   fixture.complete_startup();
-  Raw caller(fixture.port());
-  for (int i = 1; i <= 40; ++i) {  // callers that do not come back: idle connections are closed early
-    caller.say(framed(R"({"jsonrpc":"2.0","id":)" + std::to_string(i) +
-                      R"(,"method":"push","params":{"txn":"00000000000000)" + std::to_string(10 + i) +
-                      R"(","lb":)" + std::to_string(i) + R"(,"ram":1999}})"));
-    caller.answers(i);
+  RawCaller caller(fixture.port());
+  for (int i = 1; i <= 40; ++i) {  // callers do not return, so idle connections are closed early
+    caller.send(framed(R"({"jsonrpc":"2.0","id":)" + std::to_string(i) +
+                       R"(,"method":"push","params":{"txn":"00000000000000)" + std::to_string(10 + i) +
+                       R"(","lb":)" + std::to_string(i) + R"(,"ram":1999}})"));
+    caller.read_answers(i);
   }
-  for (int i = 0; i < 100 && !caller.heard("noMore"); ++i) caller.answers(1000, 0.1);
-  std::printf("it is asked for no more: %s\n", caller.heard("noMore") ? "yes" : "no");
-  stopped(fixture, 5.3, [&] { caller.say(check(100)); });
-  caller.answers(41);
-  const bool answered = caller.heard("\"id\":100,");
-  const char* end = caller.end(20);
-  std::printf("asked as it would be closed, answered: %s; then it ends: %s\n", answered ? "yes" : "no", end);
+  for (int i = 0; i < 100 && !caller.has_received("noMore"); ++i) caller.read_answers(1000, 0.1);
+  std::printf("drain notice received: %s\n", caller.has_received("noMore") ? "yes" : "no");
+  while_stopped(fixture, 5.3, [&] { caller.send(health_check(100)); });
+  caller.read_answers(41);
+  const bool answered = caller.has_received("\"id\":100,");
+  const char* end = caller.read_end(20);
+  std::printf("request as it would be closed, answered: %s; close: %s\n", answered ? "yes" : "no", end);
 }
 
-// Noise after a request: the request is answered, the last words come, and the noise that nobody reads turns
-// neither into a reset.
-void refused() {
+// An invalid frame and more input after a request: the request is answered, the error is received, and the
+// input that the program does not read causes no reset.
+void invalid_frame() {
   ServerFixture fixture;
   fixture.complete_startup();
-  Raw caller(fixture.port());
+  RawCaller caller(fixture.port());
   fixture.send_request(caller.fd(), 1);
   fixture.print_runtime_lines(2);
-  caller.say("Content-Length: 99999\r\n\r\n");
+  caller.send("Content-Length: 99999\r\n\r\n");
   fixture.pause(0.1);
-  caller.say(std::string(100'000, 'x'));
+  caller.send(std::string(100'000, 'x'));
   fixture.pause(0.1);
   fixture.send_from_runtime("end 1 0000000000000001 complete 20 6\r\nresult");
-  const char* end = caller.end();
-  std::printf("last words: %s, the result: %s, the end: %s\n", caller.heard("broken frame") ? "yes" : "no",
-              caller.heard("cmVzdWx0") ? "yes" : "no", end);
-  // Who never closes its side costs no descriptor for long, and who floods is not read for long.
+  const char* end = caller.read_end();
+  std::printf("error received: %s, result received: %s, close: %s\n",
+              caller.has_received("broken frame") ? "yes" : "no",
+              caller.has_received("cmVzdWx0") ? "yes" : "no", end);
+  // A peer that never closes its side holds no descriptor for long, and one that goes on sending is not read
+  // for long.
   fixture.pause(1);
-  const std::size_t before = descriptors_of(fixture);
-  std::vector<Raw> held;
+  const std::size_t before = open_descriptors(fixture);
+  std::vector<RawCaller> peers;
   for (int i = 0; i < 16; ++i) {
-    held.emplace_back(fixture.port());
-    held.back().say("Content-Length: 99999\r\n\r\n");
+    peers.emplace_back(fixture.port());
+    peers.back().send("Content-Length: 99999\r\n\r\n");
   }
   fixture.pause(1.5);
-  std::printf("sixteen that never close their side; descriptors more than before: %d\n",
-              static_cast<int>(descriptors_of(fixture)) - static_cast<int>(before));
-  Raw flood(fixture.port());
-  flood.say("Content-Length: 99999\r\n\r\n");
-  const std::string noise(65536, 'y');
-  std::size_t wrote = 0;
-  bool over = false;
-  for (const auto until = Clock::now() + std::chrono::seconds(3); !over && Clock::now() < until;) {
-    const std::size_t some = flood.say(noise);
-    wrote += some;
-    over = some == 0 && errno != EAGAIN;
+  std::printf("sixteen peers that never close their side, additional descriptors: %d\n",
+              static_cast<int>(open_descriptors(fixture)) - static_cast<int>(before));
+  RawCaller flood(fixture.port());
+  flood.send("Content-Length: 99999\r\n\r\n");
+  const std::string flood_bytes(65536, 'y');
+  std::size_t sent = 0;
+  bool is_disconnected = false;
+  for (const auto until = Clock::now() + std::chrono::seconds(3); !is_disconnected && Clock::now() < until;) {
+    const std::size_t accepted = flood.send(flood_bytes);
+    sent += accepted;
+    is_disconnected = accepted == 0 && errno != EAGAIN;
   }
-  std::printf("one that floods after its end is cut off: %s\n", over && wrote < (64U << 20) ? "yes" : "no");
+  std::printf("a peer that floods after an invalid frame is disconnected: %s\n",
+              is_disconnected && sent < (64U << 20) ? "yes" : "no");
 }
 
-// Requests by the hundred lie unread as the process would end; more than one look at the socket reads.
-void last_look() {
-  for (const bool up : {false, true}) {
-    std::printf("-- the runtime is %s\n", up ? "up" : "not up");
+// Hundreds of requests, more than one read of the socket returns, are unread when the process would end: all
+// are answered.
+void unread_at_exit() {
+  for (const bool is_up : {false, true}) {
+    std::printf("-- the runtime is %s\n", is_up ? "up" : "not up");
     ServerFixture fixture;
-    if (up) fixture.complete_startup();
-    Raw caller(fixture.port());
-    caller.say(check(1));
-    caller.answers(1);
+    if (is_up) fixture.complete_startup();
+    RawCaller caller(fixture.port());
+    caller.send(health_check(1));
+    caller.read_answers(1);
     fixture.signal(SIGTERM);
-    for (int i = 0; i < 100 && !caller.heard("noMore"); ++i) caller.answers(1000, 0.1);
+    for (int i = 0; i < 100 && !caller.has_received("noMore"); ++i) caller.read_answers(1000, 0.1);
     fixture.pause(1);
-    std::string all;
-    constexpr int kMany = 400;
-    for (int i = 2; i <= kMany; ++i) all += up ? request(i) : check(i);
-    stopped(fixture, 1.2, [&] { caller.say(all); });
-    const char* end = caller.end();
-    const int answered = caller.answers(kMany);
-    std::printf("requests: %d, answered: %d, the end: %s\n", kMany, answered, end);
-    std::printf("of those that came too late to run, nacked: %s\n",
-                up ? (caller.heard("-32001") && !caller.heard("-32000") ? "all" : "not all") : "none came");
+    std::string requests;
+    constexpr int kRequests = 400;
+    for (int i = 2; i <= kRequests; ++i) requests += is_up ? request(i) : health_check(i);
+    while_stopped(fixture, 1.2, [&] { caller.send(requests); });
+    const char* end = caller.read_end();
+    const int answered = caller.read_answers(kRequests);
+    std::printf("requests: %d, answered: %d, close: %s\n", kRequests, answered, end);
+    std::printf("requests after the grace, nacked: %s\n",
+                is_up ? (caller.has_received("-32001") && !caller.has_received("-32000") ? "all" : "not all")
+                      : "none sent");
     fixture.print_exit_status();
   }
 }
 
-// SIGTERM again, SIGHUP in a drain, and SIGTERM with the runtime's link down: one drain, what is open
-// answered.
+// A second SIGTERM, SIGHUP during the drain, and SIGTERM while the runtime's link is down: there is one
+// drain, and requests in flight are answered.
 void signals() {
   ServerFixture fixture;
   fixture.complete_startup();
-  Raw caller(fixture.port());
+  RawCaller caller(fixture.port());
   fixture.send_request(caller.fd(), 1);
   fixture.print_runtime_lines(2);
   fixture.signal(SIGTERM);
@@ -356,89 +372,92 @@
   fixture.signal(SIGTERM);
   fixture.reload();
   fixture.await_registry_report("HERE n1 off");
-  fixture.complete_runtime_handshake("hot 900");  // on the new link, in the drain
+  fixture.complete_runtime_handshake("hot 900");  // on the new link, during the drain
   fixture.send_from_runtime("end 1 0000000000000001 complete 20 6\r\nresult");
-  const int answers = caller.answers(1);
-  std::printf("answered: %d, the result: %s\n", answers, caller.heard("cmVzdWx0") ? "yes" : "no");
+  const int answers = caller.read_answers(1);
+  std::printf("answered: %d, result received: %s\n", answers, caller.has_received("cmVzdWx0") ? "yes" : "no");
   caller.disconnect();
   fixture.print_exit_status();
   ServerFixture broken;
   broken.complete_startup();
-  Raw other(broken.port());
+  RawCaller other(broken.port());
   broken.send_request(other.fd(), 1, "push", R"("ram":10,"limit":900)");
   broken.print_runtime_lines(2);
   broken.break_runtime_link();
   broken.signal(SIGTERM);
-  std::printf("without a runtime, answered by its due time: %d\n", other.answers(1, 1.2));
+  std::printf("without a runtime, answered by its deadline: %d\n", other.read_answers(1, 1.2));
   other.disconnect();
   broken.print_exit_status();
-  // Two seconds from the first notice, not from the second.
+  // The two seconds until the stop count from the first notice, not from the second.
   ServerFixture twice;
   twice.complete_startup();
-  Raw rests(twice.port());
-  rests.say(check(1));
-  rests.answers(1);
-  const auto begin = Clock::now();
+  RawCaller idle(twice.port());
+  idle.send(health_check(1));
+  idle.read_answers(1);
+  const auto started_at = Clock::now();
   twice.signal(SIGTERM);
   twice.pause(1.5);
   twice.signal(SIGTERM);
   twice.print_exit_status();
-  std::printf("in the time of the first notice: %s\n",
-              Clock::now() - begin < std::chrono::milliseconds(3000) ? "yes" : "no");
+  std::printf("ended within the time of the first notice: %s\n",
+              Clock::now() - started_at < std::chrono::milliseconds(3000) ? "yes" : "no");
 }
 
-// A thousand connections that end in every way leave no descriptor and no memory behind.
-void thousand() {
+// More than a thousand connections that end in all ways leak no descriptor and no memory.
+void thousand_connections() {
   ::setenv("ASAN_OPTIONS", "quarantine_size_mb=1", 1);
   ServerFixture fixture("", kFewDescriptors);
   fixture.complete_startup();
-  const auto resident = [&] {
+  const auto resident_kib = [&] {
     std::ifstream file("/proc/" + std::to_string(fixture.pid()) + "/statm");
     long size = 0, pages = 0;
     file >> size >> pages;
-    return pages * 4;  // KiB
+    return pages * 4;
   };
-  const auto cross = [&](int rounds) {
+  const auto open_and_end = [&](int rounds) {
     for (int i = 0; i < rounds; ++i) {
-      Raw one(fixture.port()), two(fixture.port()), three(fixture.port()), four(fixture.port()),
-          five(fixture.port());
-      one.say(check(1));
-      two.say(check(1) + "Content-Length: 99999\r\n\r\n" + std::string(3000, 'x'));
-      three.say(check(1) + "Content-Length: 50\r\n\r\nhalf");
-      four.say(request(i));
-      if (i % 2 == 0) two.resets();
-      three.resets();
-      five.disconnect();
-      four.answers(1, 0.2);
-      one.answers(1);
+      RawCaller checked(fixture.port()), invalid(fixture.port()), incomplete(fixture.port()),
+          requesting(fixture.port()), silent(fixture.port());
+      checked.send(health_check(1));
+      invalid.send(health_check(1) + "Content-Length: 99999\r\n\r\n" + std::string(3000, 'x'));
+      incomplete.send(health_check(1) + "Content-Length: 50\r\n\r\nhalf");
+      requesting.send(request(i));
+      if (i % 2 == 0) invalid.reset();
+      incomplete.reset();
+      silent.disconnect();
+      requesting.read_answers(1, 0.2);
+      checked.read_answers(1);
       if (i % 16 == 0) fixture.pause(0.01);
     }
-    fixture.pause(3.5);  // what was half said has had its time, what ran without an end is due
+    // Until incomplete requests have timed out and requests in flight have reached their deadline.
+    fixture.pause(3.5);
   };
-  const std::size_t before = descriptors_of(fixture);
-  cross(100);
-  const long kib = resident();
-  cross(200);
-  std::printf("descriptors more than before: %d\n",
-              static_cast<int>(descriptors_of(fixture)) - static_cast<int>(before));
-  const long grown = resident() - kib;
-  std::printf("memory grew by under 4 MiB: %s\n", grown < 4096 ? "yes" : std::to_string(grown).c_str());
+  const std::size_t before = open_descriptors(fixture);
+  open_and_end(100);
+  const long before_kib = resident_kib();
+  open_and_end(200);
+  std::printf("additional descriptors: %d\n",
+              static_cast<int>(open_descriptors(fixture)) - static_cast<int>(before));
+  const long grown_kib = resident_kib() - before_kib;
+  std::printf("memory grew by under 4 MiB: %s\n",
+              grown_kib < 4096 ? "yes" : std::to_string(grown_kib).c_str());
   fixture.print_counters({});
 }
 
-// Idle clients fill the table while nobody tells who is there; then the runtime and the layer below begin
-// anew. Callers are served, health is answered, our own links come back, nothing spins.
-void idle_fill() {
+// Idle clients use all connections while the registry is closed; then the links to the runtime and the
+// dependency end. Callers are served, health checks are answered, the program reconnects its own links, and
+// its event loop does not spin.
+void idle_flood() {
   ServerFixture fixture("", kFewDescriptors);
   fixture.complete_startup();
-  const rlimit few{64, 64};  // as it is told: our own links are made again from what it keeps for itself
+  const rlimit few{64, 64};  // as configured: the program keeps descriptors for its own links
   ::prlimit(fixture.pid(), RLIMIT_NOFILE, &few, nullptr);
   fixture.close_registry();
-  std::vector<Raw> idle;
-  for (int i = 0; i < 3 * kTable; ++i) idle.emplace_back(fixture.port());
+  std::vector<RawCaller> idle;
+  for (int i = 0; i < 3 * kMaxConnections; ++i) idle.emplace_back(fixture.port());
   fixture.pause(0.3);
   int caller = fixture.connect();
-  fixture.send(caller, replaced(kCheck, "ID", "1"));
+  fixture.send(caller, replaced(kHealthCheck, "ID", "1"));
   fixture.print_caller_message(caller);
   const auto serve = [&](int id, int notice) {
     const std::string txn = "000000000000000" + std::to_string(id);
@@ -452,20 +471,20 @@
     fixture.print_caller_message(caller);
   };
   serve(2, 1);
-  for (int i = 0; i < 3 * kTable; ++i) idle.emplace_back(fixture.port());
+  for (int i = 0; i < 3 * kMaxConnections; ++i) idle.emplace_back(fixture.port());
   fixture.break_runtime_link();
   fixture.print_whether_dependency_connection_closes();
   fixture.complete_runtime_handshake("hot 900");
   const double used = fixture.processor_seconds();
   fixture.pause(1);
-  std::printf("processor time in a second of it: %s\n",
+  std::printf("processor time in a second of this: %s\n",
               fixture.processor_seconds() - used < 0.3 ? "little" : "much");
   caller = fixture.connect();
   serve(3, 3);
   fixture.print_counters({"requests.succeeded", "runtime.links"});
 }
 
-bool holds_back(pid_t pid, int signal) {
+bool blocks_signal(pid_t pid, int signal) {
   std::ifstream status("/proc/" + std::to_string(pid) + "/status");
   for (std::string line; std::getline(status, line);) {
     if (line.rfind("SigBlk:", 0) == 0)
@@ -474,16 +493,17 @@
   return false;
 }
 
-// A configuration whose reader waits until it is told: signals can be looked at and sent in between.
-class HeldConfiguration {
+// Replaces a configuration file by a named pipe, so that the program waits in reading it until release().
+// Meanwhile the test checks which signals the program blocks, and sends one.
+class DelayedConfiguration {
  public:
-  explicit HeldConfiguration(std::string path) : path_(std::move(path)) {
+  explicit DelayedConfiguration(std::string path) : path_(std::move(path)) {
     std::ifstream in(path_);
     text_ = {std::istreambuf_iterator<char>(in), {}};
     ::unlink(path_.c_str());
     if (::mkfifo(path_.c_str(), 0600) != 0) throw std::runtime_error("cannot make a pipe");
   }
-  // Whoever reads the path later finds a file.
+  // Later readers of the path find a file again.
   void release() {
     std::ofstream waiting_reader(path_);
     ::unlink(path_.c_str());
@@ -496,9 +516,9 @@
   std::string text_;
 };
 
-// Guards against a process that dies of a signal (status -1, -10, -15) in place of status 0: one that comes
-// before the handlers are there or once they are gone, as the soak of endings found it.
-void signals_held() {
+// Guards against a process that a signal kills (status -1, -10, -15) instead of status 0, because the signal
+// arrives before the handlers are installed or after they are removed; the soak test of endings found this.
+void signals_blocked() {
   for (const char* command : {"serve", "plan", "forward"}) {
     SiteSpec spec;
     spec.types = {{"read", "retryable", 1, 2, 0, 1}};
@@ -508,20 +528,20 @@
     Journal journal;
     Callers callers(loop, journal, {});
     Server server(loop, journal, callers, binary, spec, {});
-    HeldConfiguration configuration(server.folder() + "/config.json");
-    bool held = false;
+    DelayedConfiguration configuration(server.folder() + "/config.json");
+    bool is_blocked = false;
     server.on_spawned = [&](pid_t pid) {
-      for (int i = 0; i < 2000 && !held; ++i) {
-        held = holds_back(pid, SIGHUP);
-        if (!held) ::usleep(1000);
+      for (int i = 0; i < 2000 && !is_blocked; ++i) {
+        is_blocked = blocks_signal(pid, SIGHUP);
+        if (!is_blocked) ::usleep(1000);
       }
-      if (held) ::kill(pid, SIGHUP);
+      if (is_blocked) ::kill(pid, SIGHUP);
       configuration.release();
     };
     std::printf("-- %s\n", command);
-    say("it starts", server.start());
-    say("signals are held back until it can act on them", held);
-    say("the one that came is carried out", !server.process->expect_log("new configuration", 3).empty());
+    say("starts", server.start());
+    say("signals are blocked until the program can handle them", is_blocked);
+    say("a signal that was blocked is handled", !server.process->expect_log("new configuration", 3).empty());
     server.notice();
     const double until = now() + 5;
     while (!server.process->over() && now() < until) {
@@ -538,17 +558,17 @@
   return run_scenario(argc, argv, binary,
                       {{"evicted", evicted},
                        {"evicted_ajp", evicted_ajp},
-                       {"halves", halves},
-                       {"shed", shed},
-                       {"shed_ajp", shed_ajp},
-                       {"turned_away", turned_away},
-                       {"silent", silent},
-                       {"resting", resting},
-                       {"refused", refused},
-                       {"last_look", last_look},
-                       {"exit_waits", exit_waits},
+                       {"incomplete_requests", incomplete_requests},
+                       {"evicted_by_client", evicted_by_client},
+                       {"evicted_by_client_ajp", evicted_by_client_ajp},
+                       {"rejected_connections", rejected_connections},
+                       {"silent_connection", silent_connection},
+                       {"drained_connection", drained_connection},
+                       {"invalid_frame", invalid_frame},
+                       {"unread_at_exit", unread_at_exit},
+                       {"exit_awaits_peer", exit_awaits_peer},
                        {"signals", signals},
-                       {"signals_held", signals_held},
-                       {"thousand", thousand},
-                       {"idle_fill", idle_fill}});
+                       {"signals_blocked", signals_blocked},
+                       {"thousand_connections", thousand_connections},
+                       {"idle_flood", idle_flood}});
 }
