--- a/tests/catalog/program.cpp
+++ b/tests/catalog/program.cpp
@@ -21,7 +21,7 @@
   return text;
 }
 
-// A site with a catalog folder that the test writes to.
+// A fixture with a catalog folder that the test writes to.
 struct CatalogFixture : ServerFixture {
   CatalogFixture() : ServerFixture("", "", {"", kOperatorFile}) {}
 
--- a/tests/runtime/link_crossings.h
+++ b/tests/runtime/link_crossings.h
@@ -38,7 +38,7 @@
 inline constexpr const char* kDedup = "dedup";
 inline constexpr const char* kFragile = "fragile";
 
-// The routes of a site, both with this idempotency: "push" may continue without its call, "pull" may not.
+// The routes of a fixture, both with this idempotency: "push" may continue without its call, "pull" may not.
 // Results are remembered where requests have keys.
 ServerFixture::Configuration routes(const std::string& idempotency);
 
@@ -46,7 +46,7 @@
 // all have the key "a".
 std::string with_limit(int ms, const std::string& idempotency);
 
-// The same for a request of 900 KB, of which the memory of the site admits only one at a time; with a key
+// The same for a request of 900 KB, of which the memory of the server admits only one at a time; with a key
 // where one is given.
 std::string large_request(int ms, const std::string& key);
 
