--- a/bench/scale_backend.cpp
+++ b/bench/scale_backend.cpp
@@ -112,8 +112,9 @@
   fleet.loop.run_for(2);
   std::map<std::uint64_t, double> written;  // number of a change, until it is in force
   fleet.process->on_line = [&](const std::string& line) {
-    const std::size_t at = line.find("in force ");
-    if (line.find("catalog: version 1.") == std::string::npos || at == std::string::npos) return;
+    if (line.find("catalog: version 1.") == std::string::npos ||
+        line.find("after the reload request") == std::string::npos)
+      return;
     const std::uint64_t sequence = std::strtoull(line.c_str() + line.find("version 1.") + 10, nullptr, 10);
     while (!written.empty() && written.begin()->first <= sequence) {
       out.in_force.push_back(now() - written.begin()->second);
--- a/standins/rehearsal_verdict.cpp
+++ b/standins/rehearsal_verdict.cpp
@@ -105,12 +105,12 @@
 
 // ---- What members say of one another.
 
-// `2026... info members: a member's state member=p1 state=dead why=...`
+// `1764700000.250 info members: member state changed member=p1 state=dead reason=...`
 void Rehearsal::look_at_line(const std::string& by, const std::string& line) {
-  if (line.find("a member's state") == std::string::npos || line.find("state=dead") == std::string::npos)
+  if (line.find("member state changed") == std::string::npos || line.find("state=dead") == std::string::npos)
     return;
-  if (line.find("why=heard of") != std::string::npos || line.find("why=\"heard of") != std::string::npos)
-    return;  // a newcomer's first news
+  if (line.find("reason=discovered") != std::string::npos)
+    return;  // a process that has just started learns of a death that others have declared
   const std::size_t at = line.find("member=");
   const std::string of = line.substr(at + 7, line.find(' ', at) - at - 7);
   for (const auto& one : members_) {
