--- a/standins/decision_load.cpp
+++ b/standins/decision_load.cpp
@@ -18,9 +18,9 @@
 };
 
 // Runs what it is told to run, for a fixed time, and forgets the rest.
-class InstantSink : public SilentSink {
+class FixedTimeSink : public SilentSink {
  public:
-  explicit InstantSink(double run_time) : run_time_(run_time) {}
+  explicit FixedTimeSink(double run_time) : run_time_(run_time) {}
 
   void start(RequestId id) override {
     runs.push({now + run_time_, id});
@@ -38,22 +38,22 @@
   const double run_time_;
 };
 
-void catch_up(AdmissionController& controller, InstantSink& host, double until) {
+void advance_to(AdmissionController& controller, FixedTimeSink& sink, double until) {
   Gauges gauges;
   gauges.cpu_busy = 0.7;
   for (;;) {
-    const double wake = host.wake_time >= 0 ? host.wake_time : until + 1;
-    const double run_end = host.runs.empty() ? until + 1 : host.runs.top().at;
+    const double wake = sink.wake_time >= 0 ? sink.wake_time : until + 1;
+    const double run_end = sink.runs.empty() ? until + 1 : sink.runs.top().at;
     const double next = std::min(wake, run_end);
     if (next > until) return;
-    host.now = std::max(host.now, next);
+    sink.now = std::max(sink.now, next);
     if (run_end <= wake) {
-      const RequestId id = host.runs.top().id;
-      host.runs.pop();
-      controller.on_run_finished(host.now, id, Outcome::kOk, 0);
+      const RequestId id = sink.runs.top().id;
+      sink.runs.pop();
+      controller.on_run_finished(sink.now, id, Outcome::kOk, 0);
     } else {
-      host.wake_time = -1;
-      controller.on_timer(host.now, host.wake_token, gauges);
+      sink.wake_time = -1;
+      controller.on_timer(sink.now, sink.wake_token, gauges);
     }
   }
 }
@@ -67,17 +67,19 @@
 }
 
 DecisionLoadResult play_decisions(const AdmissionOptions& settings, const DecisionLoadOptions& options) {
-  InstantSink host(options.run_time);
-  AdmissionController controller(settings, options.seed, host, 0, {}, options.directory);
+  FixedTimeSink sink(options.run_time);
+  AdmissionController controller(settings, options.seed, sink, 0, {}, options.directory);
   pcg32 random(options.seed);
-  const RouteDirectory* told = options.directory;
-  const auto routes = static_cast<std::uint32_t>(told ? told->route_count() : settings.routes.size());
-  const auto tenants = static_cast<std::uint32_t>(told ? told->tenant_count() : settings.tenants.size());
-  const double begin = thread_processor_time();
+  const RouteDirectory* directory = options.directory;
+  const auto routes =
+      static_cast<std::uint32_t>(directory ? directory->route_count() : settings.routes.size());
+  const auto tenants =
+      static_cast<std::uint32_t>(directory ? directory->tenant_count() : settings.tenants.size());
+  const double began = thread_processor_time();
   for (std::uint64_t i = 1; i <= options.requests; ++i) {
     const double at = static_cast<double>(i) / options.per_second;
-    catch_up(controller, host, at);
-    host.now = at;
+    advance_to(controller, sink, at);
+    sink.now = at;
     Request request;
     request.id = i;
     request.route = static_cast<int>(random(routes));
@@ -86,10 +88,10 @@
     request.caller = random(1000);
     const double before = thread_processor_time();
     controller.on_request(at, request);
-    host.result.longest_seconds = std::max(host.result.longest_seconds, thread_processor_time() - before);
+    sink.result.longest_seconds = std::max(sink.result.longest_seconds, thread_processor_time() - before);
   }
-  host.result.processor_seconds = thread_processor_time() - begin;
-  return host.result;
+  sink.result.processor_seconds = thread_processor_time() - began;
+  return sink.result;
 }
 
 }  // namespace damsonspoke::standins
--- a/standins/demo.cpp
+++ b/standins/demo.cpp
@@ -12,9 +12,9 @@
 
 namespace {
 
-struct Row {
-  int wanted = 0, served = 0, in_time = 0, rejected = 0, failed = 0;
-  std::vector<double> waits;
+struct RouteStats {
+  int attempts = 0, succeeded = 0, in_time = 0, rejected = 0, failed = 0;
+  std::vector<double> latencies;
 };
 
 double quantile(std::vector<double>& values, double share) {
@@ -44,10 +44,10 @@
   close.copies = 2;
   close.retries = 2;
   load.flows = {read, push, close};
-  Runtime::Options work;
-  work.cores = 2;
-  work.work = 0.012;
-  Fleet fleet(argv[1], site, work, load);
+  Runtime::Options runtime;
+  runtime.cores = 2;
+  runtime.work = 0.012;
+  Fleet fleet(argv[1], site, runtime, load);
   fmt::print(
       "A relay with 2 cores; 190 ops wanted a second of 12 ms each, 1.14 times what the cores can do;\n"
       "every close is sent twice. {:.0f} s of it, then the notice to leave.\n\n",
@@ -58,43 +58,43 @@
   }
   fleet.loop.run_for(seconds);
   const auto counters = fleet.process->counters();
-  const long resident = fleet.process->resident_kb();
+  const long resident_kb = fleet.process->resident_kb();
   fleet.settle(3);
-  const bool left = fleet.leave();
-  std::map<std::string, Row> rows;
-  std::map<std::string, std::map<std::string, bool>> keys;
-  for (const auto& [request, t] : fleet.journal.attempts) {
-    Row& row = rows[t.type];
-    ++row.wanted;
-    for (const Answer& a : t.answers) {
-      row.served += a.kind == AnswerKind::kSucceeded;
-      row.rejected += a.kind == AnswerKind::kRejected;
-      row.failed += a.kind != AnswerKind::kSucceeded && a.kind != AnswerKind::kRejected;
-      if (a.kind != AnswerKind::kSucceeded) continue;
-      row.waits.push_back(a.at - t.sent);
-      row.in_time += a.at - t.sent <= 0.5;
-      keys[t.type][t.key] = true;
+  const bool has_shut_down = fleet.leave();
+  std::map<std::string, RouteStats> stats_by_route;
+  std::map<std::string, std::map<std::string, bool>> succeeded_keys;
+  for (const auto& [request, attempt] : fleet.journal.attempts) {
+    RouteStats& stats = stats_by_route[attempt.type];
+    ++stats.attempts;
+    for (const Answer& answer : attempt.answers) {
+      stats.succeeded += answer.kind == AnswerKind::kSucceeded;
+      stats.rejected += answer.kind == AnswerKind::kRejected;
+      stats.failed += answer.kind != AnswerKind::kSucceeded && answer.kind != AnswerKind::kRejected;
+      if (answer.kind != AnswerKind::kSucceeded) continue;
+      stats.latencies.push_back(answer.at - attempt.sent);
+      stats.in_time += answer.at - attempt.sent <= 0.5;
+      succeeded_keys[attempt.type][attempt.key] = true;
     }
   }
   std::map<std::string, int> runs;
   for (const RunSeen& run : fleet.journal.runs) ++runs[run.type];
   fmt::print("{:<8}{:>8}{:>8}{:>9}{:>8}{:>8}{:>8}{:>10}{:>10}\n", "op type", "tries", "acked", "in time",
              "nacked", "failed", "runs", "p50 ms", "p99 ms");
-  for (auto& [type, row] : rows) {
-    fmt::print("{:<8}{:>8}{:>8}{:>9}{:>8}{:>8}{:>8}{:>10.1f}{:>10.1f}\n", type, row.wanted, row.served,
-               row.in_time, row.rejected, row.failed, runs[type], quantile(row.waits, 0.5) * 1000,
-               quantile(row.waits, 0.99) * 1000);
+  for (auto& [type, stats] : stats_by_route) {
+    fmt::print("{:<8}{:>8}{:>8}{:>9}{:>8}{:>8}{:>8}{:>10.1f}{:>10.1f}\n", type, stats.attempts,
+               stats.succeeded, stats.in_time, stats.rejected, stats.failed, runs[type],
+               quantile(stats.latencies, 0.5) * 1000, quantile(stats.latencies, 0.99) * 1000);
   }
   const auto count = [&](const char* name) {
     const auto found = counters.find(name);
     return found == counters.end() ? 0 : found->second;
   };
-  fmt::print("\nkeys acked {}, their runs {}; repeats joined {}; {} KB resident\n", keys["close"].size(),
-             runs["close"], count("results.coalesced"), resident);
+  fmt::print("\nkeys acked {}, their runs {}; repeats joined {}; {} KB resident\n",
+             succeeded_keys["close"].size(), runs["close"], count("results.coalesced"), resident_kb);
   const Verdict verdict = check_rules(fleet.journal, fleet.limits());
   for (const std::string& line : verdict.broken) fmt::print("{}\n", line);
-  const bool good = verdict.kept() && left && !fleet.journal.runs.empty();
+  const bool has_passed = verdict.kept() && has_shut_down && !fleet.journal.runs.empty();
   fmt::print("the four rules: {}; left in order: {}\n", verdict.kept() ? "kept" : "BROKEN",
-             left ? "yes" : "no");
-  return good ? 0 : 1;
+             has_shut_down ? "yes" : "no");
+  return has_passed ? 0 : 1;
 }
--- a/standins/gate_flood.h
+++ b/standins/gate_flood.h
@@ -33,109 +33,113 @@
 
 class GateFlood {
  public:
-  explicit GateFlood(std::uint64_t seed, bool tell) : random_(seed), tell_(tell) {
-    total_ = 40 + random_() % 200;
+  explicit GateFlood(std::uint64_t seed, bool prints_trace) : random_(seed), prints_trace_(prints_trace) {
+    max_connections_ = 40 + random_() % 200;
     ConnectionLimiterOptions options;
     options.clients = 64 + random_() % 128;  // far fewer than addresses
-    options.reserve = 0.15 + chance() * 0.35;
-    quota_ = std::make_unique<ConnectionQuota>(total_, std::vector<double>{1});
+    options.reserve = 0.15 + random_unit() * 0.35;
+    quota_ = std::make_unique<ConnectionQuota>(max_connections_, std::vector<double>{1});
     known_ = std::make_unique<KnownClients>(KnownClientsOptions{7 * 86400, 5, 256});
     limiter_ = std::make_unique<ConnectionLimiter>(options, *quota_, *known_);
-    reserve_ = total_ - limiter_->max_unknown();
-    known_clients_ = 1 + random_() % 12;
-    for (unsigned n = 0; n < known_clients_; ++n)
+    reserved_connections_ = max_connections_ - limiter_->max_unknown();
+    known_client_count_ = 1 + random_() % 12;
+    for (unsigned n = 0; n < known_client_count_; ++n)
       for (int i = 0; i < 10; ++i) known_->record_success(client_of(known_address(n)), kUnix);
-    flood_addresses_ = random_() % 3 == 0 ? 1 : 1 + static_cast<unsigned>(random_() % 20000);
+    flood_address_count_ = random_() % 3 == 0 ? 1 : 1 + static_cast<unsigned>(random_() % 20000);
     is_spread_ = random_() % 2 == 0;
-    flood_per_second_ = 20 + chance() * 3000;
+    flood_per_second_ = 20 + random_unit() * 3000;
     shape_ = static_cast<int>(random_() % 5);
   }
 
   // Empty: nothing broke.
   std::string play() {
-    double next_flood = 0, next_known = 0.05, next_honest = 0.1, next_look = 0.25;
-    while (now_ < 7 && broken_.empty()) {
+    double next_flood = 0, next_known = 0.05, next_unknown = 0.1, next_check = 0.25;
+    while (now_ < 7 && violation_.empty()) {
       const double next = std::min(
-          {next_flood, next_known, next_honest, next_look, ends_.empty() ? 99 : ends_.begin()->first});
+          {next_flood, next_known, next_unknown, next_check, timers_.empty() ? 99 : timers_.begin()->first});
       now_ = next;
-      if (!ends_.empty() && ends_.begin()->first <= next) {
-        const auto [at, what] = *ends_.begin();
-        ends_.erase(ends_.begin());
-        what();
+      if (!timers_.empty() && timers_.begin()->first <= next) {
+        const auto [time, action] = *timers_.begin();
+        timers_.erase(timers_.begin());
+        action();
       } else if (next == next_flood) {
-        attack();
-        next_flood += -std::log(1 - chance()) / flood_per_second_;
-        if (next_flood > kFloodEnds) next_flood = 99;
+        flood_client_connects();
+        next_flood += -std::log(1 - random_unit()) / flood_per_second_;
+        if (next_flood > kFloodEndSeconds) next_flood = 99;
       } else if (next == next_known) {
         known_client_connects();
-        next_known += 0.02 + chance() * 0.05;
-      } else if (next == next_honest) {
+        next_known += 0.02 + random_unit() * 0.05;
+      } else if (next == next_unknown) {
         unknown_client_connects();
-        next_honest += 0.05 + chance() * 0.1;
+        next_unknown += 0.05 + random_unit() * 0.1;
       } else {
-        next_look += 0.25;
+        next_check += 0.25;
       }
       check();
     }
-    if (!broken_.empty()) return broken_;
+    if (!violation_.empty()) return violation_;
     // Who is nobody fares no worse than the flood does, and once it has ended he gets in.
-    const double share = static_cast<double>(flood_in) / flood_asked, expected = share * honest_asked;
-    if (expected > 20 && honest_in < expected / 2) fail("strangers fare worse than the flood");
-    if (later_in < later_asked) fail("strangers stay locked out after the flood");
-    return broken_;
+    const double share = static_cast<double>(flood_in) / flood_asked,
+                 expected_admissions = share * honest_asked;
+    if (expected_admissions > 20 && honest_in < expected_admissions / 2)
+      record_violation("strangers fare worse than the flood");
+    if (late_unknown_admitted < late_unknown_attempted)
+      record_violation("strangers stay locked out after the flood");
+    return violation_;
   }
   int known_in = 0, known_asked = 0, honest_in = 0, honest_asked = 0, flood_in = 0, flood_asked = 0;
-  int later_in = 0, later_asked = 0;
+  int late_unknown_admitted = 0, late_unknown_attempted = 0;
 
  private:
-  static constexpr double kFloodEnds = 4;  // s
-  double chance() { return std::ldexp(static_cast<double>(random_() >> 11), -53); }
+  static constexpr double kFloodEndSeconds = 4;  // s
+  double random_unit() { return std::ldexp(static_cast<double>(random_() >> 11), -53); }
   Address known_address(unsigned n) { return v4(172, 16, 0, n + 1); }
-  void fail(const std::string& text) {
-    if (broken_.empty()) broken_ = text;
+  void record_violation(const std::string& text) {
+    if (violation_.empty()) violation_ = text;
   }
-  void at(double time, std::function<void()> what) { ends_.emplace(time, std::move(what)); }
-  void end(ConnectionId id) {
+  void schedule(double time, std::function<void()> action) { timers_.emplace(time, std::move(action)); }
+  void close(ConnectionId id) {
     limiter_->on_closed(id);
     open_.erase(id);
   }
-  ConnectionId arrive(const Address& from, bool is_known, bool& in) {
-    const ConnectionId id = ++last_;
-    const std::size_t before = limiter_->open_count();
-    const AdmissionResult a = limiter_->admit(id, 0, from, now_, kUnix + now_);
-    if (tell_)
+  ConnectionId connect(const Address& from, bool is_known, bool& is_admitted) {
+    const ConnectionId id = ++last_id_;
+    const std::size_t open_before = limiter_->open_count();
+    const AdmissionResult result = limiter_->admit(id, 0, from, now_, kUnix + now_);
+    if (prints_trace_)
       std::printf("%.4f %s %s%s\n", now_, text_of(client_of(from)).c_str(),
-                  a.is_admitted ? "in" : text_of(a.cause), a.evicts ? ", sheds" : "");
-    in = a.is_admitted;
-    if (a.evicts) {
-      const auto shed = open_.find(*a.evicts);
-      if (shed == open_.end()) return fail("shed what is not open"), 0;
-      if (shed->second.busy) fail("shed a connection that is busy");
-      if (shed->second.is_known && !is_known) fail("a stranger moved a known client");
-      end(*a.evicts);
+                  result.is_admitted ? "in" : text_of(result.cause), result.evicts ? ", sheds" : "");
+    is_admitted = result.is_admitted;
+    if (result.evicts) {
+      const auto evicted = open_.find(*result.evicts);
+      if (evicted == open_.end()) return record_violation("shed what is not open"), 0;
+      if (evicted->second.is_busy) record_violation("shed a connection that is busy");
+      if (evicted->second.is_known && !is_known) record_violation("a stranger moved a known client");
+      close(*result.evicts);
     }
-    if (a.is_admitted) open_[id] = {is_known, false};
-    if (!a.is_admitted && before != limiter_->open_count()) fail("a refusal changed what is open");
-    return a.is_admitted ? id : 0;
+    if (result.is_admitted) open_[id] = {is_known, false};
+    if (!result.is_admitted && open_before != limiter_->open_count())
+      record_violation("a refusal changed what is open");
+    return result.is_admitted ? id : 0;
   }
-  void attack() {
-    const auto n = static_cast<unsigned>(random_() % flood_addresses_);
+  void flood_client_connects() {
+    const auto n = static_cast<unsigned>(random_() % flood_address_count_);
     const Address from = is_spread_ ? v4(10, n % 256, n / 256, 1) : v4(10, 0, n / 256, n % 256);
-    bool in = false;
+    bool is_admitted = false;
     ++flood_asked;
-    const ConnectionId id = arrive(from, false, in);
-    if (!in) return;
+    const ConnectionId id = connect(from, false, is_admitted);
+    if (!is_admitted) return;
     ++flood_in;
     switch (shape_) {
       case 0: break;  // silent, for good
       case 1:         // connects and resets
-        at(now_ + 0.001, [this, id] {
-          if (open_.contains(id)) limiter_->penalize(id, Penalty::kReset, now_), end(id);
+        schedule(now_ + 0.001, [this, id] {
+          if (open_.contains(id)) limiter_->penalize(id, Penalty::kReset, now_), close(id);
         });
         break;
       case 2:  // half a request, dripped
-        at(now_ + 0.75, [this, id] {
-          if (open_.contains(id)) limiter_->penalize(id, Penalty::kIncompleteRequest, now_), end(id);
+        schedule(now_ + 0.75, [this, id] {
+          if (open_.contains(id)) limiter_->penalize(id, Penalty::kIncompleteRequest, now_), close(id);
         });
         break;
       case 3:  // asks something now and then, and stays
@@ -144,71 +148,71 @@
       default:  // holds requests open: it can't be shed
         limiter_->on_request_read(id, now_);
         limiter_->set_busy(id, true);
-        open_[id].busy = true;
-        at(now_ + 0.5 + chance(), [this, id] {
-          if (open_.contains(id)) limiter_->set_busy(id, false), open_[id].busy = false;
+        open_[id].is_busy = true;
+        schedule(now_ + 0.5 + random_unit(), [this, id] {
+          if (open_.contains(id)) limiter_->set_busy(id, false), open_[id].is_busy = false;
         });
     }
   }
   void known_client_connects() {
-    const unsigned n = static_cast<unsigned>(random_() % known_clients_);
+    const unsigned n = static_cast<unsigned>(random_() % known_client_count_);
     // As many as the reserve has room for, and as its own share allows.
-    if (known_open_ >= std::min<std::size_t>(reserve_, total_ / 2) ||
-        known_open_of_[n] >= std::max<std::size_t>(1, total_ / 2 - 1))
+    if (open_known_ >= std::min<std::size_t>(reserved_connections_, max_connections_ / 2) ||
+        open_by_known_client_[n] >= std::max<std::size_t>(1, max_connections_ / 2 - 1))
       return;
-    bool in = false;
+    bool is_admitted = false;
     ++known_asked;
-    const ConnectionId id = arrive(known_address(n), true, in);
-    if (!in) return fail("a known client was refused though its reserve is not used up");
-    ++known_in, ++known_open_, ++known_open_of_[n];
+    const ConnectionId id = connect(known_address(n), true, is_admitted);
+    if (!is_admitted) return record_violation("a known client was refused though its reserve is not used up");
+    ++known_in, ++open_known_, ++open_by_known_client_[n];
     limiter_->on_request_read(id, now_);
     limiter_->set_busy(id, true);
-    open_[id].busy = true;
-    at(now_ + 0.02 + chance() * 0.3, [this, id, n] {
-      --known_open_, --known_open_of_[n];
-      if (!open_.contains(id)) return fail("a known client's busy connection went");
+    open_[id].is_busy = true;
+    schedule(now_ + 0.02 + random_unit() * 0.3, [this, id, n] {
+      --open_known_, --open_by_known_client_[n];
+      if (!open_.contains(id)) return record_violation("a known client's busy connection went");
       limiter_->on_success(id, 1, now_, kUnix + now_);
-      end(id);
+      close(id);
     });
   }
   void unknown_client_connects() {
-    bool in = false;
-    const bool later = now_ > kFloodEnds + 2;  // all that it held open is over by then
-    ++(later ? later_asked : honest_asked);
+    bool is_admitted = false;
+    const bool is_after_flood = now_ > kFloodEndSeconds + 2;  // all that it held open is over by then
+    ++(is_after_flood ? late_unknown_attempted : honest_asked);
     const ConnectionId id =
-        arrive(v4(192, 168, static_cast<unsigned>(random_() % 4), static_cast<unsigned>(random_() % 200)),
-               false, in);
-    if (!in) return;
-    ++(later ? later_in : honest_in);
+        connect(v4(192, 168, static_cast<unsigned>(random_() % 4), static_cast<unsigned>(random_() % 200)),
+                false, is_admitted);
+    if (!is_admitted) return;
+    ++(is_after_flood ? late_unknown_admitted : honest_in);
     limiter_->on_request_read(id, now_);
-    at(now_ + 0.1, [this, id] {
-      if (open_.contains(id)) end(id);
+    schedule(now_ + 0.1, [this, id] {
+      if (open_.contains(id)) close(id);
     });
   }
   void check() {
-    if (limiter_->open_count() != open_.size()) fail("what the gate holds is not what is open");
-    if (limiter_->open_count() > total_) fail("more open than there are places");
-    if (limiter_->unknown_count() > limiter_->max_unknown()) fail("strangers beyond their share");
-    if (quota_->open_count(0) != limiter_->open_count()) fail("share and gate differ");
+    if (limiter_->open_count() != open_.size()) record_violation("what the gate holds is not what is open");
+    if (limiter_->open_count() > max_connections_) record_violation("more open than there are places");
+    if (limiter_->unknown_count() > limiter_->max_unknown()) record_violation("strangers beyond their share");
+    if (quota_->open_count(0) != limiter_->open_count()) record_violation("share and gate differ");
   }
-  struct Open {
-    bool is_known = false, busy = false;
+  struct OpenConnection {
+    bool is_known = false, is_busy = false;
   };
   pcg64 random_;
-  const bool tell_;
-  std::size_t total_ = 0, reserve_ = 0, known_open_ = 0;
-  unsigned known_clients_ = 1, flood_addresses_ = 1;
+  const bool prints_trace_;
+  std::size_t max_connections_ = 0, reserved_connections_ = 0, open_known_ = 0;
+  unsigned known_client_count_ = 1, flood_address_count_ = 1;
   bool is_spread_ = false;
   double flood_per_second_ = 0, now_ = 0;
   int shape_ = 0;
   std::unique_ptr<ConnectionQuota> quota_;
   std::unique_ptr<KnownClients> known_;
   std::unique_ptr<ConnectionLimiter> limiter_;
-  std::map<ConnectionId, Open> open_;
-  std::map<unsigned, std::size_t> known_open_of_;
-  std::multimap<double, std::function<void()>> ends_;
-  ConnectionId last_ = 0;
-  std::string broken_;
+  std::map<ConnectionId, OpenConnection> open_;
+  std::map<unsigned, std::size_t> open_by_known_client_;
+  std::multimap<double, std::function<void()>> timers_;
+  ConnectionId last_id_ = 0;
+  std::string violation_;
 };
 
 }  // namespace damsonspoke::standins
--- a/standins/members_sim.cpp
+++ b/standins/members_sim.cpp
@@ -18,7 +18,7 @@
 constexpr std::uint64_t kEncodeOnePushPullIn = 50;
 constexpr std::size_t kUdpHeaderBytes = 28;  // with IP
 constexpr std::size_t kMaxBacklog = 200;
-constexpr int kSeeds = 3;
+constexpr int kSeedsPerMember = 3;
 constexpr int kSeedStride = 7;
 constexpr int kAddressesPerNetwork = 250;
 const std::string kCluster = "cluster";
@@ -96,8 +96,8 @@
 
 double MembersSim::random_unit() { return std::ldexp(static_cast<double>(random_() >> 11), -53); }
 
-void MembersSim::schedule(double time, std::function<void()> act) {
-  events_.push({time, next_event_++, std::move(act)});
+void MembersSim::schedule(double time, std::function<void()> action) {
+  events_.push({time, next_event_++, std::move(action)});
 }
 
 void MembersSim::start_all(bool know_one_another) {
@@ -113,8 +113,8 @@
   Node& started = node(number);
   if (started.is_up) return;
   std::vector<std::string> seeds;
-  seeds.reserve(kSeeds);
-  for (int i = 0; i < kSeeds; ++i) seeds.push_back(node(i * kSeedStride % options_.count).address);
+  seeds.reserve(kSeedsPerMember);
+  for (int i = 0; i < kSeedsPerMember; ++i) seeds.push_back(node(i * kSeedStride % options_.count).address);
   started.is_up = true;
   ++started.process;
   started.paused_until = -1;
@@ -219,13 +219,14 @@
 }
 
 void MembersSim::run_until(double time) {
-  const auto up = std::count_if(nodes_.begin(), nodes_.end(), [](const auto& one) { return one->is_up; });
-  member_seconds_ += static_cast<double>(up) * (time - now_);
+  const auto up_count =
+      std::count_if(nodes_.begin(), nodes_.end(), [](const auto& one) { return one->is_up; });
+  member_seconds_ += static_cast<double>(up_count) * (time - now_);
   while (!events_.empty() && events_.top().at <= time) {
     const Event event = events_.top();
     events_.pop();
     now_ = std::max(now_, event.at);
-    event.act();
+    event.action();
   }
   now_ = time;
 }
--- a/standins/members_sim.h
+++ b/standins/members_sim.h
@@ -44,7 +44,7 @@
   // Whether what goes from one node to the other is lost; push-pulls need both directions.
   std::function<bool(int from, int to)> is_cut;
   // What views report as it happens, for tracing.
-  std::function<void(int node, const std::string& what)> on_change;
+  std::function<void(int node, const std::string& text)> on_change;
   double late_share = 0;        // of datagrams that arrive 2 s late
   double duplicated_share = 0;  // of datagrams that arrive twice
 
@@ -118,7 +118,7 @@
   struct Event {
     double at = 0;
     std::uint64_t number = 0;
-    std::function<void()> act;
+    std::function<void()> action;
     bool operator>(const Event& other) const {
       return at != other.at ? at > other.at : number > other.number;
     }
@@ -138,7 +138,7 @@
   [[nodiscard]] Node& node(int number) { return *nodes_[static_cast<std::size_t>(number)]; }
   [[nodiscard]] const Node& node(int number) const { return *nodes_[static_cast<std::size_t>(number)]; }
   Node& add_node(const std::string& name);
-  void schedule(double time, std::function<void()> act);
+  void schedule(double time, std::function<void()> action);
   void schedule_timer(Node& node);
   void resume(Node& node);
   void deliver(int from, int to, const SharedMessage& message);
--- a/standins/synthetic_site.cpp
+++ b/standins/synthetic_site.cpp
@@ -9,7 +9,7 @@
 
 constexpr int kCores = 8;
 constexpr double kMemoryKb = 4e6;
-constexpr double kSpreadSteps = 4;  // different values of a route's settings
+constexpr double kRouteVariants = 4;  // different values of a route's settings
 
 }  // namespace
 
@@ -19,13 +19,13 @@
 std::string tenant_name(std::size_t position) { return fmt::format("tenant-{:07}", position); }
 
 Route synthetic_route(std::size_t position) {
-  const double step = static_cast<double>(position % static_cast<std::size_t>(kSpreadSteps));
-  Route type;
-  type.latency_objective = 0.2 + 0.1 * step;
-  type.timeout = 2 * type.latency_objective;
-  type.idempotency_window = 5;
-  type.priority_weight = 1 + step;
-  return type;
+  const double variant = static_cast<double>(position % static_cast<std::size_t>(kRouteVariants));
+  Route route;
+  route.latency_objective = 0.2 + 0.1 * variant;
+  route.timeout = 2 * route.latency_objective;
+  route.idempotency_window = 5;
+  route.priority_weight = 1 + variant;
+  return route;
 }
 
 double synthetic_quota(std::size_t tenants, double total) {
@@ -34,24 +34,24 @@
 
 StartSettings synthetic_site(SiteSize size, int servers) {
   StartSettings site;
-  AdmissionOptions& s = site.admission;
+  AdmissionOptions& options = site.admission;
   for (std::size_t i = 0; i < size.routes; ++i) {
-    s.routes.push_back(synthetic_route(i));
+    options.routes.push_back(synthetic_route(i));
     site.route_names.push_back(route_name(i));
   }
   for (std::size_t i = 0; i < size.tenants; ++i) {
-    s.tenants.push_back({synthetic_quota(size.tenants)});
+    options.tenants.push_back({synthetic_quota(size.tenants)});
     site.tenant_names.push_back(tenant_name(i));
   }
-  s.servers = servers;
-  s.callers = 130000;
-  s.cores = kCores;
-  s.memory_kb = kMemoryKb;
-  s.max_concurrency_factor = 8;
-  s.preemption = Preemption::kDrop;
-  s.sends_retry_after = true;
-  s.max_retry_after = 1;
-  s.timer_resolution = 0.002;
+  options.servers = servers;
+  options.callers = 130000;
+  options.cores = kCores;
+  options.memory_kb = kMemoryKb;
+  options.max_concurrency_factor = 8;
+  options.preemption = Preemption::kDrop;
+  options.sends_retry_after = true;
+  options.max_retry_after = 1;
+  options.timer_resolution = 0.002;
   return site;
 }
 
@@ -62,10 +62,10 @@
       R"("settings":{"request-classes":[)";
   auto end = std::back_inserter(out);
   for (std::size_t i = 0; i < size.routes; ++i) {
-    const Route type = synthetic_route(i);
+    const Route route = synthetic_route(i);
     fmt::format_to(end, R"({}{{"name":"{}","target":{:.0f},"give-up":{:.0f},"window":5000,"worth":{:.0f}}})",
-                   i == 0 ? "" : ",", route_name(i), type.latency_objective * 1000, type.timeout * 1000,
-                   type.priority_weight);
+                   i == 0 ? "" : ",", route_name(i), route.latency_objective * 1000, route.timeout * 1000,
+                   route.priority_weight);
   }
   out += R"(],"customers":[)";
   for (std::size_t i = 0; i < size.tenants; ++i) {
