--- a/standins/decision_load.cpp
+++ b/standins/decision_load.cpp
@@ -17,7 +17,7 @@
   bool operator>(const RunEnd& other) const { return at > other.at; }
 };
 
-// Runs what it is told to run, for a fixed time, and forgets the rest.
+// Runs each request that the controller starts for a fixed time, and counts the rejected ones.
 class FixedTimeSink : public SilentSink {
  public:
   explicit FixedTimeSink(double run_time) : run_time_(run_time) {}
@@ -38,6 +38,7 @@
   const double run_time_;
 };
 
+// Delivers the timers and the ends of runs up to this time to the controller.
 void advance_to(AdmissionController& controller, FixedTimeSink& sink, double until) {
   Gauges gauges;
   gauges.cpu_busy = 0.7;
--- a/standins/demo.cpp
+++ b/standins/demo.cpp
@@ -1,6 +1,6 @@
-// The main job in ten seconds: a relay among its stand-ins, asked for more than its cores can do, half of it
-// asked twice. Prints service by route, waits, and the verdict of the four rules. usage: demo BINARY
-// [SECONDS]
+// Demonstrates overload control in ten seconds: one backend with its stand-ins receives more requests than
+// its cores can run, and every `close` request twice. Prints the outcomes and latencies by route and whether
+// the four service rules were kept. usage: demo BINARY [SECONDS]
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -49,11 +49,11 @@
   runtime.work = 0.012;
   Fleet fleet(argv[1], site, runtime, load);
   fmt::print(
-      "A relay with 2 cores; 190 ops wanted a second of 12 ms each, 1.14 times what the cores can do;\n"
-      "every close is sent twice. {:.0f} s of it, then the notice to leave.\n\n",
+      "A backend with 2 cores; 190 requests per second of 12 ms each, 1.14 times the capacity of the cores;\n"
+      "every close request is sent twice. {:.0f} s of load, then a graceful shutdown.\n\n",
       seconds);
   if (!fleet.start()) {
-    fmt::print("the program does not start\n");
+    fmt::print("the program did not start\n");
     return 1;
   }
   fleet.loop.run_for(seconds);
@@ -78,8 +78,8 @@
   }
   std::map<std::string, int> runs;
   for (const RunSeen& run : fleet.journal.runs) ++runs[run.type];
-  fmt::print("{:<8}{:>8}{:>8}{:>9}{:>8}{:>8}{:>8}{:>10}{:>10}\n", "op type", "tries", "acked", "in time",
-             "nacked", "failed", "runs", "p50 ms", "p99 ms");
+  fmt::print("{:<8}{:>8}{:>8}{:>9}{:>8}{:>8}{:>8}{:>10}{:>10}\n", "route", "attempts", "ok", "in time",
+             "rejected", "failed", "runs", "p50 ms", "p99 ms");
   for (auto& [type, stats] : stats_by_route) {
     fmt::print("{:<8}{:>8}{:>8}{:>9}{:>8}{:>8}{:>8}{:>10.1f}{:>10.1f}\n", type, stats.attempts,
                stats.succeeded, stats.in_time, stats.rejected, stats.failed, runs[type],
@@ -89,12 +89,12 @@
     const auto found = counters.find(name);
     return found == counters.end() ? 0 : found->second;
   };
-  fmt::print("\nkeys acked {}, their runs {}; repeats joined {}; {} KB resident\n",
+  fmt::print("\nkeys that succeeded {}, their runs {}; duplicates joined {}; {} KB resident\n",
              succeeded_keys["close"].size(), runs["close"], count("results.coalesced"), resident_kb);
   const Verdict verdict = check_rules(fleet.journal, fleet.limits());
   for (const std::string& line : verdict.broken) fmt::print("{}\n", line);
   const bool has_passed = verdict.kept() && has_shut_down && !fleet.journal.runs.empty();
-  fmt::print("the four rules: {}; left in order: {}\n", verdict.kept() ? "kept" : "BROKEN",
+  fmt::print("the four service rules: {}; graceful shutdown: {}\n", verdict.kept() ? "kept" : "BROKEN",
              has_shut_down ? "yes" : "no");
   return has_passed ? 0 : 1;
 }
--- a/standins/gate_flood.h
+++ b/standins/gate_flood.h
@@ -1,6 +1,6 @@
-// Simulated floods without sockets, by a seed: known clients, honest unknown clients and a flood of one of
-// several shapes against a connection limiter, with a checker of what the limiter promises. The first promise
-// that is broken is reported.
+// Simulated floods of connections, drawn from a seed and without sockets: known clients, unknown clients and
+// a flood of one of several shapes against a connection limiter. Checks the limiter's guarantees and reports
+// the first violation.
 #pragma once
 
 #include <algorithm>
@@ -21,7 +21,7 @@
     conns::ConnectionLimiterOptions, conns::KnownClients, conns::KnownClientsOptions, conns::ConnectionQuota,
     conns::Standing, conns::RejectCause, conns::Penalty;
 
-constexpr double kUnix = 1.7e9;  // s; the Unix time at which plays begin
+constexpr double kUnix = 1.7e9;  // s; the Unix time at which simulations begin
 
 inline Address v4(unsigned a, unsigned b, unsigned c, unsigned d) {
   Address out;
@@ -51,7 +51,7 @@
     shape_ = static_cast<int>(random_() % 5);
   }
 
-  // Empty: nothing broke.
+  // Runs the simulation; returns the first violation, empty if there is none.
   std::string play() {
     double next_flood = 0, next_known = 0.05, next_unknown = 0.1, next_check = 0.25;
     while (now_ < 7 && violation_.empty()) {
@@ -78,13 +78,14 @@
       check();
     }
     if (!violation_.empty()) return violation_;
-    // Who is nobody fares no worse than the flood does, and once it has ended he gets in.
+    // Unknown clients outside of the flood are admitted at least half as often as the flood's, and always
+    // after the flood has ended.
     const double share = static_cast<double>(flood_in) / flood_asked,
                  expected_admissions = share * honest_asked;
     if (expected_admissions > 20 && honest_in < expected_admissions / 2)
-      record_violation("strangers fare worse than the flood");
+      record_violation("unknown clients were admitted less than half as often as the flood");
     if (late_unknown_admitted < late_unknown_attempted)
-      record_violation("strangers stay locked out after the flood");
+      record_violation("an unknown client was rejected after the flood");
     return violation_;
   }
   int known_in = 0, known_asked = 0, honest_in = 0, honest_asked = 0, flood_in = 0, flood_asked = 0;
@@ -108,18 +109,18 @@
     const AdmissionResult result = limiter_->admit(id, 0, from, now_, kUnix + now_);
     if (prints_trace_)
       std::printf("%.4f %s %s%s\n", now_, text_of(client_of(from)).c_str(),
-                  result.is_admitted ? "in" : text_of(result.cause), result.evicts ? ", sheds" : "");
+                  result.is_admitted ? "admitted" : text_of(result.cause), result.evicts ? ", evicts" : "");
     is_admitted = result.is_admitted;
     if (result.evicts) {
       const auto evicted = open_.find(*result.evicts);
-      if (evicted == open_.end()) return record_violation("shed what is not open"), 0;
-      if (evicted->second.is_busy) record_violation("shed a connection that is busy");
-      if (evicted->second.is_known && !is_known) record_violation("a stranger moved a known client");
+      if (evicted == open_.end()) return record_violation("evicted a connection that is not open"), 0;
+      if (evicted->second.is_busy) record_violation("evicted a busy connection");
+      if (evicted->second.is_known && !is_known) record_violation("an unknown client evicted a known client");
       close(*result.evicts);
     }
     if (result.is_admitted) open_[id] = {is_known, false};
     if (!result.is_admitted && open_before != limiter_->open_count())
-      record_violation("a refusal changed what is open");
+      record_violation("a rejection changed the number of open connections");
     return result.is_admitted ? id : 0;
   }
   void flood_client_connects() {
@@ -131,21 +132,21 @@
     if (!is_admitted) return;
     ++flood_in;
     switch (shape_) {
-      case 0: break;  // silent, for good
-      case 1:         // connects and resets
+      case 0: break;  // stays silent
+      case 1:         // is reset
         schedule(now_ + 0.001, [this, id] {
           if (open_.contains(id)) limiter_->penalize(id, Penalty::kReset, now_), close(id);
         });
         break;
-      case 2:  // half a request, dripped
+      case 2:  // sends an incomplete request
         schedule(now_ + 0.75, [this, id] {
           if (open_.contains(id)) limiter_->penalize(id, Penalty::kIncompleteRequest, now_), close(id);
         });
         break;
-      case 3:  // asks something now and then, and stays
+      case 3:  // completes a request and stays open
         limiter_->on_request_read(id, now_);
         break;
-      default:  // holds requests open: it can't be shed
+      default:  // keeps requests in flight, so it can't be evicted
         limiter_->on_request_read(id, now_);
         limiter_->set_busy(id, true);
         open_[id].is_busy = true;
@@ -156,28 +157,28 @@
   }
   void known_client_connects() {
     const unsigned n = static_cast<unsigned>(random_() % known_client_count_);
-    // As many as the reserve has room for, and as its own share allows.
+    // Stays within the reserve's capacity and the client's own share.
     if (open_known_ >= std::min<std::size_t>(reserved_connections_, max_connections_ / 2) ||
         open_by_known_client_[n] >= std::max<std::size_t>(1, max_connections_ / 2 - 1))
       return;
     bool is_admitted = false;
     ++known_asked;
     const ConnectionId id = connect(known_address(n), true, is_admitted);
-    if (!is_admitted) return record_violation("a known client was refused though its reserve is not used up");
+    if (!is_admitted) return record_violation("a known client was rejected while the reserve had capacity");
     ++known_in, ++open_known_, ++open_by_known_client_[n];
     limiter_->on_request_read(id, now_);
     limiter_->set_busy(id, true);
     open_[id].is_busy = true;
     schedule(now_ + 0.02 + random_unit() * 0.3, [this, id, n] {
       --open_known_, --open_by_known_client_[n];
-      if (!open_.contains(id)) return record_violation("a known client's busy connection went");
+      if (!open_.contains(id)) return record_violation("the busy connection of a known client was closed");
       limiter_->on_success(id, 1, now_, kUnix + now_);
       close(id);
     });
   }
   void unknown_client_connects() {
     bool is_admitted = false;
-    const bool is_after_flood = now_ > kFloodEndSeconds + 2;  // all that it held open is over by then
+    const bool is_after_flood = now_ > kFloodEndSeconds + 2;  // its busy connections are idle by then
     ++(is_after_flood ? late_unknown_attempted : honest_asked);
     const ConnectionId id =
         connect(v4(192, 168, static_cast<unsigned>(random_() % 4), static_cast<unsigned>(random_() % 200)),
@@ -190,10 +191,13 @@
     });
   }
   void check() {
-    if (limiter_->open_count() != open_.size()) record_violation("what the gate holds is not what is open");
-    if (limiter_->open_count() > max_connections_) record_violation("more open than there are places");
-    if (limiter_->unknown_count() > limiter_->max_unknown()) record_violation("strangers beyond their share");
-    if (quota_->open_count(0) != limiter_->open_count()) record_violation("share and gate differ");
+    if (limiter_->open_count() != open_.size())
+      record_violation("the limiter's connections differ from the open ones");
+    if (limiter_->open_count() > max_connections_) record_violation("more connections open than the limit");
+    if (limiter_->unknown_count() > limiter_->max_unknown())
+      record_violation("unknown clients exceed their share");
+    if (quota_->open_count(0) != limiter_->open_count())
+      record_violation("the quota's count differs from the limiter's");
   }
   struct OpenConnection {
     bool is_known = false, is_busy = false;
--- a/standins/members_sim.cpp
+++ b/standins/members_sim.cpp
@@ -14,9 +14,9 @@
 namespace {
 
 constexpr double kLateSeconds = 2;
-constexpr double kFalseDeathSeconds = 5;  // declarations within it count as one
+constexpr double kFalseDeathSeconds = 5;  // declarations of a member within this time count as one
 constexpr std::uint64_t kEncodeOnePushPullIn = 50;
-constexpr std::size_t kUdpHeaderBytes = 28;  // with IP
+constexpr std::size_t kUdpHeaderBytes = 28;  // IP and UDP
 constexpr std::size_t kMaxBacklog = 200;
 constexpr int kSeedsPerMember = 3;
 constexpr int kSeedStride = 7;
@@ -175,7 +175,7 @@
   });
 }
 
-// As in a real process, the timer is late and what waited in the socket is read as stale.
+// As in a real process, the timer fires late, and messages that waited in the socket are handled as stale.
 void MembersSim::resume(Node& node) {
   const bool is_stale = node.view->on_timer(now_);
   for (const auto& [from, message] : node.backlog) node.view->on_message(from, *message, now_, is_stale);
@@ -231,7 +231,7 @@
   now_ = time;
 }
 
-// ---- What is observed.
+// ---- Observations.
 
 void MembersSim::note_death_found(int dead) {
   const auto last = std::find_if(deaths_.rbegin(), deaths_.rend(),
@@ -272,7 +272,7 @@
         is_known && (found->second == MemberState::kAlive || found->second == MemberState::kFlapping);
     if (is_seen_alive == is_up(i)) continue;
     if (difference != nullptr)
-      *difference = fmt::format("{} sees {} as {}, which is {}", name(observer), name(i),
+      *difference = fmt::format("{} sees {} as {}, but it is {}", name(observer), name(i),
                                 is_known ? text_of(found->second) : "unknown", is_up(i) ? "up" : "down");
     return false;
   }
@@ -300,7 +300,7 @@
 
 // ---- Traffic.
 
-// The sample of push-pulls is kept: the bytes of a record in them stay the same.
+// Keeps the sample of push-pulls, since the mean bytes of a record in them do not change.
 void MembersSim::reset_traffic() {
   datagrams_ = {};
   push_pulls_.records = 0;
--- a/standins/members_sim.h
+++ b/standins/members_sim.h
@@ -1,6 +1,5 @@
-// A fleet of members in simulated network and time: thousands of the program's own membership views, with
-// events in the order of their times and random draws from a seed. It stands in for sockets, clocks and
-// processes.
+// Simulates a fleet of members: thousands of the program's own membership views with a simulated network and
+// clock. Events happen in the order of their times, and all random draws come from a seed.
 #pragma once
 
 #include <cstdint>
@@ -24,14 +23,14 @@
     std::uint64_t seed = 1;
     double loss = 0;  // share of datagrams
     double latency = 0.001;
-    double jitter = 0.001;  // seconds, as latency
+    double jitter = 0.001;  // s; drawn evenly and added to the latency, which is in s too
     members::MembershipOptions membership;
-    std::string name_prefix = "n";  // before each one's number
-    int encode_one_in = 50;         // datagrams, to measure their bytes; 0: none
+    std::string name_prefix = "n";  // a member's name is the prefix and its number
+    int encode_one_in = 50;         // encodes one in so many datagrams to measure their bytes; 0: none
   };
   explicit MembersSim(Options options);
 
-  // All members start. They know one another, or their seeds alone.
+  // Starts all members. They know one another from the start, or only their seeds.
   void start_all(bool know_one_another);
   void run_until(double time);
   [[nodiscard]] double now() const { return now_; }
@@ -41,9 +40,9 @@
   void start_clone(int node);  // a second process under the same name, which becomes the last node
   void leave(int node);
   void pause(int node, double seconds);
-  // Whether what goes from one node to the other is lost; push-pulls need both directions.
+  // Returns whether datagrams from one node to the other are lost; push-pulls need both directions.
   std::function<bool(int from, int to)> is_cut;
-  // What views report as it happens, for tracing.
+  // Called with the state changes and notices of the views, for tracing.
   std::function<void(int node, const std::string& text)> on_change;
   double late_share = 0;        // of datagrams that arrive 2 s late
   double duplicated_share = 0;  // of datagrams that arrive twice
@@ -53,16 +52,17 @@
   [[nodiscard]] members::MembershipView& view(int number) { return *node(number).view; }
   [[nodiscard]] int count() const { return static_cast<int>(nodes_.size()); }
   [[nodiscard]] std::string name(int number) const { return node(number).name; }
-  // What one node makes of the member of that name; kLeft where it does not know it.
+  // The state of the member of that name in the view of one node; kLeft where the view does not have it.
   [[nodiscard]] members::MemberState state(int observer, const std::string& name) const;
 
   struct Death {
     double at = 0;
     int node = 0;
-    std::vector<double> found;  // seconds after it, by each that found it
+    std::vector<double> found;  // s from the death until a view declared it; one value a declaration
   };
   [[nodiscard]] const std::vector<Death>& deaths() const { return deaths_; }
-  // A member was declared dead while that process of it was up. Many declarations in a row count as one.
+  // A member was declared dead while the declared process was up. Declarations of the same member in close
+  // succession count as one.
   struct FalseDeath {
     double at = 0;
     int by = 0;
@@ -71,8 +71,8 @@
   [[nodiscard]] const std::vector<FalseDeath>& false_deaths() const { return false_deaths_; }
   [[nodiscard]] double member_seconds() const { return member_seconds_; }
 
-  // Traffic sent by a member in a second since reset_traffic(). Bytes include IP and UDP headers and come
-  // from encoding a sample, so there are none where `encode_one_in` is 0.
+  // Mean traffic that a member sent per second since reset_traffic(). Bytes include IP and UDP headers; they
+  // are estimated by encoding a sample, so they are 0 where `encode_one_in` is 0.
   void reset_traffic();
   [[nodiscard]] double datagram_bytes_per_member_second() const;
   [[nodiscard]] double push_pull_bytes_per_member_second() const;
@@ -88,8 +88,8 @@
   [[nodiscard]] double push_pull_records_per_member_second() const {
     return per_member_second(static_cast<double>(push_pulls_.records));
   }
-  // Whether every member that is up sees all others that are up as alive, and nobody else. If not, a
-  // difference is written to `difference`.
+  // Returns whether every member that is up sees exactly the other members that are up as alive. If not,
+  // writes a difference to `difference`.
   [[nodiscard]] bool views_agree(std::string* difference = nullptr);
   [[nodiscard]] members::MembershipView::Counts counts() const;
 
@@ -104,7 +104,7 @@
     std::unique_ptr<members::MembershipView> view;
     bool is_up = false;
     double paused_until = -1;
-    std::uint64_t process = 0;  // counts its starts
+    std::uint64_t process = 0;  // number of its starts
     std::vector<std::pair<std::string, SharedMessage>>
         backlog;  // unread during a pause, with the sender's address
     void send(const std::string& to, const members::Message& message) override;
@@ -112,7 +112,7 @@
     void on_state_changed(const std::string& member, members::MemberState state,
                           members::StateChangeReason reason) override;
     void on_notice(const members::Notice& notice) override;
-    // The epoch that it knows under this name; 0 where it knows none.
+    // The epoch of this name in the node's view; 0 where the view does not have it.
     [[nodiscard]] std::uint64_t known_epoch(const std::string& member) const;
   };
   struct Event {
@@ -126,12 +126,12 @@
   struct DatagramTraffic {
     std::uint64_t sent = 0;
     std::uint64_t records = 0;
-    std::uint64_t encoded = 0;  // the sample
+    std::uint64_t encoded = 0;  // in the sample
     std::uint64_t encoded_bytes = 0;
   };
   struct PushPullTraffic {
     std::uint64_t records = 0;
-    std::uint64_t encoded_records = 0;  // the sample
+    std::uint64_t encoded_records = 0;  // in the sample
     std::uint64_t encoded_bytes = 0;
   };
 
--- a/standins/synthetic_site.cpp
+++ b/standins/synthetic_site.cpp
@@ -9,7 +9,7 @@
 
 constexpr int kCores = 8;
 constexpr double kMemoryKb = 4e6;
-constexpr double kRouteVariants = 4;  // different values of a route's settings
+constexpr double kRouteVariants = 4;  // routes take turns among so many different settings
 
 }  // namespace
 
--- a/standins/synthetic_site.h
+++ b/standins/synthetic_site.h
@@ -1,5 +1,5 @@
-// A made-up deployment of any size: so many routes (routes) and tenants (tenants), for tests and
-// benchmarks of how costs grow. Names and values follow from the positions, so that two runs agree.
+// A synthetic deployment with any number of routes and tenants, for tests and benchmarks of how costs grow.
+// Names and values are derived from the positions, so that they are the same in every process.
 #pragma once
 
 #include <cstddef>
@@ -17,15 +17,16 @@
 std::string route_name(std::size_t position);
 std::string tenant_name(std::size_t position);
 
-// A route's settings: latency targets of 0.2 to 0.5 s, importance of 1 to 4.
+// A route's settings: latency objectives of 0.2 to 0.5 s, priority weights of 1 to 4.
 Route synthetic_route(std::size_t position);
-// A tenant's quota over the whole fleet, requests a second. Each has a part of `total`.
+// A tenant's quota over the whole fleet, in requests per second: an equal part of `total`.
 double synthetic_quota(std::size_t tenants, double total = 3e6);
 
-// Eight cores, `servers` backends; no layer below.
+// The settings of a backend with eight cores in a fleet of `servers` backends, without a dependency.
 StartSettings synthetic_site(SiteSize size, int servers = 2300);
 
-// The same as the platform writes it, whole: addresses on loopback, ports that the system picks.
+// The same as a complete configuration file of the platform, with loopback addresses and a port that the
+// system picks.
 std::string synthetic_config(SiteSize size, int servers = 2300);
 
 }  // namespace damsonspoke::standins
