--- a/tests/compatibility/stored_files_test.cpp
+++ b/tests/compatibility/stored_files_test.cpp
@@ -31,16 +31,16 @@
   void TearDown() override { std::filesystem::remove_all(folder_); }
   std::string path(const std::string& name) const { return (folder_ / name).string(); }
 
-  store::ChecksummedContent read_sealed(const std::string& folder, const std::string& name,
-                                        std::uint32_t form, std::size_t most_bytes) {
-    const std::unique_ptr<store::FileSystem> disk = store::open_folder(path(folder));
-    return store::ChecksummedFile(*disk, name, form, most_bytes).read().content;
+  store::ChecksummedContent read_checksummed(const std::string& folder, const std::string& name,
+                                             std::uint32_t format, std::size_t max_bytes) {
+    const std::unique_ptr<store::FileSystem> file_system = store::open_folder(path(folder));
+    return store::ChecksummedFile(*file_system, name, format, max_bytes).read().content;
   }
 
   std::filesystem::path folder_;
 };
 
-TEST_F(StoredFiles, ResultsDatabaseIsReadWhole) {
+TEST_F(StoredFiles, ResultsDatabaseIsReadCompletely) {
   using namespace results;
   Database database(path("results/results.db"), {false, 0, true, nullptr});
   EXPECT_FALSE(database.is_new());
@@ -67,14 +67,14 @@
   EXPECT_EQ(fetched->result, "a result");
 }
 
-TEST_F(StoredFiles, LearnedStatisticsAreReadWhole) {
-  const std::unique_ptr<store::FileSystem> disk = store::open_folder(path("knowledge"));
-  const statistics::RecordReadResult reading = statistics::StatisticsFolder(*disk).read();
-  EXPECT_EQ(reading.problem, statistics::ReadProblem::kNone);
-  EXPECT_EQ(reading.failed_starts, 0);
-  EXPECT_FALSE(reading.is_previous);
-  ASSERT_TRUE(reading.record.has_value());
-  const statistics::StatisticsRecord& record = *reading.record;
+TEST_F(StoredFiles, LearnedStatisticsAreReadCompletely) {
+  const std::unique_ptr<store::FileSystem> folder = store::open_folder(path("knowledge"));
+  const statistics::RecordReadResult read = statistics::StatisticsFolder(*folder).read();
+  EXPECT_EQ(read.problem, statistics::ReadProblem::kNone);
+  EXPECT_EQ(read.failed_starts, 0);
+  EXPECT_FALSE(read.is_previous);
+  ASSERT_TRUE(read.record.has_value());
+  const statistics::StatisticsRecord& record = *read.record;
   EXPECT_EQ(record.written_at, 1764700000.25);
   EXPECT_EQ(record.uptime_seconds, 3600.5);
   EXPECT_EQ(record.server_name, "relay-1");
@@ -98,11 +98,12 @@
   EXPECT_EQ(record.calls.sum, 22.5);
 }
 
-TEST_F(StoredFiles, KnownClientsAreReadWhole) {
-  const store::ChecksummedContent sealed =
-      read_sealed("clients", "clients", conns::kKnownClientsFormat, conns::kMaxKnownClientsBytes);
-  ASSERT_EQ(sealed.problem, store::ChecksumProblem::kNone);
-  const std::optional<std::vector<conns::KnownClient>> clients = conns::decode_known_clients(sealed.content);
+TEST_F(StoredFiles, KnownClientsAreReadCompletely) {
+  const store::ChecksummedContent checksummed =
+      read_checksummed("clients", "clients", conns::kKnownClientsFormat, conns::kMaxKnownClientsBytes);
+  ASSERT_EQ(checksummed.problem, store::ChecksumProblem::kNone);
+  const std::optional<std::vector<conns::KnownClient>> clients =
+      conns::decode_known_clients(checksummed.content);
   ASSERT_TRUE(clients.has_value());
   ASSERT_EQ(clients->size(), 2u);
   EXPECT_EQ(conns::text_of((*clients)[0].client), "127.0.0.9");
@@ -115,11 +116,12 @@
   EXPECT_FALSE((*clients)[1].is_known);
 }
 
-TEST_F(StoredFiles, PlannerListsAreReadWhole) {
-  const store::ChecksummedContent sealed = read_sealed(
+TEST_F(StoredFiles, PlannerListsAreReadCompletely) {
+  const store::ChecksummedContent checksummed = read_checksummed(
       "planners", "planners", tier::kEndpointListHistoryVersion, tier::kMaxEndpointListHistoryBytes);
-  ASSERT_EQ(sealed.problem, store::ChecksumProblem::kNone);
-  const std::optional<tier::EndpointListHistory> lists = tier::decode_endpoint_list_history(sealed.content);
+  ASSERT_EQ(checksummed.problem, store::ChecksumProblem::kNone);
+  const std::optional<tier::EndpointListHistory> lists =
+      tier::decode_endpoint_list_history(checksummed.content);
   ASSERT_TRUE(lists.has_value());
   EXPECT_EQ(lists->current, (std::vector<std::string>{"127.0.0.1:7001", "127.0.0.1:7002"}));
   ASSERT_EQ(lists->former.size(), 1u);
@@ -127,7 +129,7 @@
   EXPECT_EQ(lists->former[0].planners, (std::vector<std::string>{"127.0.0.1:7000", "127.0.0.1:7001"}));
 }
 
-TEST_F(StoredFiles, CatalogSnapshotAndChangesAreReadWhole) {
+TEST_F(StoredFiles, CatalogSnapshotAndChangesAreReadCompletely) {
   const catalog::LoadedFolder loaded = catalog::load_folder(path("catalog"), {64, 64, true});
   EXPECT_TRUE(loaded.rejected_changes.empty());
   EXPECT_EQ(loaded.catalog->version(), (catalog::Version{3, 12}));
--- a/tests/compatibility/wire_messages_test.cpp
+++ b/tests/compatibility/wire_messages_test.cpp
@@ -32,7 +32,7 @@
 }
 
 // ---- JSON-RPC with callers.
-TEST(JsonRpcMessages, AnswersAreEncodedAsRecorded) {
+TEST(JsonRpcMessages, ResponsesAreEncodedAsRecorded) {
   using namespace wire;
   expect_recorded("json_rpc_answers.txt",
                   {{"result", encode_result(7, "ten bytes.")},
@@ -84,11 +84,12 @@
   EXPECT_FALSE(all.requires_self_test);
   EXPECT_TRUE(all.is_retry);
 
-  const RpcRequest least = decoded("least_params");
-  EXPECT_EQ(least.id, 43u);
-  EXPECT_EQ(least.method, "avail-read");
-  EXPECT_FALSE(least.has_subject || least.has_idempotency_key || least.is_retry || least.requires_self_test);
-  EXPECT_EQ(least.client_timeout_ms, 0);
+  const RpcRequest minimal = decoded("least_params");
+  EXPECT_EQ(minimal.id, 43u);
+  EXPECT_EQ(minimal.method, "avail-read");
+  EXPECT_FALSE(minimal.has_subject || minimal.has_idempotency_key || minimal.is_retry ||
+               minimal.requires_self_test);
+  EXPECT_EQ(minimal.client_timeout_ms, 0);
 
   const RpcRequest work = decoded("work_param");
   EXPECT_EQ(work.work_ms, 8);
@@ -136,10 +137,10 @@
   EXPECT_EQ(decoded("end_cancelled").end, RunEnd::kCancelled);
   EXPECT_EQ(decoded("end_unknown").end, RunEnd::kUnknown);
 
-  const Notice wants = decoded("wants");
-  EXPECT_EQ(wants.kind, NoticeKind::kCallRequested);
-  EXPECT_EQ(wants.number, 7u);
-  EXPECT_EQ(wants.body, "question");
+  const Notice call_requested = decoded("wants");
+  EXPECT_EQ(call_requested.kind, NoticeKind::kCallRequested);
+  EXPECT_EQ(call_requested.number, 7u);
+  EXPECT_EQ(call_requested.body, "question");
   EXPECT_EQ(decoded("load").gauges, (std::vector<double>{0.5, 3, 0.25, 17}));
   EXPECT_EQ(decoded("load").tag, 4u);
   EXPECT_TRUE(decoded("verdict_good").has_passed);
@@ -205,12 +206,12 @@
   submit.remaining_us = 250000;
   submit.idempotency_key = "key-1";
   submit.body = "body";
-  Submit question = submit;
-  question.is_lookup_only = true;
+  Submit lookup = submit;
+  lookup.is_lookup_only = true;
   std::map<std::string, Message> messages = {{"hello_planner", planner},
                                              {"hello_forwarder", forwarder},
                                              {"submit", submit},
-                                             {"submit_known_only", question},
+                                             {"submit_known_only", lookup},
                                              {"cancel", Cancel{11}},
                                              {"fence", Fence{12}},
                                              {"window", LoadReport{32, 750, true}},
@@ -230,11 +231,11 @@
   for (const auto& [name, message] : tier_messages()) encoded[name] = wire::tier::encode(message);
   expect_recorded("tier.txt", encoded);
   for (const auto& [name, bytes] : recorded_messages("tier.txt")) {
-    const wire::tier::DecodedFrame taken = wire::tier::decode_next_frame(bytes);
-    EXPECT_EQ(taken.state, wire::tier::Framing::kFrame) << name;
-    EXPECT_EQ(taken.length, bytes.size()) << name;
-    EXPECT_EQ(taken.message.index(), tier_messages().at(name).index()) << name;
-    EXPECT_EQ(escaped(wire::tier::encode(taken.message)), escaped(bytes)) << name;
+    const wire::tier::DecodedFrame frame = wire::tier::decode_next_frame(bytes);
+    EXPECT_EQ(frame.state, wire::tier::Framing::kFrame) << name;
+    EXPECT_EQ(frame.length, bytes.size()) << name;
+    EXPECT_EQ(frame.message.index(), tier_messages().at(name).index()) << name;
+    EXPECT_EQ(escaped(wire::tier::encode(frame.message)), escaped(bytes)) << name;
   }
 }
 
@@ -310,7 +311,7 @@
 }
 
 // ---- Members.
-members::Record whole_record() {
+members::Record full_record() {
   members::Record record;
   record.name = "relay-1";
   record.epoch = 0x123456789abcd;
@@ -329,10 +330,10 @@
 }
 
 std::map<std::string, members::Message> member_messages() {
-  members::Record least;
-  least.name = "relay-9";
-  least.epoch = 1;
-  least.address = "127.0.0.1:7009";
+  members::Record minimal;
+  minimal.name = "relay-9";
+  minimal.epoch = 1;
+  minimal.address = "127.0.0.1:7009";
   members::Message ping;
   ping.kind = members::MessageKind::kPing;
   ping.sender = "relay-1";
@@ -345,18 +346,18 @@
   ack.kind = members::MessageKind::kAck;
   ack.requested_by = "relay-3";
   ack.direct_ping_received = true;
-  members::Message indirect = ping;
-  indirect.kind = members::MessageKind::kPingRequest;
-  indirect.direct_probe_id = 5;
-  members::Message silent = indirect;
-  silent.kind = members::MessageKind::kNegativeAck;
+  members::Message ping_request = ping;
+  ping_request.kind = members::MessageKind::kPingRequest;
+  ping_request.direct_probe_id = 5;
+  members::Message negative_ack = ping_request;
+  negative_ack.kind = members::MessageKind::kNegativeAck;
   members::Message gossip;
   gossip.kind = members::MessageKind::kGossip;
   gossip.sender = "relay-1";
   gossip.sender_epoch = 6;
   gossip.datagram_number = 9;
-  gossip.records = {least, whole_record()};
-  return {{"ping", ping}, {"ack", ack}, {"ask", indirect}, {"silent", silent}, {"gossip", gossip}};
+  gossip.records = {minimal, full_record()};
+  return {{"ping", ping}, {"ack", ack}, {"ask", ping_request}, {"silent", negative_ack}, {"gossip", gossip}};
 }
 
 TEST(MemberMessages, DatagramsAreEncodedAsRecordedAndDecodeAgain) {
@@ -373,9 +374,9 @@
   }
 }
 
-TEST(MemberMessages, ExchangesAreEncodedAsRecordedAndDecodeAgain) {
+TEST(MemberMessages, PushPullsAreEncodedAsRecordedAndDecodeAgain) {
   namespace wm = wire::members;
-  const std::vector<members::Record> records = {whole_record(), whole_record()};
+  const std::vector<members::Record> records = {full_record(), full_record()};
   expect_recorded("members_exchange.txt", {{"exchange", wm::encode_push_pull("fleet", records)}});
   const std::string bytes = recorded_messages("members_exchange.txt").at("exchange");
   const wm::DecodedPushPull read = wm::decode_push_pull("fleet", bytes);
