--- a/tests/compatibility/recorded_messages.h
+++ b/tests/compatibility/recorded_messages.h
@@ -1,5 +1,5 @@
-// Recorded bytes of messages, as files under tests/data/wire keep them: one message a line, a name, a tab and
-// the bytes, with backslash escapes for what is not printable ASCII.
+// Reads the recorded messages under tests/data/wire. Each line of a file has a message's name, a tab and its
+// bytes, with backslash escapes for bytes that are not printable ASCII.
 #pragma once
 
 #include <cstdio>
@@ -38,7 +38,7 @@
   return bytes;
 }
 
-// The messages of one file, by name. Throws std::runtime_error where the file can't be read.
+// The messages of one file, by name. Throws std::runtime_error if the file can't be read.
 inline std::map<std::string, std::string> recorded_messages(const std::string& file) {
   std::ifstream in(std::string(TEST_DATA_FOLDER) + "/wire/" + file);
   if (!in) throw std::runtime_error("cannot read the recorded messages " + file);
--- a/tests/compatibility/stored_files_test.cpp
+++ b/tests/compatibility/stored_files_test.cpp
@@ -1,5 +1,5 @@
-// Files written by version 0.3.0 (f43fab7) stay readable: each stored format is read from a file of that
-// version under tests/data/stored, and all its values are compared.
+// Guards against a change that makes stored files unreadable: each stored format is read from a file that
+// version 0.3.0 (f43fab7) wrote, under tests/data/stored, and all its values are compared.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -19,7 +19,7 @@
 
 namespace {
 
-// A copy of the stored files, so that reading may write beside them (locks, journals).
+// Works on a copy of the stored files, because reading may write files beside them (locks, journals).
 class StoredFiles : public ::testing::Test {
  protected:
   void SetUp() override {
--- a/tests/compatibility/wire_messages_test.cpp
+++ b/tests/compatibility/wire_messages_test.cpp
@@ -1,5 +1,5 @@
-// Every message on the wire stays as version 0.3.0 wrote it: what is encoded equals the recorded bytes, and
-// the recorded bytes of either side decode to the values they were written from.
+// Guards against an unintended change of the wire formats: encoded messages equal the bytes recorded from
+// version 0.3.0, and the bytes recorded from either side decode to the values that they were encoded from.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -151,7 +151,7 @@
   EXPECT_EQ(recorded.size(), 12u);
 }
 
-// ---- Lines to and from the layer below.
+// ---- Lines to and from the dependency.
 TEST(DependencyMessages, CommandsAreEncodedAsRecorded) {
   using namespace wire;
   expect_recorded("dependency_commands.txt",
@@ -310,7 +310,7 @@
   EXPECT_EQ(decode_body(next_packet(recorded.at("end"), From::kGateway, kDefaultPacketBytes).payload), "");
 }
 
-// ---- Members.
+// ---- Membership.
 members::Record full_record() {
   members::Record record;
   record.name = "relay-1";
