--- a/bench/conns.cpp
+++ b/bench/conns.cpp
@@ -14,93 +14,97 @@
 namespace {
 
 const char* const kBinary = DAMSONSPOKE_BINARY;
-constexpr const char* kClient = "127.7.0.1";
-constexpr int kSockets = 384;      // descriptors, as the smallest backends have
-constexpr double kPatience = 0.1;  // s to be in
+constexpr const char* kKnownClientAddress = "127.7.0.1";
+constexpr int kDescriptorLimit = 384;            // descriptors, as the smallest backends have
+constexpr double kResponseTimeoutSeconds = 0.1;  // s to be in
 
 struct Shape {
   const char* name;
   FloodShape shape;
-  unsigned addresses, each;
-  bool scarce = false;  // and the system's bound is lowered under the table
+  unsigned addresses, connections_per_address;
+  bool has_few_descriptors = false;  // and the system's bound is lowered under the table
 };
 constexpr Shape kShapes[] = {{"crowd, silent", FloodShape::kSilent, 1000, 50},
                              {"connect and reset", FloodShape::kReset, 1000, 50},
                              {"a byte a second", FloodShape::kDrip, 1000, 50},
                              {"asking, and staying", FloodShape::kAsking, 1000, 50},
                              {"few descriptors", FloodShape::kAsking, 1000, 50, true}};
-constexpr rlim_t kFew = 100;  // descriptors, then
+constexpr rlim_t kFewDescriptors = 100;  // descriptors, then
 
-struct Played {
-  int came = 0, in_time = 0, broken = 0, lost = 0;
-  double longest = 0;               // s
-  std::uint64_t dialled_again = 0;  // connections that the client's requests needed anew
-  double worth_asked = 0, worth_served = 0;
-  double cpu = 0, seconds = 0, dialled = 0, rss_mb = 0;
-  double in() const { return came > 0 ? static_cast<double>(in_time) / came : 0; }
-  double worth() const { return worth_asked > 0 ? worth_served / worth_asked : 0; }
+struct TrialResult {
+  int connections = 0, in_time = 0, violations = 0, unanswered = 0;
+  double longest_seconds = 0;       // s
+  std::uint64_t reconnections = 0;  // connections that the client's requests needed anew
+  double requested_weight = 0, served_weight = 0;
+  double cpu_seconds = 0, seconds = 0, flood_connections = 0, rss_mb = 0;
+  double in_time_share() const { return connections > 0 ? static_cast<double>(in_time) / connections : 0; }
+  double served_share() const { return requested_weight > 0 ? served_weight / requested_weight : 0; }
 };
 
-void add(Played& to, const Played& from) {
-  to.came += from.came, to.in_time += from.in_time, to.broken += from.broken, to.lost += from.lost;
-  to.longest = std::max(to.longest, from.longest), to.rss_mb = std::max(to.rss_mb, from.rss_mb);
-  to.worth_asked += from.worth_asked, to.worth_served += from.worth_served;
-  to.dialled_again += from.dialled_again, to.cpu += from.cpu, to.seconds += from.seconds,
-      to.dialled += from.dialled;
+void add(TrialResult& to, const TrialResult& from) {
+  to.connections += from.connections, to.in_time += from.in_time, to.violations += from.violations,
+      to.unanswered += from.unanswered;
+  to.longest_seconds = std::max(to.longest_seconds, from.longest_seconds),
+  to.rss_mb = std::max(to.rss_mb, from.rss_mb);
+  to.requested_weight += from.requested_weight, to.served_weight += from.served_weight;
+  to.reconnections += from.reconnections, to.cpu_seconds += from.cpu_seconds, to.seconds += from.seconds,
+      to.flood_connections += from.flood_connections;
 }
 
-SiteSpec site(bool gate) {
-  SiteSpec s;
-  s.types = {{"read", "retryable", 0.5, 2, 0, 1}, {"close", "retryable", 0.5, 2, 0, 3}};
-  s.sockets = kSockets;
-  if (gate) s.operators = "gate\n    enabled on\n";
-  return s;
+SiteSpec site_spec(bool has_limiter) {
+  SiteSpec site;
+  site.types = {{"read", "retryable", 0.5, 2, 0, 1}, {"close", "retryable", 0.5, 2, 0, 3}};
+  site.sockets = kDescriptorLimit;
+  if (has_limiter) site.operators = "gate\n    enabled on\n";
+  return site;
 }
 
 // `per_s`: of the flood; 0: none.
-Played play(bool gate, const Shape& shape, double per_s, double load, double seconds, std::uint64_t seed) {
-  Played out;
-  Callers::Options callers;
-  callers.flows = {{"read", load * 0.8, 2}, {"close", load * 0.2, 2}};
-  for (Flow& flow : callers.flows) flow.retries = 1, flow.pause = 0.1;
-  callers.connections = 6, callers.from = kClient, callers.seed = seed;
-  Fleet fleet(kBinary, site(gate), {}, callers);
-  if (!fleet.start()) return out.broken = 1, out;
+TrialResult run_trial(bool has_limiter, const Shape& shape, double per_s, double load, double seconds,
+                      std::uint64_t seed) {
+  TrialResult out;
+  Callers::Options caller_options;
+  caller_options.flows = {{"read", load * 0.8, 2}, {"close", load * 0.2, 2}};
+  for (Flow& flow : caller_options.flows) flow.retries = 1, flow.pause = 0.1;
+  caller_options.connections = 6, caller_options.from = kKnownClientAddress, caller_options.seed = seed;
+  Fleet fleet(kBinary, site_spec(has_limiter), {}, caller_options);
+  if (!fleet.start()) return out.violations = 1, out;
   fleet.loop.run_until([&] { return fleet.server.registry.is_listed(); }, 5);
   fleet.loop.run_for(1.5);  // the client becomes known
-  Newcomers client(fleet.loop, fleet.server.port(), {kClient, 0.02, kPatience, 0});
+  Newcomers client(fleet.loop, fleet.server.port(), {kKnownClientAddress, 0.02, kResponseTimeoutSeconds, 0});
   const double began = now(), cpu = fleet.process->processor_time();
-  const std::uint64_t links = fleet.callers.dialled();
-  if (shape.scarce && per_s > 0) {
-    const rlimit few{kFew, kFew};
-    ::prlimit(fleet.process->pid(), RLIMIT_NOFILE, &few, nullptr);
+  const std::uint64_t connections_before = fleet.callers.dialled();
+  if (shape.has_few_descriptors && per_s > 0) {
+    const rlimit limit{kFewDescriptors, kFewDescriptors};
+    ::prlimit(fleet.process->pid(), RLIMIT_NOFILE, &limit, nullptr);
   }
   {
     std::unique_ptr<Flood> flood;
     if (per_s > 0)
-      flood = std::make_unique<Flood>(fleet.server.port(),
-                                      Flood::Options{shape.shape, shape.addresses, shape.each, per_s});
+      flood = std::make_unique<Flood>(
+          fleet.server.port(),
+          Flood::Options{shape.shape, shape.addresses, shape.connections_per_address, per_s});
     fleet.loop.run_for(seconds);
-    out.cpu = fleet.process->processor_time() - cpu, out.seconds = now() - began;
+    out.cpu_seconds = fleet.process->processor_time() - cpu, out.seconds = now() - began;
     out.rss_mb = static_cast<double>(fleet.process->resident_kb()) / 1024;
-    if (flood) out.dialled = static_cast<double>(flood->dialled());
-    out.dialled_again = fleet.callers.dialled() - links;
+    if (flood) out.flood_connections = static_cast<double>(flood->dialled());
+    out.reconnections = fleet.callers.dialled() - connections_before;
     client.stop();
     fleet.loop.run_until([&] { return client.quiet(); }, 6);
   }
-  out.came = client.came(), out.in_time = client.in_time(), out.longest = client.longest();
+  out.connections = client.came(), out.in_time = client.in_time(), out.longest_seconds = client.longest();
   fleet.settle(4);
-  out.broken += !fleet.leave();
-  for (const auto& [request, t] : fleet.journal.attempts) {
-    if (t.sent < began || t.sent > began + seconds || t.refused) continue;
-    const double worth = t.type == "close" ? 3 : 1;
-    const bool served =
-        !t.answers.empty() && t.answers[0].kind == AnswerKind::kSucceeded && t.answers[0].at - t.sent <= 0.5;
-    out.worth_asked += worth, out.worth_served += served ? worth : 0;
+  out.violations += !fleet.leave();
+  for (const auto& [request, attempt] : fleet.journal.attempts) {
+    if (attempt.sent < began || attempt.sent > began + seconds || attempt.refused) continue;
+    const double weight = attempt.type == "close" ? 3 : 1;
+    const bool served = !attempt.answers.empty() && attempt.answers[0].kind == AnswerKind::kSucceeded &&
+                        attempt.answers[0].at - attempt.sent <= 0.5;
+    out.requested_weight += weight, out.served_weight += served ? weight : 0;
   }
   const Verdict verdict = check_rules(fleet.journal, fleet.limits());
   for (const std::string& text : verdict.broken) fmt::print("  {}\n", text);
-  out.lost = verdict.unanswered, out.broken += static_cast<int>(verdict.broken.size());
+  out.unanswered = verdict.unanswered, out.violations += static_cast<int>(verdict.broken.size());
   return out;
 }
 
@@ -116,27 +120,29 @@
   const auto flags = options.parse(argc, argv);
   const double seconds = flags["seconds"].as<double>(), rate = flags["rate"].as<double>(),
                load = flags["load"].as<double>();
-  Played with, before, calm;
-  double least_in = 1, least_before = 1, least_worth = 1, most_cpu = 0;
+  TrialResult limited, unlimited, calm;
+  double min_in_time_share = 1, min_in_time_share_unlimited = 1, min_served_share = 1, max_extra_cpu = 0;
   fmt::print("{:<20}{:<8}{:>8}{:>10}{:>8}{:>8}{:>10}{:>10}{:>8}\n", "flood", "rule", "in", "longest", "worth",
              "again", "dialled/s", "cores", "MB");
-  const auto row = [&](const char* name, const char* rule, const Played& p) {
-    fmt::print("{:<20}{:<8}{:>8.3f}{:>9.3f}s{:>8.3f}{:>8}{:>10.0f}{:>10.3f}{:>8.1f}\n", name, rule, p.in(),
-               p.longest, p.worth(), p.dialled_again, p.dialled / p.seconds, p.cpu / p.seconds, p.rss_mb);
+  const auto print_row = [&](const char* name, const char* rule, const TrialResult& trial) {
+    fmt::print("{:<20}{:<8}{:>8.3f}{:>9.3f}s{:>8.3f}{:>8}{:>10.0f}{:>10.3f}{:>8.1f}\n", name, rule,
+               trial.in_time_share(), trial.longest_seconds, trial.served_share(), trial.reconnections,
+               trial.flood_connections / trial.seconds, trial.cpu_seconds / trial.seconds, trial.rss_mb);
   };
   for (int round = 0; round < flags["rounds"].as<int>(); ++round) {
     const std::uint64_t seed = flags["seed"].as<std::uint64_t>() + static_cast<std::uint64_t>(round);
-    const Played none = play(true, kShapes[0], 0, load, seconds, seed);
-    row("none", "gate", none);
-    add(calm, none);
+    const TrialResult no_flood = run_trial(true, kShapes[0], 0, load, seconds, seed);
+    print_row("none", "gate", no_flood);
+    add(calm, no_flood);
     for (const Shape& shape : kShapes) {
-      const Played old = play(false, shape, rate, load, seconds, seed),
-                   gate = play(true, shape, rate, load, seconds, seed);
-      row(shape.name, "today", old), row(shape.name, "gate", gate);
-      add(before, old), add(with, gate);
-      least_in = std::min(least_in, gate.in()), least_before = std::min(least_before, old.in());
-      least_worth = std::min(least_worth, gate.worth());
-      most_cpu = std::max(most_cpu, (gate.cpu - none.cpu) / gate.seconds);
+      const TrialResult without = run_trial(false, shape, rate, load, seconds, seed),
+                        limiter = run_trial(true, shape, rate, load, seconds, seed);
+      print_row(shape.name, "today", without), print_row(shape.name, "gate", limiter);
+      add(unlimited, without), add(limited, limiter);
+      min_in_time_share = std::min(min_in_time_share, limiter.in_time_share()),
+      min_in_time_share_unlimited = std::min(min_in_time_share_unlimited, without.in_time_share());
+      min_served_share = std::min(min_served_share, limiter.served_share());
+      max_extra_cpu = std::max(max_extra_cpu, (limiter.cpu_seconds - no_flood.cpu_seconds) / limiter.seconds);
     }
   }
   fmt::print(
@@ -145,8 +151,9 @@
       "worth_flood_before={:.4f} "
       "worth_calm={:.4f} dialled_again={} dialled_again_before={} lost={} rule_breaks={} spin_cpu={:.3f} "
       "flood_conns_per_s={:.0f} rss_mb={:.1f}\n",
-      with.in(), before.in(), least_in, least_before, with.worth(), least_worth, before.worth(), calm.worth(),
-      with.dialled_again, before.dialled_again, with.lost, with.broken, most_cpu, with.dialled / with.seconds,
-      with.rss_mb);
+      limited.in_time_share(), unlimited.in_time_share(), min_in_time_share, min_in_time_share_unlimited,
+      limited.served_share(), min_served_share, unlimited.served_share(), calm.served_share(),
+      limited.reconnections, unlimited.reconnections, limited.unanswered, limited.violations, max_extra_cpu,
+      limited.flood_connections / limited.seconds, limited.rss_mb);
   return 0;
 }
--- a/bench/knowledge.cpp
+++ b/bench/knowledge.cpp
@@ -22,50 +22,50 @@
 
 const char* const kBinary = DAMSONSPOKE_BINARY;
 // As at a site of the operators': work, target and request timeout of its routes, and how cold a life begins.
-struct TypePlan {
+struct RouteProfile {
   const char* name;
   double work, target, timeout, share, priority_weight;
 };
-constexpr TypePlan kTypes[] = {
+constexpr RouteProfile kRoutes[] = {
     {"read", 0.22, 1.3, 3.3, 0.43, 1}, {"push", 0.36, 2.2, 5.4, 0.40, 1}, {"close", 0.36, 2.2, 5.4, 0.17, 3}};
 constexpr int kCores = 4;
-constexpr double kColdFrom = 0.2, kColdTime = 17;
+constexpr double kSlowStartSpeed = 0.2, kSlowStartSeconds = 17;
 
-constexpr int kRelays = 3;
-constexpr double kBefore = 6, kBetween = 4;  // s: before the first restart, between two
+constexpr int kBackends = 3;
+constexpr double kWarmUpSeconds = 6, kRestartIntervalSeconds = 4;  // s: before the first restart, between two
 
-struct Plan {
+struct Variant {
   const char* name;
-  double slower;  // x the remembered work, from the restart on
-  bool remembers;
-  bool bad_spell;
+  double slowdown;  // x the remembered work, from the restart on
+  bool restores_statistics;
+  bool has_overload_record;
 };
-constexpr Plan kPlans[] = {{"with", 1, true, false},
-                           {"without", 1, false, false},
-                           {"stale", 3, true, false},
-                           {"without, slower", 3, false, false},
-                           {"poisoned", 1, true, true}};
-constexpr std::size_t kPlanCount = std::size(kPlans);
+constexpr Variant kVariants[] = {{"with", 1, true, false},
+                                 {"without", 1, false, false},
+                                 {"stale", 3, true, false},
+                                 {"without, slower", 3, false, false},
+                                 {"poisoned", 1, true, true}};
+constexpr std::size_t kVariantCount = std::size(kVariants);
 
 SiteSpec site_of(const std::string& operators) {
   SiteSpec site;
-  for (const TypePlan& t : kTypes)
-    site.types.push_back({t.name, "retryable", t.target, t.timeout, 0, t.priority_weight});
+  for (const RouteProfile& route : kRoutes)
+    site.types.push_back({route.name, "retryable", route.target, route.timeout, 0, route.priority_weight});
   site.cores = kCores;
-  site.slow_start_speed = kColdFrom;
-  site.slow_start_seconds = kColdTime;
+  site.slow_start_speed = kSlowStartSpeed;
+  site.slow_start_seconds = kSlowStartSeconds;
   site.operators = operators;
   return site;
 }
 
 // A share of what the cores do when they are warm; rejected requests come back twice.
-Callers::Options load_of(double share, int relays, std::uint64_t seed) {
+Callers::Options load_of(double share, int backends, std::uint64_t seed) {
   double work = 0;
-  for (const TypePlan& t : kTypes) work += t.work * t.share;
-  const double all = share * kCores * relays / work;
+  for (const RouteProfile& route : kRoutes) work += route.work * route.share;
+  const double total_rate = share * kCores * backends / work;
   Callers::Options load;
-  for (const TypePlan& t : kTypes) {
-    Flow flow{t.name, all * t.share, t.timeout};
+  for (const RouteProfile& route : kRoutes) {
+    Flow flow{route.name, total_rate * route.share, route.timeout};
     flow.retries = 2;
     flow.pause = 0.3;
     load.flows.push_back(flow);
@@ -75,185 +75,186 @@
   return load;
 }
 
-Runtime::Options runtime_of(double slower, bool cold) {
-  Runtime::Options o;
-  o.cores = kCores;
-  for (const TypePlan& t : kTypes) o.work_by_type[t.name] = t.work * slower;
-  o.slow_start_speed = cold ? kColdFrom : 1;
-  o.slow_start_seconds = cold ? kColdTime : 0;
-  return o;
+Runtime::Options runtime_of(double slowdown, bool starts_cold) {
+  Runtime::Options options;
+  options.cores = kCores;
+  for (const RouteProfile& route : kRoutes) options.work_by_type[route.name] = route.work * slowdown;
+  options.slow_start_speed = starts_cold ? kSlowStartSpeed : 1;
+  options.slow_start_seconds = starts_cold ? kSlowStartSeconds : 0;
+  return options;
 }
 
-const std::string kOn = "knowledge\n    enabled on\n    folder FOLDER\n    interval 1s\n";
+const std::string kStatisticsSettings = "knowledge\n    enabled on\n    folder FOLDER\n    interval 1s\n";
 
 // A warm life at full load teaches; its record is what the rounds begin with.
-std::optional<statistics::StatisticsRecord> taught(double seconds, std::uint64_t seed) {
-  Fleet fleet(kBinary, site_of(kOn), runtime_of(1, false), load_of(1.1, 1, seed));
+std::optional<statistics::StatisticsRecord> learn_statistics(double seconds, std::uint64_t seed) {
+  Fleet fleet(kBinary, site_of(kStatisticsSettings), runtime_of(1, false), load_of(1.1, 1, seed));
   if (!fleet.start()) return std::nullopt;
   fleet.loop.run_for(seconds);
   fleet.settle(2);
   fleet.leave();
-  const auto disk = store::open_folder(fleet.folder());
-  return statistics::StatisticsFolder(*disk).read().record;
+  const auto folder_access = store::open_folder(fleet.folder());
+  return statistics::StatisticsFolder(*folder_access).read().record;
 }
 
-void leave_behind(const std::string& folder, statistics::StatisticsRecord record, bool bad_spell) {
+void write_record(const std::string& folder, statistics::StatisticsRecord record, bool has_overload_record) {
   record.written_at = unix_now();
-  record.under_pressure = bad_spell;
+  record.under_pressure = has_overload_record;
   for (auto& type : record.routes) {
-    if (!bad_spell) break;
+    if (!has_overload_record) break;
     type.run.bins.assign(13, 0);
     type.run.bins[11] = 20, type.run.sum = 20 * 8;
   }
-  const auto disk = store::open_folder(folder);
-  statistics::StatisticsFolder(*disk).write(record);
+  const auto folder_access = store::open_folder(folder);
+  statistics::StatisticsFolder(*folder_access).write(record);
 }
 
 // What became of the things that were first asked for in a span of time.
-struct Fate {
-  double asked = 0, served = 0;                            // importance
-  int things = 0, late = 0, failed = 0, rejected_all = 0;  // of things: served late, or not at all
-  double worth() const { return asked > 0 ? served / asked : 0; }
+struct ServiceOutcome {
+  double requested_weight = 0, served_weight = 0;            // importance
+  int requests = 0, late = 0, failed = 0, rejected_all = 0;  // of things: served late, or not at all
+  double served_share() const { return requested_weight > 0 ? served_weight / requested_weight : 0; }
 };
 
-Fate fate_of(const Journal& journal, double from, double until) {
-  struct Thing {
+ServiceOutcome outcome_between(const Journal& journal, double from, double until) {
+  struct RequestOutcome {
     double priority_weight = 0;
     bool served = false, late = false, failed = false;
   };
-  std::map<std::string, Thing> things;
+  std::map<std::string, RequestOutcome> requests;
   std::map<double, const Attempt*> by_time;
-  for (const auto& [request, t] : journal.attempts) by_time[t.sent] = &t;
+  for (const auto& [number, attempt] : journal.attempts) by_time[attempt.sent] = &attempt;
   std::map<std::string, bool> before;
-  for (const auto& [sent, t] : by_time) {
-    if (sent < from) before[t->key] = true;
-    if (sent < from || before.contains(t->key)) continue;
-    if (sent > until && !things.contains(t->key)) continue;
-    const auto type = std::find_if(std::begin(kTypes), std::end(kTypes),
-                                   [&](const TypePlan& p) { return t->type == p.name; });
-    Thing& thing = things[t->key];
-    thing.priority_weight = type->priority_weight;
-    for (const Answer& a : t->answers) {
-      const bool succeeded = a.kind == AnswerKind::kSucceeded;
-      thing.served |= succeeded && a.at - t->sent <= type->target;
-      thing.late |= succeeded && a.at - t->sent > type->target;
-      thing.failed |= a.kind == AnswerKind::kFailed;
+  for (const auto& [sent, attempt] : by_time) {
+    if (sent < from) before[attempt->key] = true;
+    if (sent < from || before.contains(attempt->key)) continue;
+    if (sent > until && !requests.contains(attempt->key)) continue;
+    const auto type = std::find_if(std::begin(kRoutes), std::end(kRoutes), [&](const RouteProfile& profile) {
+      return attempt->type == profile.name;
+    });
+    RequestOutcome& request = requests[attempt->key];
+    request.priority_weight = type->priority_weight;
+    for (const Answer& answer : attempt->answers) {
+      const bool succeeded = answer.kind == AnswerKind::kSucceeded;
+      request.served |= succeeded && answer.at - attempt->sent <= type->target;
+      request.late |= succeeded && answer.at - attempt->sent > type->target;
+      request.failed |= answer.kind == AnswerKind::kFailed;
     }
   }
-  Fate fate;
-  for (const auto& [key, thing] : things) {
-    ++fate.things;
-    fate.asked += thing.priority_weight;
-    if (thing.served)
-      fate.served += thing.priority_weight;
-    else if (thing.late)
-      ++fate.late;
-    else if (thing.failed)
-      ++fate.failed;
+  ServiceOutcome outcome;
+  for (const auto& [key, request] : requests) {
+    ++outcome.requests;
+    outcome.requested_weight += request.priority_weight;
+    if (request.served)
+      outcome.served_weight += request.priority_weight;
+    else if (request.late)
+      ++outcome.late;
+    else if (request.failed)
+      ++outcome.failed;
     else
-      ++fate.rejected_all;
+      ++outcome.rejected_all;
   }
-  return fate;
+  return outcome;
 }
 
-struct Played {
-  Fate first, all;  // of the first 5 s, and of the whole time after the (first) restart
-  int broken = 0;
-  double reactor_ms = 0;
-  int used = 0;
+struct TrialResult {
+  ServiceOutcome first_seconds, all;  // of the first 5 s, and of the whole time after the (first) restart
+  int violations = 0;
+  double max_write_ms = 0;
+  int restored = 0;
 };
 
-void look_at(Played& out, Server& server) {
+void read_counters(TrialResult& out, Server& server) {
   const auto counters = server.process->counters();
   const auto count = [&](const char* name) { return counters.contains(name) ? counters.at(name) : 0; };
-  out.reactor_ms = std::max(out.reactor_ms, static_cast<double>(count("statistics.max_write_us")) / 1000);
-  out.used += count("statistics.restored") > 0;
+  out.max_write_ms = std::max(out.max_write_ms, static_cast<double>(count("statistics.max_write_us")) / 1000);
+  out.restored += count("statistics.restored") > 0;
 }
 
-void judge(Played& out, const char* name, const Journal& journal, double from, double until) {
-  out.first = fate_of(journal, from, std::min(until, from + 5));
-  out.all = fate_of(journal, from, until);
+void evaluate(TrialResult& out, const char* name, const Journal& journal, double from, double until) {
+  out.first_seconds = outcome_between(journal, from, std::min(until, from + 5));
+  out.all = outcome_between(journal, from, until);
   RuleLimits limits = Fleet::limits_of(site_of(""));
-  limits.survivable *= kRelays;  // the journal counts all runtimes together
+  limits.survivable *= kBackends;  // the journal counts all runtimes together
   const Verdict verdict = check_rules(journal, limits);
   for (const std::string& line : verdict.broken) fmt::print("  {}: {}\n", name, line);
-  out.broken = static_cast<int>(verdict.broken.size());
+  out.violations = static_cast<int>(verdict.broken.size());
 }
 
 // Warm relays serve; then one after another leaves, is off the list, and comes back cold.
-Played roll(const Plan& plan, const statistics::StatisticsRecord& record, double seconds,
-            std::uint64_t seed) {
-  Played out;
+TrialResult run_rolling_deploy(const Variant& variant, const statistics::StatisticsRecord& record,
+                               double seconds, std::uint64_t seed) {
+  TrialResult out;
   Loop loop;
   Journal journal;
-  Callers callers(loop, journal, load_of(1.1 / plan.slower, kRelays, seed));
-  std::vector<std::unique_ptr<Server>> relays;
-  for (int i = 0; i < kRelays; ++i) {
-    relays.push_back(std::make_unique<Server>(loop, journal, callers, kBinary,
-                                              site_of(plan.remembers ? kOn : std::string()),
-                                              runtime_of(1, false), i));
-    if (plan.remembers) leave_behind(relays.back()->folder(), record, false);
-    if (!relays.back()->start()) return out.broken = 1, out;
+  Callers callers(loop, journal, load_of(1.1 / variant.slowdown, kBackends, seed));
+  std::vector<std::unique_ptr<Server>> backends;
+  for (int i = 0; i < kBackends; ++i) {
+    backends.push_back(std::make_unique<Server>(
+        loop, journal, callers, kBinary,
+        site_of(variant.restores_statistics ? kStatisticsSettings : std::string()), runtime_of(1, false), i));
+    if (variant.restores_statistics) write_record(backends.back()->folder(), record, false);
+    if (!backends.back()->start()) return out.violations = 1, out;
   }
-  loop.run_for(kBefore);
+  loop.run_for(kWarmUpSeconds);
   const double from = now();
-  for (int i = 0; i < kRelays; ++i) {
-    Server& relay = *relays[static_cast<std::size_t>(i)];
-    const double turn = now();
-    relay.notice();
+  for (int i = 0; i < kBackends; ++i) {
+    Server& backend = *backends[static_cast<std::size_t>(i)];
+    const double restart_began = now();
+    backend.notice();
     loop.run_for(0.2);  // the list is read by then
     callers.avoid(i);
-    if (!relay.ended()) return out.broken = 1, out;
-    if (plan.bad_spell) leave_behind(relay.folder(), record, true);
-    relay.runtime.options = runtime_of(plan.slower, true);
-    if (!relay.start()) return out.broken = 1, out;
-    if (i + 1 < kRelays) loop.run_for(std::max(0.0, turn + kBetween - now()));
+    if (!backend.ended()) return out.violations = 1, out;
+    if (variant.has_overload_record) write_record(backend.folder(), record, true);
+    backend.runtime.options = runtime_of(variant.slowdown, true);
+    if (!backend.start()) return out.violations = 1, out;
+    if (i + 1 < kBackends) loop.run_for(std::max(0.0, restart_began + kRestartIntervalSeconds - now()));
   }
   loop.run_for(std::max(0.0, from + seconds - now()));
   const double until = now();
   callers.want_more(false);
-  for (const auto& relay : relays) look_at(out, *relay);
+  for (const auto& backend : backends) read_counters(out, *backend);
   loop.run_until([&] { return callers.open() == 0 && callers.still_wanted() == 0; }, 6);
-  for (const auto& relay : relays) relay->leave();
-  judge(out, plan.name, journal, from, until);
+  for (const auto& backend : backends) backend->leave();
+  evaluate(out, variant.name, journal, from, until);
   return out;
 }
 
 // One relay that starts in the middle of a load.
-Played meet(const Plan& plan, const statistics::StatisticsRecord& record, double load, bool cold,
-            double seconds, std::uint64_t seed) {
-  Played out;
-  Fleet fleet(kBinary, site_of(plan.remembers ? kOn : std::string()), runtime_of(plan.slower, cold),
-              load_of(load / plan.slower, 1, seed));
-  if (plan.remembers) leave_behind(fleet.folder(), record, plan.bad_spell);
+TrialResult run_single_start(const Variant& variant, const statistics::StatisticsRecord& record, double load,
+                             bool starts_cold, double seconds, std::uint64_t seed) {
+  TrialResult out;
+  Fleet fleet(kBinary, site_of(variant.restores_statistics ? kStatisticsSettings : std::string()),
+              runtime_of(variant.slowdown, starts_cold), load_of(load / variant.slowdown, 1, seed));
+  if (variant.restores_statistics) write_record(fleet.folder(), record, variant.has_overload_record);
   const double from = now();
-  if (!fleet.start()) return out.broken = 1, out;
+  if (!fleet.start()) return out.violations = 1, out;
   fleet.loop.run_for(seconds);
   const double until = now();
   fleet.callers.want_more(false);
-  look_at(out, fleet.server);
+  read_counters(out, fleet.server);
   fleet.settle(6);
   fleet.leave();
-  judge(out, plan.name, fleet.journal, from, until);
+  evaluate(out, variant.name, fleet.journal, from, until);
   return out;
 }
 
 // Kills at random, a record every fifth of a second; what is in the folder after each must be whole or
 // nothing.
-int garbage_after(int kills, std::uint64_t seed) {
+int count_corrupt_records_after_kills(int kills, std::uint64_t seed) {
   Fleet fleet(kBinary, site_of("knowledge\n    enabled on\n    folder FOLDER\n    interval 200ms\n"),
               runtime_of(1, false), load_of(0.55, 1, seed));
   pcg64 random(seed);
-  int garbage = 0;
+  int corrupt_records = 0;
   for (int i = 0; i < kills; ++i) {
-    if (!fleet.start()) return garbage + 1;
+    if (!fleet.start()) return corrupt_records + 1;
     fleet.loop.run_for(0.05 + static_cast<double>(random() % 1000) / 1000 * 0.4);
     fleet.kill();
-    const auto disk = store::open_folder(fleet.folder());
-    const statistics::RecordReadResult read = statistics::StatisticsFolder(*disk).read();
-    garbage += !read.record && read.problem != statistics::ReadProblem::kMissing;
+    const auto folder_access = store::open_folder(fleet.folder());
+    const statistics::RecordReadResult read = statistics::StatisticsFolder(*folder_access).read();
+    corrupt_records += !read.record && read.problem != statistics::ReadProblem::kMissing;
   }
-  return garbage;
+  return corrupt_records;
 }
 
 double mean(const std::vector<double>& v) {
@@ -262,7 +263,7 @@
   return v.empty() ? 0 : sum / static_cast<double>(v.size());
 }
 // Half the width of the 95% interval of the mean of paired differences (Student's t, from below).
-double interval(const std::vector<double>& v) {
+double half_interval(const std::vector<double>& v) {
   if (v.size() < 2) return 1;
   const double m = mean(v), t = v.size() < 10 ? 2.8 : v.size() < 20 ? 2.262 : 2.093;
   double squares = 0;
@@ -272,54 +273,60 @@
 
 // Plays of one kind, a column a plan.
 struct Table {
-  std::vector<Played> plays[kPlanCount];
-  std::vector<double> difference(std::size_t a, std::size_t b, bool first) const {
+  std::vector<TrialResult> trials[kVariantCount];
+  std::vector<double> difference(std::size_t a, std::size_t b, bool is_first_seconds) const {
     std::vector<double> out;
-    for (std::size_t i = 0; i < plays[a].size(); ++i) {
-      const Played &of_a = plays[a][i], &of_b = plays[b][i];
-      out.push_back(first ? of_a.first.worth() - of_b.first.worth() : of_a.all.worth() - of_b.all.worth());
+    for (std::size_t i = 0; i < trials[a].size(); ++i) {
+      const TrialResult &of_a = trials[a][i], &of_b = trials[b][i];
+      out.push_back(is_first_seconds ? of_a.first_seconds.served_share() - of_b.first_seconds.served_share()
+                                     : of_a.all.served_share() - of_b.all.served_share());
     }
     return out;
   }
-  double worth(std::size_t plan, bool first) const {
+  double mean_served_share(std::size_t variant, bool is_first_seconds) const {
     std::vector<double> out;
-    for (const Played& p : plays[plan]) out.push_back(first ? p.first.worth() : p.all.worth());
+    for (const TrialResult& trial : trials[variant])
+      out.push_back(is_first_seconds ? trial.first_seconds.served_share() : trial.all.served_share());
     return mean(out);
   }
-  void print(const char* title, std::size_t plans) const {
+  void print(const char* title, std::size_t variants) const {
     fmt::print("{}\n{:<18}{:>9}{:>9}{:>9}{:>9}{:>9}{:>12}\n", title, "", "worth5", "worth", "late", "failed",
                "nacked", "of things");
-    for (std::size_t i = 0; i < plans; ++i) {
-      int things = 0, late = 0, failed = 0, rejected = 0;
-      for (const Played& p : plays[i]) {
-        things += p.first.things, late += p.first.late, failed += p.first.failed;
-        rejected += p.first.rejected_all;
+    for (std::size_t i = 0; i < variants; ++i) {
+      int requests = 0, late = 0, failed = 0, rejected = 0;
+      for (const TrialResult& trial : trials[i]) {
+        requests += trial.first_seconds.requests, late += trial.first_seconds.late,
+            failed += trial.first_seconds.failed;
+        rejected += trial.first_seconds.rejected_all;
       }
-      const auto share = [&](int n) { return things > 0 ? static_cast<double>(n) / things : 0; };
-      fmt::print("{:<18}{:>9.3f}{:>9.3f}{:>9.3f}{:>9.3f}{:>9.3f}{:>12}\n", kPlans[i].name, worth(i, true),
-                 worth(i, false), share(late), share(failed), share(rejected), things);
+      const auto share = [&](int n) { return requests > 0 ? static_cast<double>(n) / requests : 0; };
+      fmt::print("{:<18}{:>9.3f}{:>9.3f}{:>9.3f}{:>9.3f}{:>9.3f}{:>12}\n", kVariants[i].name,
+                 mean_served_share(i, true), mean_served_share(i, false), share(late), share(failed),
+                 share(rejected), requests);
     }
     const auto gain5 = difference(0, 1, true), gain = difference(0, 1, false);
     fmt::print("  with against without: first 5 s {:+.4f} +- {:.4f}, whole {:+.4f} +- {:.4f}, {} pairs\n",
-               mean(gain5), interval(gain5), mean(gain), interval(gain), gain.size());
+               mean(gain5), half_interval(gain5), mean(gain), half_interval(gain), gain.size());
   }
 };
 
 // Rounds of `side` pairs at once; a thread a play.
-template <class Play>
-Table rounds(int pairs, int side, std::size_t plans, std::uint64_t seed, const Play& play) {
+template <class Trial>
+Table run_rounds(int pairs, int pairs_at_once, std::size_t variants, std::uint64_t seed,
+                 const Trial& run_trial) {
   Table table;
-  for (int done = 0; done < pairs; done += side) {
-    const int now_many = std::min(side, pairs - done);
-    std::vector<Played> outcomes(static_cast<std::size_t>(now_many) * plans);
+  for (int first_pair = 0; first_pair < pairs; first_pair += pairs_at_once) {
+    const int round_pairs = std::min(pairs_at_once, pairs - first_pair);
+    std::vector<TrialResult> outcomes(static_cast<std::size_t>(round_pairs) * variants);
     std::vector<std::thread> threads;
     for (std::size_t i = 0; i < outcomes.size(); ++i) {
       threads.emplace_back([&, i] {
-        outcomes[i] = play(kPlans[i % plans], seed + static_cast<std::uint64_t>(done) + i / plans);
+        outcomes[i] =
+            run_trial(kVariants[i % variants], seed + static_cast<std::uint64_t>(first_pair) + i / variants);
       });
     }
     for (std::thread& thread : threads) thread.join();
-    for (std::size_t i = 0; i < outcomes.size(); ++i) table.plays[i % plans].push_back(outcomes[i]);
+    for (std::size_t i = 0; i < outcomes.size(); ++i) table.trials[i % variants].push_back(outcomes[i]);
   }
   return table;
 }
@@ -338,40 +345,44 @@
   const auto flags = options.parse(argc, argv);
   const double seconds = flags["seconds"].as<double>();
   const auto seed = flags["seed"].as<std::uint64_t>();
-  const int pairs = flags["pairs"].as<int>(), side = flags["side"].as<int>();
-  const std::optional<statistics::StatisticsRecord> record = taught(12, seed);
+  const int pairs = flags["pairs"].as<int>(), pairs_at_once = flags["side"].as<int>();
+  const std::optional<statistics::StatisticsRecord> record = learn_statistics(12, seed);
   if (!record) return fmt::print("nothing was learned\n"), 1;
-  std::atomic<int> garbage{0};
-  std::thread killer([&] { garbage = garbage_after(flags["kills"].as<int>(), seed); });
-  int broken = 0, used = 0;
-  double reactor_ms = 0;
+  std::atomic<int> corrupt_records{0};
+  std::thread killer(
+      [&] { corrupt_records = count_corrupt_records_after_kills(flags["kills"].as<int>(), seed); });
+  int violations = 0, restored = 0;
+  double max_write_ms = 0;
   const auto add = [&](const Table& table) {
-    for (const auto& plays : table.plays) {
-      for (const Played& p : plays) {
-        broken += p.broken, used += p.used;
-        reactor_ms = std::max(reactor_ms, p.reactor_ms);
+    for (const auto& trials : table.trials) {
+      for (const TrialResult& trial : trials) {
+        violations += trial.violations, restored += trial.restored;
+        max_write_ms = std::max(max_write_ms, trial.max_write_ms);
       }
     }
   };
-  const Table rolled = rounds(pairs, side, kPlanCount, seed, [&](const Plan& plan, std::uint64_t of) {
-    return roll(plan, *record, seconds, of);
-  });
+  const Table rolled = run_rounds(pairs, pairs_at_once, kVariantCount, seed,
+                                  [&](const Variant& variant, std::uint64_t pair_seed) {
+                                    return run_rolling_deploy(variant, *record, seconds, pair_seed);
+                                  });
   add(rolled);
   rolled.print("rolling deploy over three relays at 110%, first 5 s and all after the first restart",
-               kPlanCount);
+               kVariantCount);
   std::string loads;
   for (const double load : flags["loads"].as<std::vector<double>>()) {
-    for (const bool cold : {true, false}) {
-      const Table met = rounds(pairs, side, 2, seed, [&](const Plan& plan, std::uint64_t of) {
-        return meet(plan, *record, load, cold, seconds / 2, of);
-      });
-      add(met);
-      met.print(fmt::format("one relay starts {} at {:.1f} times its capacity", cold ? "cold" : "warm", load)
-                    .c_str(),
-                2);
-      const auto gain = met.difference(0, 1, true);
-      loads += fmt::format("gain5_{}_{:.1f}={:.4f} gain5_{}_{:.1f}_ci={:.4f} ", cold ? "cold" : "warm", load,
-                           mean(gain), cold ? "cold" : "warm", load, interval(gain));
+    for (const bool starts_cold : {true, false}) {
+      const Table started =
+          run_rounds(pairs, pairs_at_once, 2, seed, [&](const Variant& variant, std::uint64_t pair_seed) {
+            return run_single_start(variant, *record, load, starts_cold, seconds / 2, pair_seed);
+          });
+      add(started);
+      started.print(
+          fmt::format("one relay starts {} at {:.1f} times its capacity", starts_cold ? "cold" : "warm", load)
+              .c_str(),
+          2);
+      const auto gain = started.difference(0, 1, true);
+      loads += fmt::format("gain5_{}_{:.1f}={:.4f} gain5_{}_{:.1f}_ci={:.4f} ", starts_cold ? "cold" : "warm",
+                           load, mean(gain), starts_cold ? "cold" : "warm", load, half_interval(gain));
     }
   }
   killer.join();
@@ -380,15 +391,17 @@
   fmt::print(
       "against without, mean and half of the 95% interval: with {:+.4f} +- {:.4f}, stale {:+.4f} +- {:.4f}, "
       "poisoned {:+.4f} +- {:.4f}; {} lives began with knowledge\n",
-      mean(gain), interval(gain), mean(stale), interval(stale), mean(poisoned), interval(poisoned), used);
+      mean(gain), half_interval(gain), mean(stale), half_interval(stale), mean(poisoned),
+      half_interval(poisoned), restored);
   fmt::print(
       "figures: worth20_with={:.4f} worth20_without={:.4f} worth20_stale={:.4f} worth20_stale_without={:.4f} "
       "worth20_poisoned={:.4f} gain_with={:.4f} gain_with_ci={:.4f} loss_stale={:.4f} loss_stale_ci={:.4f} "
       "loss_poisoned={:.4f} loss_poisoned_ci={:.4f} {}garbage_starts={} kills={} rule_breaks={} "
       "write_reactor_ms_max={:.3f} pairs={} seconds={:.0f}\n",
-      rolled.worth(0, false), rolled.worth(1, false), rolled.worth(2, false), rolled.worth(3, false),
-      rolled.worth(4, false), mean(gain), interval(gain), -mean(stale), interval(stale), -mean(poisoned),
-      interval(poisoned), loads, garbage.load(), flags["kills"].as<int>(), broken, reactor_ms, gain.size(),
-      seconds);
+      rolled.mean_served_share(0, false), rolled.mean_served_share(1, false),
+      rolled.mean_served_share(2, false), rolled.mean_served_share(3, false),
+      rolled.mean_served_share(4, false), mean(gain), half_interval(gain), -mean(stale), half_interval(stale),
+      -mean(poisoned), half_interval(poisoned), loads, corrupt_records.load(), flags["kills"].as<int>(),
+      violations, max_write_ms, gain.size(), seconds);
   return 0;
 }
--- a/bench/results.cpp
+++ b/bench/results.cpp
@@ -21,7 +21,7 @@
   return values[static_cast<std::size_t>(share * static_cast<double>(values.size() - 1))];
 }
 
-SiteSpec site_of(const std::string& idempotency, const std::string& operators) {
+SiteSpec site_spec(const std::string& idempotency, const std::string& operators) {
   SiteSpec site;
   site.types = {{"push", idempotency, 1, 2, 30, 1}, {"pull", idempotency, 1, 2, 30, 1}};
   site.cores = 4;
@@ -29,9 +29,9 @@
   return site;
 }
 
-Callers::Options load_of(double per_s, int copies, bool marked, std::uint64_t seed) {
+Callers::Options caller_options(double per_s, int copies, bool has_key, std::uint64_t seed) {
   Flow push{"push", per_s, 1};
-  push.has_key = marked;
+  push.has_key = has_key;
   push.copies = copies;
   push.spread = 0.1;
   push.retries = 2;
@@ -44,73 +44,76 @@
   return load;
 }
 
-Runtime::Options work_of(double work, std::size_t result_bytes = 64) {
-  Runtime::Options o;
-  o.cores = 4;
-  o.work = work;
-  o.result_bytes = result_bytes;
-  return o;
+Runtime::Options runtime_options(double work, std::size_t result_bytes = 64) {
+  Runtime::Options options;
+  options.cores = 4;
+  options.work = work;
+  options.result_bytes = result_bytes;
+  return options;
 }
 
-std::string remembering(const char* more) {
-  return fmt::format("results\n    enabled on\n    memory 8M\n    digest pull\n{}", more);
+std::string results_settings(const char* more_settings) {
+  return fmt::format("results\n    enabled on\n    memory 8M\n    digest pull\n{}", more_settings);
 }
 
-std::vector<double> success_times(const Journal& journal) {
-  std::vector<double> times;
-  for (const auto& [request, t] : journal.attempts) {
-    for (const Answer& a : t.answers) {
-      if (a.kind == AnswerKind::kSucceeded) times.push_back(a.at - t.sent);
+std::vector<double> success_latencies(const Journal& journal) {
+  std::vector<double> latencies;
+  for (const auto& [request, attempt] : journal.attempts) {
+    for (const Answer& answer : attempt.answers) {
+      if (answer.kind == AnswerKind::kSucceeded) latencies.push_back(answer.at - attempt.sent);
     }
   }
-  return times;
+  return latencies;
 }
 
-struct Sums {
-  double calls_per_unique = 0;
+struct RuleCounts {
+  double runs_per_key = 0;
   int double_runs = 0, wrong_results = 0, other = 0;
 };
 
-void add(Sums& sums, const Verdict& verdict) {
-  sums.double_runs += verdict.double_runs;
-  sums.wrong_results += verdict.wrong_results;
-  sums.other += verdict.unanswered + verdict.late + verdict.answered_twice;
+void add(RuleCounts& counts, const Verdict& verdict) {
+  counts.double_runs += verdict.double_runs;
+  counts.wrong_results += verdict.wrong_results;
+  counts.other += verdict.unanswered + verdict.late + verdict.answered_twice;
   for (const std::string& line : verdict.broken) fmt::print("  {}\n", line);
 }
 
 // Every thing is asked for three times; how often it runs.
-Sums asked_thrice(bool remembered, double seconds, std::uint64_t seed) {
-  const std::string operators = remembered ? remembering("    store STORE\n") : std::string();
-  Fleet fleet(kBinary, site_of(remembered ? "dedup" : "retryable", operators), work_of(0.004),
-              load_of(40, 3, remembered, seed));
-  Sums sums;
-  if (!fleet.start()) return sums;
+RuleCounts run_with_duplicates(bool has_results, double seconds, std::uint64_t seed) {
+  const std::string operators = has_results ? results_settings("    store STORE\n") : std::string();
+  Fleet fleet(kBinary, site_spec(has_results ? "dedup" : "retryable", operators), runtime_options(0.004),
+              caller_options(40, 3, has_results, seed));
+  RuleCounts counts;
+  if (!fleet.start()) return counts;
   fleet.loop.run_for(seconds);
   fleet.settle(5);
   fleet.leave();
-  std::set<std::string> unique;
-  for (const RunSeen& run : fleet.journal.runs) unique.insert(run.key);
-  sums.calls_per_unique = static_cast<double>(fleet.journal.runs.size()) /
-                          static_cast<double>(std::max<std::size_t>(1, unique.size()));
-  add(sums, check_rules(fleet.journal, fleet.limits()));
+  std::set<std::string> keys;
+  for (const RunSeen& run : fleet.journal.runs) keys.insert(run.key);
+  counts.runs_per_key = static_cast<double>(fleet.journal.runs.size()) /
+                        static_cast<double>(std::max<std::size_t>(1, keys.size()));
+  add(counts, check_rules(fleet.journal, fleet.limits()));
   fmt::print("{:<34}{:>8} things, {:>6} tries, {:>6} runs: {:.3f} a thing\n",
-             remembered ? "asked thrice, remembered" : "asked thrice, not remembered", unique.size(),
-             fleet.journal.attempts.size(), fleet.journal.runs.size(), sums.calls_per_unique);
-  return sums;
+             has_results ? "asked thrice, remembered" : "asked thrice, not remembered", keys.size(),
+             fleet.journal.attempts.size(), fleet.journal.runs.size(), counts.runs_per_key);
+  return counts;
 }
 
-struct Cost {
+struct Latencies {
   std::vector<double> with, without;
 };
 
 // The same load on two programs in turns of 0.3 s, so that the machine's moods fall on both.
-Cost cost_of(const char* safety, double work, double seconds, std::uint64_t seed) {
-  const std::string operators = remembering(fmt::format("    store STORE\n    safety {}\n", safety).c_str());
-  Fleet with(kBinary, site_of("dedup", operators), work_of(work), load_of(60, 1, true, seed));
-  Fleet without(kBinary, site_of("retryable", ""), work_of(work), load_of(60, 1, false, seed));
-  Cost cost;
-  if (!with.start() || !without.start()) return cost;
-  for (double spent = 0; spent < seconds; spent += 0.6) {
+Latencies compare_latencies(const char* safety, double work, double seconds, std::uint64_t seed) {
+  const std::string operators =
+      results_settings(fmt::format("    store STORE\n    safety {}\n", safety).c_str());
+  Fleet with(kBinary, site_spec("dedup", operators), runtime_options(work),
+             caller_options(60, 1, true, seed));
+  Fleet without(kBinary, site_spec("retryable", ""), runtime_options(work),
+                caller_options(60, 1, false, seed));
+  Latencies latencies;
+  if (!with.start() || !without.start()) return latencies;
+  for (double elapsed = 0; elapsed < seconds; elapsed += 0.6) {
     for (Fleet* fleet : {&with, &without}) {
       fleet->callers.want_more(true);
       fleet->loop.run_for(0.3);
@@ -120,17 +123,17 @@
   }
   with.settle(2), without.settle(2);
   with.leave(), without.leave();
-  cost.with = success_times(with.journal), cost.without = success_times(without.journal);
-  return cost;
+  latencies.with = success_latencies(with.journal), latencies.without = success_latencies(without.journal);
+  return latencies;
 }
 
-Sums killed(int kills, std::uint64_t seed) {
-  Fleet fleet(kBinary, site_of("dedup", remembering("    store STORE\n")), work_of(0.012),
-              load_of(50, 3, true, seed));
+RuleCounts run_with_kills(int kills, std::uint64_t seed) {
+  Fleet fleet(kBinary, site_spec("dedup", results_settings("    store STORE\n")), runtime_options(0.012),
+              caller_options(50, 3, true, seed));
   pcg64 random(seed);
-  Sums sums;
+  RuleCounts counts;
   for (int i = 0; i < kills; ++i) {
-    if (!fleet.start()) return sums;
+    if (!fleet.start()) return counts;
     fleet.loop.run_for(0.06 + static_cast<double>(random() % 1000) / 1000 * 0.2);
     fleet.kill();
   }
@@ -138,51 +141,51 @@
   fleet.loop.run_for(0.5);
   fleet.settle(15);
   fleet.leave();
-  add(sums, check_rules(fleet.journal, fleet.limits()));
+  add(counts, check_rules(fleet.journal, fleet.limits()));
   int unknown = 0;
-  for (const auto& [request, t] : fleet.journal.attempts) {
-    for (const Answer& a : t.answers) unknown += a.kind == AnswerKind::kUnknownOutcome;
+  for (const auto& [request, attempt] : fleet.journal.attempts) {
+    for (const Answer& answer : attempt.answers) unknown += answer.kind == AnswerKind::kUnknownOutcome;
   }
   fmt::print("{:<34}{:>8} kills, {:>6} tries, {:>6} runs, {} told that the outcome is unknown\n",
              "killed at random", kills, fleet.journal.attempts.size(), fleet.journal.runs.size(), unknown);
-  return sums;
+  return counts;
 }
 
-struct Memory {
-  double rest_off = 0, rest_on = 0, full = 0, latest_wake_ms = 0, commit_ms = 0;
+struct MemoryUse {
+  double idle_mb_off = 0, idle_mb_on = 0, full_mb = 0, max_timer_delay_ms = 0, max_commit_ms = 0;
   std::uint64_t entries = 0;
 };
 
 // Results of 4 KiB by the ten thousand under a bound of 8 MB.
-Memory memory_of(double seconds, std::uint64_t seed) {
-  Memory memory;
+MemoryUse measure_memory(double seconds, std::uint64_t seed) {
+  MemoryUse memory;
   {
-    Fleet off(kBinary, site_of("retryable", ""), work_of(0.002), load_of(1, 1, false, seed));
+    Fleet off(kBinary, site_spec("retryable", ""), runtime_options(0.002), caller_options(1, 1, false, seed));
     off.callers.want_more(false);
     if (!off.start()) return memory;
     off.loop.run_for(0.5);
-    memory.rest_off = static_cast<double>(off.process->resident_kb()) / 1024;
+    memory.idle_mb_off = static_cast<double>(off.process->resident_kb()) / 1024;
   }
-  SiteSpec site = site_of("dedup", remembering("    store STORE\n"));
+  SiteSpec site = site_spec("dedup", results_settings("    store STORE\n"));
   site.cores = 8;
-  Runtime::Options work = work_of(0.001, 4096);
+  Runtime::Options work = runtime_options(0.001, 4096);
   work.cores = 8;
-  Callers::Options load = load_of(750, 1, true, seed);
+  Callers::Options load = caller_options(750, 1, true, seed);
   load.connections = 16;
   Fleet on(kBinary, site, work, load);
   on.callers.want_more(false);
   if (!on.start()) return memory;
   on.loop.run_for(0.5);
-  memory.rest_on = static_cast<double>(on.process->resident_kb()) / 1024;
+  memory.idle_mb_on = static_cast<double>(on.process->resident_kb()) / 1024;
   on.callers.want_more(true);
   on.loop.run_for(seconds);
   on.settle(3);
-  memory.full = static_cast<double>(on.process->resident_kb()) / 1024;
+  memory.full_mb = static_cast<double>(on.process->resident_kb()) / 1024;
   const auto counters = on.process->counters();
   const auto count = [&](const char* name) { return counters.contains(name) ? counters.at(name) : 0; };
   memory.entries = count("results.entries");
-  memory.latest_wake_ms = static_cast<double>(count("timers.max_delay_us")) / 1000;
-  memory.commit_ms = static_cast<double>(count("results.max_commit_us")) / 1000;
+  memory.max_timer_delay_ms = static_cast<double>(count("timers.max_delay_us")) / 1000;
+  memory.max_commit_ms = static_cast<double>(count("results.max_commit_us")) / 1000;
   on.leave();
   return memory;
 }
@@ -197,36 +200,37 @@
   const auto flags = options.parse(argc, argv);
   const double seconds = flags["seconds"].as<double>();
   const auto seed = flags["seed"].as<std::uint64_t>();
-  const Sums with = asked_thrice(true, seconds, seed), without = asked_thrice(false, seconds, seed);
-  const Cost process = cost_of("process", 0.010, seconds, seed),
-             power = cost_of("power", 0.010, seconds, seed);
+  const RuleCounts with = run_with_duplicates(true, seconds, seed),
+                   without = run_with_duplicates(false, seconds, seed);
+  const Latencies process = compare_latencies("process", 0.010, seconds, seed),
+                  power = compare_latencies("power", 0.010, seconds, seed);
   const auto mean = [](const std::vector<double>& v) {
     double sum = 0;
     for (const double x : v) sum += x;
     return v.empty() ? 0 : sum / static_cast<double>(v.size());
   };
-  for (const auto& [name, cost] : {std::pair{"process", &process}, std::pair{"power", &power}}) {
+  for (const auto& [name, latencies] : {std::pair{"process", &process}, std::pair{"power", &power}}) {
     fmt::print("{:<34}{:>8.2f} ms with, {:.2f} without (mean); p99 {:.2f} and {:.2f}; {} and {} ops\n",
-               fmt::format("time an op of 10 ms, {}-safe", name), mean(cost->with) * 1000,
-               mean(cost->without) * 1000, quantile(cost->with, 0.99) * 1000,
-               quantile(cost->without, 0.99) * 1000, cost->with.size(), cost->without.size());
+               fmt::format("time an op of 10 ms, {}-safe", name), mean(latencies->with) * 1000,
+               mean(latencies->without) * 1000, quantile(latencies->with, 0.99) * 1000,
+               quantile(latencies->without, 0.99) * 1000, latencies->with.size(), latencies->without.size());
   }
-  const Sums kills = killed(flags["kills"].as<int>(), seed);
-  const Memory memory = memory_of(seconds, seed);
+  const RuleCounts kills = run_with_kills(flags["kills"].as<int>(), seed);
+  const MemoryUse memory = measure_memory(seconds, seed);
   fmt::print(
       "{:<34}{:>8} results of 4 KiB kept; {:.1f} MB resident, {:.1f} before, {:.1f} with results off\n",
-      "memory under a bound of 8 MB", memory.entries, memory.full, memory.rest_on, memory.rest_off);
+      "memory under a bound of 8 MB", memory.entries, memory.full_mb, memory.idle_mb_on, memory.idle_mb_off);
   fmt::print("{:<34}{:>8.2f} ms the latest wake of the reactor, {:.2f} ms the longest transaction\n",
-             "stalls", memory.latest_wake_ms, memory.commit_ms);
+             "stalls", memory.max_timer_delay_ms, memory.max_commit_ms);
   const double ratio = mean(process.without) > 0 ? mean(process.with) / mean(process.without) : 0;
   fmt::print(
       "figures: calls_per_unique={:.3f} calls_per_unique_without={:.3f} double_runs={} wrong_results={} "
       "other_rules={} kills={} ack_cost_ratio={:.3f} ack_cost_ratio_power={:.3f} p99_ms_power={:.2f} "
       "rss_mb={:.1f} "
       "rss_rest_on_mb={:.1f} rss_rest_off_mb={:.1f} entries={} wake_most_ms={:.2f}\n",
-      with.calls_per_unique, without.calls_per_unique, with.double_runs + kills.double_runs,
+      with.runs_per_key, without.runs_per_key, with.double_runs + kills.double_runs,
       with.wrong_results + kills.wrong_results, with.other + kills.other, flags["kills"].as<int>(), ratio,
       mean(power.without) > 0 ? mean(power.with) / mean(power.without) : 0, quantile(power.with, 0.99) * 1000,
-      memory.full, memory.rest_on, memory.rest_off, memory.entries, memory.latest_wake_ms);
+      memory.full_mb, memory.idle_mb_on, memory.idle_mb_off, memory.entries, memory.max_timer_delay_ms);
   return 0;
 }
--- a/bench/scale.cpp
+++ b/bench/scale.cpp
@@ -23,24 +23,24 @@
   Forecast out;
   if (points.size() < 3) return out;
   const auto count = static_cast<double>(points.size() - 1);
-  double x = 0, y = 0, xx = 0, xy = 0;
+  double sum_x = 0, sum_y = 0, sum_xx = 0, sum_xy = 0;
   for (std::size_t i = 0; i + 1 < points.size(); ++i) {
-    x += points[i].first, y += points[i].second;
-    xx += points[i].first * points[i].first, xy += points[i].first * points[i].second;
+    sum_x += points[i].first, sum_y += points[i].second;
+    sum_xx += points[i].first * points[i].first, sum_xy += points[i].first * points[i].second;
   }
-  const double spread = count * xx - x * x;
-  out.slope = spread != 0 ? (count * xy - x * y) / spread : 0;
-  out.base = (y - out.slope * x) / count;
+  const double denominator = count * sum_xx - sum_x * sum_x;
+  out.slope = denominator != 0 ? (count * sum_xy - sum_x * sum_y) / denominator : 0;
+  out.base = (sum_y - out.slope * sum_x) / count;
   out.measured = points.back().second;
-  out.foretold = out.base + out.slope * points.back().first;
+  out.predicted = out.base + out.slope * points.back().first;
   return out;
 }
 
-void print_forecast(const char* what, const char* unit,
+void print_forecast(const char* quantity, const char* unit,
                     const std::vector<std::pair<double, double>>& points) {
   const Forecast line = forecast(points);
   fmt::print("  {}: {:.6g} + {:.6g} x size; at {:.0f} foretold {:.4g} {}, measured {:.4g} ({:+.0f}%){}\n",
-             what, line.base, line.slope, points.back().first, line.foretold, unit, line.measured,
+             quantity, line.base, line.slope, points.back().first, line.predicted, unit, line.measured,
              100 * line.error(), std::abs(line.error()) <= 0.25 ? "" : ": not straight");
 }
 
@@ -65,30 +65,30 @@
       "which: decisions, catalog, backend, connections, exchange, members, simulated, pauses, faults",
       cxxopts::value<std::vector<std::string>>()->default_value(
           "decisions,catalog,backend,connections,exchange,members,simulated,pauses,faults"));
-  const auto given = flags.parse(argc, argv);
+  const auto parsed = flags.parse(argc, argv);
   ScaleOptions options;
-  options.seconds = given["seconds"].as<double>();
-  options.seed = given["seed"].as<std::uint64_t>();
-  options.rounds = given["rounds"].as<int>();
-  options.fleets = given["fleets"].as<std::vector<int>>();
-  options.simulated = given["simulate"].as<std::vector<int>>();
-  options.joins_per_s = given["joins"].as<double>();
-  options.converge = given["converge"].as<double>();
-  options.largest_loss = given["loss"].as<int>();
-  const auto parts = given["parts"].as<std::vector<std::string>>();
-  const auto wanted = [&](const char* part) {
+  options.seconds = parsed["seconds"].as<double>();
+  options.seed = parsed["seed"].as<std::uint64_t>();
+  options.rounds = parsed["rounds"].as<int>();
+  options.fleet_sizes = parsed["fleets"].as<std::vector<int>>();
+  options.simulated_sizes = parsed["simulate"].as<std::vector<int>>();
+  options.starts_per_second = parsed["joins"].as<double>();
+  options.convergence_timeout = parsed["converge"].as<double>();
+  options.max_members_in_loss = parsed["loss"].as<int>();
+  const auto parts = parsed["parts"].as<std::vector<std::string>>();
+  const auto is_selected = [&](const char* part) {
     return std::find(parts.begin(), parts.end(), part) != parts.end();
   };
   Figures figures;
-  if (wanted("decisions")) measure_decisions(options, figures);
-  if (wanted("catalog")) measure_catalog(options, figures);
-  if (wanted("backend")) measure_backend(options, figures);
-  if (wanted("connections")) measure_connections(options, figures);
-  if (wanted("exchange")) measure_exchange(options, figures);
-  if (wanted("members")) measure_members(options, figures);
-  if (wanted("simulated")) measure_simulated_members(options, figures);
-  if (wanted("pauses")) measure_simulated_pauses(options, figures);
-  if (wanted("faults")) measure_simulated_faults(options, figures);
+  if (is_selected("decisions")) measure_decisions(options, figures);
+  if (is_selected("catalog")) measure_catalog(options, figures);
+  if (is_selected("backend")) measure_backend(options, figures);
+  if (is_selected("connections")) measure_connections(options, figures);
+  if (is_selected("exchange")) measure_push_pull(options, figures);
+  if (is_selected("members")) measure_members(options, figures);
+  if (is_selected("simulated")) measure_simulated_members(options, figures);
+  if (is_selected("pauses")) measure_simulated_pauses(options, figures);
+  if (is_selected("faults")) measure_simulated_faults(options, figures);
   fmt::print("figures:");
   for (const auto& [name, value] : figures) fmt::print(" {}={:.6g}", name, value);
   fmt::print("\n");
--- a/bench/scale_backend.cpp
+++ b/bench/scale_backend.cpp
@@ -19,21 +19,21 @@
 using namespace standins;
 
 const char* const kBinary = DAMSONSPOKE_BINARY;
-constexpr SiteSize kWhole{44000, 960000};
+constexpr SiteSize kFullSize{44000, 960000};
 constexpr catalog::CatalogLimits kLimits{50000, 1000000, true};
 constexpr double kRequestsPerS = 1304;            // 3 million over 2,300 backends
 constexpr double kChangesPerS = 22000 / 86400.0;  // on the mean of a day
-constexpr double kPeak = 10;                      // x that
+constexpr double kPeakFactor = 10;                // x that
 constexpr double kWork = 0.001;                   // core s of a run; four cores are a third busy
 constexpr int kCores = 4;
 
 // A folder of catalog files, written as a source would.
-class Files {
+class CatalogWriter {
  public:
-  Files(const std::string& folder, SiteSize size) : folder_(folder), size_(size) { write_whole(1); }
+  CatalogWriter(const std::string& folder, SiteSize size) : folder_(folder), size_(size) { write_all(1); }
 
   // Everything anew, with quotas of its own.
-  void write_whole(double factor) {
+  void write_all(double factor) {
     std::string lines;
     for (std::size_t i = 0; i < size_.routes; ++i)
       lines += encode_change(catalog::PutRoute{route_name(i), synthetic_route(i)});
@@ -62,20 +62,20 @@
   catalog::HistoryDigest history_ = 0;
 };
 
-struct Play {
-  std::vector<double> added;     // s of each acked request beyond its time at the runtime
-  std::vector<double> in_force;  // s from a change's writing until it is in force
-  std::size_t wanted = 0, succeeded = 0, versionless = 0;
+struct TrialResult {
+  std::vector<double> added_latency;       // s of each acked request beyond its time at the runtime
+  std::vector<double> activation_seconds;  // s from a change's writing until it is in force
+  std::size_t requests = 0, succeeded = 0, versionless = 0;
   double processor_share = 0;  // of a core
-  double hold_ms = 0, resident_mb = 0;
-  std::uint64_t applied = 0, refused = 0, broken = 0, overdue = 0;
+  double max_step_ms = 0, resident_mb = 0;
+  std::uint64_t applied = 0, rejected = 0, violations = 0, overdue = 0;
   std::uint64_t sequence = 0, last_written = 0;
 };
 
-struct Timing {
-  double every = 0;       // s between two groups of changes; 0: none
-  std::size_t group = 1;  // changes in one
-  bool replaces = false;  // everything, a second into the play
+struct ChangePattern {
+  double interval_seconds = 0;  // s between two groups of changes; 0: none
+  std::size_t batch_size = 1;   // changes in one
+  bool replaces_all = false;    // everything, a second into the play
 };
 
 SiteSpec site_of(const std::string& folder) {
@@ -92,8 +92,8 @@
   flow.type = "any";
   flow.per_s = per_s;
   flow.timeout = 0.4;
-  flow.type_of = [](std::uint64_t draw) { return route_name(draw % kWhole.routes); };
-  flow.tenant_of = [](std::uint64_t draw) { return tenant_name(draw % kWhole.tenants); };
+  flow.type_of = [](std::uint64_t draw) { return route_name(draw % kFullSize.routes); };
+  flow.tenant_of = [](std::uint64_t draw) { return tenant_name(draw % kFullSize.tenants); };
   Callers::Options load;
   load.flows = {flow};
   load.connections = 32;
@@ -101,134 +101,139 @@
   return load;
 }
 
-Play play(const std::string& folder, Files& files, const Timing& timing, const ScaleOptions& options,
-          double per_s = kRequestsPerS) {
-  Play out;
+TrialResult run_trial(const std::string& folder, CatalogWriter& writer, const ChangePattern& changes,
+                      const ScaleOptions& options, double per_s = kRequestsPerS) {
+  TrialResult out;
   Runtime::Options work;
   work.cores = kCores;
   work.work = kWork;
   Fleet fleet(kBinary, site_of(folder), work, load_of(options.seed, per_s));
   if (!fleet.start()) return out;
   fleet.loop.run_for(2);
-  std::map<std::uint64_t, double> written;  // number of a change, until it is in force
+  std::map<std::uint64_t, double> written_at;  // number of a change, until it is in force
   fleet.process->on_line = [&](const std::string& line) {
     if (line.find("catalog: version 1.") == std::string::npos ||
         line.find("after the reload request") == std::string::npos)
       return;
     const std::uint64_t sequence = std::strtoull(line.c_str() + line.find("version 1.") + 10, nullptr, 10);
-    while (!written.empty() && written.begin()->first <= sequence) {
-      out.in_force.push_back(now() - written.begin()->second);
-      written.erase(written.begin());
+    while (!written_at.empty() && written_at.begin()->first <= sequence) {
+      out.activation_seconds.push_back(now() - written_at.begin()->second);
+      written_at.erase(written_at.begin());
     }
   };
-  const double begin = now(), cpu = fleet.process->processor_time();
-  std::function<void()> change = [&] {
-    if (now() - begin > options.seconds) return;
+  const double began = now(), cpu = fleet.process->processor_time();
+  std::function<void()> write_batch = [&] {
+    if (now() - began > options.seconds) return;
     const double at = now();
-    written[files.append(timing.group)] = at;
+    written_at[writer.append(changes.batch_size)] = at;
     fleet.process->signal(SIGHUP);
-    fleet.loop.after(timing.every, change);
+    fleet.loop.after(changes.interval_seconds, write_batch);
   };
-  if (timing.every > 0) fleet.loop.after(timing.every, change);
-  if (timing.replaces) {
+  if (changes.interval_seconds > 0) fleet.loop.after(changes.interval_seconds, write_batch);
+  if (changes.replaces_all) {
     // Written before: the stand-ins share this thread.
-    written[files.sequence()] = now() + 1;
+    written_at[writer.sequence()] = now() + 1;
     fleet.loop.after(1, [&] { fleet.process->signal(SIGHUP); });
   }
   fleet.loop.run_for(options.seconds);
-  out.processor_share = (fleet.process->processor_time() - cpu) / (now() - begin);
+  out.processor_share = (fleet.process->processor_time() - cpu) / (now() - began);
   out.resident_mb = static_cast<double>(fleet.process->resident_kb()) / 1024;
   fleet.settle(3);
   fleet.loop.run_for(1);
   auto counters = fleet.process->counters();
-  out.hold_ms = static_cast<double>(counters["catalog.max_step_us"]) / 1000;
+  out.max_step_ms = static_cast<double>(counters["catalog.max_step_us"]) / 1000;
   out.applied = counters["catalog.applied"];
-  out.refused = counters["catalog.rejected"];
+  out.rejected = counters["catalog.rejected"];
   out.sequence = counters["catalog.sequence"];
   out.overdue = counters["requests.overdue"];
-  out.last_written = files.sequence();
+  out.last_written = writer.sequence();
   fleet.leave();
-  std::map<std::uint64_t, double> ran;  // s at the runtime, by request
-  for (const RunSeen& run : fleet.journal.runs) ran[run.request] = run.ended - run.began;
-  for (const auto& [request, asked] : fleet.journal.attempts) {
-    if (asked.sent < begin) continue;
-    ++out.wanted;
-    for (const Answer& answer : asked.answers) {
+  std::map<std::uint64_t, double> run_seconds;  // s at the runtime, by request
+  for (const RunSeen& run : fleet.journal.runs) run_seconds[run.request] = run.ended - run.began;
+  for (const auto& [request, attempt] : fleet.journal.attempts) {
+    if (attempt.sent < began) continue;
+    ++out.requests;
+    for (const Answer& answer : attempt.answers) {
       if (answer.kind != AnswerKind::kSucceeded) continue;
       ++out.succeeded;
-      out.added.push_back(answer.at - asked.sent - ran[request]);
+      out.added_latency.push_back(answer.at - attempt.sent - run_seconds[request]);
     }
   }
-  out.broken = check_rules(fleet.journal, fleet.limits()).broken.size();
+  out.violations = check_rules(fleet.journal, fleet.limits()).broken.size();
   return out;
 }
 
-void tell(const char* what, const Play& p) {
+void print_trial(const char* title, const TrialResult& trial) {
   fmt::print(
       "  {:<34} {} of {} served, added p50 {:.2f} p99 {:.2f} ms; {:.1f}% of a core, {:.0f} MB, longest hold "
       "{:.2f} ms; "
       "{} taken, {} refused, {} in force of {}{}{}\n",
-      what, p.succeeded, p.wanted, 1000 * quantile(p.added, 0.5), 1000 * quantile(p.added, 0.99),
-      100 * p.processor_share, p.resident_mb, p.hold_ms, p.applied, p.refused, p.sequence, p.last_written,
-      p.in_force.empty() ? "" : fmt::format(" after p99 {:.3f} s", quantile(p.in_force, 0.99)),
-      p.broken > 0 ? "; RULES BROKEN" : "");
+      title, trial.succeeded, trial.requests, 1000 * quantile(trial.added_latency, 0.5),
+      1000 * quantile(trial.added_latency, 0.99), 100 * trial.processor_share, trial.resident_mb,
+      trial.max_step_ms, trial.applied, trial.rejected, trial.sequence, trial.last_written,
+      trial.activation_seconds.empty()
+          ? ""
+          : fmt::format(" after p99 {:.3f} s", quantile(trial.activation_seconds, 0.99)),
+      trial.violations > 0 ? "; RULES BROKEN" : "");
 }
 
 }  // namespace
 
 void measure_backend(const ScaleOptions& options, Figures& figures) {
-  fmt::print("One backend with {} routes and {} tenants, {:.0f} requests a second:\n", kWhole.routes,
-             kWhole.tenants, kRequestsPerS);
+  fmt::print("One backend with {} routes and {} tenants, {:.0f} requests a second:\n", kFullSize.routes,
+             kFullSize.tenants, kRequestsPerS);
   const Folder folder;
-  Files files(folder.path("."), kWhole);
+  CatalogWriter writer(folder.path("."), kFullSize);
   std::vector<std::pair<double, double>> share;
   for (const double per_s : {163.0, 326.0, 652.0, kRequestsPerS}) {
-    const Play p = play(folder.path("."), files, {}, options, per_s);
-    tell(fmt::format("{:.0f} a second", per_s).c_str(), p);
-    share.emplace_back(per_s, 100 * p.processor_share);
+    const TrialResult trial = run_trial(folder.path("."), writer, {}, options, per_s);
+    print_trial(fmt::format("{:.0f} a second", per_s).c_str(), trial);
+    share.emplace_back(per_s, 100 * trial.processor_share);
   }
   print_forecast("share of a core", "%", share);
   figures["us_per_request_backend"] = 1e4 * forecast(share).slope;
-  const Play calm = play(folder.path("."), files, {}, options);
-  tell("no change", calm);
-  const Play peak = play(folder.path("."), files, {1 / (kPeak * kChangesPerS), 1, false}, options);
-  tell("changes at ten times the mean", peak);
-  const Play burst = play(folder.path("."), files, {1, 1000, false}, options);
-  tell("a thousand changes each second", burst);
+  const TrialResult calm = run_trial(folder.path("."), writer, {}, options);
+  print_trial("no change", calm);
+  const TrialResult peak =
+      run_trial(folder.path("."), writer, {1 / (kPeakFactor * kChangesPerS), 1, false}, options);
+  print_trial("changes at ten times the mean", peak);
+  const TrialResult burst = run_trial(folder.path("."), writer, {1, 1000, false}, options);
+  print_trial("a thousand changes each second", burst);
   // The backend starts with the one before and finds the next one when it is asked.
   const std::string current = folder.path("./") + catalog::kSnapshotFile;
-  Play replaced;
+  TrialResult replaced;
   {
-    const std::string aside = folder.path("./") + "next";
-    ::rename(current.c_str(), aside.c_str());
-    files.write_whole(2);  // under the snapshot's name: becomes the next one
-    const std::string next = folder.path("./") + "later";
-    ::rename(current.c_str(), next.c_str());
-    ::rename(aside.c_str(), current.c_str());
+    const std::string original = folder.path("./") + "next";
+    ::rename(current.c_str(), original.c_str());
+    writer.write_all(2);  // under the snapshot's name: becomes the next one
+    const std::string replacement = folder.path("./") + "later";
+    ::rename(current.c_str(), replacement.c_str());
+    ::rename(original.c_str(), current.c_str());
     // Swapped in by name when the play asks for it, a second in: here, since the play itself only signals.
     replaced = [&] {
-      const pid_t mover = ::fork();
-      if (mover == 0) {
+      const pid_t rename_process = ::fork();
+      if (rename_process == 0) {
         ::usleep(2500000);
-        ::rename(next.c_str(), current.c_str());
+        ::rename(replacement.c_str(), current.c_str());
         std::_Exit(0);
       }
-      return play(folder.path("."), files, {0, 1, true}, options);
+      return run_trial(folder.path("."), writer, {0, 1, true}, options);
     }();
   }
-  tell("everything replaced", replaced);
-  figures["added_ms_p99_calm"] = 1000 * quantile(calm.added, 0.99);
-  figures["added_ms_p99_changes"] = 1000 * quantile(peak.added, 0.99);
-  figures["added_ms_p99_burst"] = 1000 * quantile(burst.added, 0.99);
-  figures["added_ms_p99_replaced"] = 1000 * quantile(replaced.added, 0.99);
-  figures["in_force_s_p99"] = quantile(peak.in_force, 0.99);
-  figures["in_force_s_replaced"] = quantile(replaced.in_force, 0.99);
-  figures["longest_hold_ms"] = std::max({peak.hold_ms, burst.hold_ms, replaced.hold_ms});
+  print_trial("everything replaced", replaced);
+  figures["added_ms_p99_calm"] = 1000 * quantile(calm.added_latency, 0.99);
+  figures["added_ms_p99_changes"] = 1000 * quantile(peak.added_latency, 0.99);
+  figures["added_ms_p99_burst"] = 1000 * quantile(burst.added_latency, 0.99);
+  figures["added_ms_p99_replaced"] = 1000 * quantile(replaced.added_latency, 0.99);
+  figures["in_force_s_p99"] = quantile(peak.activation_seconds, 0.99);
+  figures["in_force_s_replaced"] = quantile(replaced.activation_seconds, 0.99);
+  figures["longest_hold_ms"] = std::max({peak.max_step_ms, burst.max_step_ms, replaced.max_step_ms});
   figures["mb_at_size"] = std::max({calm.resident_mb, peak.resident_mb, burst.resident_mb});
   figures["mb_replaced"] = replaced.resident_mb;
   figures["lost_changes"] +=
       static_cast<double>(peak.last_written - peak.sequence + burst.last_written - burst.sequence);
-  figures["rule_breaks"] = static_cast<double>(calm.broken + peak.broken + burst.broken + replaced.broken);
+  figures["rule_breaks"] =
+      static_cast<double>(calm.violations + peak.violations + burst.violations + replaced.violations);
   figures["control_core_share_changes"] = std::max(0.0, peak.processor_share - calm.processor_share);
 }
 
@@ -246,15 +251,15 @@
     fleet.loop.run_for(1);
     const long before = fleet.process->resident_kb();
     std::vector<int> open;
-    int ended = 0;
+    int closed = 0;
     for (int i = 0; i < count; ++i) {
       const int fd = connected_socket(fleet.server.port(), fmt::format("127.9.{}.{}", i / 250, 1 + i % 250));
       if (fd < 0) continue;
       open.push_back(fd);
-      fleet.loop.watch(fd, [&fleet, &ended, fd] {
+      fleet.loop.watch(fd, [&fleet, &closed, fd] {
         char bytes[512];
         if (::recv(fd, bytes, sizeof bytes, MSG_DONTWAIT) > 0) return;
-        ++ended;
+        ++closed;
         fleet.loop.forget(fd);
       });
       const std::string check = R"({"jsonrpc":"2.0","id":1,"method":"health","params":{}})";
@@ -262,21 +267,21 @@
       if (i % 50 == 0) fleet.loop.run_for(0.02);
     }
     fleet.loop.run_for(0.5);
-    const double watched = options.seconds / 2;
+    const double measured_seconds = options.seconds / 2;
     const double cpu = fleet.process->processor_time();
     const auto reports = fleet.process->counters()["registry.reports"];
-    fleet.loop.run_for(watched);
-    const double spent = (fleet.process->processor_time() - cpu) / watched;
-    const auto reported =
-        static_cast<double>(fleet.process->counters()["registry.reports"] - reports) / watched;
+    fleet.loop.run_for(measured_seconds);
+    const double core_share = (fleet.process->processor_time() - cpu) / measured_seconds;
+    const auto reports_per_second =
+        static_cast<double>(fleet.process->counters()["registry.reports"] - reports) / measured_seconds;
     const auto kb = static_cast<double>(fleet.process->resident_kb() - before);
     fmt::print(
         "  {:>5} asked for, {} ended by it: {:.2f} KB each, {:.2f}% of a core, {:.1f} reports to the roster "
         "a second\n",
-        count, ended, kb / count, 100 * spent, reported);
+        count, closed, kb / count, 100 * core_share, reports_per_second);
     memory.emplace_back(count, kb);
-    share.emplace_back(count, 100 * spent);
-    figures["roster_reports_per_s"] = reported;
+    share.emplace_back(count, 100 * core_share);
+    figures["roster_reports_per_s"] = reports_per_second;
     for (const int fd : open) {
       fleet.loop.forget(fd);
       ::close(fd);
--- a/bench/scale_members.cpp
+++ b/bench/scale_members.cpp
@@ -21,17 +21,17 @@
 using namespace standins;
 
 const char* const kBinary = DAMSONSPOKE_BINARY;
-constexpr int kReal = 12;    // processes of the program
-constexpr double kLook = 5;  // s; of one look at bytes and time after a loss
-const char* const kLongNames = "backend-";
-constexpr int kBackends = 2300, kDeadOfTwoHours = 742;  // docs/CAPACITY.md
-constexpr int kSimulatedLooks = 24;
+constexpr int kRealProcesses = 12;    // processes of the program
+constexpr double kSampleSeconds = 5;  // s; of one look at bytes and time after a loss
+const char* const kNamePrefix = "backend-";
+constexpr int kBackends = 2300, kDeadMembers = 742;  // docs/CAPACITY.md
+constexpr int kSimulatedSamples = 24;
 
 // Processes that serve nobody and take part in membership.
 class RealMembers {
  public:
   RealMembers(Loop& loop, std::uint64_t seed, const std::vector<std::string>& seeds) {
-    for (int i = 0; i < kReal; ++i) {
+    for (int i = 0; i < kRealProcesses; ++i) {
       const std::string config = folder_.path(fmt::format("config-{}", i));
       const std::string operators = folder_.path(fmt::format("operator-{}", i));
       std::string text = synthetic_config({3, 0});
@@ -46,17 +46,17 @@
     }
   }
 
-  struct Sums {
-    double processor_seconds = 0, bytes = 0, resident_kb = 0, there = 0;
+  struct Totals {
+    double processor_seconds = 0, bytes = 0, resident_kb = 0, alive = 0;
   };
-  Sums sums() {
-    Sums out;
+  Totals totals() {
+    Totals out;
     for (const auto& process : processes_) {
       out.processor_seconds += process->processor_time();
       out.resident_kb = std::max(out.resident_kb, static_cast<double>(process->resident_kb()));
       auto counters = process->counters();
       out.bytes += static_cast<double>(counters["members.bytes"]);
-      out.there += static_cast<double>(counters["members.alive"]) / kReal;
+      out.alive += static_cast<double>(counters["members.alive"]) / kRealProcesses;
     }
     return out;
   }
@@ -67,160 +67,166 @@
 };
 
 struct Rates {
-  double bytes = 0, hollow_share = 0, real_share = 0;  // a member and second; shares of a core
+  double bytes_per_second = 0, hollow_share = 0, real_share = 0;  // a member and second; shares of a core
 };
 
 // Watches for so long.
-Rates rates_over(Loop& loop, HollowMembers& hollow, RealMembers& real, double seconds) {
-  const HollowMembers::Totals h = hollow.totals();
-  const RealMembers::Sums r = real.sums();
-  const double begin = now();
+Rates measure_rates(Loop& loop, HollowMembers& hollow, RealMembers& real, double seconds) {
+  const HollowMembers::Totals hollow_before = hollow.totals();
+  const RealMembers::Totals real_before = real.totals();
+  const double began = now();
   loop.run_for(seconds);
-  const HollowMembers::Totals h2 = hollow.totals();
-  const RealMembers::Sums r2 = real.sums();
-  const double took = now() - begin;
+  const HollowMembers::Totals hollow_after = hollow.totals();
+  const RealMembers::Totals real_after = real.totals();
+  const double took = now() - began;
   Rates out;
-  out.bytes = (static_cast<double>(h2.bytes - h.bytes) + r2.bytes - r.bytes) / (h2.running + kReal) / took;
-  out.hollow_share = (h2.processor_seconds - h.processor_seconds) / h2.running / took;
-  out.real_share = (r2.processor_seconds - r.processor_seconds) / kReal / took;
+  out.bytes_per_second =
+      (static_cast<double>(hollow_after.bytes - hollow_before.bytes) + real_after.bytes - real_before.bytes) /
+      (hollow_after.running + kRealProcesses) / took;
+  out.hollow_share =
+      (hollow_after.processor_seconds - hollow_before.processor_seconds) / hollow_after.running / took;
+  out.real_share = (real_after.processor_seconds - real_before.processor_seconds) / kRealProcesses / took;
   return out;
 }
 
 struct FleetFigures {
   Rates calm;
-  double converged = -1;  // s; < 0: not within the time
+  double convergence_seconds = -1;  // s; < 0: not within the time
   double resident_kb = 0;
 };
 
-void lose_a_sixth(Loop& loop, HollowMembers& hollow, RealMembers& real, int members, Figures& figures) {
-  std::vector<int> lost;
-  for (int i = 3; i < members - kReal; i += 6) lost.push_back(i);
-  const auto left = static_cast<std::size_t>(members) - lost.size();
-  hollow.kill(lost);
-  const double begin = now();
-  double most = 0, found = -1;
-  for (int look = 0; look < 9; ++look) {
-    const Rates rates = rates_over(loop, hollow, real, kLook);
-    const HollowMembers::Totals sums = hollow.totals();
-    if (found < 0 && sums.max_alive <= left) found = now() - begin;
-    most = std::max(most, rates.bytes);
+void measure_loss(Loop& loop, HollowMembers& hollow, RealMembers& real, int members, Figures& figures) {
+  std::vector<int> killed;
+  for (int i = 3; i < members - kRealProcesses; i += 6) killed.push_back(i);
+  const auto remaining = static_cast<std::size_t>(members) - killed.size();
+  hollow.kill(killed);
+  const double began = now();
+  double max_bytes = 0, detected_after = -1;
+  for (int sample = 0; sample < 9; ++sample) {
+    const Rates rates = measure_rates(loop, hollow, real, kSampleSeconds);
+    const HollowMembers::Totals totals = hollow.totals();
+    if (detected_after < 0 && totals.max_alive <= remaining) detected_after = now() - began;
+    max_bytes = std::max(max_bytes, rates.bytes_per_second);
     fmt::print(
         "    {:>4.0f} s after {} ended: {:>7.0f} bytes/s a member, {:.2f}% of a core (real {:.2f}%), sees {} "
         "to {}\n",
-        now() - begin, lost.size(), rates.bytes, 100 * rates.hollow_share, 100 * rates.real_share,
-        sums.min_alive, sums.max_alive);
+        now() - began, killed.size(), rates.bytes_per_second, 100 * rates.hollow_share,
+        100 * rates.real_share, totals.min_alive, totals.max_alive);
   }
-  figures[fmt::format("bytes_per_s_loss_{}", members)] = most;
-  figures[fmt::format("loss_found_s_{}", members)] = found;
+  figures[fmt::format("bytes_per_s_loss_{}", members)] = max_bytes;
+  figures[fmt::format("loss_found_s_{}", members)] = detected_after;
 }
 
-FleetFigures fleet_of(int members, const ScaleOptions& options, Figures& figures) {
+FleetFigures measure_fleet(int members, const ScaleOptions& options, Figures& figures) {
   FleetFigures out;
   Loop loop;
   HollowMembers::Options hollow_options;
-  hollow_options.count = members - kReal;
+  hollow_options.count = members - kRealProcesses;
   hollow_options.seed = options.seed + static_cast<std::uint64_t>(members);
-  hollow_options.starts_per_second = options.joins_per_s;
+  hollow_options.starts_per_second = options.starts_per_second;
   HollowMembers hollow(hollow_options);
   hollow.start();
   RealMembers real(loop, hollow_options.seed, hollow.seed_addresses());
-  const double begin = now();
-  HollowMembers::Totals sums;
-  while (now() - begin < options.converge) {
+  const double began = now();
+  HollowMembers::Totals totals;
+  while (now() - began < options.convergence_timeout) {
     loop.run_for(1);
-    sums = hollow.totals();
+    totals = hollow.totals();
     if (std::getenv("SCALE_TRACE") != nullptr)
-      fmt::print("    {:.0f} s: {} up, see {} to {}\n", now() - begin, sums.running, sums.min_alive,
-                 sums.max_alive);
-    if (hollow.all_started() && sums.min_alive == static_cast<std::size_t>(members)) break;
+      fmt::print("    {:.0f} s: {} up, see {} to {}\n", now() - began, totals.running, totals.min_alive,
+                 totals.max_alive);
+    if (hollow.all_started() && totals.min_alive == static_cast<std::size_t>(members)) break;
   }
-  if (sums.min_alive == static_cast<std::size_t>(members)) out.converged = now() - begin;
+  if (totals.min_alive == static_cast<std::size_t>(members)) out.convergence_seconds = now() - began;
   loop.run_for(5);
-  out.calm = rates_over(loop, hollow, real, options.seconds);
-  out.resident_kb = real.sums().resident_kb;
-  sums = hollow.totals();
+  out.calm = measure_rates(loop, hollow, real, options.seconds);
+  out.resident_kb = real.totals().resident_kb;
+  totals = hollow.totals();
   fmt::print(
       "  {:>4} members: {} see {} to {}{}; calm {:.0f} bytes/s a member, {:.3f}% of a core (real {:.3f}%), "
       "{:.1f} MB resident\n",
-      members, sums.running, sums.min_alive, sums.max_alive,
-      out.converged < 0 ? fmt::format(", not all of them within {:.0f} s", options.converge)
-                        : fmt::format(", all of them after {:.0f} s", out.converged),
-      out.calm.bytes, 100 * out.calm.hollow_share, 100 * out.calm.real_share, out.resident_kb / 1024);
-  if (members <= options.largest_loss) lose_a_sixth(loop, hollow, real, members, figures);
+      members, totals.running, totals.min_alive, totals.max_alive,
+      out.convergence_seconds < 0
+          ? fmt::format(", not all of them within {:.0f} s", options.convergence_timeout)
+          : fmt::format(", all of them after {:.0f} s", out.convergence_seconds),
+      out.calm.bytes_per_second, 100 * out.calm.hollow_share, 100 * out.calm.real_share,
+      out.resident_kb / 1024);
+  if (members <= options.max_members_in_loss) measure_loss(loop, hollow, real, members, figures);
   return out;
 }
 
 // A simulated fleet that loses a sixth at once; bytes a member and second, by fifths of a minute.
-void simulated_loss(int members, std::uint64_t seed, Figures& figures) {
+void simulate_loss(int members, std::uint64_t seed, Figures& figures) {
   MembersSim::Options options;
-  options.count = members, options.seed = seed, options.loss = 0.01, options.name_prefix = kLongNames;
+  options.count = members, options.seed = seed, options.loss = 0.01, options.name_prefix = kNamePrefix;
   MembersSim sim(options);
   sim.start_all(true);
   sim.run_until(10);
   sim.reset_traffic();
-  const double begin = thread_processor_time();
+  const double began = thread_processor_time();
   sim.run_until(20);
-  const double us = (thread_processor_time() - begin) * 1e6 / 10 / members;
+  const double us = (thread_processor_time() - began) * 1e6 / 10 / members;
   const double calm = sim.bytes_per_member_second();
   fmt::print("  {:>4} members, simulated: calm {:.0f} bytes/s a member, {:.0f} us a second;", members, calm,
              us);
   for (int i = 0; i < members; i += 6) sim.kill(i);
-  double most = 0, one_view = -1;
-  for (int look = 1; look <= kSimulatedLooks; ++look) {
+  double max_bytes = 0, converged_after = -1;
+  for (int sample = 1; sample <= kSimulatedSamples; ++sample) {
     sim.reset_traffic();
-    sim.run_until(20 + 5 * look);
+    sim.run_until(20 + 5 * sample);
     // The dead send nothing, and are counted among the fleet.
     const double bytes = sim.bytes_per_member_second() * 6 / 5;
-    most = std::max(most, bytes);
+    max_bytes = std::max(max_bytes, bytes);
     fmt::print(" {:.0f} ({:.0f})", bytes, sim.push_pull_bytes_per_member_second() * 6 / 5);
-    if (one_view < 0 && sim.views_agree()) one_view = 5 * look;
+    if (converged_after < 0 && sim.views_agree()) converged_after = 5 * sample;
   }
-  std::vector<double> found;
+  std::vector<double> detection_seconds;
   for (const MembersSim::Death& death : sim.deaths())
-    found.insert(found.end(), death.found.begin(), death.found.end());
-  const double found_p50 = quantile(found, 0.5), found_p99 = quantile(found, 0.99);
+    detection_seconds.insert(detection_seconds.end(), death.found.begin(), death.found.end());
+  const double detection_p50 = quantile(detection_seconds, 0.5),
+               detection_p99 = quantile(detection_seconds, 0.99);
   fmt::print(
       " bytes/s in each 5 s after a sixth ended (of them exchanges); a death is known after p50 {:.1f}, p99 "
       "{:.1f} "
       "s, one view after {:.0f} s, {} called dead that were not\n",
-      found_p50, found_p99, one_view, sim.false_deaths().size());
-  figures[fmt::format("death_known_s_p99_simulated_{}", members)] = found_p99;
-  figures[fmt::format("one_view_s_loss_simulated_{}", members)] = one_view;
+      detection_p50, detection_p99, converged_after, sim.false_deaths().size());
+  figures[fmt::format("death_known_s_p99_simulated_{}", members)] = detection_p99;
+  figures[fmt::format("one_view_s_loss_simulated_{}", members)] = converged_after;
   figures[fmt::format("bytes_per_s_calm_simulated_{}", members)] = calm;
-  figures[fmt::format("bytes_per_s_loss_simulated_{}", members)] = most;
+  figures[fmt::format("bytes_per_s_loss_simulated_{}", members)] = max_bytes;
 }
 
 }  // namespace
 
 void measure_members(const ScaleOptions& options, Figures& figures) {
-  fmt::print("Fleets on sockets, {} real processes among them:\n", kReal);
+  fmt::print("Fleets on sockets, {} real processes among them:\n", kRealProcesses);
   std::vector<std::pair<double, double>> bytes, share, memory;
-  for (const int members : options.fleets) {
-    const FleetFigures fleet = fleet_of(members, options, figures);
-    bytes.emplace_back(members, fleet.calm.bytes);
+  for (const int members : options.fleet_sizes) {
+    const FleetFigures fleet = measure_fleet(members, options, figures);
+    bytes.emplace_back(members, fleet.calm.bytes_per_second);
     share.emplace_back(members, 100 * fleet.calm.hollow_share);
     memory.emplace_back(members, fleet.resident_kb / 1024);
-    figures[fmt::format("bytes_per_s_calm_{}", members)] = fleet.calm.bytes;
+    figures[fmt::format("bytes_per_s_calm_{}", members)] = fleet.calm.bytes_per_second;
     figures[fmt::format("core_share_calm_{}", members)] = fleet.calm.hollow_share;
-    figures[fmt::format("converged_s_{}", members)] = fleet.converged;
+    figures[fmt::format("converged_s_{}", members)] = fleet.convergence_seconds;
   }
   print_forecast("bytes/s a member", "bytes/s", bytes);
   print_forecast("share of a core a member", "%", share);
   print_forecast("resident of a real process", "MB", memory);
-  figures["hollow"] = options.fleets.back() - kReal;
-  figures["real"] = kReal;
+  figures["hollow"] = options.fleet_sizes.back() - kRealProcesses;
+  figures["real"] = kRealProcesses;
 }
 
 namespace {
 
 // What a member of the users' fleet tells; one that is dead tells nothing any more.
-members::Record record_at_size(int number, bool dead) {
+members::Record record_at_size(int number, bool is_dead) {
   members::Record record;
   record.name = fmt::format("backend-{:05}", number);
   record.address = fmt::format("10.{}.{}.{}:7946", number % 3, number / 250, number % 250);
   record.epoch = (1796000000000ULL + static_cast<std::uint64_t>(number) * 977) << 12;
   record.incarnation = static_cast<std::uint32_t>(number % 7);
-  if (dead) {
+  if (is_dead) {
     record.condition = members::Condition::kDead;
     return record;
   }
@@ -235,28 +241,28 @@
   return record;
 }
 
-std::vector<members::Record> records_at_size(int there, int dead) {
+std::vector<members::Record> records_at_size(int alive, int dead) {
   std::vector<members::Record> records;
-  for (int i = 0; i < there + dead; ++i) records.push_back(record_at_size(i, i >= there));
+  for (int i = 0; i < alive + dead; ++i) records.push_back(record_at_size(i, i >= alive));
   return records;
 }
 
-struct ExchangeCosts {
+struct PushPullCosts {
   double bytes = 0, encode_ms = 0, decode_ms = 0;  // processor time; each holds the reactor once
-  std::size_t read = 0;                            // records that arrive
+  std::size_t decoded_records = 0;                 // records that arrive
 };
 
-ExchangeCosts exchange_costs(int there, int dead, int rounds) {
-  const std::vector<members::Record> records = records_at_size(there, dead);
-  ExchangeCosts out;
+PushPullCosts measure_push_pull_costs(int alive, int dead, int rounds) {
+  const std::vector<members::Record> records = records_at_size(alive, dead);
+  PushPullCosts out;
   std::vector<double> encode, decode;
   for (int i = 0; i < rounds; ++i) {
-    const double begin = thread_processor_time();
+    const double began = thread_processor_time();
     const std::string bytes = wire::members::encode_push_pull("fleet", records);
     const double encoded = thread_processor_time();
-    out.read = wire::members::decode_push_pull("fleet", bytes).records.size();
+    out.decoded_records = wire::members::decode_push_pull("fleet", bytes).records.size();
     decode.push_back(1000 * (thread_processor_time() - encoded));
-    encode.push_back(1000 * (encoded - begin));
+    encode.push_back(1000 * (encoded - began));
     out.bytes = static_cast<double>(bytes.size());
   }
   out.encode_ms = median(encode);
@@ -268,41 +274,42 @@
 
 // What one side of a full exchange holds and costs, by the members that one knows; at the users' size with
 // the dead of two hours.
-void measure_exchange(const ScaleOptions& options, Figures& figures) {
+void measure_push_pull(const ScaleOptions& options, Figures& figures) {
   fmt::print("One side of a full exchange:\n");
   std::vector<std::pair<double, double>> bytes, time;
   for (const int count : {100, 300, 1000, 1800}) {
-    const ExchangeCosts costs = exchange_costs(count, 0, options.rounds);
+    const PushPullCosts costs = measure_push_pull_costs(count, 0, options.rounds);
     bytes.emplace_back(count, costs.bytes);
     time.emplace_back(count, costs.encode_ms + costs.decode_ms);
   }
   print_forecast("bytes", "bytes", bytes);
   print_forecast("written and read", "ms", time);
   const Forecast line = forecast(bytes);
-  const double fit = (static_cast<double>(wire::members::kMaxPushPullBytes) - line.base) / line.slope;
-  const ExchangeCosts whole = exchange_costs(kBackends, kDeadOfTwoHours, options.rounds);
+  const double records_that_fit =
+      (static_cast<double>(wire::members::kMaxPushPullBytes) - line.base) / line.slope;
+  const PushPullCosts full_size = measure_push_pull_costs(kBackends, kDeadMembers, options.rounds);
   fmt::print(
       "  {:.0f} bytes a record; {:.0f} fit into the bound of {}; {} there and {} dead: {:.0f} bytes, {} "
       "arrive, {:.1f} "
       "ms to write, {:.1f} ms to read\n",
-      line.slope, fit, wire::members::kMaxPushPullBytes, kBackends, kDeadOfTwoHours, whole.bytes, whole.read,
-      whole.encode_ms, whole.decode_ms);
+      line.slope, records_that_fit, wire::members::kMaxPushPullBytes, kBackends, kDeadMembers,
+      full_size.bytes, full_size.decoded_records, full_size.encode_ms, full_size.decode_ms);
   figures["bytes_per_record"] = line.slope;
-  figures["records_that_fit"] = fit;
-  figures["exchange_bytes_at_size"] = whole.bytes;
-  figures["exchange_records_at_size"] = static_cast<double>(whole.read);
-  figures["exchange_encode_ms"] = whole.encode_ms;
-  figures["exchange_decode_ms"] = whole.decode_ms;
+  figures["records_that_fit"] = records_that_fit;
+  figures["exchange_bytes_at_size"] = full_size.bytes;
+  figures["exchange_records_at_size"] = static_cast<double>(full_size.decoded_records);
+  figures["exchange_encode_ms"] = full_size.encode_ms;
+  figures["exchange_decode_ms"] = full_size.decode_ms;
 }
 
 namespace {
 
-constexpr int kFaultyFleet = 600;  // members
+constexpr int kSimulatedMembers = 600;  // members
 
-std::unique_ptr<MembersSim> faulty_fleet(std::uint64_t seed) {
+std::unique_ptr<MembersSim> simulated_fleet(std::uint64_t seed) {
   MembersSim::Options options;
-  options.count = kFaultyFleet, options.seed = seed, options.loss = 0.01, options.name_prefix = kLongNames,
-  options.encode_one_in = 200;
+  options.count = kSimulatedMembers, options.seed = seed, options.loss = 0.01,
+  options.name_prefix = kNamePrefix, options.encode_one_in = 200;
   return std::make_unique<MembersSim>(options);
 }
 
@@ -312,97 +319,97 @@
   return sim.bytes_per_member_second();
 }
 
-void regions_apart(std::uint64_t seed, Figures& figures) {
-  const auto sim = faulty_fleet(seed);
-  bool apart = false;
-  sim->is_cut = [&](int a, int b) { return apart && (a % 3 == 0) != (b % 3 == 0); };
+void simulate_partition(std::uint64_t seed, Figures& figures) {
+  const auto sim = simulated_fleet(seed);
+  bool is_partitioned = false;
+  sim->is_cut = [&](int a, int b) { return is_partitioned && (a % 3 == 0) != (b % 3 == 0); };
   sim->start_all(true);
   sim->run_until(10);
   const double calm = bytes_over(*sim, 10);
-  apart = true;
-  double most = 0, after = 0, again = -1;
-  for (int i = 0; i < 12; ++i) most = std::max(most, bytes_over(*sim, 10));
-  apart = false;
-  for (int i = 0; i < 24 && again < 0; ++i) {
-    after = std::max(after, bytes_over(*sim, 5));
-    if (sim->views_agree()) again = 5 * (i + 1);
+  is_partitioned = true;
+  double max_bytes = 0, max_bytes_after = 0, agreed_after = -1;
+  for (int i = 0; i < 12; ++i) max_bytes = std::max(max_bytes, bytes_over(*sim, 10));
+  is_partitioned = false;
+  for (int i = 0; i < 24 && agreed_after < 0; ++i) {
+    max_bytes_after = std::max(max_bytes_after, bytes_over(*sim, 5));
+    if (sim->views_agree()) agreed_after = 5 * (i + 1);
   }
   fmt::print(
       "  a region of three apart for 120 s: calm {:.0f}, most {:.0f} apart, {:.0f} together again, one view "
       "after "
       "{:.0f} s\n",
-      calm, most, after, again);
-  figures["bytes_per_s_apart"] = most;
-  figures["bytes_per_s_together"] = after;
-  figures["one_view_s"] = again;
+      calm, max_bytes, max_bytes_after, agreed_after);
+  figures["bytes_per_s_apart"] = max_bytes;
+  figures["bytes_per_s_together"] = max_bytes_after;
+  figures["one_view_s"] = agreed_after;
 }
 
-void third_paused(std::uint64_t seed, Figures& figures) {
-  const auto sim = faulty_fleet(seed);
+void simulate_pauses(std::uint64_t seed, Figures& figures) {
+  const auto sim = simulated_fleet(seed);
   sim->start_all(true);
   sim->run_until(10);
-  for (int i = 0; i < kFaultyFleet; i += 3) sim->pause(i, 2);
-  double most = 0;
-  for (int i = 0; i < 6; ++i) most = std::max(most, bytes_over(*sim, 5));
-  fmt::print("  a third paused for 2 s: most {:.0f}, {} called dead that were not\n", most,
+  for (int i = 0; i < kSimulatedMembers; i += 3) sim->pause(i, 2);
+  double max_bytes = 0;
+  for (int i = 0; i < 6; ++i) max_bytes = std::max(max_bytes, bytes_over(*sim, 5));
+  fmt::print("  a third paused for 2 s: most {:.0f}, {} called dead that were not\n", max_bytes,
              sim->false_deaths().size());
-  figures["bytes_per_s_paused"] = most;
+  figures["bytes_per_s_paused"] = max_bytes;
   figures["dead_in_pauses"] += static_cast<double>(sim->false_deaths().size());
 }
 
-void one_in_twenty_restarted(std::uint64_t seed, Figures& figures) {
-  const auto sim = faulty_fleet(seed);
+void simulate_restarts(std::uint64_t seed, Figures& figures) {
+  const auto sim = simulated_fleet(seed);
   sim->start_all(true);
   sim->run_until(10);
-  double most = 0;
-  for (int i = 0; i < kFaultyFleet / 20; ++i) {
-    const int member = i * 7 % kFaultyFleet;
+  double max_bytes = 0;
+  for (int i = 0; i < kSimulatedMembers / 20; ++i) {
+    const int member = i * 7 % kSimulatedMembers;
     sim->kill(member);
-    most = std::max(most, bytes_over(*sim, 1));
+    max_bytes = std::max(max_bytes, bytes_over(*sim, 1));
     sim->start(member);
-    most = std::max(most, bytes_over(*sim, 1));
+    max_bytes = std::max(max_bytes, bytes_over(*sim, 1));
   }
   fmt::print("  one in twenty restarted in a minute: most {:.0f} in a second, {} called dead that were not\n",
-             most, sim->false_deaths().size());
-  figures["bytes_per_s_restarts"] = most;
+             max_bytes, sim->false_deaths().size());
+  figures["bytes_per_s_restarts"] = max_bytes;
 }
 
 // A fleet that comes up at once and knows three seeds.
-void strangers(int members, std::uint64_t seed, Figures& figures) {
+void simulate_cold_start(int members, std::uint64_t seed, Figures& figures) {
   MembersSim::Options options;
-  options.count = members, options.seed = seed, options.loss = 0.01, options.name_prefix = kLongNames,
+  options.count = members, options.seed = seed, options.loss = 0.01, options.name_prefix = kNamePrefix,
   options.encode_one_in = 200;
   MembersSim sim(options);
   sim.start_all(false);
-  double most = 0;
-  bool same = false;
-  while (sim.now() < 300 && !same) {
-    most = std::max(most, bytes_over(sim, 10));
-    same = sim.views_agree();
+  double max_bytes = 0;
+  bool has_converged = false;
+  while (sim.now() < 300 && !has_converged) {
+    max_bytes = std::max(max_bytes, bytes_over(sim, 10));
+    has_converged = sim.views_agree();
   }
   fmt::print("  {} strangers that come up at once: {} after {:.0f} s, most {:.0f}\n", members,
-             same ? "one view" : "not one view", sim.now(), most);
-  figures[fmt::format("strangers_one_view_s_{}", members)] = same ? sim.now() : -1;
+             has_converged ? "one view" : "not one view", sim.now(), max_bytes);
+  figures[fmt::format("strangers_one_view_s_{}", members)] = has_converged ? sim.now() : -1;
 }
 
 }  // namespace
 
 void measure_simulated_faults(const ScaleOptions& options, Figures& figures) {
-  fmt::print("{} members simulated, 1% of datagrams lost, bytes/s a member:\n", kFaultyFleet);
-  regions_apart(options.seed, figures);
-  one_in_twenty_restarted(options.seed, figures);
-  for (const int members : {300, 1000, 2300}) strangers(members, options.seed, figures);
+  fmt::print("{} members simulated, 1% of datagrams lost, bytes/s a member:\n", kSimulatedMembers);
+  simulate_partition(options.seed, figures);
+  simulate_restarts(options.seed, figures);
+  for (const int members : {300, 1000, 2300}) simulate_cold_start(members, options.seed, figures);
 }
 
 void measure_simulated_pauses(const ScaleOptions& options, Figures& figures) {
-  fmt::print("{} members simulated, 1% of datagrams lost, bytes/s a member:\n", kFaultyFleet);
+  fmt::print("{} members simulated, 1% of datagrams lost, bytes/s a member:\n", kSimulatedMembers);
   for (int i = 0; i < options.rounds; ++i)
-    third_paused(options.seed + static_cast<std::uint64_t>(i), figures);
+    simulate_pauses(options.seed + static_cast<std::uint64_t>(i), figures);
 }
 
 void measure_simulated_members(const ScaleOptions& options, Figures& figures) {
   fmt::print("Fleets simulated, 1% of datagrams lost:\n");
-  for (const int members : options.simulated) simulated_loss(members, options.seed, figures);
+  for (const int members : options.simulated_sizes) simulate_loss(members, options.seed, figures);
 }
 
 }  // namespace damsonspoke::bench
--- a/bench/tier.cpp
+++ b/bench/tier.cpp
@@ -18,34 +18,34 @@
 const char* const kBinary = DAMSONSPOKE_BINARY;
 constexpr int kForwarders = 4, kPlanners = 3, kCores = 2;
 
-struct TypePlan {
+struct RouteProfile {
   const char* name;
   double work, target, timeout, share, priority_weight;
 };
-constexpr TypePlan kTypes[] = {
+constexpr RouteProfile kRoutes[] = {
     {"read", 0.010, 0.25, 0.6, 0.45, 1}, {"push", 0.016, 0.4, 1, 0.38, 1}, {"close", 0.016, 0.4, 1, 0.17, 3}};
 
-SiteSpec site() {
-  SiteSpec s;
-  for (const TypePlan& t : kTypes)
-    s.types.push_back({t.name, "retryable", t.target, t.timeout, 0, t.priority_weight});
-  s.cores = kCores;
-  return s;
+SiteSpec site_spec() {
+  SiteSpec site;
+  for (const RouteProfile& route : kRoutes)
+    site.types.push_back({route.name, "retryable", route.target, route.timeout, 0, route.priority_weight});
+  site.cores = kCores;
+  return site;
 }
 
-Runtime::Options runtime() {
-  Runtime::Options o;
-  o.cores = kCores;
-  for (const TypePlan& t : kTypes) o.work_by_type[t.name] = t.work;
-  return o;
+Runtime::Options runtime_options() {
+  Runtime::Options options;
+  options.cores = kCores;
+  for (const RouteProfile& route : kRoutes) options.work_by_type[route.name] = route.work;
+  return options;
 }
 
-Callers::Options load_of(double share, std::uint64_t seed) {
+Callers::Options caller_options(double load_share, std::uint64_t seed) {
   double work = 0;
-  for (const TypePlan& t : kTypes) work += t.work * t.share;
+  for (const RouteProfile& route : kRoutes) work += route.work * route.share;
   Callers::Options load;
-  for (const TypePlan& t : kTypes) {
-    Flow flow{t.name, share * kPlanners * kCores / work * t.share, t.timeout};
+  for (const RouteProfile& route : kRoutes) {
+    Flow flow{route.name, load_share * kPlanners * kCores / work * route.share, route.timeout};
     flow.retries = 2;
     flow.pause = 0.1;
     load.flows.push_back(flow);
@@ -55,44 +55,49 @@
   return load;
 }
 
-struct Played {
-  double asked = 0, served = 0,
-         held = 0;            // importance; held: of failed tries, in hand at a planner that died
-  std::vector<double> waits;  // s, of acked tries
-  int double_answers = 0, lost = 0, double_runs = 0, broken = 0;
-  double forwarder_cpu = 0;  // s
-  long forwarder_kb = 0;
+struct TrialResult {
+  double requested_weight = 0, served_weight = 0,
+         lost_weight = 0;         // importance; held: of failed tries, in hand at a planner that died
+  std::vector<double> latencies;  // s, of acked tries
+  int duplicate_answers = 0, unanswered = 0, double_runs = 0, violations = 0;
+  double forwarder_cpu_seconds = 0;  // s
+  long forwarder_resident_kb = 0;
   std::uint64_t forwarded = 0;
-  double worth() const { return asked > 0 ? served / asked : 0; }
-  double worth_but_held() const { return asked > held ? served / (asked - held) : 0; }
+  double served_share() const { return requested_weight > 0 ? served_weight / requested_weight : 0; }
+  double served_share_without_lost() const {
+    return requested_weight > lost_weight ? served_weight / (requested_weight - lost_weight) : 0;
+  }
 };
 
 // `kills`: when a planner died. A try in hand at that moment that failed was held by it.
-void judge(Played& out, const Journal& journal, const RuleLimits& limits, const std::vector<double>& kills) {
-  std::map<std::string, std::pair<double, bool>> things;  // importance, served
-  std::map<std::string, bool> held;
-  for (const auto& [request, t] : journal.attempts) {
-    const TypePlan& type = *std::find_if(std::begin(kTypes), std::end(kTypes),
-                                         [&](const TypePlan& p) { return t.type == p.name; });
-    auto& [priority_weight, served] = things[t.key];
-    priority_weight = type.priority_weight;
-    for (const Answer& a : t.answers) {
-      if (a.kind == AnswerKind::kSucceeded) out.waits.push_back(a.at - t.sent);
-      served |= a.kind == AnswerKind::kSucceeded && a.at - t.sent <= type.target;
+void evaluate(TrialResult& out, const Journal& journal, const RuleLimits& limits,
+              const std::vector<double>& kills) {
+  std::map<std::string, std::pair<double, bool>> requests;  // importance, served
+  std::map<std::string, bool> lost_with_planner;
+  for (const auto& [number, attempt] : journal.attempts) {
+    const RouteProfile& route =
+        *std::find_if(std::begin(kRoutes), std::end(kRoutes),
+                      [&](const RouteProfile& profile) { return attempt.type == profile.name; });
+    auto& [priority_weight, is_served] = requests[attempt.key];
+    priority_weight = route.priority_weight;
+    for (const Answer& answer : attempt.answers) {
+      if (answer.kind == AnswerKind::kSucceeded) out.latencies.push_back(answer.at - attempt.sent);
+      is_served |= answer.kind == AnswerKind::kSucceeded && answer.at - attempt.sent <= route.target;
       for (const double at : kills)
-        held[t.key] |= a.kind == AnswerKind::kFailed && t.sent <= at && a.at >= at;
+        lost_with_planner[attempt.key] |=
+            answer.kind == AnswerKind::kFailed && attempt.sent <= at && answer.at >= at;
     }
   }
-  for (const auto& [key, thing] : things) {
-    out.asked += thing.first;
-    if (thing.second) out.served += thing.first;
-    if (!thing.second && held[key]) out.held += thing.first;
+  for (const auto& [key, request] : requests) {
+    out.requested_weight += request.first;
+    if (request.second) out.served_weight += request.first;
+    if (!request.second && lost_with_planner[key]) out.lost_weight += request.first;
   }
   const Verdict verdict = check_rules(journal, limits);
   for (const std::string& line : verdict.broken) fmt::print("  {}\n", line);
-  out.broken += static_cast<int>(verdict.broken.size());
-  out.double_answers += verdict.answered_twice;
-  out.lost += verdict.unanswered;
+  out.violations += static_cast<int>(verdict.broken.size());
+  out.duplicate_answers += verdict.answered_twice;
+  out.unanswered += verdict.unanswered;
   out.double_runs += verdict.double_runs;
 }
 
@@ -110,106 +115,109 @@
   return true;
 }
 
-Played one_level(double share, double seconds, std::uint64_t seed, bool with_kills) {
-  Played out;
+TrialResult one_level(double load_share, double seconds, std::uint64_t seed, bool with_kills) {
+  TrialResult out;
   Loop loop;
   Journal journal;
-  Callers callers(loop, journal, load_of(share, seed));
-  std::vector<std::unique_ptr<Server>> relays;
+  Callers callers(loop, journal, caller_options(load_share, seed));
+  std::vector<std::unique_ptr<Server>> backends;
   for (int i = 0; i < kPlanners; ++i) {
-    relays.push_back(std::make_unique<Server>(loop, journal, callers, kBinary, site(), runtime(), i));
-    if (!relays.back()->start()) return out.broken = 1, out;
+    backends.push_back(
+        std::make_unique<Server>(loop, journal, callers, kBinary, site_spec(), runtime_options(), i));
+    if (!backends.back()->start()) return out.violations = 1, out;
   }
   std::vector<double> kills;
   if (!with_kills) {
     loop.run_for(seconds);
-  } else if (!kill_in_turn(loop, relays, seconds, kills)) {
-    return out.broken = 1, out;
+  } else if (!kill_in_turn(loop, backends, seconds, kills)) {
+    return out.violations = 1, out;
   }
   callers.want_more(false);
   loop.run_until([&] { return callers.open() == 0 && callers.still_wanted() == 0; }, 4);
-  for (const auto& relay : relays) relay->leave();
-  RuleLimits limits = Fleet::limits_of(site());
+  for (const auto& backend : backends) backend->leave();
+  RuleLimits limits = Fleet::limits_of(site_spec());
   limits.survivable *= kPlanners;
-  judge(out, journal, limits, kills);
+  evaluate(out, journal, limits, kills);
   return out;
 }
 
-Played two_levels(double share, double seconds, std::uint64_t seed, bool with_kills) {
-  Played out;
-  TwoLevel fleet(kBinary, site(), runtime(), load_of(share, seed), kForwarders, kPlanners);
-  if (!fleet.start()) return out.broken = 1, out;
+TrialResult two_levels(double load_share, double seconds, std::uint64_t seed, bool with_kills) {
+  TrialResult out;
+  TwoLevel fleet(kBinary, site_spec(), runtime_options(), caller_options(load_share, seed), kForwarders,
+                 kPlanners);
+  if (!fleet.start()) return out.violations = 1, out;
   std::vector<double> kills;
-  for (const auto& forwarder : fleet.forwarders) out.forwarder_cpu -= forwarder->process->processor_time();
+  for (const auto& forwarder : fleet.forwarders)
+    out.forwarder_cpu_seconds -= forwarder->process->processor_time();
   if (!with_kills) {
     fleet.loop.run_for(seconds);
   } else if (!kill_in_turn(fleet.loop, fleet.planners, seconds, kills)) {
-    return out.broken = 1, out;
+    return out.violations = 1, out;
   }
   fleet.settle(4);
   for (const auto& forwarder : fleet.forwarders) {
     const auto counters = forwarder->process->counters();
     out.forwarded += counters.contains("requests.read") ? counters.at("requests.read") : 0;
-    out.forwarder_cpu += forwarder->process->processor_time();
-    out.forwarder_kb = std::max(out.forwarder_kb, forwarder->process->resident_kb());
+    out.forwarder_cpu_seconds += forwarder->process->processor_time();
+    out.forwarder_resident_kb = std::max(out.forwarder_resident_kb, forwarder->process->resident_kb());
   }
-  if (!fleet.leave()) fmt::print("  did not leave in time\n"), ++out.broken;
-  judge(out, fleet.journal, fleet.limits(), kills);
+  if (!fleet.leave()) fmt::print("  did not leave in time\n"), ++out.violations;
+  evaluate(out, fleet.journal, fleet.limits(), kills);
   return out;
 }
 
 // One forwarder alone with a thousand requests a second: what a request costs where wakes are shared.
-double busy_cpu_us(double seconds, std::uint64_t seed) {
-  Runtime::Options quick;
-  quick.cores = kCores, quick.work = 0.001;
+double cpu_us_under_load(double seconds, std::uint64_t seed) {
+  Runtime::Options fast_runtime;
+  fast_runtime.cores = kCores, fast_runtime.work = 0.001;
   Callers::Options load;
   load.flows = {{"read", 1000, 0.6}};
   load.connections = 24, load.seed = seed;
-  TwoLevel fleet(kBinary, site(), quick, load, 1, kPlanners);
+  TwoLevel fleet(kBinary, site_spec(), fast_runtime, load, 1, kPlanners);
   if (!fleet.start()) return -1;
   const Process& process = *fleet.forwarders[0]->process;
-  const double begin = process.processor_time();
+  const double cpu_began = process.processor_time();
   fleet.loop.run_for(seconds);
-  const double spent = process.processor_time() - begin;
+  const double cpu_seconds = process.processor_time() - cpu_began;
   const auto counters = fleet.forwarders[0]->process->counters();
   fleet.settle(2);
   fleet.leave();
-  return spent / static_cast<double>(std::max<std::uint64_t>(1, counters.at("requests.read"))) * 1e6;
+  return cpu_seconds / static_cast<double>(std::max<std::uint64_t>(1, counters.at("requests.read"))) * 1e6;
 }
 
 // What a hop adds of itself: the same light load, which nothing waits for, on the same runtime, through one
 // relay and through one forwarder before one planner, by turns.
-std::pair<std::vector<double>, std::vector<double>> hop(double seconds, std::uint64_t seed) {
-  Runtime::Options quick;
-  quick.cores = kCores, quick.work = 0.002;
-  std::pair<std::vector<double>, std::vector<double>> waits;
+std::pair<std::vector<double>, std::vector<double>> measure_hop(double seconds, std::uint64_t seed) {
+  Runtime::Options fast_runtime;
+  fast_runtime.cores = kCores, fast_runtime.work = 0.002;
+  std::pair<std::vector<double>, std::vector<double>> latencies;
   const auto collect = [](const Journal& journal, std::vector<double>& into) {
-    for (const auto& [request, t] : journal.attempts) {
-      if (t.answers.size() == 1 && t.answers[0].kind == AnswerKind::kSucceeded)
-        into.push_back(t.answers[0].at - t.sent);
+    for (const auto& [number, attempt] : journal.attempts) {
+      if (attempt.answers.size() == 1 && attempt.answers[0].kind == AnswerKind::kSucceeded)
+        into.push_back(attempt.answers[0].at - attempt.sent);
     }
   };
-  constexpr int kTurns = 4;
-  for (int turn = 0; turn < kTurns; ++turn) {
+  constexpr int kAlternations = 4;
+  for (int alternation = 0; alternation < kAlternations; ++alternation) {
     Callers::Options load;
     load.flows = {{"read", 60, 0.6}};
-    load.connections = 4, load.seed = seed + static_cast<std::uint64_t>(turn);
+    load.connections = 4, load.seed = seed + static_cast<std::uint64_t>(alternation);
     {
-      Fleet fleet(kBinary, site(), quick, load);
-      if (!fleet.server.start()) return waits;
-      fleet.loop.run_for(seconds / kTurns);
+      Fleet fleet(kBinary, site_spec(), fast_runtime, load);
+      if (!fleet.server.start()) return latencies;
+      fleet.loop.run_for(seconds / kAlternations);
       fleet.settle(2);
       fleet.server.leave();
-      collect(fleet.journal, waits.first);
+      collect(fleet.journal, latencies.first);
     }
-    TwoLevel fleet(kBinary, site(), quick, load, 1, 1);
-    if (!fleet.start()) return waits;
-    fleet.loop.run_for(seconds / kTurns);
+    TwoLevel fleet(kBinary, site_spec(), fast_runtime, load, 1, 1);
+    if (!fleet.start()) return latencies;
+    fleet.loop.run_for(seconds / kAlternations);
     fleet.settle(2);
     fleet.leave();
-    collect(fleet.journal, waits.second);
+    collect(fleet.journal, latencies.second);
   }
-  return waits;
+  return latencies;
 }
 
 double quantile(std::vector<double> values, double share) {
@@ -218,12 +226,15 @@
   return values[static_cast<std::size_t>(share * static_cast<double>(values.size() - 1))];
 }
 
-void add(Played& to, const Played& from) {
-  to.asked += from.asked, to.served += from.served, to.held += from.held;
-  to.waits.insert(to.waits.end(), from.waits.begin(), from.waits.end());
-  to.double_answers += from.double_answers, to.lost += from.lost, to.double_runs += from.double_runs;
-  to.broken += from.broken, to.forwarder_cpu += from.forwarder_cpu, to.forwarded += from.forwarded;
-  to.forwarder_kb = std::max(to.forwarder_kb, from.forwarder_kb);
+void add(TrialResult& to, const TrialResult& from) {
+  to.requested_weight += from.requested_weight, to.served_weight += from.served_weight,
+      to.lost_weight += from.lost_weight;
+  to.latencies.insert(to.latencies.end(), from.latencies.begin(), from.latencies.end());
+  to.duplicate_answers += from.duplicate_answers, to.unanswered += from.unanswered,
+      to.double_runs += from.double_runs;
+  to.violations += from.violations, to.forwarder_cpu_seconds += from.forwarder_cpu_seconds,
+      to.forwarded += from.forwarded;
+  to.forwarder_resident_kb = std::max(to.forwarder_resident_kb, from.forwarder_resident_kb);
 }
 
 }  // namespace
@@ -237,30 +248,31 @@
   const double seconds = flags["seconds"].as<double>();
   const auto seed = flags["seed"].as<std::uint64_t>();
   constexpr double kShares[] = {0.8, 1.0, 1.2};
-  Played single[3], two[3], killed[3], single_killed[3];
+  TrialResult single[3], two[3], two_killed[3], single_killed[3];
   for (int round = 0; round < flags["rounds"].as<int>(); ++round) {
-    const std::uint64_t of = seed + static_cast<std::uint64_t>(round);
+    const std::uint64_t round_seed = seed + static_cast<std::uint64_t>(round);
     for (std::size_t i = 0; i < 3; ++i) {
-      add(single[i], one_level(kShares[i], seconds, of, false));
-      add(single_killed[i], one_level(kShares[i], seconds, of, true));
-      add(two[i], two_levels(kShares[i], seconds, of, false));
-      add(killed[i], two_levels(kShares[i], seconds, of, true));
+      add(single[i], one_level(kShares[i], seconds, round_seed, false));
+      add(single_killed[i], one_level(kShares[i], seconds, round_seed, true));
+      add(two[i], two_levels(kShares[i], seconds, round_seed, false));
+      add(two_killed[i], two_levels(kShares[i], seconds, round_seed, true));
     }
   }
   fmt::print("{:<8}{:>9}{:>9}{:>13}{:>9}{:>12}{:>10}{:>10}{:>10}{:>10}\n", "load", "single", "two",
              "single kills", "kills", "but held", "p50 one", "p50 two", "p99 one", "p99 two");
-  Played all_single, all_two, all_killed, all_single_killed;
+  TrialResult all_single, all_two, all_killed, all_single_killed;
   for (std::size_t i = 0; i < 3; ++i) {
-    const Played &a = single[i], &b = two[i], &c = killed[i];
+    const TrialResult &a = single[i], &b = two[i], &c = two_killed[i];
     fmt::print("{:<8}{:>9.4f}{:>9.4f}{:>13.4f}{:>9.4f}{:>12.4f}{:>10.2f}{:>10.2f}{:>10.2f}{:>10.2f}\n",
-               kShares[i], a.worth(), b.worth(), single_killed[i].worth(), c.worth(), c.worth_but_held(),
-               quantile(a.waits, 0.5) * 1000, quantile(b.waits, 0.5) * 1000, quantile(a.waits, 0.99) * 1000,
-               quantile(b.waits, 0.99) * 1000);
+               kShares[i], a.served_share(), b.served_share(), single_killed[i].served_share(),
+               c.served_share(), c.served_share_without_lost(), quantile(a.latencies, 0.5) * 1000,
+               quantile(b.latencies, 0.5) * 1000, quantile(a.latencies, 0.99) * 1000,
+               quantile(b.latencies, 0.99) * 1000);
     add(all_single, a), add(all_two, b), add(all_killed, c);
     add(all_single_killed, single_killed[i]);
   }
-  const auto sum = [&](int Played::*of) { return all_two.*of + all_killed.*of; };
-  const auto [through_one, through_two] = hop(seconds, seed);
+  const auto sum = [&](int TrialResult::*of) { return all_two.*of + all_killed.*of; };
+  const auto [through_one, through_two] = measure_hop(seconds, seed);
   fmt::print("a hop alone, {} and {} ops: p50 {:.2f} and {:.2f} ms, p99 {:.2f} and {:.2f} ms\n",
              through_one.size(), through_two.size(), quantile(through_one, 0.5) * 1000,
              quantile(through_two, 0.5) * 1000, quantile(through_one, 0.99) * 1000,
@@ -270,12 +282,14 @@
       "worth_single_kills={:.4f} "
       "double_answers={} lost={} double_runs={} rule_breaks={} forwarder_cpu_us_per_op={:.1f} "
       "forwarder_cpu_us_per_op_busy={:.1f} added_p50_ms={:.3f} added_p99_ms={:.3f} rss_mb_forwarder={:.1f}\n",
-      all_two.worth(), all_single.worth(), all_killed.worth(), all_killed.worth_but_held(),
-      all_single_killed.worth(), sum(&Played::double_answers), sum(&Played::lost), sum(&Played::double_runs),
-      sum(&Played::broken),
-      all_two.forwarder_cpu / static_cast<double>(std::max<std::uint64_t>(1, all_two.forwarded)) * 1e6,
-      busy_cpu_us(seconds, seed), (quantile(through_two, 0.5) - quantile(through_one, 0.5)) * 1000,
+      all_two.served_share(), all_single.served_share(), all_killed.served_share(),
+      all_killed.served_share_without_lost(), all_single_killed.served_share(),
+      sum(&TrialResult::duplicate_answers), sum(&TrialResult::unanswered), sum(&TrialResult::double_runs),
+      sum(&TrialResult::violations),
+      all_two.forwarder_cpu_seconds / static_cast<double>(std::max<std::uint64_t>(1, all_two.forwarded)) *
+          1e6,
+      cpu_us_under_load(seconds, seed), (quantile(through_two, 0.5) - quantile(through_one, 0.5)) * 1000,
       (quantile(through_two, 0.99) - quantile(through_one, 0.99)) * 1000,
-      static_cast<double>(all_two.forwarder_kb) / 1024);
+      static_cast<double>(all_two.forwarder_resident_kb) / 1024);
   return 0;
 }
--- a/bench/tier_shapes.cpp
+++ b/bench/tier_shapes.cpp
@@ -23,7 +23,7 @@
 
 namespace {
 
-double cpu() {
+double thread_cpu_seconds() {
   timespec t{};
   ::clock_gettime(CLOCK_THREAD_CPUTIME_ID, &t);
   return static_cast<double>(t.tv_sec) + static_cast<double>(t.tv_nsec) * 1e-9;
@@ -32,7 +32,7 @@
   return std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch()).count();
 }
 
-std::pair<int, int> connected() {
+std::pair<int, int> connected_sockets() {
   const int listener = ::socket(AF_INET, SOCK_STREAM, 0);
   sockaddr_in address{};
   address.sin_family = AF_INET;
@@ -49,82 +49,83 @@
   return {a, b};
 }
 
-class End {
+class Endpoint {
  public:
-  explicit End(int fd) : fd_(fd) {}
-  void put(const wt::Message& message) {
+  explicit Endpoint(int fd) : fd_(fd) {}
+  void send(const wt::Message& message) {
     const std::string bytes = wt::encode(message);
     if (::send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL) < 0) throw std::runtime_error("send");
   }
-  wt::Message get() {
+  wt::Message receive() {
     for (;;) {
-      wt::DecodedFrame taken = wt::decode_next_frame(in_);
-      if (taken.state == wt::Framing::kFrame) return in_.erase(0, taken.length), std::move(taken.message);
+      wt::DecodedFrame frame = wt::decode_next_frame(received_);
+      if (frame.state == wt::Framing::kFrame)
+        return received_.erase(0, frame.length), std::move(frame.message);
       char bytes[65536];
-      const ssize_t got = ::recv(fd_, bytes, sizeof bytes, 0);
-      if (got <= 0) throw std::runtime_error("recv");
-      in_.append(bytes, static_cast<std::size_t>(got));
+      const ssize_t size_read = ::recv(fd_, bytes, sizeof bytes, 0);
+      if (size_read <= 0) throw std::runtime_error("recv");
+      received_.append(bytes, static_cast<std::size_t>(size_read));
     }
   }
 
  private:
   int fd_;
-  std::string in_;
+  std::string received_;
 };
 
-struct Cost {
-  double us = 0;   // of both ends, a request
-  double p50 = 0;  // us to an answer
+struct Costs {
+  double cpu_us = 0;          // of both ends, a request
+  double latency_p50_us = 0;  // us to an answer
 };
 
 // One request at a time, as forwarders send them; a grant is a Window frame, the body follows in a Submit.
-Cost play(bool grants, std::size_t body, double refused, int requests) {
-  const auto [a, b] = connected();
-  double planner_cpu = 0;
+Costs run_trial(bool uses_grants, std::size_t body_bytes, double rejected_share, int requests) {
+  const auto [a, b] = connected_sockets();
+  double planner_cpu_seconds = 0;
   std::thread planner([&, fd = b] {
-    End end(fd);
+    Endpoint endpoint(fd);
     pcg32 random(3);
-    const double begin = cpu();
+    const double cpu_began = thread_cpu_seconds();
     for (int i = 0; i < requests; ++i) {
-      wt::Message message = end.get();
+      wt::Message message = endpoint.receive();
       wt::Answer answer;
       answer.attempt = std::get<wt::Submit>(message).attempt;
-      if (random() / 4294967296.0 < refused) {
+      if (random() / 4294967296.0 < rejected_share) {
         answer.result = wt::Result::kRejected;
       } else {
-        if (grants) end.put(wt::LoadReport{1, 0, true}), message = end.get();
+        if (uses_grants) endpoint.send(wt::LoadReport{1, 0, true}), message = endpoint.receive();
         answer.result = wt::Result::kSucceeded;
         answer.body.assign(256, 'r');
       }
-      end.put(answer);
+      endpoint.send(answer);
     }
-    planner_cpu = cpu() - begin;
+    planner_cpu_seconds = thread_cpu_seconds() - cpu_began;
   });
-  End end(a);
-  std::vector<double> waits;
-  const double begin = cpu();
+  Endpoint endpoint(a);
+  std::vector<double> latencies;
+  const double cpu_began = thread_cpu_seconds();
   for (int i = 0; i < requests; ++i) {
     wt::Submit submit;
     submit.attempt = static_cast<std::uint64_t>(i) + 1;
     submit.request = submit.attempt;
     const double sent = now();
-    if (!grants) submit.body.assign(body, 'b');
-    end.put(submit);
-    if (grants && std::holds_alternative<wt::LoadReport>(end.get())) {
-      submit.body.assign(body, 'b');
-      end.put(submit);
-      end.get();
-    } else if (!grants) {
-      end.get();
+    if (!uses_grants) submit.body.assign(body_bytes, 'b');
+    endpoint.send(submit);
+    if (uses_grants && std::holds_alternative<wt::LoadReport>(endpoint.receive())) {
+      submit.body.assign(body_bytes, 'b');
+      endpoint.send(submit);
+      endpoint.receive();
+    } else if (!uses_grants) {
+      endpoint.receive();
     }
-    waits.push_back(now() - sent);
+    latencies.push_back(now() - sent);
   }
-  const double forwarder_cpu = cpu() - begin;
+  const double forwarder_cpu_seconds = thread_cpu_seconds() - cpu_began;
   planner.join();
   ::close(a), ::close(b);
-  std::nth_element(waits.begin(), waits.begin() + requests / 2, waits.end());
-  return {(forwarder_cpu + planner_cpu) / requests * 1e6,
-          waits[static_cast<std::size_t>(requests) / 2] * 1e6};
+  std::nth_element(latencies.begin(), latencies.begin() + requests / 2, latencies.end());
+  return {(forwarder_cpu_seconds + planner_cpu_seconds) / requests * 1e6,
+          latencies[static_cast<std::size_t>(requests) / 2] * 1e6};
 }
 
 }  // namespace
@@ -136,15 +137,16 @@
   fmt::print("{:>8}{:>9}{:>12}{:>12}{:>12}{:>12}\n", "body", "refused", "whole us", "grant us", "whole p50",
              "grant p50");
   std::string figures;
-  for (const std::size_t body : {64, 2048, 16384}) {
-    for (const double refused : {0.0, 0.2, 0.5, 0.9}) {
-      Cost whole, grant;
+  for (const std::size_t body_bytes : {64, 2048, 16384}) {
+    for (const double rejected_share : {0.0, 0.2, 0.5, 0.9}) {
+      Costs complete, grant;
       for (int round = 0; round < 2; ++round)  // the second counts: the first warms up
-        whole = play(false, body, refused, requests), grant = play(true, body, refused, requests);
-      fmt::print("{:>8}{:>9.1f}{:>12.2f}{:>12.2f}{:>12.1f}{:>12.1f}\n", body, refused, whole.us, grant.us,
-                 whole.p50, grant.p50);
-      figures += fmt::format(" whole_{}_{:.1f}_us={:.2f} grant_{}_{:.1f}_us={:.2f}", body, refused, whole.us,
-                             body, refused, grant.us);
+        complete = run_trial(false, body_bytes, rejected_share, requests),
+        grant = run_trial(true, body_bytes, rejected_share, requests);
+      fmt::print("{:>8}{:>9.1f}{:>12.2f}{:>12.2f}{:>12.1f}{:>12.1f}\n", body_bytes, rejected_share,
+                 complete.cpu_us, grant.cpu_us, complete.latency_p50_us, grant.latency_p50_us);
+      figures += fmt::format(" whole_{}_{:.1f}_us={:.2f} grant_{}_{:.1f}_us={:.2f}", body_bytes,
+                             rejected_share, complete.cpu_us, body_bytes, rejected_share, grant.cpu_us);
     }
   }
   fmt::print("figures:{}\n", figures);
