--- a/standins/members_sim.cpp
+++ b/standins/members_sim.cpp
@@ -14,11 +14,11 @@
 namespace {
 
 constexpr double kLateSeconds = 2;
-constexpr double kFalseDeathSeconds = 5;  // declarations within it count as one
+constexpr double kFalseDeathSeconds = 5;  // declarations of a member within this time count as one
 constexpr std::uint64_t kEncodeOnePushPullIn = 50;
-constexpr std::size_t kUdpHeaderBytes = 28;  // with IP
+constexpr std::size_t kUdpHeaderBytes = 28;  // IP and UDP
 constexpr std::size_t kMaxBacklog = 200;
-constexpr int kSeeds = 3;
+constexpr int kSeedsPerMember = 3;
 constexpr int kSeedStride = 7;
 constexpr int kAddressesPerNetwork = 250;
 const std::string kCluster = "cluster";
@@ -96,8 +96,8 @@
 
 double MembersSim::random_unit() { return std::ldexp(static_cast<double>(random_() >> 11), -53); }
 
-void MembersSim::schedule(double time, std::function<void()> act) {
-  events_.push({time, next_event_++, std::move(act)});
+void MembersSim::schedule(double time, std::function<void()> action) {
+  events_.push({time, next_event_++, std::move(action)});
 }
 
 void MembersSim::start_all(bool know_one_another) {
@@ -113,8 +113,8 @@
   Node& started = node(number);
   if (started.is_up) return;
   std::vector<std::string> seeds;
-  seeds.reserve(kSeeds);
-  for (int i = 0; i < kSeeds; ++i) seeds.push_back(node(i * kSeedStride % options_.count).address);
+  seeds.reserve(kSeedsPerMember);
+  for (int i = 0; i < kSeedsPerMember; ++i) seeds.push_back(node(i * kSeedStride % options_.count).address);
   started.is_up = true;
   ++started.process;
   started.paused_until = -1;
@@ -175,7 +175,7 @@
   });
 }
 
-// As in a real process, the timer is late and what waited in the socket is read as stale.
+// As in a real process, the timer fires late, and messages that waited in the socket are handled as stale.
 void MembersSim::resume(Node& node) {
   const bool is_stale = node.view->on_timer(now_);
   for (const auto& [from, message] : node.backlog) node.view->on_message(from, *message, now_, is_stale);
@@ -219,18 +219,19 @@
 }
 
 void MembersSim::run_until(double time) {
-  const auto up = std::count_if(nodes_.begin(), nodes_.end(), [](const auto& one) { return one->is_up; });
-  member_seconds_ += static_cast<double>(up) * (time - now_);
+  const auto up_count =
+      std::count_if(nodes_.begin(), nodes_.end(), [](const auto& one) { return one->is_up; });
+  member_seconds_ += static_cast<double>(up_count) * (time - now_);
   while (!events_.empty() && events_.top().at <= time) {
     const Event event = events_.top();
     events_.pop();
     now_ = std::max(now_, event.at);
-    event.act();
+    event.action();
   }
   now_ = time;
 }
 
-// ---- What is observed.
+// ---- Observations.
 
 void MembersSim::note_death_found(int dead) {
   const auto last = std::find_if(deaths_.rbegin(), deaths_.rend(),
@@ -271,7 +272,7 @@
         is_known && (found->second == MemberState::kAlive || found->second == MemberState::kFlapping);
     if (is_seen_alive == is_up(i)) continue;
     if (difference != nullptr)
-      *difference = fmt::format("{} sees {} as {}, which is {}", name(observer), name(i),
+      *difference = fmt::format("{} sees {} as {}, but it is {}", name(observer), name(i),
                                 is_known ? text_of(found->second) : "unknown", is_up(i) ? "up" : "down");
     return false;
   }
@@ -299,7 +300,7 @@
 
 // ---- Traffic.
 
-// The sample of push-pulls is kept: the bytes of a record in them stay the same.
+// Keeps the sample of push-pulls, since the mean bytes of a record in them do not change.
 void MembersSim::reset_traffic() {
   datagrams_ = {};
   push_pulls_.records = 0;
