--- a/tests/endings.cpp
+++ b/tests/endings.cpp
@@ -346,12 +346,12 @@
     for (int i = 0; i < 100 && !caller.has_received("noMore"); ++i) caller.read_answers(1000, 0.1);
     fixture.pause(1);
     std::string requests;
-    constexpr int kRequests = 400;
-    for (int i = 2; i <= kRequests; ++i) requests += is_up ? request(i) : health_check(i);
+    constexpr int request_count = 400;
+    for (int i = 2; i <= request_count; ++i) requests += is_up ? request(i) : health_check(i);
     while_stopped(fixture, 1.2, [&] { caller.send(requests); });
     const char* end = caller.read_end();
-    const int answered = caller.read_answers(kRequests);
-    std::printf("requests: %d, answered: %d, close: %s\n", kRequests, answered, end);
+    const int answered = caller.read_answers(request_count);
+    std::printf("requests: %d, answered: %d, close: %s\n", request_count, answered, end);
     std::printf("requests after the grace, nacked: %s\n",
                 is_up ? (caller.has_received("-32001") && !caller.has_received("-32000") ? "all" : "not all")
                       : "none sent");
