--- a/standins/ajp_gateway.h
+++ b/standins/ajp_gateway.h
@@ -54,7 +54,7 @@
     std::uint64_t seed = 1;
     std::string secret;
     bool chunked = false;  // bodies are sent without a length
-    unsigned hotels = 8;   // requests come from this many hotels; their caller numbers begin with 2
+    unsigned hotels = 8;   // requests carry this many different caller numbers, from 2 on
   };
   AjpGateway(Loop& loop, Journal& journal, Options options);
   ~AjpGateway();
