--- a/bench/ajp.cpp
+++ b/bench/ajp.cpp
@@ -1,5 +1,7 @@
-// Two fronts: close-outs by JSON-RPC beside AJP at its share and at six times of it, both together at 1.2 of
-// the capacity without the flood; what a request costs by either protocol; and the codec under spoilt input.
+// Benchmark of a backend with two listeners, JSON-RPC and AJP. Measures the `close` requests served by
+// JSON-RPC while AJP sends its normal load and six times as much (without the flood, both together send 1.2
+// times the capacity), the processor time of a request by either protocol, and runs the AJP codec on mutated
+// input.
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -19,8 +21,8 @@
 const char* const kBinary = DAMSONSPOKE_BINARY;
 constexpr int kCores = 2;
 constexpr double kWork = 0.02, kTarget = 0.2, kTimeout = 1;  // s
-constexpr double kCapacity = kCores / kWork;                 // requests a second
-constexpr double kCloseShare = 0.2;                          // of what either front asks
+constexpr double kCapacity = kCores / kWork;                 // requests per second
+constexpr double kCloseShare = 0.2;                          // of the requests to either listener
 
 SiteSpec site_spec() {
   SiteSpec site;
@@ -35,19 +37,18 @@
 
 struct TrialResult {
   double closes_requested = 0, closes_served = 0;          // by JSON-RPC
-  double all_closes_requested = 0, all_closes_served = 0;  // by either front
+  double all_closes_requested = 0, all_closes_served = 0;  // by either protocol
   double requested = 0, served = 0;
   int unanswered = 0, late = 0, duplicated = 0, violations = 0;
   std::uint64_t requests = 0;
-  double cpu_seconds = 0;  // s
+  double cpu_seconds = 0;
   double served_close_share() const { return closes_requested > 0 ? closes_served / closes_requested : 0; }
   double served_close_share_of_both() const {
     return all_closes_requested > 0 ? all_closes_served / all_closes_requested : 0;
   }
 };
 
-// `rpc`, `ajp`: requests a second by either front; a share of them close-outs, of AJP's `ajp_closes` where
-// that is told.
+// Runs one trial. `ajp_close_share` is the share of `close` requests by AJP; by JSON-RPC it is kCloseShare.
 TrialResult run_trial(double rpc_per_second, double ajp_per_second, double work, double seconds,
                       std::uint64_t seed, double ajp_close_share = kCloseShare) {
   TrialResult out;
@@ -64,8 +65,8 @@
   Callers::Options caller_options;
   caller_options.flows = flows(rpc_per_second, kCloseShare);
   caller_options.connections = 12, caller_options.seed = seed;
-  caller_options.hotels =
-      9;  // the same ones as the gateway's: a hotel with over half of what waits loses room first
+  // The same callers as the gateway's: a caller with over half of the queued requests is rejected first.
+  caller_options.hotels = 9;
   AjpGateway::Options gateway_options;
   gateway_options.flows = flows(ajp_per_second, ajp_close_share);
   gateway_options.connections = 150, gateway_options.seed = seed + 1;
@@ -116,7 +117,7 @@
       to.cpu_seconds += from.cpu_seconds;
 }
 
-// The kept corpus and inputs that are made of it by a few seeded changes; the target aborts on a finding.
+// Runs the fuzz target on seeded mutations of its corpus. The target aborts on a finding.
 std::size_t run_codec_on_mutations(std::size_t count, std::uint64_t seed) {
   std::vector<std::string> corpus;
   for (const char* name : {"request", "attributes", "stored", "pings", "body", "answer", "more", "null"}) {
@@ -145,20 +146,21 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  cxxopts::Options options("ajp", "two fronts");
-  options.add_options()("seconds", "of each play", cxxopts::value<double>()->default_value("10"))(
+  cxxopts::Options options("ajp", "JSON-RPC and AJP callers of one backend");
+  options.add_options()("seconds", "duration of each trial", cxxopts::value<double>()->default_value("10"))(
       "seed", "", cxxopts::value<std::uint64_t>()->default_value("1"))(
       "rounds", "", cxxopts::value<int>()->default_value("2"))(
-      "execs", "spoilt inputs for the codec", cxxopts::value<std::size_t>()->default_value("1000000"));
+      "execs", "number of mutated inputs for the codec",
+      cxxopts::value<std::size_t>()->default_value("1000000"));
   const auto flags = options.parse(argc, argv);
   const double seconds = flags["seconds"].as<double>();
   TrialResult normal, flooded, read_flooded, only_rpc, only_ajp;
-  constexpr double kListenerRate = 0.6 * kCapacity;  // of either front: together 1.2 of the capacity
+  constexpr double kListenerRate = 0.6 * kCapacity;  // of each listener: together 1.2 times the capacity
   for (int round = 0; round < flags["rounds"].as<int>(); ++round) {
     const std::uint64_t seed = flags["seed"].as<std::uint64_t>() + static_cast<std::uint64_t>(round) * 10;
     add(normal, run_trial(kListenerRate, kListenerRate, kWork, seconds, seed));
     add(flooded, run_trial(kListenerRate, 6 * kListenerRate, kWork, seconds, seed));
-    // The flood asks for more reads only: its close-outs stay as many as without it.
+    // The flood consists of reads only: the rate of close requests by AJP stays the same.
     add(read_flooded, run_trial(kListenerRate, 6 * kListenerRate, kWork, seconds, seed, kCloseShare / 6));
     add(only_rpc, run_trial(400, 0, 0.001, seconds, seed));
     add(only_ajp, run_trial(0, 400, 0.001, seconds, seed));
@@ -169,10 +171,10 @@
                trial.served_close_share_of_both(),
                trial.cpu_seconds / static_cast<double>(std::max<std::uint64_t>(1, trial.requests)) * 1e6);
   };
-  fmt::print("{:<22}{:>8}{:>10}{:>12}{:>12}{:>8}\n", "play", "ops", "in time", "close-outs", "both fronts",
-             "us/op");
-  print_row("both at their share", normal), print_row("AJP at six times", flooded);
-  print_row("AJP's reads at six", read_flooded);
+  fmt::print("{:<22}{:>8}{:>10}{:>12}{:>12}{:>8}\n", "trial", "requests", "in time", "closes", "both closes",
+             "us/req");
+  print_row("normal load", normal), print_row("AJP at six times", flooded);
+  print_row("AJP, reads at six", read_flooded);
   print_row("JSON-RPC alone, 400/s", only_rpc), print_row("AJP alone, 400/s", only_ajp);
   const std::size_t execs = run_codec_on_mutations(flags["execs"].as<std::size_t>(), 7);
   const auto cpu_us_per_request = [](const TrialResult& trial) {
--- a/bench/conns.cpp
+++ b/bench/conns.cpp
@@ -1,5 +1,6 @@
-// KnownClients clients beside floods of five shapes, with the gate and with today's rule, by turns: who gets
-// in within 100 ms, what is served of what the flood leaves alone, and what refusing costs.
+// Benchmark of connection admission: a known client beside floods of connections of five shapes, alternately
+// with and without the connection limiter. Measures how many of its connections are answered within 100 ms,
+// which share of its requests is served, and the processor time that rejections cost.
 #include <fmt/format.h>
 #include <sys/resource.h>
 
@@ -15,26 +16,27 @@
 
 const char* const kBinary = DAMSONSPOKE_BINARY;
 constexpr const char* kKnownClientAddress = "127.7.0.1";
-constexpr int kDescriptorLimit = 384;            // descriptors, as the smallest backends have
-constexpr double kResponseTimeoutSeconds = 0.1;  // s to be in
+constexpr int kDescriptorLimit = 384;            // as on the smallest backends
+constexpr double kResponseTimeoutSeconds = 0.1;  // until a new connection is answered
 
 struct Shape {
   const char* name;
   FloodShape shape;
   unsigned addresses, connections_per_address;
-  bool has_few_descriptors = false;  // and the system's bound is lowered under the table
+  // Lowers the process's limit of descriptors below the size of its connection table.
+  bool has_few_descriptors = false;
 };
-constexpr Shape kShapes[] = {{"crowd, silent", FloodShape::kSilent, 1000, 50},
+constexpr Shape kShapes[] = {{"silent", FloodShape::kSilent, 1000, 50},
                              {"connect and reset", FloodShape::kReset, 1000, 50},
-                             {"a byte a second", FloodShape::kDrip, 1000, 50},
-                             {"asking, and staying", FloodShape::kAsking, 1000, 50},
+                             {"one byte per second", FloodShape::kDrip, 1000, 50},
+                             {"health checks, stay", FloodShape::kAsking, 1000, 50},
                              {"few descriptors", FloodShape::kAsking, 1000, 50, true}};
-constexpr rlim_t kFewDescriptors = 100;  // descriptors, then
+constexpr rlim_t kFewDescriptors = 100;
 
 struct TrialResult {
   int connections = 0, in_time = 0, violations = 0, unanswered = 0;
-  double longest_seconds = 0;       // s
-  std::uint64_t reconnections = 0;  // connections that the client's requests needed anew
+  double longest_seconds = 0;       // until a new connection was answered
+  std::uint64_t reconnections = 0;  // of the connections that carry the client's requests
   double requested_weight = 0, served_weight = 0;
   double cpu_seconds = 0, seconds = 0, flood_connections = 0, rss_mb = 0;
   double in_time_share() const { return connections > 0 ? static_cast<double>(in_time) / connections : 0; }
@@ -59,7 +61,7 @@
   return site;
 }
 
-// `per_s`: of the flood; 0: none.
+// Runs one trial. `per_s`: new connections per second of the flood; 0: no flood.
 TrialResult run_trial(bool has_limiter, const Shape& shape, double per_s, double load, double seconds,
                       std::uint64_t seed) {
   TrialResult out;
@@ -111,19 +113,19 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  cxxopts::Options options("conns", "admission of connections under floods");
-  options.add_options()("seconds", "of each play", cxxopts::value<double>()->default_value("10"))(
+  cxxopts::Options options("conns", "connection admission under floods");
+  options.add_options()("seconds", "duration of each trial", cxxopts::value<double>()->default_value("10"))(
       "seed", "", cxxopts::value<std::uint64_t>()->default_value("1"))(
       "rounds", "", cxxopts::value<int>()->default_value("1"))(
-      "rate", "new connections a second of the flood", cxxopts::value<double>()->default_value("5000"))(
-      "load", "ops a second of the known client", cxxopts::value<double>()->default_value("30"));
+      "rate", "new connections per second of the flood", cxxopts::value<double>()->default_value("5000"))(
+      "load", "requests per second of the known client", cxxopts::value<double>()->default_value("30"));
   const auto flags = options.parse(argc, argv);
   const double seconds = flags["seconds"].as<double>(), rate = flags["rate"].as<double>(),
                load = flags["load"].as<double>();
   TrialResult limited, unlimited, calm;
   double min_in_time_share = 1, min_in_time_share_unlimited = 1, min_served_share = 1, max_extra_cpu = 0;
-  fmt::print("{:<20}{:<8}{:>8}{:>10}{:>8}{:>8}{:>10}{:>10}{:>8}\n", "flood", "rule", "in", "longest", "worth",
-             "again", "dialled/s", "cores", "MB");
+  fmt::print("{:<20}{:<8}{:>8}{:>10}{:>8}{:>8}{:>10}{:>10}{:>8}\n", "flood", "limiter", "in time", "longest",
+             "served", "reconn.", "flood/s", "cores", "MB");
   const auto print_row = [&](const char* name, const char* rule, const TrialResult& trial) {
     fmt::print("{:<20}{:<8}{:>8.3f}{:>9.3f}s{:>8.3f}{:>8}{:>10.0f}{:>10.3f}{:>8.1f}\n", name, rule,
                trial.in_time_share(), trial.longest_seconds, trial.served_share(), trial.reconnections,
@@ -132,12 +134,12 @@
   for (int round = 0; round < flags["rounds"].as<int>(); ++round) {
     const std::uint64_t seed = flags["seed"].as<std::uint64_t>() + static_cast<std::uint64_t>(round);
     const TrialResult no_flood = run_trial(true, kShapes[0], 0, load, seconds, seed);
-    print_row("none", "gate", no_flood);
+    print_row("none", "on", no_flood);
     add(calm, no_flood);
     for (const Shape& shape : kShapes) {
       const TrialResult without = run_trial(false, shape, rate, load, seconds, seed),
                         limiter = run_trial(true, shape, rate, load, seconds, seed);
-      print_row(shape.name, "today", without), print_row(shape.name, "gate", limiter);
+      print_row(shape.name, "off", without), print_row(shape.name, "on", limiter);
       add(unlimited, without), add(limited, limiter);
       min_in_time_share = std::min(min_in_time_share, limiter.in_time_share()),
       min_in_time_share_unlimited = std::min(min_in_time_share_unlimited, without.in_time_share());
--- a/bench/knowledge.cpp
+++ b/bench/knowledge.cpp
@@ -1,9 +1,10 @@
-// What knowledge is worth to relays that are restarted under load. First a rolling deploy over a fleet of
-// relays whose callers go elsewhere: with what the life before learned, without, with what is no longer true
-// (the runtimes are three times slower than remembered) and with what a bad spell taught. Then, on single
-// relays, why: how much is decided wrongly while nothing is known, by the load that meets the start. Fleets
-// of a round run side by side, each among stand-ins of its own; rounds are pairs. Beside them one relay is
-// killed at random and its folder read after each kill.
+// Benchmark of learned statistics that survive a restart. First, a rolling deploy over a fleet of backends,
+// whose callers use the other backends meanwhile: with the statistics of the former process, without, with
+// stale ones (the runtimes are three times slower than recorded) and with ones that were learned under
+// overload. Then, single backends that start under a given load, to show how many requests are decided
+// wrongly without statistics. The trials of a round run at the same time, each with its own stand-ins, and
+// are compared in pairs. Meanwhile one backend is killed at random times, and its record is read after each
+// kill.
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -21,7 +22,7 @@
 namespace {
 
 const char* const kBinary = DAMSONSPOKE_BINARY;
-// As at a site of the operators': work, target and request timeout of its routes, and how cold a life begins.
+// The routes (work, latency objective and timeout in s) and the slow start follow an operators' site.
 struct RouteProfile {
   const char* name;
   double work, target, timeout, share, priority_weight;
@@ -32,13 +33,13 @@
 constexpr double kSlowStartSpeed = 0.2, kSlowStartSeconds = 17;
 
 constexpr int kBackends = 3;
-constexpr double kWarmUpSeconds = 6, kRestartIntervalSeconds = 4;  // s: before the first restart, between two
+constexpr double kWarmUpSeconds = 6, kRestartIntervalSeconds = 4;
 
 struct Variant {
   const char* name;
-  double slowdown;  // x the remembered work, from the restart on
+  double slowdown;  // factor of a run's work after the restart
   bool restores_statistics;
-  bool has_overload_record;
+  bool has_overload_record;  // its record was learned under overload
 };
 constexpr Variant kVariants[] = {{"with", 1, true, false},
                                  {"without", 1, false, false},
@@ -58,7 +59,7 @@
   return site;
 }
 
-// A share of what the cores do when they are warm; rejected requests come back twice.
+// Load as a share of the capacity of warm cores. Rejected requests are retried twice.
 Callers::Options load_of(double share, int backends, std::uint64_t seed) {
   double work = 0;
   for (const RouteProfile& route : kRoutes) work += route.work * route.share;
@@ -86,7 +87,7 @@
 
 const std::string kStatisticsSettings = "knowledge\n    enabled on\n    folder FOLDER\n    interval 1s\n";
 
-// A warm life at full load teaches; its record is what the rounds begin with.
+// Returns the record that a warm process learned under full load. The rounds begin with it.
 std::optional<statistics::StatisticsRecord> learn_statistics(double seconds, std::uint64_t seed) {
   Fleet fleet(kBinary, site_of(kStatisticsSettings), runtime_of(1, false), load_of(1.1, 1, seed));
   if (!fleet.start()) return std::nullopt;
@@ -109,10 +110,11 @@
   statistics::StatisticsFolder(*folder_access).write(record);
 }
 
-// What became of the things that were first asked for in a span of time.
+// Outcomes of the requests whose first attempt was sent in a span of time.
 struct ServiceOutcome {
-  double requested_weight = 0, served_weight = 0;            // importance
-  int requests = 0, late = 0, failed = 0, rejected_all = 0;  // of things: served late, or not at all
+  double requested_weight = 0, served_weight = 0;  // sums of priority weights
+  int requests = 0, late = 0, failed = 0,
+      rejected_all = 0;  // requests that were not served within their objective, by cause
   double served_share() const { return requested_weight > 0 ? served_weight / requested_weight : 0; }
 };
 
@@ -158,7 +160,7 @@
 }
 
 struct TrialResult {
-  ServiceOutcome first_seconds, all;  // of the first 5 s, and of the whole time after the (first) restart
+  ServiceOutcome first_seconds, all;  // the first 5 s and the whole time after the (first) restart
   int violations = 0;
   double max_write_ms = 0;
   int restored = 0;
@@ -181,7 +183,7 @@
   out.violations = static_cast<int>(verdict.broken.size());
 }
 
-// Warm relays serve; then one after another leaves, is off the list, and comes back cold.
+// Warm backends serve; then each in turn shuts down, is removed from the registry, and starts cold.
 TrialResult run_rolling_deploy(const Variant& variant, const statistics::StatisticsRecord& record,
                                double seconds, std::uint64_t seed) {
   TrialResult out;
@@ -202,7 +204,7 @@
     Server& backend = *backends[static_cast<std::size_t>(i)];
     const double restart_began = now();
     backend.notice();
-    loop.run_for(0.2);  // the list is read by then
+    loop.run_for(0.2);  // until callers have read the registry
     callers.avoid(i);
     if (!backend.ended()) return out.violations = 1, out;
     if (variant.has_overload_record) write_record(backend.folder(), record, true);
@@ -220,7 +222,7 @@
   return out;
 }
 
-// One relay that starts in the middle of a load.
+// One backend that starts under load.
 TrialResult run_single_start(const Variant& variant, const statistics::StatisticsRecord& record, double load,
                              bool starts_cold, double seconds, std::uint64_t seed) {
   TrialResult out;
@@ -239,8 +241,8 @@
   return out;
 }
 
-// Kills at random, a record every fifth of a second; what is in the folder after each must be whole or
-// nothing.
+// Kills a backend, which writes a record every 200 ms, at random times. After each kill, the folder must hold
+// an intact record or none. Returns how often it did not.
 int count_corrupt_records_after_kills(int kills, std::uint64_t seed) {
   Fleet fleet(kBinary, site_of("knowledge\n    enabled on\n    folder FOLDER\n    interval 200ms\n"),
               runtime_of(1, false), load_of(0.55, 1, seed));
@@ -262,7 +264,8 @@
   for (const double x : v) sum += x;
   return v.empty() ? 0 : sum / static_cast<double>(v.size());
 }
-// Half the width of the 95% interval of the mean of paired differences (Student's t, from below).
+// Half the width of the 95% confidence interval of the mean of paired differences (Student's t, approximated
+// by three ranges of the number of pairs).
 double half_interval(const std::vector<double>& v) {
   if (v.size() < 2) return 1;
   const double m = mean(v), t = v.size() < 10 ? 2.8 : v.size() < 20 ? 2.262 : 2.093;
@@ -271,7 +274,7 @@
   return t * std::sqrt(squares / static_cast<double>(v.size() - 1) / static_cast<double>(v.size()));
 }
 
-// Plays of one kind, a column a plan.
+// The trials of a comparison, one column per variant.
 struct Table {
   std::vector<TrialResult> trials[kVariantCount];
   std::vector<double> difference(std::size_t a, std::size_t b, bool is_first_seconds) const {
@@ -290,8 +293,8 @@
     return mean(out);
   }
   void print(const char* title, std::size_t variants) const {
-    fmt::print("{}\n{:<18}{:>9}{:>9}{:>9}{:>9}{:>9}{:>12}\n", title, "", "worth5", "worth", "late", "failed",
-               "nacked", "of things");
+    fmt::print("{}\n{:<18}{:>9}{:>9}{:>9}{:>9}{:>9}{:>12}\n", title, "", "served5", "served", "late",
+               "failed", "rejected", "requests");
     for (std::size_t i = 0; i < variants; ++i) {
       int requests = 0, late = 0, failed = 0, rejected = 0;
       for (const TrialResult& trial : trials[i]) {
@@ -305,12 +308,12 @@
                  share(rejected), requests);
     }
     const auto gain5 = difference(0, 1, true), gain = difference(0, 1, false);
-    fmt::print("  with against without: first 5 s {:+.4f} +- {:.4f}, whole {:+.4f} +- {:.4f}, {} pairs\n",
+    fmt::print("  with minus without: first 5 s {:+.4f} +- {:.4f}, all {:+.4f} +- {:.4f}, {} pairs\n",
                mean(gain5), half_interval(gain5), mean(gain), half_interval(gain), gain.size());
   }
 };
 
-// Rounds of `side` pairs at once; a thread a play.
+// Runs rounds of `pairs_at_once` pairs, with one thread per trial.
 template <class Trial>
 Table run_rounds(int pairs, int pairs_at_once, std::size_t variants, std::uint64_t seed,
                  const Trial& run_trial) {
@@ -334,12 +337,13 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  cxxopts::Options options("knowledge", "what learning that survives a restart is worth");
-  options.add_options()("seconds", "after the first restart", cxxopts::value<double>()->default_value("20"))(
+  cxxopts::Options options("knowledge", "service with and without statistics that survive a restart");
+  options.add_options()("seconds", "duration after the first restart",
+                        cxxopts::value<double>()->default_value("20"))(
       "seed", "", cxxopts::value<std::uint64_t>()->default_value("1"))(
-      "pairs", "", cxxopts::value<int>()->default_value("3"))("side", "pairs played side by side",
+      "pairs", "", cxxopts::value<int>()->default_value("3"))("side", "pairs that run at the same time",
                                                               cxxopts::value<int>()->default_value("3"))(
-      "loads", "that meet single relays, as shares of the warm capacity; empty: none",
+      "loads", "loads of single backends, as shares of the warm capacity; empty: none",
       cxxopts::value<std::vector<double>>()->default_value("1.1,3,8"))(
       "kills", "", cxxopts::value<int>()->default_value("20"));
   const auto flags = options.parse(argc, argv);
@@ -347,7 +351,7 @@
   const auto seed = flags["seed"].as<std::uint64_t>();
   const int pairs = flags["pairs"].as<int>(), pairs_at_once = flags["side"].as<int>();
   const std::optional<statistics::StatisticsRecord> record = learn_statistics(12, seed);
-  if (!record) return fmt::print("nothing was learned\n"), 1;
+  if (!record) return fmt::print("the warm backend left no record of statistics\n"), 1;
   std::atomic<int> corrupt_records{0};
   std::thread killer(
       [&] { corrupt_records = count_corrupt_records_after_kills(flags["kills"].as<int>(), seed); });
@@ -366,8 +370,9 @@
                                     return run_rolling_deploy(variant, *record, seconds, pair_seed);
                                   });
   add(rolled);
-  rolled.print("rolling deploy over three relays at 110%, first 5 s and all after the first restart",
-               kVariantCount);
+  rolled.print(
+      "rolling deploy over three backends at 110% of the capacity, first 5 s and all after the first restart",
+      kVariantCount);
   std::string loads;
   for (const double load : flags["loads"].as<std::vector<double>>()) {
     for (const bool starts_cold : {true, false}) {
@@ -376,10 +381,10 @@
             return run_single_start(variant, *record, load, starts_cold, seconds / 2, pair_seed);
           });
       add(started);
-      started.print(
-          fmt::format("one relay starts {} at {:.1f} times its capacity", starts_cold ? "cold" : "warm", load)
-              .c_str(),
-          2);
+      started.print(fmt::format("one backend starts {} at {:.1f} times its capacity",
+                                starts_cold ? "cold" : "warm", load)
+                        .c_str(),
+                    2);
       const auto gain = started.difference(0, 1, true);
       loads += fmt::format("gain5_{}_{:.1f}={:.4f} gain5_{}_{:.1f}_ci={:.4f} ", starts_cold ? "cold" : "warm",
                            load, mean(gain), starts_cold ? "cold" : "warm", load, half_interval(gain));
@@ -389,8 +394,9 @@
   const auto gain = rolled.difference(0, 1, false), stale = rolled.difference(2, 3, false),
              poisoned = rolled.difference(4, 1, false);
   fmt::print(
-      "against without, mean and half of the 95% interval: with {:+.4f} +- {:.4f}, stale {:+.4f} +- {:.4f}, "
-      "poisoned {:+.4f} +- {:.4f}; {} lives began with knowledge\n",
+      "difference to without, mean and half of the 95% interval: with {:+.4f} +- {:.4f}, stale {:+.4f} +- "
+      "{:.4f}, "
+      "poisoned {:+.4f} +- {:.4f}; {} backends restored statistics\n",
       mean(gain), half_interval(gain), mean(stale), half_interval(stale), mean(poisoned),
       half_interval(poisoned), restored);
   fmt::print(
--- a/bench/members.cpp
+++ b/bench/members.cpp
@@ -1,7 +1,8 @@
-// Membership measured. On real processes: how soon a death is found among 12 (kills one after another, under
-// load), and what the two-level fleet serves with a slow and a killed planner, by a list of planners and by
-// what members tell, in turns. In simulated fleets of the very same view: deaths, false deaths and bytes at
-// sizes that sockets don't reach, pauses and one-sided cuts.
+// Benchmark of membership. On real processes: the time until a death is detected among 12 members (killed one
+// after another, under load), and the share of the load that a two-level fleet serves with a killed and a
+// paused planner, alternately with a configured list of planners and with planners discovered by membership.
+// In simulated fleets of the same membership view: detections, false deaths and traffic at sizes beyond what
+// sockets of one machine allow, under pauses and one-directional cuts.
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -33,7 +34,7 @@
   std::size_t false_deaths = 0, missed_detections = 0;
 };
 
-// Calm at a loss of 5%, then one death after another.
+// Measures the traffic without faults at a datagram loss of 5%, then kills members one after another.
 SimulationResult simulate_fleet(int count, double seconds, int kills, std::uint64_t seed) {
   MembersSim::Options options;
   options.count = count, options.seed = seed, options.loss = 0.05;
@@ -58,7 +59,7 @@
   return out;
 }
 
-// How many were called dead that were up, in pauses up to 2 s of one, a third and all, over seeds.
+// Returns the false deaths over all seeds while one member, a third of the members and all pause for 2 s.
 std::size_t false_deaths_in_pauses(int seeds) {
   std::size_t false_deaths = 0;
   for (int seed = 1; seed <= seeds; ++seed) {
@@ -78,7 +79,8 @@
   return false_deaths;
 }
 
-// The same behind cuts of one direction: of one link, of a member's outward half, between two zones, turning.
+// Returns the false deaths over all seeds under one-directional cuts: of one link, between two zones in
+// either direction, and from one member to half of the others.
 std::size_t false_deaths_in_cuts(int seeds) {
   std::size_t false_deaths = 0;
   for (int seed = 1; seed <= seeds; ++seed) {
@@ -120,7 +122,8 @@
   return script;
 }
 
-// States of the model of suspicion, whole; 0 where spin is not there or it does not hold.
+// Returns the number of states of the complete model of suspicion; 0 where spin is missing or the model
+// fails.
 std::uint64_t spin_states() {
   const std::string command = fmt::format(
       "timeout 120 bash '{0}/models/check.sh' '{0}/models/membership.pml' 2>&1", DAMSONSPOKE_SOURCE);
@@ -150,10 +153,11 @@
 
 int main(int argc, char** argv) {
   std::setvbuf(stdout, nullptr, _IOLBF, 0);
-  cxxopts::Options options("members", "membership measured");
-  options.add_options()("seconds", "of load in each play", cxxopts::value<double>()->default_value("10"))(
-      "seed", "of load and chance", cxxopts::value<std::uint64_t>()->default_value("1"))(
-      "rounds", "of each comparison", cxxopts::value<int>()->default_value("3"));
+  cxxopts::Options options("members", "detection of deaths, false deaths and traffic of membership");
+  options.add_options()("seconds", "duration of the load in each rehearsal",
+                        cxxopts::value<double>()->default_value("10"))(
+      "seed", "seed of the load and the simulations", cxxopts::value<std::uint64_t>()->default_value("1"))(
+      "rounds", "rehearsals of each comparison", cxxopts::value<int>()->default_value("3"));
   const auto flags = options.parse(argc, argv);
   const double seconds = flags["seconds"].as<double>();
   const auto seed = flags["seed"].as<std::uint64_t>();
@@ -177,7 +181,7 @@
     detection_seconds.insert(detection_seconds.end(), result.detection_seconds.begin(),
                              result.detection_seconds.end());
   }
-  fmt::print("real, 12 processes: a death found by {} in p50 {:.2f}, p99 {:.2f} s\n",
+  fmt::print("real, 12 processes: {} detections of deaths, after p50 {:.2f}, p99 {:.2f} s\n",
              detection_seconds.size(), quantile(detection_seconds, 0.5), quantile(detection_seconds, 0.99));
 
   double served_with_list = 0, served_with_membership = 0;
@@ -190,20 +194,21 @@
       (discovers_planners ? served_with_membership : served_with_list) +=
           result.served_share / flags["rounds"].as<int>();
       fmt::print("real, two levels, {}: {:.4f}\n",
-                 discovers_planners ? "planners told by members" : "planners by list", result.served_share);
+                 discovers_planners ? "planners discovered by membership" : "planners by list",
+                 result.served_share);
     }
   }
 
   const SimulationResult small = simulate_fleet(12, 3000, 3, seed),
                          middle = simulate_fleet(30, 36 * 3600, 3, seed);
   const SimulationResult large = simulate_fleet(1000, 60, 4, seed);
-  fmt::print("{:<10}{:>14}{:>8}{:>8}{:>12}{:>12}{:>12}\n", "simulated", "member hours", "wrong", "missed",
+  fmt::print("{:<10}{:>14}{:>8}{:>8}{:>12}{:>12}{:>12}\n", "simulated", "member hours", "false", "missed",
              "p50 s", "p99 s", "bytes/s");
   for (const auto& [name, of] : {std::pair{"12", &small}, {"30", &middle}, {"1000", &large}})
     fmt::print("{:<10}{:>14.1f}{:>8}{:>8}{:>12.2f}{:>12.2f}{:>12.0f}\n", name, of->member_hours,
                of->false_deaths, of->missed_detections, quantile(of->detection_seconds, 0.5),
                quantile(of->detection_seconds, 0.99), of->bytes_per_second);
-  // A fleet of strangers that knows three seeds.
+  // A fleet whose members start at once and know only their seeds.
   MembersSim::Options sim_options;
   sim_options.count = 1000, sim_options.seed = seed, sim_options.encode_one_in = 0;
   MembersSim sim(sim_options);
--- a/bench/results.cpp
+++ b/bench/results.cpp
@@ -1,6 +1,6 @@
-// What remembering results costs and saves: runs a thing with and without, the time it adds to a request,
-// kills, a cut of durable writes, and memory. All on loopback, real processes; both sides of each comparison
-// in one run.
+// Benchmark of the results store, on real processes over loopback. Measures the runs per idempotency key with
+// and without it, the latency that it adds to a request at both levels of safety, the service rules under
+// kills, and its memory. Both sides of a comparison are measured in one run.
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -78,7 +78,7 @@
   for (const std::string& line : verdict.broken) fmt::print("  {}\n", line);
 }
 
-// Every thing is asked for three times; how often it runs.
+// Sends every request three times and counts its runs.
 RuleCounts run_with_duplicates(bool has_results, double seconds, std::uint64_t seed) {
   const std::string operators = has_results ? results_settings("    store STORE\n") : std::string();
   Fleet fleet(kBinary, site_spec(has_results ? "dedup" : "retryable", operators), runtime_options(0.004),
@@ -93,9 +93,9 @@
   counts.runs_per_key = static_cast<double>(fleet.journal.runs.size()) /
                         static_cast<double>(std::max<std::size_t>(1, keys.size()));
   add(counts, check_rules(fleet.journal, fleet.limits()));
-  fmt::print("{:<34}{:>8} things, {:>6} tries, {:>6} runs: {:.3f} a thing\n",
-             has_results ? "asked thrice, remembered" : "asked thrice, not remembered", keys.size(),
-             fleet.journal.attempts.size(), fleet.journal.runs.size(), counts.runs_per_key);
+  fmt::print("{:<34}{:>8} keys, {:>6} attempts, {:>6} runs: {:.3f} per key\n",
+             has_results ? "sent three times, with results" : "sent three times, without results",
+             keys.size(), fleet.journal.attempts.size(), fleet.journal.runs.size(), counts.runs_per_key);
   return counts;
 }
 
@@ -103,7 +103,7 @@
   std::vector<double> with, without;
 };
 
-// The same load on two programs in turns of 0.3 s, so that the machine's moods fall on both.
+// The same load on two programs alternately, 0.3 s each, so that disturbances of the machine affect both.
 Latencies compare_latencies(const char* safety, double work, double seconds, std::uint64_t seed) {
   const std::string operators =
       results_settings(fmt::format("    store STORE\n    safety {}\n", safety).c_str());
@@ -146,7 +146,7 @@
   for (const auto& [request, attempt] : fleet.journal.attempts) {
     for (const Answer& answer : attempt.answers) unknown += answer.kind == AnswerKind::kUnknownOutcome;
   }
-  fmt::print("{:<34}{:>8} kills, {:>6} tries, {:>6} runs, {} told that the outcome is unknown\n",
+  fmt::print("{:<34}{:>8} kills, {:>6} attempts, {:>6} runs, {} answers with an unknown outcome\n",
              "killed at random", kills, fleet.journal.attempts.size(), fleet.journal.runs.size(), unknown);
   return counts;
 }
@@ -156,7 +156,7 @@
   std::uint64_t entries = 0;
 };
 
-// Results of 4 KiB by the ten thousand under a bound of 8 MB.
+// Stores tens of thousands of results of 4 KiB in a results store limited to 8 MB of memory.
 MemoryUse measure_memory(double seconds, std::uint64_t seed) {
   MemoryUse memory;
   {
@@ -193,10 +193,11 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  cxxopts::Options options("results", "what remembering results costs and saves");
-  options.add_options()("seconds", "of each part under load", cxxopts::value<double>()->default_value("10"))(
+  cxxopts::Options options("results", "costs and savings of the results store");
+  options.add_options()("seconds", "duration of each part under load",
+                        cxxopts::value<double>()->default_value("10"))(
       "seed", "", cxxopts::value<std::uint64_t>()->default_value("1"))(
-      "kills", "at random moments", cxxopts::value<int>()->default_value("20"));
+      "kills", "number of kills at random times", cxxopts::value<int>()->default_value("20"));
   const auto flags = options.parse(argc, argv);
   const double seconds = flags["seconds"].as<double>();
   const auto seed = flags["seed"].as<std::uint64_t>();
@@ -210,17 +211,17 @@
     return v.empty() ? 0 : sum / static_cast<double>(v.size());
   };
   for (const auto& [name, latencies] : {std::pair{"process", &process}, std::pair{"power", &power}}) {
-    fmt::print("{:<34}{:>8.2f} ms with, {:.2f} without (mean); p99 {:.2f} and {:.2f}; {} and {} ops\n",
-               fmt::format("time an op of 10 ms, {}-safe", name), mean(latencies->with) * 1000,
+    fmt::print("{:<34}{:>8.2f} ms with, {:.2f} without (mean); p99 {:.2f} and {:.2f}; {} and {} requests\n",
+               fmt::format("latency of 10 ms of work, {}-safe", name), mean(latencies->with) * 1000,
                mean(latencies->without) * 1000, quantile(latencies->with, 0.99) * 1000,
                quantile(latencies->without, 0.99) * 1000, latencies->with.size(), latencies->without.size());
   }
   const RuleCounts kills = run_with_kills(flags["kills"].as<int>(), seed);
   const MemoryUse memory = measure_memory(seconds, seed);
   fmt::print(
-      "{:<34}{:>8} results of 4 KiB kept; {:.1f} MB resident, {:.1f} before, {:.1f} with results off\n",
-      "memory under a bound of 8 MB", memory.entries, memory.full_mb, memory.idle_mb_on, memory.idle_mb_off);
-  fmt::print("{:<34}{:>8.2f} ms the latest wake of the reactor, {:.2f} ms the longest transaction\n",
+      "{:<34}{:>8} results of 4 KiB stored; {:.1f} MB resident, {:.1f} before, {:.1f} with results off\n",
+      "memory with a limit of 8 MB", memory.entries, memory.full_mb, memory.idle_mb_on, memory.idle_mb_off);
+  fmt::print("{:<34}{:>8.2f} ms largest timer delay of the reactor, {:.2f} ms longest transaction\n",
              "stalls", memory.max_timer_delay_ms, memory.max_commit_ms);
   const double ratio = mean(process.without) > 0 ? mean(process.with) / mean(process.without) : 0;
   fmt::print(
--- a/bench/scale.cpp
+++ b/bench/scale.cpp
@@ -1,6 +1,7 @@
-// How costs grow with the size of the fleet and of its configuration: the program's decisions, its catalog,
-// one real backend under load, and fleets of hollow members beside real processes. Each figure is measured at
-// several sizes; a line through the smaller ones has to foretell the largest, or it is not straight.
+// Benchmark of how costs grow with the size of the fleet and of its configuration: the admission decisions,
+// the catalog, one real backend under load, and fleets of hollow members beside real processes. Each figure
+// is measured at several sizes. If a line fitted through the smaller ones does not predict the largest, it is
+// reported as not linear.
 #include "scale.h"
 
 #include <fmt/format.h>
@@ -39,9 +40,9 @@
 void print_forecast(const char* quantity, const char* unit,
                     const std::vector<std::pair<double, double>>& points) {
   const Forecast line = forecast(points);
-  fmt::print("  {}: {:.6g} + {:.6g} x size; at {:.0f} foretold {:.4g} {}, measured {:.4g} ({:+.0f}%){}\n",
+  fmt::print("  {}: {:.6g} + {:.6g} x size; at {:.0f} predicted {:.4g} {}, measured {:.4g} ({:+.0f}%){}\n",
              quantity, line.base, line.slope, points.back().first, line.predicted, unit, line.measured,
-             100 * line.error(), std::abs(line.error()) <= 0.25 ? "" : ": not straight");
+             100 * line.error(), std::abs(line.error()) <= 0.25 ? "" : ": not linear");
 }
 
 }  // namespace damsonspoke::bench
@@ -49,20 +50,22 @@
 int main(int argc, char** argv) {
   using namespace damsonspoke::bench;
   std::setvbuf(stdout, nullptr, _IOLBF, 0);
-  cxxopts::Options flags("scale", "how costs grow with the size");
-  flags.add_options()("seconds", "of load in each play", cxxopts::value<double>()->default_value("10"))(
-      "seed", "of load and chance", cxxopts::value<std::uint64_t>()->default_value("1"))(
-      "rounds", "plays of each figure", cxxopts::value<int>()->default_value("3"))(
-      "fleets", "members of the fleets on sockets",
+  cxxopts::Options flags("scale", "how costs grow with the size of fleet and configuration");
+  flags.add_options()("seconds", "duration of the load in each trial",
+                      cxxopts::value<double>()->default_value("10"))(
+      "seed", "seed of the load and the simulations", cxxopts::value<std::uint64_t>()->default_value("1"))(
+      "rounds", "trials of each figure", cxxopts::value<int>()->default_value("3"))(
+      "fleets", "sizes of the fleets on sockets",
       cxxopts::value<std::vector<int>>()->default_value("100,300,1000,2300"))(
-      "simulate", "members of the simulated fleets",
+      "simulate", "sizes of the simulated fleets",
       cxxopts::value<std::vector<int>>()->default_value("100,300,600,1000,2300"))(
-      "loss", "the largest of them that loses a sixth", cxxopts::value<int>()->default_value("300"))(
-      "joins", "hollow members that come up a second", cxxopts::value<double>()->default_value("200"))(
-      "converge", "seconds until they should all see each other",
+      "loss", "size of the largest fleet on sockets that loses a sixth of its members",
+      cxxopts::value<int>()->default_value("300"))("joins", "hollow members started per second",
+                                                   cxxopts::value<double>()->default_value("200"))(
+      "converge", "seconds until all members must see each other",
       cxxopts::value<double>()->default_value("120"))(
       "parts",
-      "which: decisions, catalog, backend, connections, exchange, members, simulated, pauses, faults",
+      "parts to run: decisions, catalog, backend, connections, exchange, members, simulated, pauses, faults",
       cxxopts::value<std::vector<std::string>>()->default_value(
           "decisions,catalog,backend,connections,exchange,members,simulated,pauses,faults"));
   const auto parsed = flags.parse(argc, argv);
--- a/bench/scale.h
+++ b/bench/scale.h
@@ -1,4 +1,4 @@
-// The parts of bench/scale, each in a file of its own, and the line that is fitted through their figures.
+// The parts of the benchmark `scale`, in separate files, and the line that is fitted through their figures.
 #pragma once
 
 #include <cstdint>
@@ -10,14 +10,14 @@
 namespace damsonspoke::bench {
 
 struct ScaleOptions {
-  double seconds = 10;  // of load in each play
+  double seconds = 10;  // of load in each trial
   std::uint64_t seed = 1;
-  int rounds = 3;  // plays of each figure; the median is told
+  int rounds = 3;  // trials of each figure, of which the median is reported
   std::vector<int> fleet_sizes = {100, 300, 1000, 2300};
   std::vector<int> simulated_sizes = {100, 300, 600, 1000, 2300};
-  double starts_per_second = 200;    // how fast hollow members come up
-  double convergence_timeout = 120;  // s until all of them should see each other
-  int max_members_in_loss = 300;     // members of the largest fleet on sockets that loses a sixth
+  double starts_per_second = 200;    // of hollow members
+  double convergence_timeout = 120;  // s until all members must see each other
+  int max_members_in_loss = 300;     // size of the largest fleet on sockets that loses a sixth of its members
 };
 
 using Figures = std::map<std::string, double>;
@@ -25,7 +25,7 @@
 double median(std::vector<double> values);
 double quantile(std::vector<double> values, double share);
 
-// A straight line through all points but the last, and what it foretells of the last.
+// A line fitted through all points but the last, and its prediction of the last.
 struct Forecast {
   double base = 0, slope = 0;
   double predicted = 0, measured = 0;
--- a/bench/scale_backend.cpp
+++ b/bench/scale_backend.cpp
@@ -1,5 +1,5 @@
-// One real backend with the whole catalog, under the load of one backend at the peak: what changes and a
-// whole replacement cost the requests that it serves meanwhile.
+// One real backend with a catalog of full size, under the peak load of one backend: the latency that changes
+// and a replacement of the whole catalog add to requests.
 #include <fmt/format.h>
 #include <sys/socket.h>
 #include <unistd.h>
@@ -22,17 +22,17 @@
 constexpr SiteSize kFullSize{44000, 960000};
 constexpr catalog::CatalogLimits kLimits{50000, 1000000, true};
 constexpr double kRequestsPerS = 1304;            // 3 million over 2,300 backends
-constexpr double kChangesPerS = 22000 / 86400.0;  // on the mean of a day
-constexpr double kPeakFactor = 10;                // x that
-constexpr double kWork = 0.001;                   // core s of a run; four cores are a third busy
+constexpr double kChangesPerS = 22000 / 86400.0;  // mean over a day
+constexpr double kPeakFactor = 10;                // peak rate of changes over the mean
+constexpr double kWork = 0.001;                   // core s of a run; keeps four cores a third busy
 constexpr int kCores = 4;
 
-// A folder of catalog files, written as a source would.
+// Writes a folder of catalog files, as an external source does.
 class CatalogWriter {
  public:
   CatalogWriter(const std::string& folder, SiteSize size) : folder_(folder), size_(size) { write_all(1); }
 
-  // Everything anew, with quotas of its own.
+  // Writes a complete snapshot, with quotas multiplied by `factor`.
   void write_all(double factor) {
     std::string lines;
     for (std::size_t i = 0; i < size_.routes; ++i)
@@ -43,7 +43,7 @@
     history_ = catalog::extend_history(history_, lines);
     catalog::write_snapshot(folder_, {1, ++sequence_}, history_, lines);
   }
-  // Behind the changes so far; returns the number of the last one.
+  // Appends changes; returns the sequence number of the last one.
   std::uint64_t append(std::size_t count) {
     std::string lines;
     for (std::size_t i = 0; i < count; ++i)
@@ -63,8 +63,8 @@
 };
 
 struct TrialResult {
-  std::vector<double> added_latency;       // s of each acked request beyond its time at the runtime
-  std::vector<double> activation_seconds;  // s from a change's writing until it is in force
+  std::vector<double> added_latency;       // s of each succeeded request beyond its run
+  std::vector<double> activation_seconds;  // s from writing a change until it is active
   std::size_t requests = 0, succeeded = 0, versionless = 0;
   double processor_share = 0;  // of a core
   double max_step_ms = 0, resident_mb = 0;
@@ -73,9 +73,9 @@
 };
 
 struct ChangePattern {
-  double interval_seconds = 0;  // s between two groups of changes; 0: none
-  std::size_t batch_size = 1;   // changes in one
-  bool replaces_all = false;    // everything, a second into the play
+  double interval_seconds = 0;  // s between two batches of changes; 0: no changes
+  std::size_t batch_size = 1;   // changes in a batch
+  bool replaces_all = false;    // the whole catalog, a second after the trial begins
 };
 
 SiteSpec site_of(const std::string& folder) {
@@ -110,7 +110,7 @@
   Fleet fleet(kBinary, site_of(folder), work, load_of(options.seed, per_s));
   if (!fleet.start()) return out;
   fleet.loop.run_for(2);
-  std::map<std::uint64_t, double> written_at;  // number of a change, until it is in force
+  std::map<std::uint64_t, double> written_at;  // by sequence number, until the change is active
   fleet.process->on_line = [&](const std::string& line) {
     if (line.find("catalog: version 1.") == std::string::npos ||
         line.find("after the reload request") == std::string::npos)
@@ -131,7 +131,8 @@
   };
   if (changes.interval_seconds > 0) fleet.loop.after(changes.interval_seconds, write_batch);
   if (changes.replaces_all) {
-    // Written before: the stand-ins share this thread.
+    // The replacement was written before the trial: writing it here would block the stand-ins, which share
+    // this thread.
     written_at[writer.sequence()] = now() + 1;
     fleet.loop.after(1, [&] { fleet.process->signal(SIGHUP); });
   }
@@ -148,7 +149,7 @@
   out.overdue = counters["requests.overdue"];
   out.last_written = writer.sequence();
   fleet.leave();
-  std::map<std::uint64_t, double> run_seconds;  // s at the runtime, by request
+  std::map<std::uint64_t, double> run_seconds;  // s at the runtime, by request number
   for (const RunSeen& run : fleet.journal.runs) run_seconds[run.request] = run.ended - run.began;
   for (const auto& [request, attempt] : fleet.journal.attempts) {
     if (attempt.sent < began) continue;
@@ -165,51 +166,52 @@
 
 void print_trial(const char* title, const TrialResult& trial) {
   fmt::print(
-      "  {:<34} {} of {} served, added p50 {:.2f} p99 {:.2f} ms; {:.1f}% of a core, {:.0f} MB, longest hold "
+      "  {:<34} {} of {} served, added p50 {:.2f} p99 {:.2f} ms; {:.1f}% of a core, {:.0f} MB, longest step "
       "{:.2f} ms; "
-      "{} taken, {} refused, {} in force of {}{}{}\n",
+      "{} changes applied, {} rejected, {} active of {}{}{}\n",
       title, trial.succeeded, trial.requests, 1000 * quantile(trial.added_latency, 0.5),
       1000 * quantile(trial.added_latency, 0.99), 100 * trial.processor_share, trial.resident_mb,
       trial.max_step_ms, trial.applied, trial.rejected, trial.sequence, trial.last_written,
       trial.activation_seconds.empty()
           ? ""
           : fmt::format(" after p99 {:.3f} s", quantile(trial.activation_seconds, 0.99)),
-      trial.violations > 0 ? "; RULES BROKEN" : "");
+      trial.violations > 0 ? "; service rules violated" : "");
 }
 
 }  // namespace
 
 void measure_backend(const ScaleOptions& options, Figures& figures) {
-  fmt::print("One backend with {} routes and {} tenants, {:.0f} requests a second:\n", kFullSize.routes,
+  fmt::print("One backend with {} routes and {} tenants, {:.0f} requests per second:\n", kFullSize.routes,
              kFullSize.tenants, kRequestsPerS);
   const Folder folder;
   CatalogWriter writer(folder.path("."), kFullSize);
   std::vector<std::pair<double, double>> share;
   for (const double per_s : {163.0, 326.0, 652.0, kRequestsPerS}) {
     const TrialResult trial = run_trial(folder.path("."), writer, {}, options, per_s);
-    print_trial(fmt::format("{:.0f} a second", per_s).c_str(), trial);
+    print_trial(fmt::format("{:.0f} per second", per_s).c_str(), trial);
     share.emplace_back(per_s, 100 * trial.processor_share);
   }
   print_forecast("share of a core", "%", share);
   figures["us_per_request_backend"] = 1e4 * forecast(share).slope;
   const TrialResult calm = run_trial(folder.path("."), writer, {}, options);
-  print_trial("no change", calm);
+  print_trial("no changes", calm);
   const TrialResult peak =
       run_trial(folder.path("."), writer, {1 / (kPeakFactor * kChangesPerS), 1, false}, options);
   print_trial("changes at ten times the mean", peak);
   const TrialResult burst = run_trial(folder.path("."), writer, {1, 1000, false}, options);
-  print_trial("a thousand changes each second", burst);
-  // The backend starts with the one before and finds the next one when it is asked.
+  print_trial("a thousand changes per second", burst);
+  // The backend starts with the present snapshot, and finds the replacement on the reload request.
   const std::string current = folder.path("./") + catalog::kSnapshotFile;
   TrialResult replaced;
   {
     const std::string original = folder.path("./") + "next";
     ::rename(current.c_str(), original.c_str());
-    writer.write_all(2);  // under the snapshot's name: becomes the next one
+    writer.write_all(2);  // written under the snapshot's name, then moved away
     const std::string replacement = folder.path("./") + "later";
     ::rename(current.c_str(), replacement.c_str());
     ::rename(original.c_str(), current.c_str());
-    // Swapped in by name when the play asks for it, a second in: here, since the play itself only signals.
+    // A child process renames the replacement to the snapshot's name before the trial sends its reload
+    // request.
     replaced = [&] {
       const pid_t rename_process = ::fork();
       if (rename_process == 0) {
@@ -220,7 +222,7 @@
       return run_trial(folder.path("."), writer, {0, 1, true}, options);
     }();
   }
-  print_trial("everything replaced", replaced);
+  print_trial("whole catalog replaced", replaced);
   figures["added_ms_p99_calm"] = 1000 * quantile(calm.added_latency, 0.99);
   figures["added_ms_p99_changes"] = 1000 * quantile(peak.added_latency, 0.99);
   figures["added_ms_p99_burst"] = 1000 * quantile(burst.added_latency, 0.99);
@@ -237,15 +239,15 @@
   figures["control_core_share_changes"] = std::max(0.0, peak.processor_share - calm.processor_share);
 }
 
-// Connections that have asked once and rest: memory of the backend, and what it does for them.
+// Idle connections that have sent one health check: memory and processor time of the backend.
 void measure_connections(const ScaleOptions& options, Figures& figures) {
-  fmt::print("Resting connections at one backend:\n");
+  fmt::print("Idle connections at one backend:\n");
   std::vector<std::pair<double, double>> memory, share;
   for (const int count : {250, 500, 1000, 4000}) {
     SiteSpec site;
     site.types = {{"first", "retryable", 0.2, 0.4, 0, 1}};
     site.sockets = 8192;
-    site.memory_mb = 2048;  // its bound on connections follows from it
+    site.memory_mb = 2048;  // the limit of connections depends on it
     Fleet fleet(kBinary, site, {}, {});
     if (!fleet.start()) return;
     fleet.loop.run_for(1);
@@ -276,8 +278,9 @@
         static_cast<double>(fleet.process->counters()["registry.reports"] - reports) / measured_seconds;
     const auto kb = static_cast<double>(fleet.process->resident_kb() - before);
     fmt::print(
-        "  {:>5} asked for, {} ended by it: {:.2f} KB each, {:.2f}% of a core, {:.1f} reports to the roster "
-        "a second\n",
+        "  {:>5} connections, {} closed by the backend: {:.2f} KB each, {:.2f}% of a core, {:.1f} reports to "
+        "the "
+        "registry per second\n",
         count, closed, kb / count, 100 * core_share, reports_per_second);
     memory.emplace_back(count, kb);
     share.emplace_back(count, 100 * core_share);
--- a/bench/scale_catalog.cpp
+++ b/bench/scale_catalog.cpp
@@ -1,4 +1,5 @@
-// The decisions and the catalog alone, in this process: processor time and bytes by routes and tenants.
+// The admission decisions and the catalog alone, in this process: processor time and memory by the number of
+// routes and tenants.
 #include <fmt/format.h>
 
 #include <filesystem>
@@ -32,7 +33,7 @@
     load.directory = catalog.get();
     trials.push_back(play_decisions(site.admission, load).us_per_request(kRequests));
   }
-  fmt::print("  {:>6} routes, {:>7} tenants: {:>7.2f} us a request ({:.2f} to {:.2f})\n", size.routes,
+  fmt::print("  {:>6} routes, {:>7} tenants: {:>7.2f} us per request ({:.2f} to {:.2f})\n", size.routes,
              size.tenants, median(trials), quantile(trials, 0), quantile(trials, 1));
   return median(trials);
 }
@@ -57,7 +58,7 @@
   return {thread_processor_time() - began, static_cast<double>(loaded.catalog->memory_bytes())};
 }
 
-// Changes at the whole size, followed in steps as a backend does it.
+// Applies changes to a catalog of full size, in steps as a backend does.
 void measure_changes(const std::string& folder, Figures& figures) {
   std::string lines;
   for (std::size_t i = 0; i < kChanges; ++i)
@@ -79,16 +80,15 @@
         std::max(is_applying_changes ? longest_change_step : longest_snapshot_step, took);
   }
   const double us = spent * 1e6 / static_cast<double>(follower.counts().applied);
-  fmt::print(
-      "  {} changes at the whole size: {:.2f} us each, longest step {:.2f} ms; of the snapshot {:.2f} ms\n",
-      follower.counts().applied, us, longest_change_step * 1000, longest_snapshot_step * 1000);
+  fmt::print("  {} changes at full size: {:.2f} us each, longest step {:.2f} ms; of the snapshot {:.2f} ms\n",
+             follower.counts().applied, us, longest_change_step * 1000, longest_snapshot_step * 1000);
   figures["change_cpu_us"] = us;
   figures["lost_changes"] = static_cast<double>(kChanges - follower.counts().applied);
   figures["longest_step_ms"] = 1000 * std::max(longest_change_step, longest_snapshot_step);
 }
 
 void measure_configurations() {
-  fmt::print("The platform's configuration, read:\n");
+  fmt::print("Parsing the platform's configuration:\n");
   std::vector<std::pair<double, double>> points;
   for (const SiteSize size : std::vector<SiteSize>{{44, 9600}, {44, 48000}, {44, 96000}, {44, 240000}}) {
     const std::string text = synthetic_config(size);
@@ -104,8 +104,8 @@
 }  // namespace
 
 void measure_decisions(const ScaleOptions& options, Figures& figures) {
-  fmt::print("Decisions alone, {} requests spread evenly over all routes and tenants, {} plays:\n", kRequests,
-             options.rounds);
+  fmt::print("Decisions alone, {} requests spread evenly over all routes and tenants, {} trials:\n",
+             kRequests, options.rounds);
   for (const std::size_t tenants :
        {std::size_t{100}, std::size_t{9600}, std::size_t{96000}, std::size_t{960000}})
     figures[fmt::format("us_per_op_tenants_{}", tenants)] = us_per_request(options, {44, tenants});
@@ -117,7 +117,7 @@
 void measure_catalog(const ScaleOptions& options, Figures& figures) {
   measure_configurations();
   const Folder folder;
-  fmt::print("A snapshot, read whole:\n");
+  fmt::print("Reading a complete snapshot:\n");
   std::vector<std::pair<double, double>> seconds, bytes;
   for (const std::size_t divisor : {std::size_t{100}, std::size_t{10}, std::size_t{3}, std::size_t{1}}) {
     const SiteSize size{kFullSize.routes / divisor, kFullSize.tenants / divisor};
@@ -127,8 +127,8 @@
       read = read_snapshot(folder.path("."), size);
       took.push_back(read.seconds);
     }
-    fmt::print("  {:>6} routes, {:>7} tenants: {:.3f} s of processor time, {:.1f} MB in force\n", size.routes,
-               size.tenants, median(took), read.bytes / 1e6);
+    fmt::print("  {:>6} routes, {:>7} tenants: {:.3f} s of processor time, {:.1f} MB in memory\n",
+               size.routes, size.tenants, median(took), read.bytes / 1e6);
     seconds.emplace_back(static_cast<double>(size.tenants), median(took));
     bytes.emplace_back(static_cast<double>(size.tenants), read.bytes);
   }
--- a/bench/scale_members.cpp
+++ b/bench/scale_members.cpp
@@ -1,5 +1,5 @@
-// Fleets of hollow members beside real processes of the program, on sockets; and the same view simulated, at
-// sizes that one machine's processors do not carry.
+// Fleets of hollow members beside real processes of the program, on sockets; and simulations of the same
+// membership view at sizes that are too large for the processors of one machine.
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -21,13 +21,13 @@
 using namespace standins;
 
 const char* const kBinary = DAMSONSPOKE_BINARY;
-constexpr int kRealProcesses = 12;    // processes of the program
-constexpr double kSampleSeconds = 5;  // s; of one look at bytes and time after a loss
+constexpr int kRealProcesses = 12;
+constexpr double kSampleSeconds = 5;  // of a measurement after a loss of members
 const char* const kNamePrefix = "backend-";
-constexpr int kBackends = 2300, kDeadMembers = 742;  // docs/CAPACITY.md
+constexpr int kBackends = 2300, kDeadMembers = 742;  // deaths of two hours; docs/CAPACITY.md
 constexpr int kSimulatedSamples = 24;
 
-// Processes that serve nobody and take part in membership.
+// Processes of the program without callers, which only take part in membership.
 class RealMembers {
  public:
   RealMembers(Loop& loop, std::uint64_t seed, const std::vector<std::string>& seeds) {
@@ -67,10 +67,10 @@
 };
 
 struct Rates {
-  double bytes_per_second = 0, hollow_share = 0, real_share = 0;  // a member and second; shares of a core
+  double bytes_per_second = 0, hollow_share = 0, real_share = 0;  // bytes per member; shares of a core
 };
 
-// Watches for so long.
+// Measures the rates over the next seconds.
 Rates measure_rates(Loop& loop, HollowMembers& hollow, RealMembers& real, double seconds) {
   const HollowMembers::Totals hollow_before = hollow.totals();
   const RealMembers::Totals real_before = real.totals();
@@ -91,7 +91,7 @@
 
 struct FleetFigures {
   Rates calm;
-  double convergence_seconds = -1;  // s; < 0: not within the time
+  double convergence_seconds = -1;  // < 0: not within the timeout
   double resident_kb = 0;
 };
 
@@ -108,7 +108,8 @@
     if (detected_after < 0 && totals.max_alive <= remaining) detected_after = now() - began;
     max_bytes = std::max(max_bytes, rates.bytes_per_second);
     fmt::print(
-        "    {:>4.0f} s after {} ended: {:>7.0f} bytes/s a member, {:.2f}% of a core (real {:.2f}%), sees {} "
+        "    {:>4.0f} s after {} ended: {:>7.0f} bytes/s per member, {:.2f}% of a core (real {:.2f}%), sees "
+        "{} "
         "to {}\n",
         now() - began, killed.size(), rates.bytes_per_second, 100 * rates.hollow_share,
         100 * rates.real_share, totals.min_alive, totals.max_alive);
@@ -143,7 +144,7 @@
   out.resident_kb = real.totals().resident_kb;
   totals = hollow.totals();
   fmt::print(
-      "  {:>4} members: {} see {} to {}{}; calm {:.0f} bytes/s a member, {:.3f}% of a core (real {:.3f}%), "
+      "  {:>4} members: {} see {} to {}{}; calm {:.0f} bytes/s per member, {:.3f}% of a core (real {:.3f}%), "
       "{:.1f} MB resident\n",
       members, totals.running, totals.min_alive, totals.max_alive,
       out.convergence_seconds < 0
@@ -155,7 +156,8 @@
   return out;
 }
 
-// A simulated fleet that loses a sixth at once; bytes a member and second, by fifths of a minute.
+// A simulated fleet in which a sixth of the members end at once. Prints the bytes per second and member in
+// each interval of 5 s.
 void simulate_loss(int members, std::uint64_t seed, Figures& figures) {
   MembersSim::Options options;
   options.count = members, options.seed = seed, options.loss = 0.01, options.name_prefix = kNamePrefix;
@@ -167,14 +169,15 @@
   sim.run_until(20);
   const double us = (thread_processor_time() - began) * 1e6 / 10 / members;
   const double calm = sim.bytes_per_member_second();
-  fmt::print("  {:>4} members, simulated: calm {:.0f} bytes/s a member, {:.0f} us a second;", members, calm,
-             us);
+  fmt::print(
+      "  {:>4} members, simulated: calm {:.0f} bytes/s per member, {:.0f} us of processor time per second;",
+      members, calm, us);
   for (int i = 0; i < members; i += 6) sim.kill(i);
   double max_bytes = 0, converged_after = -1;
   for (int sample = 1; sample <= kSimulatedSamples; ++sample) {
     sim.reset_traffic();
     sim.run_until(20 + 5 * sample);
-    // The dead send nothing, and are counted among the fleet.
+    // The mean counts the dead members too, which send nothing.
     const double bytes = sim.bytes_per_member_second() * 6 / 5;
     max_bytes = std::max(max_bytes, bytes);
     fmt::print(" {:.0f} ({:.0f})", bytes, sim.push_pull_bytes_per_member_second() * 6 / 5);
@@ -186,9 +189,10 @@
   const double detection_p50 = quantile(detection_seconds, 0.5),
                detection_p99 = quantile(detection_seconds, 0.99);
   fmt::print(
-      " bytes/s in each 5 s after a sixth ended (of them exchanges); a death is known after p50 {:.1f}, p99 "
-      "{:.1f} "
-      "s, one view after {:.0f} s, {} called dead that were not\n",
+      " bytes/s in each 5 s after a sixth ended (push-pulls in parentheses); deaths detected after p50 "
+      "{:.1f}, "
+      "p99 {:.1f} "
+      "s, views agree after {:.0f} s, {} false deaths\n",
       detection_p50, detection_p99, converged_after, sim.false_deaths().size());
   figures[fmt::format("death_known_s_p99_simulated_{}", members)] = detection_p99;
   figures[fmt::format("one_view_s_loss_simulated_{}", members)] = converged_after;
@@ -210,16 +214,16 @@
     figures[fmt::format("core_share_calm_{}", members)] = fleet.calm.hollow_share;
     figures[fmt::format("converged_s_{}", members)] = fleet.convergence_seconds;
   }
-  print_forecast("bytes/s a member", "bytes/s", bytes);
-  print_forecast("share of a core a member", "%", share);
-  print_forecast("resident of a real process", "MB", memory);
+  print_forecast("bytes/s per member", "bytes/s", bytes);
+  print_forecast("share of a core per member", "%", share);
+  print_forecast("resident memory of a real process", "MB", memory);
   figures["hollow"] = options.fleet_sizes.back() - kRealProcesses;
   figures["real"] = kRealProcesses;
 }
 
 namespace {
 
-// What a member of the users' fleet tells; one that is dead tells nothing any more.
+// A member's record as in the operators' fleet. The record of a dead member has no load report.
 members::Record record_at_size(int number, bool is_dead) {
   members::Record record;
   record.name = fmt::format("backend-{:05}", number);
@@ -248,8 +252,8 @@
 }
 
 struct PushPullCosts {
-  double bytes = 0, encode_ms = 0, decode_ms = 0;  // processor time; each holds the reactor once
-  std::size_t decoded_records = 0;                 // records that arrive
+  double bytes = 0, encode_ms = 0, decode_ms = 0;  // processor time; each blocks the reactor once
+  std::size_t decoded_records = 0;
 };
 
 PushPullCosts measure_push_pull_costs(int alive, int dead, int rounds) {
@@ -272,10 +276,10 @@
 
 }  // namespace
 
-// What one side of a full exchange holds and costs, by the members that one knows; at the users' size with
-// the dead of two hours.
+// Bytes and processor time of one direction of a push-pull, by the number of known members; at the size of
+// the operators' fleet with the members that died within two hours.
 void measure_push_pull(const ScaleOptions& options, Figures& figures) {
-  fmt::print("One side of a full exchange:\n");
+  fmt::print("One direction of a push-pull:\n");
   std::vector<std::pair<double, double>> bytes, time;
   for (const int count : {100, 300, 1000, 1800}) {
     const PushPullCosts costs = measure_push_pull_costs(count, 0, options.rounds);
@@ -283,15 +287,15 @@
     time.emplace_back(count, costs.encode_ms + costs.decode_ms);
   }
   print_forecast("bytes", "bytes", bytes);
-  print_forecast("written and read", "ms", time);
+  print_forecast("encoding and decoding", "ms", time);
   const Forecast line = forecast(bytes);
   const double records_that_fit =
       (static_cast<double>(wire::members::kMaxPushPullBytes) - line.base) / line.slope;
   const PushPullCosts full_size = measure_push_pull_costs(kBackends, kDeadMembers, options.rounds);
   fmt::print(
-      "  {:.0f} bytes a record; {:.0f} fit into the bound of {}; {} there and {} dead: {:.0f} bytes, {} "
-      "arrive, {:.1f} "
-      "ms to write, {:.1f} ms to read\n",
+      "  {:.0f} bytes per record; {:.0f} fit into the limit of {}; {} alive and {} dead: {:.0f} bytes, {} "
+      "decoded, {:.1f} "
+      "ms to encode, {:.1f} ms to decode\n",
       line.slope, records_that_fit, wire::members::kMaxPushPullBytes, kBackends, kDeadMembers,
       full_size.bytes, full_size.decoded_records, full_size.encode_ms, full_size.decode_ms);
   figures["bytes_per_record"] = line.slope;
@@ -304,7 +308,7 @@
 
 namespace {
 
-constexpr int kSimulatedMembers = 600;  // members
+constexpr int kSimulatedMembers = 600;
 
 std::unique_ptr<MembersSim> simulated_fleet(std::uint64_t seed) {
   MembersSim::Options options;
@@ -335,9 +339,9 @@
     if (sim->views_agree()) agreed_after = 5 * (i + 1);
   }
   fmt::print(
-      "  a region of three apart for 120 s: calm {:.0f}, most {:.0f} apart, {:.0f} together again, one view "
-      "after "
-      "{:.0f} s\n",
+      "  one of three regions partitioned for 120 s: calm {:.0f}, at most {:.0f} during it, {:.0f} after it, "
+      "views "
+      "agree after {:.0f} s\n",
       calm, max_bytes, max_bytes_after, agreed_after);
   figures["bytes_per_s_apart"] = max_bytes;
   figures["bytes_per_s_together"] = max_bytes_after;
@@ -351,7 +355,7 @@
   for (int i = 0; i < kSimulatedMembers; i += 3) sim->pause(i, 2);
   double max_bytes = 0;
   for (int i = 0; i < 6; ++i) max_bytes = std::max(max_bytes, bytes_over(*sim, 5));
-  fmt::print("  a third paused for 2 s: most {:.0f}, {} called dead that were not\n", max_bytes,
+  fmt::print("  a third paused for 2 s: at most {:.0f}, {} false deaths\n", max_bytes,
              sim->false_deaths().size());
   figures["bytes_per_s_paused"] = max_bytes;
   figures["dead_in_pauses"] += static_cast<double>(sim->false_deaths().size());
@@ -369,12 +373,12 @@
     sim->start(member);
     max_bytes = std::max(max_bytes, bytes_over(*sim, 1));
   }
-  fmt::print("  one in twenty restarted in a minute: most {:.0f} in a second, {} called dead that were not\n",
+  fmt::print("  one in twenty restarted in a minute: at most {:.0f} in a second, {} false deaths\n",
              max_bytes, sim->false_deaths().size());
   figures["bytes_per_s_restarts"] = max_bytes;
 }
 
-// A fleet that comes up at once and knows three seeds.
+// A fleet whose members start at once and know only three seeds.
 void simulate_cold_start(int members, std::uint64_t seed, Figures& figures) {
   MembersSim::Options options;
   options.count = members, options.seed = seed, options.loss = 0.01, options.name_prefix = kNamePrefix,
@@ -387,28 +391,28 @@
     max_bytes = std::max(max_bytes, bytes_over(sim, 10));
     has_converged = sim.views_agree();
   }
-  fmt::print("  {} strangers that come up at once: {} after {:.0f} s, most {:.0f}\n", members,
-             has_converged ? "one view" : "not one view", sim.now(), max_bytes);
+  fmt::print("  {} members started at once that know only seeds: {} after {:.0f} s, at most {:.0f}\n",
+             members, has_converged ? "views agree" : "views differ", sim.now(), max_bytes);
   figures[fmt::format("strangers_one_view_s_{}", members)] = has_converged ? sim.now() : -1;
 }
 
 }  // namespace
 
 void measure_simulated_faults(const ScaleOptions& options, Figures& figures) {
-  fmt::print("{} members simulated, 1% of datagrams lost, bytes/s a member:\n", kSimulatedMembers);
+  fmt::print("{} simulated members, 1% of datagrams lost, bytes/s per member:\n", kSimulatedMembers);
   simulate_partition(options.seed, figures);
   simulate_restarts(options.seed, figures);
   for (const int members : {300, 1000, 2300}) simulate_cold_start(members, options.seed, figures);
 }
 
 void measure_simulated_pauses(const ScaleOptions& options, Figures& figures) {
-  fmt::print("{} members simulated, 1% of datagrams lost, bytes/s a member:\n", kSimulatedMembers);
+  fmt::print("{} simulated members, 1% of datagrams lost, bytes/s per member:\n", kSimulatedMembers);
   for (int i = 0; i < options.rounds; ++i)
     simulate_pauses(options.seed + static_cast<std::uint64_t>(i), figures);
 }
 
 void measure_simulated_members(const ScaleOptions& options, Figures& figures) {
-  fmt::print("Fleets simulated, 1% of datagrams lost:\n");
+  fmt::print("Simulated fleets, 1% of datagrams lost:\n");
   for (const int members : options.simulated_sizes) simulate_loss(members, options.seed, figures);
 }
 
--- a/bench/tier.cpp
+++ b/bench/tier.cpp
@@ -1,7 +1,7 @@
-// Two levels against one: 4 forwarders before 3 planners, and 3 single relays, on the same stand-in runtimes
-// and under the same load, in turns, at 0.8, 1.0 and 1.2 of the capacity; then two levels with planners
-// killed in mid-surge. Importance served within target over that asked for; what a dead planner held is
-// counted apart.
+// Benchmark of two-level fleets against single backends: 4 forwarders in front of 3 planners, and 3 backends,
+// with the same stand-in runtimes and the same load, alternately, at 0.8, 1.0 and 1.2 times the capacity;
+// each also with servers killed under load. Measures the share of the priority weight that is served within
+// the latency objective. Requests in flight at a planner when it was killed are counted separately.
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -56,11 +56,11 @@
 }
 
 struct TrialResult {
-  double requested_weight = 0, served_weight = 0,
-         lost_weight = 0;         // importance; held: of failed tries, in hand at a planner that died
-  std::vector<double> latencies;  // s, of acked tries
+  // Sums of priority weights; lost: of requests with a failed attempt that was in flight at a kill.
+  double requested_weight = 0, served_weight = 0, lost_weight = 0;
+  std::vector<double> latencies;  // s, of attempts that succeeded
   int duplicate_answers = 0, unanswered = 0, double_runs = 0, violations = 0;
-  double forwarder_cpu_seconds = 0;  // s
+  double forwarder_cpu_seconds = 0;
   long forwarder_resident_kb = 0;
   std::uint64_t forwarded = 0;
   double served_share() const { return requested_weight > 0 ? served_weight / requested_weight : 0; }
@@ -69,10 +69,11 @@
   }
 };
 
-// `kills`: when a planner died. A try in hand at that moment that failed was held by it.
+// `kills`: the times of the kills. A failed attempt that was in flight at one of them counts as lost with the
+// server.
 void evaluate(TrialResult& out, const Journal& journal, const RuleLimits& limits,
               const std::vector<double>& kills) {
-  std::map<std::string, std::pair<double, bool>> requests;  // importance, served
+  std::map<std::string, std::pair<double, bool>> requests;  // priority weight, served
   std::map<std::string, bool> lost_with_planner;
   for (const auto& [number, attempt] : journal.attempts) {
     const RouteProfile& route =
@@ -101,7 +102,7 @@
   out.double_runs += verdict.double_runs;
 }
 
-// Each server in turn dies and is back within a second; `kills` tells when.
+// Kills each server in turn and starts it again within a second; adds the times to `kills`.
 template <class Servers>
 bool kill_in_turn(Loop& loop, Servers& servers, double seconds, std::vector<double>& kills) {
   for (const auto& server : servers) {
@@ -161,12 +162,13 @@
     out.forwarder_cpu_seconds += forwarder->process->processor_time();
     out.forwarder_resident_kb = std::max(out.forwarder_resident_kb, forwarder->process->resident_kb());
   }
-  if (!fleet.leave()) fmt::print("  did not leave in time\n"), ++out.violations;
+  if (!fleet.leave()) fmt::print("  a server did not shut down in time\n"), ++out.violations;
   evaluate(out, fleet.journal, fleet.limits(), kills);
   return out;
 }
 
-// One forwarder alone with a thousand requests a second: what a request costs where wakes are shared.
+// Processor time of a request at one forwarder with a thousand requests per second, where several requests
+// share an event-loop iteration.
 double cpu_us_under_load(double seconds, std::uint64_t seed) {
   Runtime::Options fast_runtime;
   fast_runtime.cores = kCores, fast_runtime.work = 0.001;
@@ -185,8 +187,8 @@
   return cpu_seconds / static_cast<double>(std::max<std::uint64_t>(1, counters.at("requests.read"))) * 1e6;
 }
 
-// What a hop adds of itself: the same light load, which nothing waits for, on the same runtime, through one
-// relay and through one forwarder before one planner, by turns.
+// Latencies through one backend and through one forwarder and one planner, alternately, under the same load,
+// which is too light for queues. The difference is the latency of the additional hop.
 std::pair<std::vector<double>, std::vector<double>> measure_hop(double seconds, std::uint64_t seed) {
   Runtime::Options fast_runtime;
   fast_runtime.cores = kCores, fast_runtime.work = 0.002;
@@ -240,8 +242,8 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  cxxopts::Options options("tier", "two levels against one");
-  options.add_options()("seconds", "of each play", cxxopts::value<double>()->default_value("10"))(
+  cxxopts::Options options("tier", "two-level fleets against single backends");
+  options.add_options()("seconds", "duration of each trial", cxxopts::value<double>()->default_value("10"))(
       "seed", "", cxxopts::value<std::uint64_t>()->default_value("1"))(
       "rounds", "", cxxopts::value<int>()->default_value("2"));
   const auto flags = options.parse(argc, argv);
@@ -259,7 +261,7 @@
     }
   }
   fmt::print("{:<8}{:>9}{:>9}{:>13}{:>9}{:>12}{:>10}{:>10}{:>10}{:>10}\n", "load", "single", "two",
-             "single kills", "kills", "but held", "p50 one", "p50 two", "p99 one", "p99 two");
+             "single kills", "two kills", "but lost", "p50 one", "p50 two", "p99 one", "p99 two");
   TrialResult all_single, all_two, all_killed, all_single_killed;
   for (std::size_t i = 0; i < 3; ++i) {
     const TrialResult &a = single[i], &b = two[i], &c = two_killed[i];
@@ -273,7 +275,7 @@
   }
   const auto sum = [&](int TrialResult::*of) { return all_two.*of + all_killed.*of; };
   const auto [through_one, through_two] = measure_hop(seconds, seed);
-  fmt::print("a hop alone, {} and {} ops: p50 {:.2f} and {:.2f} ms, p99 {:.2f} and {:.2f} ms\n",
+  fmt::print("one hop against two, {} and {} requests: p50 {:.2f} and {:.2f} ms, p99 {:.2f} and {:.2f} ms\n",
              through_one.size(), through_two.size(), quantile(through_one, 0.5) * 1000,
              quantile(through_two, 0.5) * 1000, quantile(through_one, 0.99) * 1000,
              quantile(through_two, 0.99) * 1000);
--- a/bench/tier_shapes.cpp
+++ b/bench/tier_shapes.cpp
@@ -1,7 +1,7 @@
-// Probe for the design of two levels: what passing the whole request on costs, against asking for a grant
-// with a descriptor and sending the body only once it is granted. Two threads over loopback, the project's
-// frames; the processor time of both ends a request, and the time to an answer, by body size and by the share
-// that is refused.
+// Benchmark of two designs of forwarding: sending the complete request, against sending its header, waiting
+// for a grant, and then sending the body. Two threads exchange the project's frames over loopback. Measures
+// the processor time of both ends per request and the latency, by body size and by the share of rejected
+// requests.
 #include <fmt/format.h>
 #include <netinet/in.h>
 #include <netinet/tcp.h>
@@ -39,10 +39,11 @@
   address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
   socklen_t size = sizeof address;
   if (::bind(listener, reinterpret_cast<sockaddr*>(&address), size) != 0 || ::listen(listener, 1) != 0)
-    throw std::runtime_error("no loopback");
+    throw std::runtime_error("cannot listen on loopback");
   ::getsockname(listener, reinterpret_cast<sockaddr*>(&address), &size);
   const int a = ::socket(AF_INET, SOCK_STREAM, 0);
-  if (::connect(a, reinterpret_cast<sockaddr*>(&address), size) != 0) throw std::runtime_error("no loopback");
+  if (::connect(a, reinterpret_cast<sockaddr*>(&address), size) != 0)
+    throw std::runtime_error("cannot connect over loopback");
   const int b = ::accept(listener, nullptr, nullptr), on = 1;
   ::close(listener);
   for (const int fd : {a, b}) ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
@@ -54,7 +55,8 @@
   explicit Endpoint(int fd) : fd_(fd) {}
   void send(const wt::Message& message) {
     const std::string bytes = wt::encode(message);
-    if (::send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL) < 0) throw std::runtime_error("send");
+    if (::send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL) < 0)
+      throw std::runtime_error("send to the peer failed");
   }
   wt::Message receive() {
     for (;;) {
@@ -63,7 +65,7 @@
         return received_.erase(0, frame.length), std::move(frame.message);
       char bytes[65536];
       const ssize_t size_read = ::recv(fd_, bytes, sizeof bytes, 0);
-      if (size_read <= 0) throw std::runtime_error("recv");
+      if (size_read <= 0) throw std::runtime_error("receive from the peer failed");
       received_.append(bytes, static_cast<std::size_t>(size_read));
     }
   }
@@ -74,11 +76,11 @@
 };
 
 struct Costs {
-  double cpu_us = 0;          // of both ends, a request
-  double latency_p50_us = 0;  // us to an answer
+  double cpu_us = 0;          // of both ends, per request
+  double latency_p50_us = 0;  // until the answer
 };
 
-// One request at a time, as forwarders send them; a grant is a Window frame, the body follows in a Submit.
+// Sends one request at a time. A grant is a LoadReport frame; the body follows in a second Submit frame.
 Costs run_trial(bool uses_grants, std::size_t body_bytes, double rejected_share, int requests) {
   const auto [a, b] = connected_sockets();
   double planner_cpu_seconds = 0;
@@ -131,16 +133,16 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  cxxopts::Options options("tier_shapes", "whole ops against grants");
-  options.add_options()("ops", "of each play", cxxopts::value<int>()->default_value("20000"));
+  cxxopts::Options options("tier_shapes", "complete requests against grants");
+  options.add_options()("ops", "requests of each trial", cxxopts::value<int>()->default_value("20000"));
   const int requests = options.parse(argc, argv)["ops"].as<int>();
-  fmt::print("{:>8}{:>9}{:>12}{:>12}{:>12}{:>12}\n", "body", "refused", "whole us", "grant us", "whole p50",
+  fmt::print("{:>8}{:>9}{:>12}{:>12}{:>12}{:>12}\n", "body", "rejected", "full us", "grant us", "full p50",
              "grant p50");
   std::string figures;
   for (const std::size_t body_bytes : {64, 2048, 16384}) {
     for (const double rejected_share : {0.0, 0.2, 0.5, 0.9}) {
       Costs complete, grant;
-      for (int round = 0; round < 2; ++round)  // the second counts: the first warms up
+      for (int round = 0; round < 2; ++round)  // the first round warms up; the second is reported
         complete = run_trial(false, body_bytes, rejected_share, requests),
         grant = run_trial(true, body_bytes, rejected_share, requests);
       fmt::print("{:>8}{:>9.1f}{:>12.2f}{:>12.2f}{:>12.1f}{:>12.1f}\n", body_bytes, rejected_share,
