--- a/bench/ajp.cpp
+++ b/bench/ajp.cpp
@@ -77,17 +77,18 @@
   Server server(loop, journal, callers, kBinary, site_spec(), runtime);
   if (!server.start()) return out.violations = 1, out;
   const std::string line = server.process->expect_log("takes AJP callers");
-  gateway.reach(static_cast<std::uint16_t>(std::atoi(line.substr(line.rfind(' ') + 1).c_str())), 0);
+  gateway.set_server(static_cast<std::uint16_t>(std::atoi(line.substr(line.rfind(' ') + 1).c_str())), 0);
   loop.run_until([&] { return server.registry.is_listed(); }, 5);
   const double cpu_began = server.process->processor_time();
   loop.run_for(seconds);
   out.cpu_seconds = server.process->processor_time() - cpu_began;
   out.requests = server.process->counters()["requests.read"];
   callers.set_load_enabled(false);
-  gateway.want_more(false);
+  gateway.set_load_enabled(false);
   loop.run_until(
       [&] {
-        return callers.attempts_in_flight() == 0 && callers.unfinished_tasks() == 0 && gateway.open() == 0;
+        return callers.attempts_in_flight() == 0 && callers.unfinished_tasks() == 0 &&
+               gateway.in_flight() == 0;
       },
       4);
   out.violations += !server.shut_down();
--- a/standins/ajp_gateway.cpp
+++ b/standins/ajp_gateway.cpp
@@ -111,7 +111,7 @@
 }
 double AjpGateway::draw() { return std::ldexp(static_cast<double>(random_() >> 11), -53); }
 
-void AjpGateway::reach(std::uint16_t port, int incarnation) {
+void AjpGateway::set_server(std::uint16_t port, int incarnation) {
   port_ = port;
   incarnation_ = incarnation;
 }
@@ -119,7 +119,7 @@
 void AjpGateway::schedule_next_request(std::size_t flow) {
   loop_.after(-std::log(1 - draw()) / options_.flows[flow].per_s, [this, flow] {
     schedule_next_request(flow);
-    if (generates_load_ && port_ != 0) send_request(options_.flows[flow]);
+    if (is_load_enabled_ && port_ != 0) send_request(options_.flows[flow]);
   });
 }
 
@@ -149,7 +149,7 @@
   request.secret = options_.secret;
   request.headers = {{"x-wait-ms", fmt::format("{:.0f}", flow.timeout * 1000)},
                      {"x-key", key},
-                     {"x-hotel", std::to_string(2 + random_() % options_.hotels)}};
+                     {"x-hotel", std::to_string(2 + random_() % options_.caller_ids)}};
   if (options_.chunked) {
     request.headers.emplace_back("transfer-encoding", "chunked");
   } else {
--- a/standins/ajp_gateway.h
+++ b/standins/ajp_gateway.h
@@ -53,18 +53,18 @@
     int connections = 16;     // open at the same time, at most
     std::uint64_t seed = 1;
     std::string secret;
-    bool chunked = false;  // bodies are sent without a length
-    unsigned hotels = 8;   // requests carry this many different caller numbers, from 2 on
+    bool chunked = false;     // bodies are sent without a length
+    unsigned caller_ids = 8;  // requests carry this many different caller numbers, from 2 on
   };
   AjpGateway(Loop& loop, Journal& journal, Options options);
   ~AjpGateway();
 
   // Sends requests to this port, on which an incarnation of the server listens.
-  void reach(std::uint16_t port, int incarnation);
+  void set_server(std::uint16_t port, int incarnation);
   // Whether new requests are generated.
-  void want_more(bool more) { generates_load_ = more; }
+  void set_load_enabled(bool enabled) { is_load_enabled_ = enabled; }
   // Requests in flight.
-  std::size_t open() const { return in_flight_; }
+  std::size_t in_flight() const { return in_flight_; }
   std::size_t connections() const { return links_.size(); }
   std::uint16_t port() const { return port_; }      // of the server; 0: not set yet
   std::size_t skipped() const { return skipped_; }  // requests not sent because all connections were busy
@@ -95,7 +95,7 @@
   int incarnation_ = 0;
   std::uint64_t generated_requests_ = 0, next_request_ = 1;
   std::size_t in_flight_ = 0, skipped_ = 0;
-  bool generates_load_ = true;
+  bool is_load_enabled_ = true;
 };
 
 }  // namespace damsonspoke::standins
--- a/standins/endings_play.cpp
+++ b/standins/endings_play.cpp
@@ -179,7 +179,7 @@
   const std::size_t ajp = line.find("takes AJP callers on port ");
   if (ajp == std::string::npos || !gateway_) return;
   const int port = std::atoi(line.c_str() + line.rfind(' ') + 1);
-  gateway_->reach(static_cast<std::uint16_t>(port), member.server->incarnation_number());
+  gateway_->set_server(static_cast<std::uint16_t>(port), member.server->incarnation_number());
 }
 
 // ---- Events of a process.
--- a/standins/gate_flood.h
+++ b/standins/gate_flood.h
@@ -21,7 +21,7 @@
     conns::ConnectionLimiterOptions, conns::KnownClients, conns::KnownClientsOptions, conns::ConnectionQuota,
     conns::Standing, conns::RejectCause, conns::Penalty;
 
-constexpr double kUnix = 1.7e9;  // s; the Unix time at which simulations begin
+constexpr double kUnixStartSeconds = 1.7e9;  // s; the Unix time at which simulations begin
 
 inline Address v4(unsigned a, unsigned b, unsigned c, unsigned d) {
   Address out;
@@ -31,9 +31,10 @@
   return out;
 }
 
-class GateFlood {
+class ConnectionFloodSim {
  public:
-  explicit GateFlood(std::uint64_t seed, bool prints_trace) : random_(seed), prints_trace_(prints_trace) {
+  explicit ConnectionFloodSim(std::uint64_t seed, bool prints_trace)
+      : random_(seed), prints_trace_(prints_trace) {
     max_connections_ = 40 + random_() % 200;
     ConnectionLimiterOptions options;
     options.clients = 64 + random_() % 128;  // far fewer than addresses
@@ -44,7 +45,7 @@
     reserved_connections_ = max_connections_ - limiter_->max_unknown();
     known_client_count_ = 1 + random_() % 12;
     for (unsigned n = 0; n < known_client_count_; ++n)
-      for (int i = 0; i < 10; ++i) known_->record_success(client_of(known_address(n)), kUnix);
+      for (int i = 0; i < 10; ++i) known_->record_success(client_of(known_address(n)), kUnixStartSeconds);
     flood_address_count_ = random_() % 3 == 0 ? 1 : 1 + static_cast<unsigned>(random_() % 20000);
     is_spread_ = random_() % 2 == 0;
     flood_per_second_ = 20 + random_unit() * 3000;
@@ -80,15 +81,16 @@
     if (!violation_.empty()) return violation_;
     // Unknown clients outside of the flood are admitted at least half as often as the flood's, and always
     // after the flood has ended.
-    const double share = static_cast<double>(flood_in) / flood_asked,
-                 expected_admissions = share * honest_asked;
-    if (expected_admissions > 20 && honest_in < expected_admissions / 2)
+    const double share = static_cast<double>(flood_admitted) / flood_attempted,
+                 expected_admissions = share * unknown_attempted;
+    if (expected_admissions > 20 && unknown_admitted < expected_admissions / 2)
       record_violation("unknown clients were admitted less than half as often as the flood");
     if (late_unknown_admitted < late_unknown_attempted)
       record_violation("an unknown client was rejected after the flood");
     return violation_;
   }
-  int known_in = 0, known_asked = 0, honest_in = 0, honest_asked = 0, flood_in = 0, flood_asked = 0;
+  int known_admitted = 0, known_attempted = 0, unknown_admitted = 0, unknown_attempted = 0,
+      flood_admitted = 0, flood_attempted = 0;
   int late_unknown_admitted = 0, late_unknown_attempted = 0;
 
  private:
@@ -106,7 +108,7 @@
   ConnectionId connect(const Address& from, bool is_known, bool& is_admitted) {
     const ConnectionId id = ++last_id_;
     const std::size_t open_before = limiter_->open_count();
-    const AdmissionResult result = limiter_->admit(id, 0, from, now_, kUnix + now_);
+    const AdmissionResult result = limiter_->admit(id, 0, from, now_, kUnixStartSeconds + now_);
     if (prints_trace_)
       std::printf("%.4f %s %s%s\n", now_, text_of(client_of(from)).c_str(),
                   result.is_admitted ? "admitted" : text_of(result.cause), result.evicts ? ", evicts" : "");
@@ -127,10 +129,10 @@
     const auto n = static_cast<unsigned>(random_() % flood_address_count_);
     const Address from = is_spread_ ? v4(10, n % 256, n / 256, 1) : v4(10, 0, n / 256, n % 256);
     bool is_admitted = false;
-    ++flood_asked;
+    ++flood_attempted;
     const ConnectionId id = connect(from, false, is_admitted);
     if (!is_admitted) return;
-    ++flood_in;
+    ++flood_admitted;
     switch (shape_) {
       case 0: break;  // stays silent
       case 1:         // is reset
@@ -162,29 +164,29 @@
         open_by_known_client_[n] >= std::max<std::size_t>(1, max_connections_ / 2 - 1))
       return;
     bool is_admitted = false;
-    ++known_asked;
+    ++known_attempted;
     const ConnectionId id = connect(known_address(n), true, is_admitted);
     if (!is_admitted) return record_violation("a known client was rejected while the reserve had capacity");
-    ++known_in, ++open_known_, ++open_by_known_client_[n];
+    ++known_admitted, ++open_known_, ++open_by_known_client_[n];
     limiter_->on_request_read(id, now_);
     limiter_->set_busy(id, true);
     open_[id].is_busy = true;
     schedule(now_ + 0.02 + random_unit() * 0.3, [this, id, n] {
       --open_known_, --open_by_known_client_[n];
       if (!open_.contains(id)) return record_violation("the busy connection of a known client was closed");
-      limiter_->on_success(id, 1, now_, kUnix + now_);
+      limiter_->on_success(id, 1, now_, kUnixStartSeconds + now_);
       close(id);
     });
   }
   void unknown_client_connects() {
     bool is_admitted = false;
     const bool is_after_flood = now_ > kFloodEndSeconds + 2;  // its busy connections are idle by then
-    ++(is_after_flood ? late_unknown_attempted : honest_asked);
+    ++(is_after_flood ? late_unknown_attempted : unknown_attempted);
     const ConnectionId id =
         connect(v4(192, 168, static_cast<unsigned>(random_() % 4), static_cast<unsigned>(random_() % 200)),
                 false, is_admitted);
     if (!is_admitted) return;
-    ++(is_after_flood ? late_unknown_admitted : honest_in);
+    ++(is_after_flood ? late_unknown_admitted : unknown_admitted);
     limiter_->on_request_read(id, now_);
     schedule(now_ + 0.1, [this, id] {
       if (open_.contains(id)) close(id);
--- a/tests/ajp_program.cpp
+++ b/tests/ajp_program.cpp
@@ -38,7 +38,7 @@
     say("starts", server.start());
     const std::string line = server.process->expect_log("takes AJP callers");
     port = static_cast<std::uint16_t>(std::atoi(line.substr(line.rfind(' ') + 1).c_str()));
-    gateway.reach(port, 0);
+    gateway.set_server(port, 0);
     loop.run_until([this] { return server.registry.is_listed(); }, 5);
   }
   Loop& fleet_loop() { return loop; }
@@ -74,10 +74,11 @@
   }
   bool settle(double timeout = 4) {
     callers.set_load_enabled(false);
-    gateway.want_more(false);
+    gateway.set_load_enabled(false);
     return loop.run_until(
         [this] {
-          return callers.attempts_in_flight() == 0 && callers.unfinished_tasks() == 0 && gateway.open() == 0;
+          return callers.attempts_in_flight() == 0 && callers.unfinished_tasks() == 0 &&
+                 gateway.in_flight() == 0;
         },
         timeout);
   }
--- a/tests/conns/connection_limiter_traces.cpp
+++ b/tests/conns/connection_limiter_traces.cpp
@@ -13,8 +13,8 @@
 #include "gate_flood.h"
 
 using namespace damsonspoke::conns;
-using damsonspoke::standins::GateFlood;
-using damsonspoke::standins::kUnix;
+using damsonspoke::standins::ConnectionFloodSim;
+using damsonspoke::standins::kUnixStartSeconds;
 using damsonspoke::standins::v4;
 
 namespace {
@@ -32,7 +32,8 @@
   // once.
   ConnectionId connect(const Address& from, std::size_t listener = 0, bool is_out_of_descriptors = false) {
     const ConnectionId id = ++last_id;
-    const AdmissionResult result = limiter.admit(id, listener, from, now, kUnix + now, is_out_of_descriptors);
+    const AdmissionResult result =
+        limiter.admit(id, listener, from, now, kUnixStartSeconds + now, is_out_of_descriptors);
     const std::string outcome =
         result.is_admitted ? "admitted as " + std::to_string(id) : std::string(text_of(result.cause));
     std::printf("  %-12s %s", text_of(client_of(from)).c_str(), outcome.c_str());
@@ -48,7 +49,7 @@
     int admitted = 0;
     std::map<std::string, int> causes;
     for (int i = 0; i < count; ++i) {
-      const AdmissionResult result = limiter.admit(++last_id, 0, from, now, kUnix + now);
+      const AdmissionResult result = limiter.admit(++last_id, 0, from, now, kUnixStartSeconds + now);
       if (result.is_admitted) ++admitted;
       if (!result.is_admitted) ++causes[text_of(result.cause)];
       if (result.evicts) limiter.on_closed(*result.evicts);
@@ -58,11 +59,11 @@
     std::printf("\n");
   }
   void make_known(const Address& from) {
-    for (int i = 0; i < 2; ++i) known.record_success(client_of(from), kUnix + now);
+    for (int i = 0; i < 2; ++i) known.record_success(client_of(from), kUnixStartSeconds + now);
   }
   void serve_request(ConnectionId id, double priority_weight) {
     limiter.on_request_read(id, now);
-    limiter.on_success(id, priority_weight, now, kUnix + now);
+    limiter.on_success(id, priority_weight, now, kUnixStartSeconds + now);
   }
   void close_penalized(ConnectionId id, Penalty penalty) {
     limiter.penalize(id, penalty, now);
@@ -268,9 +269,9 @@
   int admitted = 0;
   for (unsigned i = 0; i < 300; ++i) {
     const AdmissionResult result =
-        script.limiter.admit(++script.last_id, 0, v4(10, 6, 0, 1), script.now, kUnix);
+        script.limiter.admit(++script.last_id, 0, v4(10, 6, 0, 1), script.now, kUnixStartSeconds);
     if (result.is_admitted) ++admitted;
-    script.limiter.admit(++script.last_id, 0, v4(10, 7, i / 250, i % 250), script.now, kUnix);
+    script.limiter.admit(++script.last_id, 0, v4(10, 7, i / 250, i % 250), script.now, kUnixStartSeconds);
   }
   std::printf("  300 connections at once: %d admitted\n", admitted);
 }
@@ -338,18 +339,18 @@
   long flood_admitted = 0;
   long flood_attempted = 0;
   for (std::uint64_t seed = 1; seed <= kFloods; ++seed) {
-    GateFlood flood(seed, false);
+    ConnectionFloodSim flood(seed, false);
     const std::string violation = flood.play();
     if (!violation.empty()) {
       std::printf("seed %llu: %s\n", static_cast<unsigned long long>(seed), violation.c_str());
       return;
     }
-    known_admitted += flood.known_in;
-    known_attempted += flood.known_asked;
-    unknown_admitted += flood.honest_in;
-    unknown_attempted += flood.honest_asked;
-    flood_admitted += flood.flood_in;
-    flood_attempted += flood.flood_asked;
+    known_admitted += flood.known_admitted;
+    known_attempted += flood.known_attempted;
+    unknown_admitted += flood.unknown_admitted;
+    unknown_attempted += flood.unknown_attempted;
+    flood_admitted += flood.flood_admitted;
+    flood_attempted += flood.flood_attempted;
   }
   std::printf(
       "300 floods: no violation; known clients %s, unknown clients outside of the flood %s, the flood %s\n",
@@ -362,7 +363,7 @@
 
 int main(int argc, char** argv) {
   if (argc == 3 && std::strcmp(argv[1], "floods") == 0) {
-    std::printf("%s\n", GateFlood(std::strtoull(argv[2], nullptr, 10), true).play().c_str());
+    std::printf("%s\n", ConnectionFloodSim(std::strtoull(argv[2], nullptr, 10), true).play().c_str());
     return 0;
   }
   if (argc == 2 && std::strcmp(argv[1], "steps") == 0) {
--- a/tests/conns/known_clients_traces.cpp
+++ b/tests/conns/known_clients_traces.cpp
@@ -11,7 +11,7 @@
 #include "gate_flood.h"
 
 using namespace damsonspoke::conns;
-using damsonspoke::standins::kUnix;
+using damsonspoke::standins::kUnixStartSeconds;
 using damsonspoke::standins::v4;
 
 namespace {
@@ -24,7 +24,7 @@
 
 struct Table {
   KnownClients clients{kOptions};
-  double now = kUnix;
+  double now = kUnixStartSeconds;
 
   void succeed(unsigned n, int times) {
     for (int i = 0; i < times; ++i) clients.record_success(client(n), now);
