--- a/standins/endings_verdict.cpp
+++ b/standins/endings_verdict.cpp
@@ -24,7 +24,7 @@
 void EndingsPlay::settle(std::vector<std::string>& broken) {
   floods_.clear();
   callers_->set_load_enabled(false);
-  if (gateway_) gateway_->want_more(false);
+  if (gateway_) gateway_->set_load_enabled(false);
   const double until = now() + kSettleSeconds;
   const auto all_up = [this] {
     return steps_.empty() && std::all_of(members_.begin(), members_.end(), [](const auto& member) {
@@ -40,7 +40,7 @@
   const bool settled = loop_.run_until(
       [this] {
         return callers_->attempts_in_flight() == 0 && callers_->unfinished_tasks() == 0 &&
-               (!gateway_ || gateway_->open() == 0);
+               (!gateway_ || gateway_->in_flight() == 0);
       },
       kSettleSeconds);
   if (!settled) broken.emplace_back("some attempts do not end");
