--- a/standins/rehearsal_script.cpp
+++ b/standins/rehearsal_script.cpp
@@ -152,7 +152,7 @@
 }  // namespace
 
 const std::vector<FaultKind>& fault_kinds() {
-  static const std::vector<FaultKind> kinds = {
+  static const std::vector<FaultKind> kFaultKinds = {
       {"kill", 1, false, "", "kill -9"},
       {"start", 1, false, "", "starts a process that is down"},
       {"leave", 1, false, "", "graceful shutdown by SIGTERM"},
@@ -177,7 +177,7 @@
       {"reload", 1, false, "word?", "SIGHUP; with `spoilt`, while the operators' file is invalid"},
       {"below_takes", 0, true, "time", "sets the duration of the dependency's calls"},
   };
-  return kinds;
+  return kFaultKinds;
 }
 
 RehearsalScript parse_rehearsal(std::string_view text) {
