--- a/standins/faulty_network.cpp
+++ b/standins/faulty_network.cpp
@@ -126,10 +126,10 @@
   return found == conditions_.end() ? no_faults_ : found->second;
 }
 
-const FaultyNetwork::Counted& FaultyNetwork::counted(const std::string& from) const {
-  static const Counted nothing;
-  const auto found = counted_.find(from);
-  return found == counted_.end() ? nothing : found->second;
+const FaultyNetwork::TrafficCounts& FaultyNetwork::traffic(const std::string& from) const {
+  static const TrafficCounts nothing;
+  const auto found = traffic_.find(from);
+  return found == traffic_.end() ? nothing : found->second;
 }
 
 void FaultyNetwork::reset(const std::string& from, const std::string& to) {
@@ -161,7 +161,7 @@
     const std::string from = host_at(source);
     if (from.empty()) continue;  // not sent by a host of this network
     const LinkConditions& link = conditions(from, to);
-    Counted& count = counted_[from];
+    TrafficCounts& count = traffic_[from];
     ++count.datagrams;
     count.bytes += static_cast<std::uint64_t>(got);
     if (link.cut || random_unit() < link.loss) {
@@ -226,7 +226,7 @@
   stream.outbound.to = stream.inbound.from = to;
   stream.outbound.source = stream.inbound.sink = fd;
   stream.outbound.sink = stream.inbound.source = other;
-  ++counted_[from].streams;
+  ++traffic_[from].streams;
   loop_.watch(fd, [this, number] { read(number, false); });
   loop_.watch(other, [this, number] { read(number, true); });
 }
@@ -244,7 +244,7 @@
   } else {
     const LinkConditions& link = conditions(flow.from, flow.to);
     const auto size = static_cast<std::size_t>(got);
-    counted_[flow.from].bytes += size;
+    traffic_[flow.from].bytes += size;
     const double begins = std::max(now(), flow.free_at);
     flow.free_at = link.bytes_per_s > 0 ? begins + static_cast<double>(size) / link.bytes_per_s : now();
     double due = std::max(now(), flow.free_at) + link.delay + link.jitter * random_unit();
--- a/standins/faulty_network.h
+++ b/standins/faulty_network.h
@@ -60,10 +60,10 @@
   void reset(const std::string& from,
              const std::string& to);  // existing streams between the two, in both directions
 
-  struct Counted {
+  struct TrafficCounts {
     std::uint64_t datagrams = 0, lost = 0, bytes = 0, streams = 0;
   };
-  const Counted& counted(const std::string& from) const;  // by sending host
+  const TrafficCounts& traffic(const std::string& from) const;  // by sending host
 
  private:
   struct HostSockets {
@@ -107,7 +107,7 @@
   std::map<std::pair<std::string, std::string>, Path> paths_;
   std::map<std::pair<std::string, std::uint16_t>, int> extra_listeners_;  // by host and port, of open()
   std::map<std::pair<std::string, std::string>, LinkConditions> conditions_;
-  std::map<std::string, Counted> counted_;
+  std::map<std::string, TrafficCounts> traffic_;
   std::map<std::uint64_t, Stream> streams_;
   std::uint64_t next_stream_ = 1;
   std::string network_;
--- a/standins/runtime.cpp
+++ b/standins/runtime.cpp
@@ -16,7 +16,7 @@
 constexpr double kBusyAverageSeconds = 0.5;      // averaging time of the busy gauge
 constexpr std::size_t kMaxStoredNotices = 4000;  // as the protocol requires
 constexpr double kOldLinkSeconds =
-    1.5;  // during which the old link stays open after a move, as operators are told
+    1.5;  // during which the old link stays open after a move, as documented for operators
 constexpr std::size_t kMaxInputBytes = 1 << 22;
 
 }  // namespace
