--- a/bench/knowledge.cpp
+++ b/bench/knowledge.cpp
@@ -22,7 +22,8 @@
 namespace {
 
 const char* const kBinary = DAMSONSPOKE_BINARY;
-// The routes (work, latency objective and timeout in s) and the slow start follow an operators' site.
+// The values of the routes (work, latency objective and timeout in s) and of the slow start are taken from an
+// operator's settings.
 struct RouteProfile {
   const char* name;
   double work, target, timeout, share, priority_weight;
--- a/src/admission/controller.cpp
+++ b/src/admission/controller.cpp
@@ -10,8 +10,8 @@
 
 constexpr double kTickSeconds = 0.1;  // between two readings of the gauges
 constexpr double kDeadlineMarginSeconds = 0.010;
-// Requests are answered at the latest this long before the stop, so that all answers are sent even after a
-// slow batch.
+// While draining, the deadline of each request is at least this long before the process stops, so that its
+// answer is sent even if an iteration of the event loop is slow.
 constexpr double kStopMarginSeconds = 0.200;
 constexpr double kRetrySpentShare = 0.4;  // of the objective, spent before a retry arrives
 
--- a/src/admission/overload_signals.h
+++ b/src/admission/overload_signals.h
@@ -39,7 +39,8 @@
   // `should_be_avoided`: the server is unhealthy or draining. `route_count`: the number of routes, which
   // limits the avoidance.
   void tick(bool cores_idle, double min_speed, bool should_be_avoided, std::size_t route_count);
-  // Called before the first tick: a server that warms up asks for no more load than its speed allows.
+  // Called once before the first tick. Publishes the first avoidance, so that callers send a server that
+  // warms up no more load than its speed allows. The parameters are those of tick().
   void initialize(double min_speed, bool should_be_avoided, std::size_t route_count);
   // Logs when an overload begins and when it ends.
   void log_overload_change();
--- a/src/app/backend.cpp
+++ b/src/app/backend.cpp
@@ -177,7 +177,7 @@
   catalog_.register_command(*control_);
   control_->add_handler("conns", [this](const std::vector<std::string>& tokens) {
     if (!connection_admission_)
-      throw std::runtime_error("connection admission is off: connections are not counted by client");
+      throw std::runtime_error("connection admission is off: connections are not counted per client");
     const long max_clients = tokens.size() > 1 ? std::atol(tokens[1].c_str()) : kDefaultReportedClients;
     return connection_admission_->report(
         static_cast<std::size_t>(std::clamp(max_clients, 0L, kMaxReportedClients)));
@@ -291,7 +291,7 @@
   // that this reads are answered too.
   if (request_server_->connections() > 0) request_server_->close_idle_connections();
   answer_in_flight_requests();
-  log_.info("backend", "backend shutdown complete, left after {:.2f} s; {} requests unanswered",
+  log_.info("backend", "backend shutdown complete after {:.2f} s; {} requests unanswered",
             net::monotonic_now() - shutdown_started_at_, in_flight_.unanswered());
   reactor_.stop();
 }
--- a/src/app/forwarder.cpp
+++ b/src/app/forwarder.cpp
@@ -156,8 +156,8 @@
     is_listening_ = false;
     caller_server_.stop_listening();
   } else if (!is_listening_ && (is_done || elapsed >= config_.stop_after - kStopMarginSeconds)) {
-    log_.info("forwarder", "forwarder shutdown complete, left after {:.2f} s; {} requests unanswered",
-              elapsed, request_forwarder_.in_flight());
+    log_.info("forwarder", "forwarder shutdown complete after {:.2f} s; {} requests unanswered", elapsed,
+              request_forwarder_.in_flight());
     return reactor_.stop();
   }
   reactor_.after(kShutdownCheckIntervalSeconds, [this] { check_shutdown(); });
--- a/src/peers/ajp/dependency_client.cpp
+++ b/src/peers/ajp/dependency_client.cpp
@@ -196,7 +196,7 @@
   dispatch_waiting();
 }
 
-// ---- Messages of the server.
+// ---- Messages from the dependency, and the timeout for them.
 
 void AjpDependencyClient::start_reply_timer(std::uint64_t tag, double seconds) {
   Link& link = links_.at(tag);
@@ -211,7 +211,7 @@
   });
 }
 
-// After this nothing on the link can be trusted.
+// Closes the link after an invalid or incomplete message, because the input after it can't be interpreted.
 void AjpDependencyClient::close_broken(Link& link, std::string_view reason) {
   counters_.add(Count::kDependencyInvalid);
   log_.warn("dependency", "{}; AJP connection to the dependency closed", reason);
--- a/src/peers/members/transport.cpp
+++ b/src/peers/members/transport.cpp
@@ -77,8 +77,8 @@
 void MembershipTransport::start() {
   is_started_ = true;
   view_.start(net::monotonic_now());
-  log_.info("members", "started as {} in cluster {} at {}, {} seeds", view_.self().name, options_.cluster,
-            options_.advertised_address, options_.seeds.size());
+  log_.info("members", "membership started as {} in cluster {}, advertised address {}, {} seeds",
+            view_.self().name, options_.cluster, options_.advertised_address, options_.seeds.size());
   schedule_timer();
 }
 
--- a/src/results/health.h
+++ b/src/results/health.h
@@ -1,10 +1,6 @@
 // Decides how the program reacts to faults of the results store: a state machine without I/O that takes
 // faults and the time, and reports whether the store may be written or should be opened.
 //
-//   kFull         stored results are still served; after each failed write, new intents are rejected for a
-//   pause kUnavailable  the store is closed and reopened after a backoff; until then intents are rejected
-//   kDisabled     the fault needs an operator; this process does not access the store again
-//
 // A request whose intent is rejected is rejected itself and never runs. Requests without an idempotency key
 // are not affected.
 #pragma once
@@ -16,7 +12,16 @@
 
 namespace damsonspoke::results {
 
-enum class StoreState : std::uint8_t { kOpening, kHealthy, kFull, kUnavailable, kDisabled };
+enum class StoreState : std::uint8_t {
+  kOpening,
+  kHealthy,
+  // Stored results are still served; after each failed write, new intents are rejected for a pause.
+  kFull,
+  // The store is closed and reopened after a backoff; until then intents are rejected.
+  kUnavailable,
+  // The fault needs an operator; this process does not access the store again.
+  kDisabled
+};
 std::string_view name_of(StoreState state);
 
 // Times are seconds of the monotonic clock.
--- a/src/settings/config.cpp
+++ b/src/settings/config.cpp
@@ -21,7 +21,7 @@
 constexpr double kMaxNumber = 1e9;
 constexpr double kMinCores = 0.01;
 constexpr int kMinSockets =
-    64;  // with fewer, none would be left for callers beside the peers and the listener
+    64;  // with fewer, too few would be left for callers besides the links to the peers and the listener
 constexpr double kMinMemoryMb = 16;  // the program and its buffers without load
 // Parsed JSON takes about ten times the memory of its text. A larger site needs a catalog (src/catalog).
 constexpr std::size_t kMaxFileBytes = std::size_t{16} << 20;
--- a/src/stages/request_forwarder.cpp
+++ b/src/stages/request_forwarder.cpp
@@ -197,8 +197,9 @@
 
 void RequestForwarder::on_link_lost(int planner, const std::vector<std::uint64_t>& unwritten) {
   for (const std::uint64_t attempt : unwritten)
-    log_.debug("forward", "attempt {} was not written to planner {} before its link was lost", attempt,
-               planner);
+    log_.debug("forward",
+               "attempt {} was not written to planner number {} before the link to the planner was lost",
+               attempt, planner);
   dispatch_->on_link_lost(planner, unwritten, net::monotonic_now());
 }
 
@@ -259,7 +260,7 @@
   submit.is_lookup_only = is_lookup_only;
   submit.idempotency_key = request.idempotency_key;
   submit.body = request.body;
-  log_.debug("forward", "request {:016x} sent as attempt {} to planner {}", id, attempt, planner);
+  log_.debug("forward", "request {:016x} submitted as attempt {} to planner number {}", id, attempt, planner);
   ports_.planners->submit(planner, submit);
 }
 
@@ -298,7 +299,8 @@
   connect_planners();
   if (history_file_) {
     const std::optional<std::string> error = history_file_->take_write_error();
-    if (error && !error->empty()) log_.warn("forward", "endpoint list history not stored: {}", *error);
+    if (error && !error->empty())
+      log_.warn("forward", "history of endpoint lists (planners) could not be stored: {}", *error);
   }
   for (std::size_t i = 0; i < connects_to_.size(); ++i) close_if_idle(static_cast<int>(i));
   reactor_.cancel(check_timer_);
@@ -365,9 +367,10 @@
   if (file && file->problem != store::ChecksumProblem::kNone) error = text_of(file->problem);
   if (file && file->problem == store::ChecksumProblem::kNone) {
     if (auto history = tier::decode_endpoint_list_history(file->content)) return history;
-    error = "checksum valid, but the content is not an endpoint list history";
+    error = "checksum valid, but the content is not a history of endpoint lists";
   }
-  log_.error("forward", "endpoint list history unreadable ({}): keyed requests are rejected for {:.0f} s",
+  log_.error("forward",
+             "history of endpoint lists (planners) unreadable ({}): keyed requests are rejected for {:.0f} s",
              error, key_ownership_.reload_spread + key_ownership_.retention);
   dispatch_->assume_unknown_history(now);
   return std::nullopt;
--- a/src/tier/forwarder_sessions.h
+++ b/src/tier/forwarder_sessions.h
@@ -73,8 +73,8 @@
     wire::tier::Answer answer;           // to be sent to the forwarder
     std::optional<RequestId> abandoned;  // it has not started and must not start
   };
-  // Proves that an attempt never ran, or reports what is known about it. `has_started` returns whether a
-  // request was ever run.
+  // Ensures that an attempt that has not started never will, and returns the proof of that; otherwise returns
+  // what is known about the attempt. `has_started` returns whether a request was ever run.
   [[nodiscard]] FenceResult fence(ForwarderId forwarder, std::uint64_t attempt,
                                   const std::function<bool(RequestId)>& has_started);
 
--- a/src/wire/tier.h
+++ b/src/wire/tier.h
@@ -26,8 +26,9 @@
 struct Hello {
   std::uint16_t version = kVersion;
   bool is_planner = false;
-  // Random, never 0. A forwarder's identifies one incarnation of its process; a planner's identifies one
-  // session with this forwarder: a planner that no longer knows the forwarder's attempts has a new one.
+  // Random, never 0. The epoch of a forwarder identifies one incarnation of its process. The epoch of a
+  // planner identifies one session with the forwarder on this link; a planner that no longer knows the
+  // forwarder's attempts sends a new epoch.
   std::uint64_t epoch = 0;
   std::string name;
   std::uint16_t cores = 0;          // of the planner
--- a/standins/endings_play.cpp
+++ b/standins/endings_play.cpp
@@ -171,7 +171,7 @@
                           "state=disabled", "state=unavailable"}) {
     if (line.find(bad) != std::string::npos) findings_.push_back(member.name + ": " + line);
   }
-  if (line.find("left after") != std::string::npos) {
+  if (line.find("shutdown complete after") != std::string::npos) {
     member.has_logged_exit = true;
     if (drawn_.is_wide) send_early_or_late_signal(member);
   }
--- a/standins/rehearsal_script.h
+++ b/standins/rehearsal_script.h
@@ -1,13 +1,22 @@
 // The script of a rehearsal: a fleet, its load, a timeline of faults and a seed, as text in the grammar of
 // the operators' file. This module holds the script as plain data and reads and writes its text.
 //
-//   rehearsal                          fleet                     load
-//       name     planners_killed           forwarders 2              request       read retryable 90 1 500ms
-//       1s seed     7                         planners   3              retries  2 lasts    5s work 10ms
-//       unmarked judged   1500ms 85%           faults
-//                                          at 1s kill p1
-//                                          at 1500ms start p1
-//                                          at 2s cut f1 p2 for 1s
+//     rehearsal
+//         name       planners_killed
+//         seed       7
+//         lasts      5s
+//         judged     1500ms 85%
+//     fleet
+//         forwarders 2
+//         planners   3
+//         work       10ms
+//     load
+//         op         read retryable 90 1 500ms 1s
+//         retries    2
+//     faults
+//         at 1s      kill p1
+//         at 1500ms  start p1
+//         at 2s      cut f1 p2 for 1s
 #pragma once
 
 #include <cstdint>
--- a/tests/endings.cpp
+++ b/tests/endings.cpp
@@ -450,7 +450,8 @@
 void idle_flood() {
   ServerFixture fixture("", kFewDescriptors);
   fixture.complete_startup();
-  const rlimit few{64, 64};  // as configured: the program keeps descriptors for its own links
+  // The same limit as in kFewDescriptors; the program reserves some of these descriptors for its own links.
+  const rlimit few{64, 64};
   ::prlimit(fixture.pid(), RLIMIT_NOFILE, &few, nullptr);
   fixture.close_registry();
   std::vector<RawCaller> idle;
--- a/tests/results/results_store.cpp
+++ b/tests/results/results_store.cpp
@@ -216,7 +216,7 @@
   return offsets;
 }
 
-// Whether record() has written each entry.
+// Whether each entry is still as record() wrote it. Missing entries are not detected.
 bool is_as_written(const Content& content) {
   return std::all_of(content.begin(), content.end(), [](const auto& item) {
     const auto& [key, result] = item;
--- a/tests/settings/program.cpp
+++ b/tests/settings/program.cpp
@@ -35,7 +35,7 @@
   fixture.print_caller_message(caller);
   fixture.send_request(caller, 3, "push", keyed_params("a").c_str());
   fixture.print_caller_message(caller);
-  fixture.send_request(caller, 4, "push");  // a keyed route without a key
+  fixture.send_request(caller, 4, "push");  // the route needs a key, but the request has none
   fixture.print_caller_message(caller);
   fixture.send_request(caller, 5, "pull");  // a route that needs no key
   fixture.print_runtime_lines(2);
--- a/tests/tier/dispatch_traces.cpp
+++ b/tests/tier/dispatch_traces.cpp
@@ -306,8 +306,6 @@
   std::printf("open requests at the end: %zu\n", dispatcher.open_requests());
 }
 
-// Guards against a faulty planner that answers attempts it has not received: it guesses the next 100 numbers
-// while the next four attempts are in flight.
 struct AttemptCollector : DispatchSink {
   void send(int, Attempt attempt, RequestId, double, bool) override { sent.push_back(attempt); }
   void cancel(int, Attempt) override {}
@@ -316,6 +314,8 @@
   void schedule_wakeup(double) override {}
   std::vector<Attempt> sent;
 };
+// Guards against a faulty planner that answers attempts it has not received: while four attempts are in
+// flight, it guesses the next 100 attempt numbers.
 void forged_answers() {
   for (const std::uint64_t max_step : {1, 1 << 24}) {
     AttemptCollector sink;
--- a/tests/tier/policy_traces.cpp
+++ b/tests/tier/policy_traces.cpp
@@ -1,5 +1,5 @@
 // The policies of the two tiers in isolation: picker, wait queue, wait estimator, a planner's sessions,
-// frames, key ownership and the endpoint list history. CTest compares the output with
+// frames, key ownership and the history of endpoint lists. CTest compares the output with
 // tests/traces/tier_NAME.txt. usage: tier_policy_traces - NAME
 #include <algorithm>
 #include <cmath>
