--- a/bench/ajp.cpp
+++ b/bench/ajp.cpp
@@ -76,7 +76,7 @@
   AjpGateway gateway(loop, journal, gateway_options);
   Server server(loop, journal, callers, kBinary, site_spec(), runtime);
   if (!server.start()) return out.violations = 1, out;
-  const std::string line = server.process->expect_log("takes AJP callers");
+  const std::string line = server.process->expect_log("accepts AJP callers");
   gateway.set_server(static_cast<std::uint16_t>(std::atoi(line.substr(line.rfind(' ') + 1).c_str())), 0);
   loop.run_until([&] { return server.registry.is_listed(); }, 5);
   const double cpu_began = server.process->processor_time();
--- a/src/admission/admission_check.cpp
+++ b/src/admission/admission_check.cpp
@@ -39,8 +39,8 @@
   return view_.run_queue.size() > 0 || view_.calls.queued() > 0 || view_.run_queue.saturated(now);
 }
 
-// The pool does not tell callers apart. So while work waits, a caller or subject that holds over half of the
-// queued bytes gets no more capacity.
+// The pool does not distinguish callers. While requests wait, a caller or subject that holds over half of the
+// queued bytes therefore gets no more capacity.
 bool AdmissionCheck::exceeds_fair_share(const Request& request) const {
   double of_caller = 0;
   double of_subject = 0;
--- a/src/admission/controller.cpp
+++ b/src/admission/controller.cpp
@@ -122,11 +122,11 @@
   state.useful_until = std::min(state.deadline, arrived_at + route.latency_objective - spent);
 }
 
-// A duplicate never runs beside its original: it waits for the original's outcome.
+// A duplicate never runs concurrently with its original request: it waits for the outcome of that request.
 void AdmissionController::join_original(const RequestState& state) {
   RequestState& tracked = track(state);
   tracked.stage = RequestStage::kAwaitingOriginal;
-  // The original may have run, so the duplicate is failed, never rejected.
+  // The original request may have run, so the duplicate is failed, never rejected.
   if (pool_.used_kb() > pool_.request_capacity_kb()) return fail(tracked);
   sink_.join(state.request.id);
 }
@@ -349,7 +349,7 @@
   const auto found = requests_.find(id);
   if (found != requests_.end()) keys_.drop(found->second, now_);
   const double retry_after = signals_.retry_after(queue_wait, should_be_avoided());
-  // An unhealthy server says nothing about the others: they may have capacity.
+  // That this server is unhealthy does not mean that the others are: they may have capacity.
   const bool others_lack_capacity = !health_.unhealthy() && (no_retry || signals_.retry_storm());
   sink_.reject(id, retry_after, others_lack_capacity);
   release(id);
--- a/src/app/backend.cpp
+++ b/src/app/backend.cpp
@@ -187,7 +187,8 @@
 int Backend::run() {
   const std::string host = config_.listen.substr(0, config_.listen.rfind(':'));
   log_.info("backend", "backend {} listens on {}:{}", config_.name, host, request_server_->port());
-  if (ajp_server_ != nullptr) log_.info("backend", "takes AJP callers on port {}", ajp_server_->port());
+  if (ajp_server_ != nullptr)
+    log_.info("backend", "backend accepts AJP callers on port {}", ajp_server_->port());
   statistics_.wait_for_record();
   if (connection_admission_) connection_admission_->load_known_clients();
   membership_.start(request_server_->port());
--- a/src/members/membership_view.h
+++ b/src/members/membership_view.h
@@ -4,9 +4,9 @@
 //
 // After "SWIM" (Das, Gupta, Motivala 2002) and "Lifeguard" (Dadgar, Phillips, Currey 2017). Further
 // extensions: a member that notices its own pause accuses no other member and refutes before it is accused; a
-// broken link is distinguished from a death, by direction; while over half of the fleet is silent at the same
-// time no deaths are declared at first; of two processes with the same name the younger one yields. Design
-// note: docs/notes/members.md.
+// link that is broken in one or both directions is distinguished from a dead member; while over half of the
+// fleet is silent at the same time no deaths are declared at first; of two processes with the same name the
+// younger one yields. Design note: docs/notes/members.md.
 //
 // All times are seconds of one monotonic clock and must not decrease.
 #pragma once
--- a/src/stages/request_forwarder.cpp
+++ b/src/stages/request_forwarder.cpp
@@ -215,10 +215,10 @@
 
 void RequestForwarder::on_answer(int planner, std::uint64_t epoch, const wt::Answer& answer) {
   if (answer.result == wt::Result::kNeverRan)
-    log_.debug("forward", "attempt {} is fenced at planner {}, epoch {:x}: it never ran", answer.attempt,
-               planner, epoch);
+    log_.debug("forward", "attempt {} is fenced at planner number {}, epoch {:x}: it never ran",
+               answer.attempt, planner, epoch);
   if (answer.result == wt::Result::kRejected)
-    log_.debug("forward", "attempt {} is rejected by planner {}", answer.attempt, planner);
+    log_.debug("forward", "attempt {} is rejected by planner number {}", answer.attempt, planner);
   const std::optional<RequestId> completed = dispatch_->on_answer(
       planner, epoch, answer.attempt, kind_of(answer.result), answer.retry_after_us * kSecondsPerMicrosecond,
       answer.no_retry, net::monotonic_now());
--- a/src/tier/forwarder_sessions.h
+++ b/src/tier/forwarder_sessions.h
@@ -95,7 +95,7 @@
     std::string name;
     std::uint64_t epoch = 0;
     std::uint64_t link = 0;          // 0: none
-    double disconnected_at = -1;     // < 0: linked
+    double disconnected_at = -1;     // < 0: it has a link
     std::uint64_t last_attempt = 0;  // attempts up to this number are no longer accepted
     std::map<std::uint64_t, OpenAttempt> open;
     std::deque<wire::tier::Answer> cached_answers;  // the oldest first
--- a/src/wire/tier.h
+++ b/src/wire/tier.h
@@ -118,7 +118,8 @@
   Message message;
 };
 
-// Decodes the message at the start of the input. After a broken frame nothing that follows can be trusted.
+// Decodes the message at the start of the input. After a broken frame the rest of the input cannot be
+// decoded.
 [[nodiscard]] DecodedFrame decode_next_frame(std::string_view input);
 
 // Names, keys and bodies that are too long are truncated to their bounds.
--- a/standins/endings_draw.h
+++ b/standins/endings_draw.h
@@ -1,6 +1,6 @@
-// The random draws of an endings play: the fleet, and the timeline of ends, signals and faults. Seeds from
-// kFirstWideSeed on draw more kinds of events; the draws of lower seeds must not change, so that recorded
-// seeds can be replayed.
+// The random draws of a run of the endings soak test: the fleet, and the timeline of process ends, signals
+// and faults. Seeds from kFirstWideSeed on draw more kinds of events; the draws of lower seeds must not
+// change, so that recorded seeds can be replayed.
 #pragma once
 
 #include <cstdint>
@@ -29,7 +29,7 @@
   // Drawn by wide seeds only:
   bool is_wide = false;
   bool is_flood_by_ajp = false;
-  int calls_in_a_row = 0;     // by half of the runs
+  int calls_in_a_row = 0;     // calls of a run to the dependency, one after another; half of the runs call
   double run_seconds = 0.01;  // core seconds of a run
 };
 
--- a/standins/endings_play.cpp
+++ b/standins/endings_play.cpp
@@ -16,7 +16,7 @@
 
 constexpr double kLoadSeconds = kEndingsLoadSeconds;
 constexpr double kStopSeconds = kEndingsStopSeconds;
-constexpr double kMaxRestartDelaySeconds = 0.3;  // from an end to the restart
+constexpr double kMaxRestartDelaySeconds = 0.3;  // from the end of a process to its restart
 constexpr double kInvalidFileSeconds = 0.15;     // during which an invalid file stays in place to be read
 constexpr double kResumeSeconds = 0.3;           // after a pause, to process the backlog
 constexpr double kExitTimeoutSeconds =
@@ -176,7 +176,7 @@
     if (drawn_.is_wide) send_early_or_late_signal(member);
   }
   if (drawn_.is_wide && !std::exchange(member.has_logged_line, true)) send_early_or_late_signal(member);
-  const std::size_t ajp = line.find("takes AJP callers on port ");
+  const std::size_t ajp = line.find("accepts AJP callers on port ");
   if (ajp == std::string::npos || !gateway_) return;
   const int port = std::atoi(line.c_str() + line.rfind(' ') + 1);
   gateway_->set_server(static_cast<std::uint16_t>(port), member.server->incarnation_number());
@@ -191,8 +191,8 @@
   member.is_up = member.server->start();
   member.stop_at = -1;
   member.was_killed_at_stop = member.has_logged_exit = false;
-  record(
-      fmt::format("{} is up as life {}: {}", member.name, member.server->incarnation_number(), member.is_up));
+  record(fmt::format("{} is up as incarnation {}: {}", member.name, member.server->incarnation_number(),
+                     member.is_up));
   if (!member.is_up) findings_.push_back(member.name + " does not start");
   return member.is_up;
 }
@@ -214,8 +214,8 @@
   member.stop_at = std::max(now(), member.paused_until) + kStopSeconds;
   send_requests_at_stop(member);
   if (!drawn_.is_wide || member.name[0] == 'p') return;
-  // Not both: after the pause there is no time left for peers that still write. During a flood more
-  // connections close than the process waits for, which is a documented limit.
+  // Either a pause or late readers, not both: after the pause there is no time left for peers that still
+  // write. During a flood more connections close than the process waits for, which is a documented limit.
   if (one_in(3))
     pause_at_stop(member);
   else if (!drawn_.has_flood)
--- a/tests/ajp_program.cpp
+++ b/tests/ajp_program.cpp
@@ -36,7 +36,7 @@
         server(loop, journal, callers, binary, site(more, sockets),
                runtime != nullptr ? *runtime : runtime_options(work)) {
     say("starts", server.start());
-    const std::string line = server.process->expect_log("takes AJP callers");
+    const std::string line = server.process->expect_log("accepts AJP callers");
     port = static_cast<std::uint16_t>(std::atoi(line.substr(line.rfind(' ') + 1).c_str()));
     gateway.set_server(port, 0);
     loop.run_until([this] { return server.registry.is_listed(); }, 5);
@@ -274,7 +274,7 @@
   Callers callers(loop, journal, {});
   Server server(loop, journal, callers, binary, spec, Scenario::runtime_options(1.7));
   say("starts", server.start());
-  const std::string line = server.process->expect_log("takes AJP callers");
+  const std::string line = server.process->expect_log("accepts AJP callers");
   loop.run_until([&] { return server.registry.is_listed(); }, 5);
   loop.run_for(0.5);
   AjpScript one(loop, static_cast<std::uint16_t>(std::atoi(line.substr(line.rfind(' ') + 1).c_str())));
--- a/tests/endings.cpp
+++ b/tests/endings.cpp
@@ -69,8 +69,8 @@
     const ssize_t wrote = ::send(fd_, text.data(), text.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
     return wrote < 0 ? 0 : static_cast<std::size_t>(wrote);
   }
-  // Reads until there are so many answers in all, the connection has ended, or the time is over. Returns the
-  // number of answers.
+  // Reads until `wanted` answers have arrived in all, the connection has ended, or the timeout has expired.
+  // Returns the number of answers.
   int read_answers(int wanted, double timeout_seconds = kTimeoutSeconds) {
     const auto until = Clock::now() + std::chrono::duration<double>(timeout_seconds);
     while (!is_closed_ && answer_count() < wanted && Clock::now() < until) {
@@ -183,7 +183,7 @@
     "gate\n    enabled on\n    reserve 0%\n    client-share 100%\n    network-share 100%\n    keep-idle "
     "50ms\n";
 
-// The same with admission by client: a connection that is evicted for a new one is read first, and its
+// The same with admission per client: a connection that is evicted for a new one is read first, and its
 // request is answered.
 void evicted_by_client() {
   ServerFixture fixture("", kFewDescriptors, {"", kAdmissionByClient});
@@ -195,7 +195,7 @@
 void evict_at_ajp_listener(const std::string& more) {
   ServerFixture fixture("", kFewDescriptors,
                         {"", "ajp\n    listen 127.0.0.1:0\n    map GET /health health\n" + more});
-  const std::string line = fixture.expect_log("takes AJP callers");
+  const std::string line = fixture.expect_log("accepts AJP callers");
   const auto port = static_cast<std::uint16_t>(std::atoi(line.substr(line.rfind(' ') + 1).c_str()));
   fixture.complete_startup();
   const std::string ping("\x12\x34\x00\x01\x0a", 5);
