--- a/src/admission/admission_check.cpp
+++ b/src/admission/admission_check.cpp
@@ -9,7 +9,7 @@
 constexpr int kProbesPerCore = 1;             // requests that an unhealthy server serves at once
 constexpr double kMaxQueuedBytesShare = 0.5;  // of the queued bytes, for one caller or subject
 constexpr double kUsableTimeShare = 0.85;     // of the time left, because predictions are means
-constexpr double kMinWeightTimeShare = 0.5;   // of that time, for a request of weight 0
+constexpr double kZeroWeightTimeShare = 0.5;  // of that time, for a request of weight 0
 
 }  // namespace
 
@@ -63,8 +63,8 @@
 // rejected.
 double AdmissionCheck::queue_time_allowed(const RequestState& state, double now) const {
   const double left = state.useful_until - now - view_.estimator.processing_time(state, now);
-  const double share = kMinWeightTimeShare + (1 - kMinWeightTimeShare) * state.route.priority_weight /
-                                                 view_.directory.highest_priority_weight();
+  const double share = kZeroWeightTimeShare + (1 - kZeroWeightTimeShare) * state.route.priority_weight /
+                                                  view_.directory.highest_priority_weight();
   if (share >= 1) return kUsableTimeShare * left;
   return kUsableTimeShare *
          (share * std::min(left, view_.statistics.shortest_queue_time(view_.service_rate.value())));
--- a/src/members/membership_view.cpp
+++ b/src/members/membership_view.cpp
@@ -37,7 +37,7 @@
   next_timer_at_ = now;
   push_pull_at_ = now + options_.push_pull_interval * (0.5 + random_.unit());
   seed_contact_at_ = now + kSeedContactSeconds;
-  dead_contact_at_ = now + kDeadContactSeconds;
+  dead_member_contact_at_ = now + kDeadContactSeconds;
   probe_period_ends_at_ = now + options_.probe_interval * random_.unit();
   contact_seeds();
 }
--- a/src/members/membership_view.h
+++ b/src/members/membership_view.h
@@ -246,7 +246,7 @@
   bool has_push_pull_run_ = false;
   double seed_contact_at_ = 0;
   double seed_backoff_ = 0;  // 0: no attempt has failed yet
-  double dead_contact_at_ = 0;
+  double dead_member_contact_at_ = 0;
   double digest_differs_since_ = -1;  // negative: it does not differ
   double digest_sync_at_ = 0;
 
--- a/src/members/membership_view_sync.cpp
+++ b/src/members/membership_view_sync.cpp
@@ -100,8 +100,8 @@
 }
 
 void MembershipView::contact_dead_member(double now) {
-  if (now < dead_contact_at_) return;
-  dead_contact_at_ = now + random_.jittered(kDeadContactSeconds);
+  if (now < dead_member_contact_at_) return;
+  dead_member_contact_at_ = now + random_.jittered(kDeadContactSeconds);
   std::vector<std::string> dead;
   for (const MemberIndex index : table_.indices()) {
     const Member& member = table_[index];
--- a/src/tier/dispatch.cpp
+++ b/src/tier/dispatch.cpp
@@ -134,7 +134,7 @@
 void Dispatch::end_startup(double now) {
   if (startup_over_) return;
   startup_over_ = true;
-  check_availability(now);
+  check_planner_availability(now);
   for (const RequestId id : queues_.take_keyed()) enqueue_or_reject(id, now);
 }
 
--- a/src/tier/dispatch.h
+++ b/src/tier/dispatch.h
@@ -114,7 +114,7 @@
   void reject_waiting_for(int planner, double now);
   void fail_lost(const std::vector<RequestId>& lost, int planner);
   void fail_disconnected(double now);
-  void check_availability(double now);
+  void check_planner_availability(double now);
 
   const DispatchOptions options_;
   DispatchSink& sink_;
--- a/src/tier/dispatch_planners.cpp
+++ b/src/tier/dispatch_planners.cpp
@@ -30,7 +30,7 @@
   for (const auto& [planner, name] : list) picker_.restore(planner);
   key_ownership_.set_planners(list, now);
   ++list_version_;
-  check_availability(now);
+  check_planner_availability(now);
   // The owners of waiting requests' keys may have changed.
   for (const RequestId id : queues_.take_keyed()) {
     route_by_key(requests_.at(id), now);
@@ -69,7 +69,7 @@
   // There can be no proof about attempts of an earlier epoch.
   fail_lost(reconnection.lost, planner);
   counters_.fences += reconnection.to_fence.size();
-  check_availability(now);
+  check_planner_availability(now);
   dispatch_waiting(now);
   schedule_wakeup(now);
 }
@@ -88,7 +88,7 @@
   const std::vector<RequestId> released = release_unwritten(planner, unwritten);
   counters_.disconnected += disconnected - released.size();
   if (attempts_.open_attempts_at(planner) > 0) link(planner).disconnected_at = now;
-  check_availability(now);
+  check_planner_availability(now);
   for (const RequestId id : released) retry_or_reject(id, planner, 0, false, now);
   reject_waiting_for(planner, now);
   dispatch_waiting(now);
@@ -133,7 +133,7 @@
 void Dispatch::on_planner_draining(int planner, double now) {
   picker_.on_draining(planner);
   reject_waiting_for(planner, now);
-  check_availability(now);
+  check_planner_availability(now);
   dispatch_waiting(now);
   schedule_wakeup(now);
 }
@@ -145,7 +145,7 @@
 }
 
 // Rejects the waiting requests if no planner accepts requests.
-void Dispatch::check_availability(double now) {
+void Dispatch::check_planner_availability(double now) {
   if (picker_.any_accepts_requests()) {
     wait_estimator_.on_planner_available();
     return;
--- a/standins/gate_flood.h
+++ b/standins/connection_flood_sim.h
@@ -53,7 +53,7 @@
   }
 
   // Runs the simulation; returns the first violation, empty if there is none.
-  std::string play() {
+  std::string run() {
     double next_flood = 0, next_known = 0.05, next_unknown = 0.1, next_check = 0.25;
     while (now_ < 7 && violation_.empty()) {
       const double next = std::min(
--- a/standins/endings_draw.cpp
+++ b/standins/endings_draw.cpp
@@ -66,16 +66,16 @@
   return out;
 }
 
-EndingsEvent draw_narrow_event(pcg64& random, std::size_t member, double when) {
-  using enum EndingsEventKind;
+TimelineEvent draw_narrow_event(pcg64& random, std::size_t member, double when) {
+  using enum TimelineEventKind;
   static constexpr std::array kKinds = {kNotice,    kNotice,   kNotice, kKill,      kReload,
                                         kBadReload, kCounters, kPause,  kCutRuntime};
-  EndingsEvent event{when, member, kKinds[random() % kKinds.size()], 0};
+  TimelineEvent event{when, member, kKinds[random() % kKinds.size()], 0};
   if (event.kind == kPause) event.seconds = draw_chance(random) * kMaxPauseSeconds;
   return event;
 }
 
-void draw_narrow_events(pcg64& random, const EndingsFleet& fleet, std::vector<EndingsEvent>& events) {
+void draw_narrow_events(pcg64& random, const EndingsFleet& fleet, std::vector<TimelineEvent>& events) {
   const int count = 6 + static_cast<int>(random() % 8);
   for (int i = 0; i < count; ++i) {
     const std::size_t member = random() % count_members(fleet);
@@ -93,16 +93,16 @@
   return random() % static_cast<unsigned>(fleet.planners > 0 ? fleet.planners : fleet.backends);
 }
 
-void draw_cuts_at_run_ends(pcg64& random, const EndingsFleet& fleet, std::vector<EndingsEvent>& events) {
+void draw_cuts_at_run_ends(pcg64& random, const EndingsFleet& fleet, std::vector<TimelineEvent>& events) {
   double when = kFirstEventSeconds;
   while (when < kEndingsLoadSeconds) {
-    events.push_back({when, draw_member_with_runtime(random, fleet), EndingsEventKind::kCutAtRunEnds, 0});
+    events.push_back({when, draw_member_with_runtime(random, fleet), TimelineEventKind::kCutAtRunEnds, 0});
     when += kMinCutIntervalSeconds * (1 + draw_chance(random));
   }
 }
 
-void draw_wide_events(pcg64& random, const EndingsFleet& fleet, std::vector<EndingsEvent>& events) {
-  using enum EndingsEventKind;
+void draw_wide_events(pcg64& random, const EndingsFleet& fleet, std::vector<TimelineEvent>& events) {
+  using enum TimelineEventKind;
   if (!one_in(random, 3)) draw_cuts_at_run_ends(random, fleet, events);
   const int unread_cuts = static_cast<int>(random() % 4);
   for (int i = 0; i < unread_cuts; ++i)
@@ -119,7 +119,7 @@
   }
   if (fleet.planners == 0) return;
   for (int i = 0; i < 3; ++i) {
-    const EndingsEventKind kind = one_in(random, 2) ? kCutLevels : kResetLevels;
+    const TimelineEventKind kind = one_in(random, 2) ? kCutLevels : kResetLevels;
     events.push_back({draw_event_time(random), draw_member_with_runtime(random, fleet), kind,
                       draw_chance(random) * kMaxLevelCutSeconds});
   }
@@ -150,8 +150,8 @@
   return out;
 }
 
-std::vector<EndingsEvent> draw_endings_events(pcg64& random, const EndingsFleet& fleet) {
-  std::vector<EndingsEvent> events;
+std::vector<TimelineEvent> draw_endings_events(pcg64& random, const EndingsFleet& fleet) {
+  std::vector<TimelineEvent> events;
   draw_narrow_events(random, fleet, events);
   if (fleet.is_wide) draw_wide_events(random, fleet, events);
   return events;
--- a/standins/endings_draw.h
+++ b/standins/endings_draw.h
@@ -33,7 +33,7 @@
   double run_seconds = 0.01;  // core seconds of a run
 };
 
-enum class EndingsEventKind {
+enum class TimelineEventKind {
   kNotice,
   kKill,
   kReload,
@@ -51,10 +51,10 @@
   kResetLevels  // resets the links of a planner
 };
 
-struct EndingsEvent {
+struct TimelineEvent {
   double at = 0;  // s since the start of the load
   std::size_t member = 0;
-  EndingsEventKind kind = EndingsEventKind::kNotice;
+  TimelineEventKind kind = TimelineEventKind::kNotice;
   double seconds = 0;
 };
 
@@ -67,7 +67,7 @@
 [[nodiscard]] EndingsFleet draw_endings_fleet(pcg64& random, std::uint64_t seed);
 [[nodiscard]] std::string text_of(const EndingsFleet& fleet);
 // Members are numbered in this order: planners, forwarders, backends.
-[[nodiscard]] std::vector<EndingsEvent> draw_endings_events(pcg64& random, const EndingsFleet& fleet);
+[[nodiscard]] std::vector<TimelineEvent> draw_endings_events(pcg64& random, const EndingsFleet& fleet);
 [[nodiscard]] std::optional<EndingsFlood> draw_endings_flood(pcg64& random, const EndingsFleet& fleet);
 // Uniformly random in [0, 1).
 [[nodiscard]] double draw_chance(pcg64& random);
--- a/standins/endings_play.cpp
+++ b/standins/endings_play.cpp
@@ -382,8 +382,8 @@
 
 // ---- The timeline.
 
-void EndingsPlay::add_event(const EndingsEvent& event) {
-  using enum EndingsEventKind;
+void EndingsPlay::add_event(const TimelineEvent& event) {
+  using enum TimelineEventKind;
   Member& member = *members_[event.member];
   switch (event.kind) {
     case kNotice: return at(event.at, [this, &member] { give_notice(member); });
@@ -401,8 +401,8 @@
   }
 }
 
-void EndingsPlay::add_wide_event(Member& member, const EndingsEvent& event) {
-  using enum EndingsEventKind;
+void EndingsPlay::add_wide_event(Member& member, const TimelineEvent& event) {
+  using enum TimelineEventKind;
   const double seconds = event.seconds;
   switch (event.kind) {
     case kCutAtRunEnds:
@@ -446,19 +446,19 @@
 }
 
 void EndingsPlay::draw_timeline() {
-  for (const EndingsEvent& event : draw_endings_events(random_, drawn_)) add_event(event);
+  for (const TimelineEvent& event : draw_endings_events(random_, drawn_)) add_event(event);
   add_flood();
   if (drawn_.is_wide) at(kDescriptorCountSeconds, [this] { count_descriptors(); });
 }
 
 void EndingsPlay::run_until(double time) {
-  const auto next_step = [this] { return steps_.empty() ? 1e9 : steps_.begin()->first; };
+  const auto next_step_at = [this] { return steps_.empty() ? 1e9 : steps_.begin()->first; };
   while (now() - began_ < time) {
-    const double until = std::min(time, next_step());
+    const double until = std::min(time, next_step_at());
     loop_.run_until(
         [&] {
           check_ends();
-          return now() - began_ >= std::min(until, next_step());
+          return now() - began_ >= std::min(until, next_step_at());
         },
         kLoadSeconds + kStartupTimeoutSeconds);
     while (!steps_.empty() && steps_.begin()->first <= now() - began_)
--- a/standins/endings_play.h
+++ b/standins/endings_play.h
@@ -51,8 +51,8 @@
   [[nodiscard]] SiteSpec site_for(const std::string& command, const std::string& name) const;
   void add_member(const std::string& command, const std::string& name, int number, const std::string& more);
   void draw_timeline();
-  void add_event(const EndingsEvent& event);
-  void add_wide_event(Member& member, const EndingsEvent& event);
+  void add_event(const TimelineEvent& event);
+  void add_wide_event(Member& member, const TimelineEvent& event);
   void add_flood();
   void at(double time, std::function<void()> act) { steps_.emplace(time, std::move(act)); }
   void record(const std::string& text);
--- a/standins/runtime.cpp
+++ b/standins/runtime.cpp
@@ -68,7 +68,7 @@
 void Runtime::break_link() {
   if (link_ < 0) return;
   if (std::exchange(ends_runs_at_next_link_, false)) {
-    for (auto& [request, run] : runs_) run.ends_at_next_link = !run.awaits_reply;
+    for (auto& [request, run] : runs_) run.completes_after_reconnect = !run.awaits_reply;
   }
   close_link();
 }
@@ -238,7 +238,7 @@
 void Runtime::end_runs_of_last_link() {
   std::vector<std::uint64_t> completed;
   for (const auto& [request, run] : runs_) {
-    if (run.ends_at_next_link) completed.push_back(request);
+    if (run.completes_after_reconnect) completed.push_back(request);
   }
   for (const std::uint64_t request : completed) complete(request);
 }
--- a/standins/runtime.h
+++ b/standins/runtime.h
@@ -66,10 +66,10 @@
     std::size_t record = 0;     // index in the journal
     double work = 0, left = 0;  // core s
     bool awaits_reply = false;
-    int calls = 0;                   // requested so far
-    std::uint64_t notice = 0;        // number of the notice that requested the last call
-    std::size_t call = 0;            // index of the last call in the journal
-    bool ends_at_next_link = false;  // after its first gauges
+    int calls = 0;                           // requested so far
+    std::uint64_t notice = 0;                // number of the notice that requested the last call
+    std::size_t call = 0;                    // index of the last call in the journal
+    bool completes_after_reconnect = false;  // when the next link asks for gauges
   };
   void accept();
   void read();
--- a/tests/conns/connection_limiter_traces.cpp
+++ b/tests/conns/connection_limiter_traces.cpp
@@ -9,8 +9,8 @@
 #include <utility>
 #include <vector>
 
+#include "connection_flood_sim.h"
 #include "conns/connection_limiter.h"
-#include "gate_flood.h"
 
 using namespace damsonspoke::conns;
 using damsonspoke::standins::ConnectionFloodSim;
@@ -340,7 +340,7 @@
   long flood_attempted = 0;
   for (std::uint64_t seed = 1; seed <= kFloods; ++seed) {
     ConnectionFloodSim flood(seed, false);
-    const std::string violation = flood.play();
+    const std::string violation = flood.run();
     if (!violation.empty()) {
       std::printf("seed %llu: %s\n", static_cast<unsigned long long>(seed), violation.c_str());
       return;
@@ -363,7 +363,7 @@
 
 int main(int argc, char** argv) {
   if (argc == 3 && std::strcmp(argv[1], "floods") == 0) {
-    std::printf("%s\n", ConnectionFloodSim(std::strtoull(argv[2], nullptr, 10), true).play().c_str());
+    std::printf("%s\n", ConnectionFloodSim(std::strtoull(argv[2], nullptr, 10), true).run().c_str());
     return 0;
   }
   if (argc == 2 && std::strcmp(argv[1], "steps") == 0) {
--- a/tests/conns/known_clients_traces.cpp
+++ b/tests/conns/known_clients_traces.cpp
@@ -6,9 +6,9 @@
 #include <string>
 #include <vector>
 
+#include "connection_flood_sim.h"
 #include "conns/known_clients.h"
 #include "conns/known_clients_record.h"
-#include "gate_flood.h"
 
 using namespace damsonspoke::conns;
 using damsonspoke::standins::kUnixStartSeconds;
--- a/tests/conns/sketch_traces.cpp
+++ b/tests/conns/sketch_traces.cpp
@@ -9,12 +9,12 @@
 #include <string>
 #include <utility>
 
+#include "connection_flood_sim.h"
 #include "conns/decaying_score_sketch.h"
 #include "conns/minimum_byte_rate.h"
 #include "conns/prefix.h"
 #include "conns/rate_sketch.h"
 #include "conns/space_saving.h"
-#include "gate_flood.h"
 
 using namespace damsonspoke::conns;
 using damsonspoke::standins::v4;
