--- a/standins/faulty_network.cpp
+++ b/standins/faulty_network.cpp
@@ -127,9 +127,9 @@
 }
 
 const FaultyNetwork::TrafficCounts& FaultyNetwork::traffic(const std::string& from) const {
-  static const TrafficCounts nothing;
+  static const TrafficCounts kNoTraffic;
   const auto found = traffic_.find(from);
-  return found == traffic_.end() ? nothing : found->second;
+  return found == traffic_.end() ? kNoTraffic : found->second;
 }
 
 void FaultyNetwork::reset(const std::string& from, const std::string& to) {
